--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -4,13 +4,38 @@
 use asterlatch_lab::roam::Manners;
 use asterlatch_lab::script::Script;
 use std::path::Path;
-use std::sync::{Mutex, PoisonError};
+use std::sync::{Condvar, Mutex, PoisonError};
 
-/// One fleet at a time: a machine that is too busy is no fault that a scene means.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Number of scenes in progress. Each needs about half a core, so at most one per two cores runs at a time:
+/// an overloaded machine is not a fault that any scene is about.
+static RUNNING_SCENES: Mutex<usize> = Mutex::new(0);
+static SCENE_ENDED: Condvar = Condvar::new();
+
+/// The right to run one scene; dropping it lets the next one start.
+struct ScenePermit;
+
+impl ScenePermit {
+    fn acquire() -> ScenePermit {
+        let cores = std::thread::available_parallelism().map_or(1, usize::from);
+        let most = (cores / 2).max(1);
+        let running = RUNNING_SCENES.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut running = SCENE_ENDED
+            .wait_while(running, |running| *running >= most)
+            .unwrap_or_else(PoisonError::into_inner);
+        *running += 1;
+        ScenePermit
+    }
+}
+
+impl Drop for ScenePermit {
+    fn drop(&mut self) {
+        *RUNNING_SCENES.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        SCENE_ENDED.notify_one();
+    }
+}
 
 fn play(scene: &str, shares: bool) -> Outcome {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _permit = ScenePermit::acquire();
     let (_, drivers, text) = scenes(5).find(|(name, ..)| *name == scene).expect("is a scene");
     let plan = Plan {
         drivers,
