--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -277,3 +277,64 @@
         );
     }
 }
+
+fn learned_fixture() -> std::path::PathBuf {
+    [env!("CARGO_MANIFEST_DIR"), "tests", "fixtures", "learned.bin"]
+        .iter()
+        .collect()
+}
+
+fn fleet_with_quotas() -> Settings {
+    with(|s| {
+        s.driver_count = 3;
+        s.members_check_reads = false;
+        s.session_age_carried = false;
+        s.tenant_quotas = vec![50.0];
+        s.over_quota_share = 0.3;
+    })
+}
+
+/// What the build before has learned is read, means what it meant, and is written again byte by byte alike.
+#[test]
+fn learned_state_read_from_the_build_before_means_the_same() {
+    let bytes = std::fs::read(learned_fixture()).expect("lies there");
+    let learned: Driver = postcard::from_bytes(&bytes).expect("can be read");
+    assert_eq!(postcard::to_stdvec(&learned).expect("can be written"), bytes);
+    let now = Point(1_010_000_000);
+    let mut next = Driver::resume(learned, &fleet_with_quotas(), false, now);
+    let mut taken = |id, workload, group| {
+        let statement = Statement {
+            id,
+            workload,
+            group,
+            left: ms(1000),
+            ..Statement::default()
+        };
+        let results = next.statement_taken(now, &statement);
+        assert!(results.answers.is_empty(), "statement {id}");
+        results.executions.iter().map(|e| e.member).collect::<Vec<_>>()
+    };
+    // Primaries are 0, 1 and 2, each of the group of its own number; of each group are the members that leave this
+    // remainder by three.
+    for group in 0..3 {
+        assert_eq!(taken(group + 1, 2, group), [group], "a write");
+        let reads = taken(group + 11, 0, group);
+        assert!(
+            reads.len() == 1 && reads[0] % 3 == group && reads[0] < MEMBERS,
+            "a read of group {group}: {reads:?}"
+        );
+    }
+}
+
+#[test]
+#[ignore = "writes the fixture: only by a build whose state is to be kept"]
+fn write_fixtures() {
+    let mut world = World::new(&fleet_with_quotas(), 17);
+    (0..3000).for_each(|_| world.step());
+    world.quiet();
+    // Some executions are out, so that theirs is in the state as well.
+    (0..10).for_each(|_| world.step());
+    assert!(!world.out.is_empty());
+    let bytes = postcard::to_stdvec(&world.drivers[0]).expect("can be written");
+    std::fs::write(learned_fixture(), bytes).expect("is written");
+}
