--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -71,6 +71,9 @@
         /// A restart instead: leaves, and begins with nothing learned.
         #[arg(long)]
         restart: bool,
+        /// Another build of the program: upgrades go to it and back in turn.
+        #[arg(long, conflicts_with = "restart")]
+        next: Option<PathBuf>,
         /// A member's fault beside every second one.
         #[arg(long)]
         faults: bool,
@@ -213,6 +216,7 @@
     common: &Common,
     count: u32,
     restart: bool,
+    next: Option<PathBuf>,
     faults: bool,
     around: (Span, Span),
 ) -> io::Result<bool> {
@@ -246,6 +250,7 @@
         };
     }
     let mut scene = common.scene(Script::read(&text).map_err(io::Error::other)?)?;
+    scene.next = next;
     let (load, from) = common.load(&scene, f64::from(count) * each + 0.5);
     lock(&scene.store).started = from;
     let mut spans = Vec::new();
@@ -417,13 +422,14 @@
             common,
             count,
             restart,
+            next,
             faults,
             after,
             calm,
         } => {
             let span = |seconds: f64| Span((seconds.max(0.0) * 1e6) as u64);
             let around = (span(calm.max(0.5)), span(after));
-            upgrade(&common, count, restart, faults, around)
+            upgrade(&common, count, restart, next, faults, around)
         }
     };
     match done {
--- a/crates/lab/src/scene.rs
+++ b/crates/lab/src/scene.rs
@@ -20,6 +20,8 @@
     pub listen: SocketAddr,
     pub folder: PathBuf,
     driver: PathBuf,
+    /// The program that each upgrade starts in place of the one before, which is next then; without it the same.
+    pub next: Option<PathBuf>,
     child: Option<Child>,
     /// Of the process that serves.
     pid: u32,
@@ -114,6 +116,7 @@
             listen,
             folder: folder.to_owned(),
             driver: driver.to_owned(),
+            next: None,
             child: None,
             pid: 0,
             logs: 0,
@@ -157,6 +160,9 @@
 
     /// Has a new process take over; what was said of it.
     pub fn upgrade(&mut self) -> io::Result<String> {
+        if let Some(next) = &mut self.next {
+            std::mem::swap(&mut self.driver, next);
+        }
         let output = Command::new(&self.driver)
             .arg("upgrade")
             .arg("--control")
