--- /dev/null
+++ b/crates/settings/tests/fixtures.rs
@@ -0,0 +1,216 @@
+//! Settings that an earlier build read: each key means what it meant.
+//!
+//! `cargo test -p asterlatch-settings --test fixtures -- --ignored` writes the fixtures anew from the build as it is.
+
+use asterlatch::interface::{Freshness, Repeat, Scope, Settings, WorkloadSettings};
+use asterlatch_settings::{read, Decoding, Pairs};
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+const JSON: &str = "settings.json";
+/// The same settings, one value a path.
+const TEXT: &str = "settings.txt";
+/// What both come to.
+const RESOLVED: &str = "settings.resolved.txt";
+/// What holds where the settings say nothing.
+const RESOLVED_DEFAULTS: &str = "defaults.resolved.txt";
+
+fn fixtures() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
+}
+
+fn text(name: &str) -> String {
+    fs::read_to_string(fixtures().join(name)).expect("the fixture is there")
+}
+
+fn json() -> serde_json::Value {
+    serde_json::from_str(&text(JSON)).expect("is JSON")
+}
+
+/// One line a path and value, lists of objects counted and numbered: written here without the code under test.
+fn flattened(value: &serde_json::Value, path: &str, lines: &mut BTreeMap<String, String>) {
+    let below = |name: &str| match path {
+        "" => name.to_owned(),
+        _ => format!("{path}.{name}"),
+    };
+    let plain = |value: &serde_json::Value| match value.as_str() {
+        Some(text) => text.replace([' ', ','], "_"),
+        None => value.to_string(),
+    };
+    if let Some(fields) = value.as_object() {
+        for (name, value) in fields {
+            flattened(value, &below(name), lines);
+        }
+        return;
+    }
+    let Some(items) = value.as_array() else {
+        lines.insert(path.to_owned(), plain(value));
+        return;
+    };
+    if !items.iter().any(serde_json::Value::is_object) {
+        let joined: Vec<_> = items.iter().map(plain).collect();
+        lines.insert(path.to_owned(), joined.join(","));
+        return;
+    }
+    lines.insert(below("count"), items.len().to_string());
+    for (number, item) in items.iter().enumerate() {
+        flattened(item, &below(&number.to_string()), lines);
+    }
+}
+
+fn described_workload(text: &mut String, number: usize, workload: &WorkloadSettings) {
+    let freshness = match workload.freshness {
+        Freshness::Any => "loose".to_owned(),
+        Freshness::Bounded(bound) => format!("recent within {}", bound.0),
+        Freshness::Session => "own_writes".to_owned(),
+        Freshness::Fresh => "latest".to_owned(),
+        Freshness::Write => "update".to_owned(),
+    };
+    let idempotency = match workload.repeat {
+        Repeat::Idempotent => "retryable",
+        Repeat::Deduplicated => "dedup",
+        Repeat::NonIdempotent => "fragile",
+    };
+    let scope = match workload.scope {
+        Scope::Group => "group",
+        Scope::Zone => "zone",
+        Scope::All => "all",
+    };
+    let values: [(&str, String); 7] = [
+        ("worth", workload.importance.to_string()),
+        ("late_worth", workload.late_share.to_string()),
+        ("objective_us", workload.slo_time.0.to_string()),
+        ("idempotency", idempotency.to_owned()),
+        ("key_scope", scope.to_owned()),
+        ("window_us", workload.window.0.to_string()),
+        ("freshness", freshness),
+    ];
+    for (name, value) in values {
+        writeln!(text, "categories.{number}.{name} = {value}").expect("is written");
+    }
+}
+
+/// Every value that the module is told, by the key that sets it.
+fn described(settings: &Settings, decoding: &Decoding) -> String {
+    let mut text = String::new();
+    for (number, workload) in settings.workloads.iter().enumerate() {
+        described_workload(&mut text, number, workload);
+    }
+    let values: Vec<(&str, String)> = vec![
+        ("peers_total", settings.driver_count.to_string()),
+        ("tick_us", settings.tick.0.to_string()),
+        ("parties.quota_per_s", format!("{:?}", settings.tenant_quotas)),
+        ("over_share_worth", settings.over_quota_share.to_string()),
+        ("family_info.behind", settings.members_check_reads.to_string()),
+        ("family_info.tokens", settings.session_age_carried.to_string()),
+        ("discovery", settings.list_on_request.to_string()),
+        ("rules.ask_within_us", settings.list_ask_within.0.to_string()),
+        ("rules.gone_is_advice", settings.gone_is_advice.to_string()),
+        ("rules.cold_from", settings.cold_share.to_string()),
+        ("rules.warm_within_us", settings.warm_within.0.to_string()),
+        ("rules.tip_multiple", settings.fall_multiple.to_string()),
+        ("rules.fall_us", settings.fall_span.0.to_string()),
+        ("limits.try_limit", settings.max_executions.to_string()),
+        ("limits.conn_idle_us", settings.connection_idle.0.to_string()),
+        ("limits.cancel", settings.cancel_allowed.to_string()),
+        ("limits.probes", settings.probes_allowed.to_string()),
+        ("limits.max_retry_after_us", settings.max_hold_off.0.to_string()),
+        ("family_info.counted_from_us", decoding.epoch.0.to_string()),
+        ("report.fields x0", format!("{:?}", decoding.position_field)),
+        ("report.fields x1", format!("{:?}", decoding.role_field)),
+        ("family_info.answers_stamped", decoding.positions.to_string()),
+        ("categories.name", format!("{:?}", decoding.workloads)),
+        ("zones", format!("{:?}", decoding.zones)),
+        ("report.fields", format!("{:?}", decoding.report_fields)),
+        ("report.how", decoding.reported.to_string()),
+        (
+            "limits.connect_timeout_us",
+            decoding.connect_timeout.0.to_string(),
+        ),
+    ];
+    for (name, value) in values {
+        writeln!(text, "{name} = {value}").expect("is written");
+    }
+    text
+}
+
+fn resolved_json() -> String {
+    let (settings, decoding) = Pairs::from_json(&json())
+        .and_then(|pairs| read(&pairs))
+        .expect("is read");
+    described(&settings, &decoding)
+}
+
+fn resolved_defaults() -> String {
+    let (settings, decoding) = Pairs::from_text("categories.count=1\nparties.count=1\n")
+        .and_then(|pairs| read(&pairs))
+        .expect("is read");
+    described(&settings, &decoding)
+}
+
+#[test]
+#[ignore = "writes the fixtures"]
+fn write_fixtures() {
+    let mut lines = BTreeMap::new();
+    flattened(&json(), "", &mut lines);
+    let flat: String = lines
+        .iter()
+        .map(|(path, value)| format!("{path}={value}\n"))
+        .collect();
+    fs::write(fixtures().join(TEXT), flat).expect("is written");
+    fs::write(fixtures().join(RESOLVED), resolved_json()).expect("is written");
+    fs::write(fixtures().join(RESOLVED_DEFAULTS), resolved_defaults()).expect("is written");
+}
+
+#[test]
+fn json_with_every_key_resolves_to_the_same_settings() {
+    assert_eq!(resolved_json(), text(RESOLVED));
+}
+
+#[test]
+fn text_with_every_key_resolves_to_the_same_settings() {
+    let (settings, decoding) = Pairs::from_text(&text(TEXT))
+        .and_then(|pairs| read(&pairs))
+        .expect("is read");
+    assert_eq!(described(&settings, &decoding), text(RESOLVED));
+}
+
+#[test]
+fn settings_that_say_nothing_resolve_to_the_same_defaults() {
+    assert_eq!(resolved_defaults(), text(RESOLVED_DEFAULTS));
+}
+
+/// Each line of the resolved fixture differs from the defaults, so that no key can be lost unseen.
+#[test]
+fn every_value_of_the_fixture_differs_from_its_default() {
+    let (resolved, defaults) = (text(RESOLVED), text(RESOLVED_DEFAULTS));
+    let same: Vec<_> = resolved
+        .lines()
+        .filter(|line| !line.starts_with("categories.") || line.starts_with("categories.0."))
+        .filter(|line| defaults.lines().any(|default| default == *line))
+        .collect();
+    // Reports are on unless they are turned off, and the same holds for retry-after.
+    assert_eq!(same, ["report.how = true"]);
+    assert_eq!(resolved.lines().count(), 5 * 7 + 27);
+}
+
+#[test]
+fn switches_that_are_on_by_default_turn_off() {
+    let off = text(TEXT)
+        .replace("report.how=on_probe", "report.how=off")
+        .replace("limits.retry_after=true", "limits.retry_after=false");
+    let (settings, decoding) = Pairs::from_text(&off)
+        .and_then(|pairs| read(&pairs))
+        .expect("is read");
+    let resolved = described(&settings, &decoding);
+    for line in [
+        "report.how = false",
+        "report.fields x0 = None",
+        "report.fields x1 = None",
+        "limits.max_retry_after_us = 0",
+    ] {
+        assert!(resolved.lines().any(|l| l == line), "no '{line}' in {resolved}");
+    }
+}
