--- /dev/null
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -0,0 +1,166 @@
+//! The configuration file and the operators' settings as an earlier build read them: each key means what it meant.
+//!
+//! `cargo test -p asterlatch-driver --test configuration_fixtures -- --ignored` writes the fixtures anew from the build as it is.
+
+use asterlatch_config::host::MACHINE;
+use asterlatch_config::load::{read, Folder};
+use asterlatch_driver::program::config::{self, Config};
+use asterlatch_driver::program::operators::{registry, InForce};
+use std::fmt::Write;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+const CONFIG: &str = "config.json";
+const CONFIG_RESOLVED: &str = "config.resolved.txt";
+/// Stands with the language that it is written in.
+const EVERY_SETTING: &str = "../config/tests/fixtures/every-setting.latch";
+const EVERY_SETTING_IN_FORCE: &str = "every-setting.in-force.txt";
+
+fn package() -> &'static Path {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn fixture(name: &str) -> PathBuf {
+    package().join("tests/fixtures").join(name)
+}
+
+fn text(name: &str) -> String {
+    fs::read_to_string(fixture(name)).expect("the fixture is there")
+}
+
+fn lines(values: &[(&str, String)]) -> String {
+    let mut text = String::new();
+    for (name, value) in values {
+        writeln!(text, "{name} = {value}").expect("is written");
+    }
+    text
+}
+
+fn config() -> Config {
+    let path = fixture(CONFIG);
+    config::load(path.to_str().expect("is text"), |_| None).expect("is read")
+}
+
+/// Every value of the file by its key; the settings stand with their own crate, here only their hash.
+fn described_config(config: &Config) -> String {
+    let known = config.known.as_ref().expect("a list is known");
+    let mut text = lines(&[
+        ("name", config.name.clone()),
+        ("listen", config.listen.to_string()),
+        ("discovery", config.given.discovery.to_string()),
+        ("seed", config.seed.to_string()),
+        ("limits.memory_mb in bytes", config.given.memory.to_string()),
+        ("limits.sockets", config.given.sockets.to_string()),
+        ("settings' hash", config.settings_text.to_string()),
+        (
+            "settings' workloads",
+            config.settings.0.workloads.len().to_string(),
+        ),
+        ("known.index", known.index.to_string()),
+        ("known.snapshot", known.whole.to_string()),
+        ("known.endpoints left out", known.left_out.to_string()),
+    ]);
+    for entry in &known.entries {
+        text += &lines(&[
+            ("known.endpoints.name", entry.name.clone()),
+            ("known.endpoints.address", entry.address.clone()),
+            ("known.endpoints.zone", entry.zone.clone()),
+            ("known.endpoints.group", entry.group.to_string()),
+            ("known.endpoints.status", format!("{:?}", entry.status)),
+            ("known.endpoints.weight", entry.weight.to_string()),
+            ("known.endpoints.since_ms", entry.since_ms.to_string()),
+            ("known.endpoints.rank source", entry.is_primary.to_string()),
+        ]);
+    }
+    text
+}
+
+fn every_setting_in_force() -> InForce {
+    let path = package().join(EVERY_SETTING);
+    let (folder, name) = Folder::of(path.to_str().expect("is text"));
+    let outcome = read(&name, &folder, registry(), MACHINE);
+    InForce::of(&outcome.meaning.expect("is valid"))
+}
+
+/// What the parts of the program take over, by the setting that states it. Times in microseconds, shares in millionths.
+fn described_in_force(force: &InForce) -> String {
+    let limits = &force.limits;
+    let [(crowded_from, crowded_rest), (filling_from, filling_rest)] = limits.rest_among;
+    let (serving, taking) = &force.takeover;
+    let mut text = lines(&[
+        ("descriptors.reserve", limits.reserve.to_string()),
+        ("descriptors.clients", limits.clients.0.to_string()),
+        ("memory.clients", limits.clients_memory.0.to_string()),
+        ("memory.members", limits.members_memory.0.to_string()),
+        ("clients.first_statement", limits.first_statement.0.to_string()),
+        ("clients.message", limits.message.0.to_string()),
+        ("clients.rest", limits.rest.0.to_string()),
+        ("clients.filling_from", filling_from.0.to_string()),
+        ("clients.filling_rest", filling_rest.0.to_string()),
+        ("clients.crowded_from", crowded_from.0.to_string()),
+        ("clients.crowded_rest", crowded_rest.0.to_string()),
+        ("clients.just_came", limits.just_came.0.to_string()),
+        ("clients.accept_again", limits.accept_again.0.to_string()),
+        ("statements.longest_timeout", limits.longest_timeout.0.to_string()),
+        ("members.idle", limits.member_idle.0.to_string()),
+        ("discovery.watch", limits.watch.0.to_string()),
+        ("discovery.watch_late", limits.watch_late.0.to_string()),
+        ("discovery.list_late", limits.list_late.0.to_string()),
+        ("discovery.first_pause", limits.first_pause.0.to_string()),
+        ("discovery.longest_pause", limits.longest_pause.0.to_string()),
+        ("phases.arrivals", force.times.arrivals.0.to_string()),
+        ("phases.linger", force.times.linger.0.to_string()),
+        ("phases.longest_drain", force.times.longest_drain.0.to_string()),
+        ("process.stack", force.stacks.bytes.to_string()),
+        ("process.spare_stacks", force.stacks.spare.to_string()),
+        ("log.lines", force.lines_a_second.to_string()),
+        ("upgrade.hello", serving.hello.0.to_string()),
+        ("upgrade.ready", serving.ready.0.to_string()),
+        ("upgrade.taken", serving.taken.0.to_string()),
+        (
+            "upgrade.silence of the serving process",
+            serving.beat.0.to_string(),
+        ),
+        ("upgrade.ready twice", taking.patience.0.to_string()),
+        ("upgrade.silence", taking.silence.0.to_string()),
+        ("upgrade.beat", taking.beat.0.to_string()),
+        ("upgrade.probation", taking.probation.0.to_string()),
+    ]);
+    for (name, own) in &force.workloads {
+        let timeout = own.timeout.map(|span| span.0);
+        text += &lines(&[
+            ("workload", name.clone()),
+            ("workload.timeout", format!("{timeout:?}")),
+            ("workload.longest", format!("{:?}", own.longest)),
+        ]);
+    }
+    text
+}
+
+#[test]
+#[ignore = "writes the fixtures"]
+fn write_fixtures() {
+    fs::write(fixture(CONFIG_RESOLVED), described_config(&config())).expect("is written");
+    let in_force = described_in_force(&every_setting_in_force());
+    fs::write(fixture(EVERY_SETTING_IN_FORCE), in_force).expect("is written");
+}
+
+#[test]
+fn configuration_with_every_key_resolves_to_the_same_values() {
+    assert_eq!(described_config(&config()), text(CONFIG_RESOLVED));
+}
+
+#[test]
+fn configuration_read_again_is_no_change() {
+    let (first, second) = (config(), config());
+    assert_eq!(first.kept(&second), Vec::<&str>::new());
+    assert_eq!(first.settings_text, second.settings_text);
+}
+
+#[test]
+fn operators_file_with_every_setting_comes_in_force_with_the_same_values() {
+    assert_eq!(
+        described_in_force(&every_setting_in_force()),
+        text(EVERY_SETTING_IN_FORCE)
+    );
+}
