--- a/crates/turns/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -2,10 +2,10 @@
 //! what it bears by all their answers (`sums`), and how many of them there are (`size`). Rules without I/O: words of others and the clock go in, what to tell and what may be
 //! done comes out. Nobody waits for a turn with a final answer, and no word of one driver moves more than its own part.
 
+pub mod failure_consensus;
+pub mod fleet_size;
 pub mod lease;
-pub mod silence;
-pub mod size;
-pub mod sums;
+pub mod load_aggregate;
 
 /// A driver, as all know it alike: its name's hash.
 pub type Key = u64;
--- a/crates/turns/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -1,7 +1,7 @@
 //! Turns: who has one, how it goes on when its holder dies, is stopped or cut off; and every order of steps for three drivers.
 
 use asterlatch::time::{Point, Span};
-use asterlatch_turns::lease::{Claim, End, Leases, Stand, Terms};
+use asterlatch_coordination::lease::{Claim, End, Leases, Stand, Terms};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/crates/turns/tests/sums.rs
+++ b/crates/coordination/tests/sums.rs
@@ -1,9 +1,9 @@
 //! What many drivers know together: silent members, and how many drivers there are.
 
 use asterlatch::time::{Point, Span};
-use asterlatch_turns::silence::{Silence, Terms};
-use asterlatch_turns::size::Size;
-use asterlatch_turns::sums::{self, Sums};
+use asterlatch_coordination::failure_consensus::{Silence, Terms};
+use asterlatch_coordination::fleet_size::Size;
+use asterlatch_coordination::load_aggregate::{self, Sums};
 
 fn at(ms: u64) -> Point {
     Point(10_000_000 + ms * 1000)
@@ -148,7 +148,7 @@
 
 #[test]
 fn shares_are_drawn_together_by_answers_and_age() {
-    let terms = sums::Terms {
+    let terms = load_aggregate::Terms {
         halves: Span::millis(1000),
         gain: 0.3,
         most: 8.0,
@@ -205,7 +205,9 @@
 fn minute(drivers: u64, stale: Option<u64>, nonsense: u64, seed: u64) -> [f64; 3] {
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut shares = vec![1.0_f64; drivers as usize];
-    let mut all: Vec<Sums> = (0..drivers).map(|_| Sums::new(sums::Terms::default())).collect();
+    let mut all: Vec<Sums> = (0..drivers)
+        .map(|_| Sums::new(load_aggregate::Terms::default()))
+        .collect();
     let (mut good, mut sent_last, mut strays, mut spread) = (0.0, None, 0.0, 0.0);
     // Work that waits at the member, in statements; one takes it a hundredth of a second at full capacity.
     let (mut waiting, mut second) = (0.0_f64, 0.0);
--- a/crates/driver/src/program/keeping.rs
+++ b/crates/driver/src/program/keeping.rs
@@ -1,7 +1,7 @@
 //! Writes the copy of what is shared to a disk, on a thread of its own: however slow that is, nobody waits for it but the
 //! next group of writes.
 
-use asterlatch_shared::keep::Wish;
+use asterlatch_gossip::snapshot::Wish;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::os::unix::fs::MetadataExt;
--- a/crates/driver/src/program/kept.rs
+++ b/crates/driver/src/program/kept.rs
@@ -2,9 +2,9 @@
 
 use crate::routing::owner::Moved;
 use crate::transport::witness::{counts, has_given_up};
-use asterlatch_takeover::ledger::{Back, Broken, Counts, Key, Ledger, Record};
-use asterlatch_takeover::message::Client;
-use asterlatch_takeover::wire::{Came, Reader};
+use asterlatch_handover::codec::{Came, Reader};
+use asterlatch_handover::io_journal::{Back, Broken, Counts, Key, Ledger, Record};
+use asterlatch_handover::message::Client;
 use std::collections::BTreeMap;
 use std::net::{Shutdown, TcpStream};
 use std::os::fd::OwnedFd;
--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -16,7 +16,7 @@
 use asterlatch_config::registry::{Machine, Registry, WANTS};
 use asterlatch_config::store::Store;
 use asterlatch_config::{host, report};
-use asterlatch_takeover::{new, old};
+use asterlatch_handover::{predecessor, successor};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -37,7 +37,7 @@
     pub stacks: Stacks,
     pub lines_a_second: u32,
     /// Of the process that serves, and of one that takes over.
-    pub takeover: (old::Times, new::Times),
+    pub takeover: (predecessor::Times, successor::Times),
 }
 
 impl InForce {
@@ -89,13 +89,13 @@
             (name.to_owned(), own)
         });
         let upgrade = |row| span("upgrade", row);
-        let serving = old::Times {
+        let serving = predecessor::Times {
             hello: upgrade("hello"),
             ready: upgrade("ready"),
             taken: upgrade("taken"),
             beat: upgrade("silence"),
         };
-        let taking = new::Times {
+        let taking = successor::Times {
             // The former process has its own patience, which ends first.
             patience: upgrade("ready") + upgrade("ready"),
             // As long as the former one lets this one be silent: it tells ten times meanwhile that it lives.
@@ -206,7 +206,7 @@
     sampled: Point,
     is_watched: bool,
     /// As they are in force now.
-    pub upgrade_times: old::Times,
+    pub upgrade_times: predecessor::Times,
 }
 
 /// What was decided, and what is wrong with a file: each has its own limit of lines, so that a long list of faults
@@ -292,7 +292,7 @@
     pub fn new(
         given: &Given,
         start: Start,
-        upgrade_times: old::Times,
+        upgrade_times: predecessor::Times,
         queue: Sender<Input>,
     ) -> Result<Operators, String> {
         let canonical = start.meaning.canonical(registry());
--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -4,8 +4,8 @@
 use super::keeping;
 use super::sharing::written;
 use crate::transport::clock::Clock;
+use asterlatch_gossip::snapshot::{self, Fault};
 use asterlatch_recovery::report::{self, Report};
-use asterlatch_shared::keep::{self, Fault};
 use serde_json::{json, Value};
 use std::path::Path;
 
@@ -13,9 +13,9 @@
 fn look(folder: &Path, name: Option<&str>, clock: &Clock) -> Result<(Value, Report), String> {
     let bytes =
         keeping::read(folder)?.ok_or_else(|| format!("{}: nothing was ever kept there", folder.display()))?;
-    let whose = keep::whose(&bytes);
+    let whose = snapshot::whose(&bytes);
     let (fleet, own, life) = whose.clone().unwrap_or_default();
-    let read = keep::read(&bytes, &fleet, name.unwrap_or(&own));
+    let read = snapshot::read(&bytes, &fleet, name.unwrap_or(&own));
     let nothing_used = !matches!(
         read.fault,
         None | Some(Fault::Torn { .. } | Fault::Flipped { .. })
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -1,4 +1,4 @@
-//! The thread that speaks with other drivers: carries datagrams to the engine of `asterlatch-shared` and out of it, and its
+//! The thread that speaks with other drivers: carries datagrams to the engine of `asterlatch-gossip` and out of it, and its
 //! news to the owner. It keeps no statement waiting: the owner speaks to it by words, and hears by its own queue.
 
 use super::keeping::{self, Job};
@@ -11,14 +11,14 @@
 use asterlatch::time::{Point, Span};
 use asterlatch_config::host::{drivers, Other};
 use asterlatch_config::meaning::{hash, Meaning};
+use asterlatch_coordination::lease::Claim;
+use asterlatch_gossip::codec::Dialect;
+use asterlatch_gossip::membership::Times;
+use asterlatch_gossip::node::{shown, Engine, Input, Output, Settings};
+use asterlatch_gossip::record::Fact;
+use asterlatch_gossip::snapshot::{self, Keeper, Told, Wish};
+use asterlatch_gossip::state::Book;
 use asterlatch_recovery::report;
-use asterlatch_shared::book::Book;
-use asterlatch_shared::engine::{shown, Engine, Input, Output, Settings};
-use asterlatch_shared::fact::Fact;
-use asterlatch_shared::keep::{self, Keeper, Told, Wish};
-use asterlatch_shared::peers::Times;
-use asterlatch_shared::wire::Dialect;
-use asterlatch_turns::lease::Claim;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -221,7 +221,7 @@
     match keeping::read(folder) {
         Ok(None) => Former::default(),
         Ok(Some(bytes)) => {
-            let read = keep::read(&bytes, &settings.fleet, &settings.name);
+            let read = snapshot::read(&bytes, &settings.fleet, &settings.name);
             Former {
                 facts: read.facts,
                 life: read.life,
@@ -261,7 +261,7 @@
     keeper: Keeper,
     jobs: SyncSender<Job>,
     done: Receiver<keeping::Done>,
-    writer: Option<keep::Writer>,
+    writer: Option<snapshot::Writer>,
 }
 
 impl Keeping {
@@ -308,7 +308,7 @@
             _ => {
                 let settings = engine.settings();
                 let (head, writer) =
-                    keep::Writer::begin(&settings.fleet, &settings.name, engine.peers.own().life);
+                    snapshot::Writer::begin(&settings.fleet, &settings.name, engine.peers.own().life);
                 self.writer = Some(writer);
                 let all = engine.book.all().filter(|e| e.fact.kind().outlives());
                 let all = all.map(|e| (e.fact.clone(), e.told));
--- a/crates/driver/src/program/upgrade/handover.rs
+++ b/crates/driver/src/program/upgrade/handover.rs
@@ -6,7 +6,7 @@
 use crate::transport::clock::Clock;
 use asterlatch::choice::Driver;
 use asterlatch::time::{Point, Span};
-use asterlatch_takeover::wire::machine_us;
+use asterlatch_handover::codec::machine_us;
 use serde::{Deserialize, Serialize};
 
 /// Of what is written out, beside the version of the takeover itself.
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -8,11 +8,11 @@
 use crate::routing::queue::{Input, Notice};
 use crate::transport::witness::Witness;
 use asterlatch::time::Point;
-use asterlatch_takeover::joint::Joint;
-use asterlatch_takeover::ledger::Verdicts;
-use asterlatch_takeover::message::Message;
-use asterlatch_takeover::new::{self, New};
-use asterlatch_takeover::wire::{machine_us, send, Came, Reader};
+use asterlatch_handover::co_serving::Joint;
+use asterlatch_handover::codec::{machine_us, send, Came, Reader};
+use asterlatch_handover::io_journal::Verdicts;
+use asterlatch_handover::message::Message;
+use asterlatch_handover::successor::{self, New};
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{FromRawFd, OwnedFd};
 use std::os::unix::net::UnixStream;
@@ -21,7 +21,7 @@
 
 /// What comes from the former process while this one serves.
 enum Heard {
-    Word(new::Input),
+    Word(successor::Input),
     Moved(Moved),
     Member(u32, TcpStream),
 }
@@ -43,7 +43,7 @@
 }
 
 /// Takes the socket to the former process, where this one was started to take over.
-pub fn inherited(times: new::Times) -> Result<Option<Takeover>, String> {
+pub fn inherited(times: successor::Times) -> Result<Option<Takeover>, String> {
     let Some(number) = std::env::var_os(VARIABLE) else {
         return Ok(None);
     };
@@ -85,18 +85,20 @@
     /// Says hello, and waits for state and listener.
     pub fn load(&mut self, config: &Config) -> Result<Resumed, String> {
         let now = self.machine_now();
-        let mut effects = self.machine.take(now, new::Input::Start);
+        let mut effects = self.machine.take(now, successor::Input::Start);
         loop {
             for effect in std::mem::take(&mut effects) {
                 match effect {
-                    new::Effect::Say(message) => self.say(&message),
-                    new::Effect::Load(bytes) => match (read(&bytes, config.settings_text), &self.listener) {
-                        (Ok(resumed), Some(_)) => return Ok(resumed),
-                        (Ok(_), None) => effects.extend(self.loaded(Err("no listener came".to_owned()))),
-                        (Err(why), _) => effects.extend(self.loaded(Err(why))),
-                    },
-                    new::Effect::End(why) => return Err(why),
-                    new::Effect::Serve | new::Effect::Accept | new::Effect::Tell(_) => {}
+                    successor::Effect::Say(message) => self.say(&message),
+                    successor::Effect::Load(bytes) => {
+                        match (read(&bytes, config.settings_text), &self.listener) {
+                            (Ok(resumed), Some(_)) => return Ok(resumed),
+                            (Ok(_), None) => effects.extend(self.loaded(Err("no listener came".to_owned()))),
+                            (Err(why), _) => effects.extend(self.loaded(Err(why))),
+                        }
+                    }
+                    successor::Effect::End(why) => return Err(why),
+                    successor::Effect::Serve | successor::Effect::Accept | successor::Effect::Tell(_) => {}
                 }
             }
             if effects.is_empty() {
@@ -105,9 +107,9 @@
         }
     }
 
-    fn loaded(&mut self, result: Result<(), String>) -> Vec<new::Effect> {
+    fn loaded(&mut self, result: Result<(), String>) -> Vec<successor::Effect> {
         let now = self.machine_now();
-        self.machine.take(now, new::Input::Loaded(result))
+        self.machine.take(now, successor::Input::Loaded(result))
     }
 
     pub fn listener(&mut self) -> Option<TcpListener> {
@@ -122,7 +124,7 @@
     }
 
     /// The next word of the former process, its end, or its silence.
-    fn wait(&mut self) -> Vec<new::Effect> {
+    fn wait(&mut self) -> Vec<successor::Effect> {
         let wait = self.machine.next_at() - self.machine_now();
         let timeout = Duration::from_micros(wait.0.clamp(1, 60_000_000));
         let _ = self.socket.set_read_timeout(Some(timeout));
@@ -138,12 +140,12 @@
                     self.listener = Some(listener.into());
                     self.ledger = Some((ledger.into(), given_up));
                 }
-                new::Input::Heard(message)
+                successor::Input::Heard(message)
             }
-            Came::Garbled(_) => new::Input::Garbled,
+            Came::Garbled(_) => successor::Input::Garbled,
             // A silence ends the reading as well; the rules tell them apart by the time.
-            Came::Ended if self.machine.next_at() <= self.machine_now() => new::Input::Time,
-            Came::Ended => new::Input::Ended,
+            Came::Ended if self.machine.next_at() <= self.machine_now() => successor::Input::Time,
+            Came::Ended => successor::Input::Ended,
         };
         let now = self.machine_now();
         self.machine.take(now, input)
@@ -156,10 +158,10 @@
             let mut serves = false;
             for effect in std::mem::take(&mut effects) {
                 match effect {
-                    new::Effect::Say(message) => self.say(&message),
-                    new::Effect::Serve => serves = true,
-                    new::Effect::End(why) => return Err(why),
-                    new::Effect::Load(_) | new::Effect::Accept | new::Effect::Tell(_) => {}
+                    successor::Effect::Say(message) => self.say(&message),
+                    successor::Effect::Serve => serves = true,
+                    successor::Effect::End(why) => return Err(why),
+                    successor::Effect::Load(_) | successor::Effect::Accept | successor::Effect::Tell(_) => {}
                 }
             }
             if serves {
@@ -195,11 +197,14 @@
                     };
                     Heard::Member(member, TcpStream::from(stream))
                 }
-                Came::Message(message, _) => Heard::Word(new::Input::Heard(message)),
-                Came::Garbled(_) => Heard::Word(new::Input::Garbled),
-                Came::Ended => Heard::Word(new::Input::Ended),
+                Came::Message(message, _) => Heard::Word(successor::Input::Heard(message)),
+                Came::Garbled(_) => Heard::Word(successor::Input::Garbled),
+                Came::Ended => Heard::Word(successor::Input::Ended),
             };
-            let last = matches!(heard, Heard::Word(new::Input::Garbled | new::Input::Ended));
+            let last = matches!(
+                heard,
+                Heard::Word(successor::Input::Garbled | successor::Input::Ended)
+            );
             if tell.send(heard).is_err() || queue.send(Input::Notice(Notice::Done)).is_err() || last {
                 return;
             }
@@ -215,12 +220,12 @@
             match heard {
                 Heard::Moved(moved) => owner.adopt(now, moved),
                 Heard::Member(member, stream) => owner.adopt_connection(now, member, stream),
-                Heard::Word(new::Input::Heard(Message::Joint(words))) => {
+                Heard::Word(successor::Input::Heard(Message::Joint(words))) => {
                     let answer = bind(owner, now, &mut self.joint, &words);
                     answer.iter().for_each(|m| self.say(m));
                 }
                 Heard::Word(input) => {
-                    if matches!(input, new::Input::Garbled | new::Input::Ended) {
+                    if matches!(input, successor::Input::Garbled | successor::Input::Ended) {
                         self.ended = true;
                         // Nothing of the former one is out any more.
                         owner.share(now, false, false);
@@ -232,7 +237,7 @@
             }
         }
         if self.machine.next_at() <= machine_now {
-            effects.extend(self.machine.take(machine_now, new::Input::Time));
+            effects.extend(self.machine.take(machine_now, successor::Input::Time));
         }
         let given_up = self.witness.take_if(|w| !w.is_on());
         if given_up.is_some() {
@@ -245,9 +250,9 @@
         }
         for effect in effects {
             match effect {
-                new::Effect::Say(message) => self.say(&message),
-                new::Effect::Accept => owner.pause(false),
-                new::Effect::Tell(text) => {
+                successor::Effect::Say(message) => self.say(&message),
+                successor::Effect::Accept => owner.pause(false),
+                successor::Effect::Tell(text) => {
                     let took = (machine_now - self.started).0 / 1000;
                     log!(
                         owner.observer,
@@ -264,7 +269,7 @@
             told.iter().for_each(|m| self.say(m));
         }
         // Whoever is proven, or alone, answers for its clients itself; not before the former one was told so.
-        if self.machine.phase == new::Phase::Owner {
+        if self.machine.phase == successor::Phase::Owner {
             self.witness.take().inspect(Witness::stop);
         }
     }
@@ -279,6 +284,6 @@
 
     /// The service is this process's alone, and no client is to come from the former one any more.
     pub fn is_over(&self) -> bool {
-        self.ended && self.machine.phase == new::Phase::Owner
+        self.ended && self.machine.phase == successor::Phase::Owner
     }
 }
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -8,11 +8,11 @@
 use crate::routing::owner::Owner;
 use crate::routing::queue::{Input, Notice};
 use asterlatch::time::Point;
-use asterlatch_takeover::fit;
-use asterlatch_takeover::joint::Joint;
-use asterlatch_takeover::message::{Client, Message};
-use asterlatch_takeover::old::{self, Old, Told};
-use asterlatch_takeover::wire::{send, Came, Reader};
+use asterlatch_handover::capacity_check;
+use asterlatch_handover::co_serving::Joint;
+use asterlatch_handover::codec::{send, Came, Reader};
+use asterlatch_handover::message::{Client, Message};
+use asterlatch_handover::predecessor::{self, Old, Told};
 use rustix::event::EventfdFlags;
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
 use std::ffi::OsString;
@@ -30,8 +30,8 @@
 pub struct Upgrades {
     machine: Old,
     queue: Sender<Input>,
-    tell: Sender<old::Input>,
-    heard: Receiver<old::Input>,
+    tell: Sender<predecessor::Input>,
+    heard: Receiver<predecessor::Input>,
     asks: Receiver<Ask>,
     /// Says what goes to the new process, and its end, while there is one.
     link: Option<Link>,
@@ -57,7 +57,7 @@
     pub fn new(settings: u64, queue: Sender<Input>, asks: Receiver<Ask>) -> Upgrades {
         let (tell, heard) = channel();
         Upgrades {
-            machine: Old::new(old::Times::default()),
+            machine: Old::new(predecessor::Times::default()),
             queue,
             tell,
             heard,
@@ -84,13 +84,13 @@
     }
 
     fn ask(&mut self, owner: &mut Owner<Log>, now: Point, binary: PathBuf, reply: Option<UnixStream>) {
-        if let Err(why) = fit::check(&Upgrades::measure(owner)) {
+        if let Err(why) = capacity_check::check(&Upgrades::measure(owner)) {
             log!(owner.observer, now, "upgrade", "not begun: {why}");
             reply.map(|mut r| writeln!(r, "failed: {why}"));
             return;
         }
-        let effects = self.machine.take(now, old::Input::Ask);
-        if effects.contains(&old::Effect::Tell(Told::Busy)) {
+        let effects = self.machine.take(now, predecessor::Input::Ask);
+        if effects.contains(&predecessor::Effect::Tell(Told::Busy)) {
             // Whoever asked before is still to be told of that one.
             log!(
                 owner.observer,
@@ -106,13 +106,13 @@
     }
 
     /// What both processes would have and need. What the kernel doesn't tell is taken for nothing.
-    fn measure(owner: &Owner<Log>) -> fit::Room {
+    fn measure(owner: &Owner<Log>) -> capacity_check::Room {
         let held = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
         let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
         let pages: u64 = pages.split(' ').nth(1).and_then(|p| p.parse().ok()).unwrap_or(0);
         let (clients, messages) = owner.held();
         let (descriptors, memory) = owner.most();
-        fit::Room {
+        capacity_check::Room {
             descriptors,
             held,
             clients,
@@ -133,7 +133,7 @@
 
     /// The process is told to leave.
     pub fn leave(&mut self, owner: &mut Owner<Log>, now: Point) {
-        self.take(owner, now, old::Input::Leave);
+        self.take(owner, now, predecessor::Input::Leave);
     }
 
     pub fn steer(&mut self, owner: &mut Owner<Log>, now: Point, may_begin: bool) {
@@ -145,18 +145,18 @@
             }
         }
         while let Ok(input) = self.heard.try_recv() {
-            if let old::Input::Heard(Message::Joint(words)) = &input {
+            if let predecessor::Input::Heard(Message::Joint(words)) = &input {
                 let answer = bind(owner, now, &mut self.joint, words);
                 answer.into_iter().for_each(|m| self.say(m, Vec::new()));
             }
-            if let old::Input::Heard(Message::Missing(handed)) = &input {
+            if let predecessor::Input::Heard(Message::Missing(handed)) = &input {
                 self.kept.missing(*handed);
                 owner.figures.clients_cut += 1;
             }
             self.take(owner, now, input);
         }
         if self.machine.next_at() <= now {
-            self.take(owner, now, old::Input::Time);
+            self.take(owner, now, predecessor::Input::Time);
         }
         self.move_clients(owner, now);
         self.tell_joint(owner);
@@ -167,20 +167,20 @@
     }
 
     /// From the next phase on.
-    pub fn bound(&mut self, times: old::Times) {
+    pub fn bound(&mut self, times: predecessor::Times) {
         self.machine.times = times;
     }
 
-    fn take(&mut self, owner: &mut Owner<Log>, now: Point, input: old::Input) {
+    fn take(&mut self, owner: &mut Owner<Log>, now: Point, input: predecessor::Input) {
         let effects = self.machine.take(now, input);
         self.carry_out(owner, now, effects);
     }
 
-    fn carry_out(&mut self, owner: &mut Owner<Log>, now: Point, effects: Vec<old::Effect>) {
+    fn carry_out(&mut self, owner: &mut Owner<Log>, now: Point, effects: Vec<predecessor::Effect>) {
         for effect in effects {
             match effect {
-                old::Effect::Start => self.start(),
-                old::Effect::SendState => match written(owner, now, self.settings) {
+                predecessor::Effect::Start => self.start(),
+                predecessor::Effect::SendState => match written(owner, now, self.settings) {
                     Ok(bytes) => match self.beside(owner) {
                         Ok(beside) => self.say(Message::State(bytes), beside),
                         // It isn't told anything, and is known by that.
@@ -193,25 +193,25 @@
                         "the state can't be written out: {e}"
                     ),
                 },
-                old::Effect::Say(message) => self.say(message, Vec::new()),
-                old::Effect::ServeBeside => {
+                predecessor::Effect::Say(message) => self.say(message, Vec::new()),
+                predecessor::Effect::ServeBeside => {
                     self.joint = Joint::default();
                     owner.share(now, true, true);
                 }
-                old::Effect::StopAccepting => owner.pause(true),
-                old::Effect::ServeAlone => {
+                predecessor::Effect::StopAccepting => owner.pause(true),
+                predecessor::Effect::ServeAlone => {
                     owner.share(now, false, false);
                     owner.figures.open_from_beside = 0;
                     owner.pause(false);
                 }
-                old::Effect::SendAway => owner.hand_clients_over(),
-                old::Effect::TakeBack => self.take_back(owner, now),
-                old::Effect::Kill => self.kill(),
-                old::Effect::Leave => {
+                predecessor::Effect::SendAway => owner.hand_clients_over(),
+                predecessor::Effect::TakeBack => self.take_back(owner, now),
+                predecessor::Effect::Kill => self.kill(),
+                predecessor::Effect::Leave => {
                     self.kept.clear();
                     self.is_over = true;
                 }
-                old::Effect::Tell(told) => self.told(owner, now, &told),
+                predecessor::Effect::Tell(told) => self.told(owner, now, &told),
             }
         }
     }
@@ -290,7 +290,10 @@
 
     /// Sends those on that are to go on in the new process; where there is none any more they stay.
     fn move_clients(&mut self, owner: &mut Owner<Log>, now: Point) {
-        let takes = matches!(self.machine.phase, old::Phase::Standby | old::Phase::Done);
+        let takes = matches!(
+            self.machine.phase,
+            predecessor::Phase::Standby | predecessor::Phase::Done
+        );
         // Where nobody takes them they end: another is opened as one is needed.
         for (member, stream) in std::mem::take(&mut owner.moved_connections) {
             if takes {
@@ -330,7 +333,7 @@
             Ok((pid, child, link)) => (self.pid, self.child, self.link) = (pid, Some(child), Some(link)),
             Err(e) => {
                 let why = format!("{}: {e}", self.binary.display());
-                let _ = self.tell.send(old::Input::NotStarted(why));
+                let _ = self.tell.send(predecessor::Input::NotStarted(why));
                 let _ = self.queue.send(Input::Notice(Notice::Done));
             }
         }
@@ -359,7 +362,7 @@
 /// Starts the new process with this one's arguments, and the threads that talk to it.
 fn begin(
     binary: &Path,
-    tell: &Sender<old::Input>,
+    tell: &Sender<predecessor::Input>,
     queue: &Sender<Input>,
     pending: &Arc<AtomicUsize>,
 ) -> io::Result<(u32, OwnedFd, Link)> {
@@ -407,11 +410,11 @@
         let mut reader = Reader::new(ours);
         loop {
             let input = match reader.read() {
-                Came::Message(message, _) => old::Input::Heard(message),
-                Came::Garbled(_) => old::Input::Garbled,
+                Came::Message(message, _) => predecessor::Input::Heard(message),
+                Came::Garbled(_) => predecessor::Input::Garbled,
                 Came::Ended => break,
             };
-            let garbled = input == old::Input::Garbled;
+            let garbled = input == predecessor::Input::Garbled;
             if tell.send(input).is_err() || queue.send(Input::Notice(Notice::Done)).is_err() || garbled {
                 break;
             }
@@ -419,7 +422,7 @@
         // A closed socket is no end: only the kernel's word is.
         let _ = child.wait();
         ledger.try_iter().for_each(|reads| drop(reads.join()));
-        let _ = tell.send(old::Input::Ended);
+        let _ = tell.send(predecessor::Input::Ended);
         let _ = queue.send(Input::Notice(Notice::Done));
     };
     std::thread::Builder::new()
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/session.rs
@@ -6,7 +6,7 @@
 use crate::transport::stream::{Dialogue, Outbox};
 use crate::transport::witness::Witness;
 use asterlatch::time::Point;
-use asterlatch_takeover::ledger::Record;
+use asterlatch_handover::io_journal::Record;
 use std::collections::VecDeque;
 use std::net::TcpStream;
 use std::os::fd::AsFd;
--- a/crates/driver/src/routing/owner/beside.rs
+++ b/crates/driver/src/routing/owner/beside.rs
@@ -10,8 +10,8 @@
 use asterlatch::choice;
 use asterlatch::interface::{Answer, Settings, Told};
 use asterlatch::time::{Point, Span};
-use asterlatch_takeover::joint::Word;
-use asterlatch_takeover::ledger::{Verdict, Verdicts};
+use asterlatch_handover::co_serving::Word;
+use asterlatch_handover::io_journal::{Verdict, Verdicts};
 use std::collections::BTreeMap;
 use std::net::{TcpListener, TcpStream};
 
--- a/crates/driver/src/routing/owner/sending.rs
+++ b/crates/driver/src/routing/owner/sending.rs
@@ -6,7 +6,7 @@
 use crate::routing::errands::{Errand, Kind, Start, Up};
 use asterlatch::interface::{Ending, Sighting};
 use asterlatch::time::Point;
-use asterlatch_takeover::ledger::Record;
+use asterlatch_handover::io_journal::Record;
 
 impl<O: Observer> Owner<O> {
     /// Gives the errand a connection.
--- a/crates/driver/src/routing/owner/sharing.rs
+++ b/crates/driver/src/routing/owner/sharing.rs
@@ -8,11 +8,11 @@
 use crate::routing::tables;
 use asterlatch::interface::*;
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::doubts::{Known, Verdict, FOREVER};
-use asterlatch_shared::engine::Output;
-use asterlatch_shared::fact::{Fact, Standing as Listed};
-use asterlatch_shared::peers::Presence;
-use asterlatch_shared::wire::Question;
+use asterlatch_gossip::codec::Question;
+use asterlatch_gossip::in_doubt::{Known, Verdict, FOREVER};
+use asterlatch_gossip::membership::Presence;
+use asterlatch_gossip::node::Output;
+use asterlatch_gossip::record::{Fact, Standing as Listed};
 
 impl<O: Observer> Owner<O> {
     /// From now on others are told, and listened to.
--- a/crates/driver/src/routing/sharing.rs
+++ b/crates/driver/src/routing/sharing.rs
@@ -5,10 +5,10 @@
 use super::turns::Turns;
 use asterlatch::interface::{Sighting, Statement};
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::cold::{self, Cold};
-use asterlatch_shared::doubts::{Inquiries, Log};
-use asterlatch_shared::engine::{Input, Output};
-use asterlatch_shared::fact::{Fact, Standing};
+use asterlatch_gossip::in_doubt::{Inquiries, Log};
+use asterlatch_gossip::node::{Input, Output};
+use asterlatch_gossip::record::{Fact, Standing};
+use asterlatch_gossip::slow_start::{self, Cold};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// To the engine: what it takes, as far as the owner says it.
@@ -122,7 +122,7 @@
             parked: BTreeMap::new(),
             out: BTreeMap::new(),
             list: 0,
-            cold: Cold::new(cold::Terms {
+            cold: Cold::new(slow_start::Terms {
                 span: terms.fall_span,
                 multiple: terms.fall_multiple,
                 tick: terms.tick,
--- a/crates/driver/src/routing/turns.rs
+++ b/crates/driver/src/routing/turns.rs
@@ -1,14 +1,14 @@
 //! What the owner keeps for turns among drivers and for what they know of members together: the rules stand in
-//! `asterlatch_turns`, here they meet members' names, ticks and facts.
+//! `asterlatch_coordination`, here they meet members' names, ticks and facts.
 
 use super::tables;
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::fact::{Fact, MOST_SHARES};
-use asterlatch_turns::lease::{End, Leases, Stand, Terms};
-use asterlatch_turns::silence::{self, Silence};
-use asterlatch_turns::size::Size;
-use asterlatch_turns::sums::{self, Sums};
-use asterlatch_turns::Key;
+use asterlatch_coordination::failure_consensus::{self, Silence};
+use asterlatch_coordination::fleet_size::Size;
+use asterlatch_coordination::lease::{End, Leases, Stand, Terms};
+use asterlatch_coordination::load_aggregate::{self, Sums};
+use asterlatch_coordination::Key;
+use asterlatch_gossip::record::{Fact, MOST_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The holder of a turn asks a lost member this often; alone each driver asks it the more rarely the more there are.
@@ -48,9 +48,9 @@
         };
         Turns {
             leases: Leases::new(own, life, terms),
-            silence: Silence::new(own, silence::Terms::default()),
+            silence: Silence::new(own, failure_consensus::Terms::default()),
             size: Size::new(all, SHRINKS, now),
-            sums: Sums::new(sums::Terms::default()),
+            sums: Sums::new(load_aggregate::Terms::default()),
             tell_at: now,
             own,
             name,
--- a/crates/driver/src/transport/witness.rs
+++ b/crates/driver/src/transport/witness.rs
@@ -1,8 +1,8 @@
 //! Writes down, for another process that holds the same sockets, what is done next to each client. That process reads on
 //! when this one is killed: what was written into its socket outlives the writer.
 
-use asterlatch_takeover::ledger::{Counts, Record};
-use asterlatch_takeover::wire::send;
+use asterlatch_handover::codec::send;
+use asterlatch_handover::io_journal::{Counts, Record};
 use std::ffi::c_void;
 use std::io::{self, ErrorKind};
 use std::net::TcpStream;
--- a/crates/driver/tests/kept.rs
+++ b/crates/driver/tests/kept.rs
@@ -2,8 +2,8 @@
 
 mod stand;
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::fact::{Fact, Standing};
-use asterlatch_shared::keep::Writer;
+use asterlatch_gossip::record::{Fact, Standing};
+use asterlatch_gossip::snapshot::Writer;
 use rustix::process::{Pid, Resource, Rlimit};
 use stand::*;
 use std::net::UdpSocket;
@@ -85,7 +85,7 @@
     }
 
     fn facts_on_disk(&self) -> usize {
-        let read = asterlatch_shared::keep::read(&self.bytes(), &self.fleet(), "t");
+        let read = asterlatch_gossip::snapshot::read(&self.bytes(), &self.fleet(), "t");
         read.facts.len()
     }
 
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -8,7 +8,7 @@
 use asterlatch_driver::program::phases::{Phase, Phases, Seen, Times};
 use asterlatch_driver::routing::limits::{Limits, Part};
 use asterlatch_driver::transport::Stacks;
-use asterlatch_takeover::{new, old};
+use asterlatch_handover::{predecessor, successor};
 
 fn at(ms: u64) -> Point {
     Point(0) + Span::millis(ms)
@@ -116,7 +116,10 @@
     let force = InForce::of(&Meaning::default_of(registry()));
     assert_eq!(force.limits, Limits::default());
     assert_eq!((force.times, force.stacks), (Times::default(), Stacks::default()));
-    assert_eq!(force.takeover, (old::Times::default(), new::Times::default()));
+    assert_eq!(
+        force.takeover,
+        (predecessor::Times::default(), successor::Times::default())
+    );
     assert_eq!(
         (force.lines_a_second, force.workloads.len()),
         (Log::default().lines_a_second, 0)
--- a/crates/driver/tests/versions.rs
+++ b/crates/driver/tests/versions.rs
@@ -3,11 +3,11 @@
 
 mod stand;
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::doubts::Known;
-use asterlatch_shared::engine::{Engine, Input, Output, Settings};
-use asterlatch_shared::fact::{Fact, Standing};
-use asterlatch_shared::peers::{Presence, Times};
-use asterlatch_shared::wire::Question;
+use asterlatch_gossip::codec::Question;
+use asterlatch_gossip::in_doubt::Known;
+use asterlatch_gossip::membership::{Presence, Times};
+use asterlatch_gossip::node::{Engine, Input, Output, Settings};
+use asterlatch_gossip::record::{Fact, Standing};
 use stand::*;
 use std::net::UdpSocket;
 use std::process::Command;
--- a/crates/shared/src/catchup.rs
+++ b/crates/gossip/src/anti_entropy.rs
@@ -5,8 +5,8 @@
 //!
 //! A driver that has not caught up says so, and others don't take its copy for whole.
 
-use crate::book::{range, Book, RANGES};
-use crate::wire::Item;
+use crate::codec::Item;
+use crate::state::{range, Book, RANGES};
 use asterlatch::time::{Point, Span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/shared/src/wire.rs
+++ b/crates/gossip/src/codec.rs
@@ -2,7 +2,7 @@
 //! doesn't know are passed over, so that two versions understand each other as far as both go. A hash over everything,
 //! begun with the fleet's name, tells garbled ones and those of another fleet.
 
-use crate::fact::{Fact, KINDS};
+use crate::record::{Fact, KINDS};
 use asterlatch::time::{Point, Span};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -65,7 +65,7 @@
         parts: Option<u32>,
     },
     Ask(Question),
-    Answer(Question, crate::doubts::Known),
+    Answer(Question, crate::in_doubt::Known),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/shared/src/quarrel.rs
+++ b/crates/gossip/src/conflict.rs
@@ -1,7 +1,7 @@
 //! What can't both be true. The conservative telling stands by the rules of `fact`; both are kept here, for an operator
 //! to see who is wrong. Bounded: the oldest go.
 
-use crate::fact::{Fact, Key};
+use crate::record::{Fact, Key};
 use asterlatch::time::Point;
 use std::collections::VecDeque;
 
--- a/crates/shared/src/spread.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -2,7 +2,7 @@
 //! cut off from whom. What doesn't fit into the rate waits, the kinds that rules hang on first; what waits too long is left
 //! to the comparing of copies.
 
-use crate::fact::{Key, Kind, KINDS};
+use crate::record::{Key, Kind, KINDS};
 use asterlatch::time::{Point, Span};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/shared/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -18,14 +18,14 @@
 //! Facts travel as ages and never as readings of a clock. What is believed for how long, and what the decisions may do
 //! with it, stands with each fact.
 
-pub mod book;
-pub mod catchup;
-pub mod cold;
-pub mod doubts;
-pub mod engine;
-pub mod fact;
-pub mod keep;
-pub mod peers;
-pub mod quarrel;
-pub mod spread;
-pub mod wire;
+pub mod anti_entropy;
+pub mod codec;
+pub mod conflict;
+pub mod dissemination;
+pub mod in_doubt;
+pub mod membership;
+pub mod node;
+pub mod record;
+pub mod slow_start;
+pub mod snapshot;
+pub mod state;
--- a/crates/shared/src/engine.rs
+++ b/crates/gossip/src/node.rs
@@ -1,13 +1,13 @@
 //! All of it together: a datagram, an observation, a question or the clock goes in; datagrams, news and answers come out.
 
-use crate::book::{Book, Learned};
-use crate::catchup::{Catchup, Seen};
-use crate::doubts::Known;
-use crate::fact::{Fact, Key, Kind};
-use crate::peers::{Change, Peers, Presence, Times, Who};
-use crate::quarrel;
-use crate::spread::{tellings, Rate, Spread};
-use crate::wire::{self, Head, Item, Question};
+use crate::anti_entropy::{Catchup, Seen};
+use crate::codec::{self, Head, Item, Question};
+use crate::conflict;
+use crate::dissemination::{tellings, Rate, Spread};
+use crate::in_doubt::Known;
+use crate::membership::{Change, Peers, Presence, Times, Who};
+use crate::record::{Fact, Key, Kind};
+use crate::state::{Book, Learned};
 use asterlatch::time::{Point, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -32,7 +32,7 @@
     /// Mark of the operators' file in force.
     pub file: u64,
     /// What its datagrams are written as.
-    pub dialect: wire::Dialect,
+    pub dialect: codec::Dialect,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -261,13 +261,13 @@
             });
             return;
         }
-        let (head, items) = match wire::read_datagram(&self.settings.fleet, bytes) {
+        let (head, items) = match codec::read_datagram(&self.settings.fleet, bytes) {
             Ok(read) => read,
-            Err(wire::Fault::Garbled) => {
+            Err(codec::Fault::Garbled) => {
                 self.counts.garbled += 1;
                 return;
             }
-            Err(wire::Fault::Version(_)) => {
+            Err(codec::Fault::Version(_)) => {
                 self.counts.unknown_version += 1;
                 return;
             }
@@ -278,7 +278,7 @@
             let is_new = self
                 .book
                 .quarrels
-                .note(now, quarrel::Kind::Foreign, head.name, sides);
+                .note(now, conflict::Kind::Foreign, head.name, sides);
             if is_new {
                 let why = "it speaks under another name than its address has";
                 self.outputs.push(Output::CutOff { peer: from, why });
@@ -618,6 +618,6 @@
 
 /// What of this copy an operator is shown, in the order of keys.
 pub fn shown(book: &Book, now: Point) -> Vec<(Key, Fact, Span)> {
-    let of = |e: &crate::book::Entry| (e.fact.key(), e.fact.clone(), now - e.told);
+    let of = |e: &crate::state::Entry| (e.fact.key(), e.fact.clone(), now - e.told);
     book.all().map(of).collect()
 }
--- a/crates/shared/src/fact.rs
+++ b/crates/gossip/src/record.rs
@@ -3,7 +3,7 @@
 //! stands, and `quarrel` keeps both.
 
 use asterlatch::time::{Point, Span};
-use asterlatch_turns::lease::Claim;
+use asterlatch_coordination::lease::Claim;
 use serde::{Deserialize, Serialize};
 
 /// How the list calls a member.
@@ -62,7 +62,7 @@
         file: u64,
         caught_up: bool,
     },
-    /// Who does something for all. Its owner is the claim's holder; `asterlatch_turns::lease` says which stands.
+    /// Who does something for all. Its owner is the claim's holder; `asterlatch_coordination::lease` says which stands.
     Turn { subject: String, claim: Claim },
     /// A driver has an execution out at a member that is late: it was sent so long before this was said. Its owner is that
     /// driver; the `said`th telling counts. With another driver's it may have reads go elsewhere for a moment, and alone
--- a/crates/shared/src/keep.rs
+++ b/crates/gossip/src/snapshot.rs
@@ -3,7 +3,7 @@
 //! whole before it is used. And when it is written: in groups, never by who answers statements, and where the disk fails,
 //! not at all until it doesn't any more; then whole, since nobody knows what it holds.
 
-use crate::fact::Fact;
+use crate::record::Fact;
 use asterlatch::time::{Point, Span};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/shared/src/book.rs
+++ b/crates/gossip/src/state.rs
@@ -1,7 +1,7 @@
 //! One driver's copy of all facts: merged, bounded, aged, and compared with another's by range.
 
-use crate::fact::{Fact, Key, Kind, Stands};
-use crate::quarrel::{self, Quarrels};
+use crate::conflict::{self, Quarrels};
+use crate::record::{Fact, Key, Kind, Stands};
 use asterlatch::time::{Point, Span};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
@@ -99,9 +99,9 @@
             self.make_room(kind);
             return Learned::More;
         };
-        if let Some(what) = quarrel::between(&here.fact, &fact) {
+        if let Some(what) = conflict::between(&here.fact, &fact) {
             let sides = (format!("{:?}", here.fact), format!("{fact:?}"));
-            self.quarrels.note(now, what, quarrel::about(&key), sides);
+            self.quarrels.note(now, what, conflict::about(&key), sides);
         }
         let stands = here.fact.against(&fact);
         let told = here.fact.told(&stands, here.told, told);
@@ -131,7 +131,7 @@
         };
         let own = own.fact.clone();
         let others = self.of(Kind::Member).map(|e| e.fact.clone());
-        let rivals: Vec<Fact> = others.filter(|o| quarrel::claim_both(&own, o)).collect();
+        let rivals: Vec<Fact> = others.filter(|o| conflict::claim_both(&own, o)).collect();
         for rival in rivals {
             let mut sides = [format!("{own:?}"), format!("{rival:?}")];
             sides.sort();
@@ -141,7 +141,7 @@
                 _ => String::new(),
             };
             self.quarrels
-                .note(now, quarrel::Kind::TwoPrimaries, about, (one, other));
+                .note(now, conflict::Kind::TwoPrimaries, about, (one, other));
         }
     }
 
@@ -186,7 +186,7 @@
     /// Lets go what was told too long ago; says how many.
     pub fn age(&mut self, now: Point) -> usize {
         let before = self.len();
-        for kind in crate::fact::KINDS {
+        for kind in crate::record::KINDS {
             while let Some((_, key)) = self.oldest(kind).filter(|(told, _)| now - *told >= kind.kept()) {
                 self.drop_entry(&key);
             }
--- a/crates/shared/tests/catchup.rs
+++ b/crates/gossip/tests/catchup.rs
@@ -3,10 +3,10 @@
 
 mod common;
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::book::Book;
-use asterlatch_shared::catchup::{Catchup, Seen, Standing};
-use asterlatch_shared::fact::{Fact, Standing as Listed};
-use asterlatch_shared::wire::Item;
+use asterlatch_gossip::anti_entropy::{Catchup, Seen, Standing};
+use asterlatch_gossip::codec::Item;
+use asterlatch_gossip::record::{Fact, Standing as Listed};
+use asterlatch_gossip::state::Book;
 use common::{drain, session};
 use stateright::{Checker, Model, Property};
 
@@ -57,15 +57,15 @@
 }
 
 fn read(bytes: &[u8]) -> Item {
-    let head = asterlatch_shared::wire::Head {
+    let head = asterlatch_gossip::codec::Head {
         name: "d".into(),
         life: 1,
         sent: NOW,
         knows_you: 1,
         caught_up: true,
     };
-    let all = asterlatch_shared::wire::Dialect::Own.datagram("f", &head, &[bytes.to_vec()]);
-    let (_, mut items) = asterlatch_shared::wire::read_datagram("f", &all).expect("is whole");
+    let all = asterlatch_gossip::codec::Dialect::Own.datagram("f", &head, &[bytes.to_vec()]);
+    let (_, mut items) = asterlatch_gossip::codec::read_datagram("f", &all).expect("is whole");
     items.pop().expect("is one")
 }
 
--- a/crates/shared/tests/cold.rs
+++ b/crates/gossip/tests/cold.rs
@@ -3,7 +3,7 @@
 
 use asterlatch::fleet::Fleet;
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::cold::{Cold, Terms};
+use asterlatch_gossip::slow_start::{Cold, Terms};
 
 const TERMS: Terms = Terms {
     span: Span::millis(2000),
--- a/crates/shared/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code)] // each test file uses a part
 
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::engine::{Engine, Input, Output, Settings};
-use asterlatch_shared::fact::{Fact, Standing};
-use asterlatch_shared::peers::Times;
+use asterlatch_gossip::membership::Times;
+use asterlatch_gossip::node::{Engine, Input, Output, Settings};
+use asterlatch_gossip::record::{Fact, Standing};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub fn name(n: usize) -> String {
@@ -48,7 +48,7 @@
         times: Times::default(),
         ask: Span::millis(100),
         file: 0,
-        dialect: asterlatch_shared::wire::Dialect::Own,
+        dialect: asterlatch_gossip::codec::Dialect::Own,
     }
 }
 
--- a/crates/shared/tests/doubts.rs
+++ b/crates/gossip/tests/doubts.rs
@@ -2,7 +2,7 @@
 //! losses and crashes in a small world.
 
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::doubts::{Inquiries, Known, Log, Verdict, FOREVER};
+use asterlatch_gossip::in_doubt::{Inquiries, Known, Log, Verdict, FOREVER};
 use stateright::{Checker, Model, Property};
 
 const NOW: Point = Point(1_000_000_000);
--- a/crates/shared/tests/facts.rs
+++ b/crates/gossip/tests/facts.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::book::{Book, Learned};
-use asterlatch_shared::fact::{Fact, Kind, Standing, Stands};
-use asterlatch_shared::quarrel;
+use asterlatch_gossip::conflict;
+use asterlatch_gossip::record::{Fact, Kind, Standing, Stands};
+use asterlatch_gossip::state::{Book, Learned};
 use common::{drain, member, session};
 use proptest::prelude::*;
 
@@ -123,13 +123,13 @@
         // A newer list ends a drain, an older one doesn't; of one version the worse word stands, and that is a quarrel.
         (drain("a", 3, Standing::Draining), drain("a", 4, Standing::Ready), drain("a", 4, Standing::Ready), None),
         (drain("a", 4, Standing::Draining), drain("a", 3, Standing::Ready), drain("a", 4, Standing::Draining), None),
-        (drain("a", 4, Standing::Ready), drain("a", 4, Standing::Draining), drain("a", 4, Standing::Draining), Some(quarrel::Kind::TwoLists)),
-        (drain("a", 4, Standing::Gone), drain("a", 4, Standing::Draining), drain("a", 4, Standing::Gone), Some(quarrel::Kind::TwoLists)),
+        (drain("a", 4, Standing::Ready), drain("a", 4, Standing::Draining), drain("a", 4, Standing::Draining), Some(conflict::Kind::TwoLists)),
+        (drain("a", 4, Standing::Gone), drain("a", 4, Standing::Draining), drain("a", 4, Standing::Gone), Some(conflict::Kind::TwoLists)),
         // Positions only grow, each figure alone.
         (member("a", 10, 10, 0), member("a", 12, 0, 12), member("a", 12, 10, 12), None),
         (session(1, 10), session(1, 9), session(1, 10), None),
         // Whoever hasn't caught up is believed in that.
-        (driver(1, 2, true), driver(1, 2, false), driver(1, 2, false), Some(quarrel::Kind::TwoDrivers)),
+        (driver(1, 2, true), driver(1, 2, false), driver(1, 2, false), Some(conflict::Kind::TwoDrivers)),
         (driver(1, 9, false), driver(2, 1, true), driver(2, 1, true), None),
     ];
     for (here, came, stands, quarrel) in table {
--- a/crates/shared/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -2,11 +2,11 @@
 
 mod common;
 use asterlatch::time::Span;
-use asterlatch_shared::engine::{Input, Output};
-use asterlatch_shared::fact::{Fact, Standing};
-use asterlatch_shared::peers::Presence;
-use asterlatch_shared::quarrel;
-use asterlatch_shared::wire;
+use asterlatch_gossip::codec;
+use asterlatch_gossip::conflict;
+use asterlatch_gossip::membership::Presence;
+use asterlatch_gossip::node::{Input, Output};
+use asterlatch_gossip::record::{Fact, Standing};
 use common::*;
 
 fn seconds(s: u64) -> Span {
@@ -193,15 +193,15 @@
 #[test]
 fn a_name_that_is_not_its_addresss_is_refused_and_told() {
     let mut net = begun(3, 8);
-    let head = wire::Head {
+    let head = codec::Head {
         name: name(2),
         life: 7,
         sent: net.local(0),
         knows_you: 0,
         caught_up: true,
     };
-    let fact = wire::Item::Fact(drain("m9", 9, Standing::Gone), Span(0)).bytes();
-    let bytes = wire::Dialect::Own.datagram("test", &head, &[fact]);
+    let fact = codec::Item::Fact(drain("m9", 9, Standing::Gone), Span(0)).bytes();
+    let bytes = codec::Dialect::Own.datagram("test", &head, &[fact]);
     // From the address of d1.
     net.give(
         0,
@@ -213,14 +213,14 @@
     let d = &net.drivers[0];
     assert!(d.engine.book.get(&drain("m9", 9, Standing::Gone).key()).is_none());
     let kinds: Vec<_> = d.engine.book.quarrels.all().map(|q| q.kind).collect();
-    assert_eq!(kinds, [quarrel::Kind::Foreign]);
+    assert_eq!(kinds, [conflict::Kind::Foreign]);
     assert!(d
         .outputs
         .iter()
         .any(|o| matches!(o, Output::CutOff { peer: 0, .. })));
     // Another fleet's are nothing at all, and so is what is garbled.
     let before = net.drivers[0].engine.counts.garbled;
-    let other = wire::Dialect::Own.datagram("elsewhere", &head, &[]);
+    let other = codec::Dialect::Own.datagram("elsewhere", &head, &[]);
     for bytes in [&other[..], &bytes[..bytes.len() - 1], &[], &[1, 2, 3]] {
         net.give(0, Input::Datagram { from: 0, bytes });
     }
@@ -230,7 +230,7 @@
 #[test]
 fn a_mad_peer_is_cut_off_and_others_are_heard_on() {
     let mut net = begun(3, 9);
-    let head = wire::Head {
+    let head = codec::Head {
         name: name(1),
         life: 100,
         sent: net.local(0),
@@ -239,9 +239,9 @@
     };
     for n in 0..3000u64 {
         let items: Vec<_> = (0..30)
-            .map(|m| wire::Item::Fact(session(n * 100 + m + 1, 5), Span(0)).bytes())
+            .map(|m| codec::Item::Fact(session(n * 100 + m + 1, 5), Span(0)).bytes())
             .collect();
-        let bytes = wire::Dialect::Own.datagram("test", &head, &items);
+        let bytes = codec::Dialect::Own.datagram("test", &head, &items);
         net.give(
             0,
             Input::Datagram {
@@ -269,7 +269,7 @@
 #[test]
 fn who_catches_up_is_sent_no_more_than_the_rate_lets() {
     const RATE: u64 = 16 * 1024;
-    let slow = |n, all| asterlatch_shared::engine::Settings {
+    let slow = |n, all| asterlatch_gossip::node::Settings {
         rate: RATE,
         ..settings(n, all)
     };
@@ -304,10 +304,10 @@
 /// An id is asked of all, again where an answer is lost; whoever has answered is asked no more.
 #[test]
 fn questions_reach_all_and_are_repeated_to_the_silent() {
-    use asterlatch_shared::doubts::Known;
+    use asterlatch_gossip::in_doubt::Known;
     let mut net = begun(4, 11);
     net.cut.insert((0, 2));
-    let question = wire::Question { id: 77, turn: 1 };
+    let question = codec::Question { id: 77, turn: 1 };
     for d in &mut net.drivers {
         d.outputs.clear();
     }
--- a/crates/shared/tests/keep.rs
+++ b/crates/gossip/tests/keep.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::fact::{Fact, Standing};
-use asterlatch_shared::keep::{read, Fault, Keeper, Told, Wish, Writer};
+use asterlatch_gossip::record::{Fact, Standing};
+use asterlatch_gossip::snapshot::{read, Fault, Keeper, Told, Wish, Writer};
 use common::{drain, member, session};
 
 const NOW: Point = Point(5_000_000_000);
--- a/crates/takeover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -19,13 +19,13 @@
 //!
 //! `fit` says whether both have room, `joint` what binds both while they serve side by side, and `ledger` is what the old one knows of the clients of the new one on probation, and goes on with if that dies.
 
-pub mod fit;
-pub mod joint;
-pub mod ledger;
+pub mod capacity_check;
+pub mod co_serving;
+pub mod codec;
+pub mod io_journal;
 pub mod message;
-pub mod new;
-pub mod old;
-pub mod wire;
+pub mod predecessor;
+pub mod successor;
 
 /// A condition and an effect: nothing where it doesn't hold.
 type Rule<M, E> = fn(&mut M) -> Option<Vec<E>>;
--- a/crates/takeover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,6 +1,6 @@
 //! What the two sides say, as frames: kind, length and hash before the body, so that a cut or changed one is known.
 
-use crate::joint::Word;
+use crate::co_serving::Word;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
--- a/crates/takeover/tests/beside.rs
+++ b/crates/handover/tests/beside.rs
@@ -1,7 +1,7 @@
 //! Whether two processes have room side by side, and what each tells the other that binds both.
 
-use asterlatch_takeover::fit::{check, Room};
-use asterlatch_takeover::joint::{Joint, Word};
+use asterlatch_handover::capacity_check::{check, Room};
+use asterlatch_handover::co_serving::{Joint, Word};
 use std::collections::BTreeMap;
 
 #[test]
--- a/crates/takeover/tests/fixtures.rs
+++ b/crates/handover/tests/fixtures.rs
@@ -1,8 +1,8 @@
 //! Frames that the build before wrote: they are read as what they meant, and written again byte by byte alike.
 
-use asterlatch_takeover::joint::Word;
-use asterlatch_takeover::ledger::Record;
-use asterlatch_takeover::message::{Client, Framed, Message};
+use asterlatch_handover::co_serving::Word;
+use asterlatch_handover::io_journal::Record;
+use asterlatch_handover::message::{Client, Framed, Message};
 use std::fmt::Debug;
 use std::fs;
 use std::path::PathBuf;
--- a/crates/takeover/tests/ledger.rs
+++ b/crates/handover/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! A process that serves clients and writes down what it does, killed behind each of its steps.
 
-use asterlatch_takeover::ledger::{Back, Broken, Counts, Key, Ledger, Record, Verdict};
-use asterlatch_takeover::message::{Client, Framed};
+use asterlatch_handover::io_journal::{Back, Broken, Counts, Key, Ledger, Record, Verdict};
+use asterlatch_handover::message::{Client, Framed};
 use std::collections::BTreeSet;
 
 /// What a client sends: each statement is its bytes up to a stop; an answer is as many bytes as this.
--- a/crates/takeover/tests/messages.rs
+++ b/crates/handover/tests/messages.rs
@@ -1,7 +1,7 @@
 //! Frames that are cut, flipped, too long or of another kind, and descriptors beside them.
 
-use asterlatch_takeover::message::{Fault, Framed, Message, LONGEST};
-use asterlatch_takeover::wire::{send, Came, Reader};
+use asterlatch_handover::codec::{send, Came, Reader};
+use asterlatch_handover::message::{Fault, Framed, Message, LONGEST};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::AsFd;
--- a/crates/takeover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -2,8 +2,8 @@
 //! world allows.
 
 use asterlatch::time::{Point, Span};
-use asterlatch_takeover::message::{Client, Message};
-use asterlatch_takeover::{new, old};
+use asterlatch_handover::message::{Client, Message};
+use asterlatch_handover::{predecessor, successor};
 use stateright::{Checker, Model, Property};
 
 /// A mistake that the checker must find.
@@ -38,16 +38,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    old: old::Old,
+    old: predecessor::Old,
     /// Effects decided on and not yet done: a process may die between any two.
-    old_todo: Vec<old::Effect>,
+    old_todo: Vec<predecessor::Effect>,
     old_alive: bool,
     old_accepts: bool,
     old_left: bool,
     /// Clients move to the new one between two statements.
     moving: bool,
-    new: Option<new::New>,
-    new_todo: Vec<new::Effect>,
+    new: Option<successor::New>,
+    new_todo: Vec<successor::Effect>,
     new_alive: bool,
     new_accepts: bool,
     /// A signal on its way.
@@ -102,9 +102,9 @@
     deaths: u8,
 }
 
-fn old_times() -> old::Times {
+fn old_times() -> predecessor::Times {
     let one = Span::millis(10);
-    old::Times {
+    predecessor::Times {
         hello: one,
         ready: one,
         taken: one,
@@ -112,8 +112,8 @@
     }
 }
 
-fn new_times() -> new::Times {
-    new::Times {
+fn new_times() -> successor::Times {
+    successor::Times {
         patience: Span::millis(10),
         silence: Span::millis(10),
         beat: Span::millis(10),
@@ -122,65 +122,65 @@
 }
 
 impl Takeover {
-    fn old_takes(&self, w: &mut World, late: bool, input: old::Input) {
+    fn old_takes(&self, w: &mut World, late: bool, input: predecessor::Input) {
         let now = if late { w.old.next_at() } else { Point(0) };
         let mut effects = w.old.take(now, input);
         w.old.rebase();
-        if self.mistake == Some(Mistake::LeaveAtOnce) && effects.contains(&old::Effect::SendAway) {
-            effects.push(old::Effect::Leave);
+        if self.mistake == Some(Mistake::LeaveAtOnce) && effects.contains(&predecessor::Effect::SendAway) {
+            effects.push(predecessor::Effect::Leave);
         }
-        if self.mistake == Some(Mistake::TakeBackAtOnce) && effects.contains(&old::Effect::Kill) {
-            effects.push(old::Effect::TakeBack);
+        if self.mistake == Some(Mistake::TakeBackAtOnce) && effects.contains(&predecessor::Effect::Kill) {
+            effects.push(predecessor::Effect::TakeBack);
         }
         if self.mistake == Some(Mistake::TakeNobodyBack) {
-            effects.retain(|e| *e != old::Effect::TakeBack);
+            effects.retain(|e| *e != predecessor::Effect::TakeBack);
         }
         if self.mistake == Some(Mistake::LeaveSilently) {
-            effects.retain(|e| *e != old::Effect::Say(Message::Yours));
+            effects.retain(|e| *e != predecessor::Effect::Say(Message::Yours));
         }
-        effects.retain(|e| !matches!(e, old::Effect::Tell(_)));
+        effects.retain(|e| !matches!(e, predecessor::Effect::Tell(_)));
         w.old_todo.extend(effects);
     }
 
-    fn new_takes(&self, w: &mut World, late: bool, input: new::Input) {
+    fn new_takes(&self, w: &mut World, late: bool, input: successor::Input) {
         let Some(machine) = &mut w.new else { return };
         let now = if late { machine.next_at() } else { Point(0) };
         let mut effects = machine.take(now, input);
         machine.rebase();
         if self.mistake == Some(Mistake::AcceptWhenReady)
-            && effects.contains(&new::Effect::Say(Message::Ready))
+            && effects.contains(&successor::Effect::Say(Message::Ready))
         {
-            effects.push(new::Effect::Accept);
+            effects.push(successor::Effect::Accept);
         }
-        effects.retain(|e| !matches!(e, new::Effect::Tell(_)));
+        effects.retain(|e| !matches!(e, successor::Effect::Tell(_)));
         w.new_todo.extend(effects);
     }
 
     fn old_does(&self, w: &mut World) {
         match w.old_todo.remove(0) {
-            old::Effect::Start => {
-                w.new = Some(new::New::begin(new_times()));
+            predecessor::Effect::Start => {
+                w.new = Some(successor::New::begin(new_times()));
                 (w.new_alive, w.new_accepts) = (true, false);
                 (w.to_old, w.to_new, w.new_todo) = (Vec::new(), Vec::new(), Vec::new());
-                self.new_takes(w, false, new::Input::Start);
+                self.new_takes(w, false, successor::Input::Start);
             }
-            old::Effect::SendState => w.to_new.push(Message::State(Vec::new())),
-            old::Effect::Say(message) => w.to_new.push(message),
-            old::Effect::StopAccepting => w.old_accepts = false,
-            old::Effect::ServeAlone => (w.old_accepts, w.moving) = (true, false),
-            old::Effect::TakeBack => self.take_back(w),
-            old::Effect::Kill => w.killing = true,
-            old::Effect::Leave => {
+            predecessor::Effect::SendState => w.to_new.push(Message::State(Vec::new())),
+            predecessor::Effect::Say(message) => w.to_new.push(message),
+            predecessor::Effect::StopAccepting => w.old_accepts = false,
+            predecessor::Effect::ServeAlone => (w.old_accepts, w.moving) = (true, false),
+            predecessor::Effect::TakeBack => self.take_back(w),
+            predecessor::Effect::Kill => w.killing = true,
+            predecessor::Effect::Leave => {
                 // It goes when it holds nobody.
                 if w.client == With::Old {
-                    w.old_todo.insert(0, old::Effect::Leave);
+                    w.old_todo.insert(0, predecessor::Effect::Leave);
                     return;
                 }
                 (w.old_alive, w.old_accepts, w.old_left) = (false, false, true);
                 w.to_old.clear();
             }
-            old::Effect::SendAway => w.moving = true,
-            old::Effect::ServeBeside | old::Effect::Tell(_) => {}
+            predecessor::Effect::SendAway => w.moving = true,
+            predecessor::Effect::ServeBeside | predecessor::Effect::Tell(_) => {}
         }
     }
 
@@ -201,19 +201,19 @@
 
     fn new_does(&self, w: &mut World) {
         match w.new_todo.remove(0) {
-            new::Effect::Say(message) if w.old_alive => w.to_old.push(message),
-            new::Effect::Say(_) | new::Effect::Tell(_) => {}
-            new::Effect::Load(_) => self.new_takes(w, false, new::Input::Loaded(Ok(()))),
-            new::Effect::Serve => {}
-            new::Effect::Accept => w.new_accepts = true,
-            new::Effect::End(_) => new_dies(w),
+            successor::Effect::Say(message) if w.old_alive => w.to_old.push(message),
+            successor::Effect::Say(_) | successor::Effect::Tell(_) => {}
+            successor::Effect::Load(_) => self.new_takes(w, false, successor::Input::Loaded(Ok(()))),
+            successor::Effect::Serve => {}
+            successor::Effect::Accept => w.new_accepts = true,
+            successor::Effect::End(_) => new_dies(w),
         }
     }
 }
 
 fn new_dies(w: &mut World) {
     // Whoever could go on with its client is gone, or has left the service to it.
-    let alone = !w.old_alive || w.old.phase == old::Phase::Done;
+    let alone = !w.old_alive || w.old.phase == predecessor::Phase::Done;
     if alone && matches!(w.client, With::New | With::Between) {
         (w.client, w.new_owns, w.unread) = (With::Nobody, false, false);
     }
@@ -227,7 +227,7 @@
 
     fn init_states(&self) -> Vec<World> {
         vec![World {
-            old: old::Old::new(old_times()),
+            old: predecessor::Old::new(old_times()),
             old_todo: Vec::new(),
             old_alive: true,
             old_accepts: true,
@@ -285,7 +285,10 @@
             Step::NewAnswers,
         );
         let between = !w.old_owns || self.mistake == Some(Mistake::MoveInTheMiddle);
-        let standby = matches!(w.old.phase, old::Phase::Standby | old::Phase::Done);
+        let standby = matches!(
+            w.old.phase,
+            predecessor::Phase::Standby | predecessor::Phase::Done
+        );
         may(
             w.old_alive && w.moving && standby && between && w.client == With::Old,
             Step::Moves,
@@ -311,17 +314,17 @@
         match step {
             Step::Ask => {
                 w.upgrades += 1;
-                self.old_takes(&mut w, false, old::Input::Ask);
+                self.old_takes(&mut w, false, predecessor::Input::Ask);
             }
             Step::Leave => {
                 w.leaves += 1;
-                self.old_takes(&mut w, false, old::Input::Leave);
+                self.old_takes(&mut w, false, predecessor::Input::Leave);
             }
             Step::OldDoes => self.old_does(&mut w),
             Step::NewDoes => self.new_does(&mut w),
             Step::OldHears => {
                 let message = w.to_old.remove(0);
-                self.old_takes(&mut w, false, old::Input::Heard(message));
+                self.old_takes(&mut w, false, predecessor::Input::Heard(message));
             }
             Step::NewHears => {
                 let message = w.to_new.remove(0);
@@ -331,19 +334,23 @@
                     w.new_owns |= w.old_owns;
                     return Some(w);
                 }
-                self.new_takes(&mut w, false, new::Input::Heard(message));
+                self.new_takes(&mut w, false, successor::Input::Heard(message));
             }
             Step::NewIsUnfit => {
                 w.to_new.remove(0);
-                self.new_takes(&mut w, false, new::Input::Loaded(Err("bad file".to_owned())));
+                self.new_takes(
+                    &mut w,
+                    false,
+                    successor::Input::Loaded(Err("bad file".to_owned())),
+                );
             }
-            Step::OldLate => self.old_takes(&mut w, true, old::Input::Time),
-            Step::NewLate => self.new_takes(&mut w, true, new::Input::Time),
+            Step::OldLate => self.old_takes(&mut w, true, predecessor::Input::Time),
+            Step::NewLate => self.new_takes(&mut w, true, successor::Input::Time),
             Step::OldSeesEnd => {
                 w.new = None;
-                self.old_takes(&mut w, false, old::Input::Ended);
+                self.old_takes(&mut w, false, predecessor::Input::Ended);
             }
-            Step::NewSeesEnd => self.new_takes(&mut w, false, new::Input::Ended),
+            Step::NewSeesEnd => self.new_takes(&mut w, false, successor::Input::Ended),
             Step::SignalArrives => new_dies(&mut w),
             Step::OldDies => {
                 w.deaths += 1;
@@ -378,7 +385,9 @@
             Property::always(
                 "the new one accepts before it is proven only for one that leaves, hangs or is gone",
                 |_, w: &World| {
-                    let proven = |n: &new::New| matches!(n.phase, new::Phase::Probation | new::Phase::Owner);
+                    let proven = |n: &successor::New| {
+                        matches!(n.phase, successor::Phase::Probation | successor::Phase::Owner)
+                    };
                     !w.new_accepts || w.new.as_ref().is_some_and(proven)
                 },
             ),
@@ -401,7 +410,7 @@
                     let alone = w.old_alive
                         && w.old_todo.is_empty()
                         && w.new.is_none()
-                        && w.old.phase == old::Phase::Serving;
+                        && w.old.phase == predecessor::Phase::Serving;
                     !alone || matches!(w.client, With::Old | With::Nobody)
                 },
             ),
@@ -420,7 +429,7 @@
             Property::always(
                 "the old one leaves only a service that is the new one's",
                 |_, w: &World| {
-                    let proven = w.new.as_ref().is_some_and(|n| n.phase == new::Phase::Owner);
+                    let proven = w.new.as_ref().is_some_and(|n| n.phase == successor::Phase::Owner);
                     !w.old_left || proven
                 },
             ),
@@ -430,24 +439,30 @@
             Property::always(
                 "a process that leaves beside a new one has that one accept",
                 |_, w: &World| {
-                    let serves = w.new.as_ref().is_some_and(|n| n.phase == new::Phase::Probation);
+                    let serves = w
+                        .new
+                        .as_ref()
+                        .is_some_and(|n| n.phase == successor::Phase::Probation);
                     let told = w.old_todo.is_empty() && w.new_todo.is_empty() && w.to_new.is_empty();
                     let quiet = w.old_alive && w.new_alive && serves && told && !w.killing;
-                    !quiet || w.old_accepts || w.new_accepts || w.old.phase != old::Phase::Standby
+                    !quiet || w.old_accepts || w.new_accepts || w.old.phase != predecessor::Phase::Standby
                 },
             ),
             Property::sometimes("an upgrade is done", |_, w: &World| w.old_left && w.new_accepts),
             Property::sometimes(
                 "the old one serves again after the new one served",
                 |_, w: &World| {
-                    w.old_accepts && w.deaths > 0 && w.upgrades > 0 && w.old.phase == old::Phase::Serving
+                    w.old_accepts
+                        && w.deaths > 0
+                        && w.upgrades > 0
+                        && w.old.phase == predecessor::Phase::Serving
                 },
             ),
             Property::sometimes("the new one outlives the old", |_, w: &World| {
                 !w.old_alive
                     && !w.old_left
                     && w.new_accepts
-                    && w.new.as_ref().is_some_and(|n| n.phase == new::Phase::Owner)
+                    && w.new.as_ref().is_some_and(|n| n.phase == successor::Phase::Owner)
             }),
         ]
     }
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::trust::{trust, Use, Verdict};
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::fact::{Fact, Kind};
+use asterlatch_gossip::record::{Fact, Kind};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -2,7 +2,7 @@
 //! is worse for the rule it may break, for how long a machine was dark nobody else may know.
 
 use asterlatch::time::{Point, Span};
-use asterlatch_shared::fact::{Fact, Kind, Standing};
+use asterlatch_gossip::record::{Fact, Kind, Standing};
 
 /// What may be done with a kept fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -1,10 +1,10 @@
 //! What is trusted of what was kept: every kind, by how long ago it was and whether the clock can be believed.
 
 use asterlatch::time::{Point, Span};
+use asterlatch_coordination::lease::{Claim, End};
+use asterlatch_gossip::record::{Fact, Standing, KINDS};
 use asterlatch_recovery::report::sort;
 use asterlatch_recovery::trust::{trust, Use};
-use asterlatch_shared::fact::{Fact, Standing, KINDS};
-use asterlatch_turns::lease::{Claim, End};
 
 const NOW: Point = Point(1_700_000_000_000_000);
 
