--- a/crates/config/src/generations.rs
+++ b/crates/config/src/generations.rs
@@ -6,7 +6,7 @@
 
 use crate::probation::{Judge, Sample, Terms, Verdict};
 use crate::registry::Want;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 
 /// A meaning with the number it was given here, and its hash.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
     Kept,
-    Probation { until: Point },
+    Probation { until: Timestamp },
 }
 
 /// Probation that lasts this long while nothing is asked of the driver proves nothing; it goes on for as many times.
@@ -82,7 +82,7 @@
     kept: Generation<M>,
     in_force: Generation<M>,
     phase: Phase,
-    began: Point,
+    began: Timestamp,
     /// The newest read that counted, and those given out.
     newest: u64,
     given_out: u64,
@@ -115,7 +115,7 @@
             kept: first.clone(),
             in_force: first,
             phase: Phase::Kept,
-            began: Point(0),
+            began: Timestamp(0),
             newest: 0,
             given_out: 0,
             arrived: None,
@@ -142,30 +142,30 @@
         self.given_out
     }
 
-    pub fn read_ended(&mut self, now: Point, ticket: u64, read: Read<M>) -> Vec<Effect<M>> {
+    pub fn read_ended(&mut self, now: Timestamp, ticket: u64, read: Read<M>) -> Vec<Effect<M>> {
         self.arrived = Some((ticket, read));
         self.go(now)
     }
 
     /// What the driver counts, from time to time; what was there before a change is judged by it too.
-    pub fn counted(&mut self, now: Point, sample: Sample) -> Vec<Effect<M>> {
+    pub fn counted(&mut self, now: Timestamp, sample: Sample) -> Vec<Effect<M>> {
         self.judge.note(now, sample);
         self.go(now)
     }
 
-    pub fn time_reached(&mut self, now: Point) -> Vec<Effect<M>> {
+    pub fn time_reached(&mut self, now: Timestamp) -> Vec<Effect<M>> {
         self.go(now)
     }
 
     /// When time alone may change something.
-    pub fn next_at(&self) -> Option<Point> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         match self.phase {
             Phase::Probation { until } => Some(until),
             Phase::Kept => None,
         }
     }
 
-    fn go(&mut self, now: Point) -> Vec<Effect<M>> {
+    fn go(&mut self, now: Timestamp) -> Vec<Effect<M>> {
         let mut effects = Vec::new();
         while let Some(more) = self.rule(now) {
             effects.extend(more);
@@ -174,7 +174,7 @@
     }
 
     /// The first rule whose condition holds.
-    fn rule(&mut self, now: Point) -> Option<Vec<Effect<M>>> {
+    fn rule(&mut self, now: Timestamp) -> Option<Vec<Effect<M>>> {
         self.overtaken()
             .or_else(|| self.rejected())
             .or_else(|| self.refused_before())
@@ -253,7 +253,7 @@
     /// What is staged goes in force. A change that can't do harm, for it lies in no setting that anything is watched
     /// of, or because the operators want no probation, is kept at once. One that comes while another is on probation
     /// takes its place, and both are judged against the one kept last.
-    fn take_over(&mut self, now: Point) -> Option<Vec<Effect<M>>> {
+    fn take_over(&mut self, now: Timestamp) -> Option<Vec<Effect<M>>> {
         let (hash, meaning) = self.staged.take()?;
         let next = Generation {
             number: self.next_number,
@@ -276,7 +276,7 @@
             Effect::TakeOver(self.in_force.meaning.clone()),
             Effect::Tell(told),
         ];
-        if whole.may_want.is_empty() || probation == Span(0) {
+        if whole.may_want.is_empty() || probation == TimeSpan(0) {
             effects.extend(self.keep_now());
             return Some(effects);
         }
@@ -295,7 +295,7 @@
         (self.terms)(&self.in_force.meaning)
     }
 
-    fn go_back(&mut self, now: Point) -> Option<Vec<Effect<M>>> {
+    fn go_back(&mut self, now: Timestamp) -> Option<Vec<Effect<M>>> {
         if self.phase == Phase::Kept {
             return None;
         }
@@ -316,12 +316,12 @@
     }
 
     /// Nothing was asked of the driver, so nothing was seen.
-    fn prolong(&mut self, now: Point) -> Option<Vec<Effect<M>>> {
+    fn prolong(&mut self, now: Timestamp) -> Option<Vec<Effect<M>>> {
         let Phase::Probation { until } = self.phase else {
             return None;
         };
         let probation = self.terms_in_force().probation;
-        let longest = self.began + Span(probation.0.saturating_mul(LONGEST_PROBATION));
+        let longest = self.began + TimeSpan(probation.0.saturating_mul(LONGEST_PROBATION));
         if now < until || now >= longest || self.judge.has_seen_demand() {
             return None;
         }
@@ -331,7 +331,7 @@
         Some(Vec::new())
     }
 
-    fn keep(&mut self, now: Point) -> Option<Vec<Effect<M>>> {
+    fn keep(&mut self, now: Timestamp) -> Option<Vec<Effect<M>>> {
         match self.phase {
             Phase::Probation { until } if now >= until => Some(self.keep_now()),
             _ => None,
--- a/crates/config/src/probation.rs
+++ b/crates/config/src/probation.rs
@@ -10,7 +10,7 @@
 //! probation, and turns clients away while the driver is no fuller than before, is taken for the change's.
 
 use crate::registry::{Want, WANTS};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
 /// Figures of the driver at one time. Counts are since its start.
@@ -27,7 +27,7 @@
 /// By what a change is judged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    pub probation: Span,
+    pub probation: TimeSpan,
     pub margin: f64,
     pub least: u64,
 }
@@ -50,8 +50,8 @@
 }
 
 /// How far back the figures before a change count, and how close together samples are kept.
-const BEFORE: Span = Span::millis(60_000);
-const APART: Span = Span::millis(250);
+const BEFORE: TimeSpan = TimeSpan::millis(60_000);
+const APART: TimeSpan = TimeSpan::millis(250);
 /// Fuller than ever before by this much is a surge; less may be chance.
 const FULLER: f64 = 1.1;
 /// Under this demand a share says nothing.
@@ -60,7 +60,7 @@
 #[derive(Default)]
 pub struct Judge {
     /// Samples of the last while, oldest first.
-    samples: VecDeque<(Point, Sample)>,
+    samples: VecDeque<(Timestamp, Sample)>,
     latest: Sample,
     changed: Option<Changed>,
     may_want: Vec<Want>,
@@ -68,7 +68,7 @@
 
 /// What the figures were when the change came.
 struct Changed {
-    at: Point,
+    at: Timestamp,
     from: Sample,
     /// Share of the demand turned away before, and the fullest that was borne.
     share: [f64; WANTS.len()],
@@ -78,7 +78,7 @@
 }
 
 impl Judge {
-    pub fn note(&mut self, now: Point, sample: Sample) {
+    pub fn note(&mut self, now: Timestamp, sample: Sample) {
         if let Some(changed) = &mut self.changed {
             for w in 0..WANTS.len() {
                 let more = sample.turned_away[w].saturating_sub(self.latest.turned_away[w]);
@@ -99,7 +99,7 @@
     }
 
     /// A change comes: what was counted until now is what it is judged against.
-    pub fn change(&mut self, now: Point) {
+    pub fn change(&mut self, now: Timestamp) {
         let oldest = self.samples.front().map_or(self.latest, |(_, s)| *s);
         let (mut share, mut fullest) = ([0.0; WANTS.len()], [0; WANTS.len()]);
         for w in 0..WANTS.len() {
@@ -129,7 +129,7 @@
         (0..WANTS.len()).any(|w| more(w) >= LEAST_DEMAND)
     }
 
-    pub fn verdict(&self, now: Point, terms: Terms) -> Verdict {
+    pub fn verdict(&self, now: Timestamp, terms: Terms) -> Verdict {
         let Some(changed) = self.changed.as_ref().filter(|c| c.at <= now) else {
             return Verdict::Harmless;
         };
--- a/crates/config/tests/fixtures.rs
+++ b/crates/config/tests/fixtures.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo test -p asterlatch-config --test fixtures -- --ignored` writes the fixtures anew from the build as it is.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::generations::{Difference, Effect, Generation, Generations, Read, Told};
 use asterlatch_config::host;
 use asterlatch_config::load::{read, Folder};
@@ -183,7 +183,7 @@
         hash: hash.clone(),
         meaning: next.clone(),
     };
-    let effects = generations.read_ended(Point(0) + Span::millis(1), ticket, read);
+    let effects = generations.read_ended(Timestamp(0) + TimeSpan::millis(1), ticket, read);
     let kept = Generation {
         number: 6,
         hash,
@@ -211,7 +211,7 @@
 }
 
 const NO_PROBATION: Terms = Terms {
-    probation: Span(0),
+    probation: TimeSpan(0),
     margin: 0.02,
     least: 20,
 };
--- a/crates/config/tests/generations.rs
+++ b/crates/config/tests/generations.rs
@@ -1,6 +1,6 @@
 //! Which meaning is in force, given reads, figures and time.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::generations::{Difference, Effect, Generations, Read, Told};
 use asterlatch_config::probation::{Sample, Terms};
 use asterlatch_config::registry::Want;
@@ -64,7 +64,7 @@
 
 fn terms(meant: &Meant) -> Terms {
     Terms {
-        probation: Span::millis(meant.probation * 1000),
+        probation: TimeSpan::millis(meant.probation * 1000),
         margin: 0.02,
         least: 5,
     }
@@ -100,7 +100,7 @@
     }
 
     fn take(&mut self, seconds: u64, input: &In) -> Vec<Told> {
-        let now = Point(0) + Span::millis(1_000_000 + seconds * 1000);
+        let now = Timestamp(0) + TimeSpan::millis(1_000_000 + seconds * 1000);
         let good = |m: Meant| Read::Good {
             hash: m.name.to_owned(),
             meaning: m,
@@ -251,7 +251,7 @@
         assert_eq!(stage.kept, expected, "{name}: kept");
         if let Some(at) = stage.generations.next_at() {
             assert!(
-                at < Point(u64::MAX) && stage.generations.is_on_probation(),
+                at < Timestamp(u64::MAX) && stage.generations.is_on_probation(),
                 "{name}"
             );
         }
--- a/crates/coordination/src/failure_consensus.rs
+++ b/crates/coordination/src/failure_consensus.rs
@@ -8,26 +8,26 @@
 //! tries again. Fewer go there meanwhile, so what all do doesn't swing: the trial is drawn for each driver by itself.
 
 use crate::Key;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
     /// A word of a late execution counts for so long.
-    pub fresh: Span,
+    pub fresh: TimeSpan,
     /// So many drivers must say so.
     pub enough: usize,
     /// A silent member is tried again after this, and up to twice that, as each driver draws.
-    pub trial: Span,
+    pub trial: TimeSpan,
 }
 
 impl Default for Terms {
     fn default() -> Terms {
         Terms {
-            fresh: Span::millis(1000),
+            fresh: TimeSpan::millis(1000),
             enough: 2,
-            trial: Span::millis(1000),
+            trial: TimeSpan::millis(1000),
         }
     }
 }
@@ -38,12 +38,12 @@
 
 #[derive(Clone, Debug, Default)]
 struct Known {
-    heard: Point,
+    heard: Timestamp,
     /// By driver: when its late execution was sent, and when it said so.
-    late: BTreeMap<Key, (Point, Point)>,
+    late: BTreeMap<Key, (Timestamp, Timestamp)>,
     /// Until when it was last taken for silent, and what was last said of that.
-    until: Point,
-    told: Point,
+    until: Timestamp,
+    told: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -83,18 +83,18 @@
     }
 
     /// Something came from it to some driver, at that time.
-    pub fn heard(&mut self, member: &str, at: Point) {
+    pub fn heard(&mut self, member: &str, at: Timestamp) {
         let known = self.known(member);
         known.heard = known.heard.max(at);
         let heard = known.heard;
         known.late.retain(|_, (sent, _)| *sent > heard);
         if known.late.is_empty() {
-            known.until = Point(0);
+            known.until = Timestamp(0);
         }
     }
 
     /// A driver has a late execution there that was sent then, and said so at that time.
-    pub fn late(&mut self, member: &str, driver: Key, sent: Point, said: Point) {
+    pub fn late(&mut self, member: &str, driver: Key, sent: Timestamp, said: Timestamp) {
         let known = self.known(member);
         // Of several tellings the last counts; none is sent after it was told.
         let sent = sent.min(said);
@@ -114,7 +114,7 @@
 
     /// Until when a member is taken for silent; nothing where it isn't. A verdict lasts for the trial time, and is another
     /// one only by words that were sent behind it.
-    pub fn until(&mut self, now: Point, member: &str) -> Option<Point> {
+    pub fn until(&mut self, now: Timestamp, member: &str) -> Option<Timestamp> {
         let (own, terms) = (self.own, self.terms);
         let known = self.members.get_mut(member)?;
         if known.until > now {
@@ -135,15 +135,15 @@
 
     /// Members of which something else holds than was last said here: until when they are silent, zero where they no longer
     /// are.
-    pub fn news(&mut self, now: Point) -> Vec<(String, Point)> {
+    pub fn news(&mut self, now: Timestamp) -> Vec<(String, Timestamp)> {
         let doubted = self
             .members
             .iter()
-            .filter(|(_, k)| !k.late.is_empty() || k.told > Point(0));
+            .filter(|(_, k)| !k.late.is_empty() || k.told > Timestamp(0));
         let names: Vec<String> = doubted.map(|(name, _)| name.clone()).collect();
         let mut news = Vec::new();
         for name in names {
-            let until = self.until(now, &name).unwrap_or(Point(0));
+            let until = self.until(now, &name).unwrap_or(Timestamp(0));
             let Some(known) = self.members.get_mut(&name) else {
                 continue;
             };
@@ -155,11 +155,11 @@
     }
 
     /// Lets go what is known of members that nothing is owed by.
-    pub fn age(&mut self, now: Point) {
+    pub fn age(&mut self, now: Timestamp) {
         let terms = self.terms;
         self.members.retain(|_, k| {
             k.late.retain(|_, (_, said)| now - *said < terms.fresh);
-            !k.late.is_empty() || k.told > Point(0) || now - k.heard < terms.fresh * 10.0
+            !k.late.is_empty() || k.told > Timestamp(0) || now - k.heard < terms.fresh * 10.0
         });
     }
 }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -11,7 +11,7 @@
 //! each have a holder, for no word goes between them; when it heals one yields.
 
 use crate::Key;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -57,20 +57,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
     /// How long others believe in a claim.
-    pub lease: Span,
+    pub lease: TimeSpan,
     /// How long its holder acts on it without having renewed it; less than the lease.
-    pub acts: Span,
+    pub acts: TimeSpan,
     /// How much longer each next one waits before it claims what nobody holds: a word's flight, and the time between two
     /// tellings.
-    pub step: Span,
+    pub step: TimeSpan,
 }
 
 impl Default for Terms {
     fn default() -> Terms {
         Terms {
-            lease: Span::millis(2000),
-            acts: Span::millis(1000),
-            step: Span::millis(250),
+            lease: TimeSpan::millis(2000),
+            acts: TimeSpan::millis(1000),
+            step: TimeSpan::millis(250),
         }
     }
 }
@@ -100,11 +100,11 @@
 struct Subject {
     claim: Option<Claim>,
     /// When the claim was last said, by this clock: the holder's own renewal, or as others told it.
-    said: Point,
+    said: Timestamp,
     /// Since when this driver wants it done.
-    wanted: Option<Point>,
+    wanted: Option<Timestamp>,
     /// Since when nobody holds it.
-    open: Option<Point>,
+    open: Option<Timestamp>,
 }
 
 /// One driver's side of all turns.
@@ -133,7 +133,7 @@
         self.there.clone_from(others);
     }
 
-    pub fn want(&mut self, now: Point, subject: &str) {
+    pub fn want(&mut self, now: Timestamp, subject: &str) {
         self.subject(subject).wanted.get_or_insert(now);
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// It isn't wanted any more; what that ends is to be told.
-    pub fn rest(&mut self, now: Point, subject: &str, end: End) -> Option<Claim> {
+    pub fn rest(&mut self, now: Timestamp, subject: &str, end: End) -> Option<Claim> {
         let acts = self.stand(now, subject) == Stand::Mine;
         let s = self.all.get_mut(subject)?;
         s.wanted = None;
@@ -155,7 +155,7 @@
     }
 
     /// What others said of a turn, so long ago.
-    pub fn told(&mut self, now: Point, subject: &str, claim: Claim, ago: Span) {
+    pub fn told(&mut self, now: Timestamp, subject: &str, claim: Claim, ago: TimeSpan) {
         let is_own = claim.holder == self.own && claim.life == self.life;
         let s = self.subject(subject);
         let stands = s.claim.map_or(claim, |here| here.joined(claim));
@@ -183,7 +183,7 @@
         claim.holder == self.own && claim.life == self.life
     }
 
-    fn stand_of(&self, now: Point, s: &Subject) -> Stand {
+    fn stand_of(&self, now: Timestamp, s: &Subject) -> Stand {
         let Some(claim) = &s.claim else { return Stand::Open };
         let age = now - s.said;
         match claim.end {
@@ -197,7 +197,7 @@
         }
     }
 
-    pub fn stand(&self, now: Point, subject: &str) -> Stand {
+    pub fn stand(&self, now: Timestamp, subject: &str) -> Stand {
         self.all
             .get(subject)
             .map_or(Stand::Open, |s| self.stand_of(now, s))
@@ -212,7 +212,7 @@
     }
 
     /// Does what is due: claims and renewals to be told.
-    pub fn reach(&mut self, now: Point) -> Vec<(String, Claim)> {
+    pub fn reach(&mut self, now: Timestamp) -> Vec<(String, Claim)> {
         let mut told = Vec::new();
         let forget = self.terms.lease * FORGET;
         self.all
@@ -260,13 +260,13 @@
     }
 
     /// What this driver wants done, and how that stands.
-    pub fn wanted(&self, now: Point) -> impl Iterator<Item = (&str, Stand)> {
+    pub fn wanted(&self, now: Timestamp) -> impl Iterator<Item = (&str, Stand)> {
         let wanted = self.all.iter().filter(|(_, s)| s.wanted.is_some());
         wanted.map(move |(name, s)| (name.as_str(), self.stand_of(now, s)))
     }
 
     /// All that is known, for operators: subject, claim, how long ago it was said.
-    pub fn all(&self, now: Point) -> impl Iterator<Item = (&str, Claim, Span)> {
+    pub fn all(&self, now: Timestamp) -> impl Iterator<Item = (&str, Claim, TimeSpan)> {
         let told = self
             .all
             .iter()
--- a/crates/coordination/src/load_aggregate.rs
+++ b/crates/coordination/src/load_aggregate.rs
@@ -8,12 +8,12 @@
 //! best: one among `n` that tells nonsense moves a share by an `n`th of its distance at most.
 
 use crate::Key;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    pub halves: Span,
+    pub halves: TimeSpan,
     /// How far a share goes to the mean of all at each look, where all others' answers outweigh the own.
     pub gain: f64,
     /// Answers that a share can have behind it at most.
@@ -25,7 +25,7 @@
 impl Default for Terms {
     fn default() -> Terms {
         Terms {
-            halves: Span::millis(500),
+            halves: TimeSpan::millis(500),
             gain: 0.1,
             most: 1.0,
             least: 2.0,
@@ -47,7 +47,7 @@
     share: f64,
     answers: f64,
     life: u64,
-    said: Point,
+    said: Timestamp,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -55,7 +55,7 @@
     words: BTreeMap<Key, Word>,
     /// This driver's own answers, as they count at `at`.
     answers: f64,
-    at: Point,
+    at: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -72,7 +72,7 @@
         }
     }
 
-    fn kept(&self, age: Span) -> f64 {
+    fn kept(&self, age: TimeSpan) -> f64 {
         0.5f64.powf(age.ratio(self.terms.halves))
     }
 
@@ -84,9 +84,9 @@
     }
 
     /// A member has answered this driver.
-    pub fn answered(&mut self, now: Point, member: Key) {
+    pub fn answered(&mut self, now: Timestamp, member: Key) {
         let most = self.terms.most;
-        let before = self.members.get(&member).map_or(Span(0), |k| now - k.at);
+        let before = self.members.get(&member).map_or(TimeSpan(0), |k| now - k.at);
         let kept = self.kept(before);
         if let Some(known) = self.known(member) {
             (known.answers, known.at) = ((known.answers * kept + 1.0).min(most), now);
@@ -94,14 +94,14 @@
     }
 
     /// Answers of this driver, as they count now.
-    pub fn own(&self, now: Point, member: Key) -> f64 {
+    pub fn own(&self, now: Timestamp, member: Key) -> f64 {
         let known = self.members.get(&member);
         known.map_or(0.0, |k| k.answers * self.kept(now - k.at))
     }
 
     /// What another driver lets in there, said then, with so many answers behind it. An older word, or one of a former
     /// life, changes nothing.
-    pub fn told(&mut self, member: Key, driver: (Key, u64), share: f64, answers: f64, said: Point) {
+    pub fn told(&mut self, member: Key, driver: (Key, u64), share: f64, answers: f64, said: Timestamp) {
         let most = self.terms.most;
         let Some(known) = self.known(member) else { return };
         let (driver, life) = driver;
@@ -128,7 +128,7 @@
 
     /// What this driver is to let in at a member where it lets in `own` now; nothing where others say too little, or no more
     /// than that.
-    pub fn drawn(&self, now: Point, member: Key, own: f64) -> Option<f64> {
+    pub fn drawn(&self, now: Timestamp, member: Key, own: f64) -> Option<f64> {
         let known = self.members.get(&member)?;
         let (mut sum, mut whole, mut weight) = (0.0, 0.0, 0.0);
         for w in known.words.values() {
@@ -145,7 +145,7 @@
     }
 
     /// Members that this driver has answers of, those with the most behind them first: what it tells.
-    pub fn tellable(&self, now: Point, most: usize) -> Vec<(Key, f64)> {
+    pub fn tellable(&self, now: Timestamp, most: usize) -> Vec<(Key, f64)> {
         let all = self.members.keys().map(|m| (*m, self.own(now, *m)));
         let mut all: Vec<_> = all.filter(|(_, answers)| *answers >= 0.5).collect();
         all.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
@@ -154,9 +154,9 @@
     }
 
     /// Lets go what counts no more.
-    pub fn age(&mut self, now: Point) {
+    pub fn age(&mut self, now: Timestamp) {
         let terms = self.terms;
-        let kept = |age: Span| 0.5f64.powf(age.ratio(terms.halves));
+        let kept = |age: TimeSpan| 0.5f64.powf(age.ratio(terms.halves));
         self.members.retain(|_, k| {
             k.words.retain(|_, w| kept(now - w.said) >= FORGOTTEN);
             !k.words.is_empty() || kept(now - k.at) * k.answers >= FORGOTTEN
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -1,12 +1,12 @@
 //! Turns: who has one, how it goes on when its holder dies, is stopped or cut off; and every order of steps for three drivers.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::{Claim, End, Leases, Stand, Terms};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-fn ms(n: u64) -> Span {
-    Span::millis(n)
+fn ms(n: u64) -> TimeSpan {
+    TimeSpan::millis(n)
 }
 
 fn claim(term: u64, holder: u64, said: u64, end: End) -> Claim {
@@ -36,16 +36,16 @@
 }
 
 struct Fleet {
-    now: Point,
+    now: Timestamp,
     all: Vec<Leases>,
     up: Vec<bool>,
     /// Who hears whom.
     cut: BTreeSet<(usize, usize)>,
     lost: u32,
     chance: fastrand::Rng,
-    flying: Vec<(Point, usize, String, Claim, Point)>,
+    flying: Vec<(Timestamp, usize, String, Claim, Timestamp)>,
     /// Longest time for which two acted at once, and how many acts in all.
-    two: Span,
+    two: TimeSpan,
     acts: u64,
 }
 
@@ -58,14 +58,14 @@
             l
         });
         Fleet {
-            now: Point(1_000_000_000),
+            now: Timestamp(1_000_000_000),
             all: all.collect(),
             up: vec![true; count as usize],
             cut: BTreeSet::new(),
             lost,
             chance: fastrand::Rng::with_seed(7),
             flying: Vec::new(),
-            two: Span(0),
+            two: TimeSpan(0),
             acts: 0,
         }
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    fn run(&mut self, span: Span) {
+    fn run(&mut self, span: TimeSpan) {
         let end = self.now + span;
         let mut two_since = None;
         while self.now < end {
@@ -103,7 +103,9 @@
             let acting = self.holders().len();
             self.acts += acting as u64;
             two_since = (acting > 1).then(|| two_since.unwrap_or(now));
-            self.two = self.two.max(two_since.map_or(Span(0), |at| now + ms(50) - at));
+            self.two = self
+                .two
+                .max(two_since.map_or(TimeSpan(0), |at| now + ms(50) - at));
         }
     }
 
@@ -217,10 +219,15 @@
 #[test]
 fn the_last_term_there_is_harms_nobody() {
     let mut l = Leases::new(1, 1, Terms::default());
-    l.want(Point(0), "m");
-    l.told(Point(0), "m", claim(u64::MAX, 9, u64::MAX, End::Holds), Span(0));
-    assert_eq!(l.stand(Point(0), "m"), Stand::Theirs);
-    let later = Point(0) + ms(2000);
+    l.want(Timestamp(0), "m");
+    l.told(
+        Timestamp(0),
+        "m",
+        claim(u64::MAX, 9, u64::MAX, End::Holds),
+        TimeSpan(0),
+    );
+    assert_eq!(l.stand(Timestamp(0), "m"), Stand::Theirs);
+    let later = Timestamp(0) + ms(2000);
     let told = l.reach(later);
     assert_eq!((told.len(), l.stand(later, "m")), (1, Stand::Mine));
     assert!(l.rest(later, "m", End::Done).is_some());
@@ -230,13 +237,18 @@
 fn subjects_are_bounded_and_let_go() {
     let mut l = Leases::new(1, 1, Terms::default());
     for n in 0..5000 {
-        l.told(Point(n), &format!("s{n}"), claim(1, 2, 0, End::Holds), Span(0));
+        l.told(
+            Timestamp(n),
+            &format!("s{n}"),
+            claim(1, 2, 0, End::Holds),
+            TimeSpan(0),
+        );
     }
-    assert_eq!(l.all(Point(5000)).count(), 4096);
-    l.want(Point(6000), "mine");
-    assert_eq!(l.wanted(Point(6000)).count(), 1, "what is wanted stays");
-    l.reach(Point(6000) + ms(60_000));
-    assert_eq!(l.all(Point(0)).count(), 1, "only the own claim is left");
+    assert_eq!(l.all(Timestamp(5000)).count(), 4096);
+    l.want(Timestamp(6000), "mine");
+    assert_eq!(l.wanted(Timestamp(6000)).count(), 1, "what is wanted stays");
+    l.reach(Timestamp(6000) + ms(60_000));
+    assert_eq!(l.all(Timestamp(0)).count(), 1, "only the own claim is left");
 }
 
 /// Every order of steps of three drivers, words that fly for up to one unit, and one of them stopped at will.
@@ -283,8 +295,8 @@
 }
 
 impl World {
-    fn at(&self) -> Point {
-        Point(100 * UNIT + self.now * UNIT)
+    fn at(&self) -> Timestamp {
+        Timestamp(100 * UNIT + self.now * UNIT)
     }
 
     fn acts(&self, n: usize) -> bool {
@@ -302,15 +314,15 @@
 
     fn init_states(&self) -> Vec<World> {
         let terms = Terms {
-            lease: Span(4 * UNIT),
-            acts: Span(self.acts * UNIT),
-            step: Span(2 * UNIT),
+            lease: TimeSpan(4 * UNIT),
+            acts: TimeSpan(self.acts * UNIT),
+            step: TimeSpan(2 * UNIT),
         };
         let keys: BTreeSet<u64> = (1..=3).collect();
         let all = keys.iter().map(|k| {
             let mut l = Leases::new(*k, 1, terms);
             l.there(&keys);
-            l.want(Point(100 * UNIT), "m");
+            l.want(Timestamp(100 * UNIT), "m");
             l
         });
         vec![World {
@@ -358,7 +370,7 @@
             Step::Arrive(word) => {
                 w.flying.remove(&word);
                 let (_, to, sent, claim) = word;
-                w.all[to].told(at, "m", unpacked(&claim), Span((w.now - sent) * UNIT));
+                w.all[to].told(at, "m", unpacked(&claim), TimeSpan((w.now - sent) * UNIT));
             }
             Step::Stop(n) => (w.stopped, w.stops) = (Some(n), w.stops + 1),
             Step::GoOn => w.stopped = None,
--- a/crates/coordination/tests/sums.rs
+++ b/crates/coordination/tests/sums.rs
@@ -1,12 +1,12 @@
 //! What many drivers know together: silent members, and how many drivers there are.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::failure_consensus::{Silence, Terms};
 use asterlatch_coordination::fleet_size::Size;
 use asterlatch_coordination::load_aggregate::{self, Sums};
 
-fn at(ms: u64) -> Point {
-    Point(10_000_000 + ms * 1000)
+fn at(ms: u64) -> Timestamp {
+    Timestamp(10_000_000 + ms * 1000)
 }
 
 #[test]
@@ -75,7 +75,7 @@
             s.heard("m", at(1100));
         }
         let later = if heard { 1100 } else { 5000 };
-        assert_eq!(s.news(at(later)), [("m".to_owned(), Point(0))]);
+        assert_eq!(s.news(at(later)), [("m".to_owned(), Timestamp(0))]);
         assert!(s.news(at(later)).is_empty());
         s.age(at(60_000));
         assert!(s.news(at(60_000)).is_empty());
@@ -100,7 +100,7 @@
 /// Three hundred drivers try again one after the other.
 #[test]
 fn trials_are_spread() {
-    let mut ends: Vec<Point> = (0..300)
+    let mut ends: Vec<Timestamp> = (0..300)
         .map(|own| {
             let mut s = Silence::new(own, Terms::default());
             s.late("m", 1, at(500), at(900));
@@ -111,7 +111,7 @@
     ends.sort();
     let most = ends.iter().map(|e| {
         ends.iter()
-            .filter(|o| **o >= *e && **o - *e < Span::millis(100))
+            .filter(|o| **o >= *e && **o - *e < TimeSpan::millis(100))
             .count()
     });
     assert!(
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_fleet_grows_at_once_and_shrinks_when_that_has_lasted() {
-    let mut size = Size::new(100, Span::millis(30_000), at(0));
+    let mut size = Size::new(100, TimeSpan::millis(30_000), at(0));
     // When, how many are there, how many count.
     for (ms, there, counts) in [
         (0, 1, 100),
@@ -149,7 +149,7 @@
 #[test]
 fn shares_are_drawn_together_by_answers_and_age() {
     let terms = load_aggregate::Terms {
-        halves: Span::millis(1000),
+        halves: TimeSpan::millis(1000),
         gain: 0.3,
         most: 8.0,
         least: 2.0,
--- a/crates/driver/src/program/log.rs
+++ b/crates/driver/src/program/log.rs
@@ -2,7 +2,7 @@
 //! them; what a line looks like is decided here, once for the process.
 
 use crate::routing::owner::Observer;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::fmt::{self, Arguments, Write};
 use std::io;
@@ -44,16 +44,16 @@
 
 #[derive(Default)]
 struct Topic {
-    since: Point,
+    since: Timestamp,
     lines: u32,
     left_out: u64,
 }
 
 impl Log {
     /// Whether a line may go out, and how many were left out before it.
-    pub fn admit(&mut self, now: Point, topic: &'static str) -> Option<u64> {
+    pub fn admit(&mut self, now: Timestamp, topic: &'static str) -> Option<u64> {
         let t = self.topics.entry(topic).or_default();
-        if now - t.since >= Span::millis(1000) {
+        if now - t.since >= TimeSpan::millis(1000) {
             (t.since, t.lines) = (now, 0);
         }
         t.lines += 1;
@@ -77,7 +77,7 @@
 pub(crate) use log;
 
 impl Observer for Log {
-    fn say(&mut self, now: Point, topic: &'static str, text: Arguments) {
+    fn say(&mut self, now: Timestamp, topic: &'static str, text: Arguments) {
         log!(self, now, topic, "{text}");
     }
 }
--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -8,7 +8,7 @@
 use crate::routing::owner::Owner;
 use crate::routing::queue::{Input, Notice};
 use crate::transport::Stacks;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::generations::{Difference, Effect, Generation, Generations, Read, Told};
 use asterlatch_config::load::{self, Folder, Outcome};
 use asterlatch_config::meaning::{changes, hash, Meaning};
@@ -43,7 +43,7 @@
 impl InForce {
     pub fn of(meaning: &Meaning) -> InForce {
         let amount = |section, row| meaning.amount(registry(), section, row).max(0);
-        let span = |section, row| Span(amount(section, row) as u64);
+        let span = |section, row| TimeSpan(amount(section, row) as u64);
         let part = |section, row| Part(amount(section, row) as u32);
         let client = |row| span("clients", row);
         let call = |row| span("discovery", row);
@@ -83,7 +83,7 @@
         let workloads = meaning.entries(registry(), "workload").map(|(name, amounts)| {
             let at = |row: Option<usize>| Some(amounts.get(row?)?.as_ref()?.amount);
             let own = WorkloadLimits {
-                timeout: at(timeout).map(|us| Span(us as u64)),
+                timeout: at(timeout).map(|us| TimeSpan(us as u64)),
                 longest: at(longest).map(|bytes| bytes as usize),
             };
             (name.to_owned(), own)
@@ -134,7 +134,7 @@
 fn terms(meaning: &Meaning) -> Terms {
     let amount = |row| meaning.amount(registry(), "activation", row).max(0);
     Terms {
-        probation: Span(amount("probation") as u64),
+        probation: TimeSpan(amount("probation") as u64),
         margin: amount("margin") as f64 / 1e6,
         least: amount("least") as u64,
     }
@@ -203,7 +203,7 @@
     stores: bool,
     /// The fullest since the last sample.
     fullest: [u64; WANTS.len()],
-    sampled: Point,
+    sampled: Timestamp,
     is_watched: bool,
     /// As they are in force now.
     pub upgrade_times: predecessor::Times,
@@ -215,7 +215,7 @@
 pub const DETAILS: &str = "operators file";
 
 /// How far apart the driver's figures are looked at.
-const SAMPLES: Span = Span::millis(250);
+const SAMPLES: TimeSpan = TimeSpan::millis(250);
 
 /// What a start found: the meaning to begin with, and lines to tell.
 pub struct Start {
@@ -312,7 +312,7 @@
             again: false,
             stores: given.state.is_some(),
             fullest: [0; WANTS.len()],
-            sampled: Point(0),
+            sampled: Timestamp(0),
             is_watched: given.file.is_some(),
             upgrade_times,
         };
@@ -344,7 +344,7 @@
     }
 
     /// Takes in what is done and what the driver counts, and carries out what follows from it.
-    pub fn steer(&mut self, owner: &mut Owner<Log>, phases: &mut Phases, now: Point, machine: Machine) {
+    pub fn steer(&mut self, owner: &mut Owner<Log>, phases: &mut Phases, now: Timestamp, machine: Machine) {
         while let Ok(done) = self.done.try_recv() {
             match done {
                 Done::Read {
@@ -385,7 +385,7 @@
     }
 
     /// Samples are a while apart, and hold the fullest of the while: a full moment between two counts.
-    fn look(&mut self, owner: &mut Owner<Log>, phases: &mut Phases, now: Point) {
+    fn look(&mut self, owner: &mut Owner<Log>, phases: &mut Phases, now: Timestamp) {
         let fill = fill(owner);
         for (fullest, fill) in self.fullest.iter_mut().zip(fill) {
             *fullest = (*fullest).max(fill);
@@ -395,7 +395,7 @@
         }
     }
 
-    fn sample(&mut self, owner: &mut Owner<Log>, phases: &mut Phases, now: Point) {
+    fn sample(&mut self, owner: &mut Owner<Log>, phases: &mut Phases, now: Timestamp) {
         let fill = fill(owner);
         self.sampled = now;
         let f = &owner.figures;
@@ -417,10 +417,10 @@
     }
 
     /// When to look again though nothing comes in.
-    pub fn next_at(&self) -> Point {
+    pub fn next_at(&self) -> Timestamp {
         match self.generations.is_on_probation() {
-            true => (self.sampled + SAMPLES).min(self.generations.next_at().unwrap_or(Point(u64::MAX))),
-            false => Point(u64::MAX),
+            true => (self.sampled + SAMPLES).min(self.generations.next_at().unwrap_or(Timestamp(u64::MAX))),
+            false => Timestamp(u64::MAX),
         }
     }
 
@@ -428,7 +428,7 @@
         &mut self,
         owner: &mut Owner<Log>,
         phases: &mut Phases,
-        now: Point,
+        now: Timestamp,
         effects: Vec<Effect<Meaning>>,
     ) {
         for effect in effects {
--- a/crates/driver/src/program/phases.rs
+++ b/crates/driver/src/program/phases.rs
@@ -1,6 +1,6 @@
 //! The phases of the process, from start to exit.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Phase {
@@ -9,11 +9,11 @@
     Serving,
     /// Told to leave: clients still arrive for a while, and are served.
     Leaving {
-        since: Point,
+        since: Timestamp,
     },
     /// No client is taken any more; each goes after the answer it waits for.
     Draining {
-        since: Point,
+        since: Timestamp,
     },
     Stopped,
 }
@@ -34,20 +34,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
     /// How long clients may still arrive once the process was told to leave.
-    pub arrivals: Span,
+    pub arrivals: TimeSpan,
     /// How long a client that has its answer, and doesn't read it, is waited for; and since the last statement was
     /// open, for the next one of a row may be on its way to the owner.
-    pub linger: Span,
+    pub linger: TimeSpan,
     /// A drain is never longer.
-    pub longest_drain: Span,
+    pub longest_drain: TimeSpan,
 }
 
 impl Default for Times {
     fn default() -> Times {
         Times {
-            arrivals: Span::millis(450),
-            linger: Span::millis(1000),
-            longest_drain: Span::millis(25 * 3_600_000),
+            arrivals: TimeSpan::millis(450),
+            linger: TimeSpan::millis(1000),
+            longest_drain: TimeSpan::millis(25 * 3_600_000),
         }
     }
 }
@@ -57,7 +57,7 @@
     phase: Phase,
     pub times: Times,
     /// When a statement was last seen open.
-    busy_at: Point,
+    busy_at: Timestamp,
 }
 
 /// What the phases depend on.
@@ -71,7 +71,7 @@
 
 impl Phases {
     /// Goes one phase on, if it is time for that.
-    pub fn advance(&mut self, now: Point, seen: &Seen) -> Option<Phase> {
+    pub fn advance(&mut self, now: Timestamp, seen: &Seen) -> Option<Phase> {
         if seen.open_statements > 0 {
             self.busy_at = now;
         }
@@ -87,17 +87,17 @@
         Some(next)
     }
 
-    fn lingers_until(&self, draining_since: Point) -> Point {
+    fn lingers_until(&self, draining_since: Timestamp) -> Timestamp {
         let lingers = draining_since.max(self.busy_at) + self.times.linger;
         lingers.min(draining_since + self.times.longest_drain)
     }
 
     /// When time alone takes it on.
-    pub fn next_at(&self, now: Point) -> Point {
+    pub fn next_at(&self, now: Timestamp) -> Timestamp {
         match self.phase {
             Phase::Leaving { since } => since + self.times.arrivals,
             Phase::Draining { since } if now < self.lingers_until(since) => self.lingers_until(since),
-            _ => Point(u64::MAX),
+            _ => Timestamp(u64::MAX),
         }
     }
 }
--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -17,7 +17,7 @@
 use crate::transport::clock::Clock;
 use crate::transport::room::Room;
 use crate::transport::{self, listener, stream};
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use std::net::TcpListener;
 use std::path::Path;
 use std::sync::mpsc::channel;
@@ -175,7 +175,7 @@
                 );
             }
         }
-        let takeover_at = takeover.as_ref().map_or(Point(u64::MAX), |t| t.next_at(now));
+        let takeover_at = takeover.as_ref().map_or(Timestamp(u64::MAX), |t| t.next_at(now));
         let seen = Seen {
             told_to_leave,
             listening: owner.is_listening(),
@@ -210,7 +210,7 @@
 }
 
 /// A file that can't be read, or only in part, leaves the configuration in force.
-fn reload(owner: &mut Owner<Log>, now: Point, config: &Config, newer: Result<Config, String>) {
+fn reload(owner: &mut Owner<Log>, now: Timestamp, config: &Config, newer: Result<Config, String>) {
     match newer {
         Ok(newer) => {
             owner.figures.reloads += 1;
@@ -234,7 +234,7 @@
     }
 }
 
-fn report(owner: &mut Owner<Log>, now: Point) {
+fn report(owner: &mut Owner<Log>, now: Timestamp) {
     owner.figures.log_lines_left_out = owner.observer.left_out;
     let line = counters::line(&owner.figures);
     log!(owner.observer, now, "counters", "{line}");
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -8,7 +8,7 @@
 use crate::routing::sharing::{News, Sharing, Terms, Word};
 use crate::transport::clock::Clock;
 use crate::transport::datagrams::{Came, Datagrams, Waker};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::host::{drivers, Other};
 use asterlatch_config::meaning::{hash, Meaning};
 use asterlatch_coordination::lease::Claim;
@@ -35,13 +35,13 @@
     settings: Settings,
     terms: Terms,
     /// Between two writings; zero keeps nothing.
-    keep: Span,
+    keep: TimeSpan,
 }
 
 impl Shares {
     pub fn of(meaning: &Meaning) -> Option<Shares> {
         let amount = |row| meaning.amount(registry(), "shared", row).max(0);
-        let span = |row| Span(amount(row) as u64);
+        let span = |row| TimeSpan(amount(row) as u64);
         let port = u16::try_from(amount("port")).ok().filter(|p| *p > 0)?;
         let others = drivers(registry(), meaning);
         let canonical = hash(&meaning.canonical(registry()));
@@ -67,7 +67,7 @@
             window: span("window"),
             most: amount("ids") as usize,
             // The deployment's, put in at the start.
-            fall_span: Span(0),
+            fall_span: TimeSpan(0),
             fall_multiple: 0.0,
         };
         Some(Shares {
@@ -164,8 +164,8 @@
         ..shares.settings.clone()
     };
     let now = clock.now();
-    let folder = match state.filter(|_| shares.keep > Span(0)) {
-        None if shares.keep > Span(0) => {
+    let folder = match state.filter(|_| shares.keep > TimeSpan(0)) {
+        None if shares.keep > TimeSpan(0) => {
             return Err("shared.keep: no folder is given with --state".to_owned())
         }
         folder => folder.map(Path::to_owned),
@@ -237,13 +237,13 @@
 
 #[derive(Default)]
 struct Former {
-    facts: Vec<(Fact, Point)>,
+    facts: Vec<(Fact, Timestamp)>,
     life: u64,
     fault: Option<String>,
 }
 
 /// Begins with what was kept, as far as it is of use still; what is to be told of that.
-fn take_over(engine: &mut Engine, former: Former, now: Point, keeps: bool) -> Vec<String> {
+fn take_over(engine: &mut Engine, former: Former, now: Timestamp, keeps: bool) -> Vec<String> {
     let (used, report) = report::sort(former.facts, now);
     let mut lines: Vec<String> = former.fault.into_iter().collect();
     if keeps {
@@ -265,7 +265,7 @@
 }
 
 impl Keeping {
-    fn start(folder: &Path, every: Span, now: Point, line: &Line) -> std::io::Result<Keeping> {
+    fn start(folder: &Path, every: TimeSpan, now: Timestamp, line: &Line) -> std::io::Result<Keeping> {
         let (tell, done) = channel();
         let waker = line.waker.clone();
         let told = move |result| {
@@ -282,7 +282,7 @@
     }
 
     /// Writes what is due, and says what became of what was.
-    fn steer(&mut self, engine: &mut Engine, now: Point) -> Vec<String> {
+    fn steer(&mut self, engine: &mut Engine, now: Timestamp) -> Vec<String> {
         let mut lines = Vec::new();
         while let Ok((wish, records, result)) = self.done.try_recv() {
             if result.is_err() {
@@ -359,7 +359,7 @@
             let keeps_at = self
                 .keeping
                 .as_ref()
-                .map_or(Point(u64::MAX), |k| k.keeper.next_at());
+                .map_or(Timestamp(u64::MAX), |k| k.keeper.next_at());
             let next = self.engine.next_at().min(keeps_at);
             let wait = Duration::from_micros((next - now).0).min(LONGEST_WAIT);
             let outputs = match self.datagrams.next(wait) {
@@ -415,7 +415,7 @@
         true
     }
 
-    fn show(&self, now: Point, show: Show) {
+    fn show(&self, now: Timestamp, show: Show) {
         let value = match show.what {
             What::Status => self.status(now),
             What::Facts => self.facts(now),
@@ -428,7 +428,7 @@
         let _ = reply.write_all(text.as_bytes());
     }
 
-    fn status(&self, now: Point) -> Value {
+    fn status(&self, now: Timestamp) -> Value {
         let own = self.engine.peers.own();
         let told = |name: &str| {
             let of = self.engine.book.all().map(|e| &e.fact);
@@ -440,7 +440,12 @@
             })
             .next()
         };
-        let row = |name: &str, presence: &str, life: u64, heard: Option<Span>, late: Span, whole: bool| {
+        let row = |name: &str,
+                   presence: &str,
+                   life: u64,
+                   heard: Option<TimeSpan>,
+                   late: TimeSpan,
+                   whole: bool| {
             let (list, file) = told(name).unzip();
             json!({
                 "driver": name, "presence": presence, "life": life, "heard_ms_ago": heard.map(|h| h.0 / 1000),
@@ -448,7 +453,7 @@
             })
         };
         let is_whole = !self.engine.catchup.is_behind();
-        let mut rows = vec![row(&own.name, "this one", own.life, None, Span(0), is_whole)];
+        let mut rows = vec![row(&own.name, "this one", own.life, None, TimeSpan(0), is_whole)];
         for p in self.engine.peers.all() {
             let heard = p.heard.map(|at| now - at);
             rows.push(row(
@@ -475,7 +480,7 @@
         })
     }
 
-    fn facts(&self, now: Point) -> Value {
+    fn facts(&self, now: Timestamp) -> Value {
         let all = shown(&self.engine.book, now);
         let rows = all.into_iter().map(|(key, fact, age)| {
             json!({ "kind": key.0.name(), "of": key.1, "told_ms_ago": age.0 / 1000, "says": says(&fact) })
@@ -485,7 +490,7 @@
         json!({ "facts": rows.collect::<Vec<_>>(), "copy": [{ "mark": format!("{mark:016x}") }] })
     }
 
-    fn differences(&self, now: Point) -> Value {
+    fn differences(&self, now: Timestamp) -> Value {
         let all = self.engine.book.quarrels.all();
         let rows = all.map(|q| {
             json!({
--- a/crates/driver/src/program/upgrade/handover.rs
+++ b/crates/driver/src/program/upgrade/handover.rs
@@ -5,7 +5,7 @@
 use crate::routing::tables::Members;
 use crate::transport::clock::Clock;
 use asterlatch::choice::Driver;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::codec::machine_us;
 use serde::{Deserialize, Serialize};
 
@@ -17,20 +17,20 @@
 #[derive(Serialize, Deserialize)]
 struct Handover {
     form: u32,
-    now: Point,
-    machine: Span,
+    now: Timestamp,
+    machine: TimeSpan,
     /// The deployment's settings by which ids of workloads mean something.
     settings: u64,
     module: Vec<u8>,
     members: Vec<u8>,
 }
 
-pub fn written(owner: &Owner<Log>, now: Point, settings: u64) -> Result<Vec<u8>, postcard::Error> {
+pub fn written(owner: &Owner<Log>, now: Timestamp, settings: u64) -> Result<Vec<u8>, postcard::Error> {
     let (module, members) = owner.learned();
     let handover = Handover {
         form: FORM,
         now,
-        machine: Span(machine_us()),
+        machine: TimeSpan(machine_us()),
         settings,
         module: postcard::to_stdvec(module)?,
         members: postcard::to_stdvec(members)?,
@@ -58,7 +58,7 @@
     let module = module.map_err(|e| format!("what was learned can't be read: {e}"))?;
     let members = members.map_err(|e| format!("the members can't be read: {e}"))?;
     Ok(Resumed {
-        clock: Clock::resume(handover.now, handover.machine, Span(machine_us())),
+        clock: Clock::resume(handover.now, handover.machine, TimeSpan(machine_us())),
         learned: (module, members),
     })
 }
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -7,7 +7,7 @@
 
 use super::log::Log;
 use crate::routing::owner::Owner;
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::{Joint, Word};
 use asterlatch_handover::message::Message;
 pub use control::{control, request};
@@ -18,7 +18,7 @@
 pub const VARIABLE: &str = "ASTERLATCH_TAKEOVER";
 
 /// Takes over what the other process tells that binds both; what it is to be answered.
-fn bind(owner: &mut Owner<Log>, now: Point, joint: &mut Joint, words: &[Word]) -> Option<Message> {
+fn bind(owner: &mut Owner<Log>, now: Timestamp, joint: &mut Joint, words: &[Word]) -> Option<Message> {
     words.iter().for_each(|word| owner.bind(now, word));
     let answer = joint.heard(words);
     owner.figures.open_from_beside = joint.beside();
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -7,7 +7,7 @@
 use crate::routing::owner::{Moved, Owner};
 use crate::routing::queue::{Input, Notice};
 use crate::transport::witness::Witness;
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::Joint;
 use asterlatch_handover::codec::{machine_us, send, Came, Reader};
 use asterlatch_handover::io_journal::Verdicts;
@@ -39,7 +39,7 @@
     ledger: Option<(UnixStream, OwnedFd)>,
     witness: Option<Witness>,
     joint: Joint,
-    started: Point,
+    started: Timestamp,
 }
 
 /// Takes the socket to the former process, where this one was started to take over.
@@ -67,14 +67,14 @@
         ledger: None,
         witness: None,
         joint: Joint::default(),
-        started: Point(machine_us()),
+        started: Timestamp(machine_us()),
     }))
 }
 
 impl Takeover {
     /// Until it serves the machine's clock will do.
-    fn machine_now(&self) -> Point {
-        Point(machine_us())
+    fn machine_now(&self) -> Timestamp {
+        Timestamp(machine_us())
     }
 
     fn say(&self, message: &Message) {
@@ -213,7 +213,7 @@
         thread.spawn(hear).map(drop).map_err(|e| format!("takeover: {e}"))
     }
 
-    pub fn steer(&mut self, owner: &mut Owner<Log>, now: Point) {
+    pub fn steer(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
         let mut effects = Vec::new();
         let machine_now = self.machine_now();
         while let Some(Ok(heard)) = self.heard.as_ref().map(Receiver::try_recv) {
@@ -275,9 +275,9 @@
     }
 
     /// In the service's own time.
-    pub fn next_at(&self, now: Point) -> Point {
+    pub fn next_at(&self, now: Timestamp) -> Timestamp {
         match self.machine.next_at() {
-            Point(u64::MAX) => Point(u64::MAX),
+            Timestamp(u64::MAX) => Timestamp(u64::MAX),
             at => now + (at - self.machine_now()),
         }
     }
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -7,7 +7,7 @@
 use crate::program::log::{log, Log};
 use crate::routing::owner::Owner;
 use crate::routing::queue::{Input, Notice};
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use asterlatch_handover::capacity_check;
 use asterlatch_handover::co_serving::Joint;
 use asterlatch_handover::codec::{send, Came, Reader};
@@ -78,12 +78,12 @@
     }
 
     /// An upgrade to this very program, as it lies on disk now.
-    pub fn asked(&mut self, owner: &mut Owner<Log>, now: Point) {
+    pub fn asked(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
         let binary = std::env::args_os().next().map(PathBuf::from);
         self.ask(owner, now, binary.unwrap_or_default(), None);
     }
 
-    fn ask(&mut self, owner: &mut Owner<Log>, now: Point, binary: PathBuf, reply: Option<UnixStream>) {
+    fn ask(&mut self, owner: &mut Owner<Log>, now: Timestamp, binary: PathBuf, reply: Option<UnixStream>) {
         if let Err(why) = capacity_check::check(&Upgrades::measure(owner)) {
             log!(owner.observer, now, "upgrade", "not begun: {why}");
             reply.map(|mut r| writeln!(r, "failed: {why}"));
@@ -132,11 +132,11 @@
     }
 
     /// The process is told to leave.
-    pub fn leave(&mut self, owner: &mut Owner<Log>, now: Point) {
+    pub fn leave(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
         self.take(owner, now, predecessor::Input::Leave);
     }
 
-    pub fn steer(&mut self, owner: &mut Owner<Log>, now: Point, may_begin: bool) {
+    pub fn steer(&mut self, owner: &mut Owner<Log>, now: Timestamp, may_begin: bool) {
         while let Ok(Ask { binary, reply }) = self.asks.try_recv() {
             if may_begin {
                 self.ask(owner, now, binary, Some(reply));
@@ -162,7 +162,7 @@
         self.tell_joint(owner);
     }
 
-    pub fn next_at(&self) -> Point {
+    pub fn next_at(&self) -> Timestamp {
         self.machine.next_at()
     }
 
@@ -171,12 +171,12 @@
         self.machine.times = times;
     }
 
-    fn take(&mut self, owner: &mut Owner<Log>, now: Point, input: predecessor::Input) {
+    fn take(&mut self, owner: &mut Owner<Log>, now: Timestamp, input: predecessor::Input) {
         let effects = self.machine.take(now, input);
         self.carry_out(owner, now, effects);
     }
 
-    fn carry_out(&mut self, owner: &mut Owner<Log>, now: Point, effects: Vec<predecessor::Effect>) {
+    fn carry_out(&mut self, owner: &mut Owner<Log>, now: Timestamp, effects: Vec<predecessor::Effect>) {
         for effect in effects {
             match effect {
                 predecessor::Effect::Start => self.start(),
@@ -216,7 +216,7 @@
         }
     }
 
-    fn told(&mut self, owner: &mut Owner<Log>, now: Point, told: &Told) {
+    fn told(&mut self, owner: &mut Owner<Log>, now: Timestamp, told: &Told) {
         let text = match told {
             Told::Asked => format!("begun, to {} as process {}", self.binary.display(), self.pid),
             Told::Busy => "not begun: another one is under way, or this process leaves".to_owned(),
@@ -256,7 +256,7 @@
     }
 
     /// The new process is dead; its clients go on here.
-    fn take_back(&mut self, owner: &mut Owner<Log>, now: Point) {
+    fn take_back(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
         let Some(given_up) = self.given_up.take() else {
             return;
         };
@@ -289,7 +289,7 @@
     }
 
     /// Sends those on that are to go on in the new process; where there is none any more they stay.
-    fn move_clients(&mut self, owner: &mut Owner<Log>, now: Point) {
+    fn move_clients(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
         let takes = matches!(
             self.machine.phase,
             predecessor::Phase::Standby | predecessor::Phase::Done
--- a/crates/driver/src/protocol/execution.rs
+++ b/crates/driver/src/protocol/execution.rs
@@ -4,7 +4,7 @@
 use super::vitals;
 use crate::transport::stream::{Dialogue, Outbox};
 use asterlatch::interface::Sighting;
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use std::net::TcpStream;
 
 /// What a member gave back.
@@ -22,7 +22,7 @@
     Up { connection: u32 },
     Replied {
         connection: u32,
-        at: Point,
+        at: Timestamp,
         reply: Reply,
         sighting: Sighting,
         report: Option<String>,
@@ -32,7 +32,7 @@
     /// It is over, with or without what was to be run having gone out to its last byte.
     Down {
         connection: u32,
-        at: Point,
+        at: Timestamp,
         written: bool,
     },
 }
@@ -108,7 +108,7 @@
         out.bytes.extend(query);
     }
 
-    fn reply(&mut self, reply: Reply, at: Point, out: &mut Outbox<Heard>) {
+    fn reply(&mut self, reply: Reply, at: Timestamp, out: &mut Outbox<Heard>) {
         out.notices.push(Heard::Replied {
             connection: self.connection,
             at,
@@ -121,7 +121,7 @@
 
     /// Nothing that comes after can be told from the rest, so the connection is over too, and nothing that came
     /// before it with the answer is believed.
-    fn malformed(&mut self, at: Point, out: &mut Outbox<Heard>) {
+    fn malformed(&mut self, at: Timestamp, out: &mut Outbox<Heard>) {
         if self.sent {
             (self.sighting, self.report) = (Sighting::default(), None);
             self.reply(Reply::Malformed, at, out);
@@ -157,7 +157,14 @@
     }
 
     /// One message; false where it makes no sense at this place.
-    fn message(&mut self, kind: u8, body: &[u8], bytes: &[u8], at: Point, out: &mut Outbox<Heard>) -> bool {
+    fn message(
+        &mut self,
+        kind: u8,
+        body: &[u8],
+        bytes: &[u8],
+        at: Timestamp,
+        out: &mut Outbox<Heard>,
+    ) -> bool {
         let busy = self.state == State::Busy;
         match kind {
             b'N' | b'K' | b'R' | b'v' if self.state == State::Greeting => {
@@ -227,7 +234,7 @@
         }
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, at: Point, out: &mut Outbox<Heard>) {
+    fn heard(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Outbox<Heard>) {
         let mut taken = 0;
         while self.state != State::Over {
             match messages::front(&input[taken..], self.bound) {
@@ -249,7 +256,7 @@
         }
     }
 
-    fn told(&mut self, run: Run, _at: Point, out: &mut Outbox<Heard>) {
+    fn told(&mut self, run: Run, _at: Timestamp, out: &mut Outbox<Heard>) {
         match (run, &self.state) {
             (Run::Query(query), State::Greeting) => self.first = Some(query),
             (Run::Query(query), State::Idle) => self.send(query, out),
@@ -269,7 +276,7 @@
         self.written = self.sent;
     }
 
-    fn ended(&mut self, at: Point, out: &mut Outbox<Heard>) {
+    fn ended(&mut self, at: Timestamp, out: &mut Outbox<Heard>) {
         if self.sent {
             // What came whole before the end is the answer all the same.
             if let Some(reply) = self.whole() {
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/session.rs
@@ -5,7 +5,7 @@
 use crate::transport::room::{Room, Taken};
 use crate::transport::stream::{Dialogue, Outbox};
 use crate::transport::witness::Witness;
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::Record;
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -21,17 +21,17 @@
         /// Where it ends among all that was read from this client here.
         end: u64,
         text: Text,
-        at: Point,
+        at: Timestamp,
     },
     /// Part of a message has come since then.
     Writing {
         client: u32,
-        since: Point,
+        since: Timestamp,
     },
     /// The connection sits between statements since then.
     Idle {
         client: u32,
-        since: Point,
+        since: Timestamp,
     },
     Malformed,
     Oversized,
@@ -255,7 +255,7 @@
     }
 
     /// Reads what comes before the first query; says how many bytes that took.
-    fn open(&mut self, input: &[u8], at: Point, out: &mut Outbox<Heard>) -> usize {
+    fn open(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<Heard>) -> usize {
         match messages::opening(input) {
             Opening::Partial => 0,
             Opening::Encryption { whole } => {
@@ -288,14 +288,14 @@
         }
     }
 
-    fn rest(&mut self, at: Point, out: &mut Outbox<Heard>) {
+    fn rest(&mut self, at: Timestamp, out: &mut Outbox<Heard>) {
         let client = self.client;
         self.state = State::Open;
         out.notices.push(Heard::Idle { client, since: at });
     }
 
     /// Reads one message; says how many bytes that took. Behind open statements only a further one is read.
-    fn next(&mut self, input: &[u8], at: Point, out: &mut Outbox<Heard>) -> usize {
+    fn next(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<Heard>) -> usize {
         match messages::front(input, messages::bound(self.room.most())) {
             Front::Partial => 0,
             Front::Message {
@@ -340,7 +340,7 @@
     }
 
     /// Gives a query its place in the row, and with it the answer of one that needs no member.
-    fn query(&mut self, text: &str, end: u64, at: Point, out: &mut Outbox<Heard>) {
+    fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut Outbox<Heard>) {
         self.has_asked = true;
         if text.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
             // No news: a client that sends nothing else would fill the owner's queue.
@@ -379,7 +379,7 @@
         }
     }
 
-    fn answer(&mut self, number: u32, answer: Final, at: Point, out: &mut Outbox<Heard>) {
+    fn answer(&mut self, number: u32, answer: Final, at: Timestamp, out: &mut Outbox<Heard>) {
         let place = number.wrapping_sub(self.first) as usize;
         // An answer to a statement that has its own would be a second one, and is left out.
         let open = self.row.get_mut(place).map(|(_, a)| a).filter(|a| a.is_none());
@@ -451,7 +451,7 @@
         self.settled = self.said;
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, at: Point, out: &mut Outbox<Heard>) {
+    fn heard(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Outbox<Heard>) {
         let mut used = 0;
         loop {
             if self.moving {
@@ -487,7 +487,7 @@
         self.end_if_leaving(out);
     }
 
-    fn told(&mut self, say: Say, at: Point, out: &mut Outbox<Heard>) {
+    fn told(&mut self, say: Say, at: Timestamp, out: &mut Outbox<Heard>) {
         match say {
             Say::Answer(number, answer) => self.answer(number, answer, at, out),
             Say::Leave => {
@@ -548,7 +548,7 @@
         });
     }
 
-    fn ended(&mut self, _at: Point, out: &mut Outbox<Heard>) {
+    fn ended(&mut self, _at: Timestamp, out: &mut Outbox<Heard>) {
         self.state = State::Over;
         self.note(|| Record::Gone { client: self.client });
         out.notices.push(Heard::Gone { client: self.client });
--- a/crates/driver/src/protocol/vitals.rs
+++ b/crates/driver/src/protocol/vitals.rs
@@ -1,7 +1,7 @@
 //! Positions, roles and reports as members word them.
 
 use asterlatch::interface::Sighting;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 
 pub const POSITION: &str = "as_of";
 pub const ROLE: &str = "rank";
@@ -16,11 +16,11 @@
 }
 
 /// A Unix time in whole milliseconds; zero stands for none.
-pub fn unix(ms: u64) -> Option<Point> {
-    (ms > 0 && ms < u64::MAX / 1000).then(|| Point(0) + Span::millis(ms))
+pub fn unix(ms: u64) -> Option<Timestamp> {
+    (ms > 0 && ms < u64::MAX / 1000).then(|| Timestamp(0) + TimeSpan::millis(ms))
 }
 
-pub fn position(text: &str) -> Option<Point> {
+pub fn position(text: &str) -> Option<Timestamp> {
     text.parse().ok().and_then(unix)
 }
 
--- a/crates/driver/src/protocol/watch.rs
+++ b/crates/driver/src/protocol/watch.rs
@@ -4,7 +4,7 @@
 use super::http::{self, Answer};
 use super::roster::{self, Roster};
 use crate::transport::stream::{Dialogue, Outbox};
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 
 pub enum Heard {
     Told(Roster),
@@ -85,7 +85,7 @@
         self.ask(out);
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, _at: Point, out: &mut Outbox<News>) {
+    fn heard(&mut self, input: &mut Vec<u8>, _at: Timestamp, out: &mut Outbox<News>) {
         while !self.over && !input.is_empty() {
             let (status, body, taken, keep) = match http::answer(input) {
                 Answer::Partial | Answer::UpToTheEnd { .. } => return,
@@ -121,11 +121,11 @@
         }
     }
 
-    fn told(&mut self, command: Self::Command, _at: Point, _out: &mut Outbox<News>) {
+    fn told(&mut self, command: Self::Command, _at: Timestamp, _out: &mut Outbox<News>) {
         match command {}
     }
 
-    fn ended(&mut self, _at: Point, out: &mut Outbox<News>) {
+    fn ended(&mut self, _at: Timestamp, out: &mut Outbox<News>) {
         out.notices.push(self.news(Heard::Down));
     }
 
--- a/crates/driver/src/routing/calls.rs
+++ b/crates/driver/src/routing/calls.rs
@@ -2,7 +2,7 @@
 
 use super::limits::Limits;
 use crate::transport::stream::Line;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::convert::Infallible;
 use std::io;
 use std::net::SocketAddr;
@@ -23,19 +23,19 @@
     line: Option<Line<Infallible>>,
     /// The connection in use; news of an earlier one is of no interest any more.
     number: u32,
-    ends: Point,
-    again: Option<Point>,
-    pause: Span,
+    ends: Timestamp,
+    again: Option<Timestamp>,
+    pause: TimeSpan,
     index: Option<u64>,
     /// The module says when to call.
     on_request: bool,
     limits: Limits,
     /// How long the call in use may take for news: it was made with this.
-    news_within: Span,
+    news_within: TimeSpan,
 }
 
 impl Calls {
-    pub fn new(dial: Dial, address: SocketAddr, on_request: bool, limits: Limits, now: Point) -> Calls {
+    pub fn new(dial: Dial, address: SocketAddr, on_request: bool, limits: Limits, now: Timestamp) -> Calls {
         Calls {
             dial,
             address,
@@ -67,7 +67,7 @@
         self.limits = limits;
     }
 
-    pub fn next_at(&self) -> Option<Point> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         let ends = self.line.as_ref().map(|_| self.ends);
         ends.into_iter().chain(self.again).min()
     }
@@ -77,7 +77,7 @@
     }
 
     /// Calls, unless a call stands; whether that could be done.
-    pub fn call(&mut self, now: Point) -> bool {
+    pub fn call(&mut self, now: Timestamp) -> bool {
         if self.line.is_some() {
             return true;
         }
@@ -98,7 +98,7 @@
 
     /// From now on discovery is at this address, and its whole list comes first: a version means nothing at any
     /// other. The call to the old one is hung up on, for that one may stay silent until it closes.
-    pub fn move_to(&mut self, now: Point, address: SocketAddr) {
+    pub fn move_to(&mut self, now: Timestamp, address: SocketAddr) {
         if address == self.address {
             return;
         }
@@ -107,7 +107,7 @@
     }
 
     /// News came; the next watch is on its way already.
-    pub fn told(&mut self, now: Point, index: u64) {
+    pub fn told(&mut self, now: Timestamp, index: u64) {
         self.ends = now + self.news_within;
         self.pause = self.limits.first_pause;
         self.index = Some(index);
@@ -115,7 +115,7 @@
 
     /// The call is over. The next one comes after a growing pause, or when the module says so: then it must be
     /// told.
-    pub fn failed(&mut self, now: Point) -> bool {
+    pub fn failed(&mut self, now: Timestamp) -> bool {
         self.line = None;
         if !self.on_request {
             self.again = Some(now + self.pause);
@@ -125,11 +125,11 @@
     }
 
     /// The call has been silent for too long.
-    pub fn is_silent(&self, now: Point) -> bool {
+    pub fn is_silent(&self, now: Timestamp) -> bool {
         self.line.is_some() && self.ends <= now
     }
 
-    pub fn is_due(&mut self, now: Point) -> bool {
+    pub fn is_due(&mut self, now: Timestamp) -> bool {
         self.again.take_if(|at| *at <= now).is_some()
     }
 }
--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -3,7 +3,7 @@
 use super::limits::Limits;
 use crate::protocol::session::Say;
 use crate::transport::stream::Line;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a client without an open statement is at.
@@ -20,15 +20,15 @@
 const PAUSES: [Pause; 4] = [Pause::Arriving, Pause::Writing, Pause::Resting, Pause::HalfClosed];
 
 /// For its way and the client's own end.
-const HALF_CLOSED: Span = Span::millis(300);
+const HALF_CLOSED: TimeSpan = TimeSpan::millis(300);
 /// Who is in the middle of a message when the process leaves has this long to end it.
-const LAST_MESSAGE: Span = Span::millis(500);
+const LAST_MESSAGE: TimeSpan = TimeSpan::millis(500);
 
 struct Client {
     line: Line<Say>,
     /// Its open statements.
     stmts: Vec<u32>,
-    pause: Option<(Pause, Point)>,
+    pause: Option<(Pause, Timestamp)>,
     has_asked: bool,
     /// It was told that there is no room for it, so nothing it sends is taken.
     turned_away: bool,
@@ -37,7 +37,7 @@
 pub struct Clients {
     open: BTreeMap<u32, Client>,
     /// Those in each kind of pause, by its start.
-    pauses: [BTreeSet<(Point, u32)>; PAUSES.len()],
+    pauses: [BTreeSet<(Timestamp, u32)>; PAUSES.len()],
     /// How many of all have asked for something.
     asked: usize,
     most: usize,
@@ -87,7 +87,7 @@
 
     /// Takes in a client that the kernel has accepted. Where all are busy beyond the bound it is turned away
     /// before it can send anything: that word could come for a statement that runs already.
-    pub fn arrive(&mut self, now: Point, id: u32, line: Line<Say>) -> Room {
+    pub fn arrive(&mut self, now: Timestamp, id: u32, line: Line<Say>) -> Room {
         if self.leaving {
             line.tell(Say::Leave);
         } else if self.moving {
@@ -118,7 +118,7 @@
         room
     }
 
-    fn set(&mut self, id: u32, pause: Option<(Pause, Point)>) {
+    fn set(&mut self, id: u32, pause: Option<(Pause, Timestamp)>) {
         let Some(client) = self.open.get_mut(&id) else {
             return;
         };
@@ -130,13 +130,13 @@
         }
     }
 
-    fn first(&self, pause: Pause) -> Option<(Point, u32)> {
+    fn first(&self, pause: Pause) -> Option<(Timestamp, u32)> {
         self.pauses[pause as usize].first().copied()
     }
 
     /// Lets one go for the sake of another: first who was sent off already; then who came long ago and asked for nothing,
     /// or who came with so many others that they would push out all that have asked; then who has rested the longest.
-    pub fn free_one(&mut self, now: Point) -> bool {
+    pub fn free_one(&mut self, now: Timestamp) -> bool {
         if self.end_one_half_closed() {
             return true;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Our side of its connection is shut since now.
-    pub fn half_closed(&mut self, id: u32, now: Point) {
+    pub fn half_closed(&mut self, id: u32, now: Timestamp) {
         self.set(id, Some((Pause::HalfClosed, now)));
     }
 
@@ -170,7 +170,7 @@
         self.say(id, say);
     }
 
-    fn limit(&self, pause: Pause) -> Span {
+    fn limit(&self, pause: Pause) -> TimeSpan {
         match pause {
             Pause::Arriving => self.limits.first_statement,
             Pause::Writing if self.leaving => self.limits.message.min(LAST_MESSAGE),
@@ -188,13 +188,13 @@
         }
     }
 
-    pub fn next_at(&self) -> Option<Point> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         let end = |pause| Some(self.first(pause)?.0 + self.limit(pause));
         PAUSES.into_iter().filter_map(end).min()
     }
 
     /// Lets those go whose pause has lasted too long; how many were too slow, and how many had only rested.
-    pub fn end_pauses(&mut self, now: Point) -> (u64, u64) {
+    pub fn end_pauses(&mut self, now: Timestamp) -> (u64, u64) {
         let (mut slow, mut rested) = (0, 0);
         for pause in PAUSES {
             let over = |c: &Clients| c.first(pause).filter(|(since, _)| now - *since >= c.limit(pause));
@@ -216,14 +216,14 @@
     }
 
     /// It waits for nothing since then; one that has asked for nothing yet is no further by that.
-    pub fn rests(&mut self, id: u32, since: Point) {
+    pub fn rests(&mut self, id: u32, since: Timestamp) {
         if !self.is(id, Pause::Arriving) {
             self.set(id, Some((Pause::Resting, since)));
         }
     }
 
     /// Part of a message came then.
-    pub fn writes(&mut self, id: u32, since: Point) {
+    pub fn writes(&mut self, id: u32, since: Timestamp) {
         if !self.is(id, Pause::Arriving) {
             self.set(id, Some((Pause::Writing, since)));
         }
@@ -288,7 +288,7 @@
     }
 
     /// One that came from another process has asked there.
-    pub fn asked_before(&mut self, id: u32, now: Point) {
+    pub fn asked_before(&mut self, id: u32, now: Timestamp) {
         if let Some(client) = self.open.get_mut(&id) {
             self.asked += usize::from(!std::mem::replace(&mut client.has_asked, true));
             self.set(id, Some((Pause::Resting, now)));
--- a/crates/driver/src/routing/endings.rs
+++ b/crates/driver/src/routing/endings.rs
@@ -4,7 +4,7 @@
 use crate::protocol::execution::Reply;
 use crate::protocol::session::Final;
 use asterlatch::interface::{Answer, Ending};
-use asterlatch::time::Span;
+use asterlatch::time::TimeSpan;
 
 /// How an execution ended that a member answered. Only the codes that prove it untouched do so.
 pub fn of_reply(reply: &Reply) -> Ending {
@@ -56,7 +56,7 @@
             "not executed, or harmless to execute again",
             hold_off,
         ),
-        Answer::Aborted { stmt } => (stmt, "40003", "the statement may have been executed", Span(0)),
+        Answer::Aborted { stmt } => (stmt, "40003", "the statement may have been executed", TimeSpan(0)),
     };
     let hold_off_ms = Some(hold_off.0 / 1000).filter(|ms| *ms > 0);
     let told = Final::Error {
--- a/crates/driver/src/routing/errands.rs
+++ b/crates/driver/src/routing/errands.rs
@@ -6,7 +6,7 @@
 use crate::transport::pool::Pool;
 use crate::transport::stream::Line;
 use asterlatch::interface::Ending;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
@@ -21,25 +21,25 @@
 pub struct Errand {
     pub kind: Kind,
     pub member: u32,
-    pub sent: Point,
-    pub until: Point,
+    pub sent: Timestamp,
+    pub until: Timestamp,
     /// The connection stood before, and sat idle for this long.
     pub reused: bool,
-    idle: Span,
+    idle: TimeSpan,
     /// When to stop waiting: for the connection first, then for the answer.
-    ends: Point,
+    ends: Timestamp,
     up: bool,
 }
 
 impl Errand {
-    pub fn new(kind: Kind, member: u32, sent: Point, until: Point) -> Errand {
+    pub fn new(kind: Kind, member: u32, sent: Timestamp, until: Timestamp) -> Errand {
         Errand {
             kind,
             member,
             sent,
             until,
             reused: true,
-            idle: Span(0),
+            idle: TimeSpan(0),
             ends: until,
             up: true,
         }
@@ -84,16 +84,16 @@
     dial: Dial,
     busy: BTreeMap<u32, Errand>,
     running: BTreeMap<(u32, u8), u32>,
-    ends: BTreeSet<(Point, u32)>,
+    ends: BTreeSet<(Timestamp, u32)>,
     /// Connections that come up for nobody, and until when they may.
-    coming: BTreeMap<u32, Point>,
+    coming: BTreeMap<u32, Timestamp>,
     ages: Ages,
     /// Members that a connection ever stood to, and whether the last one was closed to make room.
     met: BTreeMap<u32, bool>,
-    connect_timeout: Span,
+    connect_timeout: TimeSpan,
     /// The settings' idle time, and the part of it that is used.
-    idle_whole: Span,
-    idle: Span,
+    idle_whole: TimeSpan,
+    idle: TimeSpan,
     most: usize,
 }
 
@@ -101,7 +101,7 @@
 const NO_DESCRIPTOR: [i32; 2] = [23, 24];
 
 impl Errands {
-    pub fn new(dial: Dial, connect_timeout: Span, idle: (Span, Part), most: usize) -> Errands {
+    pub fn new(dial: Dial, connect_timeout: TimeSpan, idle: (TimeSpan, Part), most: usize) -> Errands {
         Errands {
             pool: Pool::default(),
             dial,
@@ -132,7 +132,7 @@
 
     /// Gives it an idle connection, else opens one, on which nothing goes out before it is up; or says how that ended
     /// at once.
-    pub fn start(&mut self, now: Point, errand: Errand, address: SocketAddr) -> Result<Start, Ending> {
+    pub fn start(&mut self, now: Timestamp, errand: Errand, address: SocketAddr) -> Result<Start, Ending> {
         let mut errand = errand;
         let mut cause = None;
         let earliest = now - self.ages.limit().unwrap_or(self.idle).min(self.idle);
@@ -189,7 +189,7 @@
     }
 
     /// The connection stands: from now on its answer is waited for.
-    pub fn up(&mut self, connection: u32, now: Point) -> Up {
+    pub fn up(&mut self, connection: u32, now: Timestamp) -> Up {
         if let Some(ends) = self.coming.remove(&connection) {
             self.ends.remove(&(ends, connection));
             self.pool.give_back(connection, now);
@@ -207,7 +207,7 @@
 
     /// Takes an errand back of which nothing has gone out. Its connection serves another: at once if it is up, else
     /// when it comes up within its time.
-    pub fn take_back(&mut self, connection: u32, now: Point) -> Option<Errand> {
+    pub fn take_back(&mut self, connection: u32, now: Timestamp) -> Option<Errand> {
         let errand = self.finish(connection)?;
         if errand.up {
             self.pool.give_back(connection, now);
@@ -229,7 +229,7 @@
 
     /// Its answer has come, whole: the connection may serve again. What comes for one that was given up belongs
     /// to no errand.
-    pub fn answered(&mut self, connection: u32, now: Point) -> Option<Errand> {
+    pub fn answered(&mut self, connection: u32, now: Timestamp) -> Option<Errand> {
         let errand = self.finish(connection)?;
         self.note_age(&errand, now, false);
         self.pool.give_back(connection, now);
@@ -237,7 +237,7 @@
     }
 
     /// How a connection fared that had sat idle.
-    pub fn note_age(&mut self, errand: &Errand, now: Point, broke: bool) {
+    pub fn note_age(&mut self, errand: &Errand, now: Timestamp, broke: bool) {
         if errand.reused {
             self.ages.note(now, errand.idle, broke);
         }
@@ -253,7 +253,7 @@
     }
 
     /// Calls an execution off; says how that ends it.
-    pub fn cancel(&mut self, now: Point, stmt: u32, number: u8) -> Option<(Errand, Ending)> {
+    pub fn cancel(&mut self, now: Timestamp, stmt: u32, number: u8) -> Option<(Errand, Ending)> {
         let connection = *self.running.get(&(stmt, number))?;
         if self.busy.get(&connection).is_some_and(|e| e.up) {
             Some((self.end(connection)?, Ending::Cancelled))
@@ -263,7 +263,7 @@
     }
 
     /// The first that has been waited for long enough, and how that ends it: what waited for its connection never ran.
-    pub fn overdue(&mut self, now: Point) -> Option<(Errand, Ending)> {
+    pub fn overdue(&mut self, now: Timestamp) -> Option<(Errand, Ending)> {
         while let Some((at, connection)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
             self.ends.remove(&(at, connection));
             if let Some(errand) = self.end(connection) {
@@ -291,7 +291,7 @@
     }
 
     /// The same, each with when it was sent.
-    pub fn sent(&self) -> impl Iterator<Item = (u32, Point)> + '_ {
+    pub fn sent(&self) -> impl Iterator<Item = (u32, Timestamp)> + '_ {
         let executions = self.busy.values().filter(|e| e.kind != Kind::Probe);
         executions.map(|e| (e.member, e.sent))
     }
@@ -313,7 +313,7 @@
     /// Takes in an idle connection of another process, where there is a place for it.
     pub fn adopt(
         &mut self,
-        now: Point,
+        now: Timestamp,
         (member, address): (u32, SocketAddr),
         stand: impl FnOnce(u32) -> io::Result<Line<Run>>,
     ) -> bool {
@@ -329,11 +329,11 @@
         true
     }
 
-    pub fn end_idle(&mut self, now: Point) {
+    pub fn end_idle(&mut self, now: Timestamp) {
         self.pool.end_idle_before(now, self.idle);
     }
 
-    pub fn next_at(&self) -> Option<Point> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         let end = self.ends.first().map(|(at, _)| *at);
         let idle = self.pool.oldest_idle().map(|(since, _)| since + self.idle);
         end.into_iter().chain(idle).min()
--- a/crates/driver/src/routing/owner/beside.rs
+++ b/crates/driver/src/routing/owner/beside.rs
@@ -9,7 +9,7 @@
 use crate::transport::listener::Arrival;
 use asterlatch::choice;
 use asterlatch::interface::{Answer, Settings, Told};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::co_serving::Word;
 use asterlatch_handover::io_journal::{Verdict, Verdicts};
 use std::collections::BTreeMap;
@@ -22,14 +22,19 @@
     }
 
     /// Goes on from what another process has learned of the same deployment.
-    pub fn resume(&mut self, now: Point, settings: &Settings, (module, members): (choice::Driver, Members)) {
+    pub fn resume(
+        &mut self,
+        now: Timestamp,
+        settings: &Settings,
+        (module, members): (choice::Driver, Members),
+    ) {
         self.module = choice::Driver::resume(module, settings, false, now);
         self.members = members;
         self.module_wakes = Some(now);
     }
 
     /// Another process begins to serve beside this one, or doesn't any more; it is the one that stays, or leaves.
-    pub fn share(&mut self, now: Point, is_shared: bool, leaves: bool) {
+    pub fn share(&mut self, now: Timestamp, is_shared: bool, leaves: bool) {
         let was_shared = std::mem::replace(&mut self.is_shared, is_shared);
         self.drains = Vec::new();
         if let Some(sharing) = self.sharing.as_mut().filter(|_| was_shared) {
@@ -52,7 +57,7 @@
     }
 
     /// Takes over what binds both processes. A member that is not known here gets nothing from here.
-    pub fn bind(&mut self, now: Point, word: &Word) {
+    pub fn bind(&mut self, now: Timestamp, word: &Word) {
         let results = match word {
             Word::Open { member, count } => self
                 .members
@@ -96,7 +101,7 @@
     }
 
     /// Goes on with an idle connection to a member that is still known.
-    pub fn adopt_connection(&mut self, now: Point, member: u32, stream: TcpStream) {
+    pub fn adopt_connection(&mut self, now: Timestamp, member: u32, stream: TcpStream) {
         let Some(address) = self.members.address(member) else {
             return;
         };
@@ -107,7 +112,7 @@
     }
 
     /// Goes on with a client that another process stood so with. Its number lies above those of who is accepted here.
-    pub fn adopt(&mut self, now: Point, moved: Moved) {
+    pub fn adopt(&mut self, now: Timestamp, moved: Moved) {
         self.adopted = self.adopted.wrapping_add(1) | ADOPTED;
         let id = self.adopted;
         match (self.adopt)(id, moved.stream, moved.standing) {
@@ -135,7 +140,7 @@
         if verdicts.is_over(end) {
             self.verdicts.remove(&client);
         }
-        let (stmt, hold_off) = (0, Span(0));
+        let (stmt, hold_off) = (0, TimeSpan(0));
         let (count, answer) = match verdict {
             Verdict::Open => return false,
             Verdict::Rejected => (
--- a/crates/driver/src/routing/owner/mod.rs
+++ b/crates/driver/src/routing/owner/mod.rs
@@ -26,7 +26,7 @@
 use crate::transport::witness::Witness;
 use asterlatch::choice;
 use asterlatch::interface::*;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::io_journal::Verdicts;
 use asterlatch_handover::message as moving;
 use asterlatch_settings::Decoding;
@@ -38,7 +38,7 @@
 
 /// What the outside world is told of.
 pub trait Observer {
-    fn say(&mut self, now: Point, topic: &'static str, text: std::fmt::Arguments);
+    fn say(&mut self, now: Timestamp, topic: &'static str, text: std::fmt::Arguments);
 }
 
 /// What is handed over: the module's memory, and whom its ids mean.
@@ -129,7 +129,7 @@
 struct Ended {
     errand: Errand,
     ending: Ending,
-    took: Span,
+    took: TimeSpan,
     sighting: Sighting,
 }
 
@@ -151,8 +151,8 @@
     /// By workload.
     workload_limits: Vec<WorkloadLimits>,
     ended: VecDeque<Ended>,
-    module_wakes: Option<Point>,
-    accept_again: Option<Point>,
+    module_wakes: Option<Timestamp>,
+    accept_again: Option<Timestamp>,
     listening: Option<Listening>,
     pub notices: Vec<Notice>,
     pub listener_closed: bool,
@@ -187,7 +187,7 @@
         (settings, decoding): (Settings, Decoding),
         seed: u64,
         place: Place,
-        now: Point,
+        now: Timestamp,
         observer: O,
     ) -> Owner<O> {
         let (given, limits) = (place.given, place.limits);
@@ -253,7 +253,7 @@
         &mut self,
         inputs: &Receiver<Input>,
         clock: Clock,
-        mut steer: impl FnMut(&mut Self, Point) -> Option<Point>,
+        mut steer: impl FnMut(&mut Self, Timestamp) -> Option<Timestamp>,
     ) {
         loop {
             let Some(steered) = steer(self, clock.now()) else {
@@ -280,7 +280,7 @@
         }
     }
 
-    pub fn next_at(&self) -> Point {
+    pub fn next_at(&self) -> Timestamp {
         let times = [
             self.module_wakes,
             self.errands.next_at(),
@@ -289,10 +289,10 @@
             self.accept_again,
             self.sharing.as_ref().and_then(Sharing::next_at),
         ];
-        times.into_iter().flatten().min().unwrap_or(Point(u64::MAX))
+        times.into_iter().flatten().min().unwrap_or(Timestamp(u64::MAX))
     }
 
-    pub fn take(&mut self, now: Point, input: Input) {
+    pub fn take(&mut self, now: Timestamp, input: Input) {
         match input {
             Input::Arrival(arrival) => self.arrived(now, arrival),
             Input::Client(heard) => self.client_heard(now, heard),
@@ -308,7 +308,7 @@
     }
 
     /// Does what is due by the clock.
-    pub fn reach(&mut self, now: Point) {
+    pub fn reach(&mut self, now: Timestamp) {
         while let Some((errand, ending)) = self.errands.overdue(now) {
             self.end(errand, now, ending, Sighting::default());
             self.tell_ended(now);
@@ -340,7 +340,7 @@
     }
 
     /// Takes over what has changed. Whatever is open stays: fewer connections come about as they end.
-    pub fn give(&mut self, now: Point, given: Given) {
+    pub fn give(&mut self, now: Timestamp, given: Given) {
         self.given = given;
         self.bound();
         self.calls.move_to(now, given.discovery);
@@ -415,7 +415,7 @@
         self.clients.send_away();
     }
 
-    fn arrived(&mut self, now: Point, arrival: Arrival<Say>) {
+    fn arrived(&mut self, now: Timestamp, arrival: Arrival<Say>) {
         match arrival {
             Arrival::Client(id, line) => {
                 self.figures.clients_accepted += 1;
@@ -440,7 +440,7 @@
         }
     }
 
-    fn client_heard(&mut self, now: Point, heard: client::Heard) {
+    fn client_heard(&mut self, now: Timestamp, heard: client::Heard) {
         match heard {
             client::Heard::Statement {
                 client,
@@ -492,7 +492,13 @@
         }
     }
 
-    fn statement(&mut self, now: Point, (client, number, end): (u32, u32, u64), text: Text, at: Point) {
+    fn statement(
+        &mut self,
+        now: Timestamp,
+        (client, number, end): (u32, u32, u64),
+        text: Text,
+        at: Timestamp,
+    ) {
         let marked = comment::read(&text.text);
         let length = text.text.len();
         let (workload, marked) = match marked.and_then(|m| Ok((self.routable(&m, length)?, m))) {
@@ -567,7 +573,7 @@
     }
 
     /// Carries out what the module decided, in its order.
-    fn carry_out(&mut self, now: Point, results: Results) {
+    fn carry_out(&mut self, now: Timestamp, results: Results) {
         self.module_wakes = results.wake_up;
         for c in &results.cancellations {
             if let Some((errand, ending)) = self.errands.cancel(now, c.stmt, c.number) {
@@ -604,14 +610,14 @@
         }
     }
 
-    fn probe(&mut self, now: Point, member: u32) {
+    fn probe(&mut self, now: Timestamp, member: u32) {
         self.figures.probes_sent += 1;
         // As long as a connection may take to come up: the settings know no other bound for a probe.
         let until = now + self.decoding.connect_timeout;
         self.start(now, Errand::new(Kind::Probe, member, now, until));
     }
 
-    fn end(&mut self, errand: Errand, at: Point, ending: Ending, sighting: Sighting) {
+    fn end(&mut self, errand: Errand, at: Timestamp, ending: Ending, sighting: Sighting) {
         let took = at - errand.sent;
         self.ended.push_back(Ended {
             errand,
@@ -624,7 +630,7 @@
     /// Each end is told once, and only when the input that brought it about is done with: what the module
     /// decides on it must not be carried out in the middle of what it decided before. Those of statements that
     /// have their answer are told too, for what they say of the member.
-    fn tell_ended(&mut self, now: Point) {
+    fn tell_ended(&mut self, now: Timestamp) {
         while let Some(end) = self.ended.pop_front() {
             let (member, ending) = (end.errand.member, end.ending);
             self.shares_end(now, end.errand.kind, member, (ending, end.sighting));
@@ -653,7 +659,7 @@
         }
     }
 
-    fn member_heard(&mut self, now: Point, heard: execution::Heard) {
+    fn member_heard(&mut self, now: Timestamp, heard: execution::Heard) {
         match heard {
             execution::Heard::Up { connection } => self.connection_up(now, connection),
             execution::Heard::Moved { connection, stream } => {
@@ -735,21 +741,21 @@
         read(row).joined(read(beside.as_deref()))
     }
 
-    fn call(&mut self, now: Point) {
+    fn call(&mut self, now: Timestamp) {
         self.figures.discovery_calls += 1;
         if !self.calls.call(now) {
             self.call_failed(now);
         }
     }
 
-    fn call_failed(&mut self, now: Point) {
+    fn call_failed(&mut self, now: Timestamp) {
         if self.calls.failed(now) {
             let results = self.module.list_failed(now);
             self.carry_out(now, results);
         }
     }
 
-    fn discovery_heard(&mut self, now: Point, heard: watch::Heard) {
+    fn discovery_heard(&mut self, now: Timestamp, heard: watch::Heard) {
         match heard {
             watch::Heard::Told(roster) => {
                 self.calls.told(now, roster.index);
@@ -766,13 +772,13 @@
     }
 
     /// Begins with the list that is known from before.
-    pub fn begin_with(&mut self, now: Point, known: &Roster) {
+    pub fn begin_with(&mut self, now: Timestamp, known: &Roster) {
         self.calls.knows(known.index);
         self.learn_roster(now, known);
     }
 
     /// Takes over a list or changes to it. Entries that can't be read are left out, the others stand.
-    pub fn learn_roster(&mut self, now: Point, roster: &Roster) {
+    pub fn learn_roster(&mut self, now: Timestamp, roster: &Roster) {
         self.figures.rosters_told += 1;
         let read = roster.entries.iter().filter_map(|e| self.members.learn(e));
         let entries: Vec<_> = read.collect();
--- a/crates/driver/src/routing/owner/sending.rs
+++ b/crates/driver/src/routing/owner/sending.rs
@@ -5,12 +5,12 @@
 use crate::protocol::messages;
 use crate::routing::errands::{Errand, Kind, Start, Up};
 use asterlatch::interface::{Ending, Sighting};
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::Record;
 
 impl<O: Observer> Owner<O> {
     /// Gives the errand a connection.
-    pub(super) fn start(&mut self, now: Point, errand: Errand) {
+    pub(super) fn start(&mut self, now: Timestamp, errand: Errand) {
         let address = self.members.address(errand.member);
         let started = match address {
             Some(address) => self.errands.start(now, errand, address),
@@ -29,7 +29,7 @@
     }
 
     /// Its connection had ended before anything was written: it starts anew, if it still may.
-    pub(super) fn restart(&mut self, now: Point, errand: Errand) {
+    pub(super) fn restart(&mut self, now: Timestamp, errand: Errand) {
         if self.may_go(now, errand.kind) {
             self.start(now, errand);
         } else {
@@ -37,7 +37,7 @@
         }
     }
 
-    pub(super) fn connection_up(&mut self, now: Point, connection: u32) {
+    pub(super) fn connection_up(&mut self, now: Timestamp, connection: u32) {
         let Up::For(errand) = self.errands.up(connection, now) else {
             return;
         };
@@ -48,7 +48,7 @@
         }
     }
 
-    fn may_go(&mut self, now: Point, kind: Kind) -> bool {
+    fn may_go(&mut self, now: Timestamp, kind: Kind) -> bool {
         match kind {
             Kind::Execution { stmt, number } => self.module.goes_out(now, stmt, number),
             Kind::Probe => true,
@@ -56,7 +56,7 @@
     }
 
     /// Hands what the errand is for to its connection, and writes that down first where another process may go on.
-    fn send(&mut self, now: Point, connection: u32, errand: Errand) {
+    fn send(&mut self, now: Timestamp, connection: u32, errand: Errand) {
         let query = match errand.kind {
             Kind::Execution { stmt, .. } => self.statements.query(stmt, now, errand.until),
             Kind::Probe => Some(messages::probe(self.decoding.reported)),
--- a/crates/driver/src/routing/owner/sharing.rs
+++ b/crates/driver/src/routing/owner/sharing.rs
@@ -7,7 +7,7 @@
 use crate::routing::sharing::{sightings, News, Out, Parked, Sharing, Word};
 use crate::routing::tables;
 use asterlatch::interface::*;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::codec::Question;
 use asterlatch_gossip::in_doubt::{Known, Verdict, FOREVER};
 use asterlatch_gossip::membership::Presence;
@@ -33,7 +33,7 @@
     }
 
     /// Does what is due by the clock.
-    pub(super) fn reach_sharing(&mut self, now: Point) {
+    pub(super) fn reach_sharing(&mut self, now: Timestamp) {
         let Some(sharing) = &mut self.sharing else { return };
         let members = &self.members;
         sharing.reach(now, |m| members.told_as(m));
@@ -52,7 +52,7 @@
     }
 
     /// Reckons what each cold member may be sent from here, and tells what was.
-    fn share_cold(&mut self, now: Point) {
+    fn share_cold(&mut self, now: Timestamp) {
         let Some(sharing) = &mut self.sharing else { return };
         let (tick, life, own) = (sharing.terms.tick, sharing.life, sharing.own_name.clone());
         // While none is cold a look now and then finds the next one.
@@ -79,7 +79,7 @@
                 work_us: sum.work_us,
                 carries_us: sum.carries_us,
             };
-            facts.push((fact, Span(0)));
+            facts.push((fact, TimeSpan(0)));
         }
         if !facts.is_empty() {
             (sharing.tell)(Word::Observed(facts));
@@ -94,7 +94,7 @@
     }
 
     /// An execution goes out; others may have to know.
-    pub(super) fn shares_execution(&mut self, now: Point, stmt: u32, number: u8, member: u32) {
+    pub(super) fn shares_execution(&mut self, now: Timestamp, stmt: u32, number: u8, member: u32) {
         let Some(sharing) = &mut self.sharing else { return };
         let Some((name, workload, session)) = self.statements.marks(stmt) else {
             return;
@@ -119,7 +119,7 @@
     }
 
     /// It has ended.
-    pub(super) fn shares_end(&mut self, now: Point, kind: Kind, member: u32, end: (Ending, Sighting)) {
+    pub(super) fn shares_end(&mut self, now: Timestamp, kind: Kind, member: u32, end: (Ending, Sighting)) {
         let Some(sharing) = &mut self.sharing else { return };
         let (ending, sighting) = end;
         sharing.saw(now, member, sighting);
@@ -170,10 +170,10 @@
     /// A statement that is to go to the module; nothing where it waits for others' word first.
     pub(super) fn asks_others(
         &mut self,
-        now: Point,
+        now: Timestamp,
         (name, repeat): (u64, bool),
         taken: Statement,
-        times_out: Point,
+        times_out: Timestamp,
     ) -> Option<Statement> {
         let harmful = self.harmful[taken.workload];
         let doubted = |doubted| Some(Statement { doubted, ..taken });
@@ -220,7 +220,7 @@
     }
 
     /// What others know of a statement that waited for it is known now.
-    fn decided(&mut self, now: Point, name: u64, verdict: Verdict) {
+    fn decided(&mut self, now: Timestamp, name: u64, verdict: Verdict) {
         let Some(sharing) = &mut self.sharing else { return };
         let Some(parked) = sharing.parked.remove(&name) else {
             return;
@@ -252,7 +252,7 @@
     }
 
     /// A peer asks about a statement: whatever of it waits here is given away first.
-    fn questioned(&mut self, now: Point, from: usize, question: Question) {
+    fn questioned(&mut self, now: Timestamp, from: usize, question: Question) {
         let Some(sharing) = &mut self.sharing else { return };
         // Of what the process beside this one sends nothing is known here.
         let known = match self.is_shared {
@@ -276,12 +276,12 @@
         self.figures.statements_given_away += 1;
         let results = self.module.statement_withdrawn(now, stmt);
         self.carry_out(now, results);
-        let hold_off = Span(0);
+        let hold_off = TimeSpan(0);
         let (_, told) = endings::of_answer(&Answer::Rejected { stmt, hold_off });
         self.figures.rejected += u64::from(self.answer(stmt, told));
     }
 
-    pub(super) fn peers_heard(&mut self, now: Point, news: News) {
+    pub(super) fn peers_heard(&mut self, now: Timestamp, news: News) {
         let heard = match news {
             News::Heard(heard) => heard,
             News::Line(line) => return self.observer.say(now, "fleet", format_args!("{line}")),
@@ -334,7 +334,7 @@
     }
 
     /// What another driver has heard. One that isn't listed here binds nothing here.
-    fn fact(&mut self, now: Point, fact: &Fact, told: Point) {
+    fn fact(&mut self, now: Timestamp, fact: &Fact, told: Timestamp) {
         match fact {
             Fact::Member {
                 name,
@@ -356,7 +356,7 @@
                     sharing.turns.silence.heard(name, told);
                 }
                 // Never as new as what it says to this driver itself.
-                let ago = (now - told).max(Span(1));
+                let ago = (now - told).max(TimeSpan(1));
                 for sighting in sightings(*position, *primary_at, *replica_at) {
                     let results = self.module.told(now, member, Told::Said(ago, sighting));
                     self.carry_out(now, results);
@@ -383,7 +383,7 @@
             }
             Fact::Session { session, position } => {
                 if self.remembers_sessions {
-                    let position = Point(0) + Span::millis(*position);
+                    let position = Timestamp(0) + TimeSpan::millis(*position);
                     self.module.session_told(*session, position);
                 }
             }
@@ -412,7 +412,7 @@
                 driver,
                 before_us,
                 ..
-            } => self.late_elsewhere(member, driver, told - Span(*before_us), told),
+            } => self.late_elsewhere(member, driver, told - TimeSpan(*before_us), told),
             Fact::Load {
                 driver, life, shares, ..
             } => {
--- a/crates/driver/src/routing/owner/turns.rs
+++ b/crates/driver/src/routing/owner/turns.rs
@@ -5,12 +5,12 @@
 use crate::routing::tables;
 use asterlatch::fleet;
 use asterlatch::interface::Told;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<O: Observer> Owner<O> {
     /// The drivers that are there by now, and how many count.
-    pub(super) fn count_peers(&mut self, now: Point) {
+    pub(super) fn count_peers(&mut self, now: Timestamp) {
         let Some(sharing) = &mut self.sharing else { return };
         let keys = sharing.there.iter().map(|p| tables::key(&sharing.names[*p]));
         let others: BTreeSet<u64> = keys.collect();
@@ -20,7 +20,7 @@
     }
 
     /// Whether this driver asks a member itself that its module wants asked, or leaves that to whose turn it is.
-    pub(super) fn may_probe(&mut self, now: Point, member: u32) -> bool {
+    pub(super) fn may_probe(&mut self, now: Timestamp, member: u32) -> bool {
         let Some(sharing) = &mut self.sharing else {
             return true;
         };
@@ -33,7 +33,7 @@
     }
 
     /// What is due each tick: claims and renewals, asking for all, late executions, members that are silent for all.
-    pub(super) fn take_turns(&mut self, now: Point) {
+    pub(super) fn take_turns(&mut self, now: Timestamp) {
         self.count_peers(now);
         let late = self.late_here(now);
         let Some(sharing) = &mut self.sharing else { return };
@@ -54,7 +54,7 @@
             .filter(|_| sparse)
             .filter_map(|(m, share)| Some((members.name(m)?.to_owned(), share)));
         let (load, drawn) = sharing.turns.loads(now, &shares.collect::<Vec<_>>());
-        facts.extend(load.map(|fact| (fact, Span(0))));
+        facts.extend(load.map(|fact| (fact, TimeSpan(0))));
         let drawn = drawn.into_iter();
         let drawn: Vec<_> = drawn
             .filter_map(|(name, share)| Some((members.find(&name)?, share)))
@@ -71,7 +71,7 @@
             self.probe(now, member);
         }
         for (member, until) in silent {
-            self.figures.silent_by_word += u64::from(until > Point(0));
+            self.figures.silent_by_word += u64::from(until > Timestamp(0));
             let results = self.module.told(now, member, Told::Silent(until));
             self.carry_out(now, results);
         }
@@ -83,9 +83,9 @@
     }
 
     /// Members at which executions of this driver are late, each with when the last such was sent.
-    fn late_here(&self, now: Point) -> BTreeMap<String, Point> {
+    fn late_here(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
         let before = fleet::late_since(now, self.module.longest_typical());
-        let mut late: BTreeMap<String, Point> = BTreeMap::new();
+        let mut late: BTreeMap<String, Timestamp> = BTreeMap::new();
         for (member, sent) in self.errands.sent().filter(|(_, sent)| *sent < before) {
             if let Some(name) = self.members.name(member) {
                 let last = late.entry(name.to_owned()).or_insert(sent);
@@ -96,7 +96,7 @@
     }
 
     /// Another driver has a late execution there.
-    pub(super) fn late_elsewhere(&mut self, member: &str, driver: &str, sent: Point, said: Point) {
+    pub(super) fn late_elsewhere(&mut self, member: &str, driver: &str, sent: Timestamp, said: Timestamp) {
         // One that isn't listed here is nobody's business here.
         if self.members.find(member).is_none() {
             return;
--- a/crates/driver/src/routing/sharing.rs
+++ b/crates/driver/src/routing/sharing.rs
@@ -4,7 +4,7 @@
 use super::tables;
 use super::turns::Turns;
 use asterlatch::interface::{Sighting, Statement};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::in_doubt::{Inquiries, Log};
 use asterlatch_gossip::node::{Input, Output};
 use asterlatch_gossip::record::{Fact, Standing};
@@ -26,15 +26,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
     /// Between two tellings of what was seen.
-    pub tick: Span,
+    pub tick: TimeSpan,
     /// How long others' word on a statement is waited for.
-    pub ask: Span,
+    pub ask: TimeSpan,
     /// How long after its first sending a client may repeat a statement.
-    pub window: Span,
+    pub window: TimeSpan,
     /// Ids kept for that.
     pub most: usize,
     /// Work within this span pushes a cold member over, where it is so many times what that bears.
-    pub fall_span: Span,
+    pub fall_span: TimeSpan,
     pub fall_multiple: f64,
 }
 
@@ -42,13 +42,13 @@
 pub struct Parked {
     pub turn: u32,
     pub taken: Statement,
-    pub times_out: Point,
+    pub times_out: Timestamp,
 }
 
 /// What a member has said since it was last told on.
 #[derive(Clone, Copy, Debug, Default)]
 struct Saw {
-    at: Point,
+    at: Timestamp,
     position: u64,
     primary_at: u64,
     replica_at: u64,
@@ -78,30 +78,30 @@
     pub list: u64,
     /// What all send to cold members, and when their shares are reckoned next.
     pub cold: Cold,
-    pub cold_at: Option<Point>,
+    pub cold_at: Option<Timestamp>,
     /// Drivers that are there, by number.
     pub there: BTreeSet<usize>,
     pub own_name: String,
     pub life: u64,
     pub turns: Turns,
-    pub turns_at: Option<Point>,
+    pub turns_at: Option<Timestamp>,
     drained: BTreeSet<String>,
     saw: BTreeMap<u32, Saw>,
-    waiting: Vec<(Fact, Point)>,
-    tell_at: Option<Point>,
+    waiting: Vec<(Fact, Timestamp)>,
+    tell_at: Option<Timestamp>,
 }
 
 /// Facts that wait to be told at most: more than that in a tick is left out, and seen again.
 const MOST_WAITING: usize = 4096;
 
-fn ms(point: Point) -> u64 {
+fn ms(point: Timestamp) -> u64 {
     point.0 / 1000
 }
 
 impl Sharing {
     /// `peers` are those asked about statements. Another life of this driver may have sent any before now.
     pub fn new(
-        now: Point,
+        now: Timestamp,
         terms: Terms,
         asked: Vec<usize>,
         names: Vec<String>,
@@ -138,7 +138,7 @@
         }
     }
 
-    pub fn next_at(&self) -> Option<Point> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         let times = [
             self.tell_at,
             self.inquiries.next_at(),
@@ -148,12 +148,12 @@
         times.into_iter().flatten().min()
     }
 
-    fn plan(&mut self, now: Point) {
+    fn plan(&mut self, now: Timestamp) {
         self.tell_at = self.tell_at.or(Some(now + self.terms.tick));
     }
 
     /// A member has told this driver something of itself.
-    pub fn saw(&mut self, now: Point, member: u32, sighting: Sighting) {
+    pub fn saw(&mut self, now: Timestamp, member: u32, sighting: Sighting) {
         if sighting == Sighting::default() {
             return;
         }
@@ -170,7 +170,7 @@
         self.plan(now);
     }
 
-    pub fn session(&mut self, now: Point, session: u64, position: Point) {
+    pub fn session(&mut self, now: Timestamp, session: u64, position: Timestamp) {
         if session != 0 && self.waiting.len() < MOST_WAITING {
             let position = ms(position);
             self.waiting.push((Fact::Session { session, position }, now));
@@ -197,15 +197,15 @@
             standing,
         };
         // Drains wait for nothing.
-        (self.tell)(Word::Observed(vec![(fact, Span(0))]));
+        (self.tell)(Word::Observed(vec![(fact, TimeSpan(0))]));
     }
 
     /// Tells what was seen, where it is time; `of` says how others call a member, its start and group.
-    pub fn reach(&mut self, now: Point, of: impl Fn(u32) -> Option<(String, u64, u32)>) {
+    pub fn reach(&mut self, now: Timestamp, of: impl Fn(u32) -> Option<(String, u64, u32)>) {
         if self.tell_at.take_if(|at| *at <= now).is_none() {
             return;
         }
-        let mut facts: Vec<(Fact, Span)> = Vec::new();
+        let mut facts: Vec<(Fact, TimeSpan)> = Vec::new();
         for (member, saw) in std::mem::take(&mut self.saw) {
             let Some((name, started_ms, group)) = of(member) else {
                 continue;
@@ -230,7 +230,7 @@
 
 /// What a peer's word of a member comes to here: how far it was, and its newest role at the position it was told at.
 pub fn sightings(position: u64, primary_at: u64, replica_at: u64) -> Vec<Sighting> {
-    let at = |ms: u64| Some(Point(0) + Span::millis(ms));
+    let at = |ms: u64| Some(Timestamp(0) + TimeSpan::millis(ms));
     let mut all = Vec::new();
     if primary_at > 0 || replica_at > 0 {
         all.push(Sighting {
--- a/crates/driver/src/routing/statements.rs
+++ b/crates/driver/src/routing/statements.rs
@@ -3,7 +3,7 @@
 use crate::protocol::comment::{self, Marked};
 use crate::protocol::messages;
 use crate::protocol::session::Text;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
@@ -19,7 +19,7 @@
     harmless: bool,
     text: Text,
     left_at: Range<usize>,
-    times_out: Point,
+    times_out: Timestamp,
     executions: u8,
     workload: usize,
     session: u64,
@@ -53,11 +53,11 @@
         (client, number, end): (u32, u32, u64),
         text: Text,
         marked: &Marked,
-        (at, longest): (Point, Span),
+        (at, longest): (Timestamp, TimeSpan),
         (workload, session, harmless): (usize, u64, bool),
-    ) -> (u32, Point) {
+    ) -> (u32, Timestamp) {
         self.next = self.next.wrapping_add(1);
-        let times_out = at + Span::millis(marked.left_ms).min(longest);
+        let times_out = at + TimeSpan::millis(marked.left_ms).min(longest);
         let held = Held {
             client,
             number,
@@ -96,7 +96,7 @@
     }
 
     /// The number of its next execution, and until when that may be waited for.
-    pub fn execute(&mut self, id: u32, until: Point) -> Option<(u8, Point)> {
+    pub fn execute(&mut self, id: u32, until: Timestamp) -> Option<(u8, Timestamp)> {
         let held = self.held.get_mut(&id)?;
         // As the module numbers them.
         let number = held.executions;
@@ -112,7 +112,7 @@
 
     /// What goes to a member that is waited for until then. Rounded down, so that no member works for longer
     /// than anybody waits.
-    pub fn query(&self, id: u32, now: Point, until: Point) -> Option<Vec<u8>> {
+    pub fn query(&self, id: u32, now: Timestamp, until: Timestamp) -> Option<Vec<u8>> {
         let held = self.held.get(&id)?;
         let text = comment::with_left(held.text.text.as_bytes(), &held.left_at, (until - now).0 / 1000);
         let mut query = Vec::with_capacity(text.len() + 8);
--- a/crates/driver/src/routing/turns.rs
+++ b/crates/driver/src/routing/turns.rs
@@ -2,7 +2,7 @@
 //! `asterlatch_coordination`, here they meet members' names, ticks and facts.
 
 use super::tables;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::failure_consensus::{self, Silence};
 use asterlatch_coordination::fleet_size::Size;
 use asterlatch_coordination::lease::{End, Leases, Stand, Terms};
@@ -12,11 +12,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The holder of a turn asks a lost member this often; alone each driver asks it the more rarely the more there are.
-const ASKS: Span = Span::millis(300);
+const ASKS: TimeSpan = TimeSpan::millis(300);
 /// Between two tellings of what members bear.
-const LOADS: Span = Span::millis(500);
+const LOADS: TimeSpan = TimeSpan::millis(500);
 /// Whether a fleet is smaller counts after this.
-const SHRINKS: Span = Span::millis(30_000);
+const SHRINKS: TimeSpan = TimeSpan::millis(30_000);
 
 pub struct Turns {
     pub leases: Leases,
@@ -24,13 +24,13 @@
     pub size: Size,
     pub sums: Sums,
     /// When this driver tells of loads next.
-    tell_at: Point,
+    tell_at: Timestamp,
     own: Key,
     name: String,
     life: u64,
     said: u64,
     /// Members whose probes the module wants, by name, and when this driver last asked each for all.
-    wanted: BTreeMap<String, Point>,
+    wanted: BTreeMap<String, Timestamp>,
 }
 
 /// Of a turn that is for asking a lost member whether it is back.
@@ -40,7 +40,7 @@
 
 impl Turns {
     /// `all` are the drivers that the operators' file names, this one among them.
-    pub fn new(now: Point, (own, name, life): (Key, String, u64), tick: Span, all: u32) -> Turns {
+    pub fn new(now: Timestamp, (own, name, life): (Key, String, u64), tick: TimeSpan, all: u32) -> Turns {
         let terms = Terms {
             // A word may wait for a tick at each of two drivers before it is here.
             step: Terms::default().step.max(tick * 2.5),
@@ -61,20 +61,20 @@
     }
 
     /// Others that are there; how many count by now.
-    pub fn there(&mut self, now: Point, others: &BTreeSet<Key>) -> u32 {
+    pub fn there(&mut self, now: Timestamp, others: &BTreeSet<Key>) -> u32 {
         self.leases.there(others);
         self.size.reach(now, others.len() as u32 + 1)
     }
 
     /// The module wants a member probed. Whether this driver may: who has nobody beside it always may.
-    pub fn may_probe(&mut self, now: Point, member: &str, alone: bool) -> bool {
+    pub fn may_probe(&mut self, now: Timestamp, member: &str, alone: bool) -> bool {
         if alone {
             return true;
         }
         let subject = subject(member);
         self.leases.want(now, &subject);
         let may = matches!(self.leases.stand(now, &subject), Stand::Mine | Stand::Done);
-        let asked = self.wanted.entry(member.to_owned()).or_insert(Point(0));
+        let asked = self.wanted.entry(member.to_owned()).or_insert(Timestamp(0));
         // What its module asks the holder asks for all.
         *asked = if may { now } else { *asked };
         may
@@ -82,9 +82,13 @@
 
     /// Facts to be told, and members that this driver is to ask now for all. `wants` says whether the module still wants a
     /// member probed.
-    pub fn reach(&mut self, now: Point, wants: impl Fn(&str) -> bool) -> (Vec<(Fact, Span)>, Vec<String>) {
+    pub fn reach(
+        &mut self,
+        now: Timestamp,
+        wants: impl Fn(&str) -> bool,
+    ) -> (Vec<(Fact, TimeSpan)>, Vec<String>) {
         let (mut facts, mut ask) = (Vec::new(), Vec::new());
-        let turn = |subject, claim| (Fact::Turn { subject, claim }, Span(0));
+        let turn = |subject, claim| (Fact::Turn { subject, claim }, TimeSpan(0));
         let over: Vec<String> = self.wanted.keys().filter(|m| !wants(m)).cloned().collect();
         for member in over {
             self.wanted.remove(&member);
@@ -109,7 +113,7 @@
     }
 
     /// This driver has late executions at these members, each with when its last was sent.
-    pub fn is_late(&mut self, now: Point, late: &BTreeMap<String, Point>) -> Vec<(Fact, Span)> {
+    pub fn is_late(&mut self, now: Timestamp, late: &BTreeMap<String, Timestamp>) -> Vec<(Fact, TimeSpan)> {
         let mut facts = Vec::new();
         for (member, sent) in late {
             self.silence.late(member, self.own, *sent, now);
@@ -121,14 +125,14 @@
                 said: self.said,
                 before_us: (now - *sent).0,
             };
-            facts.push((fact, Span(0)));
+            facts.push((fact, TimeSpan(0)));
         }
         facts
     }
 
     /// What this driver lets in at members, where it is time to tell that and it has answers of theirs; and shares that it
     /// draws together with others'.
-    pub fn loads(&mut self, now: Point, shares: &[(String, f64)]) -> (Option<Fact>, Vec<(String, f64)>) {
+    pub fn loads(&mut self, now: Timestamp, shares: &[(String, f64)]) -> (Option<Fact>, Vec<(String, f64)>) {
         self.sums.age(now);
         let drawn = shares.iter().filter_map(|(name, own)| {
             let share = self.sums.drawn(now, tables::key(name), *own)?;
@@ -156,7 +160,7 @@
     }
 
     /// Another driver's word on loads.
-    pub fn load_told(&mut self, (driver, life): (&str, u64), shares: &[(u64, u8, u8)], said: Point) {
+    pub fn load_told(&mut self, (driver, life): (&str, u64), shares: &[(u64, u8, u8)], said: Timestamp) {
         let driver = (tables::key(driver), life);
         for (member, share, answers) in shares {
             let (share, answers) = (f64::from(*share) / 200.0, f64::from(*answers) / 10.0);
--- a/crates/driver/src/transport/clock.rs
+++ b/crates/driver/src/transport/clock.rs
@@ -1,7 +1,7 @@
 //! Unix time in microseconds that never goes back: anchored once, then counted by the monotonic clock, since
 //! the system's clock may be set while the module compares points.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::time::{Duration, Instant, SystemTime};
 
 #[derive(Clone, Copy, Debug)]
@@ -32,15 +32,15 @@
 
     /// Goes on from another process's clock, which said so when the machine's clock said that: a wall clock that was
     /// set in between changes nothing.
-    pub fn resume(then: Point, machine_then: Span, machine_now: Span) -> Clock {
-        let passed = Span(machine_now.0.saturating_sub(machine_then.0));
+    pub fn resume(then: Timestamp, machine_then: TimeSpan, machine_now: TimeSpan) -> Clock {
+        let passed = TimeSpan(machine_now.0.saturating_sub(machine_then.0));
         Clock {
             anchor: Instant::now(),
             unix: Duration::from_micros((then + passed).0),
         }
     }
 
-    pub fn now(&self) -> Point {
-        Point((self.unix + self.anchor.elapsed()).as_micros() as u64)
+    pub fn now(&self) -> Timestamp {
+        Timestamp((self.unix + self.anchor.elapsed()).as_micros() as u64)
     }
 }
--- a/crates/driver/src/transport/pool.rs
+++ b/crates/driver/src/transport/pool.rs
@@ -2,7 +2,7 @@
 //! recently used goes first, so that those beyond the need grow old and are closed.
 
 use super::stream::Line;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
     line: Line<C>,
     member: u32,
     address: SocketAddr,
-    idle_since: Option<Point>,
+    idle_since: Option<Timestamp>,
 }
 
 pub struct Pool<C> {
@@ -49,7 +49,12 @@
 
     /// Takes an idle connection to the member at this address that has rested since then at the earliest, and says
     /// since when.
-    pub fn take(&mut self, member: u32, address: SocketAddr, earliest: Point) -> Option<(u32, Point)> {
+    pub fn take(
+        &mut self,
+        member: u32,
+        address: SocketAddr,
+        earliest: Timestamp,
+    ) -> Option<(u32, Timestamp)> {
         let idle = self.idle.get_mut(&member)?;
         while let Some(id) = idle.pop() {
             let held = self.held.get_mut(&id).filter(|h| h.address == address);
@@ -91,7 +96,7 @@
         self.idle.len()
     }
 
-    pub fn give_back(&mut self, id: u32, now: Point) {
+    pub fn give_back(&mut self, id: u32, now: Timestamp) {
         if let Some(held) = self.held.get_mut(&id) {
             held.idle_since = Some(now);
             self.idle.entry(held.member).or_default().push(id);
@@ -122,13 +127,13 @@
     }
 
     /// The connection that has sat idle the longest, and since when.
-    pub fn oldest_idle(&self) -> Option<(Point, u32)> {
+    pub fn oldest_idle(&self) -> Option<(Timestamp, u32)> {
         let firsts = self.idle.values().filter_map(|ids| ids.first());
         let since = |id: &u32| Some((self.held.get(id)?.idle_since?, *id));
         firsts.filter_map(since).min()
     }
 
-    pub fn end_idle_before(&mut self, now: Point, most: Span) {
+    pub fn end_idle_before(&mut self, now: Timestamp, most: TimeSpan) {
         while let Some((_, id)) = self.oldest_idle().filter(|(since, _)| now - *since >= most) {
             self.remove(id);
         }
--- a/crates/driver/src/transport/stream.rs
+++ b/crates/driver/src/transport/stream.rs
@@ -3,7 +3,7 @@
 
 use super::clock::Clock;
 use super::room::{Room, Taken};
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -65,8 +65,8 @@
     /// The connection stands.
     fn opened(&mut self, _out: &mut Outbox<Self::Notice>) {}
     /// Takes what it can from the front of `input`, which arrived by `at`.
-    fn heard(&mut self, input: &mut Vec<u8>, at: Point, out: &mut Outbox<Self::Notice>);
-    fn told(&mut self, command: Self::Command, at: Point, out: &mut Outbox<Self::Notice>);
+    fn heard(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Outbox<Self::Notice>);
+    fn told(&mut self, command: Self::Command, at: Timestamp, out: &mut Outbox<Self::Notice>);
     /// The peer has ended its side, and did not reset the connection: nothing comes behind what lies unused.
     fn peer_ended(&mut self, _input: &[u8], _out: &mut Outbox<Self::Notice>) {}
     /// All that lay at the socket was heard.
@@ -86,7 +86,7 @@
     /// All bytes put out so far are with the kernel.
     fn written(&mut self, _out: &mut Outbox<Self::Notice>) {}
     /// The connection is over, whoever ended it. Commands may still be told after that.
-    fn ended(&mut self, at: Point, out: &mut Outbox<Self::Notice>);
+    fn ended(&mut self, at: Timestamp, out: &mut Outbox<Self::Notice>);
     /// What lies here is more than there is room for, so the connection ends.
     fn crowded(&mut self, _out: &mut Outbox<Self::Notice>) {}
     /// The connection was given up, with what lies unused: the other holder of its socket goes on with it.
@@ -152,7 +152,7 @@
     clock: Clock,
     input: Vec<u8>,
     /// When the last of `input` came.
-    read_at: Point,
+    read_at: Timestamp,
     out: Outbox<D::Notice>,
     unwritten: bool,
     /// Our side is shut, and so many bytes have come since.
--- a/crates/driver/tests/kept.rs
+++ b/crates/driver/tests/kept.rs
@@ -1,7 +1,7 @@
 //! The copy that outlives the process: what of it is used again, and disks that are full, vanish or were somebody else's.
 
 mod stand;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::record::{Fact, Standing};
 use asterlatch_gossip::snapshot::Writer;
 use rustix::process::{Pid, Resource, Rlimit};
@@ -17,9 +17,9 @@
     member: Member,
 }
 
-fn wall() -> Point {
+fn wall() -> Timestamp {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    Point(since.expect("is later").as_micros() as u64)
+    Timestamp(since.expect("is later").as_micros() as u64)
 }
 
 impl Stage {
@@ -162,14 +162,14 @@
     assert_eq!(stage.ask(1), "T D C Z");
     stage.await_kept(2);
     let fleet = stage.fleet();
-    let month = Span::millis(30 * 24 * 3600 * 1000);
+    let month = TimeSpan::millis(30 * 24 * 3600 * 1000);
     let drain = |n: u64| Fact::Drain {
         name: format!("m{n}"),
         started_ms: 0,
         list: n,
         standing: Standing::Draining,
     };
-    let written = |name: &str, at: Point| {
+    let written = |name: &str, at: Timestamp| {
         let (mut bytes, mut writer) = Writer::begin(&fleet, name, 5);
         (0..3).for_each(|n| writer.put(&mut bytes, &drain(n), at));
         bytes
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -1,6 +1,6 @@
 //! Phases, log and configuration, given a clock and values.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::meaning::Meaning;
 use asterlatch_driver::program::config;
 use asterlatch_driver::program::log::Log;
@@ -10,8 +10,8 @@
 use asterlatch_driver::transport::Stacks;
 use asterlatch_handover::{predecessor, successor};
 
-fn at(ms: u64) -> Point {
-    Point(0) + Span::millis(ms)
+fn at(ms: u64) -> Timestamp {
+    Timestamp(0) + TimeSpan::millis(ms)
 }
 
 #[test]
@@ -48,7 +48,7 @@
     for (name, steps) in cases {
         let (mut phases, mut phase) = (Phases::default(), Phase::Starting);
         if name.ends_with("drain is cut") {
-            phases.times.longest_drain = Span::millis(3000);
+            phases.times.longest_drain = TimeSpan::millis(3000);
         }
         for (ms, told_to_leave, listener_closed, open_clients, open_statements, expected) in steps {
             let listening = true;
--- a/crates/driver/tests/protocol.rs
+++ b/crates/driver/tests/protocol.rs
@@ -1,7 +1,7 @@
 //! What is spoken, as tables of bytes: each input is given whole, and again byte by byte.
 
 use asterlatch::interface::Sighting;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_driver::protocol::comment::{self, Marked};
 use asterlatch_driver::protocol::execution::{self, Executions, Reply, Run};
 use asterlatch_driver::protocol::http::{self, Answer};
@@ -16,7 +16,7 @@
 const QUERY: usize = 135_168;
 const VALUE: usize = 64 * 1024;
 
-const AT: Point = Point(1_000_000);
+const AT: Timestamp = Timestamp(1_000_000);
 
 fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
@@ -630,7 +630,7 @@
 
 #[test]
 fn positions_are_never_told_fresher_than_they_are() {
-    let at = |ms: u64| Some(Point(0) + Span::millis(ms));
+    let at = |ms: u64| Some(Timestamp(0) + TimeSpan::millis(ms));
     let seen = |position, is_primary| Sighting { position, is_primary };
     #[rustfmt::skip]
     let cases = [
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -1,7 +1,7 @@
 //! The owner of the module, told of connections and given a clock, without a socket.
 
 use asterlatch::interface::Sighting;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_driver::protocol::execution::{Heard as Member, Reply, Run};
 use asterlatch_driver::protocol::messages;
 use asterlatch_driver::protocol::roster::{Entry, Roster, Status};
@@ -25,7 +25,7 @@
 use std::rc::Rc;
 use std::sync::mpsc::{channel, Receiver, TryRecvError};
 
-const START: Point = Point(1_767_225_600_000_000);
+const START: Timestamp = Timestamp(1_767_225_600_000_000);
 const SETTINGS: &str = r#"{"categories":[
  {"name":"view","idempotency":"retryable","objective_us":500000,"worth":1.0,"late_worth":0.2},
  {"name":"post","idempotency":"fragile","objective_us":1200000,"worth":3.0,"late_worth":0.3},
@@ -37,7 +37,7 @@
 struct Quiet;
 
 impl Observer for Quiet {
-    fn say(&mut self, _now: Point, _topic: &'static str, _text: Arguments) {}
+    fn say(&mut self, _now: Timestamp, _topic: &'static str, _text: Arguments) {}
 }
 
 /// Connections by number: the member's address and what it is told.
@@ -46,7 +46,7 @@
 
 struct Stage {
     owner: Owner<Quiet>,
-    now: Point,
+    now: Timestamp,
     dialled: Dialled,
     called: Called,
     clients: BTreeMap<u32, Receiver<Say>>,
@@ -174,7 +174,7 @@
     }
 
     fn pass(&mut self, ms: u64) {
-        let end = self.now + Span::millis(ms);
+        let end = self.now + TimeSpan::millis(ms);
         while self.owner.next_at() <= end {
             self.now = self.now.max(self.owner.next_at());
             self.owner.reach(self.now);
@@ -426,7 +426,7 @@
         s.asks(1, VIEW);
         let (connection, first) = s.sent().expect("is sent");
         let sighting = Sighting {
-            position: Some(s.now - Span::millis(behind)),
+            position: Some(s.now - TimeSpan::millis(behind)),
             is_primary: None,
         };
         let (reply, at, report) = (rows("old"), s.now, None);
@@ -483,7 +483,7 @@
         let mut s = stage();
         s.asks(1, workload);
         let (connection, _) = s.sent().expect("is sent at once");
-        let (now, mut words) = (s.now + Span::millis(5000), Vec::new());
+        let (now, mut words) = (s.now + TimeSpan::millis(5000), Vec::new());
         for comes in order {
             match comes {
                 Answer => s.reply(connection, rows("v"), None),
@@ -889,7 +889,7 @@
             s.sent();
         }
         for (ms, does, told) in steps {
-            s.pass((start + Span::millis(*ms) - s.now).0 / 1000);
+            s.pass((start + TimeSpan::millis(*ms) - s.now).0 / 1000);
             let (client, since) = (1, s.now);
             match *does {
                 "idle" => s.owner.take(s.now, Input::Client(Client::Idle { client, since })),
@@ -953,7 +953,7 @@
 /// What stands between may forget idle connections and give no sign: a write on one of them is lost, and may have run.
 #[test]
 fn connections_that_break_after_a_rest_are_not_used_after_one() {
-    let (hardly, long) = (Span::millis(1), Span::millis(150));
+    let (hardly, long) = (TimeSpan::millis(1), TimeSpan::millis(150));
     // (breaks in a hundred of those that hardly rested, and of those that rested for long; whether that is too long)
     for (young, old, too_long) in [
         (0, 40, true),
@@ -974,7 +974,7 @@
             "{young} {old}"
         );
         // Not for ever: it is tried again when what was seen is old.
-        ages.note(START + Span::millis(30_000), hardly, false);
+        ages.note(START + TimeSpan::millis(30_000), hardly, false);
         assert_eq!(ages.limit(), None);
     }
     let mut pool = Pool::default();
@@ -983,9 +983,9 @@
     });
     for (id, since) in [(1, 0), (2, 100), (3, 200)] {
         pool.add(id, 7, address, line());
-        pool.give_back(id, START + Span::millis(since));
+        pool.give_back(id, START + TimeSpan::millis(since));
     }
-    let at = |ms| START + Span::millis(ms);
+    let at = |ms| START + TimeSpan::millis(ms);
     assert_eq!(
         pool.take(7, address, at(150)),
         Some((3, at(200))),
--- a/crates/driver/tests/transport.rs
+++ b/crates/driver/tests/transport.rs
@@ -1,6 +1,6 @@
 //! Connections that come and go while others are opened.
 
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use asterlatch_driver::transport::clock::Clock;
 use asterlatch_driver::transport::room::Room;
 use asterlatch_driver::transport::stream::{dial, hold, Dialogue, Line, Outbox};
@@ -19,12 +19,12 @@
     fn stands(&mut self, stream: &TcpStream) {
         self.1 = stream.nodelay().is_ok_and(|set| set);
     }
-    fn heard(&mut self, input: &mut Vec<u8>, _at: Point, out: &mut Outbox<(u32, bool)>) {
+    fn heard(&mut self, input: &mut Vec<u8>, _at: Timestamp, out: &mut Outbox<(u32, bool)>) {
         input.clear();
         out.notices.push((self.0, self.1));
     }
-    fn told(&mut self, _command: (), _at: Point, _out: &mut Outbox<(u32, bool)>) {}
-    fn ended(&mut self, _at: Point, _out: &mut Outbox<(u32, bool)>) {}
+    fn told(&mut self, _command: (), _at: Timestamp, _out: &mut Outbox<(u32, bool)>) {}
+    fn ended(&mut self, _at: Timestamp, _out: &mut Outbox<(u32, bool)>) {}
     fn hungry(&self, _unused: usize) -> bool {
         true
     }
--- a/crates/driver/tests/versions.rs
+++ b/crates/driver/tests/versions.rs
@@ -2,7 +2,7 @@
 //! isn't known here, and more behind what is: both understand each other as far as both go.
 
 mod stand;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::codec::Question;
 use asterlatch_gossip::in_doubt::Known;
 use asterlatch_gossip::membership::{Presence, Times};
@@ -35,9 +35,9 @@
 }
 
 impl Beside {
-    fn now(&self) -> Point {
+    fn now(&self) -> Timestamp {
         // A clock that stands in 1970.
-        Point(1_000_000 + self.began.elapsed().as_micros() as u64)
+        Timestamp(1_000_000 + self.began.elapsed().as_micros() as u64)
     }
 
     fn give(&mut self, input: Input) {
@@ -114,21 +114,21 @@
         fleet: fleet.clone(),
         name: "later".to_owned(),
         peers: vec!["t".to_owned()],
-        tick: Span::millis(20),
+        tick: TimeSpan::millis(20),
         fanout: 3,
-        compare: Span::millis(200),
+        compare: TimeSpan::millis(200),
         rate: 256 * 1024,
         times: Times {
-            probe: Span::millis(100),
-            suspicion: Span::millis(500),
+            probe: TimeSpan::millis(100),
+            suspicion: TimeSpan::millis(500),
         },
-        ask: Span::millis(100),
+        ask: TimeSpan::millis(100),
         file: 0,
         dialect: Default::default(),
     };
     let beside = Beside {
         answers: Vec::new(),
-        engine: Engine::new(settings, 5, 1, Point(1_000_000)),
+        engine: Engine::new(settings, 5, 1, Timestamp(1_000_000)),
         socket,
         began: Instant::now(),
         version,
@@ -157,7 +157,7 @@
         list: 3,
         standing: Standing::Draining,
     };
-    later.give(Input::Observed(vec![(drain, Span(0))]));
+    later.give(Input::Observed(vec![(drain, TimeSpan(0))]));
     let control = folder.path("control");
     let mut known = |_: &Engine| show(&control, "facts").to_string().contains("m9");
     assert!(later.until(PATIENCE, &mut known));
--- a/crates/gossip/src/anti_entropy.rs
+++ b/crates/gossip/src/anti_entropy.rs
@@ -7,7 +7,7 @@
 
 use crate::codec::Item;
 use crate::state::{range, Book, RANGES};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Hashes in one part of a range.
@@ -22,7 +22,7 @@
 struct Round {
     number: u32,
     peer: usize,
-    until: Point,
+    until: Timestamp,
     /// The peer was caught up when it was chosen.
     with_caught_up: bool,
     /// Parts of the hashes that came, and how many there are, once that is told.
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Standing {
     /// Since then; a round with each of the others ends it.
-    Behind(Point),
+    Behind(Timestamp),
     CaughtUp,
 }
 
@@ -66,21 +66,21 @@
     /// Of those.
     pub caught_up: &'a [usize],
     /// Alone since then.
-    pub alone_since: Option<Point>,
+    pub alone_since: Option<Timestamp>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Catchup {
     pub standing: Standing,
     /// Nobody is waited for longer than this.
-    patience: Span,
+    patience: TimeSpan,
     numbers: u32,
     round: Option<Round>,
     owed: BTreeMap<usize, Owed>,
     /// With whom a round has ended since this driver fell behind.
     compared: BTreeSet<usize>,
     with_whole: bool,
-    now: Point,
+    now: Timestamp,
 }
 
 /// In this order: the first that holds decides.
@@ -96,7 +96,7 @@
 }
 
 impl Catchup {
-    pub fn new(now: Point, patience: Span) -> Catchup {
+    pub fn new(now: Timestamp, patience: TimeSpan) -> Catchup {
         Catchup {
             standing: Standing::Behind(now),
             patience,
@@ -114,7 +114,7 @@
     }
 
     /// It was away: what it holds may be old.
-    pub fn fall_behind(&mut self, now: Point) {
+    pub fn fall_behind(&mut self, now: Timestamp) {
         self.standing = Standing::Behind(now);
         (self.round, self.with_whole) = (None, false);
         self.compared.clear();
@@ -142,7 +142,7 @@
     }
 
     /// Whether the standing has changed.
-    pub fn judge(&mut self, now: Point, seen: &Seen) -> bool {
+    pub fn judge(&mut self, now: Timestamp, seen: &Seen) -> bool {
         self.now = now;
         let stands = RULES.iter().find_map(|rule| rule(self, seen));
         let stands = stands.unwrap_or(self.standing);
@@ -170,7 +170,7 @@
     }
 
     /// Begins a round unless one is under way.
-    pub fn begin(&mut self, now: Point, peer: usize, is_whole: bool, book: &Book) -> Option<Item> {
+    pub fn begin(&mut self, now: Timestamp, peer: usize, is_whole: bool, book: &Book) -> Option<Item> {
         if self.round.as_ref().is_some_and(|r| now < r.until) {
             return None;
         }
@@ -298,7 +298,7 @@
     }
 
     /// The next part for each peer that is owed something, by turns, while `may` lets it.
-    pub fn pay(&mut self, now: Point, book: &Book, mut may: impl FnMut(usize, &Item) -> bool) {
+    pub fn pay(&mut self, now: Timestamp, book: &Book, mut may: impl FnMut(usize, &Item) -> bool) {
         let mut peers: VecDeque<usize> = self.owed.keys().copied().collect();
         while let Some(peer) = peers.pop_front() {
             let Some(owed) = self.owed.get_mut(&peer) else {
@@ -338,7 +338,7 @@
 
 impl Owed {
     /// Hashes first, for who compares waits for them; then entries.
-    fn next(&mut self, now: Point, book: &Book) -> Option<(Item, Step)> {
+    fn next(&mut self, now: Timestamp, book: &Book) -> Option<(Item, Step)> {
         if let Some(range) = self.ranges.front() {
             let (low, high) = ((*range as u64) << 58, ((*range as u64) << 58) | (u64::MAX >> 6));
             let from = self.from.max(low);
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -3,7 +3,7 @@
 //! begun with the fleet's name, tells garbled ones and those of another fleet.
 
 use crate::record::{Fact, KINDS};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -19,7 +19,7 @@
     pub name: String,
     pub life: u64,
     /// By the sender's own clock, which means nothing but against itself.
-    pub sent: Point,
+    pub sent: Timestamp,
     /// The latest life in which the sender knows the receiver.
     pub knows_you: u64,
     pub caught_up: bool,
@@ -38,7 +38,7 @@
     /// A message of the membership library.
     Presence(Vec<u8>),
     /// A fact, and how long ago it was told.
-    Fact(Fact, Span),
+    Fact(Fact, TimeSpan),
     /// What the sender's copy comes to, by range.
     Digest {
         round: u32,
@@ -150,7 +150,7 @@
             _ => {
                 KINDS.into_iter().find(|k| k.number() == kind)?;
                 // The fact comes last: what a later version adds to it lies behind what is read.
-                let (age, fact): (Span, Fact) = read(bytes)?;
+                let (age, fact): (TimeSpan, Fact) = read(bytes)?;
                 (fact.kind().number() == kind).then_some(Item::Fact(fact, age))?
             }
         })
--- a/crates/gossip/src/conflict.rs
+++ b/crates/gossip/src/conflict.rs
@@ -2,7 +2,7 @@
 //! to see who is wrong. Bounded: the oldest go.
 
 use crate::record::{Fact, Key};
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use std::collections::VecDeque;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -37,8 +37,8 @@
     /// What it is about, and what both sides say.
     pub about: String,
     pub sides: (String, String),
-    pub first: Point,
-    pub last: Point,
+    pub first: Timestamp,
+    pub last: Timestamp,
     pub times: u64,
 }
 
@@ -51,7 +51,7 @@
 
 impl Quarrels {
     /// Says whether it is new.
-    pub fn note(&mut self, now: Point, kind: Kind, about: String, sides: (String, String)) -> bool {
+    pub fn note(&mut self, now: Timestamp, kind: Kind, about: String, sides: (String, String)) -> bool {
         let known = self
             .all
             .iter_mut()
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -3,7 +3,7 @@
 //! to the comparing of copies.
 
 use crate::record::{Key, Kind, KINDS};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
 /// New facts that wait at most; of the least needed kind the oldest go first.
@@ -14,12 +14,12 @@
 pub struct Rate {
     pub a_second: u64,
     left: f64,
-    at: Point,
+    at: Timestamp,
 }
 
 impl Rate {
     /// As much as a second's worth may be saved up, for what comes at once.
-    pub fn new(now: Point, a_second: u64) -> Rate {
+    pub fn new(now: Timestamp, a_second: u64) -> Rate {
         Rate {
             a_second,
             left: a_second as f64,
@@ -27,8 +27,8 @@
         }
     }
 
-    pub fn reach(&mut self, now: Point) {
-        let came = (now - self.at).ratio(Span::millis(1000)) * self.a_second as f64;
+    pub fn reach(&mut self, now: Timestamp) {
+        let came = (now - self.at).ratio(TimeSpan::millis(1000)) * self.a_second as f64;
         (self.left, self.at) = ((self.left + came).min(self.a_second as f64), now);
     }
 
--- a/crates/gossip/src/in_doubt.rs
+++ b/crates/gossip/src/in_doubt.rs
@@ -6,7 +6,7 @@
 //! answer, began a short while ago, or has forgotten ids since, may have sent it: the statement is then told to be in
 //! doubt at once, which is true, and never sent.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,14 +16,14 @@
     /// It was never sent from there, and won't be.
     Untouched,
     /// It may have run since so long ago, first at this member.
-    Sent { ago: Span, member: String },
+    Sent { ago: TimeSpan, member: String },
     /// Nobody there can say.
     Unknown,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Note {
-    sent: Point,
+    sent: Timestamp,
     member: String,
     /// How often it went out without proof that it didn't run.
     unproven: u32,
@@ -35,23 +35,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Log {
     /// How long after its first sending a statement may be repeated.
-    window: Span,
+    window: TimeSpan,
     most: usize,
     /// Nothing is known of what was before: a former life may have sent it.
-    blank_until: Point,
+    blank_until: Timestamp,
     sent: BTreeMap<u64, Note>,
     /// Ids that another driver has asked about: it may run them by now.
     given: BTreeMap<u64, u64>,
     /// When, the place, and the id.
-    order: VecDeque<(Point, u64, u64)>,
+    order: VecDeque<(Timestamp, u64, u64)>,
     places: u64,
     /// When the newest was sent that had to be forgotten for want of room.
-    forgotten: Option<Point>,
+    forgotten: Option<Timestamp>,
 }
 
 impl Log {
     /// `follows` says whether another life of this driver may have been before: not where nothing ever was.
-    pub fn new(now: Point, window: Span, most: usize, follows: bool) -> Log {
+    pub fn new(now: Timestamp, window: TimeSpan, most: usize, follows: bool) -> Log {
         Log {
             window,
             most: most.max(1),
@@ -65,7 +65,7 @@
     }
 
     /// Another process of this driver was beside this one, and may have sent anything until now.
-    pub fn blank(&mut self, now: Point) {
+    pub fn blank(&mut self, now: Timestamp) {
         self.blank_until = now + self.window;
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// It goes out now, and may run from here on.
-    pub fn sends(&mut self, now: Point, id: u64, member: &str) {
+    pub fn sends(&mut self, now: Timestamp, id: u64, member: &str) {
         self.age(now);
         if let Some(note) = self.sent.get_mut(&id) {
             note.unproven += 1;
@@ -106,7 +106,7 @@
     }
 
     /// Another driver may run it: it must not be sent from here.
-    pub fn give_away(&mut self, now: Point, id: u64) {
+    pub fn give_away(&mut self, now: Timestamp, id: u64) {
         self.age(now);
         let place = self.place(now, id);
         self.given.insert(id, place);
@@ -118,13 +118,13 @@
         self.given.contains_key(&id)
     }
 
-    fn place(&mut self, now: Point, id: u64) -> u64 {
+    fn place(&mut self, now: Timestamp, id: u64) -> u64 {
         self.places += 1;
         self.order.push_back((now, self.places, id));
         self.places
     }
 
-    fn age(&mut self, now: Point) {
+    fn age(&mut self, now: Timestamp) {
         while let Some((_, place, id)) = self.order.pop_front_if(|(at, ..)| now - *at >= self.window) {
             self.drop_one(place, id);
         }
@@ -156,7 +156,7 @@
     }
 
     /// What is said of it to who asks.
-    pub fn known(&mut self, now: Point, id: u64) -> Known {
+    pub fn known(&mut self, now: Timestamp, id: u64) -> Known {
         self.age(now);
         if let Some(note) = self.sent.get(&id) {
             return Known::Sent {
@@ -178,14 +178,14 @@
     /// Nobody has sent it or will: it is one like any other.
     Untouched,
     /// It may have run since so long ago, first at this member, as far as that is known: the first of several.
-    Sent { ago: Span, member: Option<String> },
+    Sent { ago: TimeSpan, member: Option<String> },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Inquiry {
     turn: u32,
     waits: BTreeSet<usize>,
-    until: Point,
+    until: Timestamp,
 }
 
 /// Statements that wait for the others' word.
@@ -196,7 +196,7 @@
 }
 
 /// It may have run at any time: nothing later is harmless.
-pub const FOREVER: Span = Span(u64::MAX / 4);
+pub const FOREVER: TimeSpan = TimeSpan(u64::MAX / 4);
 
 impl Inquiries {
     pub fn len(&self) -> usize {
@@ -209,7 +209,13 @@
 
     /// Begins to ask about a statement; the turn that answers must name. Where nobody is to be asked its verdict is there
     /// at once.
-    pub fn ask(&mut self, now: Point, id: u64, peers: &[usize], within: Span) -> Result<u32, Verdict> {
+    pub fn ask(
+        &mut self,
+        now: Timestamp,
+        id: u64,
+        peers: &[usize],
+        within: TimeSpan,
+    ) -> Result<u32, Verdict> {
         if peers.is_empty() {
             return Err(Verdict::Untouched);
         }
@@ -251,12 +257,12 @@
         self.open.remove(&id).is_some()
     }
 
-    pub fn next_at(&self) -> Option<Point> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         self.open.values().map(|i| i.until).min()
     }
 
     /// Whom nobody's silence will tell more of: the peers that were silent may have sent it.
-    pub fn due(&mut self, now: Point) -> Vec<(u64, Verdict)> {
+    pub fn due(&mut self, now: Timestamp) -> Vec<(u64, Verdict)> {
         let over: Vec<u64> = self
             .open
             .iter()
--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -5,7 +5,7 @@
 //! former one's memory in others. Where the machine's clock went back over a restart, a peer that knows a later life says
 //! so in each datagram, and the driver takes one above it.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use foca::{Config, Foca, Identity, Member, NoCustomBroadcast, PostcardCodec, State, Timer};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -62,16 +62,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
     /// One peer is asked whether it lives, each time another one.
-    pub probe: Span,
+    pub probe: TimeSpan,
     /// A suspected one is gone after this.
-    pub suspicion: Span,
+    pub suspicion: TimeSpan,
 }
 
 impl Default for Times {
     fn default() -> Times {
         Times {
-            probe: Span::millis(500),
-            suspicion: Span::millis(2000),
+            probe: TimeSpan::millis(500),
+            suspicion: TimeSpan::millis(2000),
         }
     }
 }
@@ -85,15 +85,15 @@
 pub struct Peer {
     pub name: String,
     pub presence: Presence,
-    pub since: Point,
+    pub since: Timestamp,
     /// The latest life that was heard.
     pub life: u64,
-    pub heard: Option<Point>,
+    pub heard: Option<Timestamp>,
     pub caught_up: bool,
     /// The least difference seen between when its word came by this clock and left by its own, and when.
-    least: Option<(i128, Point)>,
+    least: Option<(i128, Timestamp)>,
     /// How much later than that the last one came.
-    pub late: Span,
+    pub late: TimeSpan,
 }
 
 impl Peer {
@@ -101,18 +101,18 @@
         Peer {
             name,
             presence: Presence::Unheard,
-            since: Point(0),
+            since: Timestamp(0),
             life: 0,
             heard: None,
             caught_up: false,
             least: None,
-            late: Span(0),
+            late: TimeSpan(0),
         }
     }
 
     /// A datagram came that left at this point of its sender's clock. Both clocks run, wherever they stand: what comes later
     /// than ever before, by their difference, was held up on the way or lay unread here, and what it tells is older by that.
-    fn time(&mut self, now: Point, sent: Point, life: u64) {
+    fn time(&mut self, now: Timestamp, sent: Timestamp, life: u64) {
         if life != self.life {
             self.least = None;
         }
@@ -122,7 +122,7 @@
             difference.min(least + i128::from(drift))
         });
         self.least = Some((least, now));
-        self.late = Span(u64::try_from(difference - least).unwrap_or(0));
+        self.late = TimeSpan(u64::try_from(difference - least).unwrap_or(0));
         (self.life, self.heard) = (life, Some(now));
     }
 }
@@ -173,9 +173,9 @@
 pub struct Peers {
     foca: Foca<Who, PostcardCodec, Chance, NoCustomBroadcast>,
     all: Vec<Peer>,
-    timers: BTreeMap<(Point, u64), Timer<Who>>,
+    timers: BTreeMap<(Timestamp, u64), Timer<Who>>,
     count: u64,
-    announce_at: Point,
+    announce_at: Timestamp,
     announced: usize,
     times: Times,
 }
@@ -192,12 +192,12 @@
 pub const LONGEST: usize = 900;
 
 fn config(times: Times) -> Config {
-    let of = |span: Span| Duration::from_micros(span.0);
+    let of = |span: TimeSpan| Duration::from_micros(span.0);
     let mut config = Config::simple();
     config.probe_period = of(times.probe);
     config.probe_rtt = of(times.probe * 0.4);
     config.suspect_to_down_after = of(times.suspicion);
-    config.remove_down_after = Some(of(Span(times.suspicion.0.saturating_mul(30))));
+    config.remove_down_after = Some(of(TimeSpan(times.suspicion.0.saturating_mul(30))));
     config.max_packet_size = NonZeroUsize::new(LONGEST).unwrap_or(NonZeroUsize::MIN);
     config.max_transmissions = NonZeroU8::new(8).unwrap_or(NonZeroU8::MIN);
     config.notify_down_members = true;
@@ -205,7 +205,7 @@
 }
 
 impl Peers {
-    pub fn new(own: Who, names: &[String], times: Times, seed: u64, now: Point) -> Peers {
+    pub fn new(own: Who, names: &[String], times: Times, seed: u64, now: Timestamp) -> Peers {
         let chance = Chance(fastrand::Rng::with_seed(seed));
         Peers {
             foca: Foca::new(own, config(times), chance, PostcardCodec),
@@ -240,20 +240,20 @@
             .map(|(n, _)| n)
     }
 
-    pub fn next_at(&self) -> Point {
+    pub fn next_at(&self) -> Timestamp {
         let timer = self.timers.first_key_value().map(|((at, _), _)| *at);
         timer.map_or(self.announce_at, |at| at.min(self.announce_at))
     }
 
     /// A datagram of a peer came, that left at this point of its clock.
-    pub fn heard(&mut self, now: Point, peer: usize, life: u64, sent: Point, caught_up: bool) {
+    pub fn heard(&mut self, now: Timestamp, peer: usize, life: u64, sent: Timestamp, caught_up: bool) {
         let p = &mut self.all[peer];
         p.time(now, sent, life);
         p.caught_up = caught_up;
     }
 
     /// What the library's messages say; what it wants sent.
-    pub fn message(&mut self, now: Point, data: &[u8]) -> Vec<(usize, Vec<u8>)> {
+    pub fn message(&mut self, now: Timestamp, data: &[u8]) -> Vec<(usize, Vec<u8>)> {
         let mut wants = Wants::default();
         // What makes no sense to it is passed over, as whatever is lost.
         let _ = self.foca.handle_data(data, &mut wants);
@@ -261,7 +261,7 @@
     }
 
     /// Another life of this driver is known to others: it goes on above that.
-    pub fn outlive(&mut self, now: Point, life: u64) -> Vec<(usize, Vec<u8>)> {
+    pub fn outlive(&mut self, now: Timestamp, life: u64) -> Vec<(usize, Vec<u8>)> {
         let mut wants = Wants::default();
         let own = Who {
             name: self.own().name.clone(),
@@ -271,14 +271,14 @@
         self.do_all(now, wants)
     }
 
-    pub fn leave(&mut self, now: Point) -> Vec<(usize, Vec<u8>)> {
+    pub fn leave(&mut self, now: Timestamp) -> Vec<(usize, Vec<u8>)> {
         let mut wants = Wants::default();
         let _ = self.foca.leave_cluster(&mut wants);
         self.do_all(now, wants)
     }
 
     /// Does what is due by the clock.
-    pub fn reach(&mut self, now: Point) -> Vec<(usize, Vec<u8>)> {
+    pub fn reach(&mut self, now: Timestamp) -> Vec<(usize, Vec<u8>)> {
         let mut sent = Vec::new();
         // A driver that was held up has many due at once: what each does is due once.
         let due: Vec<_> = self.timers.range(..=(now, u64::MAX)).map(|(at, _)| *at).collect();
@@ -301,7 +301,7 @@
     /// Who suspects keeps the timer that ends it, and the library drops that where its owner is itself held for gone and
     /// comes back under a new life; nor does it tell the suspected one again. So that nobody stays suspected by somebody who
     /// answers it: after twice the time it counts as gone, is told so by its next word, and comes back.
-    fn end_suspicions(&mut self, now: Point) -> Vec<(usize, Vec<u8>)> {
+    fn end_suspicions(&mut self, now: Timestamp) -> Vec<(usize, Vec<u8>)> {
         let is_old =
             |p: &&Peer| p.presence == Presence::Suspected && now - p.since > self.times.suspicion * 2.0;
         let old: Vec<&str> = self.all.iter().filter(is_old).map(|p| p.name.as_str()).collect();
@@ -316,7 +316,7 @@
     }
 
     /// Those who aren't there are called by turns: one that starts is found, and so is one behind a cut that has healed.
-    fn announce(&mut self, now: Point) -> Vec<(usize, Vec<u8>)> {
+    fn announce(&mut self, now: Timestamp) -> Vec<(usize, Vec<u8>)> {
         let away = |p: &Peer| matches!(p.presence, Presence::Unheard | Presence::Gone);
         let turns = (1..=self.all.len()).map(|n| (self.announced + n) % self.all.len());
         let next: Vec<usize> = turns.filter(|n| away(&self.all[*n])).take(2).collect();
@@ -335,7 +335,7 @@
         sent
     }
 
-    fn do_all(&mut self, now: Point, mut wants: Wants) -> Vec<(usize, Vec<u8>)> {
+    fn do_all(&mut self, now: Timestamp, mut wants: Wants) -> Vec<(usize, Vec<u8>)> {
         if std::mem::take(&mut wants.is_defunct) {
             // The library renews by itself where it can; where it couldn't, it starts over.
             if let Some(own) = self.foca.identity().renew() {
@@ -344,7 +344,7 @@
         }
         for (after, timer) in wants.later {
             self.count += 1;
-            let at = now + Span(u64::try_from(after.as_micros()).unwrap_or(u64::MAX));
+            let at = now + TimeSpan(u64::try_from(after.as_micros()).unwrap_or(u64::MAX));
             self.timers.insert((at, self.count), timer);
         }
         let sent = wants.send.into_iter();
@@ -353,7 +353,7 @@
     }
 
     /// Reads presence from the library; what has changed.
-    pub fn changes(&mut self, now: Point) -> Vec<Change> {
+    pub fn changes(&mut self, now: Timestamp) -> Vec<Change> {
         let mut states: BTreeMap<&str, (u64, Presence)> = BTreeMap::new();
         for member in self.foca.iter_membership_state() {
             let presence = match member.state() {
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -8,7 +8,7 @@
 use crate::membership::{Change, Peers, Presence, Times, Who};
 use crate::record::{Fact, Key, Kind};
 use crate::state::{Book, Learned};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -19,16 +19,16 @@
     /// Of the others, in the order in which addresses are known.
     pub peers: Vec<String>,
     /// Between two tellings of what is new.
-    pub tick: Span,
+    pub tick: TimeSpan,
     /// To so many peers each time.
     pub fanout: usize,
     /// Between two comparings with a peer.
-    pub compare: Span,
+    pub compare: TimeSpan,
     /// Bytes a second that are sent in all.
     pub rate: u64,
     pub times: Times,
     /// How long a question is repeated to who hasn't answered.
-    pub ask: Span,
+    pub ask: TimeSpan,
     /// Mark of the operators' file in force.
     pub file: u64,
     /// What its datagrams are written as.
@@ -43,7 +43,7 @@
         bytes: &'a [u8],
     },
     /// Seen here, so long ago.
-    Observed(Vec<(Fact, Span)>),
+    Observed(Vec<(Fact, TimeSpan)>),
     /// Whether any of the others has sent this statement.
     Ask(Question),
     /// Nobody needs that answer any more.
@@ -68,7 +68,7 @@
         bytes: Vec<u8>,
     },
     /// What others have told that wasn't known here, and when that was.
-    News(Fact, Point),
+    News(Fact, Timestamp),
     Question {
         from: usize,
         question: Question,
@@ -108,7 +108,7 @@
 /// A peer may send more than this driver does, for catching up, but by no more than this.
 const HEARD_MOST: u64 = 4;
 /// Who spoke too much, or as somebody else, is not listened to for so long.
-const CUT: Span = Span::millis(5000);
+const CUT: TimeSpan = TimeSpan::millis(5000);
 /// Questions that a peer may ask at once; each second gives as many anew.
 const QUESTIONS: u64 = 200;
 /// A driver that heard and did nothing for so many suspicions was away.
@@ -122,7 +122,7 @@
 struct Listening {
     bytes: Rate,
     questions: Rate,
-    cut_until: Point,
+    cut_until: Timestamp,
 }
 
 pub struct Engine {
@@ -136,11 +136,11 @@
     listening: Vec<Listening>,
     chance: fastrand::Rng,
     /// Who hasn't answered a question, and when those are asked again.
-    asking: BTreeMap<Question, (BTreeSet<usize>, Point, Point)>,
-    tick_at: Point,
-    compare_at: Point,
-    alone_since: Option<Point>,
-    last: Point,
+    asking: BTreeMap<Question, (BTreeSet<usize>, Timestamp, Timestamp)>,
+    tick_at: Timestamp,
+    compare_at: Timestamp,
+    alone_since: Option<Timestamp>,
+    last: Timestamp,
     list: u64,
     /// How often this driver has told of itself, and what: its life, its list, and whether its copy is whole.
     said: u64,
@@ -156,7 +156,7 @@
 
 impl Engine {
     /// `life` grows from one start of this driver to the next, as far as its machine's clock does.
-    pub fn new(settings: Settings, life: u64, seed: u64, now: Point) -> Engine {
+    pub fn new(settings: Settings, life: u64, seed: u64, now: Timestamp) -> Engine {
         let who = Who {
             name: settings.name.clone(),
             life,
@@ -164,7 +164,7 @@
         let listening = |_: &String| Listening {
             bytes: Rate::new(now, settings.rate.saturating_mul(HEARD_MOST)),
             questions: Rate::new(now, QUESTIONS),
-            cut_until: Point(0),
+            cut_until: Timestamp(0),
         };
         let patience = settings.times.suspicion + settings.times.probe;
         Engine {
@@ -197,13 +197,17 @@
         &self.settings
     }
 
-    pub fn next_at(&self) -> Point {
+    pub fn next_at(&self) -> Timestamp {
         let again = self.asking.values().map(|(_, at, _)| *at).min();
         let times = [self.tick_at, self.compare_at, self.peers.next_at()];
-        times.into_iter().chain(again).min().unwrap_or(Point(u64::MAX))
+        times
+            .into_iter()
+            .chain(again)
+            .min()
+            .unwrap_or(Timestamp(u64::MAX))
     }
 
-    pub fn take(&mut self, now: Point, input: Input) -> Vec<Output> {
+    pub fn take(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         self.notice_absence(now);
         match input {
             Input::Datagram { from, bytes } => self.datagram(now, from, bytes),
@@ -234,7 +238,7 @@
     }
 
     /// A process that was stopped, or a machine that slept, finds old news unread; what it holds may be older still.
-    fn notice_absence(&mut self, now: Point) {
+    fn notice_absence(&mut self, now: Timestamp) {
         if now - self.last > self.settings.times.suspicion * AWAY {
             self.catchup.fall_behind(now);
             self.outputs.push(Output::CaughtUp(false));
@@ -242,7 +246,7 @@
         self.last = now;
     }
 
-    fn datagram(&mut self, now: Point, from: usize, bytes: &[u8]) {
+    fn datagram(&mut self, now: Timestamp, from: usize, bytes: &[u8]) {
         let Some(listening) = self.listening.get_mut(from) else {
             return;
         };
@@ -296,7 +300,7 @@
         }
     }
 
-    fn item(&mut self, now: Point, from: usize, item: Item) {
+    fn item(&mut self, now: Timestamp, from: usize, item: Item) {
         match item {
             Item::Presence(data) => {
                 let sent = self.peers.message(now, &data);
@@ -350,7 +354,7 @@
         }
     }
 
-    fn learn(&mut self, now: Point, fact: Fact, told: Point, is_own: bool) {
+    fn learn(&mut self, now: Timestamp, fact: Fact, told: Timestamp, is_own: bool) {
         let (key, name) = (fact.key(), own_name(&fact));
         match self.book.learn(now, fact, told) {
             Learned::Nothing => {}
@@ -377,7 +381,7 @@
     }
 
     /// All others are asked, for whoever seems gone may only be out of this one's sight.
-    fn ask(&mut self, now: Point, question: Question) {
+    fn ask(&mut self, now: Timestamp, question: Question) {
         let all: BTreeSet<usize> = (0..self.settings.peers.len()).collect();
         for peer in &all {
             self.post(*peer, &Item::Ask(question));
@@ -387,7 +391,7 @@
             .insert(question, (all, now + self.settings.ask * 0.4, until));
     }
 
-    fn ask_again(&mut self, now: Point) {
+    fn ask_again(&mut self, now: Timestamp) {
         let due: Vec<Question> = self
             .asking
             .iter()
@@ -411,7 +415,7 @@
     }
 
     /// Does what is due by the clock.
-    fn reach(&mut self, now: Point) {
+    fn reach(&mut self, now: Timestamp) {
         let sent = self.peers.reach(now);
         self.post_presence(sent);
         for change in self.peers.changes(now) {
@@ -443,7 +447,7 @@
         (there, whole)
     }
 
-    fn judge(&mut self, now: Point) {
+    fn judge(&mut self, now: Timestamp) {
         let (there, caught_up) = self.there();
         let was_long_alone = self
             .alone_since
@@ -464,7 +468,7 @@
         }
     }
 
-    fn compare(&mut self, now: Point) {
+    fn compare(&mut self, now: Timestamp) {
         let (there, caught_up) = self.there();
         let seen = Seen {
             there: &there,
@@ -481,7 +485,7 @@
     }
 
     /// What is new goes to a few.
-    fn tell(&mut self, now: Point) {
+    fn tell(&mut self, now: Timestamp) {
         let mut there: Vec<usize> = self.peers.there().collect();
         self.chance.shuffle(&mut there);
         there.truncate(self.settings.fanout);
@@ -506,7 +510,7 @@
     }
 
     /// Who catches up gets what the rate has left.
-    fn pay(&mut self, now: Point) {
+    fn pay(&mut self, now: Timestamp) {
         if !self.catchup.owes() {
             return;
         }
@@ -536,7 +540,7 @@
     }
 
     /// All that is to leave, in as few datagrams as hold it.
-    fn flush(&mut self, now: Point) {
+    fn flush(&mut self, now: Timestamp) {
         for (to, items) in std::mem::take(&mut self.outbox) {
             let head = Head {
                 name: self.settings.name.clone(),
@@ -568,7 +572,7 @@
     }
 
     /// What a former life of this driver has kept; it is told to others as news like any other, if they lack it.
-    pub fn restore(&mut self, now: Point, fact: Fact, age: Span) {
+    pub fn restore(&mut self, now: Timestamp, fact: Fact, age: TimeSpan) {
         self.learn(now, fact, now - age, false);
     }
 
@@ -577,7 +581,7 @@
     }
 
     /// What has changed since this was last asked; nothing where that is more than is counted.
-    pub fn take_changed(&mut self) -> Option<Vec<(Fact, Point)>> {
+    pub fn take_changed(&mut self) -> Option<Vec<(Fact, Timestamp)>> {
         let changed = std::mem::take(&mut self.changed);
         if std::mem::take(&mut self.uncounted) {
             return None;
@@ -587,7 +591,7 @@
     }
 
     /// What this driver says of itself, whenever that changes.
-    fn describe(&mut self, now: Point) {
+    fn describe(&mut self, now: Timestamp) {
         let is_whole = !self.catchup.is_behind();
         let all = (self.peers.own().life, self.list, is_whole);
         if self.described.replace(all) == Some(all) {
@@ -617,7 +621,7 @@
 }
 
 /// What of this copy an operator is shown, in the order of keys.
-pub fn shown(book: &Book, now: Point) -> Vec<(Key, Fact, Span)> {
+pub fn shown(book: &Book, now: Timestamp) -> Vec<(Key, Fact, TimeSpan)> {
     let of = |e: &crate::state::Entry| (e.fact.key(), e.fact.clone(), now - e.told);
     book.all().map(of).collect()
 }
--- a/crates/gossip/src/record.rs
+++ b/crates/gossip/src/record.rs
@@ -2,7 +2,7 @@
 //! copies that were told the same in any order are equal. Where two tellings can't both be true the conservative one
 //! stands, and `quarrel` keeps both.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::Claim;
 use serde::{Deserialize, Serialize};
 
@@ -152,19 +152,19 @@
     }
 
     /// What was told longer ago is let go, and not taken from others either.
-    pub fn kept(self) -> Span {
+    pub fn kept(self) -> TimeSpan {
         match self {
             // A member that nobody has heard for so long is unknown again.
-            Kind::Member => Span::millis(120_000),
-            Kind::Drain => Span::millis(600_000),
+            Kind::Member => TimeSpan::millis(120_000),
+            Kind::Drain => TimeSpan::millis(600_000),
             // Longer than any member stays cold.
-            Kind::Cold => Span::millis(120_000),
+            Kind::Cold => TimeSpan::millis(120_000),
             // Replicas that are further behind are none that reads go to.
-            Kind::Session => Span::millis(30_000),
-            Kind::Driver => Span::millis(600_000),
+            Kind::Session => TimeSpan::millis(30_000),
+            Kind::Driver => TimeSpan::millis(600_000),
             // Longer than any lease.
-            Kind::Turn => Span::millis(60_000),
-            Kind::Late | Kind::Load => Span::millis(5_000),
+            Kind::Turn => TimeSpan::millis(60_000),
+            Kind::Late | Kind::Load => TimeSpan::millis(5_000),
         }
     }
 
@@ -370,7 +370,7 @@
     }
 
     /// When what stands of two tellings was told: `here` and `came` are when each was.
-    pub fn told(&self, stands: &Stands, here: Point, came: Point) -> Point {
+    pub fn told(&self, stands: &Stands, here: Timestamp, came: Timestamp) -> Timestamp {
         match stands {
             Stands::Here => here,
             Stands::Came => came,
--- a/crates/gossip/src/slow_start.rs
+++ b/crates/gossip/src/slow_start.rs
@@ -6,17 +6,17 @@
 //! each carries, and a driver uses its share between two tellings; the older others' word, the smaller the share, for
 //! they may have used theirs meanwhile. Where one that is there has told nothing lately, nothing is known, and each is as careful as alone.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
     /// Work within this span counts together.
-    pub span: Span,
+    pub span: TimeSpan,
     /// More than this many times what it bears pushes a member over.
     pub multiple: f64,
     /// Between two tellings.
-    pub tick: Span,
+    pub tick: TimeSpan,
 }
 
 /// Of the rule's budget this part is used: sums stray, and work is heavier than its mean at times.
@@ -27,28 +27,28 @@
 /// What a driver has told of its sends to one member.
 #[derive(Clone, Debug, PartialEq)]
 struct Other {
-    told: Point,
+    told: Timestamp,
     life: u64,
     /// In parts of a core.
     carries: f64,
     /// Its sum, at each telling within the span and the last before that.
-    sums: VecDeque<(Point, u64)>,
+    sums: VecDeque<(Timestamp, u64)>,
 }
 
 impl Other {
     /// Work within the span, as far as it told.
-    fn recent(&self, now: Point, span: Span) -> Span {
+    fn recent(&self, now: Timestamp, span: TimeSpan) -> TimeSpan {
         let last = self.sums.back().map_or(0, |(_, sum)| *sum);
         let before = self.sums.iter().rev().find(|(at, _)| now - *at >= span);
         // What was sent before its first word is taken for recent.
-        Span(last - before.map_or(0, |(_, sum)| (*sum).min(last)))
+        TimeSpan(last - before.map_or(0, |(_, sum)| (*sum).min(last)))
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Member {
     started_ms: u64,
-    own: VecDeque<(Point, Span)>,
+    own: VecDeque<(Timestamp, TimeSpan)>,
     sum: u64,
     said: u64,
     others: BTreeMap<String, Other>,
@@ -66,9 +66,9 @@
         }
     }
 
-    fn own_recent(&mut self, now: Point, span: Span) -> Span {
+    fn own_recent(&mut self, now: Timestamp, span: TimeSpan) -> TimeSpan {
         while self.own.pop_front_if(|(at, _)| now - *at >= span).is_some() {}
-        Span(self.own.iter().map(|(_, work)| work.0).sum())
+        TimeSpan(self.own.iter().map(|(_, work)| work.0).sum())
     }
 }
 
@@ -103,7 +103,7 @@
     }
 
     /// This driver sends it so much work.
-    pub fn sends(&mut self, now: Point, name: &str, work: Span) {
+    pub fn sends(&mut self, now: Timestamp, name: &str, work: TimeSpan) {
         if let Some(member) = self.members.get_mut(name) {
             member.own.push_back((now, work));
             member.sum += work.0;
@@ -114,7 +114,7 @@
     #[allow(clippy::too_many_arguments)] // the figures of one fact
     pub fn told(
         &mut self,
-        told: Point,
+        told: Timestamp,
         name: &str,
         started_ms: u64,
         driver: &str,
@@ -158,11 +158,11 @@
     /// what a warm member carries for this driver, in parts of a core, `there` are the drivers that must have spoken.
     pub fn share(
         &mut self,
-        now: Point,
+        now: Timestamp,
         (name, started_ms): (&str, u64),
         (warmth, carries): (f64, f64),
         there: &[&str],
-    ) -> (Option<Span>, Sum) {
+    ) -> (Option<TimeSpan>, Sum) {
         let Terms { span, multiple, tick } = self.terms;
         let member = self.members.entry(name.to_owned()).or_default();
         member.anew(started_ms);
@@ -186,13 +186,13 @@
         let sent = member.others.values().map(|o| o.recent(now, span).0).sum::<u64>() + own.0;
         let carried = carries + speak.iter().map(|o| o.carries).sum::<f64>();
         let budget = span * (carried * warmth * multiple * USED);
-        let left = (budget - Span(sent)).0 as f64;
+        let left = (budget - TimeSpan(sent)).0 as f64;
         let all = carried.max(1e-9);
         // Each of them may have used its share at each tick since it spoke: so a share is a part of what would be left.
         let unheard = speak
             .iter()
             .map(|o| o.carries / all * (now - o.told).ratio(tick).min(FRESH));
         let left = left / (1.0 + unheard.sum::<f64>());
-        (Some(Span((left * carries / all) as u64)), sum)
+        (Some(TimeSpan((left * carries / all) as u64)), sum)
     }
 }
--- a/crates/gossip/src/snapshot.rs
+++ b/crates/gossip/src/snapshot.rs
@@ -4,7 +4,7 @@
 //! not at all until it doesn't any more; then whole, since nobody knows what it holds.
 
 use crate::record::Fact;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -68,14 +68,14 @@
 /// A fact as it was known, by the wall clock of then.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Kept {
-    wall: Point,
+    wall: Timestamp,
     fact: Fact,
 }
 
 /// What a kept copy holds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Read {
-    pub facts: Vec<(Fact, Point)>,
+    pub facts: Vec<(Fact, Timestamp)>,
     /// Of the driver that wrote it; zero where that isn't known.
     pub life: u64,
     pub fault: Option<Fault>,
@@ -109,7 +109,7 @@
         (out, Writer { chain })
     }
 
-    pub fn put(&mut self, out: &mut Vec<u8>, fact: &Fact, wall: Point) {
+    pub fn put(&mut self, out: &mut Vec<u8>, fact: &Fact, wall: Timestamp) {
         let fact = fact.clone();
         let body = postcard::to_stdvec(&Kept { wall, fact }).unwrap_or_default();
         self.chain = put(out, self.chain, &body);
@@ -203,13 +203,13 @@
 /// When a copy is written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Keeper {
-    every: Span,
-    next: Point,
+    every: TimeSpan,
+    next: Timestamp,
     busy: bool,
     /// What lies on the disk is known, record by record.
     known: bool,
-    failing: Option<Point>,
-    pause: Span,
+    failing: Option<Timestamp>,
+    pause: TimeSpan,
     /// Records written since the last whole copy, and how many that had.
     behind: usize,
     whole: usize,
@@ -217,14 +217,14 @@
 }
 
 /// Between two tries on a disk that fails.
-const FIRST_PAUSE: Span = Span::millis(500);
-const LONGEST_PAUSE: Span = Span::millis(30_000);
+const FIRST_PAUSE: TimeSpan = TimeSpan::millis(500);
+const LONGEST_PAUSE: TimeSpan = TimeSpan::millis(30_000);
 /// What is appended may be this many times the copy, and at least so much, before it is written whole again.
 const GROWTH: usize = 2;
 const LEAST_GROWTH: usize = 4096;
 
 impl Keeper {
-    pub fn new(now: Point, every: Span) -> Keeper {
+    pub fn new(now: Timestamp, every: TimeSpan) -> Keeper {
         Keeper {
             every,
             next: now,
@@ -242,9 +242,9 @@
         self.failing.is_some()
     }
 
-    pub fn next_at(&self) -> Point {
+    pub fn next_at(&self) -> Timestamp {
         if self.busy || !(self.dirty || self.failing.is_some()) {
-            return Point(u64::MAX);
+            return Timestamp(u64::MAX);
         }
         self.next
     }
@@ -259,7 +259,7 @@
         (self.known, self.dirty) = (false, true);
     }
 
-    pub fn wish(&mut self, now: Point) -> Option<Wish> {
+    pub fn wish(&mut self, now: Timestamp) -> Option<Wish> {
         if now < self.next_at() {
             return None;
         }
@@ -272,7 +272,7 @@
     /// It was written, so many records, or why not.
     pub fn done(
         &mut self,
-        now: Point,
+        now: Timestamp,
         wish: Wish,
         records: usize,
         result: Result<(), String>,
@@ -292,7 +292,7 @@
                 // Part of it may lie there.
                 (self.known, self.dirty) = (false, true);
                 self.next = now + self.pause;
-                self.pause = Span(self.pause.0 * 2).min(LONGEST_PAUSE);
+                self.pause = TimeSpan(self.pause.0 * 2).min(LONGEST_PAUSE);
                 let is_new = self.failing.replace(now).is_none();
                 is_new.then_some(Told::Failing(why))
             }
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::conflict::{self, Quarrels};
 use crate::record::{Fact, Key, Kind, Stands};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -13,7 +13,7 @@
 pub struct Entry {
     pub fact: Fact,
     /// By this driver's clock.
-    pub told: Point,
+    pub told: Timestamp,
     /// Of the key and of the whole, for comparing.
     pub hashes: (u64, u64),
 }
@@ -32,7 +32,7 @@
 pub struct Book {
     entries: BTreeMap<Key, Entry>,
     /// By kind, and within by when it was told.
-    ages: BTreeSet<(Kind, Point, Key)>,
+    ages: BTreeSet<(Kind, Timestamp, Key)>,
     counts: BTreeMap<Kind, usize>,
     /// By the hash of the key, which is the order in which copies are compared.
     by_hash: BTreeMap<u64, Key>,
@@ -88,7 +88,7 @@
     }
 
     /// Takes a telling over.
-    pub fn learn(&mut self, now: Point, fact: Fact, told: Point) -> Learned {
+    pub fn learn(&mut self, now: Timestamp, fact: Fact, told: Timestamp) -> Learned {
         let (kind, told) = (fact.kind(), told.min(now));
         if !fact.is_sound() || now - told >= kind.kept() {
             return Learned::Refused;
@@ -125,7 +125,7 @@
     }
 
     /// Members that claim one group's primary at once are put down as a quarrel.
-    pub fn watch_claims(&mut self, now: Point, name: &str) {
+    pub fn watch_claims(&mut self, now: Timestamp, name: &str) {
         let Some(own) = self.entries.get(&Key(Kind::Member, name.to_owned())) else {
             return;
         };
@@ -145,7 +145,7 @@
         }
     }
 
-    fn put(&mut self, key: Key, fact: Fact, told: Point) {
+    fn put(&mut self, key: Key, fact: Fact, told: Timestamp) {
         self.drop_entry(&key);
         self.digests.resize(RANGES, 0);
         let hashes = hashes(&key, &fact);
@@ -177,14 +177,14 @@
         }
     }
 
-    fn oldest(&self, kind: Kind) -> Option<(Point, Key)> {
-        let from = (kind, Point(0), Key(kind, String::new()));
+    fn oldest(&self, kind: Kind) -> Option<(Timestamp, Key)> {
+        let from = (kind, Timestamp(0), Key(kind, String::new()));
         let first = self.ages.range(from..).next().filter(|(k, ..)| *k == kind);
         first.map(|(_, told, key)| (*told, key.clone()))
     }
 
     /// Lets go what was told too long ago; says how many.
-    pub fn age(&mut self, now: Point) -> usize {
+    pub fn age(&mut self, now: Timestamp) -> usize {
         let before = self.len();
         for kind in crate::record::KINDS {
             while let Some((_, key)) = self.oldest(kind).filter(|(told, _)| now - *told >= kind.kept()) {
@@ -218,7 +218,7 @@
     }
 
     /// How old an entry is when it is told now.
-    pub fn age_of(entry: &Entry, now: Point) -> Span {
+    pub fn age_of(entry: &Entry, now: Timestamp) -> TimeSpan {
         now - entry.told
     }
 }
--- a/crates/gossip/tests/catchup.rs
+++ b/crates/gossip/tests/catchup.rs
@@ -2,7 +2,7 @@
 //! says that it has caught up holds all that the other held when the round began, and copies that hold the same are equal.
 
 mod common;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::anti_entropy::{Catchup, Seen, Standing};
 use asterlatch_gossip::codec::Item;
 use asterlatch_gossip::record::{Fact, Standing as Listed};
@@ -18,7 +18,7 @@
     FirstPartOnly,
 }
 
-const NOW: Point = Point(1_000_000_000);
+const NOW: Timestamp = Timestamp(1_000_000_000);
 
 /// 0 catches up, 1 is whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -93,7 +93,7 @@
                 match self.mistake {
                     Some(Mistake::TrustTheEnd) => {
                         // As if nothing had been asked for.
-                        let mut trusting = Catchup::new(NOW, Span::millis(1));
+                        let mut trusting = Catchup::new(NOW, TimeSpan::millis(1));
                         trusting.begin(NOW, from, true, &empty);
                         let ended = parts.is_some() && trusting.done(from, 1, Some(0), &empty);
                         if ended && to == 0 {
@@ -131,7 +131,7 @@
             books[1].learn(NOW, fact, NOW);
         }
         books[0].learn(NOW, drain("m2", 3, Listed::Draining), NOW);
-        let catchup = Catchup::new(NOW, Span::millis(1000));
+        let catchup = Catchup::new(NOW, TimeSpan::millis(1000));
         vec![World {
             books,
             catchups: [catchup.clone(), catchup],
--- a/crates/gossip/tests/cold.rs
+++ b/crates/gossip/tests/cold.rs
@@ -2,18 +2,18 @@
 //! more of it than each alone dares.
 
 use asterlatch::fleet::Fleet;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::slow_start::{Cold, Terms};
 
 const TERMS: Terms = Terms {
-    span: Span::millis(2000),
+    span: TimeSpan::millis(2000),
     multiple: 4.0,
-    tick: Span::millis(100),
+    tick: TimeSpan::millis(100),
 };
-const NOW: Point = Point(1_000_000_000);
+const NOW: Timestamp = Timestamp(1_000_000_000);
 
-fn at(ms: u64) -> Point {
-    NOW + Span::millis(ms)
+fn at(ms: u64) -> Timestamp {
+    NOW + TimeSpan::millis(ms)
 }
 
 /// From a fifth to all within ten seconds.
@@ -36,15 +36,15 @@
     let parts: Vec<f64> = (0..drivers).map(|_| 0.1 + 2.9 * chance.f64()).collect();
     let all: f64 = parts.iter().sum();
     // A warm member carries 0.6 of a core; each statement takes 3 ms.
-    let (bears, work) = (0.6, Span::millis(3));
+    let (bears, work) = (0.6, TimeSpan::millis(3));
     let carries: Vec<f64> = parts.iter().map(|p| p / all * bears).collect();
     let mut colds: Vec<Cold> = (0..drivers).map(|_| Cold::new(TERMS)).collect();
     let names: Vec<String> = (0..drivers).map(|n| format!("d{n}")).collect();
     let mut allowed = vec![None; drivers];
-    let mut ready = vec![Point(0); drivers];
-    let mut sent: Vec<(Point, f64)> = Vec::new();
+    let mut ready = vec![Timestamp(0); drivers];
+    let mut sent: Vec<(Timestamp, f64)> = Vec::new();
     let (mut served, mut refused) = (0, 0);
-    let mut late: Vec<(usize, Point, u64, u64)> = Vec::new();
+    let mut late: Vec<(usize, Timestamp, u64, u64)> = Vec::new();
     for ms in 0..8000u64 {
         let now = at(ms);
         // On the mean of the last span.
@@ -72,7 +72,7 @@
                 continue;
             }
             let goes = match &mut allowed[n] {
-                Some(left) if *left > Span(0) => {
+                Some(left) if *left > TimeSpan(0) => {
                     *left = *left - work;
                     true
                 }
@@ -90,7 +90,7 @@
             };
             if goes {
                 colds[n].sends(now, "m", work);
-                sent.push((now, work.ratio(Span(1_000_000))));
+                sent.push((now, work.ratio(TimeSpan(1_000_000))));
                 served += 1;
             } else {
                 refused += 1;
@@ -184,12 +184,15 @@
 fn a_member_that_starts_anew_owes_nothing() {
     let mut cold = Cold::new(TERMS);
     cold.told(at(0), "m", 5, "a", 1, 5_000_000, 1_000_000);
-    assert_eq!(cold.share(at(10), ("m", 5), (0.2, 0.1), &["a"]).0, Some(Span(0)));
+    assert_eq!(
+        cold.share(at(10), ("m", 5), (0.2, 0.1), &["a"]).0,
+        Some(TimeSpan(0))
+    );
     cold.told(at(20), "m", 6, "a", 1, 1000, 1_000_000);
-    assert!(cold.share(at(30), ("m", 6), (0.2, 0.1), &["a"]).0 > Some(Span(0)));
+    assert!(cold.share(at(30), ("m", 6), (0.2, 0.1), &["a"]).0 > Some(TimeSpan(0)));
     cold.told(at(40), "m", 5, "a", 1, 9_000_000, 1_000_000);
     assert!(
-        cold.share(at(50), ("m", 6), (0.2, 0.1), &["a"]).0 > Some(Span(0)),
+        cold.share(at(50), ("m", 6), (0.2, 0.1), &["a"]).0 > Some(TimeSpan(0)),
         "of a former start"
     );
     assert!(cold.is_cold("m"));
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! garble and are cut one way or both.
 #![allow(dead_code)] // each test file uses a part
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::membership::Times;
 use asterlatch_gossip::node::{Engine, Input, Output, Settings};
 use asterlatch_gossip::record::{Fact, Standing};
@@ -41,12 +41,12 @@
         fleet: "test".to_owned(),
         name: name(n),
         peers: (0..all).filter(|p| *p != n).map(name).collect(),
-        tick: Span::millis(100),
+        tick: TimeSpan::millis(100),
         fanout: 3,
-        compare: Span::millis(1000),
+        compare: TimeSpan::millis(1000),
         rate: 64 * 1024,
         times: Times::default(),
-        ask: Span::millis(100),
+        ask: TimeSpan::millis(100),
         file: 0,
         dialect: asterlatch_gossip::codec::Dialect::Own,
     }
@@ -54,7 +54,7 @@
 
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
-    pub delay: Span,
+    pub delay: TimeSpan,
     /// Parts of a thousand.
     pub lost: u32,
     pub doubled: u32,
@@ -64,7 +64,7 @@
 impl Default for Link {
     fn default() -> Link {
         Link {
-            delay: Span::millis(2),
+            delay: TimeSpan::millis(2),
             lost: 0,
             doubled: 0,
             garbled: 0,
@@ -85,12 +85,12 @@
 }
 
 pub struct Net {
-    pub now: Point,
+    pub now: Timestamp,
     pub drivers: Vec<Driver>,
     pub link: Link,
     /// From, to.
     pub cut: BTreeSet<(usize, usize)>,
-    flying: BTreeMap<(Point, u64), (usize, usize, Vec<u8>)>,
+    flying: BTreeMap<(Timestamp, u64), (usize, usize, Vec<u8>)>,
     count: u64,
     chance: fastrand::Rng,
     pub make: fn(usize, usize) -> Settings,
@@ -103,7 +103,7 @@
 
     pub fn with(count: usize, seed: u64, make: fn(usize, usize) -> Settings) -> Net {
         let mut net = Net {
-            now: Point(1_000_000_000),
+            now: Timestamp(1_000_000_000),
             drivers: Vec::new(),
             link: Link::default(),
             cut: BTreeSet::new(),
@@ -122,7 +122,7 @@
     }
 
     fn driver(&self, n: usize, count: usize, clock: i64, life: u64) -> Driver {
-        let now = Point((self.now.0 as i64 + clock) as u64);
+        let now = Timestamp((self.now.0 as i64 + clock) as u64);
         Driver {
             engine: Engine::new((self.make)(n, count), life, n as u64 + 1, now),
             clock,
@@ -135,8 +135,8 @@
     }
 
     /// By that driver's clock.
-    pub fn local(&self, n: usize) -> Point {
-        Point((self.now.0 as i64 + self.drivers[n].clock) as u64)
+    pub fn local(&self, n: usize) -> Timestamp {
+        Timestamp((self.now.0 as i64 + self.drivers[n].clock) as u64)
     }
 
     /// Begins anew with nothing, by a clock that may have been set.
@@ -151,7 +151,7 @@
     }
 
     pub fn observe(&mut self, n: usize, fact: Fact) {
-        self.give(n, Input::Observed(vec![(fact, Span(0))]));
+        self.give(n, Input::Observed(vec![(fact, TimeSpan(0))]));
     }
 
     fn sort(&mut self, n: usize, outputs: Vec<Output>) {
@@ -206,14 +206,14 @@
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: TimeSpan) {
         let end = self.now + span;
         loop {
             let flight = self.flying.first_key_value().map(|((at, _), _)| *at);
             let runs = |d: &&Driver| d.is_up && !d.paused;
             let timers = self.drivers.iter().filter(runs).map(|d| {
                 let at = d.engine.next_at().0 as i64 - d.clock;
-                Point(at.max(0) as u64)
+                Timestamp(at.max(0) as u64)
             });
             let next = timers.chain(flight).min().unwrap_or(end).max(self.now);
             if next > end {
@@ -255,13 +255,13 @@
     }
 
     /// Runs until all copies are equal; how long that took.
-    pub fn settle(&mut self, most: Span) -> Option<Span> {
+    pub fn settle(&mut self, most: TimeSpan) -> Option<TimeSpan> {
         let began = self.now;
         while self.now - began <= most {
             if self.equal() {
                 return Some(self.now - began);
             }
-            self.run(Span::millis(50));
+            self.run(TimeSpan::millis(50));
         }
         None
     }
--- a/crates/gossip/tests/doubts.rs
+++ b/crates/gossip/tests/doubts.rs
@@ -1,20 +1,20 @@
 //! Statements that must not run twice: what a driver remembers, what others' words come to, and every order of steps,
 //! losses and crashes in a small world.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::in_doubt::{Inquiries, Known, Log, Verdict, FOREVER};
 use stateright::{Checker, Model, Property};
 
-const NOW: Point = Point(1_000_000_000);
-const WINDOW: Span = Span::millis(5000);
+const NOW: Timestamp = Timestamp(1_000_000_000);
+const WINDOW: TimeSpan = TimeSpan::millis(5000);
 
-fn at(ms: u64) -> Point {
-    NOW + Span::millis(ms)
+fn at(ms: u64) -> Timestamp {
+    NOW + TimeSpan::millis(ms)
 }
 
 fn sent(ms: u64, member: &str) -> Known {
     Known::Sent {
-        ago: Span::millis(ms),
+        ago: TimeSpan::millis(ms),
         member: member.to_owned(),
     }
 }
@@ -109,7 +109,7 @@
     let table: [Case; 6] = [
         ("all untouched", vec![(0, Known::Untouched), (1, Known::Untouched), (2, Known::Untouched)], Some(Verdict::Untouched)),
         ("one is silent", vec![(0, Known::Untouched), (2, Known::Untouched)], None),
-        ("one has sent it", vec![(1, sent(30, "m4"))], Some(doubt(Span::millis(30), Some("m4")))),
+        ("one has sent it", vec![(1, sent(30, "m4"))], Some(doubt(TimeSpan::millis(30), Some("m4")))),
         ("one can't say", vec![(0, Known::Untouched), (1, Known::Unknown)], Some(doubt(FOREVER, None))),
         ("one says it twice", vec![(0, Known::Untouched), (0, Known::Untouched), (0, Known::Untouched)], None),
         ("somebody who wasn't asked", vec![(9, sent(1, "m"))], None),
@@ -117,7 +117,7 @@
     for (name, words, verdict) in table {
         let mut inquiries = Inquiries::default();
         let turn = inquiries
-            .ask(NOW, 7, &[0, 1, 2], Span::millis(100))
+            .ask(NOW, 7, &[0, 1, 2], TimeSpan::millis(100))
             .expect("three are asked");
         let told = words.iter().fold(None, |told, (peer, known)| {
             told.or(inquiries.answered(7, turn, *peer, known))
@@ -135,7 +135,7 @@
         );
         assert!(inquiries.is_empty());
     }
-    let nobody = Inquiries::default().ask(NOW, 7, &[], Span::millis(100));
+    let nobody = Inquiries::default().ask(NOW, 7, &[], TimeSpan::millis(100));
     assert_eq!(nobody, Err(Verdict::Untouched), "there is nobody else");
 }
 
@@ -260,7 +260,7 @@
             _ => return,
         }
         let peers: Vec<usize> = (0..self.drivers).filter(|p| *p != to).collect();
-        match d.inquiries.ask(NOW, ID, &peers, Span::millis(100)) {
+        match d.inquiries.ask(NOW, ID, &peers, TimeSpan::millis(100)) {
             Ok(turn) => {
                 d.asks = true;
                 w.words.extend(peers.iter().map(|p| Word::Ask {
@@ -385,7 +385,7 @@
             }
             Step::IsLost(n) => drop(w.words.remove(n)),
             Step::TimesOut(n) => {
-                let verdicts = w.drivers[n].inquiries.due(NOW + Span::millis(100));
+                let verdicts = w.drivers[n].inquiries.due(NOW + TimeSpan::millis(100));
                 w.drivers[n].asks = false;
                 w.drivers[n].holds = !verdicts.is_empty() && self.mistake == Some(Mistake::SilenceIsConsent);
             }
--- a/crates/gossip/tests/facts.rs
+++ b/crates/gossip/tests/facts.rs
@@ -1,7 +1,7 @@
 //! Merging: commutative, associative, idempotent; bounds and ages of a copy.
 
 mod common;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::conflict;
 use asterlatch_gossip::record::{Fact, Kind, Standing, Stands};
 use asterlatch_gossip::state::{Book, Learned};
@@ -58,7 +58,7 @@
     ]
 }
 
-const NOW: Point = Point(1_000_000_000);
+const NOW: Timestamp = Timestamp(1_000_000_000);
 
 fn contents(book: &Book) -> Vec<Fact> {
     book.all().map(|e| e.fact.clone()).collect()
@@ -148,7 +148,7 @@
 
 #[test]
 fn a_drain_counts_from_its_first_telling_and_a_position_from_its_last() {
-    let later = NOW + Span::millis(5000);
+    let later = NOW + TimeSpan::millis(5000);
     for (fact, told) in [
         (drain("a", 3, Standing::Draining), NOW),
         (member("a", 10, 0, 10), later),
@@ -171,7 +171,7 @@
         let kept = kind_fact.kind().kept();
         let mut book = Book::default();
         assert_eq!(book.learn(NOW, kind_fact.clone(), NOW), Learned::More);
-        let before = NOW + kept - Span(1);
+        let before = NOW + kept - TimeSpan(1);
         assert_eq!(book.age(before), 0, "{kind_fact:?}");
         assert_eq!(book.age(NOW + kept), 1, "{kind_fact:?}");
         // A peer whose clock of it is a little behind tells it again: it would go to and fro for ever.
@@ -186,7 +186,7 @@
     let mut book = Book::default();
     let most = Kind::Session.most() as u64;
     for n in 0..most + 1000 {
-        book.learn(NOW, session(n + 1, 5), NOW - Span(most + 1000 - n));
+        book.learn(NOW, session(n + 1, 5), NOW - TimeSpan(most + 1000 - n));
     }
     assert_eq!(book.count(Kind::Session) as u64, most);
     assert!(
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several drivers' engines over links that fail: what becomes of facts and of who is there.
 
 mod common;
-use asterlatch::time::Span;
+use asterlatch::time::TimeSpan;
 use asterlatch_gossip::codec;
 use asterlatch_gossip::conflict;
 use asterlatch_gossip::membership::Presence;
@@ -9,8 +9,8 @@
 use asterlatch_gossip::record::{Fact, Standing};
 use common::*;
 
-fn seconds(s: u64) -> Span {
-    Span::millis(s * 1000)
+fn seconds(s: u64) -> TimeSpan {
+    TimeSpan::millis(s * 1000)
 }
 
 /// All find each other, and say that they have caught up.
@@ -47,7 +47,7 @@
     for seed in 1..6 {
         let mut net = Net::new(6, seed);
         net.link = Link {
-            delay: Span::millis(30),
+            delay: TimeSpan::millis(30),
             lost: 300,
             doubled: 100,
             garbled: 50,
@@ -117,7 +117,7 @@
                 net.cut.extend([(a, b), (b, a)]);
             }
         }
-        net.run(Span::millis(1200 + seed * 100));
+        net.run(TimeSpan::millis(1200 + seed * 100));
         net.cut.clear();
         net.run(seconds(20));
         for n in 0..5 {
@@ -200,7 +200,7 @@
         knows_you: 0,
         caught_up: true,
     };
-    let fact = codec::Item::Fact(drain("m9", 9, Standing::Gone), Span(0)).bytes();
+    let fact = codec::Item::Fact(drain("m9", 9, Standing::Gone), TimeSpan(0)).bytes();
     let bytes = codec::Dialect::Own.datagram("test", &head, &[fact]);
     // From the address of d1.
     net.give(
@@ -239,7 +239,7 @@
     };
     for n in 0..3000u64 {
         let items: Vec<_> = (0..30)
-            .map(|m| codec::Item::Fact(session(n * 100 + m + 1, 5), Span(0)).bytes())
+            .map(|m| codec::Item::Fact(session(n * 100 + m + 1, 5), TimeSpan(0)).bytes())
             .collect();
         let bytes = codec::Dialect::Own.datagram("test", &head, &items);
         net.give(
@@ -312,7 +312,7 @@
         d.outputs.clear();
     }
     net.give(0, Input::Ask(question));
-    net.run(Span::millis(20));
+    net.run(TimeSpan::millis(20));
     let asked = |net: &Net, n: usize| {
         let all = net.drivers[n].outputs.iter();
         all.filter(|o| matches!(o, Output::Question { .. })).count()
@@ -323,9 +323,9 @@
         let known = Known::Untouched;
         net.give(n, Input::Answer { to, question, known });
     }
-    net.run(Span::millis(10));
+    net.run(TimeSpan::millis(10));
     net.cut.clear();
-    net.run(Span::millis(40));
+    net.run(TimeSpan::millis(40));
     assert_eq!([asked(&net, 1), asked(&net, 2), asked(&net, 3)], [1, 1, 1]);
     let answers = net.drivers[0].outputs.iter();
     let answers = answers.filter(|o| matches!(o, Output::Answered { .. }));
@@ -358,7 +358,7 @@
                     net.observe(n, member(&format!("m{}", chance.u32(0..109)), at, 0, 5));
                 }
             }
-            net.run(Span::millis(100));
+            net.run(TimeSpan::millis(100));
         }
         let passed = (net.now - began).ratio(seconds(1)) * count as f64;
         let after = sums(&net);
@@ -377,7 +377,7 @@
                     times.push((net.now - told).0 / 1000);
                 }
             }
-            net.run(Span::millis(20));
+            net.run(TimeSpan::millis(20));
         }
         let part = |q: usize| times[(times.len() * q / 100).min(times.len() - 1)];
         let news = format!("{}, {}, {}", part(50), part(99), part(100));
--- a/crates/gossip/tests/keep.rs
+++ b/crates/gossip/tests/keep.rs
@@ -2,12 +2,12 @@
 //! durability and nothing else.
 
 mod common;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::record::{Fact, Standing};
 use asterlatch_gossip::snapshot::{read, Fault, Keeper, Told, Wish, Writer};
 use common::{drain, member, session};
 
-const NOW: Point = Point(5_000_000_000);
+const NOW: Timestamp = Timestamp(5_000_000_000);
 
 fn facts() -> Vec<Fact> {
     let mut all: Vec<Fact> = (0..20).map(|n| member(&format!("m{n}"), n * 10, 0, 5)).collect();
@@ -19,7 +19,7 @@
     let (mut bytes, mut writer) = Writer::begin("f", name, 42);
     let mut ends = vec![bytes.len()];
     for (n, fact) in facts().iter().enumerate() {
-        writer.put(&mut bytes, fact, NOW + Span(n as u64));
+        writer.put(&mut bytes, fact, NOW + TimeSpan(n as u64));
         ends.push(bytes.len());
     }
     (bytes, ends)
@@ -32,7 +32,7 @@
     assert_eq!((read.fault, read.life), (None, 42));
     let (told, walls): (Vec<_>, Vec<_>) = read.facts.into_iter().unzip();
     assert_eq!(told, facts());
-    assert_eq!(walls[3], NOW + Span(3));
+    assert_eq!(walls[3], NOW + TimeSpan(3));
 }
 
 #[test]
@@ -69,7 +69,7 @@
                     .into_iter()
                     .zip(0..)
                     .take(read.facts.len())
-                    .map(|(f, n)| (f, NOW + Span(n)))
+                    .map(|(f, n)| (f, NOW + TimeSpan(n)))
                     .collect::<Vec<_>>()[..]
             );
         }
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_disk_that_fails_is_tried_again_ever_more_rarely_and_then_written_whole() {
-    let every = Span::millis(1000);
+    let every = TimeSpan::millis(1000);
     let mut keeper = Keeper::new(NOW, every);
     assert_eq!(
         keeper.wish(NOW),
@@ -121,15 +121,15 @@
     );
     assert_eq!(keeper.wish(NOW + every), None, "one at a time");
     assert_eq!(keeper.done(NOW, Wish::Whole, 10, Ok(())), None);
-    assert_eq!(keeper.next_at(), Point(u64::MAX), "nothing has changed");
+    assert_eq!(keeper.next_at(), Timestamp(u64::MAX), "nothing has changed");
     keeper.changed();
-    assert_eq!(keeper.wish(NOW + Span(1)), None, "in groups");
+    assert_eq!(keeper.wish(NOW + TimeSpan(1)), None, "in groups");
     assert_eq!(keeper.wish(NOW + every), Some(Wish::Append));
     let full = || Err("no space left on device".to_owned());
     let told = keeper.done(NOW + every, Wish::Append, 0, full());
     assert_eq!(told, Some(Told::Failing("no space left on device".to_owned())));
     let (mut at, mut tries) = (keeper.next_at(), 0);
-    while at < NOW + Span::millis(120_000) {
+    while at < NOW + TimeSpan::millis(120_000) {
         assert_eq!(keeper.wish(at), Some(Wish::Whole), "part of it may lie there");
         assert_eq!(keeper.done(at, Wish::Whole, 0, full()), None, "told once");
         (at, tries) = (keeper.next_at(), tries + 1);
