--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{Message, VERSION};
 use crate::{go_through, Rule};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
@@ -26,20 +26,20 @@
 /// How long each phase may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Times {
-    pub hello: Span,
-    pub ready: Span,
-    pub taken: Span,
+    pub hello: TimeSpan,
+    pub ready: TimeSpan,
+    pub taken: TimeSpan,
     /// Between two signs of life on probation.
-    pub beat: Span,
+    pub beat: TimeSpan,
 }
 
 impl Default for Times {
     fn default() -> Times {
         Times {
-            hello: Span::millis(10_000),
-            ready: Span::millis(10_000),
-            taken: Span::millis(1000),
-            beat: Span::millis(5000),
+            hello: TimeSpan::millis(10_000),
+            ready: TimeSpan::millis(10_000),
+            taken: TimeSpan::millis(1000),
+            beat: TimeSpan::millis(5000),
         }
     }
 }
@@ -98,10 +98,10 @@
 pub struct Old {
     pub phase: Phase,
     pub times: Times,
-    until: Point,
+    until: Timestamp,
     /// When the new one is next told that this one lives, on probation.
-    beats_at: Point,
-    now: Point,
+    beats_at: Timestamp,
+    now: Timestamp,
     input: Option<Input>,
     /// This process is to leave once no new one is in its way.
     leaving: bool,
@@ -131,32 +131,32 @@
         Old {
             phase: Phase::Serving,
             times,
-            until: Point(u64::MAX),
-            beats_at: Point(u64::MAX),
-            now: Point(0),
+            until: Timestamp(u64::MAX),
+            beats_at: Timestamp(u64::MAX),
+            now: Timestamp(0),
             input: None,
             leaving: false,
         }
     }
 
-    pub fn next_at(&self) -> Point {
+    pub fn next_at(&self) -> Timestamp {
         self.until.min(self.beats_at)
     }
 
-    pub fn take(&mut self, now: Point, input: Input) -> Vec<Effect> {
+    pub fn take(&mut self, now: Timestamp, input: Input) -> Vec<Effect> {
         (self.now, self.input) = (now, Some(input));
         go_through(&RULES, self)
     }
 
     /// Counts all times from now on: what a checker of the protocol tells states apart by must not grow with the clock.
     pub fn rebase(&mut self) {
-        if self.until < Point(u64::MAX) {
-            self.until = Point(0) + (self.until - self.now);
+        if self.until < Timestamp(u64::MAX) {
+            self.until = Timestamp(0) + (self.until - self.now);
         }
-        if self.beats_at < Point(u64::MAX) {
-            self.beats_at = Point(0) + (self.beats_at - self.now);
+        if self.beats_at < Timestamp(u64::MAX) {
+            self.beats_at = Timestamp(0) + (self.beats_at - self.now);
         }
-        self.now = Point(0);
+        self.now = Timestamp(0);
     }
 
     /// The new process serves beside this one.
@@ -164,12 +164,12 @@
         matches!(self.phase, Phase::Committed | Phase::Standby | Phase::Done)
     }
 
-    fn go(&mut self, phase: Phase, within: Option<Span>) {
+    fn go(&mut self, phase: Phase, within: Option<TimeSpan>) {
         if phase != Phase::Standby {
-            self.beats_at = Point(u64::MAX);
+            self.beats_at = Timestamp(u64::MAX);
         }
         self.phase = phase;
-        self.until = within.map_or(Point(u64::MAX), |w| self.now + w);
+        self.until = within.map_or(Timestamp(u64::MAX), |w| self.now + w);
         self.input = None;
     }
 
@@ -320,7 +320,7 @@
         if !self.is(Phase::Standby, &Input::Time) || self.now < self.beats_at {
             return None;
         }
-        self.beats_at = self.now + (self.times.beat * (1.0 / BEATS)).max(Span::millis(1));
+        self.beats_at = self.now + (self.times.beat * (1.0 / BEATS)).max(TimeSpan::millis(1));
         Some(vec![Effect::Say(Message::Beat)])
     }
 
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -3,7 +3,7 @@
 
 use crate::message::{Message, VERSION};
 use crate::{go_through, Rule};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
@@ -22,19 +22,19 @@
 /// it is told that this one lives, and how long that goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Times {
-    pub patience: Span,
-    pub silence: Span,
-    pub beat: Span,
-    pub probation: Span,
+    pub patience: TimeSpan,
+    pub silence: TimeSpan,
+    pub beat: TimeSpan,
+    pub probation: TimeSpan,
 }
 
 impl Default for Times {
     fn default() -> Times {
         Times {
-            patience: Span::millis(20_000),
-            silence: Span::millis(5000),
-            beat: Span::millis(1000),
-            probation: Span::millis(10_000),
+            patience: TimeSpan::millis(20_000),
+            silence: TimeSpan::millis(5000),
+            beat: TimeSpan::millis(1000),
+            probation: TimeSpan::millis(10_000),
         }
     }
 }
@@ -69,13 +69,13 @@
 pub struct New {
     pub phase: Phase,
     times: Times,
-    until: Point,
+    until: Timestamp,
     /// When the next sign of life is due here, the last of all, and the next of the old one.
-    beats_at: Point,
-    proven_at: Point,
-    silent_at: Point,
+    beats_at: Timestamp,
+    proven_at: Timestamp,
+    silent_at: Timestamp,
     accepts: bool,
-    now: Point,
+    now: Timestamp,
     input: Option<Input>,
 }
 
@@ -99,29 +99,29 @@
         New {
             phase: Phase::Started,
             times,
-            until: Point(u64::MAX),
-            beats_at: Point(u64::MAX),
-            proven_at: Point(u64::MAX),
-            silent_at: Point(u64::MAX),
+            until: Timestamp(u64::MAX),
+            beats_at: Timestamp(u64::MAX),
+            proven_at: Timestamp(u64::MAX),
+            silent_at: Timestamp(u64::MAX),
             accepts: false,
-            now: Point(0),
+            now: Timestamp(0),
             input: None,
         }
     }
 
-    pub fn next_at(&self) -> Point {
+    pub fn next_at(&self) -> Timestamp {
         if self.phase != Phase::Probation {
             return self.until;
         }
         let silent_at = if self.accepts {
-            Point(u64::MAX)
+            Timestamp(u64::MAX)
         } else {
             self.silent_at
         };
         self.beats_at.min(self.proven_at).min(silent_at)
     }
 
-    pub fn take(&mut self, now: Point, input: Input) -> Vec<Effect> {
+    pub fn take(&mut self, now: Timestamp, input: Input) -> Vec<Effect> {
         (self.now, self.input) = (now, Some(input));
         go_through(&RULES, self)
     }
@@ -135,15 +135,15 @@
             &mut self.proven_at,
             &mut self.silent_at,
         ];
-        for at in times.into_iter().filter(|at| **at < Point(u64::MAX)) {
-            *at = Point(0) + (*at - now);
+        for at in times.into_iter().filter(|at| **at < Timestamp(u64::MAX)) {
+            *at = Timestamp(0) + (*at - now);
         }
-        self.now = Point(0);
+        self.now = Timestamp(0);
     }
 
-    fn go(&mut self, phase: Phase, within: Option<Span>) {
+    fn go(&mut self, phase: Phase, within: Option<TimeSpan>) {
         self.phase = phase;
-        self.until = within.map_or(Point(u64::MAX), |w| self.now + w);
+        self.until = within.map_or(Timestamp(u64::MAX), |w| self.now + w);
         self.input = None;
     }
 
@@ -232,7 +232,7 @@
         Some(self.begin_to_accept("the former process is gone, the service is this one's"))
     }
 
-    fn is_due(&self, at: Point) -> bool {
+    fn is_due(&self, at: Timestamp) -> bool {
         self.phase == Phase::Probation && self.input == Some(Input::Time) && self.now >= at
     }
 
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -1,7 +1,7 @@
 //! Both sides of the takeover, and a client with a statement, in every order of steps, deaths and timeouts that a small
 //! world allows.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::message::{Client, Message};
 use asterlatch_handover::{predecessor, successor};
 use stateright::{Checker, Model, Property};
@@ -103,7 +103,7 @@
 }
 
 fn old_times() -> predecessor::Times {
-    let one = Span::millis(10);
+    let one = TimeSpan::millis(10);
     predecessor::Times {
         hello: one,
         ready: one,
@@ -114,16 +114,16 @@
 
 fn new_times() -> successor::Times {
     successor::Times {
-        patience: Span::millis(10),
-        silence: Span::millis(10),
-        beat: Span::millis(10),
-        probation: Span::millis(20),
+        patience: TimeSpan::millis(10),
+        silence: TimeSpan::millis(10),
+        beat: TimeSpan::millis(10),
+        probation: TimeSpan::millis(20),
     }
 }
 
 impl Takeover {
     fn old_takes(&self, w: &mut World, late: bool, input: predecessor::Input) {
-        let now = if late { w.old.next_at() } else { Point(0) };
+        let now = if late { w.old.next_at() } else { Timestamp(0) };
         let mut effects = w.old.take(now, input);
         w.old.rebase();
         if self.mistake == Some(Mistake::LeaveAtOnce) && effects.contains(&predecessor::Effect::SendAway) {
@@ -144,7 +144,7 @@
 
     fn new_takes(&self, w: &mut World, late: bool, input: successor::Input) {
         let Some(machine) = &mut w.new else { return };
-        let now = if late { machine.next_at() } else { Point(0) };
+        let now = if late { machine.next_at() } else { Timestamp(0) };
         let mut effects = machine.take(now, input);
         machine.rebase();
         if self.mistake == Some(Mistake::AcceptWhenReady)
@@ -258,7 +258,7 @@
         let mut may = |possible: bool, step: Step| steps.extend(possible.then_some(step));
         let old_idle = w.old_alive && w.old_todo.is_empty();
         let new_idle = w.new_alive && w.new_todo.is_empty();
-        let new_timer = w.new.as_ref().is_some_and(|n| n.next_at() < Point(u64::MAX));
+        let new_timer = w.new.as_ref().is_some_and(|n| n.next_at() < Timestamp(u64::MAX));
         may(old_idle && w.upgrades < 2, Step::Ask);
         may(old_idle && w.leaves < 1, Step::Leave);
         may(w.old_alive && !w.old_todo.is_empty(), Step::OldDoes);
@@ -268,7 +268,7 @@
         // Signs of life that nobody hears teach nothing more from the second on.
         let heard = |queue: &Vec<Message>| queue.len() < 2;
         may(
-            old_idle && w.old.next_at() < Point(u64::MAX) && heard(&w.to_new),
+            old_idle && w.old.next_at() < Timestamp(u64::MAX) && heard(&w.to_new),
             Step::OldLate,
         );
         may(new_idle && new_timer && heard(&w.to_old), Step::NewLate);
@@ -418,7 +418,7 @@
                 w.judged
             }),
             Property::always("where nobody accepts, something is on its way", |_, w: &World| {
-                let timers = w.old.next_at() < Point(u64::MAX);
+                let timers = w.old.next_at() < Timestamp(u64::MAX);
                 let old = w.old_alive && (!w.old_todo.is_empty() || timers || !w.to_old.is_empty());
                 let end_unseen = w.old_alive && w.new.is_some() && !w.new_alive;
                 let new = w.new_alive && (!w.new_todo.is_empty() || !w.to_new.is_empty() || w.killing);
--- a/crates/lab/src/arrivals.rs
+++ b/crates/lab/src/arrivals.rs
@@ -1,11 +1,11 @@
 //! When clients ask, and for what: an open stream, which doesn't wait for answers.
 
 use crate::store::Workload;
-use asterlatch::time::Span;
+use asterlatch::time::TimeSpan;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    pub at: Span,
+    pub at: TimeSpan,
     pub id: u64,
     pub workload: usize,
     pub group: u32,
@@ -18,14 +18,14 @@
     shares: Vec<f64>,
     rate: f64,
     groups: u32,
-    until: Span,
+    until: TimeSpan,
     at: f64,
     next: u64,
 }
 
 impl Arrivals {
     /// `rate` a second, for that long.
-    pub fn new(workloads: &[Workload], rate: f64, groups: u32, until: Span, seed: u64) -> Arrivals {
+    pub fn new(workloads: &[Workload], rate: f64, groups: u32, until: TimeSpan, seed: u64) -> Arrivals {
         Arrivals {
             chance: fastrand::Rng::with_seed(seed),
             shares: workloads.iter().map(|w| w.share).collect(),
@@ -44,7 +44,7 @@
 
     fn next(&mut self) -> Option<Arrival> {
         self.at += -(1.0 - self.chance.f64()).ln() / self.rate;
-        let at = Span((self.at * 1e6) as u64);
+        let at = TimeSpan((self.at * 1e6) as u64);
         if at >= self.until {
             return None;
         }
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -3,7 +3,7 @@
 use crate::member::{lock, Shared};
 use crate::script::Outage;
 use crate::wire::unix;
-use asterlatch::time::Span;
+use asterlatch::time::TimeSpan;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Write};
@@ -18,7 +18,7 @@
     let store = lock(store);
     let now = unix();
     let mut index = 1;
-    let mut at = Span(0);
+    let mut at = TimeSpan(0);
     while let Some(next) = store
         .script
         .next_listing(at)
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -10,7 +10,7 @@
 use crate::script::{Outage, Script};
 use crate::store::{Kind, Store};
 use crate::wire::unix;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -57,7 +57,7 @@
     program: PathBuf,
     processes: Vec<Process>,
     /// What befell whom, as it came to be.
-    pub outages: Vec<(u32, Point, Point)>,
+    pub outages: Vec<(u32, Timestamp, Timestamp)>,
     _links: Vec<Link>,
     /// Where members and discovery listen.
     listeners: Vec<SocketAddr>,
@@ -294,8 +294,8 @@
     }
 
     /// Does to drivers what the script says, until all of it is done.
-    fn play(&mut self, from: Point, script: &Script) -> io::Result<()> {
-        let mut steps: Vec<(Span, u32, Outage, bool)> = Vec::new();
+    fn play(&mut self, from: Timestamp, script: &Script) -> io::Result<()> {
+        let mut steps: Vec<(TimeSpan, u32, Outage, bool)> = Vec::new();
         for (driver, outage, begins, ends) in script.outages() {
             let befalls = !matches!(outage, Outage::NoList | Outage::Clock(_));
             if befalls && (driver as usize) <= self.processes.len() {
@@ -304,7 +304,7 @@
             }
         }
         steps.sort_by_key(|(at, driver, ..)| (*at, *driver));
-        let mut open: BTreeMap<u32, Point> = BTreeMap::new();
+        let mut open: BTreeMap<u32, Timestamp> = BTreeMap::new();
         for (at, driver, outage, begins) in steps {
             pause((from + at) - unix());
             match (outage, begins) {
@@ -427,7 +427,7 @@
 }
 
 /// A driver that was stopped or killed isn't held to answers for so long around that.
-const AROUND: Span = Span::millis(1500);
+const AROUND: TimeSpan = TimeSpan::millis(1500);
 
 /// Puts a fleet up, plays the script under load, and judges.
 pub fn run(program: &Path, plan: &Plan) -> io::Result<Outcome> {
@@ -440,7 +440,7 @@
         let mut store = lock(&fleet.store);
         store.started = from;
         store.script = plan.script.clone();
-        (store.workloads.clone(), Span((plan.seconds * 1e6) as u64))
+        (store.workloads.clone(), TimeSpan((plan.seconds * 1e6) as u64))
     };
     let arrivals = Arrivals::new(&workloads, plan.rate, plan.groups, until, plan.seed);
     let terms = (plan.clients, plan.manners, plan.seed);
@@ -452,7 +452,7 @@
         ..Outcome::default()
     };
     if plan.shares {
-        let passed = (unix() - from).ratio(Span::millis(1000));
+        let passed = (unix() - from).ratio(TimeSpan::millis(1000));
         let mut bytes = 0.0;
         for number in 1..=plan.drivers {
             let status = fleet.show(number, "status")?;
@@ -472,8 +472,10 @@
 
 fn weigh(fleet: &Fleet, records: &[Roamed], outcome: &mut Outcome) {
     let store = lock(&fleet.store);
-    let spared = |driver: u32, from: Point, until: Point| {
-        let hit = |(d, a, b): &(u32, Point, Point)| *d == driver && from < *b + AROUND && until + AROUND > *a;
+    let spared = |driver: u32, from: Timestamp, until: Timestamp| {
+        let hit = |(d, a, b): &(u32, Timestamp, Timestamp)| {
+            *d == driver && from < *b + AROUND && until + AROUND > *a
+        };
         fleet.outages.iter().any(hit)
     };
     let mut plain: Vec<_> = records.iter().map(|r| r.record).collect();
@@ -528,7 +530,7 @@
             .map_or(&[][..], Vec::as_slice);
         let again = open
             .and_then(|n| roamed.tries.get(n + 1))
-            .map_or(Point(0), |t| t.sent);
+            .map_or(Timestamp(0), |t| t.sent);
         let had_run = effects.iter().any(|(_, at)| *at <= again);
         r.asked += 1;
         r.had_run += u64::from(had_run);
--- a/crates/lab/src/judge.rs
+++ b/crates/lab/src/judge.rs
@@ -1,7 +1,7 @@
 //! Holds what clients were told against what members did.
 
 use crate::store::{Kind, Store};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
     /// A row that names the statement which it was made for, and a position.
-    Row { id: u64, position: Point },
+    Row { id: u64, position: Timestamp },
     /// Not executed, or harmless to repeat.
     Rejected,
     /// It may have been executed.
@@ -28,16 +28,16 @@
     pub group: u32,
     pub session: u32,
     /// When it was due to be asked, when it was, and when its answer had come.
-    pub due: Point,
-    pub sent: Point,
-    pub answered: Point,
+    pub due: Timestamp,
+    pub sent: Timestamp,
+    pub answered: Timestamp,
     pub told: Told,
     /// Bytes came behind the final answer.
     pub more: bool,
 }
 
 /// The protocol's slack.
-const SLACK: Span = Span::millis(50);
+const SLACK: TimeSpan = TimeSpan::millis(50);
 
 /// The place of what sessions wrote among the breaches.
 pub const SESSION: usize = 8;
@@ -120,7 +120,7 @@
         });
     }
     // What each session knew to be written, by when it knew.
-    let mut written: BTreeMap<(u32, u32), Vec<(Point, Point)>> = BTreeMap::new();
+    let mut written: BTreeMap<(u32, u32), Vec<(Timestamp, Timestamp)>> = BTreeMap::new();
     for r in records {
         let is_write = matches!(store.workloads[r.workload].kind, Kind::Write { .. });
         if let (true, Told::Row { position, .. }) = (is_write, r.told) {
@@ -142,21 +142,21 @@
             .filter(|(at, _)| *at < r.sent)
             .map(|(_, position)| *position)
             .max();
-        let older = |least: Point| row.is_some_and(|(_, position)| position < least);
+        let older = |least: Timestamp| row.is_some_and(|(_, position)| position < least);
         let write = match workload.kind {
             Kind::Write { dropped } => Some(dropped),
             _ => None,
         };
         let broken = [
             r.told == Told::Nothing,
-            r.answered - r.sent > Span(workload.patience.0 + SLACK.0) && r.told != Told::Nothing,
+            r.answered - r.sent > TimeSpan(workload.patience.0 + SLACK.0) && r.told != Told::Nothing,
             r.more,
             row.is_some_and(|(id, _)| id != r.id),
             write == Some(false) && ran > 1,
             write.is_some() && row.is_some() && ran == 0,
             write == Some(false) && r.told == Told::Rejected && ran > 0,
             match workload.kind {
-                Kind::Bounded(bound) => older(r.sent - Span(bound.0 + SLACK.0)),
+                Kind::Bounded(bound) => older(r.sent - TimeSpan(bound.0 + SLACK.0)),
                 _ => false,
             },
             workload.kind == Kind::Own && known.is_some_and(older),
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -5,7 +5,7 @@
 use crate::member::{lock, pause, Shared};
 use crate::store::Kind;
 use crate::wire::{greet, message, of_value, read, unix};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,12 +13,18 @@
 use std::time::Duration;
 
 /// Beyond its patience a client listens on for so long, to tell late answers from none.
-const AFTERWARDS: Span = Span::millis(1000);
+const AFTERWARDS: TimeSpan = TimeSpan::millis(1000);
 
 pub struct Load(Vec<JoinHandle<Vec<Record>>>);
 
 /// Asks at this address; times of arrivals count from `from`.
-pub fn start(store: &Shared, address: SocketAddr, arrivals: Arrivals, from: Point, clients: usize) -> Load {
+pub fn start(
+    store: &Shared,
+    address: SocketAddr,
+    arrivals: Arrivals,
+    from: Timestamp,
+    clients: usize,
+) -> Load {
     let arrivals = Arc::new(Mutex::new(arrivals));
     let client = |_| {
         let (arrivals, store) = (arrivals.clone(), store.clone());
@@ -71,7 +77,7 @@
         }
     }
 
-    fn connect(&self, patience: Span) -> io::Result<TcpStream> {
+    fn connect(&self, patience: TimeSpan) -> io::Result<TcpStream> {
         let mut stream = TcpStream::connect(self.address)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(Duration::from_micros(patience.0 + AFTERWARDS.0)))?;
@@ -79,7 +85,7 @@
         Ok(stream)
     }
 
-    fn ask(&mut self, arrival: &Arrival, due: Point) {
+    fn ask(&mut self, arrival: &Arrival, due: Timestamp) {
         self.look_behind();
         let (name, kind, patience) = {
             let store = lock(&self.store);
@@ -106,7 +112,7 @@
                 .ok_or(io::Error::from(ErrorKind::NotConnected))
                 .or_else(|_| self.connect(patience));
             while stream.is_err() && unix() < until {
-                pause(Span::millis(5));
+                pause(TimeSpan::millis(5));
                 stream = self.connect(patience);
             }
             let Ok(mut stream) = stream else { break };
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,6 +1,6 @@
 //! `asterlatch-lab`: experiments on one machine.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_lab::arrivals::Arrivals;
 use asterlatch_lab::fleet::{self, Plan};
 use asterlatch_lab::judge::{judge, times, Record};
@@ -171,10 +171,10 @@
         )
     }
 
-    fn load(&self, scene: &Scene, seconds: f64) -> (load::Load, Point) {
+    fn load(&self, scene: &Scene, seconds: f64) -> (load::Load, Timestamp) {
         let from = unix();
         let workloads = lock(&scene.store).workloads.clone();
-        let until = Span((seconds * 1e6) as u64);
+        let until = TimeSpan((seconds * 1e6) as u64);
         let arrivals = Arrivals::new(&workloads, self.rate, self.basis.groups, until, self.basis.seed);
         let load = load::start(&scene.store, scene.listen, arrivals, from, self.clients);
         (load, from)
@@ -218,7 +218,7 @@
     restart: bool,
     next: Option<PathBuf>,
     faults: bool,
-    around: (Span, Span),
+    around: (TimeSpan, TimeSpan),
 ) -> io::Result<bool> {
     let (quiet, behind) = around;
     let mut text = String::new();
@@ -255,7 +255,7 @@
     lock(&scene.store).started = from;
     let mut spans = Vec::new();
     for n in 0..count {
-        let at = from + Span((f64::from(n) * each * 1e6) as u64) + quiet;
+        let at = from + TimeSpan((f64::from(n) * each * 1e6) as u64) + quiet;
         pause(at - unix());
         if restart {
             scene.end();
@@ -266,10 +266,11 @@
         spans.push((at, unix()));
     }
     let records = load.finish();
-    let within = |r: &Record, spans: &[(Point, Point)]| spans.iter().any(|(a, b)| (*a..*b).contains(&r.due));
+    let within =
+        |r: &Record, spans: &[(Timestamp, Timestamp)]| spans.iter().any(|(a, b)| (*a..*b).contains(&r.due));
     let calm: Vec<_> = spans
         .iter()
-        .map(|(at, _)| (*at - quiet, *at - Span::millis(200)))
+        .map(|(at, _)| (*at - quiet, *at - TimeSpan::millis(200)))
         .collect();
     let after: Vec<_> = spans.iter().map(|(_, end)| (*end, *end + behind)).collect();
     let kind = if restart { "restarts" } else { "upgrades" };
@@ -295,9 +296,9 @@
 }
 
 /// Reads that members executed meanwhile.
-fn reads(scene: &Scene, from: Point, spans: &[(Point, Point)]) -> (u32, u32) {
+fn reads(scene: &Scene, from: Timestamp, spans: &[(Timestamp, Timestamp)]) -> (u32, u32) {
     let store = lock(&scene.store);
-    let at = |tenth: &u64| from + Span::millis(tenth * 100);
+    let at = |tenth: &u64| from + TimeSpan::millis(tenth * 100);
     let meant = store
         .reads
         .iter()
@@ -427,7 +428,7 @@
             after,
             calm,
         } => {
-            let span = |seconds: f64| Span((seconds.max(0.0) * 1e6) as u64);
+            let span = |seconds: f64| TimeSpan((seconds.max(0.0) * 1e6) as u64);
             let around = (span(calm.max(0.5)), span(after));
             upgrade(&common, count, restart, next, faults, around)
         }
--- a/crates/lab/src/member.rs
+++ b/crates/lab/src/member.rs
@@ -2,7 +2,7 @@
 
 use crate::store::{Reply, Store};
 use crate::wire::{ask, error, message, read, row, status, unix, value};
-use asterlatch::time::Span;
+use asterlatch::time::TimeSpan;
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,7 +15,7 @@
     store.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-pub fn pause(span: Span) {
+pub fn pause(span: TimeSpan) {
     thread::sleep(Duration::from_micros(span.0));
 }
 
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -4,7 +4,7 @@
 use crate::member::{lock, Shared};
 use crate::script::Way;
 use crate::wire::unix;
-use asterlatch::time::Point;
+use asterlatch::time::Timestamp;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -46,7 +46,7 @@
         let mut chance =
             fastrand::Rng::with_seed(seed ^ (u64::from(one) << 32 | u64::from(other)) ^ k as u64);
         thread::spawn(move || {
-            let mut waiting: BTreeMap<(Point, u64), Vec<u8>> = BTreeMap::new();
+            let mut waiting: BTreeMap<(Timestamp, u64), Vec<u8>> = BTreeMap::new();
             let (mut buffer, mut count) = ([0; 2048], 0);
             while !ends.load(Ordering::Acquire) {
                 let came = from.recv(&mut buffer);
--- a/crates/lab/src/roam.rs
+++ b/crates/lab/src/roam.rs
@@ -7,7 +7,7 @@
 use crate::member::{lock, pause, Shared};
 use crate::store::Kind;
 use crate::wire::{greet, message, unix};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -20,8 +20,8 @@
 pub struct Try {
     /// From 1.
     pub driver: u32,
-    pub sent: Point,
-    pub ended: Point,
+    pub sent: Timestamp,
+    pub ended: Timestamp,
     pub told: Told,
     /// The client went away before its time was over.
     pub left: bool,
@@ -45,7 +45,7 @@
 /// A hasty client goes away within this, in microseconds: its write may lie unread, be out, or be done by then.
 const HASTE: u64 = 5000;
 /// Between a rejection and the next try.
-const AGAIN: Span = Span::millis(20);
+const AGAIN: TimeSpan = TimeSpan::millis(20);
 const MOST_TRIES: usize = 4;
 
 pub struct Load(Vec<JoinHandle<Vec<Roamed>>>);
@@ -54,7 +54,7 @@
     store: &Shared,
     drivers: &[SocketAddr],
     arrivals: Arrivals,
-    from: Point,
+    from: Timestamp,
     (clients, manners, seed): (usize, Manners, u64),
 ) -> Load {
     let arrivals = Arc::new(Mutex::new(arrivals));
@@ -116,7 +116,7 @@
         Ok(stream)
     }
 
-    fn ask(&mut self, arrival: &Arrival, due: Point) -> Roamed {
+    fn ask(&mut self, arrival: &Arrival, due: Timestamp) -> Roamed {
         let (name, kind, patience) = {
             let store = lock(&self.store);
             let w = &store.workloads[arrival.workload];
@@ -131,7 +131,7 @@
         let hasty = writes && self.chance.u32(0..1000) < self.manners.hasty;
         let mut tries: Vec<Try> = Vec::new();
         let (mut told, mut sent, mut refused) = (Told::Refused, unix(), 0);
-        while tries.len() < MOST_TRIES && unix() + Span::millis(5) < until {
+        while tries.len() < MOST_TRIES && unix() + TimeSpan::millis(5) < until {
             let left = until - unix();
             let wait = Duration::from_micros(left.0.max(1000));
             let Ok(mut stream) = self.connect(driver, wait.min(Duration::from_millis(200))) else {
@@ -139,7 +139,7 @@
                 driver = (driver + 1) % count;
                 refused += 1;
                 if refused % count == 0 {
-                    pause(Span::millis(5));
+                    pause(TimeSpan::millis(5));
                 }
                 continue;
             };
@@ -163,7 +163,7 @@
             let asked = stream.write_all(&query);
             if goes {
                 // Whatever comes of it is lost.
-                pause(Span(self.chance.u64(0..HASTE)));
+                pause(TimeSpan(self.chance.u64(0..HASTE)));
             }
             let heard = asked.and_then(|()| {
                 if goes {
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -14,12 +14,12 @@
 //!
 //! Times count from the start. What holds at a moment is asked of the script; nothing is remembered.
 
-use asterlatch::time::Span;
+use asterlatch::time::TimeSpan;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// Each statement takes so much longer.
-    Slow(Span),
+    Slow(TimeSpan),
     /// Takes statements and answers nothing; connections come up.
     Hangs,
     /// Connections are refused or ended.
@@ -29,7 +29,7 @@
     /// Runs statements, and ends the connection instead of an answer.
     LosesAnswers,
     /// Its log is so far behind.
-    Lags(Span),
+    Lags(TimeSpan),
     /// Listed as draining.
     Drains,
     /// It has just started, and is cold.
@@ -48,17 +48,17 @@
     Fault {
         target: Target,
         fault: Fault,
-        from: Span,
-        until: Span,
+        from: TimeSpan,
+        until: TimeSpan,
     },
     /// The group's primary changes.
-    Switch { group: u32, to: u32, at: Span },
+    Switch { group: u32, to: u32, at: TimeSpan },
     /// Of the program's processes, numbered from 1.
     Driver {
         driver: u32,
         outage: Outage,
-        from: Span,
-        until: Span,
+        from: TimeSpan,
+        until: TimeSpan,
     },
     /// Between processes of the program; nobody named means all.
     Link {
@@ -66,8 +66,8 @@
         to_drivers: Vec<u32>,
         both_ways: bool,
         harm: Harm,
-        from: Span,
-        until: Span,
+        from: TimeSpan,
+        until: TimeSpan,
     },
 }
 
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Harm {
     Cut,
-    Slow(Span),
+    Slow(TimeSpan),
     /// In thousandths.
     Loses(u32),
     Garbles(u32),
@@ -101,7 +101,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Way {
     pub cut: bool,
-    pub slow: Span,
+    pub slow: TimeSpan,
     pub loses: u32,
     pub garbles: u32,
 }
@@ -110,7 +110,7 @@
 pub struct Script(pub Vec<Event>);
 
 /// `50ms`, `1.5s`.
-fn span(text: &str) -> Result<Span, String> {
+fn span(text: &str) -> Result<TimeSpan, String> {
     let (number, unit) = match (text.strip_suffix("ms"), text.strip_suffix('s')) {
         (Some(number), _) => (number, 1e3),
         (_, Some(number)) => (number, 1e6),
@@ -123,7 +123,7 @@
     if !(0.0..=86_400e6).contains(&(number * unit)) {
         return Err(format!("'{text}' is out of bounds"));
     }
-    Ok(Span((number * unit) as u64))
+    Ok(TimeSpan((number * unit) as u64))
 }
 
 fn number(text: &str) -> Result<u32, String> {
@@ -143,15 +143,15 @@
 }
 
 /// From then on for as long as the line's last words say.
-fn lasting(at: Span, rest: &[&str]) -> Result<(Span, Span), String> {
+fn lasting(at: TimeSpan, rest: &[&str]) -> Result<(TimeSpan, TimeSpan), String> {
     match rest {
-        ["for", long] => Ok((at, Span(at.0 + span(long)?.0))),
+        ["for", long] => Ok((at, TimeSpan(at.0 + span(long)?.0))),
         _ => Err("doesn't say for how long".to_owned()),
     }
 }
 
 /// What concerns the program's processes and the links between them; nothing where the line is of other things.
-fn of_fleet(at: Span, words: &[&str]) -> Result<Option<Event>, String> {
+fn of_fleet(at: TimeSpan, words: &[&str]) -> Result<Option<Event>, String> {
     let (driver, rest) = match words {
         ["driver", n, rest @ ..] => (number(n)?, rest),
         ["link", a, way @ ("to" | "and"), b, rest @ ..] => {
@@ -270,7 +270,7 @@
     let ["for", long] = rest else {
         return Err("doesn't say for how long".to_owned());
     };
-    let (from, until) = (at, Span(at.0 + span(long)?.0));
+    let (from, until) = (at, TimeSpan(at.0 + span(long)?.0));
     Ok(Event::Fault {
         target,
         fault,
@@ -289,23 +289,23 @@
     }
 
     /// The member that is its group's primary, `first` from the start on.
-    pub fn primary(&self, now: Span, group: u32, first: u32) -> (u32, Span) {
+    pub fn primary(&self, now: TimeSpan, group: u32, first: u32) -> (u32, TimeSpan) {
         let switches = self.0.iter().filter_map(|e| match e {
             Event::Switch { group: g, to, at } if *g == group && *at <= now => Some((*at, *to)),
             _ => None,
         });
         switches
             .max_by_key(|(at, _)| *at)
-            .map_or((first, Span(0)), |(at, to)| (to, at))
+            .map_or((first, TimeSpan(0)), |(at, to)| (to, at))
     }
 
     /// What holds of a member now, and since when.
     pub fn faults(
         &self,
-        now: Span,
+        now: TimeSpan,
         member: u32,
         is_primary_of: Option<u32>,
-    ) -> impl Iterator<Item = (Fault, Span)> + '_ {
+    ) -> impl Iterator<Item = (Fault, TimeSpan)> + '_ {
         self.0.iter().filter_map(move |e| match e {
             Event::Fault {
                 target,
@@ -324,7 +324,7 @@
     }
 
     /// When a member last began anew, up to now.
-    pub fn began(&self, now: Span, member: u32) -> Option<Span> {
+    pub fn began(&self, now: TimeSpan, member: u32) -> Option<TimeSpan> {
         let starts = self.0.iter().filter_map(|e| match e {
             Event::Fault {
                 target: Target::Member(m),
@@ -338,7 +338,7 @@
     }
 
     /// When the list of members changes next: drains begin or end, or a member has begun anew.
-    pub fn next_listing(&self, now: Span) -> Option<Span> {
+    pub fn next_listing(&self, now: TimeSpan) -> Option<TimeSpan> {
         let times = self.0.iter().filter_map(|e| match e {
             Event::Fault {
                 fault: Fault::Drains | Fault::Starts,
@@ -352,7 +352,7 @@
     }
 
     /// What befalls drivers, in the order of their beginnings.
-    pub fn outages(&self) -> Vec<(u32, Outage, Span, Span)> {
+    pub fn outages(&self) -> Vec<(u32, Outage, TimeSpan, TimeSpan)> {
         let all = self.0.iter().filter_map(|e| match e {
             Event::Driver {
                 driver,
@@ -367,15 +367,15 @@
         all
     }
 
-    pub fn befalls(&self, now: Span, driver: u32, outage: Outage) -> bool {
-        let own = |(n, o, from, until): &(u32, Outage, Span, Span)| {
+    pub fn befalls(&self, now: TimeSpan, driver: u32, outage: Outage) -> bool {
+        let own = |(n, o, from, until): &(u32, Outage, TimeSpan, TimeSpan)| {
             *n == driver && *o == outage && (*from..*until).contains(&now)
         };
         self.outages().iter().any(own)
     }
 
     /// What holds now of what goes from one driver to another.
-    pub fn way(&self, now: Span, one: u32, other: u32) -> Way {
+    pub fn way(&self, now: TimeSpan, one: u32, other: u32) -> Way {
         let mut way = Way::default();
         for event in &self.0 {
             let Event::Link {
--- a/crates/lab/src/store.rs
+++ b/crates/lab/src/store.rs
@@ -1,18 +1,18 @@
 //! The store that members stand for: groups with a primary and replicas, positions, and every effect that was had.
 
 use crate::script::{Fault, Script};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How long after it was listed a draining member may still be sent something, and the protocol's slack.
-const GRACE: Span = Span::millis(2050);
+const GRACE: TimeSpan = TimeSpan::millis(2050);
 
 /// What a cold member bears, as the drivers' settings say it: work within this span, this many times of what it bears by
 /// then, which grows from a part of a warm one's within this time.
-const FALL_SPAN: Span = Span::millis(2000);
+const FALL_SPAN: TimeSpan = TimeSpan::millis(2000);
 const FALL_MULTIPLE: f64 = 4.0;
 const COLD: f64 = 0.2;
-const WARM_WITHIN: Span = Span::millis(3000);
+const WARM_WITHIN: TimeSpan = TimeSpan::millis(3000);
 /// A warm member has one core, as the drivers take it to have at least.
 const BEARS: f64 = 1.0;
 
@@ -21,7 +21,7 @@
 pub enum Kind {
     Any,
     /// Data may be this old.
-    Bounded(Span),
+    Bounded(TimeSpan),
     /// Sees what its session wrote.
     Own,
     /// A write; whether the store drops repeats of the same id.
@@ -37,8 +37,8 @@
     /// Of all statements.
     pub share: f64,
     /// How long its clients wait.
-    pub patience: Span,
-    pub work: Span,
+    pub patience: TimeSpan,
+    pub work: TimeSpan,
 }
 
 /// As a ledger might have them; balances may be 800 ms old, a payment must never run twice.
@@ -47,11 +47,17 @@
         name,
         kind,
         share,
-        patience: Span::millis(patience),
-        work: Span(work),
+        patience: TimeSpan::millis(patience),
+        work: TimeSpan(work),
     };
     vec![
-        row("balance-view", Kind::Bounded(Span::millis(800)), 0.5, 600, 1500),
+        row(
+            "balance-view",
+            Kind::Bounded(TimeSpan::millis(800)),
+            0.5,
+            600,
+            1500,
+        ),
         row("history-view", Kind::Any, 0.2, 2000, 4000),
         row("own-view", Kind::Own, 0.1, 600, 1500),
         row("payment-post", Kind::Write { dropped: false }, 0.15, 800, 2500),
@@ -65,13 +71,13 @@
     pub id: u64,
     pub workload: usize,
     /// The position that it must see.
-    pub after: Point,
+    pub after: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// A row that was read, or a write's, at this position.
-    Row { position: Point },
+    Row { position: Timestamp },
     /// No primary, so nothing was written.
     NoPrimary,
     /// Its log is too far behind.
@@ -90,15 +96,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
     pub reply: Reply,
-    pub after: Span,
+    pub after: TimeSpan,
 }
 
 /// One run of a write: where, and when.
-pub type Effect = (u32, Point);
+pub type Effect = (u32, Timestamp);
 
 pub struct Store {
     pub script: Script,
-    pub started: Point,
+    pub started: Timestamp,
     /// Who listens for it ends at the next connection.
     pub is_over: bool,
     pub workloads: Vec<Workload>,
@@ -107,7 +113,7 @@
     /// Members turn away reads that they are too far behind for; else they answer from what they have.
     pub checks: bool,
     /// Usual lag of a replica.
-    lag: Span,
+    lag: TimeSpan,
     /// By statement.
     pub effects: BTreeMap<u64, Vec<Effect>>,
     /// Executions of reads that went to a primary and to a replica, by tenth of a second.
@@ -117,7 +123,7 @@
     pub after_drains: u64,
     /// Executions that pushed a cold member over, or would have; and what came to each member lately.
     pub pushed_over: u64,
-    recent: BTreeMap<u32, VecDeque<(Point, Span)>>,
+    recent: BTreeMap<u32, VecDeque<(Timestamp, TimeSpan)>>,
     /// Statements that came to any member.
     seen: BTreeSet<u64>,
     pub executions: u64,
@@ -127,7 +133,7 @@
 
 impl Store {
     /// Members are numbered from 1, group by group, the first of each its primary at the start.
-    pub fn new(groups: u32, replicas: u32, script: Script, started: Point) -> Store {
+    pub fn new(groups: u32, replicas: u32, script: Script, started: Timestamp) -> Store {
         Store {
             script,
             started,
@@ -136,7 +142,7 @@
             groups,
             replicas,
             checks: true,
-            lag: Span::millis(20),
+            lag: TimeSpan::millis(20),
             effects: BTreeMap::new(),
             reads: BTreeMap::new(),
             after_drains: 0,
@@ -166,34 +172,34 @@
         (member - 1) / (self.replicas + 1) + 1
     }
 
-    pub fn primary(&self, now: Point, group: u32) -> u32 {
+    pub fn primary(&self, now: Timestamp, group: u32) -> u32 {
         let first = (group - 1) * (self.replicas + 1) + 1;
         self.script.primary(now - self.started, group, first).0
     }
 
-    pub fn is_primary(&self, now: Point, member: u32) -> bool {
+    pub fn is_primary(&self, now: Timestamp, member: u32) -> bool {
         self.primary(now, self.group(member)) == member
     }
 
-    fn faults(&self, now: Point, member: u32) -> impl Iterator<Item = Fault> + '_ {
+    fn faults(&self, now: Timestamp, member: u32) -> impl Iterator<Item = Fault> + '_ {
         let of = Some(self.group(member)).filter(|_| self.is_primary(now, member));
         self.script.faults(now - self.started, member, of).map(|(f, _)| f)
     }
 
-    fn has(&self, now: Point, member: u32, fault: Fault) -> bool {
+    fn has(&self, now: Timestamp, member: u32, fault: Fault) -> bool {
         self.faults(now, member).any(|f| f == fault)
     }
 
-    pub fn is_down(&self, now: Point, member: u32) -> bool {
+    pub fn is_down(&self, now: Timestamp, member: u32) -> bool {
         self.has(now, member, Fault::Down)
     }
 
-    pub fn drains(&self, now: Point, member: u32) -> bool {
+    pub fn drains(&self, now: Timestamp, member: u32) -> bool {
         self.has(now, member, Fault::Drains)
     }
 
     /// A primary stands at the present, a replica behind it.
-    pub fn position(&self, now: Point, member: u32) -> Point {
+    pub fn position(&self, now: Timestamp, member: u32) -> Timestamp {
         let since = now - self.started;
         let lags = self
             .script
@@ -206,22 +212,22 @@
         let behind = lags.min().unwrap_or(now - self.lag);
         // Whole milliseconds, as they are told.
         let at = if self.is_primary(now, member) { now } else { behind };
-        Point(at.0 / 1000 * 1000)
+        Timestamp(at.0 / 1000 * 1000)
     }
 
-    pub fn probe(&mut self, now: Point, member: u32) -> Option<(Point, bool)> {
+    pub fn probe(&mut self, now: Timestamp, member: u32) -> Option<(Timestamp, bool)> {
         self.probes += 1;
         let hangs = self.has(now, member, Fault::Hangs);
         (!hangs).then(|| (self.position(now, member), self.is_primary(now, member)))
     }
 
-    pub fn began(&self, now: Point, member: u32) -> Option<Point> {
+    pub fn began(&self, now: Timestamp, member: u32) -> Option<Timestamp> {
         let began = self.script.began(now - self.started, member);
         began.map(|at| self.started + at)
     }
 
     /// Counts work, and whether a cold member falls over under it: measured by what warm ones carry on the mean.
-    fn weigh(&mut self, now: Point, member: u32, work: Span) {
+    fn weigh(&mut self, now: Timestamp, member: u32, work: TimeSpan) {
         for queue in self.recent.values_mut() {
             while queue.pop_front_if(|(at, _)| now - *at >= FALL_SPAN).is_some() {}
         }
@@ -242,7 +248,7 @@
     }
 
     /// A member has the whole of a statement.
-    pub fn execute(&mut self, now: Point, member: u32, ask: &Ask) -> Outcome {
+    pub fn execute(&mut self, now: Timestamp, member: u32, ask: &Ask) -> Outcome {
         self.executions += 1;
         self.seen.insert(ask.id);
         self.weigh(now, member, self.workloads[ask.workload].work);
@@ -258,7 +264,7 @@
         let workload = &self.workloads[ask.workload];
         let (kind, after) = (
             workload.kind,
-            Span(workload.work.0 + slow.max().unwrap_or_default().0),
+            TimeSpan(workload.work.0 + slow.max().unwrap_or_default().0),
         );
         let end = |reply| Outcome { reply, after };
         if faults.contains(&Fault::Hangs) {
@@ -282,7 +288,7 @@
             let needed = match kind {
                 Kind::Bounded(bound) => now - bound,
                 Kind::Own => ask.after,
-                Kind::Any | Kind::Write { .. } => Point(0),
+                Kind::Any | Kind::Write { .. } => Timestamp(0),
             };
             if self.checks && position < needed {
                 return end(Reply::Behind);
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -1,15 +1,15 @@
 //! What is spoken: messages of PostgreSQL's protocol, and the comment that heads a statement.
 
 use crate::store::Ask;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::SystemTime;
 
 /// As machines of a deployment read it.
-pub fn unix() -> Point {
+pub fn unix() -> Timestamp {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    Point(since.unwrap_or_default().as_micros() as u64)
+    Timestamp(since.unwrap_or_default().as_micros() as u64)
 }
 
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
@@ -69,13 +69,13 @@
 }
 
 /// The value that a stand-in gives for a statement: for whom it was made, and at what position.
-pub fn value(id: u64, position: Point) -> Vec<u8> {
+pub fn value(id: u64, position: Timestamp) -> Vec<u8> {
     format!("{id:x}@{}", position.0 / 1000).into_bytes()
 }
 
-pub fn of_value(value: &[u8]) -> Option<(u64, Point)> {
+pub fn of_value(value: &[u8]) -> Option<(u64, Timestamp)> {
     let (id, ms) = std::str::from_utf8(value).ok()?.split_once('@')?;
-    let at = Point(0) + Span::millis(ms.parse().ok()?);
+    let at = Timestamp(0) + TimeSpan::millis(ms.parse().ok()?);
     Some((u64::from_str_radix(id, 16).ok()?, at))
 }
 
@@ -90,6 +90,6 @@
     Some(Ask {
         id: u64::from_str_radix(field("id")?, 16).ok()?,
         workload: names.iter().position(|n| Some(*n) == field("c"))?,
-        after: Point(0) + Span::millis(after),
+        after: Timestamp(0) + TimeSpan::millis(after),
     })
 }
--- a/crates/lab/tests/decisions.rs
+++ b/crates/lab/tests/decisions.rs
@@ -1,19 +1,19 @@
 //! Scripts, the store, arrivals and the judge, without sockets.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_lab::arrivals::Arrivals;
 use asterlatch_lab::judge::{judge, Record, Told, BREACHES};
 use asterlatch_lab::script::{Event, Fault, Harm, Outage, Script, Target};
 use asterlatch_lab::store::{workloads, Ask, Reply, Store};
 use asterlatch_lab::wire::{ask, of_value, value};
 
-const START: Point = Point(1_000_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000_000);
 
-fn ms(n: u64) -> Span {
-    Span::millis(n)
+fn ms(n: u64) -> TimeSpan {
+    TimeSpan::millis(n)
 }
 
-fn at(n: u64) -> Point {
+fn at(n: u64) -> Timestamp {
     START + ms(n)
 }
 
@@ -282,5 +282,5 @@
     assert!(cut(2500, 1, 3) && cut(2500, 3, 2) && !cut(2500, 1, 2) && !cut(3000, 1, 3));
     let way = script.way(ms(3500), 3, 2);
     assert_eq!((way.loses, way.slow, way.cut), (100, ms(5), false));
-    assert_eq!(script.way(ms(3500), 1, 2).slow, Span(0));
+    assert_eq!(script.way(ms(3500), 1, 2).slow, TimeSpan(0));
 }
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -1,7 +1,7 @@
 //! What a start found and made of it, summed up by rule.
 
 use crate::trust::{trust, Use, Verdict};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::record::{Fact, Kind};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -42,10 +42,10 @@
 
 /// Which rule decided what of which kind; how many, and the youngest and oldest.
 type ByRule = (Kind, Use, &'static str);
-type Ages = (usize, Option<Span>, Option<Span>);
+type Ages = (usize, Option<TimeSpan>, Option<TimeSpan>);
 
 /// Looks at all kept facts; those of use, each with how old it counts as.
-pub fn sort(facts: Vec<(Fact, Point)>, now: Point) -> (Vec<(Fact, Span)>, Report) {
+pub fn sort(facts: Vec<(Fact, Timestamp)>, now: Timestamp) -> (Vec<(Fact, TimeSpan)>, Report) {
     let mut by_rule: BTreeMap<ByRule, Ages> = BTreeMap::new();
     let (mut usable, mut report) = (Vec::new(), Report::default());
     for (fact, wall) in facts {
@@ -62,7 +62,7 @@
             usable.push((fact, age));
         }
     }
-    let ms = |span: Option<Span>| span.map(|s| s.0 / 1000);
+    let ms = |span: Option<TimeSpan>| span.map(|s| s.0 / 1000);
     let rows = by_rule
         .into_iter()
         .map(|((kind, used, why), (facts, youngest, oldest))| Row {
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -1,7 +1,7 @@
 //! How far a kept fact is to be trusted. An ordered list of rules, the first that fires decides; each errs to the side that
 //! is worse for the rule it may break, for how long a machine was dark nobody else may know.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::record::{Fact, Kind, Standing};
 
 /// What may be done with a kept fact.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Clock {
     /// It went on: so much has passed, as far as it can be believed.
-    Passed(Span),
+    Passed(TimeSpan),
     /// It stands before what was written, as after a battery that died: how long it was nobody knows.
     WentBack,
 }
@@ -41,7 +41,7 @@
 pub struct Verdict {
     pub used: Use,
     /// How old it counts as; nothing where it isn't used.
-    pub age: Option<Span>,
+    pub age: Option<TimeSpan>,
     /// The rule that said so.
     pub why: &'static str,
 }
@@ -112,7 +112,7 @@
 ];
 
 /// What becomes of a fact that was known at `wall`, by the wall clock, where that shows `now`.
-pub fn trust(fact: &Fact, wall: Point, now: Point) -> Verdict {
+pub fn trust(fact: &Fact, wall: Timestamp, now: Timestamp) -> Verdict {
     let clock = if wall <= now {
         Clock::Passed(now - wall)
     } else {
@@ -128,7 +128,7 @@
         _ if used == Use::Never => None,
         Clock::Passed(span) => Some(span),
         // As if it were told just now: so it binds for as long as it can.
-        Clock::WentBack => Some(Span(0)),
+        Clock::WentBack => Some(TimeSpan(0)),
     };
     Verdict { used, age, why }
 }
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -1,12 +1,12 @@
 //! What is trusted of what was kept: every kind, by how long ago it was and whether the clock can be believed.
 
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::{Claim, End};
 use asterlatch_gossip::record::{Fact, Standing, KINDS};
 use asterlatch_recovery::report::sort;
 use asterlatch_recovery::trust::{trust, Use};
 
-const NOW: Point = Point(1_700_000_000_000_000);
+const NOW: Timestamp = Timestamp(1_700_000_000_000_000);
 
 fn facts() -> Vec<Fact> {
     let name = || "m".to_owned();
@@ -98,10 +98,10 @@
     );
     for (fact, row) in all.iter().zip(table) {
         let times = [
-            NOW - Span::millis(1000),
-            NOW - Span::millis(600_000),
-            NOW - Span::millis(30 * 86_400_000),
-            NOW + Span::millis(1),
+            NOW - TimeSpan::millis(1000),
+            NOW - TimeSpan::millis(600_000),
+            NOW - TimeSpan::millis(30 * 86_400_000),
+            NOW + TimeSpan::millis(1),
         ];
         for (wall, used) in times.into_iter().zip(row) {
             let verdict = trust(fact, wall, NOW);
@@ -115,27 +115,31 @@
 /// that went back.
 #[test]
 fn a_clock_that_went_back_is_the_worse_case() {
-    for now in [NOW - Span::millis(60_000), Point(0), Point(86_400_000_000)] {
+    for now in [
+        NOW - TimeSpan::millis(60_000),
+        Timestamp(0),
+        Timestamp(86_400_000_000),
+    ] {
         for fact in facts() {
             let verdict = trust(&fact, NOW, now);
             assert!(
-                matches!(verdict.age, None | Some(Span(0))),
+                matches!(verdict.age, None | Some(TimeSpan(0))),
                 "{fact:?} {verdict:?}"
             );
             assert_ne!(verdict.used, Use::AfterMember, "{fact:?}");
         }
     }
     // A day ahead: all that ages is over, and no rule is broken by it but drains that discovery tells again.
-    let ahead = NOW + Span::millis(86_400_000);
+    let ahead = NOW + TimeSpan::millis(86_400_000);
     assert!(facts().iter().all(|f| trust(f, NOW, ahead).used == Use::Never));
 }
 
 /// (fact, written so long before now; how old it counts)
 #[test]
 fn time_that_passed_unknown_counts_as_is_worse() {
-    let month = Span::millis(30 * 24 * 3600 * 1000);
-    let hour = Span::millis(3600 * 1000);
-    let second = Span::millis(1000);
+    let month = TimeSpan::millis(30 * 24 * 3600 * 1000);
+    let hour = TimeSpan::millis(3600 * 1000);
+    let second = TimeSpan::millis(1000);
     let now = NOW;
     let all = facts();
     let (m, d, s) = (&all[5], &all[0], &all[3]);
@@ -148,8 +152,8 @@
         (s, now - month, None),
         // The clock was set back since: nobody knows how long ago that was.
         (m, now + hour, None),
-        (d, now + hour, Some(Span(0))),
-        (s, now + month, Some(Span(0))),
+        (d, now + hour, Some(TimeSpan(0))),
+        (s, now + month, Some(TimeSpan(0))),
     ];
     for (fact, wall, counts) in table {
         assert_eq!(trust(fact, wall, now).age, counts, "{fact:?} {wall:?}");
@@ -160,9 +164,9 @@
 fn the_report_counts_every_fact_once() {
     let all = facts();
     let walls = [
-        NOW - Span::millis(1000),
-        NOW - Span::millis(3000),
-        NOW + Span::millis(5),
+        NOW - TimeSpan::millis(1000),
+        NOW - TimeSpan::millis(3000),
+        NOW + TimeSpan::millis(5),
     ];
     let kept: Vec<_> = all.iter().flat_map(|f| walls.map(|w| (f.clone(), w))).collect();
     let (usable, report) = sort(kept.clone(), NOW);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! nested JSON become one map of keys, so that both hosts decide alike. Keys it doesn't know are skipped.
 
 use asterlatch::interface::{Freshness, Repeat, Scope, Settings, WorkloadSettings};
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -12,7 +12,7 @@
 /// What only a host needs to decode with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decoding {
-    pub epoch: Point,
+    pub epoch: Timestamp,
     pub position_field: Option<usize>,
     pub role_field: Option<usize>,
     pub positions: bool,
@@ -21,7 +21,7 @@
     pub zones: Vec<String>,
     pub report_fields: Vec<String>,
     pub reported: bool,
-    pub connect_timeout: Span,
+    pub connect_timeout: TimeSpan,
 }
 
 /// One value a path, as in the bench's text.
@@ -61,8 +61,8 @@
         }
     }
 
-    fn span(&self, key: &str, absent: Span) -> Result<Span, Fault> {
-        Ok(Span(self.value::<f64>(key, absent.0 as f64)?.max(0.0) as u64))
+    fn span(&self, key: &str, absent: TimeSpan) -> Result<TimeSpan, Fault> {
+        Ok(TimeSpan(self.value::<f64>(key, absent.0 as f64)?.max(0.0) as u64))
     }
 
     fn flag(&self, key: &str, absent: bool) -> Result<bool, Fault> {
@@ -112,11 +112,11 @@
 
 fn workload(pairs: &Pairs, n: usize, bounds: &[&str], reads: &[&str]) -> Result<WorkloadSettings, Fault> {
     let key = |name: &str| format!("categories.{n}.{name}");
-    let slo_time = pairs.span(&key("objective_us"), Span::default())?;
-    let bound = || -> Result<Span, Fault> {
+    let slo_time = pairs.span(&key("objective_us"), TimeSpan::default())?;
+    let bound = || -> Result<TimeSpan, Fault> {
         let v = bounds.get(n).copied().unwrap_or("0");
         v.parse::<f64>()
-            .map(|us| Span(us as u64))
+            .map(|us| TimeSpan(us as u64))
             .map_err(|_| format!("unreadable staleness bound '{v}'"))
     };
     let freshness = match reads.get(n).copied().unwrap_or("update") {
@@ -143,7 +143,7 @@
             Some("zone") => Scope::Zone,
             _ => Scope::Group,
         },
-        window: pairs.span(&key("window_us"), Span::default())?,
+        window: pairs.span(&key("window_us"), TimeSpan::default())?,
         freshness,
     })
 }
@@ -167,27 +167,27 @@
     let hold_off = pairs.flag("limits.retry_after", true)?;
     let settings = Settings {
         driver_count: pairs.value("peers_total", 1u32)?.max(1),
-        tick: pairs.span("tick_us", Span::millis(1))?,
+        tick: pairs.span("tick_us", TimeSpan::millis(1))?,
         workloads,
         tenant_quotas,
         over_quota_share: pairs.value("over_share_worth", 1.0)?,
         members_check_reads: !matches!(pairs.text("family_info.behind"), None | Some("off")),
         session_age_carried: pairs.text("family_info.tokens") != Some("router"),
         list_on_request: pairs.text("discovery") == Some("ask"),
-        list_ask_within: pairs.span("rules.ask_within_us", Span::millis(10_000))?,
+        list_ask_within: pairs.span("rules.ask_within_us", TimeSpan::millis(10_000))?,
         gone_is_advice: pairs.flag("rules.gone_is_advice", false)?,
         cold_share: pairs.value("rules.cold_from", 1.0)?,
-        warm_within: pairs.span("rules.warm_within_us", Span::default())?,
+        warm_within: pairs.span("rules.warm_within_us", TimeSpan::default())?,
         fall_multiple: pairs.value("rules.tip_multiple", f64::INFINITY)?,
-        fall_span: pairs.span("rules.fall_us", Span::millis(2000))?,
+        fall_span: pairs.span("rules.fall_us", TimeSpan::millis(2000))?,
         max_executions: pairs.value("limits.try_limit", 1usize)?.max(1),
-        connection_idle: pairs.span("limits.conn_idle_us", Span::millis(15_000))?,
+        connection_idle: pairs.span("limits.conn_idle_us", TimeSpan::millis(15_000))?,
         cancel_allowed: pairs.flag("limits.cancel", false)?,
         probes_allowed: pairs.flag("limits.probes", false)?,
         max_hold_off: if hold_off {
-            pairs.span("limits.max_retry_after_us", Span::default())?
+            pairs.span("limits.max_retry_after_us", TimeSpan::default())?
         } else {
-            Span(0)
+            TimeSpan(0)
         },
     };
     let owned = |names: &[&str]| names.iter().map(|s| (*s).to_owned()).collect();
@@ -197,8 +197,8 @@
         zones: owned(&pairs.list("zones")),
         report_fields: owned(&fields),
         reported,
-        connect_timeout: pairs.span("limits.connect_timeout_us", Span::millis(250))?,
-        epoch: Point(pairs.value("family_info.counted_from_us", 0)?),
+        connect_timeout: pairs.span("limits.connect_timeout_us", TimeSpan::millis(250))?,
+        epoch: Timestamp(pairs.value("family_info.counted_from_us", 0)?),
         position_field: field("x0"),
         role_field: field("x1"),
         positions: pairs.flag("family_info.answers_stamped", false)?,
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -3,7 +3,7 @@
 use crate::wire::{Batch, Fault, Fields, Reply};
 use asterlatch::choice::Driver;
 use asterlatch::interface::*;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_settings::{Decoding, Pairs};
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     workloads: usize,
     decoding: Decoding,
     /// The earliest timer that is still to fire.
-    armed: Option<Point>,
+    armed: Option<Timestamp>,
 }
 
 #[derive(Default)]
@@ -39,7 +39,7 @@
         standing,
         named_primary: named == 1.0,
         size: f64::from(size),
-        started: (started > 0).then_some(Point(started)),
+        started: (started > 0).then_some(Timestamp(started)),
     })
 }
 
@@ -53,7 +53,7 @@
     // Taken down to the last whole millisecond: the wire's short floats may have rounded up.
     let position = at(decoding.position_field)
         .filter(|s| *s > 0.0)
-        .map(|s| decoding.epoch + Span::millis((s * 1000.0 - 0.5).max(0.0) as u64));
+        .map(|s| decoding.epoch + TimeSpan::millis((s * 1000.0 - 0.5).max(0.0) as u64));
     Ok(Sighting {
         position,
         is_primary: at(decoding.role_field).map(|v| v == 1.0),
@@ -62,7 +62,7 @@
 
 fn noted(value: u32, decoding: &Decoding) -> Sighting {
     let ms = u64::from(value / 4);
-    let position = (ms > 0 && decoding.positions).then(|| decoding.epoch + Span::millis(ms));
+    let position = (ms > 0 && decoding.positions).then(|| decoding.epoch + TimeSpan::millis(ms));
     let is_primary = match value % 4 {
         1 => Some(true),
         2 => Some(false),
@@ -88,7 +88,7 @@
 
 impl Host {
     pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, Fault> {
-        let now = Point(batch.clock);
+        let now = Timestamp(batch.clock);
         let mut reply = Reply::default();
         let mut body = Fields::new(&batch.body);
         let mut current = None;
@@ -112,7 +112,7 @@
         &mut self,
         code: u8,
         mut f: Fields,
-        now: Point,
+        now: Timestamp,
         current: &mut Option<u16>,
         reply: &mut Reply,
     ) -> Result<(), Fault> {
@@ -169,7 +169,7 @@
             0 | 4 => return Ok(()), // streams and messages between drivers: no deployment here has them
             2 => {
                 let (stmt, attempt, member, status) = (f.u32()?, f.u8()?, f.u32()?, f.u16()?);
-                let (took, settled, note) = (Span(f.u32()?.into()), f.u8()? != 0, f.u32()?);
+                let (took, settled, note) = (TimeSpan(f.u32()?.into()), f.u8()? != 0, f.u32()?);
                 let inline = report(&mut f, decoding)?;
                 let sighting = noted(note, decoding).joined(inline);
                 let ending = ending(status)?;
@@ -215,21 +215,21 @@
                         group: group as u32,
                         session,
                         repeat: bits & 2 != 0,
-                        left: Span(left.into()),
-                        work: (bits & 1 != 0).then_some(Span(work.into())),
+                        left: TimeSpan(left.into()),
+                        work: (bits & 1 != 0).then_some(TimeSpan(work.into())),
                         doubted: None,
-                        written_ago: (ago > 0.0).then(|| Span((f64::from(ago) * 1000.0) as u64)),
+                        written_ago: (ago > 0.0).then(|| TimeSpan((f64::from(ago) * 1000.0) as u64)),
                     },
                 )
             }
             9 => {
-                if *armed == Some(Point(f.u64()?)) {
+                if *armed == Some(Timestamp(f.u64()?)) {
                     *armed = None;
                 }
                 driver.time_reached(now)
             }
             10 => {
-                let (member, status, took) = (f.u32()?, f.u16()?, Span(f.u32()?.into()));
+                let (member, status, took) = (f.u32()?, f.u16()?, TimeSpan(f.u32()?.into()));
                 let sighting = report(&mut f, decoding)?;
                 driver.probe_answered(now, member, status == 1, took, sighting)
             }
@@ -246,8 +246,8 @@
 
 fn encode(
     r: &Results,
-    wake: Option<Point>,
-    now: Point,
+    wake: Option<Timestamp>,
+    now: Timestamp,
     number: u16,
     named: &mut Option<u16>,
     reply: &mut Reply,
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -11,20 +11,20 @@
 use crate::interface::*;
 use crate::state::*;
 use crate::subset::Firsts;
-use crate::time::{Point, Span};
+use crate::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A held write goes out after this even if no primary is named.
-const HOLD: Span = Span::millis(250);
+const HOLD: TimeSpan = TimeSpan::millis(250);
 /// A wake-up later than this shows that the driver itself was held up.
-const STALL: Span = Span::millis(50);
+const STALL: TimeSpan = TimeSpan::millis(50);
 /// What found no place is told after this part of its time.
 const UNSENT: f64 = 0.45;
 /// Part of the time in which a repeat is known that it may go out in: the rest is for its way.
 const SURELY: f64 = 0.95;
 /// Before another try where the same members are all there is.
-const RETRY: Span = Span::millis(50);
+const RETRY: TimeSpan = TimeSpan::millis(50);
 /// Answers of a member in the rule's window under which a driver can't tell what that one bears and lets in
 /// a share of statements instead.
 const SPARSE: usize = 5;
@@ -57,13 +57,13 @@
     fleet: Fleet,
     #[serde(skip)]
     firsts: Firsts,
-    now: Point,
+    now: Timestamp,
     chance: Chance,
     /// Smoothed time that an answer takes, by workload.
-    typical: Vec<Span>,
+    typical: Vec<TimeSpan>,
     zones: Zones,
     /// How long clients wait for first tries, by workload.
-    first_left: Vec<Span>,
+    first_left: Vec<TimeSpan>,
     members: Members,
     groups: Groups,
     #[serde(skip)]
@@ -87,13 +87,13 @@
     best_density: f64,
     /// Smoothed part of the SLO time that setting up a connection costs.
     setup: f64,
-    ask_at: Option<Point>,
+    ask_at: Option<Timestamp>,
     /// Failed calls for the list in a row, and until when one more is of that row.
     #[serde(skip)]
-    asks_failed: (i32, Point),
+    asks_failed: (i32, Timestamp),
     #[serde(skip)]
-    planned: Option<Point>,
-    stalled_at: Point,
+    planned: Option<Timestamp>,
+    stalled_at: Timestamp,
     /// Another process serves the same members: what is cold there is that one's.
     #[serde(skip)]
     yields: bool,
@@ -107,10 +107,10 @@
 }
 
 impl Driver {
-    pub fn new(settings: &Settings, seed: u64, now: Point) -> Driver {
+    pub fn new(settings: &Settings, seed: u64, now: Timestamp) -> Driver {
         Driver {
             typical: settings.workloads.iter().map(|w| w.slo_time * 0.2).collect(),
-            first_left: vec![Span(0); settings.workloads.len()],
+            first_left: vec![TimeSpan(0); settings.workloads.len()],
             chance: Chance { seed, drawn: 0 },
             ask_at: settings.list_on_request.then_some(now),
             settings: settings.clone(),
@@ -120,7 +120,7 @@
         }
     }
 
-    pub fn statement_taken(&mut self, now: Point, s: &Statement) -> Results {
+    pub fn statement_taken(&mut self, now: Timestamp, s: &Statement) -> Results {
         self.hear(now);
         let group = self.groups.at(s.group);
         // Each driver has an even part of a tenant's quota.
@@ -140,10 +140,10 @@
         self.best_density = density.max(self.best_density * 0.999);
         let token = match w.freshness {
             Freshness::Session if self.settings.session_age_carried => {
-                s.written_ago.map_or(Point(0), |ago| now - ago)
+                s.written_ago.map_or(Timestamp(0), |ago| now - ago)
             }
             Freshness::Session => self.sessions.known(s.session),
-            _ => Point(0),
+            _ => Timestamp(0),
         };
         // A repeat's SLO time began with its first try: what it has less to wait than those do has passed.
         if !s.repeat {
@@ -177,18 +177,18 @@
         self.settle()
     }
 
-    pub fn statement_withdrawn(&mut self, now: Point, stmt: u32) -> Results {
+    pub fn statement_withdrawn(&mut self, now: Timestamp, stmt: u32) -> Results {
         self.hear(now);
         self.call_off(stmt);
         self.forget(stmt);
         self.settle()
     }
 
-    pub fn execution_ended(&mut self, now: Point, end: &ExecutionEnd) -> Results {
+    pub fn execution_ended(&mut self, now: Timestamp, end: &ExecutionEnd) -> Results {
         self.hear(now);
         if let Some(run) = self.running.remove(&(end.stmt, end.number)) {
             (!run.lost).then(|| self.learn_health(&run, end));
-            self.learn_sighting(run.member, end.took, Span(0), end.sighting);
+            self.learn_sighting(run.member, end.took, TimeSpan(0), end.sighting);
             self.learn_commit(&run, end);
             if end.settled {
                 self.forget(end.stmt);
@@ -206,7 +206,7 @@
 
     /// Whether an execution may still go out now that it can; if so it has. What came meanwhile may forbid
     /// it: its end, a drain, the end of the time of its repeats, or a position that covers it no more.
-    pub fn goes_out(&mut self, now: Point, stmt: u32, number: u8) -> bool {
+    pub fn goes_out(&mut self, now: Timestamp, stmt: u32, number: u8) -> bool {
         self.now = now;
         let run = self.running.get(&(stmt, number)).filter(|r| !r.called_off);
         let Some((m, s)) = run.map(|r| r.member).zip(self.stmts.get(&stmt)) else {
@@ -230,13 +230,20 @@
         };
         let need = match self.settings.workloads[run.workload].freshness {
             Freshness::Bounded(bound) => run.sent - bound,
-            Freshness::Session => self.stmts.get(&stmt).map_or(Point(0), |s| s.token),
-            Freshness::Any | Freshness::Fresh | Freshness::Write => Point(0),
+            Freshness::Session => self.stmts.get(&stmt).map_or(Timestamp(0), |s| s.token),
+            Freshness::Any | Freshness::Fresh | Freshness::Write => Timestamp(0),
         };
         s.position.is_none_or(|p| p >= need)
     }
 
-    pub fn probe_answered(&mut self, now: Point, member: u32, ok: bool, took: Span, s: Sighting) -> Results {
+    pub fn probe_answered(
+        &mut self,
+        now: Timestamp,
+        member: u32,
+        ok: bool,
+        took: TimeSpan,
+        s: Sighting,
+    ) -> Results {
         self.hear(now);
         let before = now - self.longest_typical() * OVERDUE_PACES;
         if let Some(&m) = self.members.index.get(&member) {
@@ -251,13 +258,13 @@
                     let lost = runs.fold(0, |n, r| n + usize::from(r.lose(m, before)));
                     (f.open[m], f.connections[m]) = (f.open[m] - lost, f.connections[m].saturating_sub(lost));
                 }
-                self.learn_sighting(m, took, Span(0), s);
+                self.learn_sighting(m, took, TimeSpan(0), s);
             }
         }
         self.settle()
     }
 
-    pub fn members_told(&mut self, now: Point, entries: &[MemberEntry], whole: bool) -> Results {
+    pub fn members_told(&mut self, now: Timestamp, entries: &[MemberEntry], whole: bool) -> Results {
         self.hear(now);
         if whole {
             self.members.standing.fill(Standing::Gone);
@@ -293,7 +300,7 @@
     }
 
     /// The call for the list failed or the subscription broke; whether one stands is not known, so ask again.
-    pub fn list_failed(&mut self, now: Point) -> Results {
+    pub fn list_failed(&mut self, now: Timestamp) -> Results {
         self.hear(now);
         let most = self.settings.list_ask_within * ASK_SHARE;
         let (before, until) = self.asks_failed;
@@ -304,7 +311,7 @@
         self.settle()
     }
 
-    pub fn time_reached(&mut self, now: Point) -> Results {
+    pub fn time_reached(&mut self, now: Timestamp) -> Results {
         self.hear(now);
         self.settle()
     }
@@ -337,11 +344,11 @@
 
     /// Newest evidence wins by the position it was given at, not by when it arrived: a primary stands at the
     /// present, so one that spoke as primary at a later position has taken over since.
-    fn learn_sighting(&mut self, m: usize, took: Span, ago: Span, s: Sighting) {
+    fn learn_sighting(&mut self, m: usize, took: TimeSpan, ago: TimeSpan, s: Sighting) {
         let f = &mut self.members;
         let g = &mut self.groups[f.group[m]];
         // Told by itself it is news whatever it says; told by others only where it says more.
-        if let Some(position) = s.position.filter(|p| ago == Span(0) || *p > f.position[m]) {
+        if let Some(position) = s.position.filter(|p| ago == TimeSpan(0) || *p > f.position[m]) {
             (f.position[m], f.told_at[m]) = (f.position[m].max(position), Some(self.now - ago));
         }
         let at = s.position.unwrap_or(self.now - took);
@@ -351,7 +358,7 @@
             if g.primary.replace(m) != Some(m) {
                 for (_, _, id) in g.queued() {
                     let held = self.stmts.get_mut(id).expect("waiting");
-                    held.hold_until = Point(0);
+                    held.hold_until = Timestamp(0);
                     held.avoid.clear();
                 }
             }
@@ -386,7 +393,7 @@
         let answered = matches!(end.ending, Completed | Missed | Errored | TurnedAway);
         if answered {
             self.zones.hear(f.zone[m], now);
-            (f.owes_since[m], f.shunned[m], f.quiet_until[m]) = (now, false, Point(0));
+            (f.owes_since[m], f.shunned[m], f.quiet_until[m]) = (now, false, Timestamp(0));
         } else if end.ending != NeverSent {
             f.connections[m] = f.connections[m].saturating_sub(1);
         }
@@ -522,7 +529,7 @@
     fn plan_touched(&mut self) -> bool {
         let Some(m) = self.touched.pop() else { return false };
         let f = &self.members;
-        let ahead = |at: Point| Some(at).filter(|at| *at > self.now);
+        let ahead = |at: Timestamp| Some(at).filter(|at| *at > self.now);
         let times = [
             f.overdue_at(m, self.longest_typical()).filter(|_| !f.shunned[m]),
             self.probe_due(m),
@@ -562,7 +569,7 @@
                     next = self.groups[g].behind(w, rank);
                     let id = rank.2;
                     let s = &self.stmts[&id];
-                    let alike = s.avoid.is_empty() && s.token == Point(0);
+                    let alike = s.avoid.is_empty() && s.token == Timestamp(0);
                     let held = s.hold_until > self.now;
                     let nameless = self.groups[g].primary.is_none();
                     self.groups[g].wants_primary |= held && nameless;
@@ -659,7 +666,7 @@
     fn guess(&mut self, id: u32) -> Option<usize> {
         let s = &self.stmts[&id];
         let g = s.group;
-        let moved = s.executions > 0 || s.hold_until > Point(0);
+        let moved = s.executions > 0 || s.hold_until > Timestamp(0);
         let may = s.executions * 2 < self.settings.max_executions;
         let fit = |m: &usize| self.fits(*m, s) && self.has_room(*m);
         let next = self.groups[g].members.iter().copied().find(fit);
@@ -741,7 +748,7 @@
         let f = &self.members;
         let spared = self.setup > DEAR && !self.connected(m) && f.connections[m] > 0 && self.sparse();
         let cold = self.cold_until(m);
-        let kept = self.yields && cold > Point(0);
+        let kept = self.yields && cold > Timestamp(0);
         // Who leaves has no newcomers: the one beside it, always full, would else hold what is left here up.
         let last = self.yields && f.open[m] == 0;
         let out = f.open[m] + if last { 0 } else { f.elsewhere[m] };
@@ -764,21 +771,21 @@
     }
 
     /// Until when a cold member gets nothing.
-    fn cold_until(&self, m: usize) -> Point {
+    fn cold_until(&self, m: usize) -> Timestamp {
         let (f, warmth) = (&self.members, self.warmth(m));
         if warmth >= 1.0 {
-            return Point(0);
+            return Timestamp(0);
         }
         let proves = !self.sparse() && f.pace[m] < GOOD_PACE;
         let used = self.fleet.cold_multiple(self.settings.fall_multiple, proves);
         f.cold_until(m, self.now, self.carried(m) * warmth * used)
     }
 
-    pub fn longest_typical(&self) -> Span {
+    pub fn longest_typical(&self) -> TimeSpan {
         self.typical.iter().copied().max().unwrap_or(OVERDUE)
     }
 
-    fn probe_due(&self, m: usize) -> Option<Point> {
+    fn probe_due(&self, m: usize) -> Option<Timestamp> {
         let f = &self.members;
         let g = &self.groups[f.group[m]];
         let greets = self.fleet.greets(self.settings.members_check_reads);
@@ -792,7 +799,7 @@
     }
 
     /// The last moment at which an answer could still come within the SLO time.
-    fn last_chance(&self, s: &Stmt) -> Point {
+    fn last_chance(&self, s: &Stmt) -> Timestamp {
         let margin = if s.rank.is_some() { 2.0 } else { 0.0 };
         s.slo_at - self.typical[s.workload] * margin
     }
@@ -802,7 +809,7 @@
     }
 
     /// While this driver was held up itself no member owed it anything, and what comes then says little.
-    fn hear(&mut self, now: Point) {
+    fn hear(&mut self, now: Timestamp) {
         if now - self.planned.unwrap_or(now) > STALL {
             self.members.owes_since.fill(now);
             self.stalled_at = now;
@@ -841,7 +848,7 @@
         let s = &self.stmts[&id];
         let times = [self.last_chance(s), s.slo_at, s.hold_until, s.send_by];
         let ahead = times.into_iter().chain([s.unsent_by]).filter(|at| *at > self.now);
-        let next = ahead.fold(s.answer_by, Point::min);
+        let next = ahead.fold(s.answer_by, Timestamp::min);
         let due = &mut self.stmts.get_mut(&id).expect("seen above").due;
         self.due.put(id, std::mem::replace(due, next), Some(next));
     }
--- a/src/choice/views.rs
+++ b/src/choice/views.rs
@@ -5,13 +5,13 @@
 use crate::fleet::Fleet;
 use crate::interface::{Results, Settings, Standing, Told};
 use crate::subset::Firsts;
-use crate::time::{Point, Span};
+use crate::time::{TimeSpan, Timestamp};
 use std::collections::BTreeSet;
 
 impl Driver {
     /// Another process with this one's memory serves beside it (`yields`: it gets the cold members), or is
     /// gone. What either may have sent there by now isn't known here: it counts as sent just now.
-    pub fn beside(&mut self, now: Point, yields: bool) -> Results {
+    pub fn beside(&mut self, now: Timestamp, yields: bool) -> Results {
         self.hear(now);
         let longest = self.longest_typical();
         self.yields = yields;
@@ -21,7 +21,7 @@
     }
 
     /// What another process of this driver, or another driver, tells of a member.
-    pub fn told(&mut self, now: Point, member: u32, word: Told) -> Results {
+    pub fn told(&mut self, now: Timestamp, member: u32, word: Told) -> Results {
         self.hear(now);
         let Some(&m) = self.members.index.get(&member) else {
             return self.settle();
@@ -45,7 +45,7 @@
     }
 
     /// Members that are cold: how warm on the mean of the rule's span, and what this driver would carry.
-    pub fn cold_view(&self, now: Point) -> Vec<(u32, f64, f64)> {
+    pub fn cold_view(&self, now: Timestamp) -> Vec<(u32, f64, f64)> {
         let cold = self
             .members
             .cold(now, now - self.settings.fall_span * 0.5, &self.settings);
@@ -60,7 +60,7 @@
     }
 
     /// What a statement of a workload takes.
-    pub fn work_of(&self, workload: usize) -> Span {
+    pub fn work_of(&self, workload: usize) -> TimeSpan {
         self.typical[workload]
     }
 
@@ -72,7 +72,7 @@
 
     /// Goes on from what another process has learned, whose clock this one shares. That a member owes is
     /// the other's belief, and not inherited. Its idle connections stand only if they came along.
-    pub fn resume(learned: Driver, settings: &Settings, idle_came: bool, now: Point) -> Driver {
+    pub fn resume(learned: Driver, settings: &Settings, idle_came: bool, now: Timestamp) -> Driver {
         let settings = settings.clone();
         let mut d = Driver {
             fleet: Fleet::of(settings.driver_count),
@@ -92,7 +92,7 @@
     }
 
     /// Where a session's last write was committed that another driver carried.
-    pub fn session_told(&mut self, session: u64, position: Point) {
+    pub fn session_told(&mut self, session: u64, position: Timestamp) {
         self.sessions.note(session, position, SESSIONS_KEPT);
     }
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -2,13 +2,13 @@
 //! of the members only what its own thin traffic shows; what each does alone adds up over all. So here stand the parts
 //! of one driver in what all may do together, and what it does where it can't wait to learn. Nothing here chooses.
 
-use crate::time::{Point, Span};
+use crate::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// Members whose state is wanted are probed this often: shunned, lagging, or of a group without a primary.
-const PROBE_GAP: Span = Span::millis(300);
+const PROBE_GAP: TimeSpan = TimeSpan::millis(300);
 /// But a member no oftener than this by all drivers together, for all want the same news at once.
-const PROBE_EACH: Span = Span::millis(15);
+const PROBE_EACH: TimeSpan = TimeSpan::millis(15);
 /// First bound on executions at a member, for all drivers together.
 const FIRST_LIMIT: f64 = 8.0;
 /// Share of a cold member's budget that is used, since drivers can't see each other's sends; and how often that may be
@@ -24,7 +24,7 @@
 const LATE: f64 = 2.5;
 const LATE_ONES: usize = 2;
 /// A zone that was left is tried again after this.
-const TRIAL: Span = Span::millis(1500);
+const TRIAL: TimeSpan = TimeSpan::millis(1500);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fleet {
@@ -54,7 +54,7 @@
     }
 
     /// Between two probes of one member by this driver.
-    pub fn probe_gap(self) -> Span {
+    pub fn probe_gap(self) -> TimeSpan {
         PROBE_GAP.max(PROBE_EACH * self.drivers)
     }
 
@@ -98,30 +98,30 @@
 /// learns of all its neighbours together.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Zones {
-    heard: Vec<Point>,
-    left: Vec<Point>,
+    heard: Vec<Timestamp>,
+    left: Vec<Timestamp>,
 }
 
 /// What went out before this is late.
-pub fn late_since(now: Point, longest_typical: Span) -> Point {
+pub fn late_since(now: Timestamp, longest_typical: TimeSpan) -> Timestamp {
     now - longest_typical * LATE
 }
 
 /// Zones are numbered densely, by the settings and the list.
-fn set(times: &mut Vec<Point>, zone: u16, now: Point) {
+fn set(times: &mut Vec<Timestamp>, zone: u16, now: Timestamp) {
     let z = usize::from(zone);
-    times.resize(times.len().max(z + 1), Point(0));
+    times.resize(times.len().max(z + 1), Timestamp(0));
     times[z] = now;
 }
 
 impl Zones {
     /// Something was answered from there.
-    pub fn hear(&mut self, zone: u16, now: Point) {
+    pub fn hear(&mut self, zone: u16, now: Timestamp) {
         set(&mut self.heard, zone, now);
     }
 
     /// It is avoided from now on, until something is heard or it is time to try again.
-    pub fn leave(&mut self, zone: u16, now: Point) {
+    pub fn leave(&mut self, zone: u16, now: Timestamp) {
         set(&mut self.left, zone, now);
     }
 
@@ -129,11 +129,11 @@
     pub fn is_silent(
         &self,
         zone: u16,
-        out: &mut dyn Iterator<Item = Point>,
-        now: Point,
-        longest: Span,
+        out: &mut dyn Iterator<Item = Timestamp>,
+        now: Timestamp,
+        longest: TimeSpan,
     ) -> bool {
-        let at = |times: &[Point]| times.get(usize::from(zone)).copied().unwrap_or_default();
+        let at = |times: &[Timestamp]| times.get(usize::from(zone)).copied().unwrap_or_default();
         let (heard, left) = (at(&self.heard), at(&self.left));
         let late = late_since(now, longest);
         let owing = out.filter(|sent| *sent > heard && *sent < late);
--- a/src/health.rs
+++ b/src/health.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::{Ending, Settings};
 use crate::state::{Group, Members};
-use crate::time::{Point, Span};
+use crate::time::{TimeSpan, Timestamp};
 
 /// Bounds on concurrency: mean time of answers to the SLO time.
 pub const GOOD_PACE: f64 = 0.28;
@@ -11,7 +11,7 @@
 const CUT: f64 = 0.85;
 const GROWTH: f64 = 0.5;
 /// A member owing answers for this long is overdue (the design's start); less where it owes many.
-pub const OVERDUE: Span = Span::millis(1000);
+pub const OVERDUE: TimeSpan = TimeSpan::millis(1000);
 pub const OVERDUE_PACES: f64 = 4.0;
 /// What a late execution counts at most: a few stuck ones don't make a member crowded.
 pub const LATE_COUNTS: f64 = 0.8;
@@ -36,7 +36,7 @@
 impl Members {
     /// Moves a member's bound on executions at once by an end that was just taken into account. A `typical` time lies
     /// between two cuts, for what was sent before the first says nothing of its effect.
-    pub fn bound(&mut self, m: usize, now: Point, completed: bool, typical: Span, sparse: bool) {
+    pub fn bound(&mut self, m: usize, now: Timestamp, completed: bool, typical: TimeSpan, sparse: bool) {
         let used = (self.open[m] + 1) as f64 >= self.limit[m] / 2.0;
         let good = completed && self.pace[m] < GOOD_PACE;
         if good {
@@ -61,13 +61,13 @@
     }
 
     /// An idle connection stands there that is young enough to be used.
-    pub fn connected(&self, m: usize, now: Point, idle: Span) -> bool {
+    pub fn connected(&self, m: usize, now: Timestamp, idle: TimeSpan) -> bool {
         let old = now - self.used_at[m] > idle && self.open[m] == 0;
         self.open[m] < self.connections[m] && !old
     }
 
     /// When it has owed answers for too long: sooner where it owes many.
-    pub fn overdue_at(&self, m: usize, longest_typical: Span) -> Option<Point> {
+    pub fn overdue_at(&self, m: usize, longest_typical: TimeSpan) -> Option<Timestamp> {
         let patience = longest_typical * (OVERDUE_PACES * (1.0 + 2.0 / self.open[m].max(1) as f64));
         (self.open[m] > 0).then(|| self.owes_since[m] + patience.min(OVERDUE))
     }
@@ -93,17 +93,17 @@
     }
 
     /// Between the least of a member that has just started and 1.
-    pub fn warmth(&self, m: usize, now: Point, settings: &Settings) -> f64 {
+    pub fn warmth(&self, m: usize, now: Timestamp, settings: &Settings) -> f64 {
         let cold = settings.cold_share;
-        let age = |at: Point| (now - at).ratio(settings.warm_within);
+        let age = |at: Timestamp| (now - at).ratio(settings.warm_within);
         self.started[m].map_or(1.0, |at| (cold + (1.0 - cold) * age(at)).min(1.0))
     }
 
     /// Members that are cold now, and how warm they are at another time.
     pub fn cold<'a>(
         &'a self,
-        now: Point,
-        then: Point,
+        now: Timestamp,
+        then: Timestamp,
         settings: &'a Settings,
     ) -> impl Iterator<Item = (usize, f64)> + 'a {
         let all = self.index.values().copied();
@@ -113,11 +113,11 @@
 
     /// Until when a cold member gets nothing: its last send is a debt, paid off at this rate, in parts of a core, which all
     /// drivers together keep the budget by. Where it is known what all others send, what is allowed binds instead.
-    pub fn cold_until(&self, m: usize, now: Point, pays: f64) -> Point {
+    pub fn cold_until(&self, m: usize, now: Timestamp, pays: f64) -> Timestamp {
         match self.allowed[m] {
             Some((work, until)) if now < until => {
-                if work > Span(0) {
-                    Point(0)
+                if work > TimeSpan(0) {
+                    Timestamp(0)
                 } else {
                     until
                 }
@@ -127,7 +127,7 @@
     }
 
     /// So much work goes there now.
-    pub fn owe(&mut self, m: usize, work: Span) {
+    pub fn owe(&mut self, m: usize, work: TimeSpan) {
         self.debt[m] = work;
         if let Some((allowed, _)) = &mut self.allowed[m] {
             *allowed = *allowed - work;
@@ -136,7 +136,7 @@
 
     /// Lets go of what another process had out: what is idle stays only if it came along. Says whose standing that changes;
     /// only those are looked at anew, or the two processes would decide apart.
-    pub fn disown(&mut self, idle_came: bool, now: Point) -> Vec<usize> {
+    pub fn disown(&mut self, idle_came: bool, now: Timestamp) -> Vec<usize> {
         let mut touched = Vec::new();
         for m in 0..self.id.len() {
             let idle = self.connections[m].saturating_sub(self.open[m]);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
 //! What a host tells the decisions and what it gets back. No decision is taken here.
 
-use crate::time::{Point, Span};
+use crate::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// How far a workload's statements may be executed again.
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     Any,
-    Bounded(Span),
+    Bounded(TimeSpan),
     Session,
     Fresh,
     Write,
@@ -34,10 +34,10 @@
     pub importance: f64,
     /// Share of the importance that an answer after the SLO time still earns.
     pub late_share: f64,
-    pub slo_time: Span,
+    pub slo_time: TimeSpan,
     pub repeat: Repeat,
     pub scope: Scope,
-    pub window: Span,
+    pub window: TimeSpan,
     pub freshness: Freshness,
 }
 
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     pub driver_count: u32,
-    pub tick: Span,
+    pub tick: TimeSpan,
     pub workloads: Vec<WorkloadSettings>,
     /// Statements per second within each tenant's quota, all drivers together.
     pub tenant_quotas: Vec<f64>,
@@ -62,19 +62,19 @@
     pub session_age_carried: bool,
     /// The member list must be asked for.
     pub list_on_request: bool,
-    pub list_ask_within: Span,
+    pub list_ask_within: TimeSpan,
     pub gone_is_advice: bool,
     pub cold_share: f64,
-    pub warm_within: Span,
+    pub warm_within: TimeSpan,
     pub fall_multiple: f64,
-    pub fall_span: Span,
+    pub fall_span: TimeSpan,
     pub max_executions: usize,
     /// Idle connections are closed after this.
-    pub connection_idle: Span,
+    pub connection_idle: TimeSpan,
     pub cancel_allowed: bool,
     pub probes_allowed: bool,
     /// The longest hold-off that clients follow; zero where none reaches them.
-    pub max_hold_off: Span,
+    pub max_hold_off: TimeSpan,
 }
 
 impl Settings {
@@ -97,13 +97,13 @@
     /// The client says that it has asked before.
     pub repeat: bool,
     /// Until the client gives up this try.
-    pub left: Span,
+    pub left: TimeSpan,
     /// Expected work, where clients say.
-    pub work: Option<Span>,
+    pub work: Option<TimeSpan>,
     /// How long ago the session's last write was committed, where that is carried.
-    pub written_ago: Option<Span>,
+    pub written_ago: Option<TimeSpan>,
     /// Another driver has sent it, or may have: so long ago at the most, and first to this member.
-    pub doubted: Option<(Span, u32)>,
+    pub doubted: Option<(TimeSpan, u32)>,
 }
 
 /// What is told of a member by another process or driver. How this one fares with it none of that says.
@@ -112,13 +112,13 @@
     /// So many executions of the other process are out there.
     Open(usize),
     /// It drains or is gone, as one that started then.
-    Drains(Option<Point>),
+    Drains(Option<Timestamp>),
     /// What it told another driver of itself, so long ago.
-    Said(Span, Sighting),
+    Said(TimeSpan, Sighting),
     /// So much work this driver may send it while it is cold, until then: what all others send is known.
-    Cold { work: Span, until: Point },
+    Cold { work: TimeSpan, until: Timestamp },
     /// Several drivers have late executions there, and nobody has heard from it since: until then it is silent.
-    Silent(Point),
+    Silent(Timestamp),
     /// The share that it is let in where this driver's and others' are drawn together; it counts in sparse views.
     Share(f64),
 }
@@ -142,7 +142,7 @@
 /// What a member said of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sighting {
-    pub position: Option<Point>,
+    pub position: Option<Timestamp>,
     pub is_primary: Option<bool>,
 }
 
@@ -162,7 +162,7 @@
     pub number: u8,
     pub member: u32,
     pub ending: Ending,
-    pub took: Span,
+    pub took: TimeSpan,
     /// The statement has its final answer, by this end or before it.
     pub settled: bool,
     pub sighting: Sighting,
@@ -187,14 +187,14 @@
     pub named_primary: bool,
     pub size: f64,
     /// When it last started, where that is known to be recent.
-    pub started: Option<Point>,
+    pub started: Option<Timestamp>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Execution {
     pub stmt: u32,
     pub member: u32,
-    pub until: Point,
+    pub until: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -205,7 +205,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    Rejected { stmt: u32, hold_off: Span },
+    Rejected { stmt: u32, hold_off: TimeSpan },
     Aborted { stmt: u32 },
 }
 
@@ -220,5 +220,5 @@
     pub let_go: Vec<u32>,
     /// Ask the list service for changes from now on.
     pub subscribe: bool,
-    pub wake_up: Option<Point>,
+    pub wake_up: Option<Timestamp>,
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::Standing;
 use crate::subset::{Firsts, Replica};
-use crate::time::{Point, Span};
+use crate::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,7 +10,7 @@
 use std::ops::{Bound, Index, IndexMut};
 
 /// How much work an importance, since when, and which statement: the least is first in line.
-pub type Rank = (u64, Point, u32);
+pub type Rank = (u64, Timestamp, u32);
 
 #[derive(Default)]
 pub struct Stmt {
@@ -18,25 +18,25 @@
     pub group: usize,
     pub session: u64,
     /// The position that a session read needs.
-    pub token: Point,
+    pub token: Timestamp,
     /// Expected work, where clients say.
-    pub work: Option<Span>,
+    pub work: Option<TimeSpan>,
     pub importance: f64,
     /// Drawn once: the share to be let in that it needs.
     pub bar: f64,
-    pub taken: Point,
-    pub slo_at: Point,
-    pub answer_by: Point,
+    pub taken: Timestamp,
+    pub slo_at: Timestamp,
+    pub answer_by: Timestamp,
     /// After this it may not be sent any more, for the time its repeats are known has passed.
-    pub send_by: Point,
+    pub send_by: Timestamp,
     /// After this it is not kept any more if it was sent nowhere.
-    pub unsent_by: Point,
-    pub due: Point,
+    pub unsent_by: Timestamp,
+    pub due: Timestamp,
     pub executions: usize,
     /// When and where the first execution that may have run went out.
-    pub doubt: Option<(Point, usize)>,
+    pub doubt: Option<(Timestamp, usize)>,
     pub avoid: Vec<usize>,
-    pub hold_until: Point,
+    pub hold_until: Timestamp,
     /// Its place in the group's queue, while it waits.
     pub rank: Option<Rank>,
 }
@@ -54,7 +54,7 @@
     pub workload: usize,
     /// Whose it is: its answer may come behind the end of its statement.
     pub session: u64,
-    pub sent: Point,
+    pub sent: Timestamp,
     pub called_off: bool,
     /// None was free, so that one had to be set up for it.
     pub new_connection: bool,
@@ -66,13 +66,13 @@
 
 impl Running {
     /// Counts no more if it went to this member before then; says whether that is new.
-    pub fn lose(&mut self, member: usize, before: Point) -> bool {
+    pub fn lose(&mut self, member: usize, before: Timestamp) -> bool {
         let is_new = self.member == member && self.sent < before && !self.lost;
         self.lost |= is_new;
         is_new
     }
 
-    pub fn new(member: usize, s: &Stmt, sent: Point, new_connection: bool) -> Running {
+    pub fn new(member: usize, s: &Stmt, sent: Timestamp, new_connection: bool) -> Running {
         let (called_off, lost, awaits) = (false, false, false);
         Running {
             member,
@@ -92,7 +92,7 @@
     pub members: Vec<usize>,
     pub primary: Option<usize>,
     /// The newest position at which a member spoke as primary.
-    pub primary_at: Point,
+    pub primary_at: Timestamp,
     pub turn: usize,
     /// Places in `members` of the replicas, in this driver's order, and for what that was reckoned.
     #[serde(skip)]
@@ -103,7 +103,7 @@
     #[serde(skip)]
     waiting: BTreeMap<usize, BTreeSet<Rank>>,
     pub wants_primary: bool,
-    pub lacking_until: Point,
+    pub lacking_until: Timestamp,
 }
 
 /// Groups under a dense index, in the order in which they were first named.
@@ -161,20 +161,20 @@
 /// What is to be looked at when, in order of time.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(bound = "K: Ord + Serialize + serde::de::DeserializeOwned")]
-pub struct Agenda<K>(BTreeSet<(Point, K)>);
+pub struct Agenda<K>(BTreeSet<(Timestamp, K)>);
 
 impl<K: Ord + Copy> Agenda<K> {
-    pub fn put(&mut self, key: K, before: Point, next: Option<Point>) {
+    pub fn put(&mut self, key: K, before: Timestamp, next: Option<Timestamp>) {
         self.0.remove(&(before, key));
         self.0.extend(next.map(|at| (at, key)));
     }
 
-    pub fn first_at(&self) -> Option<Point> {
+    pub fn first_at(&self) -> Option<Timestamp> {
         self.0.first().map(|(at, _)| *at)
     }
 
     /// The first whose time has come.
-    pub fn ready(&self, now: Point) -> Option<K> {
+    pub fn ready(&self, now: Timestamp) -> Option<K> {
         let first = self.0.first().filter(|(at, _)| *at <= now);
         first.map(|(_, key)| *key)
     }
@@ -245,12 +245,12 @@
 /// Work within the last while, as of the last addition.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Window {
-    pub entries: VecDeque<(Point, Span)>,
-    pub total: Span,
+    pub entries: VecDeque<(Timestamp, TimeSpan)>,
+    pub total: TimeSpan,
 }
 
 impl Window {
-    pub fn add(&mut self, now: Point, work: Span, span: Span) {
+    pub fn add(&mut self, now: Timestamp, work: TimeSpan, span: TimeSpan) {
         self.entries.push_back((now, work));
         self.total = self.total + work;
         while let Some((_, work)) = self.entries.front().copied().filter(|(at, _)| now - *at > span) {
@@ -262,13 +262,13 @@
 
 /// What is left of each tenant's quota of statements; a second's worth may be saved up.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Quotas(BTreeMap<usize, (f64, Point)>);
+pub struct Quotas(BTreeMap<usize, (f64, Timestamp)>);
 
 impl Quotas {
     /// Draws one statement, if that is left.
-    pub fn draw(&mut self, tenant: usize, per_second: f64, now: Point) -> bool {
-        let (left, at) = self.0.entry(tenant).or_insert((0.0, Point(0)));
-        *left = (*left + (now - *at).ratio(Span::millis(1000)) * per_second).min(per_second.max(1.0));
+    pub fn draw(&mut self, tenant: usize, per_second: f64, now: Timestamp) -> bool {
+        let (left, at) = self.0.entry(tenant).or_insert((0.0, Timestamp(0)));
+        *left = (*left + (now - *at).ratio(TimeSpan::millis(1000)) * per_second).min(per_second.max(1.0));
         *at = now;
         let within = *left >= 1.0;
         *left -= if within { 1.0 } else { 0.0 };
@@ -314,7 +314,7 @@
 }
 impl Members {
     /// As much as may have been sent to each just now, and nothing that is out by anybody else.
-    pub fn reckon_anew(&mut self, now: Point, work: Span) {
+    pub fn reckon_anew(&mut self, now: Timestamp, work: TimeSpan) {
         self.debt_at.fill(now);
         self.debt.fill(work);
         self.elsewhere.fill(0);
@@ -329,53 +329,57 @@
     drained: bool = false;
     size: f64 = 1.0;
     // Taken for silent until then, by other drivers' word.
-    quiet_until: Point = Point(0);
-    started: Option<Point> = None;
+    quiet_until: Timestamp = Timestamp(0);
+    started: Option<Timestamp> = None;
     // The known log position, and when it was told.
-    position: Point = Point(0);
-    told_at: Option<Point> = None;
+    position: Timestamp = Timestamp(0);
+    told_at: Option<Timestamp> = None;
     said_replica: bool = false;
     open: usize = 0;
     // Executions that another process of this driver has out.
     elsewhere: usize = 0;
-    owes_since: Point = Point(0);
+    owes_since: Timestamp = Timestamp(0);
     shunned: bool = false;
     connections: usize = 0;
-    used_at: Point = Point(0);
+    used_at: Timestamp = Timestamp(0);
     limit: f64 = 1.0;
     // Smoothed time of answers, as a share of the SLO time.
     pace: f64 = 0.0;
     // Share of statements that are let in.
     let_in: f64 = 1.0;
-    cut_at: Point = Point(0);
+    cut_at: Timestamp = Timestamp(0);
     // Smoothed executions at once while answers came in good time.
     proven: f64 = 0.0;
-    watch_at: Point = Point(0);
-    probe_at: Point = Point(0);
+    watch_at: Timestamp = Timestamp(0);
+    probe_at: Timestamp = Timestamp(0);
     // Work last sent while cold, and when.
-    debt: Span = Span(0);
-    debt_at: Point = Point(0);
+    debt: TimeSpan = TimeSpan(0);
+    debt_at: Timestamp = Timestamp(0);
     // Work that may be sent while cold, and until when that is known.
-    allowed: Option<(Span, Point)> = None;
+    allowed: Option<(TimeSpan, Timestamp)> = None;
 }
 
 /// Commit positions of sessions, and one that covers all those forgotten.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Sessions {
-    commits: BTreeMap<u64, Point>,
-    forgotten: Point,
+    commits: BTreeMap<u64, Timestamp>,
+    forgotten: Timestamp,
 }
 
 impl Sessions {
-    pub fn known(&self, session: u64) -> Point {
+    pub fn known(&self, session: u64) -> Timestamp {
         self.commits.get(&session).copied().unwrap_or(self.forgotten)
     }
 
     /// Forgetting never lets a read go to older data: unknown sessions then need the newest one forgotten.
-    pub fn note(&mut self, session: u64, commit: Point, most: usize) {
+    pub fn note(&mut self, session: u64, commit: Timestamp, most: usize) {
         let newest = commit.max(self.known(session));
         if self.commits.len() >= most {
-            self.forgotten = self.commits.values().copied().fold(self.forgotten, Point::max);
+            self.forgotten = self
+                .commits
+                .values()
+                .copied()
+                .fold(self.forgotten, Timestamp::max);
             self.commits.clear();
         }
         self.commits.insert(session, newest);
--- a/src/time.rs
+++ b/src/time.rs
@@ -4,61 +4,61 @@
 use std::ops::{Add, Mul, Sub};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Point(pub u64);
+pub struct Timestamp(pub u64);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Span(pub u64);
+pub struct TimeSpan(pub u64);
 
-impl Span {
-    pub const fn millis(ms: u64) -> Span {
-        Span(ms.saturating_mul(1000))
+impl TimeSpan {
+    pub const fn millis(ms: u64) -> TimeSpan {
+        TimeSpan(ms.saturating_mul(1000))
     }
 
     /// How many times `other` goes into this span.
-    pub fn ratio(self, other: Span) -> f64 {
+    pub fn ratio(self, other: TimeSpan) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
 }
 
-impl Add<Span> for Point {
-    type Output = Point;
-    fn add(self, span: Span) -> Point {
-        Point(self.0.saturating_add(span.0))
+impl Add<TimeSpan> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, span: TimeSpan) -> Timestamp {
+        Timestamp(self.0.saturating_add(span.0))
     }
 }
 
-impl Sub<Span> for Point {
-    type Output = Point;
-    fn sub(self, span: Span) -> Point {
-        Point(self.0.saturating_sub(span.0))
+impl Sub<TimeSpan> for Timestamp {
+    type Output = Timestamp;
+    fn sub(self, span: TimeSpan) -> Timestamp {
+        Timestamp(self.0.saturating_sub(span.0))
     }
 }
 
 /// The span from an earlier point; none at all when it is in fact the later one.
-impl Sub for Point {
-    type Output = Span;
-    fn sub(self, earlier: Point) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+impl Sub for Timestamp {
+    type Output = TimeSpan;
+    fn sub(self, earlier: Timestamp) -> TimeSpan {
+        TimeSpan(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add for Span {
-    type Output = Span;
-    fn add(self, other: Span) -> Span {
-        Span(self.0.saturating_add(other.0))
+impl Add for TimeSpan {
+    type Output = TimeSpan;
+    fn add(self, other: TimeSpan) -> TimeSpan {
+        TimeSpan(self.0.saturating_add(other.0))
     }
 }
 
-impl Sub for Span {
-    type Output = Span;
-    fn sub(self, other: Span) -> Span {
-        Span(self.0.saturating_sub(other.0))
+impl Sub for TimeSpan {
+    type Output = TimeSpan;
+    fn sub(self, other: TimeSpan) -> TimeSpan {
+        TimeSpan(self.0.saturating_sub(other.0))
     }
 }
 
-impl Mul<f64> for Span {
-    type Output = Span;
-    fn mul(self, factor: f64) -> Span {
-        Span((self.0 as f64 * factor) as u64)
+impl Mul<f64> for TimeSpan {
+    type Output = TimeSpan;
+    fn mul(self, factor: f64) -> TimeSpan {
+        TimeSpan((self.0 as f64 * factor) as u64)
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use asterlatch::choice::Driver;
 use asterlatch::interface::*;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 
 pub const READ: usize = 0;
 pub const BOUNDED: usize = 1;
@@ -11,12 +11,12 @@
 pub const FRESH: usize = 3;
 pub const SESSION: usize = 4;
 
-pub fn ms(n: u64) -> Span {
-    Span::millis(n)
+pub fn ms(n: u64) -> TimeSpan {
+    TimeSpan::millis(n)
 }
 
-pub fn at(n: u64) -> Point {
-    Point(1_000_000_000) + ms(n)
+pub fn at(n: u64) -> Timestamp {
+    Timestamp(1_000_000_000) + ms(n)
 }
 
 pub fn settings() -> Settings {
@@ -82,7 +82,7 @@
     standing(id, Standing::Draining)
 }
 
-pub fn started(id: u32, when: Point) -> MemberEntry {
+pub fn started(id: u32, when: Timestamp) -> MemberEntry {
     let (started, plain) = (Some(when), member(id));
     MemberEntry { started, ..plain }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 use asterlatch::fleet::{Fleet, Zones};
 use asterlatch::interface::*;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use common::*;
 use Ending::*;
 
@@ -13,9 +13,9 @@
         let (fleet, count) = (Fleet::of(drivers), f64::from(drivers.max(1)));
         assert!((fleet.part(60.0) * count - 60.0).abs() < 1e-9, "{drivers}");
         // No member is asked oftener than every 15 ms by all, and by none oftener than every 300 ms.
-        let each = Span((fleet.probe_gap().0 as f64 / count) as u64);
-        assert!(fleet.probe_gap() >= Span::millis(300), "{drivers}");
-        assert!(each >= Span(14_900), "{drivers}: {each:?}");
+        let each = TimeSpan((fleet.probe_gap().0 as f64 / count) as u64);
+        assert!(fleet.probe_gap() >= TimeSpan::millis(300), "{drivers}");
+        assert!(each >= TimeSpan(14_900), "{drivers}: {each:?}");
         assert!(
             fleet.first_limit() >= 1.0 && fleet.first_limit() <= 8.0,
             "{drivers}"
@@ -93,7 +93,7 @@
     for (heard, left, sent, silent) in table {
         let mut zones = Zones::default();
         zones.hear(3, at(heard));
-        zones.leave(3, if left > 0 { at(left) } else { Point(0) });
+        zones.leave(3, if left > 0 { at(left) } else { Timestamp(0) });
         let out = || sent.iter().map(|t| at(*t));
         assert_eq!(
             zones.is_silent(3, &mut out(), at(1000), ms(100)),
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -3,7 +3,7 @@
 mod common;
 use asterlatch::choice::Driver;
 use asterlatch::interface::*;
-use asterlatch::time::{Point, Span};
+use asterlatch::time::{TimeSpan, Timestamp};
 use common::{ms, settings, with};
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 struct World {
     drivers: Vec<Driver>,
     chance: fastrand::Rng,
-    now: Point,
+    now: Timestamp,
     next: u32,
     /// Executions that are out: statement and number, member, when they went out.
-    out: Vec<(u32, u8, u32, Point)>,
+    out: Vec<(u32, u8, u32, Timestamp)>,
     open: BTreeMap<u32, u8>,
     probes: Vec<u32>,
     draining: Option<u32>,
@@ -34,7 +34,7 @@
     Ending::ConnectionLost,
 ];
 
-fn entry(id: u32, standing: Standing, started: Option<Point>) -> MemberEntry {
+fn entry(id: u32, standing: Standing, started: Option<Timestamp>) -> MemberEntry {
     MemberEntry {
         id,
         key: u64::from(id),
@@ -49,7 +49,7 @@
 
 impl World {
     fn new(settings: &Settings, seed: u64) -> World {
-        let now = Point(1_000_000_000);
+        let now = Timestamp(1_000_000_000);
         let mut world = World {
             drivers: vec![Driver::new(settings, seed, now)],
             chance: fastrand::Rng::with_seed(seed),
@@ -66,7 +66,7 @@
         world
     }
 
-    fn all(&mut self, input: impl Fn(&mut Driver, Point) -> Results) {
+    fn all(&mut self, input: impl Fn(&mut Driver, Timestamp) -> Results) {
         self.inputs += 1;
         let now = self.now;
         let mut results = self.drivers.iter_mut().map(|d| input(d, now));
@@ -119,7 +119,7 @@
     }
 
     fn step(&mut self) {
-        self.now = self.now + Span(self.chance.u64(0..3000));
+        self.now = self.now + TimeSpan(self.chance.u64(0..3000));
         match self.chance.u32(0..100) {
             0..35 => {
                 self.next += 1;
@@ -300,7 +300,7 @@
     let bytes = std::fs::read(learned_fixture()).expect("lies there");
     let learned: Driver = postcard::from_bytes(&bytes).expect("can be read");
     assert_eq!(postcard::to_stdvec(&learned).expect("can be written"), bytes);
-    let now = Point(1_010_000_000);
+    let now = Timestamp(1_010_000_000);
     let mut next = Driver::resume(learned, &fleet_with_quotas(), false, now);
     let mut taken = |id, workload, group| {
         let statement = Statement {
--- a/tests/told.rs
+++ b/tests/told.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use asterlatch::interface::*;
-use asterlatch::time::Span;
+use asterlatch::time::TimeSpan;
 use common::*;
 
 fn told(
@@ -104,7 +104,7 @@
 /// (workload's repeats, scope; sent so long ago; to member 1 of zone 0 or 2 of zone 1; where it goes and what is told)
 #[test]
 fn a_statement_that_another_driver_may_have_sent_goes_out_only_where_that_is_harmless() {
-    let long = Span(u64::MAX / 4);
+    let long = TimeSpan(u64::MAX / 4);
     #[rustfmt::skip]
     let table = [
         ("none is doubted", Repeat::NonIdempotent, Scope::Group, None, vec![1], ""),
