--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -15,7 +15,7 @@
 use asterlatch_gossip::codec::Dialect;
 use asterlatch_gossip::membership::Times;
 use asterlatch_gossip::node::{shown, Engine, Input, Output, Settings};
-use asterlatch_gossip::record::Fact;
+use asterlatch_gossip::record::Record;
 use asterlatch_gossip::snapshot::{self, Keeper, Told, Wish};
 use asterlatch_gossip::state::Book;
 use asterlatch_recovery::report;
@@ -183,8 +183,8 @@
     let peers = shares.others.iter().enumerate().filter(|(_, o)| o.asked);
     let rules = &config.settings.0;
     let terms = Terms {
-        fall_span: rules.fall_span,
-        fall_multiple: rules.fall_multiple,
+        fall_span: rules.overload_window,
+        fall_multiple: rules.overload_multiple,
         ..shares.terms
     };
     let sharing = Sharing::new(
@@ -237,7 +237,7 @@
 
 #[derive(Default)]
 struct Former {
-    facts: Vec<(Fact, Timestamp)>,
+    facts: Vec<(Record, Timestamp)>,
     life: u64,
     fault: Option<String>,
 }
@@ -433,7 +433,7 @@
         let told = |name: &str| {
             let of = self.engine.book.all().map(|e| &e.fact);
             of.filter_map(|f| match f {
-                Fact::Driver {
+                Record::Driver {
                     name: n, list, file, ..
                 } if n == name => Some((*list, format!("{file:016x}"))),
                 _ => None,
@@ -503,9 +503,9 @@
 }
 
 /// A fact's figures in words.
-fn says(fact: &Fact) -> String {
+fn says(fact: &Record) -> String {
     match fact {
-        Fact::Member {
+        Record::Member {
             started_ms,
             group,
             position,
@@ -513,18 +513,18 @@
             replica_at,
             ..
         } => format!("group {group}, at {position}, primary at {primary_at}, replica at {replica_at}, started {started_ms}"),
-        Fact::Drain { list, standing, .. } => format!("{standing:?} by list {list}"),
-        Fact::Cold {
+        Record::Drain { list, standing, .. } => format!("{standing:?} by list {list}"),
+        Record::Cold {
             work_us, carries_us, ..
         } => format!("{work_us} us of work, carries {carries_us} us a second"),
-        Fact::Session { position, .. } => format!("written at {position}"),
-        Fact::Turn { claim, .. } => {
+        Record::Session { position, .. } => format!("written at {position}"),
+        Record::Turn { claim, .. } => {
             let Claim { term, holder, said, end, .. } = claim;
             format!("{end:?} by {holder:016x}, term {term}, said {said} times")
         }
-        Fact::Load { shares, .. } => format!("shares of {} members", shares.len()),
-        Fact::Late { before_us, .. } => format!("sent {} ms before", before_us / 1000),
-        Fact::Driver { life, list, file, caught_up, .. } => {
+        Record::Load { shares, .. } => format!("shares of {} members", shares.len()),
+        Record::Late { before_us, .. } => format!("sent {} ms before", before_us / 1000),
+        Record::Driver { life, list, file, caught_up, .. } => {
             format!("life {life}, list {list}, file {file:016x}, caught up {caught_up}")
         }
     }
--- a/crates/driver/src/program/upgrade/handover.rs
+++ b/crates/driver/src/program/upgrade/handover.rs
@@ -4,7 +4,7 @@
 use crate::routing::owner::Owner;
 use crate::routing::tables::Members;
 use crate::transport::clock::Clock;
-use asterlatch::choice::Driver;
+use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::codec::machine_us;
 use serde::{Deserialize, Serialize};
@@ -41,7 +41,7 @@
 /// What a new process goes on from.
 pub struct Resumed {
     pub clock: Clock,
-    pub learned: (Driver, Members),
+    pub learned: (RoutingPolicy, Members),
 }
 
 pub fn read(bytes: &[u8], settings: u64) -> Result<Resumed, String> {
--- a/crates/driver/src/protocol/execution.rs
+++ b/crates/driver/src/protocol/execution.rs
@@ -3,7 +3,7 @@
 use super::messages::{self, Front};
 use super::vitals;
 use crate::transport::stream::{Dialogue, Outbox};
-use asterlatch::interface::Sighting;
+use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::Timestamp;
 use std::net::TcpStream;
 
@@ -24,7 +24,7 @@
         connection: u32,
         at: Timestamp,
         reply: Reply,
-        sighting: Sighting,
+        sighting: ReplicaStatus,
         report: Option<String>,
     },
     /// The connection, idle, is to go on in another process.
@@ -70,7 +70,7 @@
     row: bool,
     complete: bool,
     error: Option<String>,
-    sighting: Sighting,
+    sighting: ReplicaStatus,
     report: Option<String>,
 }
 
@@ -88,7 +88,7 @@
             row: false,
             complete: false,
             error: None,
-            sighting: Sighting::default(),
+            sighting: ReplicaStatus::default(),
             report: None,
         }
     }
@@ -123,7 +123,7 @@
     /// before it with the answer is believed.
     fn malformed(&mut self, at: Timestamp, out: &mut Outbox<Heard>) {
         if self.sent {
-            (self.sighting, self.report) = (Sighting::default(), None);
+            (self.sighting, self.report) = (ReplicaStatus::default(), None);
             self.reply(Reply::Malformed, at, out);
         }
         self.close(out);
--- a/crates/driver/src/protocol/vitals.rs
+++ b/crates/driver/src/protocol/vitals.rs
@@ -1,6 +1,6 @@
 //! Positions, roles and reports as members word them.
 
-use asterlatch::interface::Sighting;
+use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
 
 pub const POSITION: &str = "as_of";
@@ -26,9 +26,9 @@
 
 /// What a report's text holds: its position is in seconds there, and is rounded down, for no member may seem
 /// fresher than it is. `position` and `role` name the fields that hold them.
-pub fn report(text: &str, position: Option<&str>, role: Option<&str>) -> Sighting {
+pub fn report(text: &str, position: Option<&str>, role: Option<&str>) -> ReplicaStatus {
     let pairs = text.split(',').filter_map(|p| p.split_once('='));
-    let mut sighting = Sighting::default();
+    let mut sighting = ReplicaStatus::default();
     for (name, value) in pairs.map(|(n, v)| (n.trim(), v.trim())) {
         let Some(number) = value.parse::<f64>().ok().filter(|v| v.is_finite()) else {
             continue;
--- a/crates/driver/src/routing/endings.rs
+++ b/crates/driver/src/routing/endings.rs
@@ -3,60 +3,65 @@
 use super::figures::Figures;
 use crate::protocol::execution::Reply;
 use crate::protocol::session::Final;
-use asterlatch::interface::{Answer, Ending};
+use asterlatch::interface::{Answer, ExecutionOutcome};
 use asterlatch::time::TimeSpan;
 
 /// How an execution ended that a member answered. Only the codes that prove it untouched do so.
-pub fn of_reply(reply: &Reply) -> Ending {
+pub fn of_reply(reply: &Reply) -> ExecutionOutcome {
     match reply {
-        Reply::Rows(_) => Ending::Completed,
+        Reply::Rows(_) => ExecutionOutcome::Completed,
         Reply::Error(code) => match code.as_str() {
-            "25006" | "72000" => Ending::Missed,
-            "53300" => Ending::TurnedAway,
-            _ => Ending::Errored,
+            "25006" | "72000" => ExecutionOutcome::NotEligible,
+            "53300" => ExecutionOutcome::Rejected,
+            _ => ExecutionOutcome::Errored,
         },
-        Reply::Malformed => Ending::Errored,
+        Reply::Malformed => ExecutionOutcome::Errored,
     }
 }
 
 /// How an execution ended whose connection is over.
-pub fn of_loss(written: bool) -> Ending {
+pub fn of_loss(written: bool) -> ExecutionOutcome {
     if written {
-        Ending::ConnectionLost
+        ExecutionOutcome::ConnectionLost
     } else {
-        Ending::NoConnection
+        ExecutionOutcome::NoConnection
     }
 }
 
 /// The same proof that the module goes by.
-pub fn never_ran(ending: Ending) -> bool {
-    asterlatch::choice::never_ran(ending)
+pub fn never_ran(ending: ExecutionOutcome) -> bool {
+    asterlatch::policy::definitely_not_executed(ending)
 }
 
-pub fn count(figures: &mut Figures, ending: Ending) {
+pub fn count(figures: &mut Figures, ending: ExecutionOutcome) {
     *match ending {
-        Ending::Completed => &mut figures.ended_completed,
-        Ending::Errored => &mut figures.ended_errored,
-        Ending::TurnedAway => &mut figures.ended_turned_away,
-        Ending::TimedOut => &mut figures.ended_timed_out,
-        Ending::NoConnection => &mut figures.ended_no_connection,
-        Ending::ConnectionLost => &mut figures.ended_connection_lost,
-        Ending::Cancelled => &mut figures.ended_cancelled,
-        Ending::NeverSent => &mut figures.ended_never_sent,
-        Ending::Missed => &mut figures.ended_missed,
+        ExecutionOutcome::Completed => &mut figures.ended_completed,
+        ExecutionOutcome::Errored => &mut figures.ended_errored,
+        ExecutionOutcome::Rejected => &mut figures.ended_turned_away,
+        ExecutionOutcome::TimedOut => &mut figures.ended_timed_out,
+        ExecutionOutcome::NoConnection => &mut figures.ended_no_connection,
+        ExecutionOutcome::ConnectionLost => &mut figures.ended_connection_lost,
+        ExecutionOutcome::Cancelled => &mut figures.ended_cancelled,
+        ExecutionOutcome::NotSent => &mut figures.ended_never_sent,
+        ExecutionOutcome::NotEligible => &mut figures.ended_missed,
     } += 1;
 }
 
 /// The statement and what its client is told.
 pub fn of_answer(answer: &Answer) -> (u32, Final) {
     let (stmt, code, message, hold_off) = match *answer {
-        Answer::Rejected { stmt, hold_off } => (
+        Answer::Rejected {
+            statement: stmt,
+            retry_after: hold_off,
+        } => (
             stmt,
             "53300",
             "not executed, or harmless to execute again",
             hold_off,
         ),
-        Answer::Aborted { stmt } => (stmt, "40003", "the statement may have been executed", TimeSpan(0)),
+        Answer::Aborted { statement: stmt } => {
+            (stmt, "40003", "the statement may have been executed", TimeSpan(0))
+        }
     };
     let hold_off_ms = Some(hold_off.0 / 1000).filter(|ms| *ms > 0);
     let told = Final::Error {
--- a/crates/driver/src/routing/errands.rs
+++ b/crates/driver/src/routing/errands.rs
@@ -5,7 +5,7 @@
 use crate::transport::ages::Ages;
 use crate::transport::pool::Pool;
 use crate::transport::stream::Line;
-use asterlatch::interface::Ending;
+use asterlatch::interface::ExecutionOutcome;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -132,7 +132,12 @@
 
     /// Gives it an idle connection, else opens one, on which nothing goes out before it is up; or says how that ended
     /// at once.
-    pub fn start(&mut self, now: Timestamp, errand: Errand, address: SocketAddr) -> Result<Start, Ending> {
+    pub fn start(
+        &mut self,
+        now: Timestamp,
+        errand: Errand,
+        address: SocketAddr,
+    ) -> Result<Start, ExecutionOutcome> {
         let mut errand = errand;
         let mut cause = None;
         let earliest = now - self.ages.limit().unwrap_or(self.idle).min(self.idle);
@@ -171,9 +176,9 @@
         }
     }
 
-    fn open(&mut self, member: u32, address: SocketAddr) -> Result<u32, Ending> {
+    fn open(&mut self, member: u32, address: SocketAddr) -> Result<u32, ExecutionOutcome> {
         if self.pool.count() >= self.most {
-            let (_, oldest) = self.pool.oldest_idle().ok_or(Ending::NeverSent)?;
+            let (_, oldest) = self.pool.oldest_idle().ok_or(ExecutionOutcome::NotSent)?;
             if let Some(crowded) = self.pool.member(oldest).and_then(|m| self.met.get_mut(&m)) {
                 *crowded = true;
             }
@@ -181,8 +186,8 @@
         }
         let id = self.pool.next_id();
         let line = (self.dial)(id, address).map_err(|e| match e.raw_os_error() {
-            Some(code) if NO_DESCRIPTOR.contains(&code) => Ending::NeverSent,
-            _ => Ending::NoConnection,
+            Some(code) if NO_DESCRIPTOR.contains(&code) => ExecutionOutcome::NotSent,
+            _ => ExecutionOutcome::NoConnection,
         })?;
         self.pool.add(id, member, address, line);
         Ok(id)
@@ -253,24 +258,24 @@
     }
 
     /// Calls an execution off; says how that ends it.
-    pub fn cancel(&mut self, now: Timestamp, stmt: u32, number: u8) -> Option<(Errand, Ending)> {
+    pub fn cancel(&mut self, now: Timestamp, stmt: u32, number: u8) -> Option<(Errand, ExecutionOutcome)> {
         let connection = *self.running.get(&(stmt, number))?;
         if self.busy.get(&connection).is_some_and(|e| e.up) {
-            Some((self.end(connection)?, Ending::Cancelled))
+            Some((self.end(connection)?, ExecutionOutcome::Cancelled))
         } else {
-            Some((self.take_back(connection, now)?, Ending::NeverSent))
+            Some((self.take_back(connection, now)?, ExecutionOutcome::NotSent))
         }
     }
 
     /// The first that has been waited for long enough, and how that ends it: what waited for its connection never ran.
-    pub fn overdue(&mut self, now: Timestamp) -> Option<(Errand, Ending)> {
+    pub fn overdue(&mut self, now: Timestamp) -> Option<(Errand, ExecutionOutcome)> {
         while let Some((at, connection)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
             self.ends.remove(&(at, connection));
             if let Some(errand) = self.end(connection) {
                 let ending = if errand.up {
-                    Ending::TimedOut
+                    ExecutionOutcome::TimedOut
                 } else {
-                    Ending::NoConnection
+                    ExecutionOutcome::NoConnection
                 };
                 return Some((errand, ending));
             }
--- a/crates/driver/src/routing/owner/beside.rs
+++ b/crates/driver/src/routing/owner/beside.rs
@@ -7,8 +7,8 @@
 use crate::routing::endings;
 use crate::routing::tables::Members;
 use crate::transport::listener::Arrival;
-use asterlatch::choice;
-use asterlatch::interface::{Answer, Settings, Told};
+use asterlatch::interface::{Answer, MemberUpdate, Settings};
+use asterlatch::policy;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::co_serving::Word;
 use asterlatch_handover::io_journal::{Verdict, Verdicts};
@@ -26,9 +26,9 @@
         &mut self,
         now: Timestamp,
         settings: &Settings,
-        (module, members): (choice::Driver, Members),
+        (module, members): (policy::RoutingPolicy, Members),
     ) {
-        self.module = choice::Driver::resume(module, settings, false, now);
+        self.module = policy::RoutingPolicy::resume(module, settings, false, now);
         self.members = members;
         self.module_wakes = Some(now);
     }
@@ -42,7 +42,7 @@
             sharing.log.blank(now);
         }
         self.clients.share(is_shared);
-        let results = self.module.beside(now, is_shared && leaves);
+        let results = self.module.set_peer_process(now, is_shared && leaves);
         self.carry_out(now, results);
         self.tell_ended(now);
     }
@@ -59,14 +59,15 @@
     /// Takes over what binds both processes. A member that is not known here gets nothing from here.
     pub fn bind(&mut self, now: Timestamp, word: &Word) {
         let results = match word {
-            Word::Open { member, count } => self
-                .members
-                .find(member)
-                .map(|m| self.module.told(now, m, Told::Open(*count as usize))),
+            Word::Open { member, count } => self.members.find(member).map(|m| {
+                self.module
+                    .on_member_update(now, m, MemberUpdate::InFlight(*count as usize))
+            }),
             Word::Drains { member, since_ms } => self.members.find(member).map(|m| {
                 self.errands.let_go(m);
                 self.figures.drains_from_beside += 1;
-                self.module.told(now, m, Told::Drains(vitals::unix(*since_ms)))
+                self.module
+                    .on_member_update(now, m, MemberUpdate::Draining(vitals::unix(*since_ms)))
             }),
             Word::Heard => None,
         };
@@ -145,9 +146,15 @@
             Verdict::Open => return false,
             Verdict::Rejected => (
                 &mut self.figures.taken_back_rejected,
-                Answer::Rejected { stmt, hold_off },
+                Answer::Rejected {
+                    statement: stmt,
+                    retry_after: hold_off,
+                },
+            ),
+            Verdict::Aborted => (
+                &mut self.figures.taken_back_aborted,
+                Answer::Aborted { statement: stmt },
             ),
-            Verdict::Aborted => (&mut self.figures.taken_back_aborted, Answer::Aborted { stmt }),
         };
         *count += 1;
         let (_, told) = endings::of_answer(&answer);
--- a/crates/driver/src/routing/owner/mod.rs
+++ b/crates/driver/src/routing/owner/mod.rs
@@ -24,8 +24,8 @@
 use crate::transport::room::Room as Memory;
 use crate::transport::stream::Line;
 use crate::transport::witness::Witness;
-use asterlatch::choice;
 use asterlatch::interface::*;
+use asterlatch::policy;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::io_journal::Verdicts;
 use asterlatch_handover::message as moving;
@@ -42,7 +42,7 @@
 }
 
 /// What is handed over: the module's memory, and whom its ids mean.
-pub type Learned<'a> = (&'a choice::Driver, &'a Members);
+pub type Learned<'a> = (&'a policy::RoutingPolicy, &'a Members);
 
 /// How connections to members and discovery are opened.
 pub struct Place {
@@ -128,13 +128,13 @@
 /// The end of an execution or probe that the module is still to be told of.
 struct Ended {
     errand: Errand,
-    ending: Ending,
+    ending: ExecutionOutcome,
     took: TimeSpan,
-    sighting: Sighting,
+    sighting: ReplicaStatus,
 }
 
 pub struct Owner<O> {
-    module: choice::Driver,
+    module: policy::RoutingPolicy,
     decoding: Decoding,
     pub observer: O,
     pub figures: Figures,
@@ -192,10 +192,10 @@
     ) -> Owner<O> {
         let (given, limits) = (place.given, place.limits);
         let (most_clients, most_members) = given.connections(&limits);
-        let (timeout, idle) = (decoding.connect_timeout, settings.connection_idle);
+        let (timeout, idle) = (decoding.connect_timeout, settings.idle_connection_timeout);
         let idle = (idle, limits.member_idle);
         Owner {
-            module: choice::Driver::new(&settings, seed, now),
+            module: policy::RoutingPolicy::new(&settings, seed, now),
             workloads: Names::of(&decoding.workloads),
             freshness: settings.workloads.iter().map(|w| w.freshness).collect(),
             members: Members::new(&decoding.zones),
@@ -205,7 +205,7 @@
             calls: Calls::new(
                 place.discovery,
                 given.discovery,
-                settings.list_on_request,
+                settings.poll_endpoint_list,
                 limits,
                 now,
             ),
@@ -230,7 +230,7 @@
             harmless: settings
                 .workloads
                 .iter()
-                .map(WorkloadSettings::repeats_harmlessly)
+                .map(WorkloadSettings::is_client_retry_safe)
                 .collect(),
             moved_connections: Vec::new(),
             adopted: 0,
@@ -241,7 +241,7 @@
             harmful: settings
                 .workloads
                 .iter()
-                .map(|w| w.repeat != Repeat::Idempotent)
+                .map(|w| w.retry_safety != RetrySafety::Idempotent)
                 .collect(),
             remembers_sessions: !settings.session_age_carried,
             moved: Vec::new(),
@@ -310,11 +310,11 @@
     /// Does what is due by the clock.
     pub fn reach(&mut self, now: Timestamp) {
         while let Some((errand, ending)) = self.errands.overdue(now) {
-            self.end(errand, now, ending, Sighting::default());
+            self.end(errand, now, ending, ReplicaStatus::default());
             self.tell_ended(now);
         }
         if self.module_wakes.is_some_and(|at| at <= now) {
-            let results = self.module.time_reached(now);
+            let results = self.module.advance_to(now);
             self.carry_out(now, results);
         }
         self.reach_sharing(now);
@@ -485,7 +485,7 @@
                         continue;
                     }
                     self.figures.withdrawn += 1;
-                    let results = self.module.statement_withdrawn(now, stmt);
+                    let results = self.module.on_statement_withdrawn(now, stmt);
                     self.carry_out(now, results);
                 }
             }
@@ -532,15 +532,15 @@
             tenant: 0,
             group: marked.group,
             session,
-            repeat: marked.repeat,
-            left: times_out - now,
-            work: None,
-            doubted: None,
-            written_ago: marked.after.and_then(vitals::unix).map(|after| now - after),
+            is_client_retry: marked.repeat,
+            time_left: times_out - now,
+            expected_work: None,
+            prior_attempt: None,
+            session_write_age: marked.after.and_then(vitals::unix).map(|after| now - after),
         };
         let taken = self.asks_others(now, (marked.id, marked.repeat), taken, times_out);
         if let Some(taken) = taken {
-            let results = self.module.statement_taken(now, &taken);
+            let results = self.module.on_statement(now, &taken);
             self.carry_out(now, results);
         }
     }
@@ -573,18 +573,21 @@
     }
 
     /// Carries out what the module decided, in its order.
-    fn carry_out(&mut self, now: Timestamp, results: Results) {
-        self.module_wakes = results.wake_up;
+    fn carry_out(&mut self, now: Timestamp, results: Actions) {
+        self.module_wakes = results.wake_up_at;
         for c in &results.cancellations {
-            if let Some((errand, ending)) = self.errands.cancel(now, c.stmt, c.number) {
-                self.end(errand, now, ending, Sighting::default());
+            if let Some((errand, ending)) = self.errands.cancel(now, c.statement, c.attempt) {
+                self.end(errand, now, ending, ReplicaStatus::default());
             }
         }
         for e in &results.executions {
-            if let Some((number, until)) = self.statements.execute(e.stmt, e.until) {
+            if let Some((number, until)) = self.statements.execute(e.statement, e.deadline) {
                 self.figures.executions_sent += 1;
-                let kind = Kind::Execution { stmt: e.stmt, number };
-                self.shares_execution(now, e.stmt, number, e.member);
+                let kind = Kind::Execution {
+                    stmt: e.statement,
+                    number,
+                };
+                self.shares_execution(now, e.statement, number, e.member);
                 self.start(now, Errand::new(kind, e.member, now, until));
             }
         }
@@ -596,16 +599,16 @@
                 Answer::Aborted { .. } => self.figures.aborted += answered,
             }
         }
-        for member in &results.probes {
+        for member in &results.health_checks {
             if self.may_probe(now, *member) {
                 self.probe(now, *member);
             }
         }
-        for member in &results.let_go {
+        for member in &results.removed_members {
             self.members.let_go(*member);
             self.errands.let_go(*member);
         }
-        if results.subscribe {
+        if results.poll_endpoint_list {
             self.call(now);
         }
     }
@@ -617,7 +620,7 @@
         self.start(now, Errand::new(Kind::Probe, member, now, until));
     }
 
-    fn end(&mut self, errand: Errand, at: Timestamp, ending: Ending, sighting: Sighting) {
+    fn end(&mut self, errand: Errand, at: Timestamp, ending: ExecutionOutcome, sighting: ReplicaStatus) {
         let took = at - errand.sent;
         self.ended.push_back(Ended {
             errand,
@@ -638,21 +641,21 @@
                 Kind::Execution { stmt, number } => {
                     endings::count(&mut self.figures, ending);
                     let end = ExecutionEnd {
-                        stmt,
-                        number,
+                        statement: stmt,
+                        attempt: number,
                         member,
-                        ending,
-                        took: end.took,
-                        settled: !self.statements.holds(stmt),
-                        sighting: end.sighting,
+                        outcome: ending,
+                        latency: end.took,
+                        is_answered: !self.statements.holds(stmt),
+                        status: end.sighting,
                     };
-                    self.module.execution_ended(now, &end)
+                    self.module.on_execution_ended(now, &end)
                 }
                 Kind::Probe => {
-                    let ok = ending == Ending::Completed;
+                    let ok = ending == ExecutionOutcome::Completed;
                     self.figures.probes_answered += u64::from(ok);
                     self.module
-                        .probe_answered(now, member, ok, end.took, end.sighting)
+                        .on_health_check(now, member, ok, end.took, end.sighting)
                 }
             };
             self.carry_out(now, results);
@@ -678,10 +681,10 @@
                     _ => self.errands.answered(connection, now),
                 };
                 let Some(errand) = errand else { return };
-                let sighting = sighting.joined(self.reported(&errand, &reply, report));
+                let sighting = sighting.merge(self.reported(&errand, &reply, report));
                 let may_go = match (&reply, errand.kind) {
                     (execution::Reply::Rows(_), Kind::Execution { stmt, number }) => {
-                        self.module.accepts(stmt, number, sighting)
+                        self.module.accepts_answer(stmt, number, sighting)
                     }
                     _ => true,
                 };
@@ -689,7 +692,7 @@
                 let ending = if may_go {
                     endings::of_reply(&reply)
                 } else {
-                    Ending::Errored
+                    ExecutionOutcome::Errored
                 };
                 self.end(errand, at, ending, sighting);
                 match (reply, errand.kind) {
@@ -721,13 +724,13 @@
                     return self.restart(now, errand);
                 }
                 self.errands.note_age(&errand, now, written);
-                self.end(errand, at, endings::of_loss(written), Sighting::default());
+                self.end(errand, at, endings::of_loss(written), ReplicaStatus::default());
             }
         }
     }
 
     /// What a report says, whether it came beside an answer or as the row that a probe asked for.
-    fn reported(&self, errand: &Errand, reply: &execution::Reply, beside: Option<String>) -> Sighting {
+    fn reported(&self, errand: &Errand, reply: &execution::Reply, beside: Option<String>) -> ReplicaStatus {
         let fields = &self.decoding.report_fields;
         let name = |at: Option<usize>| at.and_then(|n| fields.get(n)).map(String::as_str);
         let (position, role) = (name(self.decoding.position_field), name(self.decoding.role_field));
@@ -737,8 +740,8 @@
         };
         let row = row.and_then(|v| std::str::from_utf8(v).ok());
         let read =
-            |text: Option<&str>| text.map_or(Sighting::default(), |t| vitals::report(t, position, role));
-        read(row).joined(read(beside.as_deref()))
+            |text: Option<&str>| text.map_or(ReplicaStatus::default(), |t| vitals::report(t, position, role));
+        read(row).merge(read(beside.as_deref()))
     }
 
     fn call(&mut self, now: Timestamp) {
@@ -750,7 +753,7 @@
 
     fn call_failed(&mut self, now: Timestamp) {
         if self.calls.failed(now) {
-            let results = self.module.list_failed(now);
+            let results = self.module.on_poll_failed(now);
             self.carry_out(now, results);
         }
     }
@@ -782,11 +785,11 @@
         self.figures.rosters_told += 1;
         let read = roster.entries.iter().filter_map(|e| self.members.learn(e));
         let entries: Vec<_> = read.collect();
-        let leave = entries.iter().filter(|e| e.standing != Standing::Ready);
+        let leave = entries.iter().filter(|e| e.state != MemberState::Ready);
         for e in leave {
             self.errands.let_go(e.id);
             let name = self.members.name(e.id).filter(|_| self.is_shared);
-            let since_ms = e.started.map_or(0, |at| at.0 / 1000);
+            let since_ms = e.started_at.map_or(0, |at| at.0 / 1000);
             self.drains.extend(name.map(|n| (n.to_owned(), since_ms)));
         }
         self.shares_listed(roster.index, &entries);
@@ -797,7 +800,7 @@
             self.observer.say(now, "discovery", text);
         }
         if roster.whole || !entries.is_empty() {
-            let results = self.module.members_told(now, &entries, roster.whole);
+            let results = self.module.on_endpoint_list(now, &entries, roster.whole);
             self.carry_out(now, results);
         }
         self.tell_ended(now);
--- a/crates/driver/src/routing/owner/sending.rs
+++ b/crates/driver/src/routing/owner/sending.rs
@@ -4,7 +4,7 @@
 use super::{Observer, Owner};
 use crate::protocol::messages;
 use crate::routing::errands::{Errand, Kind, Start, Up};
-use asterlatch::interface::{Ending, Sighting};
+use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::Record;
 
@@ -14,17 +14,17 @@
         let address = self.members.address(errand.member);
         let started = match address {
             Some(address) => self.errands.start(now, errand, address),
-            None => Err(Ending::NeverSent),
+            None => Err(ExecutionOutcome::NotSent),
         };
         match (started, errand.kind) {
             (Ok(Start::Stands(connection)), _) => self.send(now, connection, errand),
             (Ok(Start::Opens(cause)), kind) => {
                 self.figures.opened(Some(cause));
                 if let Kind::Execution { stmt, number } = kind {
-                    self.module.awaits(stmt, number);
+                    self.module.on_connecting(stmt, number);
                 }
             }
-            (Err(ending), _) => self.end(errand, now, ending, Sighting::default()),
+            (Err(ending), _) => self.end(errand, now, ending, ReplicaStatus::default()),
         }
     }
 
@@ -33,7 +33,7 @@
         if self.may_go(now, errand.kind) {
             self.start(now, errand);
         } else {
-            self.end(errand, now, Ending::NeverSent, Sighting::default());
+            self.end(errand, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
         }
     }
 
@@ -44,13 +44,13 @@
         if self.may_go(now, errand.kind) {
             self.send(now, connection, errand);
         } else if let Some(errand) = self.errands.take_back(connection, now) {
-            self.end(errand, now, Ending::NeverSent, Sighting::default());
+            self.end(errand, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
         }
     }
 
     fn may_go(&mut self, now: Timestamp, kind: Kind) -> bool {
         match kind {
-            Kind::Execution { stmt, number } => self.module.goes_out(now, stmt, number),
+            Kind::Execution { stmt, number } => self.module.may_dispatch(now, stmt, number),
             Kind::Probe => true,
         }
     }
@@ -63,7 +63,7 @@
         };
         let Some(query) = query else {
             if let Some(errand) = self.errands.take_back(connection, now) {
-                self.end(errand, now, Ending::NeverSent, Sighting::default());
+                self.end(errand, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
             }
             return;
         };
--- a/crates/driver/src/routing/owner/sharing.rs
+++ b/crates/driver/src/routing/owner/sharing.rs
@@ -12,7 +12,18 @@
 use asterlatch_gossip::in_doubt::{Known, Verdict, FOREVER};
 use asterlatch_gossip::membership::Presence;
 use asterlatch_gossip::node::Output;
-use asterlatch_gossip::record::{Fact, Standing as Listed};
+use asterlatch_gossip::record::{Record, Standing as Listed};
+
+/// An attempt of which neither time nor member are known.
+const UNKNOWN_ATTEMPT: PriorAttempt = PriorAttempt {
+    age: FOREVER,
+    member: 0,
+};
+
+/// An attempt of this age, at a member that this driver may not know.
+fn prior_attempt(age: TimeSpan, member: Option<u32>) -> PriorAttempt {
+    member.map_or(UNKNOWN_ATTEMPT, |member| PriorAttempt { age, member })
+}
 
 impl<O: Observer> Owner<O> {
     /// From now on others are told, and listened to.
@@ -59,9 +70,12 @@
         sharing.cold_at = Some(now + tick);
         let there: Vec<String> = sharing.there.iter().map(|p| sharing.names[*p].clone()).collect();
         let there: Vec<&str> = there.iter().map(String::as_str).collect();
-        let view = self.module.cold_view(now).into_iter();
+        let view = self.module.warming_members(now).into_iter();
         let cold: Vec<_> = view
-            .filter_map(|(id, warmth, carries)| Some((id, self.members.told_as(id)?, warmth, carries)))
+            .filter_map(|w| {
+                let told = self.members.told_as(w.member)?;
+                Some((w.member, told, w.warm_up_fraction, w.carried_load))
+            })
             .collect();
         let names: Vec<String> = cold.iter().map(|(_, (name, ..), ..)| name.clone()).collect();
         sharing.cold.keep(&names);
@@ -70,7 +84,7 @@
             let known = (name.as_str(), started_ms);
             let (share, sum) = sharing.cold.share(now, known, (warmth, carries), &there);
             shares.extend(share.map(|work| (id, work)));
-            let fact = Fact::Cold {
+            let fact = Record::Cold {
                 member: name,
                 started_ms,
                 driver: own.clone(),
@@ -88,7 +102,9 @@
             self.figures.cold_shares += 1;
             // It holds a little beyond the next telling.
             let until = now + tick + tick;
-            let results = self.module.told(now, id, Told::Cold { work, until });
+            let results = self
+                .module
+                .on_member_update(now, id, MemberUpdate::WarmUpBudget { work, until });
             self.carry_out(now, results);
         }
     }
@@ -99,7 +115,7 @@
         let Some((name, workload, session)) = self.statements.marks(stmt) else {
             return;
         };
-        let work = self.module.work_of(workload);
+        let work = self.module.typical_latency(workload);
         if let Some(name) = self.members.name(member).filter(|n| sharing.cold.is_cold(n)) {
             sharing.cold.sends(now, name, work);
         }
@@ -119,13 +135,22 @@
     }
 
     /// It has ended.
-    pub(super) fn shares_end(&mut self, now: Timestamp, kind: Kind, member: u32, end: (Ending, Sighting)) {
+    pub(super) fn shares_end(
+        &mut self,
+        now: Timestamp,
+        kind: Kind,
+        member: u32,
+        end: (ExecutionOutcome, ReplicaStatus),
+    ) {
         let Some(sharing) = &mut self.sharing else { return };
         let (ending, sighting) = end;
         sharing.saw(now, member, sighting);
         let answered = matches!(
             ending,
-            Ending::Completed | Ending::Missed | Ending::Errored | Ending::TurnedAway
+            ExecutionOutcome::Completed
+                | ExecutionOutcome::NotEligible
+                | ExecutionOutcome::Errored
+                | ExecutionOutcome::Rejected
         );
         if let Some(name) = self.members.name(member).filter(|_| answered) {
             sharing.turns.silence.heard(name, now);
@@ -140,7 +165,11 @@
         if out.harmful && endings::never_ran(ending) {
             sharing.log.untouched(out.name);
         }
-        if let (true, true, Some(position)) = (out.writes, ending == Ending::Completed, sighting.position) {
+        if let (true, true, Some(position)) = (
+            out.writes,
+            ending == ExecutionOutcome::Completed,
+            sighting.position,
+        ) {
             if self.remembers_sessions {
                 sharing.session(now, out.session, position);
             }
@@ -155,12 +184,12 @@
             (sharing.tell)(Word::List(list));
         }
         for e in entries {
-            let standing = match e.standing {
-                Standing::Ready => Listed::Ready,
-                Standing::Draining => Listed::Draining,
-                Standing::Gone => Listed::Gone,
+            let standing = match e.state {
+                MemberState::Ready => Listed::Ready,
+                MemberState::Draining => Listed::Draining,
+                MemberState::Gone => Listed::Gone,
             };
-            let started_ms = e.started.map_or(0, |at| at.0 / 1000);
+            let started_ms = e.started_at.map_or(0, |at| at.0 / 1000);
             if let Some(name) = self.members.name(e.id) {
                 sharing.listed(name, started_ms, standing);
             }
@@ -176,9 +205,14 @@
         times_out: Timestamp,
     ) -> Option<Statement> {
         let harmful = self.harmful[taken.workload];
-        let doubted = |doubted| Some(Statement { doubted, ..taken });
+        let with_prior_attempt = |prior: PriorAttempt| {
+            Some(Statement {
+                prior_attempt: Some(prior),
+                ..taken
+            })
+        };
         if self.sharing.is_none() && self.is_mute && harmful && repeat {
-            return doubted(Some((FOREVER, 0)));
+            return with_prior_attempt(UNKNOWN_ATTEMPT);
         }
         let Some(sharing) = self.sharing.as_mut().filter(|_| harmful) else {
             return Some(taken);
@@ -186,20 +220,20 @@
         if sharing.log.is_given(name) {
             // Another driver was told that it won't be sent from here.
             self.figures.statements_given_away += 1;
-            return doubted(Some((FOREVER, 0)));
+            return with_prior_attempt(UNKNOWN_ATTEMPT);
         }
         match sharing.log.known(now, name) {
             // Also where it isn't marked: the first may be read behind its repeat.
             Known::Sent { ago, member } => {
                 let member = self.members.find(&member);
-                return doubted(Some(member.map_or((FOREVER, 0), |m| (ago, m))));
+                return with_prior_attempt(prior_attempt(ago, member));
             }
             _ if !repeat => return Some(taken),
-            Known::Unknown => return doubted(Some((FOREVER, 0))),
+            Known::Unknown => return with_prior_attempt(UNKNOWN_ATTEMPT),
             Known::Untouched => {}
         }
         // No more of a statement's time than leaves enough of it.
-        let within = sharing.terms.ask.min(taken.left * 0.3);
+        let within = sharing.terms.ask.min(taken.time_left * 0.3);
         let peers = sharing.asked.clone();
         match sharing.inquiries.ask(now, name, &peers, within) {
             Err(_) => Some(taken),
@@ -233,20 +267,20 @@
         if !self.statements.holds(parked.taken.id) {
             return;
         }
-        let doubted = match verdict {
+        let prior = match verdict {
             Verdict::Untouched => None,
             Verdict::Sent { ago, member } => {
                 self.figures.inquiries_in_doubt += 1;
                 let member = member.and_then(|m| self.members.find(&m));
-                Some(member.map_or((FOREVER, 0), |m| (ago, m)))
+                Some(prior_attempt(ago, member))
             }
         };
         let taken = Statement {
-            doubted,
-            left: parked.times_out - now,
+            prior_attempt: prior,
+            time_left: parked.times_out - now,
             ..parked.taken
         };
-        let results = self.module.statement_taken(now, &taken);
+        let results = self.module.on_statement(now, &taken);
         self.carry_out(now, results);
         self.tell_ended(now);
     }
@@ -274,10 +308,13 @@
             return;
         };
         self.figures.statements_given_away += 1;
-        let results = self.module.statement_withdrawn(now, stmt);
+        let results = self.module.on_statement_withdrawn(now, stmt);
         self.carry_out(now, results);
         let hold_off = TimeSpan(0);
-        let (_, told) = endings::of_answer(&Answer::Rejected { stmt, hold_off });
+        let (_, told) = endings::of_answer(&Answer::Rejected {
+            statement: stmt,
+            retry_after: hold_off,
+        });
         self.figures.rejected += u64::from(self.answer(stmt, told));
     }
 
@@ -334,9 +371,9 @@
     }
 
     /// What another driver has heard. One that isn't listed here binds nothing here.
-    fn fact(&mut self, now: Timestamp, fact: &Fact, told: Timestamp) {
+    fn fact(&mut self, now: Timestamp, fact: &Record, told: Timestamp) {
         match fact {
-            Fact::Member {
+            Record::Member {
                 name,
                 started_ms,
                 position,
@@ -358,11 +395,13 @@
                 // Never as new as what it says to this driver itself.
                 let ago = (now - told).max(TimeSpan(1));
                 for sighting in sightings(*position, *primary_at, *replica_at) {
-                    let results = self.module.told(now, member, Told::Said(ago, sighting));
+                    let results =
+                        self.module
+                            .on_member_update(now, member, MemberUpdate::Status(ago, sighting));
                     self.carry_out(now, results);
                 }
             }
-            Fact::Drain {
+            Record::Drain {
                 name,
                 started_ms,
                 list,
@@ -376,18 +415,20 @@
                 };
                 self.errands.let_go(member);
                 self.figures.drains_from_others += 1;
-                let results = self
-                    .module
-                    .told(now, member, Told::Drains(vitals::unix(*started_ms)));
+                let results = self.module.on_member_update(
+                    now,
+                    member,
+                    MemberUpdate::Draining(vitals::unix(*started_ms)),
+                );
                 self.carry_out(now, results);
             }
-            Fact::Session { session, position } => {
+            Record::Session { session, position } => {
                 if self.remembers_sessions {
                     let position = Timestamp(0) + TimeSpan::millis(*position);
-                    self.module.session_told(*session, position);
+                    self.module.on_session_position(*session, position);
                 }
             }
-            Fact::Cold {
+            Record::Cold {
                 member,
                 started_ms,
                 driver,
@@ -402,25 +443,25 @@
                     cold.told(told, member, *started_ms, driver, *life, *work_us, *carries_us);
                 }
             }
-            Fact::Turn { subject, claim } => {
+            Record::Turn { subject, claim } => {
                 if let Some(sharing) = &mut self.sharing {
                     sharing.turns.leases.told(now, subject, *claim, now - told);
                 }
             }
-            Fact::Late {
+            Record::Late {
                 member,
                 driver,
                 before_us,
                 ..
             } => self.late_elsewhere(member, driver, told - TimeSpan(*before_us), told),
-            Fact::Load {
+            Record::Load {
                 driver, life, shares, ..
             } => {
                 if let Some(sharing) = &mut self.sharing {
                     sharing.turns.load_told((driver, *life), shares, told);
                 }
             }
-            Fact::Driver { .. } => {}
+            Record::Driver { .. } => {}
         }
         self.tell_ended(now);
     }
--- a/crates/driver/src/routing/owner/turns.rs
+++ b/crates/driver/src/routing/owner/turns.rs
@@ -3,8 +3,8 @@
 use super::{Observer, Owner};
 use crate::routing::sharing::Word;
 use crate::routing::tables;
-use asterlatch::fleet;
-use asterlatch::interface::Told;
+use asterlatch::fleet_share;
+use asterlatch::interface::MemberUpdate;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +16,7 @@
         let others: BTreeSet<u64> = keys.collect();
         let count = sharing.turns.there(now, &others);
         self.module
-            .peers_told(tables::key(&sharing.own_name), &others, count);
+            .set_fleet_drivers(tables::key(&sharing.own_name), &others, count);
     }
 
     /// Whether this driver asks a member itself that its module wants asked, or leaves that to whose turn it is.
@@ -39,7 +39,7 @@
         let Some(sharing) = &mut self.sharing else { return };
         sharing.turns_at = Some(now + sharing.terms.tick);
         let (module, members) = (&self.module, &self.members);
-        let wants = |name: &str| members.find(name).is_some_and(|m| module.wants_probe(m));
+        let wants = |name: &str| members.find(name).is_some_and(|m| module.wants_health_check(m));
         let (mut facts, ask) = sharing.turns.reach(now, wants);
         facts.extend(sharing.turns.is_late(now, &late));
         let news = sharing.turns.silence.news(now).into_iter();
@@ -48,11 +48,11 @@
             .collect();
         sharing.turns.silence.age(now);
         // In dense views each knows enough by itself, and nothing is told.
-        let sparse = module.sparse();
+        let sparse = module.has_few_samples();
         let shares = module
-            .shares()
+            .admission_shares()
             .filter(|_| sparse)
-            .filter_map(|(m, share)| Some((members.name(m)?.to_owned(), share)));
+            .filter_map(|s| Some((members.name(s.member)?.to_owned(), s.share)));
         let (load, drawn) = sharing.turns.loads(now, &shares.collect::<Vec<_>>());
         facts.extend(load.map(|fact| (fact, TimeSpan(0))));
         let drawn = drawn.into_iter();
@@ -72,19 +72,23 @@
         }
         for (member, until) in silent {
             self.figures.silent_by_word += u64::from(until > Timestamp(0));
-            let results = self.module.told(now, member, Told::Silent(until));
+            let results = self
+                .module
+                .on_member_update(now, member, MemberUpdate::Unresponsive(until));
             self.carry_out(now, results);
         }
         for (member, share) in drawn {
             self.figures.shares_drawn += 1;
-            let results = self.module.told(now, member, Told::Share(share));
+            let results = self
+                .module
+                .on_member_update(now, member, MemberUpdate::AdmissionShare(share));
             self.carry_out(now, results);
         }
     }
 
     /// Members at which executions of this driver are late, each with when the last such was sent.
     fn late_here(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
-        let before = fleet::late_since(now, self.module.longest_typical());
+        let before = fleet_share::late_since(now, self.module.longest_typical_latency());
         let mut late: BTreeMap<String, Timestamp> = BTreeMap::new();
         for (member, sent) in self.errands.sent().filter(|(_, sent)| *sent < before) {
             if let Some(name) = self.members.name(member) {
--- a/crates/driver/src/routing/sharing.rs
+++ b/crates/driver/src/routing/sharing.rs
@@ -3,11 +3,11 @@
 
 use super::tables;
 use super::turns::Turns;
-use asterlatch::interface::{Sighting, Statement};
+use asterlatch::interface::{ReplicaStatus, Statement};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::in_doubt::{Inquiries, Log};
 use asterlatch_gossip::node::{Input, Output};
-use asterlatch_gossip::record::{Fact, Standing};
+use asterlatch_gossip::record::{Record, Standing};
 use asterlatch_gossip::slow_start::{self, Cold};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -87,7 +87,7 @@
     pub turns_at: Option<Timestamp>,
     drained: BTreeSet<String>,
     saw: BTreeMap<u32, Saw>,
-    waiting: Vec<(Fact, Timestamp)>,
+    waiting: Vec<(Record, Timestamp)>,
     tell_at: Option<Timestamp>,
 }
 
@@ -153,8 +153,8 @@
     }
 
     /// A member has told this driver something of itself.
-    pub fn saw(&mut self, now: Timestamp, member: u32, sighting: Sighting) {
-        if sighting == Sighting::default() {
+    pub fn saw(&mut self, now: Timestamp, member: u32, sighting: ReplicaStatus) {
+        if sighting == ReplicaStatus::default() {
             return;
         }
         let position = sighting.position.map_or(0, ms);
@@ -173,7 +173,7 @@
     pub fn session(&mut self, now: Timestamp, session: u64, position: Timestamp) {
         if session != 0 && self.waiting.len() < MOST_WAITING {
             let position = ms(position);
-            self.waiting.push((Fact::Session { session, position }, now));
+            self.waiting.push((Record::Session { session, position }, now));
             self.plan(now);
         }
     }
@@ -190,7 +190,7 @@
         if !was_drained {
             return;
         }
-        let fact = Fact::Drain {
+        let fact = Record::Drain {
             name: name.to_owned(),
             started_ms,
             list: self.list,
@@ -205,12 +205,12 @@
         if self.tell_at.take_if(|at| *at <= now).is_none() {
             return;
         }
-        let mut facts: Vec<(Fact, TimeSpan)> = Vec::new();
+        let mut facts: Vec<(Record, TimeSpan)> = Vec::new();
         for (member, saw) in std::mem::take(&mut self.saw) {
             let Some((name, started_ms, group)) = of(member) else {
                 continue;
             };
-            let fact = Fact::Member {
+            let fact = Record::Member {
                 name,
                 started_ms,
                 group,
@@ -229,17 +229,17 @@
 }
 
 /// What a peer's word of a member comes to here: how far it was, and its newest role at the position it was told at.
-pub fn sightings(position: u64, primary_at: u64, replica_at: u64) -> Vec<Sighting> {
+pub fn sightings(position: u64, primary_at: u64, replica_at: u64) -> Vec<ReplicaStatus> {
     let at = |ms: u64| Some(Timestamp(0) + TimeSpan::millis(ms));
     let mut all = Vec::new();
     if primary_at > 0 || replica_at > 0 {
-        all.push(Sighting {
+        all.push(ReplicaStatus {
             position: at(primary_at.max(replica_at)),
             is_primary: Some(primary_at >= replica_at),
         });
     }
     if position > primary_at.max(replica_at) {
-        all.push(Sighting {
+        all.push(ReplicaStatus {
             position: at(position),
             is_primary: None,
         });
--- a/crates/driver/src/routing/tables.rs
+++ b/crates/driver/src/routing/tables.rs
@@ -3,7 +3,7 @@
 use crate::protocol::comment::hashed;
 use crate::protocol::roster::{Entry, Status};
 use crate::protocol::vitals;
-use asterlatch::interface::{MemberEntry, Standing};
+use asterlatch::interface::{MemberEntry, MemberState};
 use asterlatch_settings::word;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -122,18 +122,18 @@
         }
         Some(MemberEntry {
             id,
-            key: key(&e.name),
+            fleet_key: key(&e.name),
             // Settings have lost what their joined lists can't hold, so these names lose it too.
             zone: self.zones.intern(&word(&e.zone)) as u16,
             group: e.group,
-            standing: match e.status {
-                Status::Serving => Standing::Ready,
-                Status::Draining => Standing::Draining,
-                Status::Deleted => Standing::Gone,
+            state: match e.status {
+                Status::Serving => MemberState::Ready,
+                Status::Draining => MemberState::Draining,
+                Status::Deleted => MemberState::Gone,
             },
-            named_primary: e.is_primary,
-            size: e.weight,
-            started: vitals::unix(e.since_ms),
+            listed_as_primary: e.is_primary,
+            capacity: e.weight,
+            started_at: vitals::unix(e.since_ms),
         })
     }
 }
--- a/crates/driver/src/routing/turns.rs
+++ b/crates/driver/src/routing/turns.rs
@@ -8,7 +8,7 @@
 use asterlatch_coordination::lease::{End, Leases, Stand, Terms};
 use asterlatch_coordination::load_aggregate::{self, Sums};
 use asterlatch_coordination::Key;
-use asterlatch_gossip::record::{Fact, MOST_SHARES};
+use asterlatch_gossip::record::{Record, MOST_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The holder of a turn asks a lost member this often; alone each driver asks it the more rarely the more there are.
@@ -86,9 +86,9 @@
         &mut self,
         now: Timestamp,
         wants: impl Fn(&str) -> bool,
-    ) -> (Vec<(Fact, TimeSpan)>, Vec<String>) {
+    ) -> (Vec<(Record, TimeSpan)>, Vec<String>) {
         let (mut facts, mut ask) = (Vec::new(), Vec::new());
-        let turn = |subject, claim| (Fact::Turn { subject, claim }, TimeSpan(0));
+        let turn = |subject, claim| (Record::Turn { subject, claim }, TimeSpan(0));
         let over: Vec<String> = self.wanted.keys().filter(|m| !wants(m)).cloned().collect();
         for member in over {
             self.wanted.remove(&member);
@@ -113,12 +113,12 @@
     }
 
     /// This driver has late executions at these members, each with when its last was sent.
-    pub fn is_late(&mut self, now: Timestamp, late: &BTreeMap<String, Timestamp>) -> Vec<(Fact, TimeSpan)> {
+    pub fn is_late(&mut self, now: Timestamp, late: &BTreeMap<String, Timestamp>) -> Vec<(Record, TimeSpan)> {
         let mut facts = Vec::new();
         for (member, sent) in late {
             self.silence.late(member, self.own, *sent, now);
             self.said += 1;
-            let fact = Fact::Late {
+            let fact = Record::Late {
                 member: member.clone(),
                 driver: self.name.clone(),
                 life: self.life,
@@ -132,7 +132,11 @@
 
     /// What this driver lets in at members, where it is time to tell that and it has answers of theirs; and shares that it
     /// draws together with others'.
-    pub fn loads(&mut self, now: Timestamp, shares: &[(String, f64)]) -> (Option<Fact>, Vec<(String, f64)>) {
+    pub fn loads(
+        &mut self,
+        now: Timestamp,
+        shares: &[(String, f64)],
+    ) -> (Option<Record>, Vec<(String, f64)>) {
         self.sums.age(now);
         let drawn = shares.iter().filter_map(|(name, own)| {
             let share = self.sums.drawn(now, tables::key(name), *own)?;
@@ -149,13 +153,13 @@
             .filter_map(|(key, answers)| Some((key, (of.get(&key)? * 200.0) as u8, (answers * 10.0) as u8)))
             .collect();
         self.said += 1;
-        let fact = Fact::Load {
+        let fact = Record::Load {
             driver: self.name.clone(),
             life: self.life,
             said: self.said,
             shares: told,
         };
-        let tells = matches!(&fact, Fact::Load { shares, .. } if !shares.is_empty());
+        let tells = matches!(&fact, Record::Load { shares, .. } if !shares.is_empty());
         (Some(fact).filter(|_| tells), drawn)
     }
 
--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -1,7 +1,7 @@
 //! State that the build before handed over: its members mean the same, and the program resumes from the whole of it.
 
 mod stand;
-use asterlatch::interface::Standing;
+use asterlatch::interface::MemberState;
 use asterlatch_driver::protocol::roster::{Entry, Status};
 use asterlatch_driver::routing::tables::Members;
 use asterlatch_handover::codec::{send, Came, Reader};
@@ -63,7 +63,7 @@
     assert!(read.has_group(1) && read.has_group(2) && !read.has_group(3));
     // Ids and zones go on from where they were.
     let next = read.learn(&entry("m-4", 3, Status::Serving)).expect("is learned");
-    assert_eq!((next.id, next.zone, next.standing), (4, 2, Standing::Ready));
+    assert_eq!((next.id, next.zone, next.state), (4, 2, MemberState::Ready));
     let known = read.learn(&entry("m-2", 2, Status::Serving)).expect("is learned");
     assert_eq!((known.id, known.zone), (2, 1));
 }
--- a/crates/driver/tests/kept.rs
+++ b/crates/driver/tests/kept.rs
@@ -2,7 +2,7 @@
 
 mod stand;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Fact, Standing};
+use asterlatch_gossip::record::{Record, Standing};
 use asterlatch_gossip::snapshot::Writer;
 use rustix::process::{Pid, Resource, Rlimit};
 use stand::*;
@@ -163,7 +163,7 @@
     stage.await_kept(2);
     let fleet = stage.fleet();
     let month = TimeSpan::millis(30 * 24 * 3600 * 1000);
-    let drain = |n: u64| Fact::Drain {
+    let drain = |n: u64| Record::Drain {
         name: format!("m{n}"),
         started_ms: 0,
         list: n,
--- a/crates/driver/tests/protocol.rs
+++ b/crates/driver/tests/protocol.rs
@@ -1,6 +1,6 @@
 //! What is spoken, as tables of bytes: each input is given whole, and again byte by byte.
 
-use asterlatch::interface::Sighting;
+use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_driver::protocol::comment::{self, Marked};
 use asterlatch_driver::protocol::execution::{self, Executions, Reply, Run};
@@ -631,7 +631,7 @@
 #[test]
 fn positions_are_never_told_fresher_than_they_are() {
     let at = |ms: u64| Some(Timestamp(0) + TimeSpan::millis(ms));
-    let seen = |position, is_primary| Sighting { position, is_primary };
+    let seen = |position, is_primary| ReplicaStatus { position, is_primary };
     #[rustfmt::skip]
     let cases = [
         ("x0=1767225600.123,x1=1,cpu_share=0.5", seen(at(1_767_225_600_123), Some(true))),
@@ -647,7 +647,7 @@
     for (text, expected) in cases {
         assert_eq!(vitals::report(text, Some("x0"), Some("x1")), expected, "{text}");
     }
-    assert_eq!(vitals::report("x0=5,x1=1", None, None), Sighting::default());
+    assert_eq!(vitals::report("x0=5,x1=1", None, None), ReplicaStatus::default());
     for (text, expected) in [
         ("5", at(5)),
         ("0", None),
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -1,6 +1,6 @@
 //! The owner of the module, told of connections and given a clock, without a socket.
 
-use asterlatch::interface::Sighting;
+use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_driver::protocol::execution::{Heard as Member, Reply, Run};
 use asterlatch_driver::protocol::messages;
@@ -195,7 +195,7 @@
 
     fn reply(&mut self, connection: u32, reply: Reply, is_primary: Option<bool>) {
         let (at, report) = (self.now, None);
-        let sighting = Sighting {
+        let sighting = ReplicaStatus {
             position: Some(at),
             is_primary,
         };
@@ -425,7 +425,7 @@
         s.client(1);
         s.asks(1, VIEW);
         let (connection, first) = s.sent().expect("is sent");
-        let sighting = Sighting {
+        let sighting = ReplicaStatus {
             position: Some(s.now - TimeSpan::millis(behind)),
             is_primary: None,
         };
--- a/crates/driver/tests/versions.rs
+++ b/crates/driver/tests/versions.rs
@@ -7,7 +7,7 @@
 use asterlatch_gossip::in_doubt::Known;
 use asterlatch_gossip::membership::{Presence, Times};
 use asterlatch_gossip::node::{Engine, Input, Output, Settings};
-use asterlatch_gossip::record::{Fact, Standing};
+use asterlatch_gossip::record::{Record, Standing};
 use stand::*;
 use std::net::UdpSocket;
 use std::process::Command;
@@ -147,11 +147,11 @@
     let member = |e: &Engine| {
         e.book
             .all()
-            .any(|e| matches!(&e.fact, Fact::Member { name, .. } if name == "m"))
+            .any(|e| matches!(&e.fact, Record::Member { name, .. } if name == "m"))
     };
     assert!(later.until(PATIENCE, member));
     // And what the later one tells is known here.
-    let drain = Fact::Drain {
+    let drain = Record::Drain {
         name: "m9".to_owned(),
         started_ms: 0,
         list: 3,
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -2,7 +2,7 @@
 //! doesn't know are passed over, so that two versions understand each other as far as both go. A hash over everything,
 //! begun with the fleet's name, tells garbled ones and those of another fleet.
 
-use crate::record::{Fact, KINDS};
+use crate::record::{Record, KINDS};
 use asterlatch::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -38,7 +38,7 @@
     /// A message of the membership library.
     Presence(Vec<u8>),
     /// A fact, and how long ago it was told.
-    Fact(Fact, TimeSpan),
+    Fact(Record, TimeSpan),
     /// What the sender's copy comes to, by range.
     Digest {
         round: u32,
@@ -150,7 +150,7 @@
             _ => {
                 KINDS.into_iter().find(|k| k.number() == kind)?;
                 // The fact comes last: what a later version adds to it lies behind what is read.
-                let (age, fact): (TimeSpan, Fact) = read(bytes)?;
+                let (age, fact): (TimeSpan, Record) = read(bytes)?;
                 (fact.kind().number() == kind).then_some(Item::Fact(fact, age))?
             }
         })
--- a/crates/gossip/src/conflict.rs
+++ b/crates/gossip/src/conflict.rs
@@ -1,7 +1,7 @@
 //! What can't both be true. The conservative telling stands by the rules of `fact`; both are kept here, for an operator
 //! to see who is wrong. Bounded: the oldest go.
 
-use crate::record::{Fact, Key};
+use crate::record::{Key, Record};
 use asterlatch::time::Timestamp;
 use std::collections::VecDeque;
 
@@ -81,16 +81,16 @@
 }
 
 /// What two tellings of one key quarrel about, if they do.
-pub fn between(here: &Fact, came: &Fact) -> Option<Kind> {
+pub fn between(here: &Record, came: &Record) -> Option<Kind> {
     match (here, came) {
         (
-            Fact::Drain {
+            Record::Drain {
                 started_ms,
                 list,
                 standing,
                 ..
             },
-            Fact::Drain {
+            Record::Drain {
                 started_ms: s,
                 list: l,
                 standing: st,
@@ -98,8 +98,8 @@
             },
         ) => (started_ms == s && list == l && standing != st).then_some(Kind::TwoLists),
         (
-            Fact::Driver { life, said, .. },
-            Fact::Driver {
+            Record::Driver { life, said, .. },
+            Record::Driver {
                 life: li, said: sa, ..
             },
         ) => (life == li && said == sa && here != came).then_some(Kind::TwoDrivers),
@@ -109,16 +109,16 @@
 
 /// Both claim to be primary of one group and neither is known to have stepped back since: the first's claim is newer than
 /// the other's last word as replica, and the other way round, and they overlap.
-pub fn claim_both(one: &Fact, other: &Fact) -> bool {
+pub fn claim_both(one: &Record, other: &Record) -> bool {
     let (
-        Fact::Member {
+        Record::Member {
             name,
             group,
             primary_at,
             replica_at,
             ..
         },
-        Fact::Member {
+        Record::Member {
             name: n,
             group: g,
             primary_at: p,
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -6,7 +6,7 @@
 use crate::dissemination::{tellings, Rate, Spread};
 use crate::in_doubt::Known;
 use crate::membership::{Change, Peers, Presence, Times, Who};
-use crate::record::{Fact, Key, Kind};
+use crate::record::{Key, Kind, Record};
 use crate::state::{Book, Learned};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,7 +43,7 @@
         bytes: &'a [u8],
     },
     /// Seen here, so long ago.
-    Observed(Vec<(Fact, TimeSpan)>),
+    Observed(Vec<(Record, TimeSpan)>),
     /// Whether any of the others has sent this statement.
     Ask(Question),
     /// Nobody needs that answer any more.
@@ -68,7 +68,7 @@
         bytes: Vec<u8>,
     },
     /// What others have told that wasn't known here, and when that was.
-    News(Fact, Timestamp),
+    News(Record, Timestamp),
     Question {
         from: usize,
         question: Question,
@@ -354,7 +354,7 @@
         }
     }
 
-    fn learn(&mut self, now: Timestamp, fact: Fact, told: Timestamp, is_own: bool) {
+    fn learn(&mut self, now: Timestamp, fact: Record, told: Timestamp, is_own: bool) {
         let (key, name) = (fact.key(), own_name(&fact));
         match self.book.learn(now, fact, told) {
             Learned::Nothing => {}
@@ -572,7 +572,7 @@
     }
 
     /// What a former life of this driver has kept; it is told to others as news like any other, if they lack it.
-    pub fn restore(&mut self, now: Timestamp, fact: Fact, age: TimeSpan) {
+    pub fn restore(&mut self, now: Timestamp, fact: Record, age: TimeSpan) {
         self.learn(now, fact, now - age, false);
     }
 
@@ -581,7 +581,7 @@
     }
 
     /// What has changed since this was last asked; nothing where that is more than is counted.
-    pub fn take_changed(&mut self) -> Option<Vec<(Fact, Timestamp)>> {
+    pub fn take_changed(&mut self) -> Option<Vec<(Record, Timestamp)>> {
         let changed = std::mem::take(&mut self.changed);
         if std::mem::take(&mut self.uncounted) {
             return None;
@@ -598,7 +598,7 @@
             return;
         }
         self.said += 1;
-        let fact = Fact::Driver {
+        let fact = Record::Driver {
             name: self.settings.name.clone(),
             life: all.0,
             said: self.said,
@@ -610,18 +610,20 @@
     }
 }
 
-fn own_name(fact: &Fact) -> String {
+fn own_name(fact: &Record) -> String {
     match fact {
-        Fact::Member { name, .. } | Fact::Drain { name, .. } | Fact::Driver { name, .. } => name.clone(),
-        Fact::Cold { member, .. } | Fact::Late { member, .. } => member.clone(),
-        Fact::Turn { subject, .. } => subject.clone(),
-        Fact::Load { driver, .. } => driver.clone(),
-        Fact::Session { .. } => String::new(),
+        Record::Member { name, .. } | Record::Drain { name, .. } | Record::Driver { name, .. } => {
+            name.clone()
+        }
+        Record::Cold { member, .. } | Record::Late { member, .. } => member.clone(),
+        Record::Turn { subject, .. } => subject.clone(),
+        Record::Load { driver, .. } => driver.clone(),
+        Record::Session { .. } => String::new(),
     }
 }
 
 /// What of this copy an operator is shown, in the order of keys.
-pub fn shown(book: &Book, now: Timestamp) -> Vec<(Key, Fact, TimeSpan)> {
+pub fn shown(book: &Book, now: Timestamp) -> Vec<(Key, Record, TimeSpan)> {
     let of = |e: &crate::state::Entry| (e.fact.key(), e.fact.clone(), now - e.told);
     book.all().map(of).collect()
 }
--- a/crates/gossip/src/record.rs
+++ b/crates/gossip/src/record.rs
@@ -17,7 +17,7 @@
 /// Each with what may be done with it. Members and drivers go by name. Datagrams and kept copies tell them by their order
 /// here: a new kind, or a new figure of one, comes last.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Fact {
+pub enum Record {
     /// What a member said of itself to some driver, in milliseconds of its log: how far it was, and where it last spoke as
     /// primary and as replica (zero: never). Its owner is the member. A later start wins, then each figure alone, for
     /// positions only grow. A lower bound for freshness and never a promise: what is behind a cut may be further on, and a
@@ -186,36 +186,38 @@
     Same,
     Here,
     Came,
-    Both(Fact),
+    Both(Record),
 }
 
-impl Fact {
+impl Record {
     pub fn kind(&self) -> Kind {
         match self {
-            Fact::Member { .. } => Kind::Member,
-            Fact::Drain { .. } => Kind::Drain,
-            Fact::Cold { .. } => Kind::Cold,
-            Fact::Session { .. } => Kind::Session,
-            Fact::Driver { .. } => Kind::Driver,
-            Fact::Turn { .. } => Kind::Turn,
-            Fact::Late { .. } => Kind::Late,
-            Fact::Load { .. } => Kind::Load,
+            Record::Member { .. } => Kind::Member,
+            Record::Drain { .. } => Kind::Drain,
+            Record::Cold { .. } => Kind::Cold,
+            Record::Session { .. } => Kind::Session,
+            Record::Driver { .. } => Kind::Driver,
+            Record::Turn { .. } => Kind::Turn,
+            Record::Late { .. } => Kind::Late,
+            Record::Load { .. } => Kind::Load,
         }
     }
 
     pub fn key(&self) -> Key {
         let of = match self {
-            Fact::Member { name, .. } | Fact::Drain { name, .. } | Fact::Driver { name, .. } => name.clone(),
-            Fact::Cold {
+            Record::Member { name, .. } | Record::Drain { name, .. } | Record::Driver { name, .. } => {
+                name.clone()
+            }
+            Record::Cold {
                 member,
                 started_ms,
                 driver,
                 ..
             } => format!("{member} {started_ms} {driver}"),
-            Fact::Session { session, .. } => format!("{session:016x}"),
-            Fact::Turn { subject, .. } => subject.clone(),
-            Fact::Late { member, driver, .. } => format!("{member} {driver}"),
-            Fact::Load { driver, .. } => driver.clone(),
+            Record::Session { session, .. } => format!("{session:016x}"),
+            Record::Turn { subject, .. } => subject.clone(),
+            Record::Late { member, driver, .. } => format!("{member} {driver}"),
+            Record::Load { driver, .. } => driver.clone(),
         };
         Key(self.kind(), of)
     }
@@ -224,18 +226,20 @@
     pub fn is_sound(&self) -> bool {
         let named = |names: &[&String]| names.iter().all(|n| !n.is_empty() && n.len() <= LONGEST_NAME);
         match self {
-            Fact::Member { name, .. } | Fact::Drain { name, .. } | Fact::Driver { name, .. } => {
+            Record::Member { name, .. } | Record::Drain { name, .. } | Record::Driver { name, .. } => {
                 named(&[name])
             }
-            Fact::Cold { member, driver, .. } | Fact::Late { member, driver, .. } => named(&[member, driver]),
-            Fact::Turn { subject, .. } => named(&[subject]),
-            Fact::Load { driver, shares, .. } => named(&[driver]) && shares.len() <= MOST_SHARES,
-            Fact::Session { session, .. } => *session != 0,
+            Record::Cold { member, driver, .. } | Record::Late { member, driver, .. } => {
+                named(&[member, driver])
+            }
+            Record::Turn { subject, .. } => named(&[subject]),
+            Record::Load { driver, shares, .. } => named(&[driver]) && shares.len() <= MOST_SHARES,
+            Record::Session { session, .. } => *session != 0,
         }
     }
 
     /// What stands of two tellings of one key.
-    pub fn against(&self, came: &Fact) -> Stands {
+    pub fn against(&self, came: &Record) -> Stands {
         if self == came {
             return Stands::Same;
         }
@@ -250,10 +254,10 @@
     }
 
     /// The least telling that holds all that both say. Of two kinds or keys this one.
-    pub fn joined(&self, other: &Fact) -> Fact {
+    pub fn joined(&self, other: &Record) -> Record {
         match (self, other) {
             (
-                Fact::Member {
+                Record::Member {
                     name,
                     started_ms,
                     group,
@@ -261,7 +265,7 @@
                     primary_at,
                     replica_at,
                 },
-                Fact::Member {
+                Record::Member {
                     started_ms: s,
                     group: g,
                     position: p,
@@ -272,7 +276,7 @@
             ) => match started_ms.cmp(s) {
                 std::cmp::Ordering::Less => other.clone(),
                 std::cmp::Ordering::Greater => self.clone(),
-                std::cmp::Ordering::Equal => Fact::Member {
+                std::cmp::Ordering::Equal => Record::Member {
                     name: name.clone(),
                     started_ms: *s,
                     group: *group.max(g),
@@ -282,13 +286,13 @@
                 },
             },
             (
-                Fact::Drain {
+                Record::Drain {
                     started_ms,
                     list,
                     standing,
                     ..
                 },
-                Fact::Drain {
+                Record::Drain {
                     started_ms: s,
                     list: l,
                     standing: st,
@@ -296,14 +300,14 @@
                 },
             ) => larger(self, other, (started_ms, list, standing) >= (s, l, st)),
             (
-                Fact::Cold {
+                Record::Cold {
                     life,
                     said,
                     work_us,
                     carries_us,
                     ..
                 },
-                Fact::Cold {
+                Record::Cold {
                     life: l,
                     said: s,
                     work_us: w,
@@ -311,11 +315,11 @@
                     ..
                 },
             ) => larger(self, other, (life, said, work_us, carries_us) >= (l, s, w, c)),
-            (Fact::Session { position, .. }, Fact::Session { position: p, .. }) => {
+            (Record::Session { position, .. }, Record::Session { position: p, .. }) => {
                 larger(self, other, position >= p)
             }
             (
-                Fact::Driver {
+                Record::Driver {
                     life,
                     said,
                     list,
@@ -323,7 +327,7 @@
                     caught_up,
                     ..
                 },
-                Fact::Driver {
+                Record::Driver {
                     life: li,
                     said: sa,
                     list: l,
@@ -337,17 +341,17 @@
                 // Who hasn't caught up is believed in that.
                 (life, said, !caught_up, list, file) >= (li, sa, !c, l, f),
             ),
-            (Fact::Turn { claim, .. }, Fact::Turn { claim: c, .. }) => {
+            (Record::Turn { claim, .. }, Record::Turn { claim: c, .. }) => {
                 larger(self, other, claim.joined(*c) == *claim)
             }
             (
-                Fact::Late {
+                Record::Late {
                     life,
                     said,
                     before_us,
                     ..
                 },
-                Fact::Late {
+                Record::Late {
                     life: l,
                     said: s,
                     before_us: b,
@@ -355,10 +359,10 @@
                 },
             ) => larger(self, other, (life, said, before_us) >= (l, s, b)),
             (
-                Fact::Load {
+                Record::Load {
                     life, said, shares, ..
                 },
-                Fact::Load {
+                Record::Load {
                     life: l,
                     said: s,
                     shares: sh,
@@ -381,6 +385,6 @@
     }
 }
 
-fn larger(one: &Fact, other: &Fact, one_wins: bool) -> Fact {
+fn larger(one: &Record, other: &Record, one_wins: bool) -> Record {
     if one_wins { one } else { other }.clone()
 }
--- a/crates/gossip/src/snapshot.rs
+++ b/crates/gossip/src/snapshot.rs
@@ -3,7 +3,7 @@
 //! whole before it is used. And when it is written: in groups, never by who answers statements, and where the disk fails,
 //! not at all until it doesn't any more; then whole, since nobody knows what it holds.
 
-use crate::record::Fact;
+use crate::record::Record;
 use asterlatch::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -69,13 +69,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Kept {
     wall: Timestamp,
-    fact: Fact,
+    fact: Record,
 }
 
 /// What a kept copy holds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Read {
-    pub facts: Vec<(Fact, Timestamp)>,
+    pub facts: Vec<(Record, Timestamp)>,
     /// Of the driver that wrote it; zero where that isn't known.
     pub life: u64,
     pub fault: Option<Fault>,
@@ -109,7 +109,7 @@
         (out, Writer { chain })
     }
 
-    pub fn put(&mut self, out: &mut Vec<u8>, fact: &Fact, wall: Timestamp) {
+    pub fn put(&mut self, out: &mut Vec<u8>, fact: &Record, wall: Timestamp) {
         let fact = fact.clone();
         let body = postcard::to_stdvec(&Kept { wall, fact }).unwrap_or_default();
         self.chain = put(out, self.chain, &body);
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -1,7 +1,7 @@
 //! One driver's copy of all facts: merged, bounded, aged, and compared with another's by range.
 
 use crate::conflict::{self, Quarrels};
-use crate::record::{Fact, Key, Kind, Stands};
+use crate::record::{Key, Kind, Record, Stands};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
-    pub fact: Fact,
+    pub fact: Record,
     /// By this driver's clock.
     pub told: Timestamp,
     /// Of the key and of the whole, for comparing.
@@ -41,7 +41,7 @@
     pub quarrels: Quarrels,
 }
 
-fn hashes(key: &Key, fact: &Fact) -> (u64, u64) {
+fn hashes(key: &Key, fact: &Record) -> (u64, u64) {
     let of_key = xxh3_64(format!("{} {}", key.0.name(), key.1).as_bytes());
     // Facts are plain: they can be written.
     let whole = postcard::to_stdvec(fact).unwrap_or_default();
@@ -88,7 +88,7 @@
     }
 
     /// Takes a telling over.
-    pub fn learn(&mut self, now: Timestamp, fact: Fact, told: Timestamp) -> Learned {
+    pub fn learn(&mut self, now: Timestamp, fact: Record, told: Timestamp) -> Learned {
         let (kind, told) = (fact.kind(), told.min(now));
         if !fact.is_sound() || now - told >= kind.kept() {
             return Learned::Refused;
@@ -131,13 +131,13 @@
         };
         let own = own.fact.clone();
         let others = self.of(Kind::Member).map(|e| e.fact.clone());
-        let rivals: Vec<Fact> = others.filter(|o| conflict::claim_both(&own, o)).collect();
+        let rivals: Vec<Record> = others.filter(|o| conflict::claim_both(&own, o)).collect();
         for rival in rivals {
             let mut sides = [format!("{own:?}"), format!("{rival:?}")];
             sides.sort();
             let [one, other] = sides;
             let about = match &own {
-                Fact::Member { group, .. } => format!("group {group}"),
+                Record::Member { group, .. } => format!("group {group}"),
                 _ => String::new(),
             };
             self.quarrels
@@ -145,7 +145,7 @@
         }
     }
 
-    fn put(&mut self, key: Key, fact: Fact, told: Timestamp) {
+    fn put(&mut self, key: Key, fact: Record, told: Timestamp) {
         self.drop_entry(&key);
         self.digests.resize(RANGES, 0);
         let hashes = hashes(&key, &fact);
--- a/crates/gossip/tests/catchup.rs
+++ b/crates/gossip/tests/catchup.rs
@@ -5,7 +5,7 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::anti_entropy::{Catchup, Seen, Standing};
 use asterlatch_gossip::codec::Item;
-use asterlatch_gossip::record::{Fact, Standing as Listed};
+use asterlatch_gossip::record::{Record, Standing as Listed};
 use asterlatch_gossip::state::Book;
 use common::{drain, session};
 use stateright::{Checker, Model, Property};
@@ -28,7 +28,7 @@
     /// To whom, as bytes.
     flying: Vec<(usize, Vec<u8>)>,
     /// What 1 held when the round began.
-    then: Vec<Fact>,
+    then: Vec<Record>,
     lost: u8,
     learnt: bool,
     rounds: u8,
@@ -47,11 +47,11 @@
     mistake: Option<Mistake>,
 }
 
-fn facts(book: &Book) -> Vec<Fact> {
+fn facts(book: &Book) -> Vec<Record> {
     book.all().map(|e| e.fact.clone()).collect()
 }
 
-fn holds(book: &Book, fact: &Fact) -> bool {
+fn holds(book: &Book, fact: &Record) -> bool {
     book.get(&fact.key())
         .is_some_and(|e| e.fact.joined(fact) == e.fact)
 }
--- a/crates/gossip/tests/cold.rs
+++ b/crates/gossip/tests/cold.rs
@@ -1,7 +1,7 @@
 //! What all drivers together send a cold member: within the rule's budget in every span, whatever is lost on the way, and
 //! more of it than each alone dares.
 
-use asterlatch::fleet::Fleet;
+use asterlatch::fleet_share::FleetShare;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::slow_start::{Cold, Terms};
 
@@ -79,7 +79,7 @@
                 Some(_) => false,
                 // As one that is alone: its last send is a debt, paid off by its even part.
                 None => {
-                    let fleet = Fleet::of(drivers as u32);
+                    let fleet = FleetShare::of(drivers as u32);
                     let pays = fleet.cold_carried(carries[n]) * warmth * fleet.cold_multiple(4.0, false);
                     let free = ready[n] <= now;
                     if free {
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -5,15 +5,15 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::membership::Times;
 use asterlatch_gossip::node::{Engine, Input, Output, Settings};
-use asterlatch_gossip::record::{Fact, Standing};
+use asterlatch_gossip::record::{Record, Standing};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub fn name(n: usize) -> String {
     format!("d{n}")
 }
 
-pub fn member(name: &str, position: u64, primary_at: u64, replica_at: u64) -> Fact {
-    Fact::Member {
+pub fn member(name: &str, position: u64, primary_at: u64, replica_at: u64) -> Record {
+    Record::Member {
         name: name.to_owned(),
         started_ms: 5,
         group: 1,
@@ -23,8 +23,8 @@
     }
 }
 
-pub fn drain(name: &str, list: u64, standing: Standing) -> Fact {
-    Fact::Drain {
+pub fn drain(name: &str, list: u64, standing: Standing) -> Record {
+    Record::Drain {
         name: name.to_owned(),
         started_ms: 5,
         list,
@@ -32,8 +32,8 @@
     }
 }
 
-pub fn session(session: u64, position: u64) -> Fact {
-    Fact::Session { session, position }
+pub fn session(session: u64, position: u64) -> Record {
+    Record::Session { session, position }
 }
 
 pub fn settings(n: usize, all: usize) -> Settings {
@@ -150,7 +150,7 @@
         self.sort(n, outputs);
     }
 
-    pub fn observe(&mut self, n: usize, fact: Fact) {
+    pub fn observe(&mut self, n: usize, fact: Record) {
         self.give(n, Input::Observed(vec![(fact, TimeSpan(0))]));
     }
 
@@ -245,12 +245,12 @@
         copies.all(|c| Some(c) == first)
     }
 
-    pub fn contents(&self, n: usize) -> Vec<Fact> {
+    pub fn contents(&self, n: usize) -> Vec<Record> {
         let book = &self.drivers[n].engine.book;
         // What drivers say of themselves changes as they find each other.
         book.all()
             .map(|e| e.fact.clone())
-            .filter(|f| !matches!(f, Fact::Driver { .. }))
+            .filter(|f| !matches!(f, Record::Driver { .. }))
             .collect()
     }
 
--- a/crates/gossip/tests/facts.rs
+++ b/crates/gossip/tests/facts.rs
@@ -3,12 +3,12 @@
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::conflict;
-use asterlatch_gossip::record::{Fact, Kind, Standing, Stands};
+use asterlatch_gossip::record::{Kind, Record, Standing, Stands};
 use asterlatch_gossip::state::{Book, Learned};
 use common::{drain, member, session};
 use proptest::prelude::*;
 
-fn fact() -> impl Strategy<Value = Fact> {
+fn fact() -> impl Strategy<Value = Record> {
     let figure = || 0u64..4;
     let name = || prop_oneof![Just("a".to_owned()), Just("b".to_owned())];
     let standing = prop_oneof![
@@ -18,7 +18,7 @@
     ];
     prop_oneof![
         (name(), figure(), 0u32..2, figure(), figure(), figure()).prop_map(
-            |(name, started_ms, group, position, primary_at, replica_at)| Fact::Member {
+            |(name, started_ms, group, position, primary_at, replica_at)| Record::Member {
                 name,
                 started_ms,
                 group,
@@ -27,14 +27,14 @@
                 replica_at
             }
         ),
-        (name(), figure(), figure(), standing).prop_map(|(name, started_ms, list, standing)| Fact::Drain {
+        (name(), figure(), figure(), standing).prop_map(|(name, started_ms, list, standing)| Record::Drain {
             name,
             started_ms,
             list,
             standing
         }),
         (name(), figure(), name(), figure(), figure(), figure(), figure()).prop_map(
-            |(member, started_ms, driver, life, said, work_us, carries_us)| Fact::Cold {
+            |(member, started_ms, driver, life, said, work_us, carries_us)| Record::Cold {
                 member,
                 started_ms,
                 driver,
@@ -44,9 +44,9 @@
                 carries_us
             }
         ),
-        (1u64..3, figure()).prop_map(|(session, position)| Fact::Session { session, position }),
+        (1u64..3, figure()).prop_map(|(session, position)| Record::Session { session, position }),
         (name(), figure(), figure(), figure(), figure(), any::<bool>()).prop_map(
-            |(name, life, said, list, file, caught_up)| Fact::Driver {
+            |(name, life, said, list, file, caught_up)| Record::Driver {
                 name,
                 life,
                 said,
@@ -60,7 +60,7 @@
 
 const NOW: Timestamp = Timestamp(1_000_000_000);
 
-fn contents(book: &Book) -> Vec<Fact> {
+fn contents(book: &Book) -> Vec<Record> {
     book.all().map(|e| e.fact.clone()).collect()
 }
 
@@ -110,7 +110,7 @@
 /// (here, came, what stands)
 #[test]
 fn the_conservative_telling_stands() {
-    let driver = |life, said, caught_up| Fact::Driver {
+    let driver = |life, said, caught_up| Record::Driver {
         name: "d".into(),
         life,
         said,
@@ -219,7 +219,7 @@
         let mut book = Book::default();
         for fact in [one, other] {
             let member = match &fact {
-                Fact::Member { name, .. } => name.clone(),
+                Record::Member { name, .. } => name.clone(),
                 _ => String::new(),
             };
             book.learn(NOW, fact, NOW);
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -6,7 +6,7 @@
 use asterlatch_gossip::conflict;
 use asterlatch_gossip::membership::Presence;
 use asterlatch_gossip::node::{Input, Output};
-use asterlatch_gossip::record::{Fact, Standing};
+use asterlatch_gossip::record::{Record, Standing};
 use common::*;
 
 fn seconds(s: u64) -> TimeSpan {
@@ -37,7 +37,7 @@
     assert!(took <= seconds(1), "{took:?}");
     for n in 1..3 {
         let news = net.drivers[n].outputs.iter();
-        let news = news.filter(|o| matches!(o, Output::News(Fact::Drain { .. }, _)));
+        let news = news.filter(|o| matches!(o, Output::News(Record::Drain { .. }, _)));
         assert_eq!(news.count(), 1, "it is told once");
     }
 }
--- a/crates/gossip/tests/keep.rs
+++ b/crates/gossip/tests/keep.rs
@@ -3,14 +3,14 @@
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Fact, Standing};
+use asterlatch_gossip::record::{Record, Standing};
 use asterlatch_gossip::snapshot::{read, Fault, Keeper, Told, Wish, Writer};
 use common::{drain, member, session};
 
 const NOW: Timestamp = Timestamp(5_000_000_000);
 
-fn facts() -> Vec<Fact> {
-    let mut all: Vec<Fact> = (0..20).map(|n| member(&format!("m{n}"), n * 10, 0, 5)).collect();
+fn facts() -> Vec<Record> {
+    let mut all: Vec<Record> = (0..20).map(|n| member(&format!("m{n}"), n * 10, 0, 5)).collect();
     all.extend([drain("m3", 9, Standing::Draining), session(77, 900)]);
     all
 }
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::trust::{trust, Use, Verdict};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Fact, Kind};
+use asterlatch_gossip::record::{Kind, Record};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -45,7 +45,7 @@
 type Ages = (usize, Option<TimeSpan>, Option<TimeSpan>);
 
 /// Looks at all kept facts; those of use, each with how old it counts as.
-pub fn sort(facts: Vec<(Fact, Timestamp)>, now: Timestamp) -> (Vec<(Fact, TimeSpan)>, Report) {
+pub fn sort(facts: Vec<(Record, Timestamp)>, now: Timestamp) -> (Vec<(Record, TimeSpan)>, Report) {
     let mut by_rule: BTreeMap<ByRule, Ages> = BTreeMap::new();
     let (mut usable, mut report) = (Vec::new(), Report::default());
     for (fact, wall) in facts {
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -2,7 +2,7 @@
 //! is worse for the rule it may break, for how long a machine was dark nobody else may know.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Fact, Kind, Standing};
+use asterlatch_gossip::record::{Kind, Record, Standing};
 
 /// What may be done with a kept fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -48,7 +48,7 @@
 
 /// What is looked at.
 struct Case<'a> {
-    fact: &'a Fact,
+    fact: &'a Record,
     clock: Clock,
 }
 
@@ -80,7 +80,7 @@
     ("told longer ago than it is kept for", |c| c.is_over(), Use::Never),
     (
         "a member that was told ready binds nothing, the list says it anew",
-        |c| matches!(c.fact, Fact::Drain { standing: Standing::Ready, .. }),
+        |c| matches!(c.fact, Record::Drain { standing: Standing::Ready, .. }),
         Use::Never,
     ),
     (
@@ -112,7 +112,7 @@
 ];
 
 /// What becomes of a fact that was known at `wall`, by the wall clock, where that shows `now`.
-pub fn trust(fact: &Fact, wall: Timestamp, now: Timestamp) -> Verdict {
+pub fn trust(fact: &Record, wall: Timestamp, now: Timestamp) -> Verdict {
     let clock = if wall <= now {
         Clock::Passed(now - wall)
     } else {
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -2,15 +2,15 @@
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::{Claim, End};
-use asterlatch_gossip::record::{Fact, Standing, KINDS};
+use asterlatch_gossip::record::{Record, Standing, KINDS};
 use asterlatch_recovery::report::sort;
 use asterlatch_recovery::trust::{trust, Use};
 
 const NOW: Timestamp = Timestamp(1_700_000_000_000_000);
 
-fn facts() -> Vec<Fact> {
+fn facts() -> Vec<Record> {
     let name = || "m".to_owned();
-    let drain = |standing| Fact::Drain {
+    let drain = |standing| Record::Drain {
         name: name(),
         started_ms: 5,
         list: 3,
@@ -20,11 +20,11 @@
         drain(Standing::Draining),
         drain(Standing::Gone),
         drain(Standing::Ready),
-        Fact::Session {
+        Record::Session {
             session: 4,
             position: 9,
         },
-        Fact::Cold {
+        Record::Cold {
             member: name(),
             started_ms: 5,
             driver: "d".to_owned(),
@@ -33,7 +33,7 @@
             work_us: 1,
             carries_us: 1,
         },
-        Fact::Member {
+        Record::Member {
             name: name(),
             started_ms: 5,
             group: 1,
@@ -41,7 +41,7 @@
             primary_at: 7,
             replica_at: 0,
         },
-        Fact::Driver {
+        Record::Driver {
             name: name(),
             life: 1,
             said: 1,
@@ -49,7 +49,7 @@
             file: 1,
             caught_up: true,
         },
-        Fact::Turn {
+        Record::Turn {
             subject: "probe m".to_owned(),
             claim: Claim {
                 term: 1,
@@ -59,14 +59,14 @@
                 end: End::Holds,
             },
         },
-        Fact::Late {
+        Record::Late {
             member: name(),
             driver: "d".to_owned(),
             life: 1,
             said: 1,
             before_us: 1,
         },
-        Fact::Load {
+        Record::Load {
             driver: "d".to_owned(),
             life: 1,
             said: 1,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Turns what a driver is told at its start into the module's settings: the bench's text and a deployment's
 //! nested JSON become one map of keys, so that both hosts decide alike. Keys it doesn't know are skipped.
 
-use asterlatch::interface::{Freshness, Repeat, Scope, Settings, WorkloadSettings};
+use asterlatch::interface::{DeduplicationScope, Freshness, RetrySafety, Settings, WorkloadSettings};
 use asterlatch::time::{TimeSpan, Timestamp};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -128,22 +128,22 @@
         other => return Err(format!("unknown freshness '{other}'")),
     };
     let repeat = match pairs.text(&key("idempotency")).unwrap_or("fragile") {
-        "retryable" => Repeat::Idempotent,
-        "dedup" => Repeat::Deduplicated,
-        "fragile" => Repeat::NonIdempotent,
+        "retryable" => RetrySafety::Idempotent,
+        "dedup" => RetrySafety::Deduplicated,
+        "fragile" => RetrySafety::NonIdempotent,
         other => return Err(format!("unknown idempotency '{other}'")),
     };
     Ok(WorkloadSettings {
         importance: pairs.value(&key("worth"), 1.0)?,
         late_share: pairs.value(&key("late_worth"), 0.0)?,
         slo_time,
-        repeat,
-        scope: match pairs.text(&key("key_scope")) {
-            Some("all") => Scope::All,
-            Some("zone") => Scope::Zone,
-            _ => Scope::Group,
+        retry_safety: repeat,
+        deduplication_scope: match pairs.text(&key("key_scope")) {
+            Some("all") => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Group,
         },
-        window: pairs.span(&key("window_us"), TimeSpan::default())?,
+        deduplication_window: pairs.span(&key("window_us"), TimeSpan::default())?,
         freshness,
     })
 }
@@ -173,18 +173,18 @@
         over_quota_share: pairs.value("over_share_worth", 1.0)?,
         members_check_reads: !matches!(pairs.text("family_info.behind"), None | Some("off")),
         session_age_carried: pairs.text("family_info.tokens") != Some("router"),
-        list_on_request: pairs.text("discovery") == Some("ask"),
-        list_ask_within: pairs.span("rules.ask_within_us", TimeSpan::millis(10_000))?,
+        poll_endpoint_list: pairs.text("discovery") == Some("ask"),
+        poll_within: pairs.span("rules.ask_within_us", TimeSpan::millis(10_000))?,
         gone_is_advice: pairs.flag("rules.gone_is_advice", false)?,
-        cold_share: pairs.value("rules.cold_from", 1.0)?,
-        warm_within: pairs.span("rules.warm_within_us", TimeSpan::default())?,
-        fall_multiple: pairs.value("rules.tip_multiple", f64::INFINITY)?,
-        fall_span: pairs.span("rules.fall_us", TimeSpan::millis(2000))?,
+        cold_start_fraction: pairs.value("rules.cold_from", 1.0)?,
+        warm_up_time: pairs.span("rules.warm_within_us", TimeSpan::default())?,
+        overload_multiple: pairs.value("rules.tip_multiple", f64::INFINITY)?,
+        overload_window: pairs.span("rules.fall_us", TimeSpan::millis(2000))?,
         max_executions: pairs.value("limits.try_limit", 1usize)?.max(1),
-        connection_idle: pairs.span("limits.conn_idle_us", TimeSpan::millis(15_000))?,
+        idle_connection_timeout: pairs.span("limits.conn_idle_us", TimeSpan::millis(15_000))?,
         cancel_allowed: pairs.flag("limits.cancel", false)?,
-        probes_allowed: pairs.flag("limits.probes", false)?,
-        max_hold_off: if hold_off {
+        health_checks_allowed: pairs.flag("limits.probes", false)?,
+        max_retry_after: if hold_off {
             pairs.span("limits.max_retry_after_us", TimeSpan::default())?
         } else {
             TimeSpan(0)
--- a/crates/settings/tests/fixtures.rs
+++ b/crates/settings/tests/fixtures.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo test -p asterlatch-settings --test fixtures -- --ignored` writes the fixtures anew from the build as it is.
 
-use asterlatch::interface::{Freshness, Repeat, Scope, Settings, WorkloadSettings};
+use asterlatch::interface::{DeduplicationScope, Freshness, RetrySafety, Settings, WorkloadSettings};
 use asterlatch_settings::{read, Decoding, Pairs};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -68,15 +68,15 @@
         Freshness::Fresh => "latest".to_owned(),
         Freshness::Write => "update".to_owned(),
     };
-    let idempotency = match workload.repeat {
-        Repeat::Idempotent => "retryable",
-        Repeat::Deduplicated => "dedup",
-        Repeat::NonIdempotent => "fragile",
+    let idempotency = match workload.retry_safety {
+        RetrySafety::Idempotent => "retryable",
+        RetrySafety::Deduplicated => "dedup",
+        RetrySafety::NonIdempotent => "fragile",
     };
-    let scope = match workload.scope {
-        Scope::Group => "group",
-        Scope::Zone => "zone",
-        Scope::All => "all",
+    let scope = match workload.deduplication_scope {
+        DeduplicationScope::Group => "group",
+        DeduplicationScope::Zone => "zone",
+        DeduplicationScope::All => "all",
     };
     let values: [(&str, String); 7] = [
         ("worth", workload.importance.to_string()),
@@ -84,7 +84,7 @@
         ("objective_us", workload.slo_time.0.to_string()),
         ("idempotency", idempotency.to_owned()),
         ("key_scope", scope.to_owned()),
-        ("window_us", workload.window.0.to_string()),
+        ("window_us", workload.deduplication_window.0.to_string()),
         ("freshness", freshness),
     ];
     for (name, value) in values {
@@ -105,18 +105,24 @@
         ("over_share_worth", settings.over_quota_share.to_string()),
         ("family_info.behind", settings.members_check_reads.to_string()),
         ("family_info.tokens", settings.session_age_carried.to_string()),
-        ("discovery", settings.list_on_request.to_string()),
-        ("rules.ask_within_us", settings.list_ask_within.0.to_string()),
+        ("discovery", settings.poll_endpoint_list.to_string()),
+        ("rules.ask_within_us", settings.poll_within.0.to_string()),
         ("rules.gone_is_advice", settings.gone_is_advice.to_string()),
-        ("rules.cold_from", settings.cold_share.to_string()),
-        ("rules.warm_within_us", settings.warm_within.0.to_string()),
-        ("rules.tip_multiple", settings.fall_multiple.to_string()),
-        ("rules.fall_us", settings.fall_span.0.to_string()),
+        ("rules.cold_from", settings.cold_start_fraction.to_string()),
+        ("rules.warm_within_us", settings.warm_up_time.0.to_string()),
+        ("rules.tip_multiple", settings.overload_multiple.to_string()),
+        ("rules.fall_us", settings.overload_window.0.to_string()),
         ("limits.try_limit", settings.max_executions.to_string()),
-        ("limits.conn_idle_us", settings.connection_idle.0.to_string()),
+        (
+            "limits.conn_idle_us",
+            settings.idle_connection_timeout.0.to_string(),
+        ),
         ("limits.cancel", settings.cancel_allowed.to_string()),
-        ("limits.probes", settings.probes_allowed.to_string()),
-        ("limits.max_retry_after_us", settings.max_hold_off.0.to_string()),
+        ("limits.probes", settings.health_checks_allowed.to_string()),
+        (
+            "limits.max_retry_after_us",
+            settings.max_retry_after.0.to_string(),
+        ),
         ("family_info.counted_from_us", decoding.epoch.0.to_string()),
         ("report.fields x0", format!("{:?}", decoding.position_field)),
         ("report.fields x1", format!("{:?}", decoding.role_field)),
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,14 +1,14 @@
 //! Hosts drivers by number: decodes records into calls and results into records.
 
 use crate::wire::{Batch, Fault, Fields, Reply};
-use asterlatch::choice::Driver;
 use asterlatch::interface::*;
+use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_settings::{Decoding, Pairs};
 use std::collections::BTreeMap;
 
 struct Instance {
-    driver: Driver,
+    driver: RoutingPolicy,
     workloads: usize,
     decoding: Decoding,
     /// The earliest timer that is still to fire.
@@ -25,25 +25,25 @@
 fn entry(f: &mut Fields) -> Result<MemberEntry, Fault> {
     let (id, zone, named, _kind, group) = (f.u32()?, f.u16()?, f.f32()?, f.u16()?, f.u16()?);
     let standing = match f.u8()? {
-        2 => Standing::Ready,
-        0 => Standing::Draining,
-        1 => Standing::Gone,
+        2 => MemberState::Ready,
+        0 => MemberState::Draining,
+        1 => MemberState::Gone,
         other => return Err(format!("unknown standing {other} of member {id}")),
     };
     let (size, started) = (f.f32()?, f.u64()?);
     Ok(MemberEntry {
         id,
-        key: u64::from(id),
+        fleet_key: u64::from(id),
         zone,
         group: u32::from(group),
-        standing,
-        named_primary: named == 1.0,
-        size: f64::from(size),
-        started: (started > 0).then_some(Timestamp(started)),
+        state: standing,
+        listed_as_primary: named == 1.0,
+        capacity: f64::from(size),
+        started_at: (started > 0).then_some(Timestamp(started)),
     })
 }
 
-fn report(f: &mut Fields, decoding: &Decoding) -> Result<Sighting, Fault> {
+fn report(f: &mut Fields, decoding: &Decoding) -> Result<ReplicaStatus, Fault> {
     let count = f.u8()?;
     let mut values = Vec::new();
     for _ in 0..count {
@@ -54,13 +54,13 @@
     let position = at(decoding.position_field)
         .filter(|s| *s > 0.0)
         .map(|s| decoding.epoch + TimeSpan::millis((s * 1000.0 - 0.5).max(0.0) as u64));
-    Ok(Sighting {
+    Ok(ReplicaStatus {
         position,
         is_primary: at(decoding.role_field).map(|v| v == 1.0),
     })
 }
 
-fn noted(value: u32, decoding: &Decoding) -> Sighting {
+fn noted(value: u32, decoding: &Decoding) -> ReplicaStatus {
     let ms = u64::from(value / 4);
     let position = (ms > 0 && decoding.positions).then(|| decoding.epoch + TimeSpan::millis(ms));
     let is_primary = match value % 4 {
@@ -68,20 +68,20 @@
         2 => Some(false),
         _ => None,
     };
-    Sighting { position, is_primary }
+    ReplicaStatus { position, is_primary }
 }
 
-fn ending(code: u16) -> Result<Ending, Fault> {
+fn ending(code: u16) -> Result<ExecutionOutcome, Fault> {
     Ok(match code {
-        0 => Ending::Errored,
-        1 => Ending::Completed,
-        2 => Ending::TurnedAway,
-        3 => Ending::TimedOut,
-        4 => Ending::NoConnection,
-        5 => Ending::ConnectionLost,
-        6 => Ending::Cancelled,
-        7 => Ending::NeverSent,
-        8 => Ending::Missed,
+        0 => ExecutionOutcome::Errored,
+        1 => ExecutionOutcome::Completed,
+        2 => ExecutionOutcome::Rejected,
+        3 => ExecutionOutcome::TimedOut,
+        4 => ExecutionOutcome::NoConnection,
+        5 => ExecutionOutcome::ConnectionLost,
+        6 => ExecutionOutcome::Cancelled,
+        7 => ExecutionOutcome::NotSent,
+        8 => ExecutionOutcome::NotEligible,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
@@ -139,7 +139,7 @@
                 let (seed, len) = (f.u64()?, f.u32()? as usize);
                 let text = std::str::from_utf8(f.take(len)?).map_err(|e| format!("settings text: {e}"))?;
                 let (settings, decoding) = asterlatch_settings::read(&Pairs::from_text(text)?)?;
-                let driver = Driver::new(&settings, seed, now);
+                let driver = RoutingPolicy::new(&settings, seed, now);
                 let workloads = settings.workloads.len();
                 self.instances.insert(
                     number,
@@ -171,31 +171,31 @@
                 let (stmt, attempt, member, status) = (f.u32()?, f.u8()?, f.u32()?, f.u16()?);
                 let (took, settled, note) = (TimeSpan(f.u32()?.into()), f.u8()? != 0, f.u32()?);
                 let inline = report(&mut f, decoding)?;
-                let sighting = noted(note, decoding).joined(inline);
+                let sighting = noted(note, decoding).merge(inline);
                 let ending = ending(status)?;
-                driver.execution_ended(
+                driver.on_execution_ended(
                     now,
                     &ExecutionEnd {
-                        stmt,
-                        number: attempt,
+                        statement: stmt,
+                        attempt,
                         member,
-                        ending,
-                        took,
-                        settled,
-                        sighting,
+                        outcome: ending,
+                        latency: took,
+                        is_answered: settled,
+                        status: sighting,
                     },
                 )
             }
-            3 => driver.statement_withdrawn(now, f.u32()?),
+            3 => driver.on_statement_withdrawn(now, f.u32()?),
             7 => {
                 let (mode, _version, list) = (f.u8()?, f.u64()?, f.u8()?);
                 if mode == 3 {
-                    driver.list_failed(now)
+                    driver.on_poll_failed(now)
                 } else if mode < 3 {
                     let entries = lists
                         .get(&list)
                         .ok_or_else(|| format!("list {list} was never defined"))?;
-                    driver.members_told(now, entries, mode != 0)
+                    driver.on_endpoint_list(now, entries, mode != 0)
                 } else {
                     return Err(format!("unknown list mode {mode}"));
                 }
@@ -206,7 +206,7 @@
                 if usize::from(workload) >= *workloads {
                     return Err(format!("statement {id} is of the unknown class {workload}"));
                 }
-                driver.statement_taken(
+                driver.on_statement(
                     now,
                     &Statement {
                         id,
@@ -214,11 +214,11 @@
                         tenant: tenant as usize,
                         group: group as u32,
                         session,
-                        repeat: bits & 2 != 0,
-                        left: TimeSpan(left.into()),
-                        work: (bits & 1 != 0).then_some(TimeSpan(work.into())),
-                        doubted: None,
-                        written_ago: (ago > 0.0).then(|| TimeSpan((f64::from(ago) * 1000.0) as u64)),
+                        is_client_retry: bits & 2 != 0,
+                        time_left: TimeSpan(left.into()),
+                        expected_work: (bits & 1 != 0).then_some(TimeSpan(work.into())),
+                        prior_attempt: None,
+                        session_write_age: (ago > 0.0).then(|| TimeSpan((f64::from(ago) * 1000.0) as u64)),
                     },
                 )
             }
@@ -226,16 +226,16 @@
                 if *armed == Some(Timestamp(f.u64()?)) {
                     *armed = None;
                 }
-                driver.time_reached(now)
+                driver.advance_to(now)
             }
             10 => {
                 let (member, status, took) = (f.u32()?, f.u16()?, TimeSpan(f.u32()?.into()));
                 let sighting = report(&mut f, decoding)?;
-                driver.probe_answered(now, member, status == 1, took, sighting)
+                driver.on_health_check(now, member, status == 1, took, sighting)
             }
             other => return Err(format!("unknown event code {other}")),
         };
-        let wake = results.wake_up.filter(|at| armed.is_none_or(|a| *at < a));
+        let wake = results.wake_up_at.filter(|at| armed.is_none_or(|a| *at < a));
         if let Some(at) = wake {
             *armed = Some(at);
         }
@@ -245,7 +245,7 @@
 }
 
 fn encode(
-    r: &Results,
+    r: &Actions,
     wake: Option<Timestamp>,
     now: Timestamp,
     number: u16,
@@ -260,30 +260,33 @@
         reply.record(code, fields);
     };
     for c in &r.cancellations {
-        put(3, &[&c.stmt.to_le_bytes(), &[c.number]]);
+        put(3, &[&c.statement.to_le_bytes(), &[c.attempt]]);
     }
     for e in &r.executions {
         put(
             0,
             &[
-                &e.stmt.to_le_bytes(),
+                &e.statement.to_le_bytes(),
                 &e.member.to_le_bytes(),
-                &e.until.0.to_le_bytes(),
+                &e.deadline.0.to_le_bytes(),
             ],
         );
     }
     for answer in &r.answers {
         match answer {
-            Answer::Rejected { stmt, hold_off } => {
+            Answer::Rejected {
+                statement: stmt,
+                retry_after: hold_off,
+            } => {
                 put(1, &[&stmt.to_le_bytes(), &(hold_off.0 as u32).to_le_bytes()]);
             }
-            Answer::Aborted { stmt } => put(2, &[&stmt.to_le_bytes()]),
+            Answer::Aborted { statement: stmt } => put(2, &[&stmt.to_le_bytes()]),
         }
     }
-    for member in &r.probes {
+    for member in &r.health_checks {
         put(5, &[&member.to_le_bytes()]);
     }
-    if r.subscribe {
+    if r.poll_endpoint_list {
         put(10, &[&[1]]);
     }
     if let Some(at) = wake {
--- a/src/fleet.rs
+++ b/src/fleet_share.rs
@@ -27,21 +27,21 @@
 const TRIAL: TimeSpan = TimeSpan::millis(1500);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fleet {
+pub struct FleetShare {
     drivers: f64,
 }
 
-impl Default for Fleet {
-    fn default() -> Fleet {
-        Fleet::of(1)
+impl Default for FleetShare {
+    fn default() -> FleetShare {
+        FleetShare::of(1)
     }
 }
 
-impl Fleet {
+impl FleetShare {
     /// At least this driver is there.
-    pub fn of(drivers: u32) -> Fleet {
+    pub fn of(drivers: u32) -> FleetShare {
         let drivers = f64::from(drivers.max(1));
-        Fleet { drivers }
+        FleetShare { drivers }
     }
 
     /// This driver's even part of what all may have.
@@ -97,7 +97,7 @@
 /// What was last heard from each zone, and when it was left: one driver meets a member too rarely to learn of it what it
 /// learns of all its neighbours together.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Zones {
+pub struct ZoneHealth {
     heard: Vec<Timestamp>,
     left: Vec<Timestamp>,
 }
@@ -114,7 +114,7 @@
     times[z] = now;
 }
 
-impl Zones {
+impl ZoneHealth {
     /// Something was answered from there.
     pub fn hear(&mut self, zone: u16, now: Timestamp) {
         set(&mut self.heard, zone, now);
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,8 +1,8 @@
 //! What a driver makes of a member's answers: how many executions at once it is known to bear, and the
 //! share of statements that it is let in, what a cold one may be sent. Nothing here chooses.
 
-use crate::interface::{Ending, Settings};
-use crate::state::{Group, Members};
+use crate::interface::{ExecutionOutcome, Settings};
+use crate::state::{Group, MemberTable};
 use crate::time::{TimeSpan, Timestamp};
 
 /// Bounds on concurrency: mean time of answers to the SLO time.
@@ -33,20 +33,23 @@
 /// Weight of the newest figure in a smoothed one.
 pub const NEWEST: f64 = 0.15;
 
-impl Members {
+impl MemberTable {
     /// Moves a member's bound on executions at once by an end that was just taken into account. A `typical` time lies
     /// between two cuts, for what was sent before the first says nothing of its effect.
     pub fn bound(&mut self, m: usize, now: Timestamp, completed: bool, typical: TimeSpan, sparse: bool) {
-        let used = (self.open[m] + 1) as f64 >= self.limit[m] / 2.0;
-        let good = completed && self.pace[m] < GOOD_PACE;
+        let used = (self.in_flight[m] + 1) as f64 >= self.concurrency_limit[m] / 2.0;
+        let good = completed && self.latency_ratio[m] < GOOD_PACE;
         if good {
-            self.proven[m] += NEWEST * ((self.open[m] + 1) as f64 - self.proven[m]);
+            self.proven_concurrency[m] +=
+                NEWEST * ((self.in_flight[m] + 1) as f64 - self.proven_concurrency[m]);
         }
         if good && used {
-            self.limit[m] += GROWTH / self.limit[m].sqrt();
-        } else if self.pace[m] > BAD_PACE && now - self.cut_at[m] > typical && !sparse {
-            self.limit[m] = (self.limit[m] * CUT).max(self.proven[m] * SEEN_TO_WORK).max(1.0);
-            self.cut_at[m] = now;
+            self.concurrency_limit[m] += GROWTH / self.concurrency_limit[m].sqrt();
+        } else if self.latency_ratio[m] > BAD_PACE && now - self.limit_reduced_at[m] > typical && !sparse {
+            self.concurrency_limit[m] = (self.concurrency_limit[m] * CUT)
+                .max(self.proven_concurrency[m] * SEEN_TO_WORK)
+                .max(1.0);
+            self.limit_reduced_at[m] = now;
         }
     }
 
@@ -56,33 +59,41 @@
         let most = if sparse { 1.0 } else { CREDIT };
         for (n, part) in others.map(|n| (*n, ALIKE)).chain([(m, 1.0)]) {
             let pull = PULL * (AIMED - share) * part;
-            self.let_in[n] = (self.let_in[n] * pull.exp()).clamp(LEAST_SHARE, most);
+            self.admission_share[n] = (self.admission_share[n] * pull.exp()).clamp(LEAST_SHARE, most);
         }
     }
 
     /// An idle connection stands there that is young enough to be used.
     pub fn connected(&self, m: usize, now: Timestamp, idle: TimeSpan) -> bool {
-        let old = now - self.used_at[m] > idle && self.open[m] == 0;
-        self.open[m] < self.connections[m] && !old
+        let old = now - self.last_used_at[m] > idle && self.in_flight[m] == 0;
+        self.in_flight[m] < self.connections[m] && !old
     }
 
     /// When it has owed answers for too long: sooner where it owes many.
     pub fn overdue_at(&self, m: usize, longest_typical: TimeSpan) -> Option<Timestamp> {
-        let patience = longest_typical * (OVERDUE_PACES * (1.0 + 2.0 / self.open[m].max(1) as f64));
-        (self.open[m] > 0).then(|| self.owes_since[m] + patience.min(OVERDUE))
+        let patience = longest_typical * (OVERDUE_PACES * (1.0 + 2.0 / self.in_flight[m].max(1) as f64));
+        (self.in_flight[m] > 0).then(|| self.oldest_unanswered[m] + patience.min(OVERDUE))
     }
 
     /// What an end says of its member: `took` is the part of its SLO time that it took, `timed` whether that counts.
-    pub fn judge(&mut self, m: usize, group: &Group, ending: Ending, took: f64, timed: bool, sparse: bool) {
+    pub fn judge(
+        &mut self,
+        m: usize,
+        group: &Group,
+        ending: ExecutionOutcome,
+        took: f64,
+        timed: bool,
+        sparse: bool,
+    ) {
         if timed {
-            self.pace[m] += NEWEST * (took - self.pace[m]);
+            self.latency_ratio[m] += NEWEST * (took - self.latency_ratio[m]);
         }
         // Failures that all share are no reason to shut the group: its members must be let in on the mean.
-        let beyond = |n: &usize| self.let_in[*n].min(1.0) - COMMON;
+        let beyond = |n: &usize| self.admission_share[*n].min(1.0) - COMMON;
         let alone = || group.members.iter().map(beyond).sum::<f64>() > 0.0;
         let share = match ending {
-            Ending::Errored | Ending::TurnedAway if alone() => Some(1.0),
-            Ending::Completed if !sparse => Some(0.0),
+            ExecutionOutcome::Errored | ExecutionOutcome::Rejected if alone() => Some(1.0),
+            ExecutionOutcome::Completed if !sparse => Some(0.0),
             _ => Some(took).filter(|_| sparse && timed),
         };
         if let Some(share) = share {
@@ -94,9 +105,9 @@
 
     /// Between the least of a member that has just started and 1.
     pub fn warmth(&self, m: usize, now: Timestamp, settings: &Settings) -> f64 {
-        let cold = settings.cold_share;
-        let age = |at: Timestamp| (now - at).ratio(settings.warm_within);
-        self.started[m].map_or(1.0, |at| (cold + (1.0 - cold) * age(at)).min(1.0))
+        let cold = settings.cold_start_fraction;
+        let age = |at: Timestamp| (now - at).ratio(settings.warm_up_time);
+        self.started_at[m].map_or(1.0, |at| (cold + (1.0 - cold) * age(at)).min(1.0))
     }
 
     /// Members that are cold now, and how warm they are at another time.
@@ -114,7 +125,7 @@
     /// Until when a cold member gets nothing: its last send is a debt, paid off at this rate, in parts of a core, which all
     /// drivers together keep the budget by. Where it is known what all others send, what is allowed binds instead.
     pub fn cold_until(&self, m: usize, now: Timestamp, pays: f64) -> Timestamp {
-        match self.allowed[m] {
+        match self.warm_up_budget[m] {
             Some((work, until)) if now < until => {
                 if work > TimeSpan(0) {
                     Timestamp(0)
@@ -122,14 +133,14 @@
                     until
                 }
             }
-            _ => self.debt_at[m] + self.debt[m] * (1.0 / pays),
+            _ => self.warm_up_debt_at[m] + self.warm_up_debt[m] * (1.0 / pays),
         }
     }
 
     /// So much work goes there now.
     pub fn owe(&mut self, m: usize, work: TimeSpan) {
-        self.debt[m] = work;
-        if let Some((allowed, _)) = &mut self.allowed[m] {
+        self.warm_up_debt[m] = work;
+        if let Some((allowed, _)) = &mut self.warm_up_budget[m] {
             *allowed = *allowed - work;
         }
     }
@@ -139,10 +150,10 @@
     pub fn disown(&mut self, idle_came: bool, now: Timestamp) -> Vec<usize> {
         let mut touched = Vec::new();
         for m in 0..self.id.len() {
-            let idle = self.connections[m].saturating_sub(self.open[m]);
+            let idle = self.connections[m].saturating_sub(self.in_flight[m]);
             self.connections[m] = if idle_came { idle } else { 0 };
-            if std::mem::take(&mut self.open[m]) > 0 {
-                self.owes_since[m] = now;
+            if std::mem::take(&mut self.in_flight[m]) > 0 {
+                self.oldest_unanswered[m] = now;
                 touched.push(m);
             }
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,10 +4,10 @@
 //! in and out, and `time` has the clock types. `fleet` knows what one driver may do of what all do together,
 //! `subset` which replicas it asks first.
 
-pub mod choice;
-pub mod fleet;
+pub mod fleet_share;
 pub mod health;
 pub mod interface;
+pub mod policy;
+pub mod replica_preference;
 mod state;
-pub mod subset;
 pub mod time;
--- a/src/choice.rs
+++ b/src/policy.rs
@@ -1,16 +1,16 @@
-//! Every decision of asterlatch. A host makes one `Driver` per instance, calls one method per input and
-//! carries out the `Results`; the types on both sides stand in `src/interface.rs`, clock types in
+//! Every decision of asterlatch. A host makes one `RoutingPolicy` per instance, calls one method per input and
+//! carries out the `Actions`; the types on both sides stand in `src/interface.rs`, clock types in
 //! `src/time.rs`, what a driver remembers in `src/state.rs`. After each input the `RULES` are gone through in
 //! order, again and again, until none fires.
 
 mod views;
 
-use crate::fleet::{self, Fleet, Zones};
+use crate::fleet_share::{self, FleetShare, ZoneHealth};
 use crate::health::{DEAR, GOOD_PACE, LATE_COUNTS, NEWEST, OVERDUE, OVERDUE_PACES};
-use crate::interface::Ending::*;
+use crate::interface::ExecutionOutcome::*;
 use crate::interface::*;
+use crate::replica_preference::ReplicaPreference;
 use crate::state::*;
-use crate::subset::Firsts;
 use crate::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,52 +37,52 @@
 const ASK_SHARE: f64 = 0.1;
 const ASK_FIRST: f64 = 1.0 / 16.0;
 
-const RULES: [fn(&mut Driver) -> bool; 8] = [
-    Driver::answer_in_time,
-    Driver::give_up_the_worthless,
-    Driver::release_held,
-    Driver::leave_silent_zones,
-    Driver::plan_touched,
-    Driver::look_at_members,
-    Driver::place_waiting,
-    Driver::ask_for_list,
+const RULES: [fn(&mut RoutingPolicy) -> bool; 8] = [
+    RoutingPolicy::answer_in_time,
+    RoutingPolicy::give_up_the_worthless,
+    RoutingPolicy::release_held,
+    RoutingPolicy::leave_silent_zones,
+    RoutingPolicy::plan_touched,
+    RoutingPolicy::look_at_members,
+    RoutingPolicy::place_waiting,
+    RoutingPolicy::ask_for_list,
 ];
 
 /// Written out it is what was learned: statements and their executions stay with the process that took them.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Driver {
+pub struct RoutingPolicy {
     #[serde(skip)]
     settings: Settings,
     #[serde(skip)]
-    fleet: Fleet,
+    fleet: FleetShare,
     #[serde(skip)]
-    firsts: Firsts,
+    firsts: ReplicaPreference,
     now: Timestamp,
-    chance: Chance,
+    chance: SeededRng,
     /// Smoothed time that an answer takes, by workload.
     typical: Vec<TimeSpan>,
-    zones: Zones,
+    zones: ZoneHealth,
     /// How long clients wait for first tries, by workload.
     first_left: Vec<TimeSpan>,
-    members: Members,
-    groups: Groups,
+    members: MemberTable,
+    groups: GroupTable,
     #[serde(skip)]
-    stmts: BTreeMap<u32, Stmt>,
+    stmts: BTreeMap<u32, StatementState>,
     #[serde(skip)]
-    running: BTreeMap<(u32, u8), Running>,
+    running: BTreeMap<(u32, u8), InFlightExecution>,
     #[serde(skip)]
-    due: Agenda<u32>,
+    due: TimerQueue<u32>,
     /// When each member is to be looked at next, and those for which that may have come nearer.
-    watch: Agenda<usize>,
+    watch: TimerQueue<usize>,
     #[serde(skip)]
     touched: Vec<usize>,
-    /// Groups in which a waiting statement may find a place now.
+    /// GroupTable in which a waiting statement may find a place now.
     #[serde(skip)]
     changed: BTreeSet<usize>,
-    sessions: Sessions,
-    quotas: Quotas,
+    sessions: SessionPositions,
+    quotas: TenantQuotas,
     /// Work of latest answers, and the warm members' size that bore it.
-    borne: Window,
+    borne: SlidingWindow,
     warm_size: f64,
     best_density: f64,
     /// Smoothed part of the SLO time that setting up a connection costs.
@@ -98,30 +98,30 @@
     #[serde(skip)]
     yields: bool,
     #[serde(skip)]
-    results: Results,
+    results: Actions,
 }
 
 /// The proof table: endings after which the statement is known not to have run.
-pub fn never_ran(ending: Ending) -> bool {
-    matches!(ending, TurnedAway | NoConnection | NeverSent | Missed)
+pub fn definitely_not_executed(ending: ExecutionOutcome) -> bool {
+    matches!(ending, Rejected | NoConnection | NotSent | NotEligible)
 }
 
-impl Driver {
-    pub fn new(settings: &Settings, seed: u64, now: Timestamp) -> Driver {
-        Driver {
+impl RoutingPolicy {
+    pub fn new(settings: &Settings, seed: u64, now: Timestamp) -> RoutingPolicy {
+        RoutingPolicy {
             typical: settings.workloads.iter().map(|w| w.slo_time * 0.2).collect(),
             first_left: vec![TimeSpan(0); settings.workloads.len()],
-            chance: Chance { seed, drawn: 0 },
-            ask_at: settings.list_on_request.then_some(now),
+            chance: SeededRng { seed, drawn: 0 },
+            ask_at: settings.poll_endpoint_list.then_some(now),
             settings: settings.clone(),
-            fleet: Fleet::of(settings.driver_count),
-            firsts: Firsts::alone(seed),
-            ..Driver::default()
+            fleet: FleetShare::of(settings.driver_count),
+            firsts: ReplicaPreference::alone(seed),
+            ..RoutingPolicy::default()
         }
     }
 
-    pub fn statement_taken(&mut self, now: Timestamp, s: &Statement) -> Results {
-        self.hear(now);
+    pub fn on_statement(&mut self, now: Timestamp, s: &Statement) -> Actions {
+        self.set_now(now);
         let group = self.groups.at(s.group);
         // Each driver has an even part of a tenant's quota.
         let quota = self.settings.tenant_quotas.get(s.tenant);
@@ -133,40 +133,43 @@
         };
         let slack = self.settings.tick + self.settings.tick;
         let w = &self.settings.workloads[s.workload];
-        let work = s.work.unwrap_or(self.typical[s.workload]);
+        let work = s.expected_work.unwrap_or(self.typical[s.workload]);
         // Little time left makes an answer unlikely, and its work in vain.
-        let hope = s.left.ratio(self.typical[s.workload] * 2.0).min(1.0);
+        let hope = s.time_left.ratio(self.typical[s.workload] * 2.0).min(1.0);
         let density = w.importance * share * hope / work.0.max(1) as f64;
         self.best_density = density.max(self.best_density * 0.999);
         let token = match w.freshness {
             Freshness::Session if self.settings.session_age_carried => {
-                s.written_ago.map_or(Timestamp(0), |ago| now - ago)
+                s.session_write_age.map_or(Timestamp(0), |ago| now - ago)
             }
             Freshness::Session => self.sessions.known(s.session),
             _ => Timestamp(0),
         };
         // A repeat's SLO time began with its first try: what it has less to wait than those do has passed.
-        if !s.repeat {
-            self.first_left[s.workload] = s.left;
+        if !s.is_client_retry {
+            self.first_left[s.workload] = s.time_left;
         }
-        let passed = self.first_left[s.workload] - s.left;
-        let stmt = Stmt {
+        let passed = self.first_left[s.workload] - s.time_left;
+        let stmt = StatementState {
             workload: s.workload,
             group,
             session: s.session,
-            token,
-            work: s.work,
+            required_position: token,
+            expected_work: s.expected_work,
             importance: w.importance * share,
-            taken: now,
-            bar: self.chance.draw().powf((density / self.best_density).max(0.1)),
-            slo_at: now + (w.slo_time - slack - passed),
-            answer_by: now + (s.left - slack),
-            send_by: now + s.left,
-            unsent_by: now + s.left * UNSENT,
-            doubt: s
-                .doubted
-                .map(|(ago, m)| (now - ago, self.members.index.get(&m).copied().unwrap_or(0))),
-            ..Stmt::default()
+            accepted_at: now,
+            admission_threshold: self.chance.draw().powf((density / self.best_density).max(0.1)),
+            slo_deadline: now + (w.slo_time - slack - passed),
+            answer_deadline: now + (s.time_left - slack),
+            dispatch_deadline: now + s.time_left,
+            unsent_deadline: now + s.time_left * UNSENT,
+            indeterminate: s.prior_attempt.map(|p| {
+                (
+                    now - p.age,
+                    self.members.index.get(&p.member).copied().unwrap_or(0),
+                )
+            }),
+            ..StatementState::default()
         };
         self.stmts.insert(s.id, stmt);
         if self.may_run_again(s.id) {
@@ -174,277 +177,299 @@
         } else {
             self.finish(s.id);
         }
-        self.settle()
+        self.run_rules()
     }
 
-    pub fn statement_withdrawn(&mut self, now: Timestamp, stmt: u32) -> Results {
-        self.hear(now);
+    pub fn on_statement_withdrawn(&mut self, now: Timestamp, stmt: u32) -> Actions {
+        self.set_now(now);
         self.call_off(stmt);
         self.forget(stmt);
-        self.settle()
+        self.run_rules()
     }
 
-    pub fn execution_ended(&mut self, now: Timestamp, end: &ExecutionEnd) -> Results {
-        self.hear(now);
-        if let Some(run) = self.running.remove(&(end.stmt, end.number)) {
-            (!run.lost).then(|| self.learn_health(&run, end));
-            self.learn_sighting(run.member, end.took, TimeSpan(0), end.sighting);
+    pub fn on_execution_ended(&mut self, now: Timestamp, end: &ExecutionEnd) -> Actions {
+        self.set_now(now);
+        if let Some(run) = self.running.remove(&(end.statement, end.attempt)) {
+            (!run.abandoned).then(|| self.learn_health(&run, end));
+            self.learn_sighting(run.member, end.latency, TimeSpan(0), end.status);
             self.learn_commit(&run, end);
-            if end.settled {
-                self.forget(end.stmt);
+            if end.is_answered {
+                self.forget(end.statement);
             }
-            self.go_on(end, &run);
+            self.on_attempt_failed(end, &run);
         }
-        self.settle()
+        self.run_rules()
     }
 
     /// A connection has to come up first: until `goes_out` nothing of this execution has left.
-    pub fn awaits(&mut self, stmt: u32, number: u8) {
+    pub fn on_connecting(&mut self, stmt: u32, number: u8) {
         let run = self.running.get_mut(&(stmt, number));
-        run.into_iter().for_each(|r| r.awaits = true);
+        run.into_iter().for_each(|r| r.is_connecting = true);
     }
 
     /// Whether an execution may still go out now that it can; if so it has. What came meanwhile may forbid
     /// it: its end, a drain, the end of the time of its repeats, or a position that covers it no more.
-    pub fn goes_out(&mut self, now: Timestamp, stmt: u32, number: u8) -> bool {
+    pub fn may_dispatch(&mut self, now: Timestamp, stmt: u32, number: u8) -> bool {
         self.now = now;
-        let run = self.running.get(&(stmt, number)).filter(|r| !r.called_off);
+        let run = self.running.get(&(stmt, number)).filter(|r| !r.is_cancelled);
         let Some((m, s)) = run.map(|r| r.member).zip(self.stmts.get(&stmt)) else {
             return false;
         };
         let primary = self.groups[s.group].primary == Some(m) || self.settings.needs_primary(s.workload);
         let ready = primary || self.is_checked(s) || self.covers(m, s);
-        let goes = ready && self.may_send(m) && now < s.send_by.min(s.answer_by);
+        let goes = ready && self.may_send(m) && now < s.dispatch_deadline.min(s.answer_deadline);
         let run = self.running.get_mut(&(stmt, number)).expect("seen above");
         if goes {
-            (run.awaits, run.sent) = (false, now);
+            (run.is_connecting, run.dispatched_at) = (false, now);
         }
         goes
     }
 
     /// Whether an answer may go to the client: not one that itself shows older data than the read allowed
     /// when it was sent. A primary that was held up and deposed meanwhile answers what lay there.
-    pub fn accepts(&self, stmt: u32, number: u8, s: Sighting) -> bool {
+    pub fn accepts_answer(&self, stmt: u32, number: u8, s: ReplicaStatus) -> bool {
         let Some(run) = self.running.get(&(stmt, number)) else {
             return true;
         };
         let need = match self.settings.workloads[run.workload].freshness {
-            Freshness::Bounded(bound) => run.sent - bound,
-            Freshness::Session => self.stmts.get(&stmt).map_or(Timestamp(0), |s| s.token),
+            Freshness::Bounded(bound) => run.dispatched_at - bound,
+            Freshness::Session => self
+                .stmts
+                .get(&stmt)
+                .map_or(Timestamp(0), |s| s.required_position),
             Freshness::Any | Freshness::Fresh | Freshness::Write => Timestamp(0),
         };
         s.position.is_none_or(|p| p >= need)
     }
 
-    pub fn probe_answered(
+    pub fn on_health_check(
         &mut self,
         now: Timestamp,
         member: u32,
         ok: bool,
         took: TimeSpan,
-        s: Sighting,
-    ) -> Results {
-        self.hear(now);
-        let before = now - self.longest_typical() * OVERDUE_PACES;
+        s: ReplicaStatus,
+    ) -> Actions {
+        self.set_now(now);
+        let before = now - self.longest_typical_latency() * OVERDUE_PACES;
         if let Some(&m) = self.members.index.get(&member) {
             let f = &mut self.members;
             self.changed.insert(f.group[m]);
             self.touched.push(m);
             if ok {
-                f.owes_since[m] = now;
+                f.oldest_unanswered[m] = now;
                 // It lives: what it owed all the while is lost on its way or stuck, and keeps no room.
-                if std::mem::take(&mut f.shunned[m]) {
+                if std::mem::take(&mut f.ejected[m]) {
                     let runs = self.running.values_mut();
                     let lost = runs.fold(0, |n, r| n + usize::from(r.lose(m, before)));
-                    (f.open[m], f.connections[m]) = (f.open[m] - lost, f.connections[m].saturating_sub(lost));
+                    (f.in_flight[m], f.connections[m]) =
+                        (f.in_flight[m] - lost, f.connections[m].saturating_sub(lost));
                 }
                 self.learn_sighting(m, took, TimeSpan(0), s);
             }
         }
-        self.settle()
+        self.run_rules()
     }
 
-    pub fn members_told(&mut self, now: Timestamp, entries: &[MemberEntry], whole: bool) -> Results {
-        self.hear(now);
+    pub fn on_endpoint_list(&mut self, now: Timestamp, entries: &[MemberEntry], whole: bool) -> Actions {
+        self.set_now(now);
         if whole {
-            self.members.standing.fill(Standing::Gone);
+            self.members.state.fill(MemberState::Gone);
         }
         entries.iter().for_each(|e| self.learn_entry(e));
         let owing = self.running.values().map(|r| r.member);
-        let meant: BTreeSet<_> = self.stmts.values().flat_map(Stmt::members).chain(owing).collect();
+        let meant: BTreeSet<_> = self
+            .stmts
+            .values()
+            .flat_map(StatementState::members)
+            .chain(owing)
+            .collect();
         let all = self.members.index.values().copied();
         let (up, down): (Vec<_>, Vec<_>) = all.partition(|m| self.may_send(*m));
-        self.warm_size = up.iter().map(|m| self.members.size[*m] * self.warmth(*m)).sum();
+        self.warm_size = up
+            .iter()
+            .map(|m| self.members.capacity[*m] * self.warmth(*m))
+            .sum();
         for m in down {
             let waits = self
                 .running
                 .iter_mut()
-                .filter(|(_, r)| r.member == m && r.awaits && !r.called_off);
+                .filter(|(_, r)| r.member == m && r.is_connecting && !r.is_cancelled);
             for (&(stmt, number), run) in waits {
-                run.called_off = true;
-                self.results.cancellations.push(Cancellation { stmt, number });
+                run.is_cancelled = true;
+                self.results.cancellations.push(Cancellation {
+                    statement: stmt,
+                    attempt: number,
+                });
             }
             let g = &mut self.groups[self.members.group[m]];
             let f = &mut self.members;
             g.depose(m);
             // A long day of ever new members would fill memory and turns; what is open may mean one still.
-            if f.standing[m] == Standing::Gone && !meant.contains(&m) {
+            if f.state[m] == MemberState::Gone && !meant.contains(&m) {
                 g.members.retain(|n| *n != m);
-                self.watch.put(m, f.watch_at[m], None);
-                self.results.let_go.push(f.let_go(m));
+                self.watch.put(m, f.next_check_at[m], None);
+                self.results.removed_members.push(f.let_go(m));
             }
         }
         self.changed.extend(0..self.groups.all.len());
         self.touched.extend(self.members.index.values());
-        self.settle()
+        self.run_rules()
     }
 
     /// The call for the list failed or the subscription broke; whether one stands is not known, so ask again.
-    pub fn list_failed(&mut self, now: Timestamp) -> Results {
-        self.hear(now);
-        let most = self.settings.list_ask_within * ASK_SHARE;
+    pub fn on_poll_failed(&mut self, now: Timestamp) -> Actions {
+        self.set_now(now);
+        let most = self.settings.poll_within * ASK_SHARE;
         let (before, until) = self.asks_failed;
         let in_a_row = if now < until { before + 1 } else { 0 };
         self.asks_failed = (in_a_row, now + most * 2.0);
         let gap = most * (ASK_FIRST * 2f64.powi(in_a_row)).min(1.0) * (0.5 + self.chance.draw());
-        self.ask_at = self.settings.list_on_request.then_some(now + gap);
-        self.settle()
+        self.ask_at = self.settings.poll_endpoint_list.then_some(now + gap);
+        self.run_rules()
     }
 
-    pub fn time_reached(&mut self, now: Timestamp) -> Results {
-        self.hear(now);
-        self.settle()
+    pub fn advance_to(&mut self, now: Timestamp) -> Actions {
+        self.set_now(now);
+        self.run_rules()
     }
 
     fn learn_entry(&mut self, e: &MemberEntry) {
-        let (group, longest) = (self.groups.at(e.group), self.longest_typical());
+        let (group, longest) = (self.groups.at(e.group), self.longest_typical_latency());
         let f = &mut self.members;
         let (m, known) = f.place(e.id);
         if !known {
             f.group[m] = group;
-            f.pace[m] = GOOD_PACE / 2.0;
+            f.latency_ratio[m] = GOOD_PACE / 2.0;
             self.groups[group].members.push(m);
         }
-        if !known || e.started > f.started[m] {
+        if !known || e.started_at > f.started_at[m] {
             // It may be cold, and is no longer primary whatever it was.
-            f.started[m] = e.started;
-            f.limit[m] = self.fleet.first_limit();
-            (f.shunned[m], f.drained[m]) = (false, false);
-            (f.probe_at[m], f.debt_at[m]) = (self.now, self.now);
+            f.started_at[m] = e.started_at;
+            f.concurrency_limit[m] = self.fleet.first_limit();
+            (f.ejected[m], f.drained[m]) = (false, false);
+            (f.health_check_at[m], f.warm_up_debt_at[m]) = (self.now, self.now);
             // Drivers that hear of it together must not send to it together.
-            f.debt[m] = longest * self.chance.draw();
+            f.warm_up_debt[m] = longest * self.chance.draw();
             self.groups[group].depose(m);
         }
-        (f.standing[m], f.zone[m], f.size[m], f.key[m]) = (e.standing, e.zone, e.size, e.key);
-        f.drained[m] |= e.standing == Standing::Draining;
+        (f.state[m], f.zone[m], f.capacity[m], f.fleet_key[m]) = (e.state, e.zone, e.capacity, e.fleet_key);
+        f.drained[m] |= e.state == MemberState::Draining;
         let g = &mut self.groups[group];
-        let named = e.named_primary && !f.said_replica[m];
+        let named = e.listed_as_primary && !f.reported_replica[m];
         g.primary = g.primary.or(named.then_some(m));
     }
 
     /// Newest evidence wins by the position it was given at, not by when it arrived: a primary stands at the
     /// present, so one that spoke as primary at a later position has taken over since.
-    fn learn_sighting(&mut self, m: usize, took: TimeSpan, ago: TimeSpan, s: Sighting) {
+    fn learn_sighting(&mut self, m: usize, took: TimeSpan, ago: TimeSpan, s: ReplicaStatus) {
         let f = &mut self.members;
         let g = &mut self.groups[f.group[m]];
-        // Told by itself it is news whatever it says; told by others only where it says more.
+        // MemberUpdate by itself it is news whatever it says; told by others only where it says more.
         if let Some(position) = s.position.filter(|p| ago == TimeSpan(0) || *p > f.position[m]) {
-            (f.position[m], f.told_at[m]) = (f.position[m].max(position), Some(self.now - ago));
+            (f.position[m], f.status_at[m]) = (f.position[m].max(position), Some(self.now - ago));
         }
         let at = s.position.unwrap_or(self.now - took);
-        if s.is_primary == Some(true) && at >= g.primary_at {
-            f.said_replica[m] = false;
-            g.primary_at = at;
+        if s.is_primary == Some(true) && at >= g.primary_position {
+            f.reported_replica[m] = false;
+            g.primary_position = at;
             if g.primary.replace(m) != Some(m) {
                 for (_, _, id) in g.queued() {
                     let held = self.stmts.get_mut(id).expect("waiting");
-                    held.hold_until = Timestamp(0);
-                    held.avoid.clear();
+                    held.backoff_until = Timestamp(0);
+                    held.excluded_members.clear();
                 }
             }
-        } else if s.is_primary == Some(false) && (g.primary != Some(m) || at >= g.primary_at) {
-            f.said_replica[m] = true;
+        } else if s.is_primary == Some(false) && (g.primary != Some(m) || at >= g.primary_position) {
+            f.reported_replica[m] = true;
             g.depose(m);
         }
     }
 
-    fn learn_commit(&mut self, run: &Running, end: &ExecutionEnd) {
+    fn learn_commit(&mut self, run: &InFlightExecution, end: &ExecutionEnd) {
         let write = self.settings.workloads[run.workload].freshness == Freshness::Write;
-        let done = write && !self.settings.session_age_carried && !never_ran(end.ending);
+        let done = write && !self.settings.session_age_carried && !definitely_not_executed(end.outcome);
         if done {
             // A write without a stated commit, or whose answer was lost, is taken to have committed by now.
-            let commit = end.sighting.position.unwrap_or(self.now);
+            let commit = end.status.position.unwrap_or(self.now);
             self.sessions.note(run.session, commit, SESSIONS_KEPT);
             // Reads of it that are still here must see it too, for they may go out after this.
-            let read = |s: &&mut Stmt| s.session == run.session && s.session > 0;
+            let read = |s: &&mut StatementState| s.session == run.session && s.session > 0;
             let reads = self.stmts.values_mut().filter(read);
-            reads.for_each(|s| s.token = s.token.max(commit));
+            reads.for_each(|s| s.required_position = s.required_position.max(commit));
         }
     }
 
     /// Bounds and shares on the evidence of this driver's own traffic.
-    fn learn_health(&mut self, run: &Running, end: &ExecutionEnd) {
+    fn learn_health(&mut self, run: &InFlightExecution, end: &ExecutionEnd) {
         let (now, m, w) = (self.now, run.member, run.workload);
-        let sparse = self.sparse();
+        let sparse = self.has_few_samples();
         let f = &mut self.members;
-        f.open[m] = f.open[m].saturating_sub(1);
+        f.in_flight[m] = f.in_flight[m].saturating_sub(1);
         self.changed.insert(f.group[m]);
         self.touched.push(m);
-        let answered = matches!(end.ending, Completed | Missed | Errored | TurnedAway);
+        let answered = matches!(end.outcome, Completed | NotEligible | Errored | Rejected);
         if answered {
             self.zones.hear(f.zone[m], now);
-            (f.owes_since[m], f.shunned[m], f.quiet_until[m]) = (now, false, Timestamp(0));
-        } else if end.ending != NeverSent {
+            (f.oldest_unanswered[m], f.ejected[m], f.unresponsive_until[m]) = (now, false, Timestamp(0));
+        } else if end.outcome != NotSent {
             f.connections[m] = f.connections[m].saturating_sub(1);
         }
         let typical = &mut self.typical[w];
         let slo_time = self.settings.workloads[w].slo_time;
-        if run.new_connection && matches!(end.ending, NoConnection | Completed) {
-            let failed = f64::from(u8::from(end.ending == NoConnection));
-            let cost = (end.took - *typical).ratio(slo_time).max(failed).min(1.0);
+        if run.new_connection && matches!(end.outcome, NoConnection | Completed) {
+            let failed = f64::from(u8::from(end.outcome == NoConnection));
+            let cost = (end.latency - *typical).ratio(slo_time).max(failed).min(1.0);
             self.setup += NEWEST * (cost - self.setup);
         }
-        if end.ending == Completed {
-            *typical = *typical * (1.0 - NEWEST / 3.0) + end.took * (NEWEST / 3.0);
-            self.borne.add(now, *typical, self.settings.fall_span);
+        if end.outcome == Completed {
+            *typical = *typical * (1.0 - NEWEST / 3.0) + end.latency * (NEWEST / 3.0);
+            self.borne.add(now, *typical, self.settings.overload_window);
         }
         // Dead, cut off or out of connections: a probe tells when that is over.
-        if f.connections[m] == 0 && matches!(end.ending, NoConnection | ConnectionLost) {
+        if f.connections[m] == 0 && matches!(end.outcome, NoConnection | ConnectionLost) {
             return self.shun(m);
         }
-        let took = end.took.ratio(slo_time).min(LATE_COUNTS);
-        let timed = self.stalled_at < now && matches!(end.ending, Completed | TimedOut | Cancelled);
-        f.judge(m, &self.groups[f.group[m]], end.ending, took, timed, sparse);
-        f.bound(m, now, end.ending == Completed, *typical, sparse);
+        let took = end.latency.ratio(slo_time).min(LATE_COUNTS);
+        let timed = self.stalled_at < now && matches!(end.outcome, Completed | TimedOut | Cancelled);
+        f.judge(m, &self.groups[f.group[m]], end.outcome, took, timed, sparse);
+        f.bound(m, now, end.outcome == Completed, *typical, sparse);
     }
 
     /// What becomes of a statement whose execution ended without settling it.
-    fn go_on(&mut self, end: &ExecutionEnd, run: &Running) {
-        let held = self.stmts.get_mut(&end.stmt);
+    fn on_attempt_failed(&mut self, end: &ExecutionEnd, run: &InFlightExecution) {
+        let held = self.stmts.get_mut(&end.statement);
         let Some(s) = held else { return };
-        if !never_ran(end.ending) {
-            s.doubt = s.doubt.or(Some((run.sent, run.member)));
+        if !definitely_not_executed(end.outcome) {
+            s.indeterminate = s.indeterminate.or(Some((run.dispatched_at, run.member)));
         }
-        let out_of = s.executions >= self.settings.max_executions;
-        if !self.may_run_again(end.stmt) || out_of {
-            return self.finish(end.stmt);
+        let out_of = s.attempts >= self.settings.max_executions;
+        if !self.may_run_again(end.statement) || out_of {
+            return self.finish(end.statement);
         }
-        let s = self.stmts.get_mut(&end.stmt).expect("seen above");
-        s.avoid.push(run.member);
+        let s = self.stmts.get_mut(&end.statement).expect("seen above");
+        s.excluded_members.push(run.member);
         // Else failures that all share would have each statement executed everywhere.
-        s.bar = if end.ending == Missed { s.bar } else { s.bar.sqrt() };
-        let all_tried = self.groups[s.group].members.iter().all(|m| s.avoid.contains(m));
-        let half_used = s.executions * 2 >= self.settings.max_executions;
+        s.admission_threshold = if end.outcome == NotEligible {
+            s.admission_threshold
+        } else {
+            s.admission_threshold.sqrt()
+        };
+        let all_tried = self.groups[s.group]
+            .members
+            .iter()
+            .all(|m| s.excluded_members.contains(m));
+        let half_used = s.attempts * 2 >= self.settings.max_executions;
         let seeks = self.settings.needs_primary(s.workload);
-        let missed = seeks && end.ending == Missed;
+        let missed = seeks && end.outcome == NotEligible;
         if missed {
             self.groups[s.group].depose(run.member);
         }
         if all_tried || (seeks && (half_used || !missed)) {
-            s.hold_until = self.now + if missed { HOLD } else { RETRY };
-            s.avoid.clear();
+            s.backoff_until = self.now + if missed { HOLD } else { RETRY };
+            s.excluded_members.clear();
         }
-        self.queue(end.stmt);
+        self.queue(end.statement);
     }
 
     /// Whether it may go out, once more or after another driver's time.
@@ -453,12 +478,14 @@
             return false;
         };
         let w = &self.settings.workloads[s.workload];
-        match w.repeat {
-            Repeat::Idempotent => true,
-            Repeat::NonIdempotent => s.doubt.is_none(),
-            Repeat::Deduplicated => {
-                s.send_by = s.doubt.map_or(s.send_by, |(sent, _)| sent + w.window * SURELY);
-                self.now < s.send_by
+        match w.retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::NonIdempotent => s.indeterminate.is_none(),
+            RetrySafety::Deduplicated => {
+                s.dispatch_deadline = s.indeterminate.map_or(s.dispatch_deadline, |(sent, _)| {
+                    sent + w.deduplication_window * SURELY
+                });
+                self.now < s.dispatch_deadline
             }
         }
     }
@@ -466,7 +493,7 @@
     /// Every statement has its final answer before the client's time is up, whatever else happens.
     fn answer_in_time(&mut self) -> bool {
         let due = self.due.ready(self.now);
-        let over = due.filter(|id| self.stmts[id].answer_by <= self.now);
+        let over = due.filter(|id| self.stmts[id].answer_deadline <= self.now);
         over.inspect(|id| self.finish(*id)).is_some()
     }
 
@@ -476,11 +503,15 @@
         let over = self.due.ready(self.now).filter(|id| {
             let s = &self.stmts[id];
             let w = &self.settings.workloads[s.workload];
-            let waiting = s.rank.is_some();
+            let waiting = s.queue_priority.is_some();
             let crowded = waiting || self.groups[s.group].queued().next().is_some();
-            let readily = w.repeat == Repeat::Idempotent && crowded;
+            let readily = w.retry_safety == RetrySafety::Idempotent && crowded;
             let hopeless = self.now >= self.last_chance(s) && (w.late_share == 0.0 || readily);
-            let until = if s.executions == 0 { s.unsent_by } else { s.send_by };
+            let until = if s.attempts == 0 {
+                s.unsent_deadline
+            } else {
+                s.dispatch_deadline
+            };
             hopeless || (waiting && self.now >= until)
         });
         over.inspect(|id| self.finish(*id)).is_some()
@@ -488,30 +519,31 @@
 
     /// Behind a cut each member is met too rarely to be found out alone: what is silent may be the zone.
     fn is_quiet(&self, m: usize) -> bool {
-        self.is_left(m) || self.sparse() && self.members.quiet_until[m] > self.now
+        self.is_left(m) || self.has_few_samples() && self.members.unresponsive_until[m] > self.now
     }
 
     /// Its zone is.
     fn is_left(&self, m: usize) -> bool {
-        let (of, zones, longest) = (&self.members.zone, &self.zones, self.longest_typical());
+        let (of, zones, longest) = (&self.members.zone, &self.zones, self.longest_typical_latency());
         let out = self.running.values().filter(|r| of[r.member] == of[m]);
-        self.sparse() && zones.is_silent(of[m], &mut out.map(|r| r.sent), self.now, longest)
+        self.has_few_samples() && zones.is_silent(of[m], &mut out.map(|r| r.dispatched_at), self.now, longest)
     }
 
     /// What is late in a silent zone is called off where another one's replica can still answer in time.
     fn leave_silent_zones(&mut self) -> bool {
-        let late = fleet::late_since(self.now, self.longest_typical());
-        let leaves = |(&(id, _), r): (&(u32, u8), &Running)| {
-            let may = self.settings.workloads[r.workload].repeat == Repeat::Idempotent && !r.called_off;
+        let late = fleet_share::late_since(self.now, self.longest_typical_latency());
+        let leaves = |(&(id, _), r): (&(u32, u8), &InFlightExecution)| {
+            let may = self.settings.workloads[r.workload].retry_safety == RetrySafety::Idempotent
+                && !r.is_cancelled;
             let s = self.stmts.get(&id)?;
-            let more = s.executions < self.settings.max_executions;
-            let hope = r.sent < late && self.now < self.last_chance(s);
+            let more = s.attempts < self.settings.max_executions;
+            let hope = r.dispatched_at < late && self.now < self.last_chance(s);
             let g = &self.groups[s.group];
             let other = |m: &usize| Some(*m) != g.primary && self.fits(*m, s) && !self.is_quiet(*m);
             let leaves = may && more && hope && Some(r.member) != g.primary && self.is_quiet(r.member);
             (leaves && g.members.iter().any(other)).then_some((id, r.member))
         };
-        let acts = self.settings.cancel_allowed && self.sparse();
+        let acts = self.settings.cancel_allowed && self.has_few_samples();
         let found = acts.then(|| self.running.iter().find_map(leaves)).flatten();
         let zone = found
             .filter(|(_, m)| self.is_left(*m))
@@ -531,13 +563,14 @@
         let f = &self.members;
         let ahead = |at: Timestamp| Some(at).filter(|at| *at > self.now);
         let times = [
-            f.overdue_at(m, self.longest_typical()).filter(|_| !f.shunned[m]),
+            f.overdue_at(m, self.longest_typical_latency())
+                .filter(|_| !f.ejected[m]),
             self.probe_due(m),
             ahead(self.cold_until(m)),
         ];
         let next = times.into_iter().flatten().min();
-        self.watch.put(m, f.watch_at[m], next);
-        self.members.watch_at[m] = next.unwrap_or_default();
+        self.watch.put(m, f.next_check_at[m], next);
+        self.members.next_check_at[m] = next.unwrap_or_default();
         true
     }
 
@@ -546,13 +579,13 @@
     fn look_at_members(&mut self) -> bool {
         let ready = self.watch.ready(self.now);
         let Some(m) = ready else { return false };
-        let overdue_at = self.members.overdue_at(m, self.longest_typical());
-        if !self.members.shunned[m] && overdue_at.is_some_and(|at| at <= self.now) {
+        let overdue_at = self.members.overdue_at(m, self.longest_typical_latency());
+        if !self.members.ejected[m] && overdue_at.is_some_and(|at| at <= self.now) {
             self.shun(m);
         }
         if self.probe_due(m).is_some_and(|at| at <= self.now) {
-            self.members.probe_at[m] = self.now + self.fleet.probe_gap();
-            self.results.probes.push(self.members.id[m]);
+            self.members.health_check_at[m] = self.now + self.fleet.probe_gap();
+            self.results.health_checks.push(self.members.id[m]);
         }
         self.changed.insert(self.members.group[m]);
         self.touched.push(m);
@@ -562,17 +595,17 @@
     /// The most important waiting statement, for the work it takes, that has somewhere to go.
     fn place_waiting(&mut self) -> bool {
         while let Some(g) = self.changed.pop_first() {
-            self.groups[g].wants_primary = false;
+            self.groups[g].needs_primary = false;
             for (first, w) in self.groups[g].fronts() {
                 let mut next = Some(first);
                 while let Some(rank) = next {
                     next = self.groups[g].behind(w, rank);
                     let id = rank.2;
                     let s = &self.stmts[&id];
-                    let alike = s.avoid.is_empty() && s.token == Timestamp(0);
-                    let held = s.hold_until > self.now;
+                    let alike = s.excluded_members.is_empty() && s.required_position == Timestamp(0);
+                    let held = s.backoff_until > self.now;
                     let nameless = self.groups[g].primary.is_none();
-                    self.groups[g].wants_primary |= held && nameless;
+                    self.groups[g].needs_primary |= held && nameless;
                     if held {
                         continue;
                     }
@@ -586,12 +619,12 @@
                         continue;
                     }
                     // Others of its kind need not look then: a surge must not make each input dear.
-                    if alike && (!nameless || self.stmts[&id].hold_until <= self.now) {
+                    if alike && (!nameless || self.stmts[&id].backoff_until <= self.now) {
                         break;
                     }
                 }
             }
-            if self.groups[g].wants_primary {
+            if self.groups[g].needs_primary {
                 self.touched.extend(&self.groups[g].members);
             }
         }
@@ -600,22 +633,22 @@
 
     fn ask_for_list(&mut self) -> bool {
         let due = self.ask_at.take_if(|at| *at <= self.now).is_some();
-        self.results.subscribe |= due;
+        self.results.poll_endpoint_list |= due;
         due
     }
 
-    fn settle(&mut self) -> Results {
+    fn run_rules(&mut self) -> Actions {
         while RULES.iter().any(|rule| rule(self)) {}
         let times = [self.due.first_at(), self.watch.first_at(), self.ask_at];
         let wake = times.into_iter().flatten().min();
-        (self.planned, self.results.wake_up) = (wake, wake);
+        (self.planned, self.results.wake_up_at) = (wake, wake);
         std::mem::take(&mut self.results)
     }
 
     fn home(&mut self, id: u32) -> Option<usize> {
         let s = &self.stmts[&id];
         let (g, w) = (s.group, s.workload);
-        let parted = self.fleet.parts_replicas() && self.sparse();
+        let parted = self.fleet.parts_replicas() && self.has_few_samples();
         if parted {
             self.groups.arrange(g, &self.members, &self.firsts);
         }
@@ -623,7 +656,7 @@
         let fit = primary.filter(|p| self.fits(*p, s));
         if self.settings.needs_primary(w) {
             let found = fit.filter(|p| self.has_room(*p));
-            self.groups[g].wants_primary |= fit.is_none();
+            self.groups[g].needs_primary |= fit.is_none();
             return if primary.is_none() { self.guess(id) } else { found };
         }
         let fits = |m: usize| Some(m) != primary && self.fits(m, s);
@@ -635,7 +668,8 @@
         let turn = |minds| self.groups[g].by_turn(|m| self.covers(m, s) && takes(m) && !quiet(m, minds));
         // Departure: in large fleets a driver stays with its own replica, unless others let in clearly more.
         let could = |m: usize| fits(m) && self.covers(m, s) && self.has_room(m) && !quiet(m, true);
-        let own = || self.groups[g].by_order(could, &self.members.let_in, s.bar, LOYAL);
+        let own =
+            || self.groups[g].by_order(could, &self.members.admission_share, s.admission_threshold, LOYAL);
         let by_turn = parted
             .then(own)
             .flatten()
@@ -644,20 +678,22 @@
         // Departure: where all ready replicas are full, the primary takes reads too; with half of its bound
         // where a driver fills that alone, or its own work would find no place.
         let f = &self.members;
-        let kept = |p: usize| ready && !self.sparse() && f.open[p] as f64 >= f.limit[p] / 2.0;
+        let kept = |p: usize| {
+            ready && !self.has_few_samples() && f.in_flight[p] as f64 >= f.concurrency_limit[p] / 2.0
+        };
         let spills = |p: &usize| self.has_room(*p) && self.let_in(*p, s) && !kept(*p);
         let spilled = fit.filter(|p| by_turn.is_none() && spills(p));
         // Departure: before a read goes without, a replica whose lag was last heard of long ago may be tried.
-        let unsure = |m: usize| f.told_at[m].is_none_or(|at| self.now - at > OVERDUE);
+        let unsure = |m: usize| f.status_at[m].is_none_or(|at| self.now - at > OVERDUE);
         let tried = || self.groups[g].by_turn(|m| self.is_checked(s) && unsure(m) && takes(m));
         let by_turn = by_turn.or_else(|| spilled.is_none().then(tried).flatten());
         let g = &mut self.groups[g];
         if !ready {
-            let lacked = std::mem::replace(&mut g.lacking_until, self.now + OVERDUE) > self.now;
+            let lacked = std::mem::replace(&mut g.no_ready_replica_until, self.now + OVERDUE) > self.now;
             self.touched.extend(g.members.iter().filter(|_| !lacked));
         }
-        g.wants_primary |= fit.is_none() && by_turn.is_none();
-        g.turn = by_turn.unwrap_or(g.turn);
+        g.needs_primary |= fit.is_none() && by_turn.is_none();
+        g.round_robin_index = by_turn.unwrap_or(g.round_robin_index);
         by_turn.map(|at| g.members[at]).or(spilled)
     }
 
@@ -666,33 +702,37 @@
     fn guess(&mut self, id: u32) -> Option<usize> {
         let s = &self.stmts[&id];
         let g = s.group;
-        let moved = s.executions > 0 || s.hold_until > Timestamp(0);
-        let may = s.executions * 2 < self.settings.max_executions;
+        let moved = s.attempts > 0 || s.backoff_until > Timestamp(0);
+        let may = s.attempts * 2 < self.settings.max_executions;
         let fit = |m: &usize| self.fits(*m, s) && self.has_room(*m);
         let next = self.groups[g].members.iter().copied().find(fit);
         if moved && may && next.is_some() {
             return next;
         }
         let s = self.stmts.get_mut(&id).expect("waiting");
-        s.hold_until = self.now + HOLD;
+        s.backoff_until = self.now + HOLD;
         self.plan(id);
         None
     }
 
-    pub fn sparse(&self) -> bool {
+    pub fn has_few_samples(&self) -> bool {
         self.borne.entries.len() < SPARSE * self.members.index.len()
     }
 
     /// Many drivers that each hear little would else crowd a member together. What is worth little for its
     /// work is left out first, reads that spill before writes. Slow members and links meet it too.
-    fn let_in(&self, m: usize, s: &Stmt) -> bool {
+    fn let_in(&self, m: usize, s: &StatementState) -> bool {
         let spilled = self.groups[s.group].primary == Some(m) && !self.settings.needs_primary(s.workload);
-        let bar = if spilled { s.bar.sqrt() } else { s.bar };
-        bar <= self.members.let_in[m]
+        let bar = if spilled {
+            s.admission_threshold.sqrt()
+        } else {
+            s.admission_threshold
+        };
+        bar <= self.members.admission_share[m]
     }
 
     /// None of the members that such statements go to lets it in.
-    fn excess(&self, s: &Stmt) -> bool {
+    fn excess(&self, s: &StatementState) -> bool {
         let (g, writes) = (&self.groups[s.group], self.settings.needs_primary(s.workload));
         let takes = |m: &usize| (!writes || g.primary == Some(*m)) && self.may_send(*m) && self.let_in(*m, s);
         g.primary.is_some() && !g.members.iter().any(takes)
@@ -701,62 +741,64 @@
     fn may_send(&self, m: usize) -> bool {
         let (f, advice) = (&self.members, self.settings.gone_is_advice);
         // Where the list doesn't prove what is up, only a listed drain binds.
-        f.standing[m] == Standing::Ready || (f.standing[m] == Standing::Gone && advice && !f.drained[m])
+        f.state[m] == MemberState::Ready || (f.state[m] == MemberState::Gone && advice && !f.drained[m])
     }
 
     /// Whether the known position proves it ready. Where members check reads themselves, the lag last seen is
     /// carried forward: a wrong guess costs a miss, which corrects it, while waiting for proof would push out
     /// current replicas that have not spoken for a while.
-    fn covers(&self, m: usize, s: &Stmt) -> bool {
+    fn covers(&self, m: usize, s: &StatementState) -> bool {
         let need = match self.settings.workloads[s.workload].freshness {
             Freshness::Bounded(bound) => self.now - bound,
             Freshness::Session if self.writes(s.session) => return false,
-            Freshness::Session => s.token,
+            Freshness::Session => s.required_position,
             Freshness::Any => return true,
             Freshness::Fresh | Freshness::Write => return false,
         };
         let f = &self.members;
         f.position[m] >= need
-            || (self.is_checked(s) && f.told_at[m].is_none_or(|at| self.now - (at - f.position[m]) >= need))
+            || (self.is_checked(s) && f.status_at[m].is_none_or(|at| self.now - (at - f.position[m]) >= need))
     }
 
     /// A write of this session is out, and may have committed though its answer is late or lost.
     fn writes(&self, session: u64) -> bool {
-        let write = |r: &Running| self.settings.workloads[r.workload].freshness == Freshness::Write;
+        let write = |r: &InFlightExecution| self.settings.workloads[r.workload].freshness == Freshness::Write;
         let mut out = self
             .running
             .values()
-            .filter(|r| r.session == session && !r.awaits);
+            .filter(|r| r.session == session && !r.is_connecting);
         !self.settings.session_age_carried && session > 0 && out.any(write)
     }
 
     /// A member can check only what it is told: what a session has written, only where statements carry that.
-    fn is_checked(&self, s: &Stmt) -> bool {
+    fn is_checked(&self, s: &StatementState) -> bool {
         let told = self.settings.workloads[s.workload].freshness != Freshness::Session;
         self.settings.members_check_reads && (told || self.settings.session_age_carried)
     }
 
     /// Not where it failed before, nor outside the zone that drops its repeats once it may have run.
-    fn fits(&self, m: usize, s: &Stmt) -> bool {
+    fn fits(&self, m: usize, s: &StatementState) -> bool {
         let zone = &self.members.zone;
-        let zoned = self.settings.workloads[s.workload].scope == Scope::Zone;
-        let kept = s.doubt.is_none_or(|(_, first)| zone[first] == zone[m]);
-        !s.avoid.contains(&m) && self.may_send(m) && !self.members.shunned[m] && (kept || !zoned)
+        let zoned = self.settings.workloads[s.workload].deduplication_scope == DeduplicationScope::Zone;
+        let kept = s.indeterminate.is_none_or(|(_, first)| zone[first] == zone[m]);
+        !s.excluded_members.contains(&m) && self.may_send(m) && !self.members.ejected[m] && (kept || !zoned)
     }
 
     fn has_room(&self, m: usize) -> bool {
         let f = &self.members;
-        let spared = self.setup > DEAR && !self.connected(m) && f.connections[m] > 0 && self.sparse();
+        let spared =
+            self.setup > DEAR && !self.connected(m) && f.connections[m] > 0 && self.has_few_samples();
         let cold = self.cold_until(m);
         let kept = self.yields && cold > Timestamp(0);
         // Who leaves has no newcomers: the one beside it, always full, would else hold what is left here up.
-        let last = self.yields && f.open[m] == 0;
-        let out = f.open[m] + if last { 0 } else { f.elsewhere[m] };
-        (out as f64) < f.limit[m] && cold <= self.now && !spared && !kept
+        let last = self.yields && f.in_flight[m] == 0;
+        let out = f.in_flight[m] + if last { 0 } else { f.peer_in_flight[m] };
+        (out as f64) < f.concurrency_limit[m] && cold <= self.now && !spared && !kept
     }
 
     fn connected(&self, m: usize) -> bool {
-        self.members.connected(m, self.now, self.settings.connection_idle)
+        self.members
+            .connected(m, self.now, self.settings.idle_connection_timeout)
     }
 
     fn warmth(&self, m: usize) -> f64 {
@@ -765,8 +807,8 @@
 
     /// What a warm member of this one's size carries for this driver on the mean, in parts of a core.
     fn carried(&self, m: usize) -> f64 {
-        let share = self.members.size[m] / self.warm_size.max(0.01);
-        let carried = self.borne.total.ratio(self.settings.fall_span) * share.min(1.0);
+        let share = self.members.capacity[m] / self.warm_size.max(0.01);
+        let carried = self.borne.total.ratio(self.settings.overload_window) * share.min(1.0);
         self.fleet.cold_carried(carried)
     }
 
@@ -776,12 +818,12 @@
         if warmth >= 1.0 {
             return Timestamp(0);
         }
-        let proves = !self.sparse() && f.pace[m] < GOOD_PACE;
-        let used = self.fleet.cold_multiple(self.settings.fall_multiple, proves);
+        let proves = !self.has_few_samples() && f.latency_ratio[m] < GOOD_PACE;
+        let used = self.fleet.cold_multiple(self.settings.overload_multiple, proves);
         f.cold_until(m, self.now, self.carried(m) * warmth * used)
     }
 
-    pub fn longest_typical(&self) -> TimeSpan {
+    pub fn longest_typical_latency(&self) -> TimeSpan {
         self.typical.iter().copied().max().unwrap_or(OVERDUE)
     }
 
@@ -789,29 +831,32 @@
         let f = &self.members;
         let g = &self.groups[f.group[m]];
         let greets = self.fleet.greets(self.settings.members_check_reads);
-        let unknown = greets && f.told_at[m].is_none() && !f.said_replica[m];
-        let wanted = unknown || f.shunned[m] || g.wants_primary;
+        let unknown = greets && f.status_at[m].is_none() && !f.reported_replica[m];
+        let wanted = unknown || f.ejected[m] || g.needs_primary;
         // An ageing position needs a way back: answers give it, a probe where none come.
-        let ageing = !self.settings.members_check_reads && g.lacking_until > self.now && Some(m) != g.primary;
-        let aged_at = f.probe_at[m].max(f.told_at[m].unwrap_or_default() + OVERDUE);
-        let at = wanted.then_some(f.probe_at[m]).or(ageing.then_some(aged_at));
-        at.filter(|_| self.settings.probes_allowed && self.may_send(m))
+        let ageing =
+            !self.settings.members_check_reads && g.no_ready_replica_until > self.now && Some(m) != g.primary;
+        let aged_at = f.health_check_at[m].max(f.status_at[m].unwrap_or_default() + OVERDUE);
+        let at = wanted
+            .then_some(f.health_check_at[m])
+            .or(ageing.then_some(aged_at));
+        at.filter(|_| self.settings.health_checks_allowed && self.may_send(m))
     }
 
     /// The last moment at which an answer could still come within the SLO time.
-    fn last_chance(&self, s: &Stmt) -> Timestamp {
-        let margin = if s.rank.is_some() { 2.0 } else { 0.0 };
-        s.slo_at - self.typical[s.workload] * margin
+    fn last_chance(&self, s: &StatementState) -> Timestamp {
+        let margin = if s.queue_priority.is_some() { 2.0 } else { 0.0 };
+        s.slo_deadline - self.typical[s.workload] * margin
     }
 
-    fn runs(&self, id: u32) -> impl Iterator<Item = &Running> {
+    fn runs(&self, id: u32) -> impl Iterator<Item = &InFlightExecution> {
         self.running.range((id, 0)..=(id, u8::MAX)).map(|(_, run)| run)
     }
 
     /// While this driver was held up itself no member owed it anything, and what comes then says little.
-    fn hear(&mut self, now: Timestamp) {
+    fn set_now(&mut self, now: Timestamp) {
         if now - self.planned.unwrap_or(now) > STALL {
-            self.members.owes_since.fill(now);
+            self.members.oldest_unanswered.fill(now);
             self.stalled_at = now;
         }
         self.now = now;
@@ -819,7 +864,7 @@
 
     fn shun(&mut self, m: usize) {
         let f = &mut self.members;
-        (f.shunned[m], f.limit[m], f.probe_at[m]) = (true, 1.0, self.now);
+        (f.ejected[m], f.concurrency_limit[m], f.health_check_at[m]) = (true, 1.0, self.now);
         self.changed.insert(f.group[m]);
         self.touched.push(m);
     }
@@ -831,14 +876,18 @@
         }
         let s = self.stmts.get_mut(&id).expect("queued only while held");
         let late_share = self.settings.workloads[s.workload].late_share;
-        let late = if self.now >= s.slo_at { late_share } else { 1.0 };
-        let work = s.work.unwrap_or(self.typical[s.workload]);
+        let late = if self.now >= s.slo_deadline {
+            late_share
+        } else {
+            1.0
+        };
+        let work = s.expected_work.unwrap_or(self.typical[s.workload]);
         let density = s.importance * late / work.0.max(1) as f64;
         let g = &mut self.groups[s.group];
-        g.leave(s.workload, s.rank.take());
-        let rank = ((1.0 / density.max(1e-12)) as u64, s.taken, id);
+        g.leave(s.workload, s.queue_priority.take());
+        let rank = ((1.0 / density.max(1e-12)) as u64, s.accepted_at, id);
         g.join(s.workload, rank);
-        s.rank = Some(rank);
+        s.queue_priority = Some(rank);
         self.changed.insert(s.group);
         self.plan(id);
     }
@@ -846,36 +895,44 @@
     /// Sets when the statement is to be looked at next.
     fn plan(&mut self, id: u32) {
         let s = &self.stmts[&id];
-        let times = [self.last_chance(s), s.slo_at, s.hold_until, s.send_by];
-        let ahead = times.into_iter().chain([s.unsent_by]).filter(|at| *at > self.now);
-        let next = ahead.fold(s.answer_by, Timestamp::min);
-        let due = &mut self.stmts.get_mut(&id).expect("seen above").due;
+        let times = [
+            self.last_chance(s),
+            s.slo_deadline,
+            s.backoff_until,
+            s.dispatch_deadline,
+        ];
+        let ahead = times
+            .into_iter()
+            .chain([s.unsent_deadline])
+            .filter(|at| *at > self.now);
+        let next = ahead.fold(s.answer_deadline, Timestamp::min);
+        let due = &mut self.stmts.get_mut(&id).expect("seen above").next_check_at;
         self.due.put(id, std::mem::replace(due, next), Some(next));
     }
 
     fn send(&mut self, id: u32, m: usize) {
         let new_connection = !self.connected(m);
         let s = self.stmts.get_mut(&id).expect("placed only while held");
-        self.groups[s.group].leave(s.workload, s.rank.take());
-        let run = Running::new(m, s, self.now, new_connection);
-        self.running.insert((id, s.executions as u8), run);
-        s.executions += 1;
+        self.groups[s.group].leave(s.workload, s.queue_priority.take());
+        let run = InFlightExecution::new(m, s, self.now, new_connection);
+        self.running.insert((id, s.attempts as u8), run);
+        s.attempts += 1;
         let f = &mut self.members;
-        if f.open[m] == 0 {
-            f.owes_since[m] = self.now;
+        if f.in_flight[m] == 0 {
+            f.oldest_unanswered[m] = self.now;
         }
-        f.open[m] += 1;
+        f.in_flight[m] += 1;
         if new_connection {
-            f.connections[m] = f.open[m];
+            f.connections[m] = f.in_flight[m];
         }
-        (f.used_at[m], f.debt_at[m]) = (self.now, self.now);
-        f.owe(m, s.work.unwrap_or(self.typical[s.workload]));
+        (f.last_used_at[m], f.warm_up_debt_at[m]) = (self.now, self.now);
+        f.owe(m, s.expected_work.unwrap_or(self.typical[s.workload]));
         self.touched.push(m);
-        let (member, until) = (f.id[m], s.answer_by);
+        let (member, until) = (f.id[m], s.answer_deadline);
         self.results.executions.push(Execution {
-            stmt: id,
+            statement: id,
             member,
-            until,
+            deadline: until,
         });
         self.plan(id);
     }
@@ -884,14 +941,17 @@
     fn finish(&mut self, id: u32) {
         let Some(s) = self.stmts.get(&id) else { return };
         let w = &self.settings.workloads[s.workload];
-        let left = self.runs(id).any(|r| !r.awaits);
-        let harmless = w.repeats_harmlessly() || s.doubt.is_none() && !left;
+        let left = self.runs(id).any(|r| !r.is_connecting);
+        let harmless = w.is_client_retry_safe() || s.indeterminate.is_none() && !left;
         // A repeat that may still count should come at once; any other only adds to the load.
-        let worthwhile = self.now + self.typical[s.workload] < s.slo_at;
-        let hold_off = self.settings.max_hold_off * if worthwhile { 0.0 } else { 1.0 };
+        let worthwhile = self.now + self.typical[s.workload] < s.slo_deadline;
+        let hold_off = self.settings.max_retry_after * if worthwhile { 0.0 } else { 1.0 };
         self.call_off(id);
-        let rejected = Answer::Rejected { stmt: id, hold_off };
-        let aborted = Answer::Aborted { stmt: id };
+        let rejected = Answer::Rejected {
+            statement: id,
+            retry_after: hold_off,
+        };
+        let aborted = Answer::Aborted { statement: id };
         let answer = if harmless { rejected } else { aborted };
         self.results.answers.push(answer);
         self.forget(id);
@@ -901,15 +961,18 @@
     fn call_off(&mut self, id: u32) {
         let allowed = self.settings.cancel_allowed;
         for (&(stmt, number), run) in self.running.range_mut((id, 0)..=(id, u8::MAX)) {
-            if (allowed || run.awaits) && !std::mem::replace(&mut run.called_off, true) {
-                self.results.cancellations.push(Cancellation { stmt, number });
+            if (allowed || run.is_connecting) && !std::mem::replace(&mut run.is_cancelled, true) {
+                self.results.cancellations.push(Cancellation {
+                    statement: stmt,
+                    attempt: number,
+                });
             }
         }
     }
 
     fn forget(&mut self, id: u32) {
         let Some(s) = self.stmts.remove(&id) else { return };
-        self.due.put(id, s.due, None);
-        self.groups[s.group].leave(s.workload, s.rank);
+        self.due.put(id, s.next_check_at, None);
+        self.groups[s.group].leave(s.workload, s.queue_priority);
     }
 }
--- a/src/subset.rs
+++ b/src/replica_preference.rs
@@ -23,7 +23,7 @@
 
 /// By whom the order is drawn.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Firsts {
+pub struct ReplicaPreference {
     own: u64,
     /// All drivers that are there, this one among them; empty where a driver knows of nobody.
     all: Vec<u64>,
@@ -55,12 +55,12 @@
     order
 }
 
-impl Firsts {
+impl ReplicaPreference {
     /// A driver that knows of nobody else, by its own draw.
-    pub fn alone(own: u64) -> Firsts {
-        Firsts {
+    pub fn alone(own: u64) -> ReplicaPreference {
+        ReplicaPreference {
             own,
-            ..Firsts::default()
+            ..ReplicaPreference::default()
         }
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What a driver remembers: plain records and counters. No decision and no tuned value is here.
 
-use crate::interface::Standing;
-use crate::subset::{Firsts, Replica};
+use crate::interface::MemberState;
+use crate::replica_preference::{Replica, ReplicaPreference};
 use crate::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::hash_map::DefaultHasher;
@@ -10,79 +10,84 @@
 use std::ops::{Bound, Index, IndexMut};
 
 /// How much work an importance, since when, and which statement: the least is first in line.
-pub type Rank = (u64, Timestamp, u32);
+pub type QueuePriority = (u64, Timestamp, u32);
 
 #[derive(Default)]
-pub struct Stmt {
+pub struct StatementState {
     pub workload: usize,
     pub group: usize,
     pub session: u64,
     /// The position that a session read needs.
-    pub token: Timestamp,
+    pub required_position: Timestamp,
     /// Expected work, where clients say.
-    pub work: Option<TimeSpan>,
+    pub expected_work: Option<TimeSpan>,
     pub importance: f64,
     /// Drawn once: the share to be let in that it needs.
-    pub bar: f64,
-    pub taken: Timestamp,
-    pub slo_at: Timestamp,
-    pub answer_by: Timestamp,
+    pub admission_threshold: f64,
+    pub accepted_at: Timestamp,
+    pub slo_deadline: Timestamp,
+    pub answer_deadline: Timestamp,
     /// After this it may not be sent any more, for the time its repeats are known has passed.
-    pub send_by: Timestamp,
+    pub dispatch_deadline: Timestamp,
     /// After this it is not kept any more if it was sent nowhere.
-    pub unsent_by: Timestamp,
-    pub due: Timestamp,
-    pub executions: usize,
+    pub unsent_deadline: Timestamp,
+    pub next_check_at: Timestamp,
+    pub attempts: usize,
     /// When and where the first execution that may have run went out.
-    pub doubt: Option<(Timestamp, usize)>,
-    pub avoid: Vec<usize>,
-    pub hold_until: Timestamp,
+    pub indeterminate: Option<(Timestamp, usize)>,
+    pub excluded_members: Vec<usize>,
+    pub backoff_until: Timestamp,
     /// Its place in the group's queue, while it waits.
-    pub rank: Option<Rank>,
+    pub queue_priority: Option<QueuePriority>,
 }
 
-impl Stmt {
+impl StatementState {
     /// The members that it means: a place of theirs must not become another's.
     pub fn members(&self) -> impl Iterator<Item = usize> + '_ {
-        let doubted = self.doubt.map(|(_, m)| m);
-        self.avoid.iter().copied().chain(doubted)
+        let doubted = self.indeterminate.map(|(_, m)| m);
+        self.excluded_members.iter().copied().chain(doubted)
     }
 }
 
-pub struct Running {
+pub struct InFlightExecution {
     pub member: usize,
     pub workload: usize,
     /// Whose it is: its answer may come behind the end of its statement.
     pub session: u64,
-    pub sent: Timestamp,
-    pub called_off: bool,
+    pub dispatched_at: Timestamp,
+    pub is_cancelled: bool,
     /// None was free, so that one had to be set up for it.
     pub new_connection: bool,
     /// Its member is known to live and still gives no answer: it counts no more.
-    pub lost: bool,
+    pub abandoned: bool,
     /// A connection is being set up for it, and nothing of it has left.
-    pub awaits: bool,
+    pub is_connecting: bool,
 }
 
-impl Running {
+impl InFlightExecution {
     /// Counts no more if it went to this member before then; says whether that is new.
     pub fn lose(&mut self, member: usize, before: Timestamp) -> bool {
-        let is_new = self.member == member && self.sent < before && !self.lost;
-        self.lost |= is_new;
+        let is_new = self.member == member && self.dispatched_at < before && !self.abandoned;
+        self.abandoned |= is_new;
         is_new
     }
 
-    pub fn new(member: usize, s: &Stmt, sent: Timestamp, new_connection: bool) -> Running {
+    pub fn new(
+        member: usize,
+        s: &StatementState,
+        sent: Timestamp,
+        new_connection: bool,
+    ) -> InFlightExecution {
         let (called_off, lost, awaits) = (false, false, false);
-        Running {
+        InFlightExecution {
             member,
             workload: s.workload,
             session: s.session,
-            sent,
-            called_off,
+            dispatched_at: sent,
+            is_cancelled: called_off,
             new_connection,
-            lost,
-            awaits,
+            abandoned: lost,
+            is_connecting: awaits,
         }
     }
 }
@@ -92,49 +97,49 @@
     pub members: Vec<usize>,
     pub primary: Option<usize>,
     /// The newest position at which a member spoke as primary.
-    pub primary_at: Timestamp,
-    pub turn: usize,
+    pub primary_position: Timestamp,
+    pub round_robin_index: usize,
     /// Places in `members` of the replicas, in this driver's order, and for what that was reckoned.
     #[serde(skip)]
-    pub order: Vec<usize>,
+    pub preference_order: Vec<usize>,
     #[serde(skip)]
-    ordered_for: Option<u64>,
+    preference_key: Option<u64>,
     /// Statements stay with the process that took them.
     #[serde(skip)]
-    waiting: BTreeMap<usize, BTreeSet<Rank>>,
-    pub wants_primary: bool,
-    pub lacking_until: Timestamp,
+    queues: BTreeMap<usize, BTreeSet<QueuePriority>>,
+    pub needs_primary: bool,
+    pub no_ready_replica_until: Timestamp,
 }
 
 /// Groups under a dense index, in the order in which they were first named.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Groups {
+pub struct GroupTable {
     index: BTreeMap<u32, usize>,
     pub all: Vec<Group>,
 }
 
-impl Groups {
+impl GroupTable {
     /// Has the group's order over its replicas reckoned anew where anything that it goes by has changed.
-    pub fn arrange(&mut self, g: usize, members: &Members, firsts: &Firsts) {
+    pub fn arrange(&mut self, g: usize, members: &MemberTable, firsts: &ReplicaPreference) {
         let g = &mut self.all[g];
         let mut hasher = DefaultHasher::new();
         (firsts.epoch, g.primary, &g.members).hash(&mut hasher);
         for m in &g.members {
-            (members.key[*m], members.size[*m].to_bits()).hash(&mut hasher);
+            (members.fleet_key[*m], members.capacity[*m].to_bits()).hash(&mut hasher);
         }
         let now = Some(hasher.finish());
-        if std::mem::replace(&mut g.ordered_for, now) == now {
+        if std::mem::replace(&mut g.preference_key, now) == now {
             return;
         }
         let places = g.members.iter().enumerate();
         let (places, replicas): (Vec<usize>, Vec<Replica>) = places
             .filter(|(_, m)| Some(**m) != g.primary)
             .map(|(at, m)| {
-                let (key, size) = (members.key[*m], members.size[*m]);
+                let (key, size) = (members.fleet_key[*m], members.capacity[*m]);
                 (at, Replica { key, size })
             })
             .unzip();
-        g.order = firsts.order(&replicas).into_iter().map(|r| places[r]).collect();
+        g.preference_order = firsts.order(&replicas).into_iter().map(|r| places[r]).collect();
     }
 
     pub fn at(&mut self, id: u32) -> usize {
@@ -145,14 +150,14 @@
     }
 }
 
-impl Index<usize> for Groups {
+impl Index<usize> for GroupTable {
     type Output = Group;
     fn index(&self, g: usize) -> &Group {
         &self.all[g]
     }
 }
 
-impl IndexMut<usize> for Groups {
+impl IndexMut<usize> for GroupTable {
     fn index_mut(&mut self, g: usize) -> &mut Group {
         &mut self.all[g]
     }
@@ -161,9 +166,9 @@
 /// What is to be looked at when, in order of time.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(bound = "K: Ord + Serialize + serde::de::DeserializeOwned")]
-pub struct Agenda<K>(BTreeSet<(Timestamp, K)>);
+pub struct TimerQueue<K>(BTreeSet<(Timestamp, K)>);
 
-impl<K: Ord + Copy> Agenda<K> {
+impl<K: Ord + Copy> TimerQueue<K> {
     pub fn put(&mut self, key: K, before: Timestamp, next: Option<Timestamp>) {
         self.0.remove(&(before, key));
         self.0.extend(next.map(|at| (at, key)));
@@ -183,7 +188,8 @@
 impl Group {
     /// The place behind the last turn's whose member takes it.
     pub fn by_turn(&self, takes: impl Fn(usize) -> bool) -> Option<usize> {
-        let places = (1..=self.members.len()).map(|step| (self.turn + step) % self.members.len());
+        let places =
+            (1..=self.members.len()).map(|step| (self.round_robin_index + step) % self.members.len());
         places.into_iter().find(|at| takes(self.members[*at]))
     }
 
@@ -196,7 +202,10 @@
         bar: f64,
         part: f64,
     ) -> Option<usize> {
-        let open = self.order.iter().filter(|at| could(self.members[**at]));
+        let open = self
+            .preference_order
+            .iter()
+            .filter(|at| could(self.members[**at]));
         let open: Vec<(usize, f64)> = open.map(|at| (*at, let_in[self.members[*at]])).collect();
         let best = open.iter().map(|(_, share)| *share).fold(0.0, f64::max);
         let stays = |share: f64| bar <= best && share >= best * part;
@@ -206,14 +215,14 @@
     }
 
     /// What waits, by workload and rank.
-    pub fn queued(&self) -> impl Iterator<Item = &Rank> {
-        self.waiting.values().flatten()
+    pub fn queued(&self) -> impl Iterator<Item = &QueuePriority> {
+        self.queues.values().flatten()
     }
 
     /// The first in line of each workload, the first of all before the others.
-    pub fn fronts(&self) -> Vec<(Rank, usize)> {
+    pub fn fronts(&self) -> Vec<(QueuePriority, usize)> {
         let firsts = self
-            .waiting
+            .queues
             .iter()
             .filter_map(|(w, line)| Some((*line.first()?, *w)));
         let mut all: Vec<_> = firsts.collect();
@@ -221,19 +230,19 @@
         all
     }
 
-    pub fn behind(&self, workload: usize, rank: Rank) -> Option<Rank> {
-        let line = self.waiting.get(&workload)?;
+    pub fn behind(&self, workload: usize, rank: QueuePriority) -> Option<QueuePriority> {
+        let line = self.queues.get(&workload)?;
         line.range((Bound::Excluded(rank), Bound::Unbounded))
             .next()
             .copied()
     }
 
-    pub fn join(&mut self, workload: usize, rank: Rank) {
-        self.waiting.entry(workload).or_default().insert(rank);
+    pub fn join(&mut self, workload: usize, rank: QueuePriority) {
+        self.queues.entry(workload).or_default().insert(rank);
     }
 
-    pub fn leave(&mut self, workload: usize, rank: Option<Rank>) {
-        let line = self.waiting.get_mut(&workload);
+    pub fn leave(&mut self, workload: usize, rank: Option<QueuePriority>) {
+        let line = self.queues.get_mut(&workload);
         line.zip(rank).map(|(line, rank)| line.remove(&rank));
     }
 
@@ -244,12 +253,12 @@
 
 /// Work within the last while, as of the last addition.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Window {
+pub struct SlidingWindow {
     pub entries: VecDeque<(Timestamp, TimeSpan)>,
     pub total: TimeSpan,
 }
 
-impl Window {
+impl SlidingWindow {
     pub fn add(&mut self, now: Timestamp, work: TimeSpan, span: TimeSpan) {
         self.entries.push_back((now, work));
         self.total = self.total + work;
@@ -262,9 +271,9 @@
 
 /// What is left of each tenant's quota of statements; a second's worth may be saved up.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Quotas(BTreeMap<usize, (f64, Timestamp)>);
+pub struct TenantQuotas(BTreeMap<usize, (f64, Timestamp)>);
 
-impl Quotas {
+impl TenantQuotas {
     /// Draws one statement, if that is left.
     pub fn draw(&mut self, tenant: usize, per_second: f64, now: Timestamp) -> bool {
         let (left, at) = self.0.entry(tenant).or_insert((0.0, Timestamp(0)));
@@ -312,61 +321,61 @@
         }
     };
 }
-impl Members {
+impl MemberTable {
     /// As much as may have been sent to each just now, and nothing that is out by anybody else.
     pub fn reckon_anew(&mut self, now: Timestamp, work: TimeSpan) {
-        self.debt_at.fill(now);
-        self.debt.fill(work);
-        self.elsewhere.fill(0);
+        self.warm_up_debt_at.fill(now);
+        self.warm_up_debt.fill(work);
+        self.peer_in_flight.fill(0);
     }
 }
-columns! { Members,
+columns! { MemberTable,
     id: u32 = 0;
-    key: u64 = 0;
+    fleet_key: u64 = 0;
     group: usize = 0;
     zone: u16 = 0;
-    standing: Standing = Standing::Ready;
+    state: MemberState = MemberState::Ready;
     drained: bool = false;
-    size: f64 = 1.0;
+    capacity: f64 = 1.0;
     // Taken for silent until then, by other drivers' word.
-    quiet_until: Timestamp = Timestamp(0);
-    started: Option<Timestamp> = None;
+    unresponsive_until: Timestamp = Timestamp(0);
+    started_at: Option<Timestamp> = None;
     // The known log position, and when it was told.
     position: Timestamp = Timestamp(0);
-    told_at: Option<Timestamp> = None;
-    said_replica: bool = false;
-    open: usize = 0;
+    status_at: Option<Timestamp> = None;
+    reported_replica: bool = false;
+    in_flight: usize = 0;
     // Executions that another process of this driver has out.
-    elsewhere: usize = 0;
-    owes_since: Timestamp = Timestamp(0);
-    shunned: bool = false;
+    peer_in_flight: usize = 0;
+    oldest_unanswered: Timestamp = Timestamp(0);
+    ejected: bool = false;
     connections: usize = 0;
-    used_at: Timestamp = Timestamp(0);
-    limit: f64 = 1.0;
+    last_used_at: Timestamp = Timestamp(0);
+    concurrency_limit: f64 = 1.0;
     // Smoothed time of answers, as a share of the SLO time.
-    pace: f64 = 0.0;
+    latency_ratio: f64 = 0.0;
     // Share of statements that are let in.
-    let_in: f64 = 1.0;
-    cut_at: Timestamp = Timestamp(0);
+    admission_share: f64 = 1.0;
+    limit_reduced_at: Timestamp = Timestamp(0);
     // Smoothed executions at once while answers came in good time.
-    proven: f64 = 0.0;
-    watch_at: Timestamp = Timestamp(0);
-    probe_at: Timestamp = Timestamp(0);
+    proven_concurrency: f64 = 0.0;
+    next_check_at: Timestamp = Timestamp(0);
+    health_check_at: Timestamp = Timestamp(0);
     // Work last sent while cold, and when.
-    debt: TimeSpan = TimeSpan(0);
-    debt_at: Timestamp = Timestamp(0);
+    warm_up_debt: TimeSpan = TimeSpan(0);
+    warm_up_debt_at: Timestamp = Timestamp(0);
     // Work that may be sent while cold, and until when that is known.
-    allowed: Option<(TimeSpan, Timestamp)> = None;
+    warm_up_budget: Option<(TimeSpan, Timestamp)> = None;
 }
 
 /// Commit positions of sessions, and one that covers all those forgotten.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Sessions {
+pub struct SessionPositions {
     commits: BTreeMap<u64, Timestamp>,
     forgotten: Timestamp,
 }
 
-impl Sessions {
+impl SessionPositions {
     pub fn known(&self, session: u64) -> Timestamp {
         self.commits.get(&session).copied().unwrap_or(self.forgotten)
     }
@@ -388,12 +397,12 @@
 
 /// Draws between 0 and 1 from the instance's seed and a counter.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Chance {
+pub struct SeededRng {
     pub seed: u64,
     pub drawn: u64,
 }
 
-impl Chance {
+impl SeededRng {
     pub fn draw(&mut self) -> f64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, self.drawn).hash(&mut hasher);
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,20 +1,25 @@
-//! Points in time and spans between them, kept apart by type. Both count microseconds.
+//! Clock types of the decision rules: points in time and differences between them, kept apart by type.
+//!
+//! Both count microseconds. All arithmetic saturates, so a clock that steps back yields zero instead of a panic.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Mul, Sub};
 
+/// A point in time in microseconds of the host's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Timestamp(pub u64);
 
+/// A non-negative difference between two points in time, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TimeSpan(pub u64);
 
 impl TimeSpan {
-    pub const fn millis(ms: u64) -> TimeSpan {
-        TimeSpan(ms.saturating_mul(1000))
+    /// A span of whole milliseconds; saturates at the longest span.
+    pub const fn millis(milliseconds: u64) -> TimeSpan {
+        TimeSpan(milliseconds.saturating_mul(1000))
     }
 
-    /// How many times `other` goes into this span.
+    /// This span divided by `other`; an empty `other` counts as one microsecond.
     pub fn ratio(self, other: TimeSpan) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
@@ -34,7 +39,7 @@
     }
 }
 
-/// The span from an earlier point; none at all when it is in fact the later one.
+/// The time since an earlier point; zero if `earlier` is in fact the later one.
 impl Sub for Timestamp {
     type Output = TimeSpan;
     fn sub(self, earlier: Timestamp) -> TimeSpan {
