--- a/tests/beside.rs
+++ b/tests/beside.rs
@@ -1,8 +1,8 @@
 //! Two drivers that serve the same members side by side, as while one takes the other's service over.
 
 mod common;
-use asterlatch::choice::Driver;
 use asterlatch::interface::*;
+use asterlatch::policy::RoutingPolicy;
 use common::*;
 
 /// (open elsewhere, whether a write may go out beside the ones that are out)
@@ -10,22 +10,29 @@
 fn what_the_other_has_out_counts_against_the_bound() {
     for (elsewhere, goes) in [(0, true), (7, true), (8, false), (100, false)] {
         let mut b = bench(&settings(), 1);
-        b.driver.told(at(0), 1, Told::Open(elsewhere));
+        b.driver
+            .on_member_update(at(0), 1, MemberUpdate::InFlight(elsewhere));
         assert_eq!(!b.goes(1, WRITE).is_empty(), goes, "{elsewhere} elsewhere");
         // What waits goes out as soon as that has ended, or the other is gone.
         let mut again = bench(&settings(), 1);
-        again.driver.told(at(0), 1, Told::Open(elsewhere));
+        again
+            .driver
+            .on_member_update(at(0), 1, MemberUpdate::InFlight(elsewhere));
         let (_, r) = again.take(1, WRITE);
         let went = sent_to(&r).len();
-        let less = again.driver.told(at(2), 1, Told::Open(3));
-        let alone = again.driver.beside(at(3), false);
+        let less = again.driver.on_member_update(at(2), 1, MemberUpdate::InFlight(3));
+        let alone = again.driver.set_peer_process(at(3), false);
         assert_eq!(
             went + sent_to(&less).len() + sent_to(&alone).len(),
             1,
             "{elsewhere} elsewhere"
         );
         // A member that isn't known here binds nothing.
-        assert!(again.driver.told(at(4), 99, Told::Open(5)).executions.is_empty());
+        assert!(again
+            .driver
+            .on_member_update(at(4), 99, MemberUpdate::InFlight(5))
+            .executions
+            .is_empty());
     }
 }
 
@@ -33,13 +40,15 @@
 #[test]
 fn who_leaves_is_held_up_by_no_bound_of_the_others() {
     let mut b = bench(&settings(), 1);
-    b.driver.beside(at(0), true);
-    b.driver.told(at(0), 1, Told::Open(1000));
+    b.driver.set_peer_process(at(0), true);
+    b.driver.on_member_update(at(0), 1, MemberUpdate::InFlight(1000));
     assert_eq!(b.goes(1, WRITE), [1], "one");
     assert!(b.goes(2, WRITE).is_empty(), "but not two at once");
     let mut stays = bench(&settings(), 1);
-    stays.driver.beside(at(0), false);
-    stays.driver.told(at(0), 1, Told::Open(1000));
+    stays.driver.set_peer_process(at(0), false);
+    stays
+        .driver
+        .on_member_update(at(0), 1, MemberUpdate::InFlight(1000));
     assert!(stays.goes(1, WRITE).is_empty(), "who stays waits");
 }
 
@@ -51,19 +60,25 @@
     told(&mut alone);
     let (mut old, mut new) = (bench(&settings, 1), bench(&settings, 1));
     [&mut old, &mut new].into_iter().for_each(|b| drop(told(b)));
-    old.driver.beside(at(2), yields);
-    new.driver.beside(at(2), false);
+    old.driver.set_peer_process(at(2), yields);
+    new.driver.set_peer_process(at(2), false);
     let mut sent = [0; 3];
     for now in 3..1000 {
         for (n, b) in [&mut alone, &mut old, &mut new].into_iter().enumerate() {
             // Whatever waited goes out in its time, and so does a new one.
-            let mut r = b.driver.time_reached(at(now));
+            let mut r = b.driver.advance_to(at(now));
             r.executions.extend(b.take(now, WRITE).1.executions);
             sent[n] += r.executions.len();
             let mut ends = r.executions;
             while let Some(e) = ends.pop() {
-                let end = ended(e.stmt, e.member, Ending::Completed, 1, seen(now, true));
-                let more = b.driver.execution_ended(at(now), &end).executions;
+                let end = ended(
+                    e.statement,
+                    e.member,
+                    ExecutionOutcome::Completed,
+                    1,
+                    seen(now, true),
+                );
+                let more = b.driver.on_execution_ended(at(now), &end).executions;
                 sent[n] += more.len();
                 ends.extend(more);
             }
@@ -93,7 +108,7 @@
     let mut quiet = bench(&settings, 1);
     quiet.told(1, started(1, at(0)));
     // Long after, a debt is paid off; one that is new again isn't.
-    b.driver.beside(at(5000), false);
+    b.driver.set_peer_process(at(5000), false);
     assert!(b.goes(5001, WRITE).is_empty());
     assert_eq!(quiet.goes(5001, WRITE), [1]);
 }
@@ -110,26 +125,30 @@
         (Some(at(10)), Some(at(9)), false),
     ];
     for (here, there, binds) in table {
-        let s = with(|s| s.cold_share = 1.0);
+        let s = with(|s| s.cold_start_fraction = 1.0);
         let mut b = bench(&s, 2);
         let plain = member(1);
         b.told(
             20,
             MemberEntry {
-                started: here,
+                started_at: here,
                 ..plain
             },
         );
         b.see(21, 1, 21, true);
         let before = b.goes(25_000, WRITE);
-        b.driver.told(at(25_001), 1, Told::Drains(there));
+        b.driver
+            .on_member_update(at(25_001), 1, MemberUpdate::Draining(there));
         let after = b.goes(25_002, WRITE);
         assert_eq!(before, [1], "{here:?} {there:?}");
         assert_eq!(after.is_empty(), binds, "{here:?} {there:?}");
         // Nor is it probed, nor gets it reads.
         let r = b.run_until(25_003, 26_000);
-        assert!(!binds || !r.probes.contains(&1), "{here:?} {there:?}");
+        assert!(!binds || !r.health_checks.contains(&1), "{here:?} {there:?}");
     }
-    let mut nobody = Driver::new(&settings(), 1, at(0));
-    assert!(nobody.told(at(1), 7, Told::Drains(None)).executions.is_empty());
+    let mut nobody = RoutingPolicy::new(&settings(), 1, at(0));
+    assert!(nobody
+        .on_member_update(at(1), 7, MemberUpdate::Draining(None))
+        .executions
+        .is_empty());
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A driver at a made-up store, and what it did at each call.
 #![allow(dead_code)] // each test file uses a part
 
-use asterlatch::choice::Driver;
 use asterlatch::interface::*;
+use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
 
 pub const READ: usize = 0;
@@ -24,34 +24,34 @@
         importance: 1.0,
         late_share: 0.0,
         slo_time: ms(500),
-        repeat,
-        scope: Scope::Group,
-        window: ms(1000),
+        retry_safety: repeat,
+        deduplication_scope: DeduplicationScope::Group,
+        deduplication_window: ms(1000),
         freshness,
     };
     Settings {
         driver_count: 1,
         tick: ms(1),
         workloads: vec![
-            row(Freshness::Any, Repeat::Idempotent),
-            row(Freshness::Bounded(ms(300)), Repeat::Idempotent),
-            row(Freshness::Write, Repeat::NonIdempotent),
-            row(Freshness::Fresh, Repeat::Idempotent),
-            row(Freshness::Session, Repeat::Idempotent),
+            row(Freshness::Any, RetrySafety::Idempotent),
+            row(Freshness::Bounded(ms(300)), RetrySafety::Idempotent),
+            row(Freshness::Write, RetrySafety::NonIdempotent),
+            row(Freshness::Fresh, RetrySafety::Idempotent),
+            row(Freshness::Session, RetrySafety::Idempotent),
         ],
         over_quota_share: 1.0,
         members_check_reads: true,
         session_age_carried: true,
-        list_ask_within: ms(10_000),
-        cold_share: 0.2,
-        warm_within: ms(10_000),
-        fall_multiple: 2.0,
-        fall_span: ms(2000),
+        poll_within: ms(10_000),
+        cold_start_fraction: 0.2,
+        warm_up_time: ms(10_000),
+        overload_multiple: 2.0,
+        overload_window: ms(2000),
         max_executions: 6,
-        connection_idle: ms(30_000),
+        idle_connection_timeout: ms(30_000),
         cancel_allowed: true,
-        probes_allowed: true,
-        max_hold_off: ms(100),
+        health_checks_allowed: true,
+        max_retry_after: ms(100),
         ..Settings::default()
     }
 }
@@ -65,26 +65,32 @@
 pub fn member(id: u32) -> MemberEntry {
     MemberEntry {
         id,
-        key: u64::from(id),
+        fleet_key: u64::from(id),
         group: 7,
-        size: 1.0,
-        named_primary: id == 1,
+        capacity: 1.0,
+        listed_as_primary: id == 1,
         ..MemberEntry::default()
     }
 }
 
-pub fn standing(id: u32, standing: Standing) -> MemberEntry {
+pub fn standing(id: u32, standing: MemberState) -> MemberEntry {
     let plain = member(id);
-    MemberEntry { standing, ..plain }
+    MemberEntry {
+        state: standing,
+        ..plain
+    }
 }
 
 pub fn drained(id: u32) -> MemberEntry {
-    standing(id, Standing::Draining)
+    standing(id, MemberState::Draining)
 }
 
 pub fn started(id: u32, when: Timestamp) -> MemberEntry {
     let (started, plain) = (Some(when), member(id));
-    MemberEntry { started, ..plain }
+    MemberEntry {
+        started_at: started,
+        ..plain
+    }
 }
 
 pub fn statement(id: u32, workload: usize, left: u64) -> Statement {
@@ -93,34 +99,40 @@
         workload,
         group: 7,
         session: 9,
-        left: ms(left),
+        time_left: ms(left),
         ..Statement::default()
     }
 }
 
-pub fn ended(stmt: u32, member: u32, ending: Ending, took: u64, sighting: Sighting) -> ExecutionEnd {
-    let (number, took, settled) = (0, ms(took), ending == Ending::Completed);
+pub fn ended(
+    stmt: u32,
+    member: u32,
+    ending: ExecutionOutcome,
+    took: u64,
+    sighting: ReplicaStatus,
+) -> ExecutionEnd {
+    let (number, took, settled) = (0, ms(took), ending == ExecutionOutcome::Completed);
     ExecutionEnd {
-        stmt,
-        number,
+        statement: stmt,
+        attempt: number,
         member,
-        ending,
-        took,
-        settled,
-        sighting,
+        outcome: ending,
+        latency: took,
+        is_answered: settled,
+        status: sighting,
     }
 }
 
 pub struct Bench {
-    pub driver: Driver,
+    pub driver: RoutingPolicy,
     next: u32,
     numbers: std::collections::BTreeMap<u32, u8>,
 }
 
 pub fn bench(settings: &Settings, members: u32) -> Bench {
-    let mut driver = Driver::new(settings, 5, at(0));
+    let mut driver = RoutingPolicy::new(settings, 5, at(0));
     let entries: Vec<_> = (1..=members).map(member).collect();
-    driver.members_told(at(0), &entries, true);
+    driver.on_endpoint_list(at(0), &entries, true);
     Bench {
         driver,
         next: 0,
@@ -129,7 +141,7 @@
 }
 
 impl Bench {
-    pub fn take(&mut self, now: u64, workload: usize) -> (u32, Results) {
+    pub fn take(&mut self, now: u64, workload: usize) -> (u32, Actions) {
         self.take_by(now, workload, 2000, 0)
     }
 
@@ -137,44 +149,61 @@
         sent_to(&self.take(now, workload).1)
     }
 
-    pub fn take_by(&mut self, now: u64, workload: usize, left: u64, tenant: usize) -> (u32, Results) {
+    pub fn take_by(&mut self, now: u64, workload: usize, left: u64, tenant: usize) -> (u32, Actions) {
         self.next += 1;
         let plain = statement(self.next, workload, left);
         let stmt = Statement { tenant, ..plain };
-        (self.next, self.driver.statement_taken(at(now), &stmt))
+        (self.next, self.driver.on_statement(at(now), &stmt))
     }
 
-    pub fn told(&mut self, now: u64, entry: MemberEntry) -> Results {
-        self.driver.members_told(at(now), &[entry], false)
+    pub fn told(&mut self, now: u64, entry: MemberEntry) -> Actions {
+        self.driver.on_endpoint_list(at(now), &[entry], false)
     }
 
-    pub fn end(&mut self, now: u64, stmt: u32, number: u8, member: u32, ending: Ending) -> Results {
-        self.end_seen(now, stmt, number, member, ending, Sighting::default())
+    pub fn end(&mut self, now: u64, stmt: u32, number: u8, member: u32, ending: ExecutionOutcome) -> Actions {
+        self.end_seen(now, stmt, number, member, ending, ReplicaStatus::default())
     }
 
-    pub fn end_seen(&mut self, now: u64, s: u32, number: u8, m: u32, e: Ending, seen: Sighting) -> Results {
+    pub fn end_seen(
+        &mut self,
+        now: u64,
+        s: u32,
+        number: u8,
+        m: u32,
+        e: ExecutionOutcome,
+        seen: ReplicaStatus,
+    ) -> Actions {
         let first = ended(s, m, e, 50, seen);
-        let end = ExecutionEnd { number, ..first };
-        self.driver.execution_ended(at(now), &end)
+        let end = ExecutionEnd {
+            attempt: number,
+            ..first
+        };
+        self.driver.on_execution_ended(at(now), &end)
     }
 
-    pub fn see(&mut self, now: u64, member: u32, position: u64, primary: bool) -> Results {
+    pub fn see(&mut self, now: u64, member: u32, position: u64, primary: bool) -> Actions {
         let sighting = seen(position, primary);
-        self.driver.probe_answered(at(now), member, true, ms(1), sighting)
+        self.driver
+            .on_health_check(at(now), member, true, ms(1), sighting)
     }
 
-    pub fn run_through(&mut self, now: u64, workload: usize, ending: Ending) -> usize {
+    pub fn run_through(&mut self, now: u64, workload: usize, ending: ExecutionOutcome) -> usize {
         self.run_by(now, workload, |_| ending).len()
     }
 
     /// Ends every execution that a statement leads to, also those of others that waited; the members they went to.
-    pub fn run_by(&mut self, now: u64, workload: usize, ending: impl Fn(u32) -> Ending) -> Vec<u32> {
+    pub fn run_by(
+        &mut self,
+        now: u64,
+        workload: usize,
+        ending: impl Fn(u32) -> ExecutionOutcome,
+    ) -> Vec<u32> {
         let (_, r) = self.take(now, workload);
         let (mut todo, mut members) = (r.executions, Vec::new());
         while let Some(e) = todo.pop() {
-            let number = self.numbers.entry(e.stmt).or_default();
+            let number = self.numbers.entry(e.statement).or_default();
             let n = std::mem::replace(number, *number + 1);
-            let r = self.end(now + 1, e.stmt, n, e.member, ending(e.member));
+            let r = self.end(now + 1, e.statement, n, e.member, ending(e.member));
             todo.extend(r.executions);
             members.push(e.member);
         }
@@ -183,38 +212,38 @@
 
     pub fn crowd(&mut self, now: u64) -> Vec<(u32, u32)> {
         let all = (0..40).flat_map(|_| self.take(now, READ).1.executions);
-        all.map(|e| (e.stmt, e.member)).collect()
+        all.map(|e| (e.statement, e.member)).collect()
     }
 
-    pub fn run_until(&mut self, from: u64, until: u64) -> Results {
-        let mut all = Results::default();
+    pub fn run_until(&mut self, from: u64, until: u64) -> Actions {
+        let mut all = Actions::default();
         for now in from..=until {
-            let r = self.driver.time_reached(at(now));
+            let r = self.driver.advance_to(at(now));
             all.cancellations.extend(r.cancellations);
             all.executions.extend(r.executions);
             all.answers.extend(r.answers);
-            all.probes.extend(r.probes);
-            all.subscribe |= r.subscribe;
+            all.health_checks.extend(r.health_checks);
+            all.poll_endpoint_list |= r.poll_endpoint_list;
         }
         all
     }
 }
 
-pub fn seen(position: u64, primary: bool) -> Sighting {
-    Sighting {
+pub fn seen(position: u64, primary: bool) -> ReplicaStatus {
+    ReplicaStatus {
         position: Some(at(position)),
         is_primary: Some(primary),
     }
 }
 
-pub fn sent_to(r: &Results) -> Vec<u32> {
+pub fn sent_to(r: &Actions) -> Vec<u32> {
     r.executions.iter().map(|e| e.member).collect()
 }
 
-pub fn answer(r: &Results, id: u32) -> &'static str {
+pub fn answer(r: &Actions, id: u32) -> &'static str {
     let found = r.answers.iter().filter_map(|a| match a {
-        Answer::Rejected { stmt, .. } if *stmt == id => Some("rejected"),
-        Answer::Aborted { stmt } if *stmt == id => Some("aborted"),
+        Answer::Rejected { statement: stmt, .. } if *stmt == id => Some("rejected"),
+        Answer::Aborted { statement: stmt } if *stmt == id => Some("aborted"),
         _ => None,
     });
     let all: Vec<_> = found.collect();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,16 +1,16 @@
 //! One driver's part in what many do that can't see each other.
 
 mod common;
-use asterlatch::fleet::{Fleet, Zones};
+use asterlatch::fleet_share::{FleetShare, ZoneHealth};
 use asterlatch::interface::*;
 use asterlatch::time::{TimeSpan, Timestamp};
 use common::*;
-use Ending::*;
+use ExecutionOutcome::*;
 
 #[test]
 fn parts_of_all_drivers_together_are_the_whole() {
     for drivers in [0, 1, 2, 10, 100, 300, 1000] {
-        let (fleet, count) = (Fleet::of(drivers), f64::from(drivers.max(1)));
+        let (fleet, count) = (FleetShare::of(drivers), f64::from(drivers.max(1)));
         assert!((fleet.part(60.0) * count - 60.0).abs() < 1e-9, "{drivers}");
         // No member is asked oftener than every 15 ms by all, and by none oftener than every 300 ms.
         let each = TimeSpan((fleet.probe_gap().0 as f64 / count) as u64);
@@ -41,7 +41,7 @@
         (300, 100.0, true, 2.0),
     ];
     for (drivers, rule, proves, multiple) in table {
-        let used = Fleet::of(drivers).cold_multiple(rule, proves);
+        let used = FleetShare::of(drivers).cold_multiple(rule, proves);
         assert_eq!(used, multiple, "{drivers} {rule} {proves}");
         assert!(used <= rule / 2.0);
     }
@@ -54,7 +54,7 @@
     let (rule, window) = (4.0, 2.0);
     for drivers in [100, 300, 1000] {
         // Each sends as its share allows, with uneven traffic: up to three times the mean, at random moments.
-        let multiple = Fleet::of(drivers).cold_multiple(rule, false);
+        let multiple = FleetShare::of(drivers).cold_multiple(rule, false);
         let capacity = 0.6;
         let work = 0.03;
         let mut worst: f64 = 0.0;
@@ -91,7 +91,7 @@
         (0, 1, &[], true),
     ];
     for (heard, left, sent, silent) in table {
-        let mut zones = Zones::default();
+        let mut zones = ZoneHealth::default();
         zones.hear(3, at(heard));
         zones.leave(3, if left > 0 { at(left) } else { Timestamp(0) });
         let out = || sent.iter().map(|t| at(*t));
@@ -128,7 +128,7 @@
             entry(3, away),
             entry(4, 1),
         ];
-        b.driver.members_told(at(0), &all, true);
+        b.driver.on_endpoint_list(at(0), &all, true);
         b.see(0, 1, 0, true);
         if dense {
             for now in 0..40 {
@@ -149,7 +149,7 @@
         assert!(far.len() >= 2 || dense, "{far:?}");
         assert!(b.run_until(101, 250).cancellations.is_empty(), "too early to say");
         let r = b.run_until(251, 330);
-        let called: Vec<u32> = r.cancellations.iter().map(|c| c.stmt).collect();
+        let called: Vec<u32> = r.cancellations.iter().map(|c| c.statement).collect();
         assert_eq!(!called.is_empty(), moves, "{other} {dense} {workload}");
         for (id, m) in far.into_iter().filter(|(id, _)| called.contains(id)) {
             let r = b.end(331, id, 0, m, Cancelled);
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -1,15 +1,15 @@
 //! A driver that goes on from what another has learned.
 
 mod common;
-use asterlatch::choice::Driver;
 use asterlatch::interface::*;
+use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
 use common::{ms, settings, with};
 use std::collections::BTreeMap;
 
 /// Makes inputs from what drivers do, and gives each to all of them; they must do the same.
 struct World {
-    drivers: Vec<Driver>,
+    drivers: Vec<RoutingPolicy>,
     chance: fastrand::Rng,
     now: Timestamp,
     next: u32,
@@ -22,28 +22,28 @@
 }
 
 const MEMBERS: u32 = 12;
-const ENDINGS: [Ending; 9] = [
-    Ending::Completed,
-    Ending::Completed,
-    Ending::Completed,
-    Ending::Errored,
-    Ending::TimedOut,
-    Ending::TurnedAway,
-    Ending::Missed,
-    Ending::NoConnection,
-    Ending::ConnectionLost,
+const ENDINGS: [ExecutionOutcome; 9] = [
+    ExecutionOutcome::Completed,
+    ExecutionOutcome::Completed,
+    ExecutionOutcome::Completed,
+    ExecutionOutcome::Errored,
+    ExecutionOutcome::TimedOut,
+    ExecutionOutcome::Rejected,
+    ExecutionOutcome::NotEligible,
+    ExecutionOutcome::NoConnection,
+    ExecutionOutcome::ConnectionLost,
 ];
 
-fn entry(id: u32, standing: Standing, started: Option<Timestamp>) -> MemberEntry {
+fn entry(id: u32, standing: MemberState, started: Option<Timestamp>) -> MemberEntry {
     MemberEntry {
         id,
-        key: u64::from(id),
+        fleet_key: u64::from(id),
         group: id % 3,
         zone: (id % 2) as u16,
-        size: 1.0,
-        named_primary: id < 3,
-        standing,
-        started,
+        capacity: 1.0,
+        listed_as_primary: id < 3,
+        state: standing,
+        started_at: started,
     }
 }
 
@@ -51,7 +51,7 @@
     fn new(settings: &Settings, seed: u64) -> World {
         let now = Timestamp(1_000_000_000);
         let mut world = World {
-            drivers: vec![Driver::new(settings, seed, now)],
+            drivers: vec![RoutingPolicy::new(settings, seed, now)],
             chance: fastrand::Rng::with_seed(seed),
             now,
             next: 0,
@@ -61,12 +61,14 @@
             draining: None,
             inputs: 0,
         };
-        let all: Vec<_> = (0..MEMBERS).map(|id| entry(id, Standing::Ready, None)).collect();
-        world.all(|d, now| d.members_told(now, &all, true));
+        let all: Vec<_> = (0..MEMBERS)
+            .map(|id| entry(id, MemberState::Ready, None))
+            .collect();
+        world.all(|d, now| d.on_endpoint_list(now, &all, true));
         world
     }
 
-    fn all(&mut self, input: impl Fn(&mut Driver, Timestamp) -> Results) {
+    fn all(&mut self, input: impl Fn(&mut RoutingPolicy, Timestamp) -> Actions) {
         self.inputs += 1;
         let now = self.now;
         let mut results = self.drivers.iter_mut().map(|d| input(d, now));
@@ -80,42 +82,42 @@
             );
         }
         for e in &first.executions {
-            let number = self.open.get_mut(&e.stmt).expect("is open");
-            self.out.push((e.stmt, *number, e.member, now));
+            let number = self.open.get_mut(&e.statement).expect("is open");
+            self.out.push((e.statement, *number, e.member, now));
             *number += 1;
         }
         for answer in &first.answers {
-            let (Answer::Rejected { stmt, .. } | Answer::Aborted { stmt }) = answer;
+            let (Answer::Rejected { statement: stmt, .. } | Answer::Aborted { statement: stmt }) = answer;
             self.open.remove(stmt);
         }
-        self.probes.extend(&first.probes);
+        self.probes.extend(&first.health_checks);
     }
 
-    fn end(&mut self, at: usize, ending: Ending) {
+    fn end(&mut self, at: usize, ending: ExecutionOutcome) {
         let (stmt, number, member, sent) = self.out.swap_remove(at);
-        let settled = ending == Ending::Completed && self.open.remove(&stmt).is_some();
+        let settled = ending == ExecutionOutcome::Completed && self.open.remove(&stmt).is_some();
         let lag = ms(self.chance.u64(0..400));
-        let sighting = Sighting {
+        let sighting = ReplicaStatus {
             position: self.chance.bool().then_some(self.now - lag),
             is_primary: Some(member < 3),
         };
-        let sighting = if ending == Ending::Completed {
+        let sighting = if ending == ExecutionOutcome::Completed {
             sighting
         } else {
-            Sighting::default()
+            ReplicaStatus::default()
         };
         let settled = settled || !self.open.contains_key(&stmt);
         let took = self.now - sent;
         let end = ExecutionEnd {
-            stmt,
-            number,
+            statement: stmt,
+            attempt: number,
             member,
-            ending,
-            took,
-            settled,
-            sighting,
+            outcome: ending,
+            latency: took,
+            is_answered: settled,
+            status: sighting,
         };
-        self.all(|d, now| d.execution_ended(now, &end));
+        self.all(|d, now| d.on_execution_ended(now, &end));
     }
 
     fn step(&mut self) {
@@ -128,13 +130,13 @@
                     workload: self.chance.usize(0..5),
                     group: self.chance.u32(0..3),
                     session: self.chance.u64(1..50),
-                    repeat: self.chance.u8(0..10) == 0,
-                    left: ms(self.chance.u64(50..2000)),
-                    written_ago: self.chance.bool().then(|| ms(self.chance.u64(0..500))),
+                    is_client_retry: self.chance.u8(0..10) == 0,
+                    time_left: ms(self.chance.u64(50..2000)),
+                    session_write_age: self.chance.bool().then(|| ms(self.chance.u64(0..500))),
                     ..Statement::default()
                 };
                 self.open.insert(self.next, 0);
-                self.all(|d, now| d.statement_taken(now, &statement));
+                self.all(|d, now| d.on_statement(now, &statement));
             }
             35..75 if !self.out.is_empty() => {
                 let (at, ending) = (
@@ -147,31 +149,31 @@
                 let member = self.probes.swap_remove(0);
                 let ok = self.chance.u8(0..5) > 0;
                 let position = Some(self.now - ms(self.chance.u64(0..200)));
-                let sighting = Sighting {
+                let sighting = ReplicaStatus {
                     position,
                     is_primary: Some(member < 3),
                 };
-                self.all(|d, now| d.probe_answered(now, member, ok, ms(1), sighting));
+                self.all(|d, now| d.on_health_check(now, member, ok, ms(1), sighting));
             }
             85..87 if !self.open.is_empty() => {
                 let at = self.chance.usize(0..self.open.len());
                 let stmt = *self.open.keys().nth(at).expect("is there");
                 self.open.remove(&stmt);
-                self.all(|d, now| d.statement_withdrawn(now, stmt));
+                self.all(|d, now| d.on_statement_withdrawn(now, stmt));
             }
             87 => {
                 // One at a time drains and comes back cold.
                 let told = match self.draining.take() {
-                    Some(id) => entry(id, Standing::Ready, Some(self.now)),
+                    Some(id) => entry(id, MemberState::Ready, Some(self.now)),
                     None => {
                         let id = self.chance.u32(3..MEMBERS);
                         self.draining = Some(id);
-                        entry(id, Standing::Draining, None)
+                        entry(id, MemberState::Draining, None)
                     }
                 };
-                self.all(|d, now| d.members_told(now, &[told], false));
+                self.all(|d, now| d.on_endpoint_list(now, &[told], false));
             }
-            _ => self.all(|d, now| d.time_reached(now)),
+            _ => self.all(|d, now| d.advance_to(now)),
         }
     }
 
@@ -180,8 +182,8 @@
         while !self.out.is_empty() || !self.open.is_empty() {
             self.now = self.now + ms(5);
             match self.out.is_empty() {
-                true => self.all(|d, now| d.time_reached(now)),
-                false => self.end(0, Ending::Completed),
+                true => self.all(|d, now| d.advance_to(now)),
+                false => self.end(0, ExecutionOutcome::Completed),
             }
         }
     }
@@ -196,7 +198,7 @@
         s.session_age_carried = false;
     });
     let asks = with(|s| {
-        s.list_on_request = true;
+        s.poll_endpoint_list = true;
         s.tenant_quotas = vec![50.0];
         s.over_quota_share = 0.3;
     });
@@ -206,7 +208,7 @@
         world.quiet();
         world.probes.clear();
         let bytes = postcard::to_stdvec(&world.drivers[0]).expect("can be written");
-        let learned: Driver = postcard::from_bytes(&bytes).expect("can be read");
+        let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("can be read");
         assert_eq!(
             postcard::to_stdvec(&learned).expect("can be written"),
             bytes,
@@ -214,9 +216,9 @@
         );
         world
             .drivers
-            .push(Driver::resume(learned, &settings, true, world.now));
+            .push(RoutingPolicy::resume(learned, &settings, true, world.now));
         // The first look of the one that goes on must change nothing either: both are told the time.
-        world.all(|d, now| d.time_reached(now));
+        world.all(|d, now| d.advance_to(now));
         let from = world.inputs;
         while world.inputs < from + 100_000 {
             world.step();
@@ -232,33 +234,34 @@
     (0..5000).for_each(|_| world.step());
     assert!(!world.out.is_empty() && !world.open.is_empty());
     let bytes = postcard::to_stdvec(&world.drivers[0]).expect("can be written");
-    let learned: Driver = postcard::from_bytes(&bytes).expect("can be read");
+    let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("can be read");
     let later = world.now + ms(60_000);
-    let mut next = Driver::resume(learned, &settings, false, later);
-    let results = next.time_reached(later);
+    let mut next = RoutingPolicy::resume(learned, &settings, false, later);
+    let results = next.advance_to(later);
     assert!(results.answers.is_empty() && results.executions.is_empty() && results.cancellations.is_empty());
     // What ends for the other is none of its business.
     let (stmt, number, member, _) = world.out[0];
-    let (ending, took, settled, sighting) = (Ending::TimedOut, ms(1), true, Sighting::default());
+    let (ending, took, settled, sighting) =
+        (ExecutionOutcome::TimedOut, ms(1), true, ReplicaStatus::default());
     let end = ExecutionEnd {
-        stmt,
-        number,
+        statement: stmt,
+        attempt: number,
         member,
-        ending,
-        took,
-        settled,
-        sighting,
+        outcome: ending,
+        latency: took,
+        is_answered: settled,
+        status: sighting,
     };
-    assert!(next.execution_ended(later, &end).executions.is_empty());
+    assert!(next.on_execution_ended(later, &end).executions.is_empty());
     // It knows members, roles and positions: a write goes to the primary at once.
     let statement = Statement {
         id: 1,
         workload: 2,
         group: 1,
-        left: ms(1000),
+        time_left: ms(1000),
         ..Statement::default()
     };
-    let results = next.statement_taken(later, &statement);
+    let results = next.on_statement(later, &statement);
     assert_eq!(
         results.executions.iter().map(|e| e.member).collect::<Vec<_>>(),
         [1]
@@ -272,7 +275,7 @@
     let bytes = postcard::to_stdvec(&world.drivers[0]).expect("can be written");
     for cut in 0..bytes.len().min(400) {
         assert!(
-            postcard::from_bytes::<Driver>(&bytes[..cut]).is_err(),
+            postcard::from_bytes::<RoutingPolicy>(&bytes[..cut]).is_err(),
             "cut at {cut}"
         );
     }
@@ -298,19 +301,19 @@
 #[test]
 fn learned_state_read_from_the_build_before_means_the_same() {
     let bytes = std::fs::read(learned_fixture()).expect("lies there");
-    let learned: Driver = postcard::from_bytes(&bytes).expect("can be read");
+    let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("can be read");
     assert_eq!(postcard::to_stdvec(&learned).expect("can be written"), bytes);
     let now = Timestamp(1_010_000_000);
-    let mut next = Driver::resume(learned, &fleet_with_quotas(), false, now);
+    let mut next = RoutingPolicy::resume(learned, &fleet_with_quotas(), false, now);
     let mut taken = |id, workload, group| {
         let statement = Statement {
             id,
             workload,
             group,
-            left: ms(1000),
+            time_left: ms(1000),
             ..Statement::default()
         };
-        let results = next.statement_taken(now, &statement);
+        let results = next.on_statement(now, &statement);
         assert!(results.answers.is_empty(), "statement {id}");
         results.executions.iter().map(|e| e.member).collect::<Vec<_>>()
     };
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -3,7 +3,7 @@
 mod common;
 use asterlatch::interface::*;
 use common::*;
-use Ending::*;
+use ExecutionOutcome::*;
 
 #[test]
 fn the_ordinary_path() {
@@ -52,13 +52,13 @@
     for m in 1..=3 {
         b.see(1, m, 1, m == 1);
     }
-    let r = b.end_seen(5, id, 0, 1, Missed, seen(5, false));
+    let r = b.end_seen(5, id, 0, 1, NotEligible, seen(5, false));
     assert_eq!(sent_to(&r), [2], "moves to the next member while none is named");
-    let r = b.end_seen(6, id, 1, 2, Missed, seen(6, false));
+    let r = b.end_seen(6, id, 1, 2, NotEligible, seen(6, false));
     assert_eq!(sent_to(&r), [3]);
-    let r = b.end_seen(7, id, 2, 3, Missed, seen(7, false));
+    let r = b.end_seen(7, id, 2, 3, NotEligible, seen(7, false));
     assert!(r.executions.is_empty(), "missed everywhere: held");
-    let asked = b.run_until(8, 310).probes;
+    let asked = b.run_until(8, 310).health_checks;
     assert!((1..=3).all(|m| asked.contains(&m)), "asked: {asked:?}");
     let r = b.see(312, 3, 312, true);
     assert_eq!(sent_to(&r), [3], "goes out once a primary is named");
@@ -72,11 +72,11 @@
     let (id, _) = b.take_by(2, WRITE, 5000, 0);
     let mut went = Vec::new();
     for now in 3..2500 {
-        let mut todo = sent_to(&b.driver.time_reached(at(now)));
+        let mut todo = sent_to(&b.driver.advance_to(at(now)));
         while let Some(m) = todo.pop() {
             went.push((now, m));
             let number = went.len() as u8 - 1;
-            todo = sent_to(&b.end_seen(now, id, number, m, Missed, seen(1, false)));
+            todo = sent_to(&b.end_seen(now, id, number, m, NotEligible, seen(1, false)));
         }
     }
     assert!(went[0].0 >= 250, "waits for its short timer: {went:?}");
@@ -121,10 +121,10 @@
 
 #[test]
 fn a_fresh_driver_probes_each_member_once() {
-    let mut driver = asterlatch::choice::Driver::new(&settings(), 1, at(0));
-    let r = driver.members_told(at(0), &[member(1), member(2), member(3)], true);
-    assert_eq!(r.probes, [1, 2, 3]);
-    assert!(driver.time_reached(at(1)).probes.is_empty());
+    let mut driver = asterlatch::policy::RoutingPolicy::new(&settings(), 1, at(0));
+    let r = driver.on_endpoint_list(at(0), &[member(1), member(2), member(3)], true);
+    assert_eq!(r.health_checks, [1, 2, 3]);
+    assert!(driver.advance_to(at(1)).health_checks.is_empty());
 }
 
 /// Three hundred drivers that wake in the same millisecond would ask each member as often: where members turn away what
@@ -135,19 +135,19 @@
     let table = [(20, true, 3), (21, true, 0), (300, true, 0), (300, false, 3)];
     for (drivers, checks, probes) in table {
         let change = |s: &mut Settings| (s.driver_count, s.members_check_reads) = (drivers, checks);
-        let mut driver = asterlatch::choice::Driver::new(&with(change), 1, at(0));
-        let r = driver.members_told(at(0), &[member(1), member(2), member(3)], true);
-        assert_eq!(r.probes.len(), probes, "{drivers} {checks}");
-        let r = driver.statement_taken(at(1), &statement(1, BOUNDED, 2000));
+        let mut driver = asterlatch::policy::RoutingPolicy::new(&with(change), 1, at(0));
+        let r = driver.on_endpoint_list(at(0), &[member(1), member(2), member(3)], true);
+        assert_eq!(r.health_checks.len(), probes, "{drivers} {checks}");
+        let r = driver.on_statement(at(1), &statement(1, BOUNDED, 2000));
         let expected = if checks { 2..=3 } else { 1..=1 };
         assert!(
             sent_to(&r).iter().all(|m| expected.contains(m)) && sent_to(&r).len() == 1,
             "{drivers} {checks}"
         );
         // A group whose primary is lost is still asked, or nobody would hear of the next one.
-        let r = driver.members_told(at(2), &[drained(1)], false);
-        let write = driver.statement_taken(at(3), &statement(2, WRITE, 2000));
-        let asked = r.probes.len() + write.probes.len();
+        let r = driver.on_endpoint_list(at(2), &[drained(1)], false);
+        let write = driver.on_statement(at(3), &statement(2, WRITE, 2000));
+        let asked = r.health_checks.len() + write.health_checks.len();
         assert!(asked > 0 || probes > 0, "{drivers} {checks}");
     }
 }
@@ -155,19 +155,19 @@
 #[test]
 fn the_list_is_asked_for_again_after_a_failure() {
     for on_request in [true, false] {
-        let mut b = bench(&with(|s| s.list_on_request = on_request), 2);
-        assert!(!b.driver.list_failed(at(10)).subscribe, "not at once");
-        assert!(!b.run_until(11, 40).subscribe);
-        assert_eq!(b.run_until(41, 110).subscribe, on_request);
+        let mut b = bench(&with(|s| s.poll_endpoint_list = on_request), 2);
+        assert!(!b.driver.on_poll_failed(at(10)).poll_endpoint_list, "not at once");
+        assert!(!b.run_until(11, 40).poll_endpoint_list);
+        assert_eq!(b.run_until(41, 110).poll_endpoint_list, on_request);
     }
     // Soon after the first failure, for changes are missed while no call stands; less so where calls fail in a row, as they do
     // at a discovery that is asked too much.
-    let mut b = bench(&with(|s| s.list_on_request = true), 2);
+    let mut b = bench(&with(|s| s.poll_endpoint_list = true), 2);
     let mut now = 10;
     let mut waits = || {
-        b.driver.list_failed(at(now));
+        b.driver.on_poll_failed(at(now));
         let from = now;
-        while !b.driver.time_reached(at(now)).subscribe {
+        while !b.driver.advance_to(at(now)).poll_endpoint_list {
             now += 1;
         }
         now - from
@@ -179,8 +179,8 @@
     }
     let waited = {
         now += 2500;
-        b.driver.list_failed(at(now));
-        let found = (0..).find(|ms| b.driver.time_reached(at(now + ms)).subscribe);
+        b.driver.on_poll_failed(at(now));
+        let found = (0..).find(|ms| b.driver.advance_to(at(now + ms)).poll_endpoint_list);
         found.expect("asks")
     };
     assert!(
@@ -230,7 +230,7 @@
                 let took = if m == 1 { 450 } else { times[m as usize - 2] };
                 let end = ended(id, m, Completed, took, seen(2000 * n, m == 1));
                 b.run_until(2000 * n + 1, 2000 * n + took);
-                b.driver.execution_ended(at(2000 * n + took), &end);
+                b.driver.on_execution_ended(at(2000 * n + took), &end);
                 sent += u32::from(n >= 40);
                 at_third += u32::from(n >= 40 && m == 3);
             }
@@ -251,7 +251,7 @@
         assert_eq!(borne, 200);
         for (n, m) in (0..failures).flat_map(|n| [1, 2, 3].map(|m| (n, m))) {
             let workload = if m == 1 { FRESH } else { READ };
-            let mut fails = || b.run_by(800 + n, workload, |at| if at == m { Errored } else { NeverSent });
+            let mut fails = || b.run_by(800 + n, workload, |at| if at == m { Errored } else { NotSent });
             assert!((0..9).any(|_| fails().contains(&m)), "never goes to {m}");
         }
         let out = (0..100).filter(|_| {
@@ -265,7 +265,7 @@
 #[test]
 fn common_failures_widen_the_turns_without_feeding_an_overload() {
     // (how every execution ends, the least and the most executions that 400 statements get)
-    for (ending, least, most) in [(Errored, 200, 700), (TurnedAway, 200, 700)] {
+    for (ending, least, most) in [(Errored, 200, 700), (Rejected, 200, 700)] {
         let mut b = bench(&settings(), 4);
         let executions: usize = (0..400).map(|n| b.run_through(5 * n, READ, ending)).sum();
         assert!((least..most).contains(&executions), "{executions} executions");
@@ -288,7 +288,7 @@
         let (last, r) = b.take_by(2, workload, 2000, 1);
         assert_eq!(r.executions, [], "no room");
         let r = b.end_seen(3, out[0].0, 0, out[0].1, Completed, seen(3, out[0].1 == 1));
-        assert_eq!(r.executions[0].stmt == last, first, "{quota} {workload}");
+        assert_eq!(r.executions[0].statement == last, first, "{quota} {workload}");
     }
 }
 
@@ -299,13 +299,19 @@
         let mut b = bench(&settings(), 1);
         b.see(0, 1, 0, true);
         b.crowd(0);
-        b.driver.statement_taken(at(0), &statement(98, READ, 600));
+        b.driver.on_statement(at(0), &statement(98, READ, 600));
         let plain = statement(99, READ, left);
-        let stmt = Statement { repeat, ..plain };
-        b.driver.statement_taken(at(0), &stmt);
+        let stmt = Statement {
+            is_client_retry: repeat,
+            ..plain
+        };
+        b.driver.on_statement(at(0), &stmt);
         let hold_off = ms(advised);
-        let expected = Answer::Rejected { stmt: 99, hold_off };
-        let when = (1..600).find(|now| b.driver.time_reached(at(*now)).answers.contains(&expected));
+        let expected = Answer::Rejected {
+            statement: 99,
+            retry_after: hold_off,
+        };
+        let when = (1..600).find(|now| b.driver.advance_to(at(*now)).answers.contains(&expected));
         assert!(when.is_some_and(|now| now <= after), "{repeat} {left}: {when:?}");
     }
 }
@@ -333,7 +339,7 @@
         let (id, _) = b.take(10 * n, WRITE);
         let (ending, took) = [(Cancelled, 1900), (Completed, 50)][usize::from(n % 5 > 0)];
         let end = ended(id, 1, ending, took, seen(10 * n, true));
-        b.driver.execution_ended(at(10 * n + 5), &end);
+        b.driver.on_execution_ended(at(10 * n + 5), &end);
     }
     let out = b.crowd(4001).len();
     assert!(out >= 4, "the bound has shrunk to {out}");
@@ -349,7 +355,7 @@
         (0..20).for_each(|n| drop(b.run_by(5 * n, WRITE, |_| Completed)));
         let (silent, r) = b.take(200, WRITE);
         assert_eq!(sent_to(&r), [1]);
-        let probed = (201..1400).find(|now| !b.driver.time_reached(at(*now)).probes.is_empty());
+        let probed = (201..1400).find(|now| !b.driver.advance_to(at(*now)).health_checks.is_empty());
         let now = probed.expect("it is overdue");
         if answers {
             b.see(now + 1, 1, now, true);
@@ -366,7 +372,7 @@
     for mut entry in [drained(1), started(1, at(5))] {
         let mut b = bench(&settings(), 2);
         b.see(1, 1, 1, true);
-        entry.named_primary = false;
+        entry.listed_as_primary = false;
         b.told(5, entry);
         assert_eq!(b.goes(6, WRITE), [], "held until another is named");
         assert_eq!(b.run_until(7, 290).executions.len(), 1, "then tried");
@@ -380,7 +386,12 @@
         let mut b = bench(&s, 2);
         b.see(0, 1, 0, true);
         assert_eq!(b.run_by(0, WRITE, |_| ConnectionLost), [1]);
-        let sent = b.run_until(2, 3000).probes.iter().filter(|m| **m == 1).count();
+        let sent = b
+            .run_until(2, 3000)
+            .health_checks
+            .iter()
+            .filter(|m| **m == 1)
+            .count();
         assert!(probes.contains(&sent), "{sent} probes by one of {drivers}");
     }
 }
@@ -391,7 +402,7 @@
     b.see(0, 1, 0, true);
     b.see(1000, 2, 100, false);
     let (_, r) = b.take(2100, BOUNDED);
-    assert_eq!((sent_to(&r), r.probes), (vec![1], vec![2]));
+    assert_eq!((sent_to(&r), r.health_checks), (vec![1], vec![2]));
 }
 
 #[test]
@@ -425,12 +436,12 @@
     let mut last = 0;
     for n in 1..2000 {
         let all = (0..12).flat_map(|_| b.take_by(10 * n, READ, 3, 0).1.executions);
-        let out: Vec<u32> = all.map(|e| e.stmt).collect();
-        b.driver.time_reached(at(10 * n + 3));
+        let out: Vec<u32> = all.map(|e| e.statement).collect();
+        b.driver.advance_to(at(10 * n + 3));
         for id in &out {
             let took = if n < 300 { 50 } else { 400 };
             let end = ended(*id, 1, Completed, took, seen(10 * n, true));
-            b.driver.execution_ended(at(10 * n + 5), &end);
+            b.driver.on_execution_ended(at(10 * n + 5), &end);
         }
         last = out.len();
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,21 +3,21 @@
 mod common;
 use asterlatch::interface::*;
 use common::*;
-use Ending::*;
-use Repeat::*;
+use ExecutionOutcome::*;
+use RetrySafety::*;
 
 #[test]
 fn endings_by_repeat_class() {
     // (ending; idempotent, deduplicated, non-idempotent): sent again, at once or after a hold, or the answer.
     let table = [
         (Errored, ["again", "again", "aborted"]),
-        (TurnedAway, ["again", "again", "again"]),
+        (Rejected, ["again", "again", "again"]),
         (TimedOut, ["again", "again", "aborted"]),
         (NoConnection, ["again", "again", "again"]),
         (ConnectionLost, ["again", "again", "aborted"]),
         (Cancelled, ["again", "again", "aborted"]),
-        (NeverSent, ["again", "again", "again"]),
-        (Missed, ["again", "again", "again"]),
+        (NotSent, ["again", "again", "again"]),
+        (NotEligible, ["again", "again", "again"]),
         (Completed, ["", "", ""]),
     ];
     for (ending, expected) in table {
@@ -26,7 +26,7 @@
             .zip(expected)
         {
             let mut s = settings();
-            s.workloads[WRITE].repeat = repeat;
+            s.workloads[WRITE].retry_safety = repeat;
             let mut b = bench(&s, 2);
             let (id, r) = b.take(0, WRITE);
             assert_eq!(sent_to(&r), [1], "{ending:?} {repeat:?}");
@@ -45,18 +45,23 @@
 fn what_may_have_run_is_rejected_only_where_that_is_harmless() {
     // (repeat, ending of the only execution or still out, final answer)
     let table = [
-        (Idempotent, Scope::Group, None, "rejected"),
-        (NonIdempotent, Scope::Group, None, "aborted"),
-        (NonIdempotent, Scope::Group, Some(Missed), "rejected"),
-        (Deduplicated, Scope::Group, None, "aborted"),
-        (Deduplicated, Scope::Group, Some(Errored), "aborted"),
-        (Deduplicated, Scope::All, Some(Errored), "rejected"),
-        (Deduplicated, Scope::All, None, "rejected"),
+        (Idempotent, DeduplicationScope::Group, None, "rejected"),
+        (NonIdempotent, DeduplicationScope::Group, None, "aborted"),
+        (
+            NonIdempotent,
+            DeduplicationScope::Group,
+            Some(NotEligible),
+            "rejected",
+        ),
+        (Deduplicated, DeduplicationScope::Group, None, "aborted"),
+        (Deduplicated, DeduplicationScope::Group, Some(Errored), "aborted"),
+        (Deduplicated, DeduplicationScope::All, Some(Errored), "rejected"),
+        (Deduplicated, DeduplicationScope::All, None, "rejected"),
     ];
     for (repeat, scope, ending, expected) in table {
         let mut s = settings();
-        s.workloads[WRITE].repeat = repeat;
-        s.workloads[WRITE].scope = scope;
+        s.workloads[WRITE].retry_safety = repeat;
+        s.workloads[WRITE].deduplication_scope = scope;
         s.max_executions = 1;
         let mut b = bench(&s, 1);
         let (id, _) = b.take(0, WRITE);
@@ -72,21 +77,21 @@
 fn deduplicated_statements_are_not_sent_again_after_their_window() {
     // (its end comes at, the new primary is seen at, whose repeats are dropped; whether it is sent again)
     let table = [
-        (100, 900, Scope::Group, true),
-        (100, 960, Scope::Group, false), // it could arrive too late
-        (100, 1100, Scope::Group, false),
-        (1050, 1060, Scope::Group, false),
-        (100, 900, Scope::Zone, false), // the new primary is in another zone
+        (100, 900, DeduplicationScope::Group, true),
+        (100, 960, DeduplicationScope::Group, false), // it could arrive too late
+        (100, 1100, DeduplicationScope::Group, false),
+        (1050, 1060, DeduplicationScope::Group, false),
+        (100, 900, DeduplicationScope::Zone, false), // the new primary is in another zone
     ];
     for (ended, seen_at, scope, again) in table {
         let mut s = settings();
-        s.workloads[WRITE].repeat = Deduplicated;
-        s.workloads[WRITE].scope = scope;
+        s.workloads[WRITE].retry_safety = Deduplicated;
+        s.workloads[WRITE].deduplication_scope = scope;
         s.workloads[WRITE].slo_time = ms(3000);
         s.max_executions = 2;
         let mut b = bench(&s, 2);
         let (id, _) = b.take_by(0, WRITE, 3000, 0);
-        b.end_seen(ended, id, 0, 1, ConnectionLost, Sighting::default());
+        b.end_seen(ended, id, 0, 1, ConnectionLost, ReplicaStatus::default());
         b.told(ended, MemberEntry { zone: 1, ..member(2) });
         b.told(ended, drained(1));
         b.run_until(ended + 1, seen_at - 1);
@@ -114,8 +119,14 @@
     // Clients that leave early kept the members busy with work for nobody.
     let mut b = bench(&settings(), 2);
     let (id, _) = b.take(0, READ);
-    let r = b.driver.statement_withdrawn(at(10), id);
-    assert_eq!(r.cancellations, [Cancellation { stmt: id, number: 0 }]);
+    let r = b.driver.on_statement_withdrawn(at(10), id);
+    assert_eq!(
+        r.cancellations,
+        [Cancellation {
+            statement: id,
+            attempt: 0
+        }]
+    );
     let r = b.end(11, id, 0, 2, Cancelled);
     assert!(r.answers.is_empty() && r.executions.is_empty());
 }
@@ -134,11 +145,11 @@
 fn drains_and_departures_are_kept() {
     // (standing, listed draining before, gone is only advice; whether it still gets reads)
     let table = [
-        (Standing::Ready, false, false, true),
-        (Standing::Draining, false, false, false),
-        (Standing::Gone, false, false, false),
-        (Standing::Gone, false, true, true),
-        (Standing::Gone, true, true, false),
+        (MemberState::Ready, false, false, true),
+        (MemberState::Draining, false, false, false),
+        (MemberState::Gone, false, false, false),
+        (MemberState::Gone, false, true, true),
+        (MemberState::Gone, true, true, false),
     ];
     for (how, listed, advice, may) in table {
         let mut b = bench(&with(|s| s.gone_is_advice = advice), 2);
@@ -149,7 +160,7 @@
         assert_eq!(b.goes(3, READ).contains(&2), may, "{how:?} {listed}");
     }
     let mut b = bench(&settings(), 2);
-    b.driver.members_told(at(1), &[member(1)], true);
+    b.driver.on_endpoint_list(at(1), &[member(1)], true);
     assert_eq!(b.goes(2, READ), [1], "missing from a whole list is gone");
 }
 
@@ -167,10 +178,10 @@
             if drained_first {
                 b.told(now, drained(id - 2));
             }
-            let_go.extend(b.told(now, standing(id - 2, Standing::Gone)).let_go);
+            let_go.extend(b.told(now, standing(id - 2, MemberState::Gone)).removed_members);
             let read = b.run_by(now + 1, READ, |_| Completed);
             assert!(!read.contains(&(id - 2)) || advice, "{id}");
-            b.driver.time_reached(at(now + 10));
+            b.driver.advance_to(at(now + 10));
         }
         assert_eq!(300 - let_go.len(), kept, "advice: {advice}");
         assert_eq!(let_go.iter().min(), (kept == 0).then_some(&2));
@@ -180,19 +191,19 @@
     b.see(0, 1, 0, true);
     let (read, r) = b.take(1, READ);
     let owing = sent_to(&r)[0];
-    assert_eq!(b.told(2, standing(owing, Standing::Gone)).let_go, []);
+    assert_eq!(b.told(2, standing(owing, MemberState::Gone)).removed_members, []);
     b.end(3, read, 0, owing, Completed);
-    assert_eq!(b.told(4, member(9)).let_go, [owing]);
+    assert_eq!(b.told(4, member(9)).removed_members, [owing]);
     let (held, r) = b.take(5, READ);
     let failed = sent_to(&r)[0];
-    b.told(6, standing(1, Standing::Draining));
+    b.told(6, standing(1, MemberState::Draining));
     let r = b.end(7, held, 0, failed, Errored);
-    let gone = standing(failed, Standing::Gone);
-    assert_eq!(b.told(8, gone).let_go, [], "it is to be avoided");
+    let gone = standing(failed, MemberState::Gone);
+    assert_eq!(b.told(8, gone).removed_members, [], "it is to be avoided");
     for e in r.executions {
         b.end(9, held, 1, e.member, Completed);
     }
-    assert_eq!(b.told(10, member(8)).let_go, [failed]);
+    assert_eq!(b.told(10, member(8)).removed_members, [failed]);
 }
 
 #[test]
@@ -209,8 +220,8 @@
         for seed in 0..drivers {
             let s = with(|s| s.driver_count = drivers);
             let mut b = bench(&s, 3);
-            b.driver = asterlatch::choice::Driver::new(&s, u64::from(seed), at(0));
-            b.driver.members_told(at(0), &[member(1), member(2)], true);
+            b.driver = asterlatch::policy::RoutingPolicy::new(&s, u64::from(seed), at(0));
+            b.driver.on_endpoint_list(at(0), &[member(1), member(2)], true);
             for now in (0..6000).step_by(gap) {
                 if now == 4000 {
                     b.told(now, started(3, at(now) - ms(age)));
@@ -228,7 +239,7 @@
 fn a_cold_member_that_proves_itself_gets_more() {
     // (time of the cold member's answers; the least and the most sent there in a second)
     for (took, least, most) in [(50, 30, 45), (450, 5, 25)] {
-        let mut b = bench(&with(|s| s.fall_multiple = 4.0), 3);
+        let mut b = bench(&with(|s| s.overload_multiple = 4.0), 3);
         let mut sent = 0;
         for now in (0..5000).step_by(10) {
             if now == 3000 {
@@ -238,7 +249,7 @@
             for e in r.executions {
                 let took = if e.member == 2 { took } else { 50 };
                 let end = ended(id, e.member, Completed, took, seen(now, e.member == 1));
-                b.driver.execution_ended(at(now + 1), &end);
+                b.driver.on_execution_ended(at(now + 1), &end);
                 sent += usize::from(e.member == 2 && now >= 4000);
             }
         }
@@ -269,8 +280,11 @@
             b.see(when, 2, position, false);
         }
         let (written_ago, plain) = (ago.map(ms), statement(1, workload, 1000));
-        let stmt = Statement { written_ago, ..plain };
-        let r = b.driver.statement_taken(at(now), &stmt);
+        let stmt = Statement {
+            session_write_age: written_ago,
+            ..plain
+        };
+        let r = b.driver.on_statement(at(now), &stmt);
         assert_eq!(sent_to(&r), [expected], "row {n}");
     }
 }
@@ -312,8 +326,8 @@
         b.see(1, 1, 1, true);
         let (id, _) = b.take_by(50, WRITE, 200, 0);
         match ending {
-            "given up" => assert_eq!(b.run_until(51, 260).answers, [Answer::Aborted { stmt: id }]),
-            "withdrawn" => drop(b.driver.statement_withdrawn(at(60), id)),
+            "given up" => assert_eq!(b.run_until(51, 260).answers, [Answer::Aborted { statement: id }]),
+            "withdrawn" => drop(b.driver.on_statement_withdrawn(at(60), id)),
             _ => {}
         }
         b.end_seen(300, id, 0, 1, Completed, seen(100, true));
@@ -332,7 +346,7 @@
         (None, 1, 1),
         (Some(ConnectionLost), 1, 2),
         (Some(TimedOut), 1, 2),
-        (Some(Missed), 2, 2),
+        (Some(NotEligible), 2, 2),
         (Some(NoConnection), 2, 2),
         (Some(Completed), 2, 2),
     ];
@@ -347,7 +361,7 @@
             let told = if ending == Completed {
                 seen(100, true)
             } else {
-                Sighting::default()
+                ReplicaStatus::default()
             };
             b.end_seen(150, id, 0, 1, ending, told);
             b.see(151, 1, 151, true);
@@ -381,32 +395,34 @@
         b.see(990, 1, 990, true);
         b.see(990, 2, 990, false);
         let stmt = Statement {
-            written_ago: wrote.map(|w| ms(1000 - w)),
+            session_write_age: wrote.map(|w| ms(1000 - w)),
             ..statement(7, workload, 2000)
         };
-        let r = b.driver.statement_taken(at(1000), &stmt);
+        let r = b.driver.on_statement(at(1000), &stmt);
         assert_eq!(r.executions.len(), 1);
-        let seen = Sighting {
+        let seen = ReplicaStatus {
             position: shows.map(at),
             is_primary: Some(true),
         };
         assert_eq!(
-            b.driver.accepts(7, 0, seen),
+            b.driver.accepts_answer(7, 0, seen),
             accepted,
             "{workload} {wrote:?} {shows:?}"
         );
         assert!(
-            b.driver.accepts(8, 0, seen),
+            b.driver.accepts_answer(8, 0, seen),
             "what nobody waits for is nothing to refuse"
         );
     }
     // One that waits for its connection counts from when it goes out.
     let mut b = bench(&settings(), 1);
     b.see(990, 1, 990, true);
-    b.driver.statement_taken(at(1000), &statement(7, BOUNDED, 2000));
-    b.driver.awaits(7, 0);
-    assert!(b.driver.goes_out(at(1200), 7, 0));
-    assert!(!b.driver.accepts(7, 0, seen(899, true)) && b.driver.accepts(7, 0, seen(900, true)));
+    b.driver.on_statement(at(1000), &statement(7, BOUNDED, 2000));
+    b.driver.on_connecting(7, 0);
+    assert!(b.driver.may_dispatch(at(1200), 7, 0));
+    assert!(
+        !b.driver.accepts_answer(7, 0, seen(899, true)) && b.driver.accepts_answer(7, 0, seen(900, true))
+    );
 }
 
 /// Members that check reads can't check this one: no statement tells them what its session wrote. So a lag that was seen
@@ -424,10 +440,10 @@
         let (id, _) = b.take(50, WRITE);
         b.end_seen(150, id, 0, 1, Completed, seen(100, true));
         let read = Statement {
-            written_ago: carried.then_some(ms(61)),
+            session_write_age: carried.then_some(ms(61)),
             ..statement(77, SESSION, 2000)
         };
-        let r = b.driver.statement_taken(at(161), &read);
+        let r = b.driver.on_statement(at(161), &read);
         assert_eq!(sent_to(&r), [expected], "{carried} {told:?}");
     }
 }
@@ -436,7 +452,7 @@
 fn odd_lists_and_counts_break_nothing() {
     let many: Vec<_> = (1..=400).map(member).collect();
     let mut second = member(2);
-    second.named_primary = true;
+    second.listed_as_primary = true;
     let back = [started(1, at(2)), started(1, at(1))];
     // (the lists told one after another, whole or not; where a write then goes)
     type List<'a> = (&'a [MemberEntry], bool);
@@ -453,7 +469,7 @@
         for drivers in [0, 1, 1000] {
             let mut b = bench(&with(|s| s.driver_count = drivers), 0);
             for (entries, whole) in lists {
-                b.driver.members_told(at(3), entries, *whole);
+                b.driver.on_endpoint_list(at(3), entries, *whole);
             }
             let mut went = b.goes(4, WRITE);
             went.extend(sent_to(&b.run_until(5, 400)));
@@ -461,7 +477,7 @@
             assert!(kept && went.len() < 2, "row {n}, {drivers} drivers: {went:?}");
             let mut elsewhere = statement(77, READ, 50);
             elsewhere.group = 8;
-            b.driver.statement_taken(at(401), &elsewhere);
+            b.driver.on_statement(at(401), &elsewhere);
             let answered = b.run_until(402, 451);
             assert_eq!(answer(&answered, 77), "rejected", "no member in its group");
         }
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -2,9 +2,9 @@
 //! what the module makes of it.
 
 mod common;
-use asterlatch::choice::Driver;
 use asterlatch::interface::*;
-use asterlatch::subset::{Firsts, Replica};
+use asterlatch::policy::RoutingPolicy;
+use asterlatch::replica_preference::{Replica, ReplicaPreference};
 use common::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,8 +43,8 @@
         }
     }
 
-    fn firsts(&self, driver: u64) -> Firsts {
-        let mut firsts = Firsts::alone(driver);
+    fn firsts(&self, driver: u64) -> ReplicaPreference {
+        let mut firsts = ReplicaPreference::alone(driver);
         if self.known {
             let mut others = self.drivers.clone();
             others.remove(&driver);
@@ -193,7 +193,7 @@
         }
     }
     assert!(
-        Firsts::alone(3).order(&[]).is_empty(),
+        ReplicaPreference::alone(3).order(&[]).is_empty(),
         "a group may be a primary alone"
     );
 }
@@ -208,19 +208,25 @@
             s.driver_count = 300;
             s.members_check_reads = false;
         });
-        let mut driver = Driver::new(&settings, seed, at(0));
-        driver.members_told(at(0), &[1, 2, 3, 4].map(member), true);
-        let see = |driver: &mut Driver, now: u64, m: u32, position: u64| {
-            driver.probe_answered(at(now), m, true, ms(1), seen(position, m == 1));
+        let mut driver = RoutingPolicy::new(&settings, seed, at(0));
+        driver.on_endpoint_list(at(0), &[1, 2, 3, 4].map(member), true);
+        let see = |driver: &mut RoutingPolicy, now: u64, m: u32, position: u64| {
+            driver.on_health_check(at(now), m, true, ms(1), seen(position, m == 1));
         };
         let mut next = 0;
-        let mut reads = |driver: &mut Driver, now: u64| {
+        let mut reads = |driver: &mut RoutingPolicy, now: u64| {
             next += 1;
-            let r = driver.statement_taken(at(now), &statement(next, BOUNDED, 2000));
+            let r = driver.on_statement(at(now), &statement(next, BOUNDED, 2000));
             let e = r.executions[0];
-            driver.execution_ended(
+            driver.on_execution_ended(
                 at(now + 1),
-                &ended(e.stmt, e.member, Ending::Completed, 1, Sighting::default()),
+                &ended(
+                    e.statement,
+                    e.member,
+                    ExecutionOutcome::Completed,
+                    1,
+                    ReplicaStatus::default(),
+                ),
             );
             e.member
         };
@@ -252,10 +258,10 @@
 /// What others tell of who is there changes the order at once, and only where it says something new.
 #[test]
 fn who_is_there_is_news_once() {
-    let mut driver = Driver::new(&settings(), 1, at(0));
+    let mut driver = RoutingPolicy::new(&settings(), 1, at(0));
     let others = BTreeSet::from([key(1), key(2)]);
     let news: Vec<bool> = [&others, &others, &BTreeSet::new()]
-        .map(|o| driver.peers_told(key(0), o, 3))
+        .map(|o| driver.set_fleet_drivers(key(0), o, 3))
         .to_vec();
     assert_eq!(news, [true, false, true]);
 }
--- a/tests/told.rs
+++ b/tests/told.rs
@@ -12,12 +12,13 @@
     ago: u64,
     position: Option<u64>,
     primary: Option<bool>,
-) -> Results {
-    let sighting = Sighting {
+) -> Actions {
+    let sighting = ReplicaStatus {
         position: position.map(at),
         is_primary: primary,
     };
-    b.driver.told(at(now), member, Told::Said(ms(ago), sighting))
+    b.driver
+        .on_member_update(at(now), member, MemberUpdate::Status(ms(ago), sighting))
 }
 
 /// (told of replica 2 at 10,000: how far it was, how long ago; where a read goes that may be 300 ms old)
@@ -77,7 +78,7 @@
     b.see(0, 1, 0, true);
     let (stmt, r) = b.take(1, WRITE);
     assert_eq!(sent_to(&r), [1]);
-    b.end(2, stmt, 0, 1, Ending::ConnectionLost);
+    b.end(2, stmt, 0, 1, ExecutionOutcome::ConnectionLost);
     told(&mut b, 3, 1, 1, Some(2), Some(true));
     assert!(b.goes(4, WRITE).is_empty(), "a probe or an answer does");
     assert_eq!(sent_to(&b.see(5, 1, 5, true)), [1]);
@@ -93,11 +94,11 @@
     b.see(9_000, 1, 9_000, true);
     b.see(9_000, 2, 8_990, false);
     assert_eq!(b.goes(9_001, SESSION), [2], "nothing written is known");
-    b.driver.session_told(9, at(8_995));
+    b.driver.on_session_position(9, at(8_995));
     assert_eq!(b.goes(9_002, SESSION), [1], "the replica isn't that far");
     b.see(9_010, 2, 9_000, false);
     assert_eq!(b.goes(9_011, SESSION), [2]);
-    b.driver.session_told(9, at(8_000));
+    b.driver.on_session_position(9, at(8_000));
     assert_eq!(b.goes(9_012, SESSION), [2], "an older word undoes nothing");
 }
 
@@ -107,31 +108,31 @@
     let long = TimeSpan(u64::MAX / 4);
     #[rustfmt::skip]
     let table = [
-        ("none is doubted", Repeat::NonIdempotent, Scope::Group, None, vec![1], ""),
-        ("it may have run", Repeat::NonIdempotent, Scope::All, Some((ms(10), 1)), vec![], "aborted"),
-        ("it may have run at any time", Repeat::NonIdempotent, Scope::All, Some((long, 0)), vec![], "aborted"),
-        ("the store still drops its repeats", Repeat::Deduplicated, Scope::All, Some((ms(900), 1)), vec![1], ""),
-        ("no more", Repeat::Deduplicated, Scope::All, Some((ms(1000), 1)), vec![], "rejected"),
-        ("nobody knows since when", Repeat::Deduplicated, Scope::Group, Some((long, 0)), vec![], "aborted"),
-        ("dropped in the other zone only", Repeat::Deduplicated, Scope::Zone, Some((ms(10), 2)), vec![], ""),
-        ("dropped in its zone", Repeat::Deduplicated, Scope::Zone, Some((ms(10), 1)), vec![1], ""),
-        ("harmless whatever was", Repeat::Idempotent, Scope::All, Some((long, 0)), vec![1], ""),
+        ("none is doubted", RetrySafety::NonIdempotent, DeduplicationScope::Group, None, vec![1], ""),
+        ("it may have run", RetrySafety::NonIdempotent, DeduplicationScope::All, Some((ms(10), 1)), vec![], "aborted"),
+        ("it may have run at any time", RetrySafety::NonIdempotent, DeduplicationScope::All, Some((long, 0)), vec![], "aborted"),
+        ("the store still drops its repeats", RetrySafety::Deduplicated, DeduplicationScope::All, Some((ms(900), 1)), vec![1], ""),
+        ("no more", RetrySafety::Deduplicated, DeduplicationScope::All, Some((ms(1000), 1)), vec![], "rejected"),
+        ("nobody knows since when", RetrySafety::Deduplicated, DeduplicationScope::Group, Some((long, 0)), vec![], "aborted"),
+        ("dropped in the other zone only", RetrySafety::Deduplicated, DeduplicationScope::Zone, Some((ms(10), 2)), vec![], ""),
+        ("dropped in its zone", RetrySafety::Deduplicated, DeduplicationScope::Zone, Some((ms(10), 1)), vec![1], ""),
+        ("harmless whatever was", RetrySafety::Idempotent, DeduplicationScope::All, Some((long, 0)), vec![1], ""),
     ];
     for (name, repeat, scope, doubted, goes, told) in table {
         let s = with(|s| {
-            s.workloads[WRITE].repeat = repeat;
-            s.workloads[WRITE].scope = scope;
+            s.workloads[WRITE].retry_safety = repeat;
+            s.workloads[WRITE].deduplication_scope = scope;
         });
         let mut b = bench(&s, 2);
         let zoned = MemberEntry { zone: 1, ..member(2) };
         b.told(0, zoned);
         b.see(1, 1, 1, true);
         let stmt = Statement {
-            doubted,
-            repeat: true,
+            prior_attempt: doubted.map(|(age, member)| PriorAttempt { age, member }),
+            is_client_retry: true,
             ..statement(500, WRITE, 2000)
         };
-        let r = b.driver.statement_taken(at(2000), &stmt);
+        let r = b.driver.on_statement(at(2000), &stmt);
         assert_eq!(sent_to(&r), goes, "{name}");
         assert_eq!(answer(&r, 500), told, "{name}");
         // What waits has its one answer in time; what has one has no other.
@@ -157,7 +158,8 @@
         b.told(0, started(1, at(0)));
         if let Some((work, until)) = allowed {
             let (work, until) = (ms(work), at(until));
-            b.driver.told(at(1), 1, Told::Cold { work, until });
+            b.driver
+                .on_member_update(at(1), 1, MemberUpdate::WarmUpBudget { work, until });
         }
         // Statements of 100 ms; how many go out at once.
         (0..20).map(|_| b.goes(2, WRITE).len()).sum::<usize>()
@@ -175,11 +177,18 @@
     let mut b = bench(&settings, 1);
     b.told(0, started(1, at(0)));
     let (work, until) = (ms(450), at(50));
-    b.driver.told(at(1), 1, Told::Cold { work, until });
+    b.driver
+        .on_member_update(at(1), 1, MemberUpdate::WarmUpBudget { work, until });
     assert_eq!(b.goes(2, WRITE), [1]);
     assert!(b.goes(51, WRITE).is_empty());
-    let view = b.driver.cold_view(at(51));
+    let view = b.driver.warming_members(at(51));
     assert_eq!(view.len(), 1);
-    assert!(view[0].1 < 0.3 && view[0].2 > 0.0, "{view:?}");
-    assert!(b.driver.cold_view(at(20_000)).is_empty(), "it is warm by then");
+    assert!(
+        view[0].warm_up_fraction < 0.3 && view[0].carried_load > 0.0,
+        "{view:?}"
+    );
+    assert!(
+        b.driver.warming_members(at(20_000)).is_empty(),
+        "it is warm by then"
+    );
 }
