--- a/crates/driver/src/routing/owner/turns.rs
+++ b/crates/driver/src/routing/owner/turns.rs
@@ -3,9 +3,9 @@
 use super::{Observer, Owner};
 use crate::routing::sharing::Word;
 use crate::routing::tables;
-use asterlatch::fleet_share;
 use asterlatch::interface::MemberUpdate;
 use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::zone_health;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<O: Observer> Owner<O> {
@@ -88,7 +88,7 @@
 
     /// Members at which executions of this driver are late, each with when the last such was sent.
     fn late_here(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
-        let before = fleet_share::late_since(now, self.module.longest_typical_latency());
+        let before = zone_health::overdue_before(now, self.module.longest_typical_latency());
         let mut late: BTreeMap<String, Timestamp> = BTreeMap::new();
         for (member, sent) in self.errands.sent().filter(|(_, sent)| *sent < before) {
             if let Some(name) = self.members.name(member) {
--- a/crates/gossip/tests/cold.rs
+++ b/crates/gossip/tests/cold.rs
@@ -79,8 +79,8 @@
                 Some(_) => false,
                 // As one that is alone: its last send is a debt, paid off by its even part.
                 None => {
-                    let fleet = FleetShare::of(drivers as u32);
-                    let pays = fleet.cold_carried(carries[n]) * warmth * fleet.cold_multiple(4.0, false);
+                    let fleet = FleetShare::new(drivers as u32);
+                    let pays = fleet.carried_load(carries[n]) * warmth * fleet.warm_up_multiple(4.0, false);
                     let free = ready[n] <= now;
                     if free {
                         ready[n] = now + work * (1.0 / pays);
--- /dev/null
+++ b/src/driver/capacity.rs
@@ -0,0 +1,60 @@
+//! What members are known to carry, and which of them are unresponsive.
+
+use super::RoutingPolicy;
+use crate::concurrency_limit::GOOD_LATENCY_RATIO;
+use crate::interface::Freshness;
+use crate::state::InFlightExecution;
+use crate::time::Timestamp;
+
+impl RoutingPolicy {
+    /// Load that a warm member of this one's capacity carries for this driver on average, in cores.
+    pub(crate) fn carried_load(&self, member: usize) -> f64 {
+        let share = self.members[member].capacity / self.available_capacity.max(0.01);
+        let throughput = self.throughput.total().ratio(self.settings.overload_window);
+        self.fleet.carried_load(throughput * share.min(1.0))
+    }
+
+    /// Time before which a warming member gets nothing; zero for a warm one.
+    pub(crate) fn blocked_until(&self, place: usize) -> Timestamp {
+        let member = &self.members[place];
+        let fraction = member.warm_up_fraction(self.now, &self.settings);
+        if fraction >= 1.0 {
+            return Timestamp(0);
+        }
+        let is_proven = !self.has_few_samples() && member.latency_ratio < GOOD_LATENCY_RATIO;
+        let allowed = self.settings.overload_multiple;
+        let multiple = self.fleet.warm_up_multiple(allowed, is_proven);
+        member.blocked_until(self.now, self.carried_load(place) * fraction * multiple)
+    }
+
+    pub(crate) fn has_idle_connection(&self, member: usize) -> bool {
+        self.members[member].has_idle_connection(self.now, self.settings.idle_connection_timeout)
+    }
+
+    /// Behind a network partition each member is met too rarely to be detected alone: the zone may be silent.
+    pub(crate) fn is_unresponsive(&self, member: usize) -> bool {
+        let is_reported = self.members[member].unresponsive_until > self.now;
+        self.is_in_silent_zone(member) || self.has_few_samples() && is_reported
+    }
+
+    pub(crate) fn is_in_silent_zone(&self, member: usize) -> bool {
+        if !self.has_few_samples() {
+            return false;
+        }
+        let zone = self.members[member].zone;
+        let in_zone = |e: &&InFlightExecution| self.members[e.member].zone == zone;
+        let mut dispatched = self.in_flight.values().filter(in_zone).map(|e| e.dispatched_at);
+        let longest = self.longest_typical_latency();
+        self.zones.is_silent(zone, &mut dispatched, self.now, longest)
+    }
+
+    /// Whether a write of this session is in flight: it may have committed though its answer is late or lost.
+    pub(crate) fn may_be_writing(&self, session: u64) -> bool {
+        if self.settings.session_age_carried || session == 0 {
+            return false;
+        }
+        let is_write = |workload: usize| self.settings.workloads[workload].freshness == Freshness::Write;
+        let mut sent = self.in_flight.values().filter(|e| !e.is_connecting);
+        sent.any(|e| e.session == session && is_write(e.workload))
+    }
+}
--- /dev/null
+++ b/src/policy/admission.rs
@@ -0,0 +1,171 @@
+//! Which statements are admitted, in which order they wait, and when they are given up.
+
+use super::RoutingPolicy;
+use crate::interface::*;
+use crate::state::*;
+use crate::time::Timestamp;
+
+/// Part of its time after which a statement that was never dispatched is answered.
+const UNSENT_PART: f64 = 0.45;
+/// Decay of the best value density with each statement.
+const DENSITY_DECAY: f64 = 0.999;
+/// Least exponent of an admission threshold, relative to the best value density.
+const LEAST_DENSITY: f64 = 0.1;
+
+impl RoutingPolicy {
+    /// The state of a new statement, with its deadlines and its admission threshold.
+    pub(super) fn accept(&mut self, statement: &Statement) -> StatementState {
+        let group = self.groups.place(statement.group);
+        let share = self.quota_share(statement);
+        let relative_density = self.relative_density(statement, share);
+        let required_position = self.required_position(statement);
+        let passed = self.time_passed_before(statement);
+        let slack = self.settings.tick + self.settings.tick;
+        let workload = &self.settings.workloads[statement.workload];
+        let indeterminate = statement.prior_attempt.map(|prior| IndeterminateAttempt {
+            dispatched_at: self.now - prior.age,
+            member: self.members.find(prior.member).unwrap_or(0),
+        });
+        StatementState {
+            workload: statement.workload,
+            group,
+            session: statement.session,
+            required_position,
+            expected_work: statement.expected_work,
+            importance: workload.importance * share,
+            accepted_at: self.now,
+            admission_threshold: self.rng.draw().powf(relative_density.max(LEAST_DENSITY)),
+            slo_deadline: self.now + (workload.slo_time - slack - passed),
+            answer_deadline: self.now + (statement.time_left - slack),
+            dispatch_deadline: self.now + statement.time_left,
+            unsent_deadline: self.now + statement.time_left * UNSENT_PART,
+            indeterminate,
+            ..StatementState::default()
+        }
+    }
+
+    /// Share of the importance that the statement has by its tenant's quota, of which each driver has an even part.
+    fn quota_share(&mut self, statement: &Statement) -> f64 {
+        let Some(quota) = self.settings.tenant_quotas.get(statement.tenant) else {
+            return 1.0;
+        };
+        let per_second = self.fleet.of_total(*quota);
+        if self.quotas.try_take(statement.tenant, per_second, self.now) {
+            1.0
+        } else {
+            self.settings.over_quota_share
+        }
+    }
+
+    /// Value for the expected work, relative to the best of late. Little time left makes an answer unlikely.
+    fn relative_density(&mut self, statement: &Statement, share: f64) -> f64 {
+        let typical = self.typical.of(statement.workload);
+        let work = statement.expected_work.unwrap_or(typical);
+        let success_probability = statement.time_left.ratio(typical * 2.0).min(1.0);
+        let importance = self.settings.workloads[statement.workload].importance;
+        let density = importance * share * success_probability / work.0.max(1) as f64;
+        self.best_density = density.max(self.best_density * DENSITY_DECAY);
+        density / self.best_density
+    }
+
+    /// Work per unit of value: the least waits first.
+    pub(crate) fn queue_cost(&self, statement: &StatementState) -> u64 {
+        let is_late = self.now >= statement.slo_deadline;
+        let late_share = self.workload(statement).late_share;
+        let share = if is_late { late_share } else { 1.0 };
+        let work = self.expected_work(statement).0.max(1) as f64;
+        let density = statement.importance * share / work;
+        (1.0 / density.max(1e-12)) as u64
+    }
+
+    /// Whether a member admits the statement. Many drivers with few samples each would otherwise overload a member
+    /// together. What is worth little for its work is left out first, reads at the primary before writes.
+    pub(super) fn admits(&self, member: usize, statement: &StatementState) -> bool {
+        let is_primary = self.groups[statement.group].primary == Some(member);
+        let threshold = if is_primary && !self.settings.needs_primary(statement.workload) {
+            statement.admission_threshold.sqrt()
+        } else {
+            statement.admission_threshold
+        };
+        threshold <= self.members[member].admission_share
+    }
+
+    /// Whether none of the members that could execute the statement admits it.
+    pub(super) fn is_rejected_by_all(&self, statement: &StatementState) -> bool {
+        let group = &self.groups[statement.group];
+        let needs_primary = self.settings.needs_primary(statement.workload);
+        let admits = |member: &usize| {
+            let is_eligible = !needs_primary || group.primary == Some(*member);
+            is_eligible && self.is_available(*member) && self.admits(*member, statement)
+        };
+        group.primary.is_some() && !group.members.iter().any(admits)
+    }
+
+    /// Rule: every statement has its final answer before the client's time is up, whatever else happens.
+    pub(super) fn answer_at_deadline(&mut self) -> bool {
+        let due = self.statement_timers.expired(self.now);
+        let Some(id) = due.filter(|id| self.statements[id].answer_deadline <= self.now) else {
+            return false;
+        };
+        self.finish(id);
+        true
+    }
+
+    /// Rule: work on an answer that has no value any more takes capacity from others, and so does waiting for one that
+    /// can't come in time.
+    pub(super) fn give_up_worthless(&mut self) -> bool {
+        let due = self.statement_timers.expired(self.now);
+        let Some(id) = due.filter(|id| self.is_worthless(&self.statements[id])) else {
+            return false;
+        };
+        self.finish(id);
+        true
+    }
+
+    fn is_worthless(&self, statement: &StatementState) -> bool {
+        let workload = self.workload(statement);
+        let is_waiting = statement.queue_priority.is_some();
+        let has_waiting = || self.groups[statement.group].queued().next().is_some();
+        let delays_others = is_waiting || has_waiting();
+        let is_harmless = workload.retry_safety == RetrySafety::Idempotent && delays_others;
+        let has_no_late_value = workload.late_share == 0.0 || is_harmless;
+        let deadline = if statement.attempts == 0 {
+            statement.unsent_deadline
+        } else {
+            statement.dispatch_deadline
+        };
+        let is_too_late = self.now >= self.last_chance(statement) && has_no_late_value;
+        is_too_late || (is_waiting && self.now >= deadline)
+    }
+
+    /// The last moment at which an answer could still come within the SLO time.
+    pub(crate) fn last_chance(&self, statement: &StatementState) -> Timestamp {
+        if statement.queue_priority.is_none() {
+            return statement.slo_deadline;
+        }
+        statement.slo_deadline - self.typical.of(statement.workload) * 2.0
+    }
+
+    /// Gives the final answer: a rejection where a retry is known to be safe, otherwise an abort.
+    pub(super) fn finish(&mut self, id: u32) {
+        let Some(statement) = self.statements.get(&id) else {
+            return;
+        };
+        let was_sent = self.in_flight.of_statement(id).any(|e| !e.is_connecting);
+        let is_unexecuted = statement.indeterminate.is_none() && !was_sent;
+        let is_safe = self.workload(statement).is_client_retry_safe() || is_unexecuted;
+        // A retry that may still have its value should come at once; any other only adds load.
+        let in_time = self.now + self.typical.of(statement.workload) < statement.slo_deadline;
+        let retry_after = self.settings.max_retry_after * if in_time { 0.0 } else { 1.0 };
+        self.cancel_executions(id);
+        self.actions.answers.push(if is_safe {
+            Answer::Rejected {
+                statement: id,
+                retry_after,
+            }
+        } else {
+            Answer::Aborted { statement: id }
+        });
+        self.forget(id);
+    }
+}
--- /dev/null
+++ b/src/policy/mod.rs
@@ -0,0 +1,113 @@
+//! Every decision of the routing service: which statements are admitted, which member executes them, what is retried,
+//! which members are health-checked, and when the endpoint list is polled.
+//!
+//! A host owns one [`RoutingPolicy`] per driver instance, calls one method per input and carries out the returned
+//! [`Actions`]. After each input the `RULES` run in order, from the first one again, until none applies.
+
+mod admission;
+mod endpoint_list;
+mod evidence;
+mod health_check;
+mod replica_selection;
+mod retry;
+
+pub use crate::driver::RoutingPolicy;
+use crate::interface::*;
+use crate::time::{TimeSpan, Timestamp};
+pub(crate) use endpoint_list::PollFailures;
+pub use retry::definitely_not_executed;
+
+/// A wake-up later than this shows that the driver itself was stalled.
+const STALL: TimeSpan = TimeSpan::millis(50);
+/// Completed executions a member, within the overload window, below which a driver can't tell a member's concurrency
+/// limit and admits a share of statements instead.
+const FEW_SAMPLES: usize = 5;
+
+/// A condition with its effect; returns whether it applied.
+type Rule = fn(&mut RoutingPolicy) -> bool;
+
+const RULES: [Rule; 8] = [
+    RoutingPolicy::answer_at_deadline,
+    RoutingPolicy::give_up_worthless,
+    RoutingPolicy::requeue_due,
+    RoutingPolicy::leave_silent_zone,
+    RoutingPolicy::schedule_member_check,
+    RoutingPolicy::check_member,
+    RoutingPolicy::place_waiting,
+    RoutingPolicy::poll_when_due,
+];
+
+impl RoutingPolicy {
+    /// A client has sent a statement.
+    pub fn on_statement(&mut self, now: Timestamp, statement: &Statement) -> Actions {
+        self.set_now(now);
+        let state = self.accept(statement);
+        self.statements.insert(statement.id, state);
+        if self.may_execute(statement.id) {
+            self.enqueue(statement.id);
+        } else {
+            self.finish(statement.id);
+        }
+        self.run_rules()
+    }
+
+    /// The client no longer waits for a statement: nothing of it is sent any more, and it gets no answer.
+    pub fn on_statement_withdrawn(&mut self, now: Timestamp, statement: u32) -> Actions {
+        self.set_now(now);
+        self.cancel_executions(statement);
+        self.forget(statement);
+        self.run_rules()
+    }
+
+    /// An execution has ended.
+    pub fn on_execution_ended(&mut self, now: Timestamp, end: &ExecutionEnd) -> Actions {
+        self.set_now(now);
+        if let Some(execution) = self.in_flight.remove(end.statement, end.attempt) {
+            if !execution.abandoned {
+                self.learn_from_execution(&execution, end);
+            }
+            self.learn_status(execution.member, end.status, end.latency, TimeSpan(0));
+            self.learn_commit(&execution, end);
+            if end.is_answered {
+                self.forget(end.statement);
+            }
+            self.on_attempt_failed(end, &execution);
+        }
+        self.run_rules()
+    }
+
+    /// Time has passed; call it at the latest at [`Actions::wake_up_at`].
+    pub fn advance_to(&mut self, now: Timestamp) -> Actions {
+        self.set_now(now);
+        self.run_rules()
+    }
+
+    /// Whether this driver has too few samples of its members to know their concurrency limits.
+    pub fn has_few_samples(&self) -> bool {
+        self.throughput.len() < FEW_SAMPLES * self.members.len()
+    }
+
+    /// Sets the clock. While this driver was stalled itself no member left anything unanswered, and latencies that end
+    /// then say little.
+    pub(crate) fn set_now(&mut self, now: Timestamp) {
+        if now - self.planned_wake_up.unwrap_or(now) > STALL {
+            for member in self.members.all_mut() {
+                member.oldest_unanswered = now;
+            }
+            self.stalled_at = now;
+        }
+        self.now = now;
+    }
+
+    pub(crate) fn run_rules(&mut self) -> Actions {
+        while RULES.iter().any(|rule| rule(self)) {}
+        let timers = [
+            self.statement_timers.next_at(),
+            self.member_timers.next_at(),
+            self.poll_at,
+        ];
+        self.planned_wake_up = timers.into_iter().flatten().min();
+        self.actions.wake_up_at = self.planned_wake_up;
+        std::mem::take(&mut self.actions)
+    }
+}
--- a/src/replica_preference.rs
+++ b/src/replica_preference.rs
@@ -1,109 +1,131 @@
-//! Which replicas of a group a driver asks first where many drivers each ask little: one that asked all in turn would hold
-//! a connection to each, and over the fleet every member would hold one of every driver's. So each driver has an order of
-//! its own over a group's replicas, and goes down in it only as far as it must. Who comes first decides nothing alone:
-//! positions, room, shares and silence go before it, and `choice` looks at all of them.
+//! Which replicas of a group one driver of many prefers, by rendezvous hashing. Nothing here chooses.
 //!
-//! The order is by rendezvous: each pair of driver and member has a number that is drawn once, by hash, and a driver's first
-//! is the member whose number is best. So the order of the others stays as it was when one comes or goes. A driver that
-//! knows nobody else takes its own draw alone; over `n` drivers and `r` replicas, a member then is first of `n / r` on the
-//! mean, give or take a root of that. Drivers that know each other (`among`) keep it even: in an order that is alike for
-//! all, each takes the best that isn't full yet, where full is its even part rounded up. All reckon that for all, so no
-//! word is needed; while two differ on who is there, some members are first of a few drivers more, and nothing else.
+//! A driver that asked all replicas in turn would keep a connection to each, and each member one to every driver. So
+//! each driver has an order of its own over a group's replicas, and goes down in it only as far as it must; positions,
+//! limits, admission shares and failures come first, and `policy` looks at all of them.
+//!
+//! Each pair of driver and replica has one hash, so the order of the others stays when a replica comes or goes. Over `n`
+//! drivers that know only themselves and `r` replicas, a replica is first of `n / r` drivers on average, give or take the
+//! root of that. Drivers that know each other balance this: in an order that all compute alike, each takes its best
+//! replica that isn't full, where full means its even share rounded up. While two drivers differ on who is there, some
+//! replicas are first of a few drivers more, and nothing else.
 
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A replica as all drivers know it alike.
+/// Capacities below this count as this.
+const LEAST_CAPACITY: f64 = 0.01;
+
+/// A replica as all drivers know it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Replica {
-    pub key: u64,
-    /// Of two, the one that bears more is first of more drivers, in that ratio.
-    pub size: f64,
+    /// Key that is the same at all drivers.
+    pub fleet_key: u64,
+    /// Relative capacity: a replica is first of so many more drivers.
+    pub capacity: f64,
+}
+
+impl Replica {
+    fn effective_capacity(&self) -> f64 {
+        self.capacity.max(LEAST_CAPACITY)
+    }
 }
 
-/// By whom the order is drawn.
+/// One driver's preference among the drivers that it knows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplicaPreference {
     own: u64,
-    /// All drivers that are there, this one among them; empty where a driver knows of nobody.
-    all: Vec<u64>,
-    /// Grows with each change.
-    pub epoch: u64,
+    /// All drivers that are there, this one included; empty while it knows of no other.
+    drivers: Vec<u64>,
+    version: u64,
 }
 
-fn pair(one: u64, other: u64) -> u64 {
+fn pair_hash(one: u64, other: u64) -> u64 {
     xxh3_64_with_seed(&other.to_le_bytes(), one)
 }
 
-/// How early a driver's draw puts a replica; less is earlier. Exponentially distributed with the replica's size as its
-/// rate, so that it is the least of several with a chance in proportion to that.
-fn draw(driver: u64, replica: &Replica) -> f64 {
-    let uniform = ((pair(driver, replica.key) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    -uniform.ln() / replica.size.max(0.01)
+/// Rendezvous score of a pair; the least is preferred. Exponentially distributed with the capacity as its rate, so that a
+/// replica is the least of several with a probability in proportion to its capacity.
+fn score(driver: u64, replica: &Replica) -> f64 {
+    let hash = pair_hash(driver, replica.fleet_key) >> 11;
+    let uniform = (hash as f64 + 0.5) / (1u64 << 53) as f64;
+    -uniform.ln() / replica.effective_capacity()
 }
 
-/// Indices of the replicas, the earliest first.
-fn by_draw(driver: u64, replicas: &[Replica]) -> Vec<usize> {
-    let draws: Vec<f64> = replicas.iter().map(|r| draw(driver, r)).collect();
+/// Indices of the replicas by score. Equal scores would need equal hashes: keys decide then.
+fn rank_by_score(driver: u64, replicas: &[Replica]) -> Vec<usize> {
+    let scores: Vec<f64> = replicas.iter().map(|r| score(driver, r)).collect();
     let mut order: Vec<usize> = (0..replicas.len()).collect();
-    // Equal draws would need equal hashes: keys decide then.
     order.sort_by(|a, b| {
-        draws[*a]
-            .total_cmp(&draws[*b])
-            .then(replicas[*a].key.cmp(&replicas[*b].key))
+        let by_key = replicas[*a].fleet_key.cmp(&replicas[*b].fleet_key);
+        scores[*a].total_cmp(&scores[*b]).then(by_key)
     });
     order
 }
 
 impl ReplicaPreference {
-    /// A driver that knows of nobody else, by its own draw.
-    pub fn alone(own: u64) -> ReplicaPreference {
+    /// The preference of a driver that knows of no other.
+    pub fn new(own: u64) -> ReplicaPreference {
         ReplicaPreference {
             own,
             ..ReplicaPreference::default()
         }
     }
 
-    /// Those that are there by now, by keys that are alike for all of them. Whether that changes anything.
-    pub fn among(&mut self, own: u64, others: &BTreeSet<u64>) -> bool {
-        let all: BTreeSet<u64> = others.iter().copied().chain([own]).collect();
-        let all: Vec<u64> = all.into_iter().collect();
-        let changes = self.own != own || self.all != all;
-        (self.own, self.all) = (own, all);
-        self.epoch += u64::from(changes);
+    /// Sets the drivers that are there, by keys that are the same at all of them. Returns whether that changes anything.
+    pub fn set_drivers(&mut self, own: u64, others: &BTreeSet<u64>) -> bool {
+        let drivers: BTreeSet<u64> = others.iter().copied().chain([own]).collect();
+        let drivers: Vec<u64> = drivers.into_iter().collect();
+        let changes = self.own != own || self.drivers != drivers;
+        self.own = own;
+        self.drivers = drivers;
+        self.version += u64::from(changes);
         changes
     }
 
-    /// This driver's order over a group's replicas, as indices into them. Costs as many draws as there are drivers known,
-    /// times the replicas.
-    pub fn order(&self, replicas: &[Replica]) -> Vec<usize> {
-        let mut order = by_draw(self.own, replicas);
-        let first = self.evenly(replicas);
+    /// Grows with each change of the drivers.
+    pub fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// This driver's order over a group's replicas, as indices into them. Computes one score for each driver and replica.
+    pub fn rank(&self, replicas: &[Replica]) -> Vec<usize> {
+        let mut order = rank_by_score(self.own, replicas);
+        let first = self.balanced_first(replicas);
         if let Some(at) = order.iter().position(|r| Some(*r) == first) {
             order[..=at].rotate_right(1);
         }
         order
     }
 
-    /// The replica that this driver has first where all known drivers take theirs one after the other.
-    fn evenly(&self, replicas: &[Replica]) -> Option<usize> {
-        if self.all.len() < 2 {
+    /// The replica that this driver gets where all known drivers take theirs one after the other.
+    fn balanced_first(&self, replicas: &[Replica]) -> Option<usize> {
+        if self.drivers.len() < 2 {
             return None;
         }
-        let whole: f64 = replicas.iter().map(|r| r.size.max(0.01)).sum();
-        let part = |r: &Replica| r.size.max(0.01) / whole * self.all.len() as f64;
-        let mut room: Vec<u64> = replicas.iter().map(|r| part(r).ceil() as u64).collect();
-        // Another order in each group, so that not the same drivers always come late; alike for all of them.
-        let group = replicas.iter().fold(0, |g, r| g ^ pair(0, r.key));
-        let mut turns: Vec<(u64, u64)> = self.all.iter().map(|d| (pair(group, *d), *d)).collect();
-        turns.sort_unstable();
-        for (_, driver) in turns {
-            let first = by_draw(driver, replicas).into_iter().find(|r| room[*r] > 0)?;
+        let mut free = self.even_shares(replicas);
+        // Another order in each group, so that not always the same drivers come last; all compute it alike.
+        let group = replicas
+            .iter()
+            .fold(0, |hash, r| hash ^ pair_hash(0, r.fleet_key));
+        let mut drivers: Vec<(u64, u64)> = self.drivers.iter().map(|d| (pair_hash(group, *d), *d)).collect();
+        drivers.sort_unstable();
+        for (_, driver) in drivers {
+            let first = rank_by_score(driver, replicas)
+                .into_iter()
+                .find(|r| free[*r] > 0)?;
             if driver == self.own {
                 return Some(first);
             }
-            room[first] -= 1;
+            free[first] -= 1;
         }
         None
     }
+
+    /// Of how many drivers each replica may be first: its share of them by capacity, rounded up.
+    fn even_shares(&self, replicas: &[Replica]) -> Vec<u64> {
+        let total: f64 = replicas.iter().map(Replica::effective_capacity).sum();
+        let share = |r: &Replica| r.effective_capacity() / total * self.drivers.len() as f64;
+        replicas.iter().map(|r| share(r).ceil() as u64).collect()
+    }
 }
--- /dev/null
+++ b/src/state/sliding_window.rs
@@ -0,0 +1,40 @@
+//! A sum over the recent past.
+
+use crate::time::{TimeSpan, Timestamp};
+use serde::{Deserialize, Serialize};
+use std::collections::VecDeque;
+
+#[derive(Clone, Copy, Serialize, Deserialize)]
+struct Sample {
+    at: Timestamp,
+    work: TimeSpan,
+}
+
+/// Work of completed executions within a span before the last sample.
+#[derive(Default, Serialize, Deserialize)]
+pub(crate) struct SlidingWindow {
+    samples: VecDeque<Sample>,
+    total: TimeSpan,
+}
+
+impl SlidingWindow {
+    /// Adds a sample and drops those older than `span`.
+    pub(crate) fn add(&mut self, now: Timestamp, work: TimeSpan, span: TimeSpan) {
+        self.samples.push_back(Sample { at: now, work });
+        self.total = self.total + work;
+        while let Some(oldest) = self.samples.front().copied().filter(|s| now - s.at > span) {
+            self.samples.pop_front();
+            self.total = self.total - oldest.work;
+        }
+    }
+
+    /// Number of samples within the window.
+    pub(crate) fn len(&self) -> usize {
+        self.samples.len()
+    }
+
+    /// Their sum.
+    pub(crate) fn total(&self) -> TimeSpan {
+        self.total
+    }
+}
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,28 +1,32 @@
 //! One driver's part in what many do that can't see each other.
 
 mod common;
-use asterlatch::fleet_share::{FleetShare, ZoneHealth};
+use asterlatch::fleet_share::FleetShare;
 use asterlatch::interface::*;
 use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::zone_health::ZoneHealth;
 use common::*;
 use ExecutionOutcome::*;
 
 #[test]
 fn parts_of_all_drivers_together_are_the_whole() {
     for drivers in [0, 1, 2, 10, 100, 300, 1000] {
-        let (fleet, count) = (FleetShare::of(drivers), f64::from(drivers.max(1)));
-        assert!((fleet.part(60.0) * count - 60.0).abs() < 1e-9, "{drivers}");
+        let (fleet, count) = (FleetShare::new(drivers), f64::from(drivers.max(1)));
+        assert!((fleet.of_total(60.0) * count - 60.0).abs() < 1e-9, "{drivers}");
         // No member is asked oftener than every 15 ms by all, and by none oftener than every 300 ms.
-        let each = TimeSpan((fleet.probe_gap().0 as f64 / count) as u64);
-        assert!(fleet.probe_gap() >= TimeSpan::millis(300), "{drivers}");
+        let each = TimeSpan((fleet.health_check_interval().0 as f64 / count) as u64);
+        assert!(
+            fleet.health_check_interval() >= TimeSpan::millis(300),
+            "{drivers}"
+        );
         assert!(each >= TimeSpan(14_900), "{drivers}: {each:?}");
         assert!(
-            fleet.first_limit() >= 1.0 && fleet.first_limit() <= 8.0,
+            fleet.initial_limit() >= 1.0 && fleet.initial_limit() <= 8.0,
             "{drivers}"
         );
         // What carries nothing counts as an even part of one core, so that all together carry one.
-        assert!((fleet.cold_carried(0.0) * count - 1.0).abs() < 1e-9, "{drivers}");
-        assert_eq!(fleet.cold_carried(3.0), 3.0, "{drivers}");
+        assert!((fleet.carried_load(0.0) * count - 1.0).abs() < 1e-9, "{drivers}");
+        assert_eq!(fleet.carried_load(3.0), 3.0, "{drivers}");
     }
 }
 
@@ -41,7 +45,7 @@
         (300, 100.0, true, 2.0),
     ];
     for (drivers, rule, proves, multiple) in table {
-        let used = FleetShare::of(drivers).cold_multiple(rule, proves);
+        let used = FleetShare::new(drivers).warm_up_multiple(rule, proves);
         assert_eq!(used, multiple, "{drivers} {rule} {proves}");
         assert!(used <= rule / 2.0);
     }
@@ -54,7 +58,7 @@
     let (rule, window) = (4.0, 2.0);
     for drivers in [100, 300, 1000] {
         // Each sends as its share allows, with uneven traffic: up to three times the mean, at random moments.
-        let multiple = FleetShare::of(drivers).cold_multiple(rule, false);
+        let multiple = FleetShare::new(drivers).warm_up_multiple(rule, false);
         let capacity = 0.6;
         let work = 0.03;
         let mut worst: f64 = 0.0;
@@ -92,7 +96,7 @@
     ];
     for (heard, left, sent, silent) in table {
         let mut zones = ZoneHealth::default();
-        zones.hear(3, at(heard));
+        zones.record_answer(3, at(heard));
         zones.leave(3, if left > 0 { at(left) } else { Timestamp(0) });
         let out = || sent.iter().map(|t| at(*t));
         assert_eq!(
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -29,8 +29,8 @@
         while next < members {
             let size = 2 + u64::from(groups.len() % 4 == 3);
             let replica = |n| Replica {
-                key: key(1_000_000 + n),
-                size: 1.0,
+                fleet_key: key(1_000_000 + n),
+                capacity: 1.0,
             };
             groups.push((next..next + size).map(replica).collect());
             next += size + 1;
@@ -44,11 +44,11 @@
     }
 
     fn firsts(&self, driver: u64) -> ReplicaPreference {
-        let mut firsts = ReplicaPreference::alone(driver);
+        let mut firsts = ReplicaPreference::new(driver);
         if self.known {
             let mut others = self.drivers.clone();
             others.remove(&driver);
-            firsts.among(driver, &others);
+            firsts.set_drivers(driver, &others);
         }
         firsts
     }
@@ -59,7 +59,7 @@
         for driver in &self.drivers {
             let firsts = self.firsts(*driver);
             for (g, group) in self.groups.iter().enumerate() {
-                all.insert((*driver, g), group[firsts.order(group)[0]].key);
+                all.insert((*driver, g), group[firsts.rank(group)[0]].fleet_key);
             }
         }
         all
@@ -87,7 +87,9 @@
     let whole: f64 = world.drivers.iter().map(|d| traffic(*d)).sum();
     let over = |group: &Vec<Replica>| {
         let mean = whole / group.len() as f64;
-        let most = group.iter().map(|r| load.get(&r.key).copied().unwrap_or(0.0));
+        let most = group
+            .iter()
+            .map(|r| load.get(&r.fleet_key).copied().unwrap_or(0.0));
         most.fold(0.0, f64::max) / mean
     };
     world.groups.iter().map(over).fold(0.0, f64::max)
@@ -133,7 +135,7 @@
 
         // A replica goes: those who had it first change, and where parts are kept even a few others.
         let mut less = before.clone();
-        let gone = less.groups[3].remove(1).key;
+        let gone = less.groups[3].remove(1).fleet_key;
         let had: Vec<_> = before.all().into_iter().filter(|(_, r)| *r == gone).collect();
         let all = less.all();
         let left = before
@@ -151,7 +153,16 @@
 fn a_larger_replica_is_first_of_more() {
     for (known, slack) in [(false, 0.2), (true, 0.02)] {
         let mut world = World::new(300, 3, known);
-        world.groups = vec![vec![Replica { key: 1, size: 1.0 }, Replica { key: 2, size: 3.0 }]];
+        world.groups = vec![vec![
+            Replica {
+                fleet_key: 1,
+                capacity: 1.0,
+            },
+            Replica {
+                fleet_key: 2,
+                capacity: 3.0,
+            },
+        ]];
         let large = world.all().values().filter(|r| **r == 2).count() as f64 / 300.0;
         assert!((large - 0.75).abs() < slack * 0.75, "known {known}: {large}");
     }
@@ -176,7 +187,7 @@
     for group in &world.groups {
         let even = 60 / group.len();
         for r in group {
-            let has = load.get(&r.key).copied().unwrap_or(0);
+            let has = load.get(&r.fleet_key).copied().unwrap_or(0);
             assert!(has.abs_diff(even) <= 6, "{has} against {even}");
         }
     }
@@ -187,13 +198,13 @@
     let world = World::new(24, 20, true);
     for driver in &world.drivers {
         for group in &world.groups {
-            let mut order = world.firsts(*driver).order(group);
+            let mut order = world.firsts(*driver).rank(group);
             order.sort_unstable();
             assert_eq!(order, (0..group.len()).collect::<Vec<_>>());
         }
     }
     assert!(
-        ReplicaPreference::alone(3).order(&[]).is_empty(),
+        ReplicaPreference::new(3).rank(&[]).is_empty(),
         "a group may be a primary alone"
     );
 }
@@ -273,7 +284,7 @@
     let rounds = |w: &World| -> BTreeMap<(u64, usize), u64> {
         let drivers = w.drivers.iter().enumerate();
         let pairs = drivers.flat_map(|(n, d)| {
-            let of = |(g, group): (usize, &Vec<Replica>)| ((*d, g), group[(n + g) % group.len()].key);
+            let of = |(g, group): (usize, &Vec<Replica>)| ((*d, g), group[(n + g) % group.len()].fleet_key);
             w.groups.iter().enumerate().map(of).collect::<Vec<_>>()
         });
         pairs.collect()
