--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,21 +5,21 @@
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
 
-pub const READ: usize = 0;
-pub const BOUNDED: usize = 1;
-pub const WRITE: usize = 2;
-pub const FRESH: usize = 3;
-pub const SESSION: usize = 4;
+pub(crate) const READ: usize = 0;
+pub(crate) const BOUNDED: usize = 1;
+pub(crate) const WRITE: usize = 2;
+pub(crate) const FRESH: usize = 3;
+pub(crate) const SESSION: usize = 4;
 
-pub fn ms(n: u64) -> TimeSpan {
+pub(crate) fn ms(n: u64) -> TimeSpan {
     TimeSpan::millis(n)
 }
 
-pub fn at(n: u64) -> Timestamp {
+pub(crate) fn at(n: u64) -> Timestamp {
     Timestamp(1_000_000_000) + ms(n)
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let row = |freshness, repeat| WorkloadSettings {
         importance: 1.0,
         late_share: 0.0,
@@ -56,13 +56,13 @@
     }
 }
 
-pub fn with(change: impl FnOnce(&mut Settings)) -> Settings {
+pub(crate) fn with(change: impl FnOnce(&mut Settings)) -> Settings {
     let mut s = settings();
     change(&mut s);
     s
 }
 
-pub fn member(id: u32) -> MemberEntry {
+pub(crate) fn member(id: u32) -> MemberEntry {
     MemberEntry {
         id,
         fleet_key: u64::from(id),
@@ -73,7 +73,7 @@
     }
 }
 
-pub fn standing(id: u32, standing: MemberState) -> MemberEntry {
+pub(crate) fn standing(id: u32, standing: MemberState) -> MemberEntry {
     let plain = member(id);
     MemberEntry {
         state: standing,
@@ -81,11 +81,11 @@
     }
 }
 
-pub fn drained(id: u32) -> MemberEntry {
+pub(crate) fn drained(id: u32) -> MemberEntry {
     standing(id, MemberState::Draining)
 }
 
-pub fn started(id: u32, when: Timestamp) -> MemberEntry {
+pub(crate) fn started(id: u32, when: Timestamp) -> MemberEntry {
     let (started, plain) = (Some(when), member(id));
     MemberEntry {
         started_at: started,
@@ -93,7 +93,7 @@
     }
 }
 
-pub fn statement(id: u32, workload: usize, left: u64) -> Statement {
+pub(crate) fn statement(id: u32, workload: usize, left: u64) -> Statement {
     Statement {
         id,
         workload,
@@ -104,7 +104,7 @@
     }
 }
 
-pub fn ended(
+pub(crate) fn ended(
     stmt: u32,
     member: u32,
     ending: ExecutionOutcome,
@@ -123,13 +123,13 @@
     }
 }
 
-pub struct Bench {
-    pub driver: RoutingPolicy,
+pub(crate) struct Bench {
+    pub(crate) driver: RoutingPolicy,
     next: u32,
     numbers: std::collections::BTreeMap<u32, u8>,
 }
 
-pub fn bench(settings: &Settings, members: u32) -> Bench {
+pub(crate) fn bench(settings: &Settings, members: u32) -> Bench {
     let mut driver = RoutingPolicy::new(settings, 5, at(0));
     let entries: Vec<_> = (1..=members).map(member).collect();
     driver.on_endpoint_list(at(0), &entries, true);
@@ -141,30 +141,37 @@
 }
 
 impl Bench {
-    pub fn take(&mut self, now: u64, workload: usize) -> (u32, Actions) {
+    pub(crate) fn take(&mut self, now: u64, workload: usize) -> (u32, Actions) {
         self.take_by(now, workload, 2000, 0)
     }
 
-    pub fn goes(&mut self, now: u64, workload: usize) -> Vec<u32> {
+    pub(crate) fn goes(&mut self, now: u64, workload: usize) -> Vec<u32> {
         sent_to(&self.take(now, workload).1)
     }
 
-    pub fn take_by(&mut self, now: u64, workload: usize, left: u64, tenant: usize) -> (u32, Actions) {
+    pub(crate) fn take_by(&mut self, now: u64, workload: usize, left: u64, tenant: usize) -> (u32, Actions) {
         self.next += 1;
         let plain = statement(self.next, workload, left);
         let stmt = Statement { tenant, ..plain };
         (self.next, self.driver.on_statement(at(now), &stmt))
     }
 
-    pub fn told(&mut self, now: u64, entry: MemberEntry) -> Actions {
+    pub(crate) fn told(&mut self, now: u64, entry: MemberEntry) -> Actions {
         self.driver.on_endpoint_list(at(now), &[entry], false)
     }
 
-    pub fn end(&mut self, now: u64, stmt: u32, number: u8, member: u32, ending: ExecutionOutcome) -> Actions {
+    pub(crate) fn end(
+        &mut self,
+        now: u64,
+        stmt: u32,
+        number: u8,
+        member: u32,
+        ending: ExecutionOutcome,
+    ) -> Actions {
         self.end_seen(now, stmt, number, member, ending, ReplicaStatus::default())
     }
 
-    pub fn end_seen(
+    pub(crate) fn end_seen(
         &mut self,
         now: u64,
         s: u32,
@@ -181,18 +188,18 @@
         self.driver.on_execution_ended(at(now), &end)
     }
 
-    pub fn see(&mut self, now: u64, member: u32, position: u64, primary: bool) -> Actions {
+    pub(crate) fn see(&mut self, now: u64, member: u32, position: u64, primary: bool) -> Actions {
         let sighting = seen(position, primary);
         self.driver
             .on_health_check(at(now), member, true, ms(1), sighting)
     }
 
-    pub fn run_through(&mut self, now: u64, workload: usize, ending: ExecutionOutcome) -> usize {
+    pub(crate) fn run_through(&mut self, now: u64, workload: usize, ending: ExecutionOutcome) -> usize {
         self.run_by(now, workload, |_| ending).len()
     }
 
     /// Ends every execution that a statement leads to, also those of others that waited; the members they went to.
-    pub fn run_by(
+    pub(crate) fn run_by(
         &mut self,
         now: u64,
         workload: usize,
@@ -210,12 +217,12 @@
         members
     }
 
-    pub fn crowd(&mut self, now: u64) -> Vec<(u32, u32)> {
+    pub(crate) fn crowd(&mut self, now: u64) -> Vec<(u32, u32)> {
         let all = (0..40).flat_map(|_| self.take(now, READ).1.executions);
         all.map(|e| (e.statement, e.member)).collect()
     }
 
-    pub fn run_until(&mut self, from: u64, until: u64) -> Actions {
+    pub(crate) fn run_until(&mut self, from: u64, until: u64) -> Actions {
         let mut all = Actions::default();
         for now in from..=until {
             let r = self.driver.advance_to(at(now));
@@ -229,18 +236,18 @@
     }
 }
 
-pub fn seen(position: u64, primary: bool) -> ReplicaStatus {
+pub(crate) fn seen(position: u64, primary: bool) -> ReplicaStatus {
     ReplicaStatus {
         position: Some(at(position)),
         is_primary: Some(primary),
     }
 }
 
-pub fn sent_to(r: &Actions) -> Vec<u32> {
+pub(crate) fn sent_to(r: &Actions) -> Vec<u32> {
     r.executions.iter().map(|e| e.member).collect()
 }
 
-pub fn answer(r: &Actions, id: u32) -> &'static str {
+pub(crate) fn answer(r: &Actions, id: u32) -> &'static str {
     let found = r.answers.iter().filter_map(|a| match a {
         Answer::Rejected { statement: stmt, .. } if *stmt == id => Some("rejected"),
         Answer::Aborted { statement: stmt } if *stmt == id => Some("aborted"),
--- a/tests/fleet.rs
+++ b/tests/fleet_share.rs
@@ -9,7 +9,7 @@
 use ExecutionOutcome::*;
 
 #[test]
-fn parts_of_all_drivers_together_are_the_whole() {
+fn fleet_shares_of_all_drivers_sum_to_the_total() {
     for drivers in [0, 1, 2, 10, 100, 300, 1000] {
         let (fleet, count) = (FleetShare::new(drivers), f64::from(drivers.max(1)));
         assert!((fleet.of_total(60.0) * count - 60.0).abs() < 1e-9, "{drivers}");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_cold_member_gets_no_more_than_half_of_the_rules_budget() {
+fn warming_member_gets_at_most_half_of_the_allowed_load() {
     // (drivers, the rule's multiple, it has proven itself; how many times its share it may be sent)
     let table = [
         (1, 4.0, false, 1.0),
@@ -53,7 +53,7 @@
 
 /// Sums of many thin streams, drawn at random, stay inside the rule's budget in every window.
 #[test]
-fn what_three_hundred_drivers_send_a_cold_member_keeps_the_rule() {
+fn warming_member_load_of_300_drivers_stays_within_budget() {
     let mut chance = fastrand::Rng::with_seed(7);
     let (rule, window) = (4.0, 2.0);
     for drivers in [100, 300, 1000] {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_zone_is_silent_by_what_all_its_members_owe() {
+fn zone_with_overdue_executions_at_any_members_is_silent() {
     // (heard at, left at, sent at and still out, in ms; silent at 1000 where the longest typical time is 100)
     let table: [(u64, u64, &[u64], bool); 10] = [
         (0, 0, &[], false),
@@ -114,7 +114,7 @@
 
 /// A zone behind a cut: each member there is met once, so none is known to be silent, yet all are.
 #[test]
-fn reads_leave_a_zone_from_which_nothing_comes() {
+fn reads_at_a_silent_zone_move_to_another_zone() {
     // (another zone has a replica, views are dense, the workload; whether the reads out there move)
     let table = [
         (true, false, READ, true),
--- a/tests/told.rs
+++ b/tests/member_updates.rs
@@ -23,7 +23,7 @@
 
 /// (told of replica 2 at 10,000: how far it was, how long ago; where a read goes that may be 300 ms old)
 #[test]
-fn a_position_told_by_others_makes_a_replica_ready_no_sooner_than_its_own_would() {
+fn reported_position_covers_no_more_than_own_report() {
     #[rustfmt::skip]
     let table = [
         ("current", Some(9_900), 50, true),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_a_member_said_itself_is_not_undone_by_less() {
+fn own_report_outweighs_older_reports() {
     let s = with(|s| s.members_check_reads = false);
     let mut b = bench(&s, 2);
     b.see(9_990, 1, 9_990, true);
@@ -54,7 +54,7 @@
 
 /// A role counts by the position it was told at, whoever heard it.
 #[test]
-fn a_primary_that_others_have_heard_takes_writes() {
+fn primary_reported_by_others_takes_writes() {
     let mut b = bench(&settings(), 3);
     b.see(1000, 1, 1000, true);
     told(&mut b, 2000, 2, 5, Some(1990), Some(true));
@@ -73,7 +73,7 @@
 
 /// Others' word says nothing of how this driver fares with a member.
 #[test]
-fn others_word_brings_no_shunned_member_back() {
+fn reports_of_others_do_not_readmit_ejected_member() {
     let mut b = bench(&settings(), 2);
     b.see(0, 1, 0, true);
     let (stmt, r) = b.take(1, WRITE);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_session_reads_what_it_wrote_through_another_driver() {
+fn session_reads_its_write_through_another_driver() {
     let s = with(|s| {
         s.session_age_carried = false;
         s.members_check_reads = false;
@@ -104,7 +104,7 @@
 
 /// (workload's repeats, scope; sent so long ago; to member 1 of zone 0 or 2 of zone 1; where it goes and what is told)
 #[test]
-fn a_statement_that_another_driver_may_have_sent_goes_out_only_where_that_is_harmless() {
+fn prior_attempt_elsewhere_allows_dispatch_only_where_safe() {
     let long = TimeSpan(u64::MAX / 4);
     #[rustfmt::skip]
     let table = [
@@ -151,7 +151,7 @@
 
 /// What all have sent a cold member is known: then that binds, and neither its own last send nor caution does.
 #[test]
-fn a_share_of_a_cold_members_budget_binds_while_it_is_known() {
+fn warm_up_budget_binds_while_valid() {
     let settings = with(|s| s.gone_is_advice = false);
     let cold = |allowed: Option<(u64, u64)>| {
         let mut b = bench(&settings, 1);
--- a/tests/beside.rs
+++ b/tests/peer_process.rs
@@ -7,7 +7,7 @@
 
 /// (open elsewhere, whether a write may go out beside the ones that are out)
 #[test]
-fn what_the_other_has_out_counts_against_the_bound() {
+fn peer_in_flight_counts_against_concurrency_limit() {
     for (elsewhere, goes) in [(0, true), (7, true), (8, false), (100, false)] {
         let mut b = bench(&settings(), 1);
         b.driver
@@ -38,7 +38,7 @@
 
 /// Who leaves gets nothing new, and the one beside it may always be full: its last ones go out one by one.
 #[test]
-fn who_leaves_is_held_up_by_no_bound_of_the_others() {
+fn draining_process_ignores_peer_in_flight() {
     let mut b = bench(&settings(), 1);
     b.driver.set_peer_process(at(0), true);
     b.driver.on_member_update(at(0), 1, MemberUpdate::InFlight(1000));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_cold_member_gets_from_both_no_more_than_from_one() {
+fn warming_member_gets_from_both_processes_no_more_than_from_one() {
     let (alone, old, new) = sent_cold(true);
     assert_eq!(old, 0, "it is the other's");
     assert!(new > 0 && new <= alone, "{new} of {alone}");
@@ -101,7 +101,7 @@
 
 /// What went out since the memory was written down isn't in it, so it is reckoned with from the first.
 #[test]
-fn what_the_other_may_have_sent_a_cold_member_counts_as_sent_now() {
+fn warming_member_after_peer_start_is_charged_as_if_just_used() {
     let settings = settings();
     let mut b = bench(&settings, 1);
     b.told(1, started(1, at(0)));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_drain_told_to_the_other_binds_here() {
+fn drain_reported_by_peer_is_kept() {
     // (started here, started there; whether it binds)
     let table = [
         (None, None, true),
--- a/tests/subset.rs
+++ b/tests/replica_preference.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_busiest_replica_is_little_above_the_mean() {
+fn busiest_replica_is_close_to_the_mean() {
     // Drivers, whether they know each other, the bound with even traffic.
     for (drivers, known, most) in [
         // Alone: the root of half of the drivers over half of them, three times, for the worst of 109 members.
@@ -115,7 +115,7 @@
 
 /// Traffic from a tenth of the mean to ten times: what evens that out is that members' shares are heeded, not this order.
 #[test]
-fn uneven_traffic_is_no_worse_where_drivers_know_each_other() {
+fn known_drivers_do_not_worsen_uneven_traffic() {
     let traffic = |d: u64| [0.1, 0.5, 1.0, 1.0, 1.0, 3.0, 10.0][(d % 7) as usize];
     let (alone, known) = (World::new(300, 109, false), World::new(300, 109, true));
     let (alone, known) = (alone.worst(traffic), known.worst(traffic));
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn little_changes_when_one_comes_or_goes() {
+fn change_of_one_replica_moves_few_drivers() {
     for known in [false, true] {
         let before = World::new(100, 40, known);
         let mut less = before.clone();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_larger_replica_is_first_of_more() {
+fn larger_replica_is_first_of_more_drivers() {
     for (known, slack) in [(false, 0.2), (true, 0.02)] {
         let mut world = World::new(300, 3, known);
         world.groups = vec![vec![
@@ -171,7 +171,7 @@
 /// Two that differ on who is there for a while: each still has one first in each group, and the sum strays by no more than
 /// those few.
 #[test]
-fn drivers_that_differ_on_who_is_there_do_no_harm() {
+fn differing_driver_sets_stay_balanced() {
     let world = World::new(60, 40, true);
     let mut late = world.clone();
     for n in 0..6 {
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn an_order_names_each_replica_once_and_the_first_by_turns() {
+fn rank_lists_each_replica_once() {
     let world = World::new(24, 20, true);
     for driver in &world.drivers {
         for group in &world.groups {
@@ -212,7 +212,7 @@
 /// The module: of a large fleet each driver keeps to its own replica; positions go first all the same, and so does a
 /// replica that others let in more than this one. Smaller fleets go by turns.
 #[test]
-fn a_driver_of_a_large_fleet_keeps_to_its_own_replica() {
+fn large_fleet_driver_stays_with_its_own_replica() {
     let mut firsts = BTreeSet::new();
     for seed in 0..8 {
         let settings = with(|s| {
@@ -268,7 +268,7 @@
 
 /// What others tell of who is there changes the order at once, and only where it says something new.
 #[test]
-fn who_is_there_is_news_once() {
+fn unchanged_driver_set_reports_no_change() {
     let mut driver = RoutingPolicy::new(&settings(), 1, at(0));
     let others = BTreeSet::from([key(1), key(2)]);
     let news: Vec<bool> = [&others, &others, &BTreeSet::new()]
--- a/tests/routing.rs
+++ b/tests/replica_selection.rs
@@ -6,7 +6,7 @@
 use ExecutionOutcome::*;
 
 #[test]
-fn the_ordinary_path() {
+fn writes_go_to_primary_and_reads_round_robin() {
     let mut b = bench(&settings(), 4);
     // (workload, the members that four statements in a row go to)
     for (workload, expected) in [
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_primary_by_the_newest_evidence() {
+fn newest_evidence_decides_the_primary() {
     // (what was seen, in order of arrival: member, position, as primary; where a write then goes)
     type Row<'a> = (&'a [(u32, u64, bool)], &'a [u32]);
     let table: [Row; 5] = [
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_missed_write_finds_the_new_primary() {
+fn write_rejected_as_not_eligible_finds_new_primary() {
     let mut b = bench(&with(|s| s.workloads[WRITE].slo_time = ms(5000)), 3);
     let (id, _) = b.take(0, WRITE);
     for m in 1..=3 {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_held_write_goes_out_when_its_hold_ends_and_spares_half_its_executions() {
+fn write_without_primary_is_sent_after_backoff_and_keeps_half_its_attempts() {
     let mut b = bench(&with(|s| s.workloads[WRITE].slo_time = ms(5000)), 3);
     b.see(0, 1, 0, true);
     b.see(1, 1, 1, false);
@@ -87,7 +87,7 @@
 /// A primary behind a cut link: its writes must not wait until their clients can do nothing any more. Those that
 /// only wait for room go on waiting.
 #[test]
-fn what_found_no_place_is_told_before_half_of_its_time() {
+fn unplaced_statement_is_rejected_before_half_its_time() {
     // Behind a primary that is lost, or one that is up and full: a client that hears of it at the end can do
     // nothing any more, and what was sent nowhere is dearer then. That holds for many drivers as well: the client
     // may come to one that knows more.
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_fresh_driver_probes_each_member_once() {
+fn new_driver_health_checks_each_member_once() {
     let mut driver = asterlatch::policy::RoutingPolicy::new(&settings(), 1, at(0));
     let r = driver.on_endpoint_list(at(0), &[member(1), member(2), member(3)], true);
     assert_eq!(r.health_checks, [1, 2, 3]);
@@ -130,7 +130,7 @@
 /// Three hundred drivers that wake in the same millisecond would ask each member as often: where members turn away what
 /// they are too far behind for, a read finds out as well.
 #[test]
-fn many_fresh_drivers_greet_nobody_whom_a_read_can_ask() {
+fn large_fleet_sends_no_initial_health_checks_where_members_check_reads() {
     // (drivers, members check reads; probes at first, and where a read then goes)
     let table = [(20, true, 3), (21, true, 0), (300, true, 0), (300, false, 3)];
     for (drivers, checks, probes) in table {
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn the_list_is_asked_for_again_after_a_failure() {
+fn failed_poll_is_retried_with_backoff() {
     for on_request in [true, false] {
         let mut b = bench(&with(|s| s.poll_endpoint_list = on_request), 2);
         assert!(!b.driver.on_poll_failed(at(10)).poll_endpoint_list, "not at once");
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn troubled_members_lose_their_turns_and_get_them_back() {
+fn ejected_members_are_readmitted() {
     // (how executions at member 2 end at first, and how many of them it takes)
     for (ending, times) in [(Errored, 10), (NoConnection, 1), (ConnectionLost, 1)] {
         let mut b = bench(&settings(), 3);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn drivers_that_hear_little_leave_out_a_share() {
+fn driver_with_few_samples_admits_a_share() {
     // (time of answers at members 2 and 3; whether most reads are let in, and whether most of those go to 3)
     for (times, most, third) in [
         ([50, 50], true, false),
@@ -244,7 +244,7 @@
 
 /// A lone failure at each member is no reason to turn reads away, however little they are worth; several are.
 #[test]
-fn a_lone_failure_at_each_member_leaves_nothing_out() {
+fn lone_failure_at_each_member_rejects_nothing() {
     for (failures, left_out) in [(1, false), (4, true)] {
         let mut b = bench(&settings(), 3);
         let borne: usize = (0..200).map(|n| b.run_through(4 * n, READ, Completed)).sum();
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn common_failures_widen_the_turns_without_feeding_an_overload() {
+fn group_wide_failures_do_not_amplify_load() {
     // (how every execution ends, the least and the most executions that 400 statements get)
     for (ending, least, most) in [(Errored, 200, 700), (Rejected, 200, 700)] {
         let mut b = bench(&settings(), 4);
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn crowded_members_are_bounded_and_the_rest_wait_by_importance() {
+fn full_members_queue_statements_by_importance() {
     // (the second tenant's quota, the workload of the last statement, whether it goes before the others)
     for (quota, workload, first) in [(0.0, BOUNDED, true), (1000.0, READ, true), (0.0, READ, false)] {
         let mut s = settings();
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_repeat_counts_from_its_first_try_and_is_held_off_only_when_late() {
+fn client_retry_keeps_slo_deadline_and_gets_retry_after_only_when_late() {
     // (a marked repeat, time left of 600 ms when it comes; the hold-off it is rejected with, ms after that)
     for (repeat, left, advised, after) in [(false, 600, 0, 298), (true, 600, 0, 298), (true, 200, 100, 98)] {
         let mut b = bench(&settings(), 1);
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_driver_held_up_itself_blames_no_member() {
+fn stalled_driver_ejects_no_member() {
     // (the wake-up before the read comes on time; whether the silent member has lost its turn)
     for (on_time, expected) in [(true, 3), (false, 2)] {
         let mut b = bench(&settings(), 3);
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn a_few_stuck_writes_do_not_shut_the_primary() {
+fn few_stuck_writes_keep_the_primary_admitting() {
     let mut b = bench(&settings(), 1);
     for n in 0..400 {
         let (id, _) = b.take(10 * n, WRITE);
@@ -348,7 +348,7 @@
 /// Connections may fall silent although the member lives: once a probe says so, what it owed for long keeps no room,
 /// and its late end says nothing.
 #[test]
-fn what_a_living_member_never_answers_keeps_no_room() {
+fn unanswered_executions_of_live_member_free_capacity() {
     for (answers, room) in [(true, true), (false, false)] {
         let mut b = bench(&settings(), 1);
         b.see(0, 1, 0, true);
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn a_primary_that_left_or_restarted_is_none() {
+fn gone_or_restarted_primary_is_cleared() {
     for mut entry in [drained(1), started(1, at(5))] {
         let mut b = bench(&settings(), 2);
         b.see(1, 1, 1, true);
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn many_drivers_probe_a_lost_member_seldom() {
+fn large_fleet_checks_ejected_member_rarely() {
     for (drivers, probes) in [(1, 9..=11), (100, 0..=1)] {
         let s = with(|s| s.driver_count = drivers);
         let mut b = bench(&s, 2);
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn an_ageing_position_is_probed_when_reads_lack_replicas() {
+fn ageing_position_is_checked_when_reads_lack_replicas() {
     let mut b = bench(&with(|s| s.members_check_reads = false), 2);
     b.see(0, 1, 0, true);
     b.see(1000, 2, 100, false);
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn reads_that_spill_leave_the_primary_room() {
+fn spilled_reads_leave_primary_capacity() {
     let mut b = bench(&settings(), 2);
     b.see(0, 1, 0, true);
     (0..20).for_each(|n| assert_eq!(b.run_through(n, READ, Completed), 1));
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn dear_connections_are_spared() {
+fn expensive_connections_are_avoided() {
     // (how the first executions end at every member; whether the turns then keep to the member connected to)
     for (ending, kept) in [(NoConnection, true), (Completed, false)] {
         let mut b = bench(&settings(), 4);
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn a_slowness_that_all_share_does_not_shut_the_members() {
+fn group_wide_slowness_keeps_members_admitting() {
     let mut b = bench(&settings(), 1);
     b.see(0, 1, 0, true);
     let mut last = 0;
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -173,7 +173,7 @@
                 };
                 self.all(|d, now| d.on_endpoint_list(now, &[told], false));
             }
-            _ => self.all(|d, now| d.advance_to(now)),
+            _ => self.all(RoutingPolicy::advance_to),
         }
     }
 
@@ -182,7 +182,7 @@
         while !self.out.is_empty() || !self.open.is_empty() {
             self.now = self.now + ms(5);
             match self.out.is_empty() {
-                true => self.all(|d, now| d.advance_to(now)),
+                true => self.all(RoutingPolicy::advance_to),
                 false => self.end(0, ExecutionOutcome::Completed),
             }
         }
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn after_a_snapshot_both_decide_the_same() {
+fn resumed_driver_decides_like_the_original() {
     let plain = settings();
     let fleet = with(|s| {
         s.driver_count = 14;
@@ -218,7 +218,7 @@
             .drivers
             .push(RoutingPolicy::resume(learned, &settings, true, world.now));
         // The first look of the one that goes on must change nothing either: both are told the time.
-        world.all(|d, now| d.advance_to(now));
+        world.all(RoutingPolicy::advance_to);
         let from = world.inputs;
         while world.inputs < from + 100_000 {
             world.step();
@@ -228,7 +228,7 @@
 
 /// A driver that goes on with statements of the other still out owes nobody their answers, and believes nobody late.
 #[test]
-fn beliefs_about_the_others_statements_are_not_inherited() {
+fn resumed_driver_drops_unanswered_executions() {
     let settings = settings();
     let mut world = World::new(&settings, 5);
     (0..5000).for_each(|_| world.step());
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn bytes_of_any_kind_make_no_driver_or_a_whole_one() {
+fn arbitrary_bytes_fail_or_give_a_complete_driver() {
     let mut world = World::new(&settings(), 3);
     (0..500).for_each(|_| world.step());
     let bytes = postcard::to_stdvec(&world.drivers[0]).expect("can be written");
@@ -299,7 +299,7 @@
 
 /// What the build before has learned is read, means what it meant, and is written again byte by byte alike.
 #[test]
-fn learned_state_read_from_the_build_before_means_the_same() {
+fn learned_state_of_earlier_build_reads_unchanged() {
     let bytes = std::fs::read(learned_fixture()).expect("lies there");
     let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("can be read");
     assert_eq!(postcard::to_stdvec(&learned).expect("can be written"), bytes);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,7 +7,7 @@
 use RetrySafety::*;
 
 #[test]
-fn endings_by_repeat_class() {
+fn execution_outcomes_by_retry_safety() {
     // (ending; idempotent, deduplicated, non-idempotent): sent again, at once or after a hold, or the answer.
     let table = [
         (Errored, ["again", "again", "aborted"]),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_rejected_only_where_that_is_harmless() {
+fn indeterminate_statement_is_rejected_only_where_retry_is_safe() {
     // (repeat, ending of the only execution or still out, final answer)
     let table = [
         (Idempotent, DeduplicationScope::Group, None, "rejected"),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn deduplicated_statements_are_not_sent_again_after_their_window() {
+fn deduplicated_statement_is_not_retried_after_its_window() {
     // (its end comes at, the new primary is seen at, whose repeats are dropped; whether it is sent again)
     let table = [
         (100, 900, DeduplicationScope::Group, true),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn every_statement_is_answered_in_time_and_once() {
+fn every_statement_is_answered_once_before_its_deadline() {
     // (workload, members, left): out, held or waiting, the answer comes before the client's time is up.
     for (workload, members, left) in [(READ, 2, 400), (WRITE, 1, 700), (READ, 0, 1)] {
         let mut b = bench(&settings(), members);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn withdrawn_statements_are_called_off_and_not_answered() {
+fn withdrawn_statement_is_cancelled_and_not_answered() {
     // Clients that leave early kept the members busy with work for nobody.
     let mut b = bench(&settings(), 2);
     let (id, _) = b.take(0, READ);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_second_execution_waits_for_the_end_of_the_first() {
+fn retry_waits_for_the_end_of_the_first_attempt() {
     let mut b = bench(&settings(), 3);
     let (id, r) = b.take(0, READ);
     let first = sent_to(&r)[0];
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn drains_and_departures_are_kept() {
+fn draining_and_gone_members_get_nothing() {
     // (standing, listed draining before, gone is only advice; whether it still gets reads)
     let table = [
         (MemberState::Ready, false, false, true),
@@ -167,7 +167,7 @@
 /// A long day replaces every member again and again: what is gone is let go, once nothing open means it any more,
 /// and whoever takes its place has nothing of it.
 #[test]
-fn members_that_are_gone_are_let_go_when_nothing_means_them() {
+fn gone_members_are_removed_when_unreferenced() {
     for (advice, drained_first, kept) in [(false, false, 0), (true, true, 0), (true, false, 300)] {
         let mut b = bench(&with(|s| s.gone_is_advice = advice), 3);
         b.see(0, 1, 0, true);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn all_drivers_together_keep_a_cold_members_budget() {
+fn warming_member_budget_holds_over_all_drivers() {
     // (drivers, time between reads of each, the member's start ms ago; the least and the most executions of
     // 50 ms that all may start there in one window after two windows beside one warm replica)
     for (drivers, gap, age, least, most) in [
@@ -236,7 +236,7 @@
 
 /// Where a driver hears much of its members, a cold one whose answers come in good time gets up to twice its budget.
 #[test]
-fn a_cold_member_that_proves_itself_gets_more() {
+fn warming_member_with_fast_answers_gets_more() {
     // (time of the cold member's answers; the least and the most sent there in a second)
     for (took, least, most) in [(50, 30, 45), (450, 5, 25)] {
         let mut b = bench(&with(|s| s.overload_multiple = 4.0), 3);
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn reads_go_only_where_they_are_fresh() {
+fn reads_go_only_to_replicas_that_cover_them() {
     // (members check reads, workload, written so long ago, replica's position and when told, read at; member)
     let table = [
         (false, BOUNDED, None, Some((900, 1000)), 1100, 2),
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn remembered_sessions_see_their_writes() {
+fn session_reads_see_remembered_writes() {
     // (the write's stated commit; the replica's position; who may take the session's read)
     let table = [
         (Some(100), 90, 1),
@@ -315,7 +315,7 @@
 
 /// Where nothing is called off, the answer of a write comes also after its statement was given up or its client has left.
 #[test]
-fn a_write_answered_behind_its_end_is_remembered_too() {
+fn late_answered_write_is_remembered() {
     for ending in ["answered in time", "given up", "withdrawn"] {
         let mut b = bench(
             &with(|s| {
@@ -340,7 +340,7 @@
 
 /// A write that is out, or was lost, may have committed: its session's reads go where it would be seen.
 #[test]
-fn a_session_reads_the_primary_while_its_write_is_in_doubt() {
+fn session_reads_primary_while_its_write_is_indeterminate() {
     // (how the write ends at 150, if it does; where the session's read goes then, and once the replica stands at 160)
     let table = [
         (None, 1, 1),
@@ -375,7 +375,7 @@
 /// A member that was held up and deposed answers as if nothing had been: what its answer shows is held against what the read
 /// allowed when it was sent.
 #[test]
-fn an_answer_that_shows_older_data_than_its_read_allows_is_not_accepted() {
+fn answer_older_than_read_allows_is_not_accepted() {
     // (workload, when the session wrote, the position that the answer shows, whether it may go to the client); all are sent at
     // 1000, and a bound is of 300.
     let table = [
@@ -428,7 +428,7 @@
 /// Members that check reads can't check this one: no statement tells them what its session wrote. So a lag that was seen
 /// long ago proves nothing, and an unsure replica isn't tried.
 #[test]
-fn remembered_sessions_are_nobody_elses_to_check() {
+fn members_do_not_check_remembered_sessions() {
     // (the age is carried by the client; when the replica last told a lag of 20 ms; who takes the session's read)
     let table = [(false, Some(30), 1), (false, None, 1), (true, Some(30), 2)];
     for (carried, told, expected) in table {
@@ -449,7 +449,7 @@
 }
 
 #[test]
-fn odd_lists_and_counts_break_nothing() {
+fn odd_lists_and_counts_do_not_panic() {
     let many: Vec<_> = (1..=400).map(member).collect();
     let mut second = member(2);
     second.listed_as_primary = true;
