--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -15,8 +15,8 @@
 use crate::routing::owner::{Owner, Place};
 use crate::routing::queue::{Input, Notice};
 use crate::transport::clock::Clock;
-use crate::transport::room::Room;
-use crate::transport::{self, listener, stream};
+use crate::transport::memory_budget::Room;
+use crate::transport::{self, connection, listener};
 use asterlatch::time::Timestamp;
 use std::net::TcpListener;
 use std::path::Path;
@@ -50,22 +50,22 @@
     let place = Place {
         witness: witness.clone(),
         members: Box::new(move |id, address| {
-            stream::dial::<_, Input>(address, Executions::new(id, longest), &to_members, (clock, &room))
+            connection::dial::<_, Input>(address, Executions::new(id, longest), &to_members, (clock, &room))
         }),
         discovery: Box::new(move |call| {
             let watch = Watch::new(call.number, call.address.to_string(), call.wait_ms, call.after);
-            stream::dial::<_, Input>(call.address, watch, &to_discovery, (clock, &unbound))
+            connection::dial::<_, Input>(call.address, watch, &to_discovery, (clock, &unbound))
         }),
         adopt: Box::new(move |id, stream, mut standing| {
             let session = Session::resume(id, adopted_room.clone(), &standing);
             let session = session.witnessed(witnessed.clone());
             let input = std::mem::take(&mut standing.input);
-            stream::hold::<_, Input>(stream, true, session, &to_adopted, (clock, &adopted_room), input)
+            connection::hold::<_, Input>(stream, true, session, &to_adopted, (clock, &adopted_room), input)
         }),
         adopt_connection: Box::new(move |id, stream| {
             let executions = Executions::resume(id, longest);
             let place = (clock, &members_room);
-            stream::hold::<_, Input>(stream, true, executions, &to_resumed, place, Vec::new())
+            connection::hold::<_, Input>(stream, true, executions, &to_resumed, place, Vec::new())
         }),
         given: config.given,
         limits: force.limits,
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -6,7 +6,7 @@
 use crate::program::log::{log, Log};
 use crate::routing::owner::{Moved, Owner};
 use crate::routing::queue::{Input, Notice};
-use crate::transport::witness::Witness;
+use crate::transport::io_journal::Witness;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::Joint;
 use asterlatch_handover::codec::{machine_us, send, Came, Reader};
--- a/crates/driver/src/protocol/execution.rs
+++ b/crates/driver/src/protocol/execution.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{self, Front};
 use super::vitals;
-use crate::transport::stream::{Dialogue, Outbox};
+use crate::transport::connection::{Dialogue, Outbox};
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::Timestamp;
 use std::net::TcpStream;
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/session.rs
@@ -2,9 +2,9 @@
 
 use super::comment::{Unreadable, NO_ROOM, TOO_LARGE};
 use super::messages::{self, Front, Opening};
-use crate::transport::room::{Room, Taken};
-use crate::transport::stream::{Dialogue, Outbox};
-use crate::transport::witness::Witness;
+use crate::transport::connection::{Dialogue, Outbox};
+use crate::transport::io_journal::Witness;
+use crate::transport::memory_budget::{Room, Taken};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::Record;
 use std::collections::VecDeque;
--- a/crates/driver/src/protocol/watch.rs
+++ b/crates/driver/src/protocol/watch.rs
@@ -3,7 +3,7 @@
 
 use super::http::{self, Answer};
 use super::roster::{self, Roster};
-use crate::transport::stream::{Dialogue, Outbox};
+use crate::transport::connection::{Dialogue, Outbox};
 use asterlatch::time::Timestamp;
 
 pub enum Heard {
--- a/crates/driver/src/routing/calls.rs
+++ b/crates/driver/src/routing/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to discovery: one watch at a time, and when the next one is due.
 
 use super::limits::Limits;
-use crate::transport::stream::Line;
+use crate::transport::connection::Line;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::convert::Infallible;
 use std::io;
--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -2,7 +2,7 @@
 
 use super::limits::Limits;
 use crate::protocol::session::Say;
-use crate::transport::stream::Line;
+use crate::transport::connection::Line;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/driver/src/routing/errands.rs
+++ b/crates/driver/src/routing/errands.rs
@@ -2,9 +2,9 @@
 
 use super::limits::Part;
 use crate::protocol::execution::Run;
-use crate::transport::ages::Ages;
-use crate::transport::pool::Pool;
-use crate::transport::stream::Line;
+use crate::transport::connection::Line;
+use crate::transport::connection_pool::Pool;
+use crate::transport::idle_lifetime::Ages;
 use asterlatch::interface::ExecutionOutcome;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/driver/src/transport/stream.rs
+++ b/crates/driver/src/transport/connection.rs
@@ -2,7 +2,7 @@
 //! It keeps no time: whoever holds the `Line` says when to end it.
 
 use super::clock::Clock;
-use super::room::{Room, Taken};
+use super::memory_budget::{Room, Taken};
 use asterlatch::time::Timestamp;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
--- a/crates/driver/src/transport/pool.rs
+++ b/crates/driver/src/transport/connection_pool.rs
@@ -1,7 +1,7 @@
 //! Connections to members, held by the owner. One carries one statement at a time; among idle ones the most
 //! recently used goes first, so that those beyond the need grow old and are closed.
 
-use super::stream::Line;
+use super::connection::Line;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -2,8 +2,8 @@
 //! closes connections that sit idle instead.
 
 use super::clock::Clock;
-use super::room::Room;
-use super::stream::{self, Dialogue, Line};
+use super::connection::{self, Dialogue, Line};
+use super::memory_budget::Room;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use std::io::{self, ErrorKind};
 use std::net::TcpListener;
@@ -91,7 +91,8 @@
                 next = next.wrapping_add(1);
                 let id = next;
                 let announce = |line| drop(queue.send(Arrival::Client(id, line).into()));
-                if let Err(e) = stream::run(stream, true, dialogue(id), &queue, (clock, &room), announce) {
+                if let Err(e) = connection::run(stream, true, dialogue(id), &queue, (clock, &room), announce)
+                {
                     let _ = queue.send(Arrival::Failed(e).into());
                 }
             }
--- a/crates/driver/src/transport/mod.rs
+++ b/crates/driver/src/transport/mod.rs
@@ -69,11 +69,11 @@
     }
 }
 
-pub mod ages;
 pub mod clock;
+pub mod connection;
+pub mod connection_pool;
 pub mod datagrams;
+pub mod idle_lifetime;
+pub mod io_journal;
 pub mod listener;
-pub mod pool;
-pub mod room;
-pub mod stream;
-pub mod witness;
+pub mod memory_budget;
--- a/crates/driver/tests/protocol.rs
+++ b/crates/driver/tests/protocol.rs
@@ -9,8 +9,8 @@
 use asterlatch_driver::protocol::roster::{self, Status};
 use asterlatch_driver::protocol::session::{self, Final, Say, Session};
 use asterlatch_driver::protocol::{vitals, watch};
-use asterlatch_driver::transport::room::Room;
-use asterlatch_driver::transport::stream::{Dialogue, Outbox};
+use asterlatch_driver::transport::connection::{Dialogue, Outbox};
+use asterlatch_driver::transport::memory_budget::Room;
 
 /// The longest messages and values that any driver takes.
 const QUERY: usize = 135_168;
--- a/crates/driver/tests/transport.rs
+++ b/crates/driver/tests/transport.rs
@@ -2,8 +2,8 @@
 
 use asterlatch::time::Timestamp;
 use asterlatch_driver::transport::clock::Clock;
-use asterlatch_driver::transport::room::Room;
-use asterlatch_driver::transport::stream::{dial, hold, Dialogue, Line, Outbox};
+use asterlatch_driver::transport::connection::{dial, hold, Dialogue, Line, Outbox};
+use asterlatch_driver::transport::memory_budget::Room;
 use asterlatch_driver::transport::{start, Stacks};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
