--- a/crates/driver/src/program/kept.rs
+++ b/crates/driver/src/program/kept.rs
@@ -1,7 +1,8 @@
 //! Copies of the connections of clients that another process serves on probation, with the ledger of what it does.
 
 use crate::routing::owner::Moved;
-use crate::transport::io_journal::{counts, has_given_up};
+use crate::transport::io_journal::is_abandoned;
+use crate::transport::socket_counts::counts;
 use asterlatch_handover::codec::{Came, Reader};
 use asterlatch_handover::io_journal::{Back, Broken, Counts, Key, Ledger, Record};
 use asterlatch_handover::message::Client;
@@ -133,7 +134,7 @@
             ..TakenBack::default()
         };
         let Some(ledger) = ledger else { return back };
-        if has_given_up(given_up) {
+        if is_abandoned(given_up) {
             back.fault = Some("the new process couldn't write it on".to_owned());
             back.cut = sockets.len() as u64;
             return back;
--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -7,7 +7,7 @@
 use crate::routing::limits::{Limits, Part, WorkloadLimits};
 use crate::routing::owner::Owner;
 use crate::routing::queue::{Input, Notice};
-use crate::transport::Stacks;
+use crate::transport::coroutines::CoroutineStacks;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::generations::{Difference, Effect, Generation, Generations, Read, Told};
 use asterlatch_config::load::{self, Folder, Outcome};
@@ -34,7 +34,7 @@
     pub limits: Limits,
     pub workloads: BTreeMap<String, WorkloadLimits>,
     pub times: Times,
-    pub stacks: Stacks,
+    pub stacks: CoroutineStacks,
     pub lines_a_second: u32,
     /// Of the process that serves, and of one that takes over.
     pub takeover: (predecessor::Times, successor::Times),
@@ -74,7 +74,7 @@
             linger: span("phases", "linger"),
             longest_drain: span("phases", "longest_drain"),
         };
-        let stacks = Stacks {
+        let stacks = CoroutineStacks {
             bytes: amount("process", "stack") as usize,
             spare: amount("process", "spare_stacks") as usize,
         };
--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -15,7 +15,7 @@
 use crate::routing::owner::{Owner, Place};
 use crate::routing::queue::{Input, Notice};
 use crate::transport::clock::Clock;
-use crate::transport::memory_budget::Room;
+use crate::transport::memory_budget::MemoryBudget;
 use crate::transport::{self, connection, listener};
 use asterlatch::time::Timestamp;
 use std::net::TcpListener;
@@ -33,7 +33,7 @@
     let start = operators::start(given, machine)?;
     let force = InForce::of(&start.meaning);
     let mut takeover = upgrade::inherited(force.takeover.1)?;
-    transport::start(force.stacks);
+    transport::coroutines::start(force.stacks);
     let resumed = takeover.as_mut().map(|t| t.load(&config)).transpose()?;
     let clock = resumed.as_ref().map_or_else(Clock::start, |r| r.clock);
     let witness = takeover.as_mut().map(Takeover::witness).transpose()?.flatten();
@@ -43,8 +43,8 @@
     let (to_takeover, to_adopted, to_resumed) = (queue.clone(), queue.clone(), queue.clone());
     let memory = config.given.rooms(&force.limits);
     // Discovery has one connection, whose answers have a bound of their own.
-    let (room, unbound) = (memory.1.clone(), Room::new(usize::MAX));
-    let longest = messages::bound(room.most());
+    let (room, unbound) = (memory.1.clone(), MemoryBudget::new(usize::MAX));
+    let longest = messages::bound(room.limit());
     let (adopted_room, members_room) = memory.clone();
     let witnessed = witness.clone();
     let place = Place {
@@ -60,12 +60,19 @@
             let session = Session::resume(id, adopted_room.clone(), &standing);
             let session = session.witnessed(witnessed.clone());
             let input = std::mem::take(&mut standing.input);
-            connection::hold::<_, Input>(stream, true, session, &to_adopted, (clock, &adopted_room), input)
+            connection::resume_owned::<_, Input>(
+                stream,
+                true,
+                session,
+                &to_adopted,
+                (clock, &adopted_room),
+                input,
+            )
         }),
         adopt_connection: Box::new(move |id, stream| {
             let executions = Executions::resume(id, longest);
             let place = (clock, &members_room);
-            connection::hold::<_, Input>(stream, true, executions, &to_resumed, place, Vec::new())
+            connection::resume_owned::<_, Input>(stream, true, executions, &to_resumed, place, Vec::new())
         }),
         given: config.given,
         limits: force.limits,
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -7,7 +7,7 @@
 use crate::routing::queue::Input as OwnersInput;
 use crate::routing::sharing::{News, Sharing, Terms, Word};
 use crate::transport::clock::Clock;
-use crate::transport::datagrams::{Came, Datagrams, Waker};
+use crate::transport::datagrams::{DatagramEvent, DatagramSocket, DatagramWaker};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::host::{drivers, Other};
 use asterlatch_config::meaning::{hash, Meaning};
@@ -122,7 +122,7 @@
 #[derive(Clone)]
 pub struct Line {
     words: Sender<ToEngine>,
-    waker: Waker,
+    waker: DatagramWaker,
 }
 
 impl Line {
@@ -152,7 +152,7 @@
     let address = SocketAddr::new(config.listen.ip(), shares.port);
     let addresses = shares.others.iter().map(|o| o.address).collect();
     let datagrams =
-        Datagrams::bind(address, addresses).map_err(|e| format!("shared.port: {address}: {e}"))?;
+        DatagramSocket::bind(address, addresses).map_err(|e| format!("shared.port: {address}: {e}"))?;
     let settings = Settings {
         // Drivers of other deployments, or with other settings, have nothing to tell this one.
         fleet: format!("{:016x}", config.settings_text),
@@ -332,7 +332,7 @@
     /// What the owner is to say.
     lines: Vec<String>,
     engine: Engine,
-    datagrams: Datagrams,
+    datagrams: DatagramSocket,
     inbox: Receiver<ToEngine>,
     queue: Sender<OwnersInput>,
     clock: Clock,
@@ -362,17 +362,17 @@
                 .map_or(Timestamp(u64::MAX), |k| k.keeper.next_at());
             let next = self.engine.next_at().min(keeps_at);
             let wait = Duration::from_micros((next - now).0).min(LONGEST_WAIT);
-            let outputs = match self.datagrams.next(wait) {
-                Ok(Came::From(from, bytes)) => {
+            let outputs = match self.datagrams.receive(wait) {
+                Ok(DatagramEvent::Received(from, bytes)) => {
                     let now = self.clock.now();
                     self.engine.take(now, Input::Datagram { from, bytes })
                 }
-                Ok(Came::Foreign(_)) => {
+                Ok(DatagramEvent::UnknownSender(_)) => {
                     self.foreign += 1;
                     Vec::new()
                 }
-                Ok(Came::Woken) => Vec::new(),
-                Ok(Came::Nothing) => self.engine.take(self.clock.now(), Input::Time),
+                Ok(DatagramEvent::Woken) => Vec::new(),
+                Ok(DatagramEvent::TimedOut) => self.engine.take(self.clock.now(), Input::Time),
                 // Without a socket nothing more comes; what the owner does goes on.
                 Err(_) => return,
             };
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -6,7 +6,7 @@
 use crate::program::log::{log, Log};
 use crate::routing::owner::{Moved, Owner};
 use crate::routing::queue::{Input, Notice};
-use crate::transport::io_journal::Witness;
+use crate::transport::io_journal::IoJournalWriter;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::Joint;
 use asterlatch_handover::codec::{machine_us, send, Came, Reader};
@@ -37,7 +37,7 @@
     listener: Option<TcpListener>,
     /// To write the ledger into, and to give it up with.
     ledger: Option<(UnixStream, OwnedFd)>,
-    witness: Option<Witness>,
+    witness: Option<IoJournalWriter>,
     joint: Joint,
     started: Timestamp,
 }
@@ -117,8 +117,11 @@
     }
 
     /// Writes down what is done here, for as long as the former process may have to go on with it.
-    pub fn witness(&mut self) -> Result<Option<Witness>, String> {
-        let made = self.ledger.take().map(|(socket, end)| Witness::new(socket, end));
+    pub fn witness(&mut self) -> Result<Option<IoJournalWriter>, String> {
+        let made = self
+            .ledger
+            .take()
+            .map(|(socket, end)| IoJournalWriter::new(socket, end));
         self.witness = made.transpose().map_err(|e| format!("ledger: {e}"))?;
         Ok(self.witness.clone())
     }
@@ -270,7 +273,7 @@
         }
         // Whoever is proven, or alone, answers for its clients itself; not before the former one was told so.
         if self.machine.phase == successor::Phase::Owner {
-            self.witness.take().inspect(Witness::stop);
+            self.witness.take().inspect(IoJournalWriter::stop);
         }
     }
 
--- a/crates/driver/src/protocol/execution.rs
+++ b/crates/driver/src/protocol/execution.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{self, Front};
 use super::vitals;
-use crate::transport::connection::{Dialogue, Outbox};
+use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::Timestamp;
 use std::net::TcpStream;
@@ -101,15 +101,15 @@
         }
     }
 
-    fn send(&mut self, query: Vec<u8>, out: &mut Outbox<Heard>) {
+    fn send(&mut self, query: Vec<u8>, out: &mut ConnectionOutput<Heard>) {
         *self = Executions::new(self.connection, self.bound);
         self.state = State::Busy;
         self.sent = true;
         out.bytes.extend(query);
     }
 
-    fn reply(&mut self, reply: Reply, at: Timestamp, out: &mut Outbox<Heard>) {
-        out.notices.push(Heard::Replied {
+    fn reply(&mut self, reply: Reply, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+        out.events.push(Heard::Replied {
             connection: self.connection,
             at,
             reply,
@@ -121,7 +121,7 @@
 
     /// Nothing that comes after can be told from the rest, so the connection is over too, and nothing that came
     /// before it with the answer is believed.
-    fn malformed(&mut self, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn malformed(&mut self, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
         if self.sent {
             (self.sighting, self.report) = (ReplicaStatus::default(), None);
             self.reply(Reply::Malformed, at, out);
@@ -129,7 +129,7 @@
         self.close(out);
     }
 
-    fn close(&mut self, out: &mut Outbox<Heard>) {
+    fn close(&mut self, out: &mut ConnectionOutput<Heard>) {
         self.state = State::Over;
         out.close = true;
     }
@@ -163,7 +163,7 @@
         body: &[u8],
         bytes: &[u8],
         at: Timestamp,
-        out: &mut Outbox<Heard>,
+        out: &mut ConnectionOutput<Heard>,
     ) -> bool {
         let busy = self.state == State::Busy;
         match kind {
@@ -203,7 +203,7 @@
             }
             b'Z' if self.state == State::Greeting && self.error.is_none() => {
                 self.state = State::Idle;
-                out.notices.push(Heard::Up {
+                out.events.push(Heard::Up {
                     connection: self.connection,
                 });
                 if let Some(query) = self.first.take() {
@@ -224,17 +224,17 @@
     }
 }
 
-impl Dialogue for Executions {
+impl ConnectionHandler for Executions {
     type Command = Run;
-    type Notice = Heard;
+    type Event = Heard;
 
-    fn opened(&mut self, out: &mut Outbox<Heard>) {
+    fn on_open(&mut self, out: &mut ConnectionOutput<Heard>) {
         if self.state == State::Greeting {
             messages::put_startup(&mut out.bytes, "asterlatch");
         }
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
         let mut taken = 0;
         while self.state != State::Over {
             match messages::front(&input[taken..], self.bound) {
@@ -256,27 +256,27 @@
         }
     }
 
-    fn told(&mut self, run: Run, _at: Timestamp, out: &mut Outbox<Heard>) {
+    fn on_command(&mut self, run: Run, _at: Timestamp, out: &mut ConnectionOutput<Heard>) {
         match (run, &self.state) {
             (Run::Query(query), State::Greeting) => self.first = Some(query),
             (Run::Query(query), State::Idle) => self.send(query, out),
-            (Run::HandOver, State::Idle) => out.surrender = true,
+            (Run::HandOver, State::Idle) => out.hand_over = true,
             _ => {}
         }
     }
 
-    fn surrendered(&mut self, stream: TcpStream, _input: Vec<u8>, out: &mut Outbox<Heard>) {
+    fn on_handed_over(&mut self, stream: TcpStream, _input: Vec<u8>, out: &mut ConnectionOutput<Heard>) {
         // Idle, nothing lies unused: stray bytes have ended it before.
         self.state = State::Over;
         let connection = self.connection;
-        out.notices.push(Heard::Moved { connection, stream });
+        out.events.push(Heard::Moved { connection, stream });
     }
 
-    fn written(&mut self, _out: &mut Outbox<Heard>) {
+    fn on_written(&mut self, _out: &mut ConnectionOutput<Heard>) {
         self.written = self.sent;
     }
 
-    fn ended(&mut self, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn on_closed(&mut self, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
         if self.sent {
             // What came whole before the end is the answer all the same.
             if let Some(reply) = self.whole() {
@@ -285,14 +285,14 @@
         }
         self.state = State::Over;
         let written = self.sent && self.written;
-        out.notices.push(Heard::Down {
+        out.events.push(Heard::Down {
             connection: self.connection,
             at,
             written,
         });
     }
 
-    fn hungry(&self, unused: usize) -> bool {
+    fn wants_input(&self, unused: usize) -> bool {
         self.state != State::Over && unused <= self.bound + 5
     }
 }
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/session.rs
@@ -2,9 +2,9 @@
 
 use super::comment::{Unreadable, NO_ROOM, TOO_LARGE};
 use super::messages::{self, Front, Opening};
-use crate::transport::connection::{Dialogue, Outbox};
-use crate::transport::io_journal::Witness;
-use crate::transport::memory_budget::{Room, Taken};
+use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
+use crate::transport::io_journal::IoJournalWriter;
+use crate::transport::memory_budget::{MemoryBudget, MemoryReservation};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::Record;
 use std::collections::VecDeque;
@@ -56,13 +56,13 @@
 /// A statement's text, with the room that it takes.
 pub struct Text {
     pub text: String,
-    _room: Taken,
+    _room: MemoryReservation,
 }
 
 impl Text {
     /// None where there is no room for it.
-    pub fn new(text: &str, room: &Room) -> Option<Text> {
-        let _room = room.take(text.len())?;
+    pub fn new(text: &str, room: &MemoryBudget) -> Option<Text> {
+        let _room = room.reserve(text.len())?;
         let text = text.to_owned();
         Some(Text { text, _room })
     }
@@ -167,20 +167,20 @@
     /// The number of the first in the row.
     first: u32,
     /// For statements that have no answer yet.
-    room: Room,
+    room: MemoryBudget,
     /// How much of all that was read is taken, and how much was there in front of the message that is read now.
     taken: u64,
     at: u64,
     /// Bytes said that the ledger knows of, and how many of them are out.
     said: u64,
     settled: u64,
-    witness: Option<Witness>,
+    witness: Option<IoJournalWriter>,
     /// By what number the ledger knows a client that came from another process.
     handed: Option<u64>,
 }
 
 impl Session {
-    pub fn new(client: u32, room: Room) -> Session {
+    pub fn new(client: u32, room: MemoryBudget) -> Session {
         Session {
             client,
             state: State::Opening,
@@ -202,7 +202,7 @@
     }
 
     /// Goes on where another process stood with this client.
-    pub fn resume(client: u32, room: Room, standing: &Standing) -> Session {
+    pub fn resume(client: u32, room: MemoryBudget, standing: &Standing) -> Session {
         let state = if standing.opened {
             State::Open
         } else {
@@ -215,14 +215,14 @@
     }
 
     /// Has all that is done be written down before. Nobody else holds a client that comes when that is over.
-    pub fn witnessed(mut self, witness: Option<Witness>) -> Session {
+    pub fn witnessed(mut self, witness: Option<IoJournalWriter>) -> Session {
         self.witness = witness.filter(|w| w.is_on() || self.handed.is_some());
         self
     }
 
     fn note(&self, record: impl FnOnce() -> Record) {
         if let Some(witness) = self.witness.as_ref().filter(|w| w.is_on()) {
-            witness.put(&record(), None);
+            witness.append(&record(), None);
         }
     }
 
@@ -239,23 +239,23 @@
         });
     }
 
-    fn close(&mut self, out: &mut Outbox<Heard>) {
+    fn close(&mut self, out: &mut ConnectionOutput<Heard>) {
         out.close = true;
         self.state = State::Over;
     }
 
-    fn fatal(&mut self, code: &str, message: &str, out: &mut Outbox<Heard>) {
+    fn fatal(&mut self, code: &str, message: &str, out: &mut ConnectionOutput<Heard>) {
         messages::put_error(&mut out.bytes, "FATAL", code, message, None);
         self.close(out);
     }
 
-    fn malformed(&mut self, message: &str, out: &mut Outbox<Heard>) {
-        out.notices.push(Heard::Malformed);
+    fn malformed(&mut self, message: &str, out: &mut ConnectionOutput<Heard>) {
+        out.events.push(Heard::Malformed);
         self.fatal("08P01", message, out);
     }
 
     /// Reads what comes before the first query; says how many bytes that took.
-    fn open(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<Heard>) -> usize {
+    fn open(&mut self, input: &[u8], at: Timestamp, out: &mut ConnectionOutput<Heard>) -> usize {
         match messages::opening(input) {
             Opening::Partial => 0,
             Opening::Encryption { whole } => {
@@ -288,15 +288,15 @@
         }
     }
 
-    fn rest(&mut self, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn rest(&mut self, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
         let client = self.client;
         self.state = State::Open;
-        out.notices.push(Heard::Idle { client, since: at });
+        out.events.push(Heard::Idle { client, since: at });
     }
 
     /// Reads one message; says how many bytes that took. Behind open statements only a further one is read.
-    fn next(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<Heard>) -> usize {
-        match messages::front(input, messages::bound(self.room.most())) {
+    fn next(&mut self, input: &[u8], at: Timestamp, out: &mut ConnectionOutput<Heard>) -> usize {
+        match messages::front(input, messages::bound(self.room.limit())) {
             Front::Partial => 0,
             Front::Message {
                 kind: b'Q',
@@ -319,7 +319,7 @@
                 0
             }
             Front::TooLong { kind: b'Q', whole } => {
-                out.notices.push(Heard::Oversized);
+                out.events.push(Heard::Oversized);
                 self.skip = whole;
                 let answer = Final::from(TOO_LARGE).into_bytes();
                 self.row.push_back((self.at, Some(answer)));
@@ -340,7 +340,7 @@
     }
 
     /// Gives a query its place in the row, and with it the answer of one that needs no member.
-    fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
         self.has_asked = true;
         if text.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
             // No news: a client that sends nothing else would fill the owner's queue.
@@ -351,7 +351,7 @@
         } else if let Some(text) = Text::new(text, &self.room) {
             let (client, number) = (self.client, self.first.wrapping_add(self.row.len() as u32));
             self.row.push_back((end, None));
-            out.notices.push(Heard::Statement {
+            out.events.push(Heard::Statement {
                 client,
                 number,
                 end,
@@ -359,14 +359,14 @@
                 at,
             });
         } else {
-            out.notices.push(Heard::NoRoom);
+            out.events.push(Heard::NoRoom);
             self.row.push_back((end, Some(Final::from(NO_ROOM).into_bytes())));
         }
         self.flush(out);
     }
 
     /// Writes the answers that none before them keeps back.
-    fn flush(&mut self, out: &mut Outbox<Heard>) {
+    fn flush(&mut self, out: &mut ConnectionOutput<Heard>) {
         while let Some((end, Some(answer))) = self.row.pop_front_if(|(_, answer)| answer.is_some()) {
             self.says(answer.len(), end);
             self.first = self.first.wrapping_add(1);
@@ -379,7 +379,7 @@
         }
     }
 
-    fn answer(&mut self, number: u32, answer: Final, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn answer(&mut self, number: u32, answer: Final, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
         let place = number.wrapping_sub(self.first) as usize;
         // An answer to a statement that has its own would be a second one, and is left out.
         let open = self.row.get_mut(place).map(|(_, a)| a).filter(|a| a.is_none());
@@ -399,18 +399,18 @@
         self.leaving && !self.begun && self.row.is_empty() && self.state != State::Over
     }
 
-    fn end_if_leaving(&mut self, out: &mut Outbox<Heard>) {
+    fn end_if_leaving(&mut self, out: &mut ConnectionOutput<Heard>) {
         if self.moving && self.row.is_empty() && self.state != State::Over {
-            out.surrender = true;
+            out.hand_over = true;
         } else if self.could_leave() {
             // What lies at the socket by now was sent to a connection that stood.
-            out.look = true;
+            out.read_again = true;
         }
     }
 
     /// Who has asked knows by a plain end that nothing of it was taken, and asks elsewhere. A new connection that ends
     /// without a word tells its client nothing.
-    fn send_off(&mut self, out: &mut Outbox<Heard>) {
+    fn send_off(&mut self, out: &mut ConnectionOutput<Heard>) {
         match self.has_asked {
             true => self.close(out),
             false => self.fatal("57P03", "this connection takes no statement any more", out),
@@ -418,16 +418,16 @@
     }
 }
 
-impl Dialogue for Session {
+impl ConnectionHandler for Session {
     type Command = Say;
-    type Notice = Heard;
+    type Event = Heard;
 
-    fn stands(&mut self, stream: &TcpStream) {
+    fn on_socket(&mut self, stream: &TcpStream) {
         let Some(witness) = &self.witness else { return };
         let client = self.client;
         match self.handed {
-            Some(handed) => witness.put(&Record::Adopted { client, handed }, None),
-            None => witness.put(&Record::Arrived { client }, Some(stream.as_fd())),
+            Some(handed) => witness.append(&Record::Adopted { client, handed }, None),
+            None => witness.append(&Record::Arrived { client }, Some(stream.as_fd())),
         }
     }
 
@@ -435,11 +435,11 @@
         self.witness.is_some()
     }
 
-    fn is_watched(&self) -> bool {
-        self.witness.as_ref().is_some_and(Witness::is_on)
+    fn is_journaled(&self) -> bool {
+        self.witness.as_ref().is_some_and(IoJournalWriter::is_on)
     }
 
-    fn reads(&mut self, bytes: &[u8]) {
+    fn before_read(&mut self, bytes: &[u8]) {
         self.note(|| Record::Reads {
             client: self.client,
             settled: self.settled,
@@ -447,11 +447,11 @@
         });
     }
 
-    fn written(&mut self, _out: &mut Outbox<Heard>) {
+    fn on_written(&mut self, _out: &mut ConnectionOutput<Heard>) {
         self.settled = self.said;
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
         let mut used = 0;
         loop {
             if self.moving {
@@ -479,15 +479,15 @@
         let begun = waits && (self.skip > 0 || !input.is_empty());
         let (client, since) = (self.client, at);
         if begun && !self.begun {
-            out.notices.push(Heard::Writing { client, since });
+            out.events.push(Heard::Writing { client, since });
         } else if waits && self.begun && !begun {
-            out.notices.push(Heard::Idle { client, since });
+            out.events.push(Heard::Idle { client, since });
         }
         self.begun = begun;
         self.end_if_leaving(out);
     }
 
-    fn told(&mut self, say: Say, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn on_command(&mut self, say: Say, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
         match say {
             Say::Answer(number, answer) => self.answer(number, answer, at, out),
             Say::Leave => {
@@ -510,33 +510,33 @@
         }
     }
 
-    fn crowded(&mut self, out: &mut Outbox<Heard>) {
-        out.notices.push(Heard::NoRoom);
+    fn on_memory_exhausted(&mut self, out: &mut ConnectionOutput<Heard>) {
+        out.events.push(Heard::NoRoom);
         self.fatal("53300", "no memory is left for the message", out);
     }
 
-    fn caught_up(&mut self, out: &mut Outbox<Heard>) {
+    fn on_all_read(&mut self, out: &mut ConnectionOutput<Heard>) {
         if self.could_leave() && !self.moving {
             self.send_off(out);
         }
     }
 
-    fn is_asked(&self) -> bool {
+    fn is_server(&self) -> bool {
         true
     }
 
-    fn half_closed(&mut self, out: &mut Outbox<Heard>) {
-        out.notices.push(Heard::HalfClosed { client: self.client });
+    fn on_half_closed(&mut self, out: &mut ConnectionOutput<Heard>) {
+        out.events.push(Heard::HalfClosed { client: self.client });
     }
 
-    fn may_end(&self) -> bool {
+    fn may_be_closed(&self) -> bool {
         self.row.is_empty()
     }
 
-    fn surrendered(&mut self, stream: TcpStream, input: Vec<u8>, out: &mut Outbox<Heard>) {
+    fn on_handed_over(&mut self, stream: TcpStream, input: Vec<u8>, out: &mut ConnectionOutput<Heard>) {
         let opened = self.state == State::Open;
         self.state = State::Over;
-        out.notices.push(Heard::Moved {
+        out.events.push(Heard::Moved {
             client: self.client,
             stream,
             standing: Standing {
@@ -548,19 +548,19 @@
         });
     }
 
-    fn ended(&mut self, _at: Timestamp, out: &mut Outbox<Heard>) {
+    fn on_closed(&mut self, _at: Timestamp, out: &mut ConnectionOutput<Heard>) {
         self.state = State::Over;
         self.note(|| Record::Gone { client: self.client });
-        out.notices.push(Heard::Gone { client: self.client });
+        out.events.push(Heard::Gone { client: self.client });
     }
 
     /// While statements are open no more than a row of them is read ahead: the rest stays with the kernel, not in
     /// this process.
-    fn hungry(&self, unused: usize) -> bool {
+    fn wants_input(&self, unused: usize) -> bool {
         match self.state {
             State::Over => false,
             _ if self.moving => false,
-            _ if self.row.is_empty() => unused <= messages::bound(self.room.most()) + 5,
+            _ if self.row.is_empty() => unused <= messages::bound(self.room.limit()) + 5,
             _ => unused <= AHEAD,
         }
     }
--- a/crates/driver/src/protocol/watch.rs
+++ b/crates/driver/src/protocol/watch.rs
@@ -3,7 +3,7 @@
 
 use super::http::{self, Answer};
 use super::roster::{self, Roster};
-use crate::transport::connection::{Dialogue, Outbox};
+use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use asterlatch::time::Timestamp;
 
 pub enum Heard {
@@ -46,7 +46,7 @@
         News { call, heard }
     }
 
-    fn ask(&self, out: &mut Outbox<News>) {
+    fn ask(&self, out: &mut ConnectionOutput<News>) {
         const LIST: &str = "/registry/instances";
         let path = match self.after {
             Some(index) => format!("{LIST}?after={index}&wait_ms={}", self.wait_ms),
@@ -56,7 +56,7 @@
     }
 
     /// A whole answer; false where it can't be read, which ends the call.
-    fn take(&mut self, status: u16, body: &[u8], out: &mut Outbox<News>) -> bool {
+    fn take(&mut self, status: u16, body: &[u8], out: &mut ConnectionOutput<News>) -> bool {
         let Some(told) = roster::read(body).filter(|_| status == 200) else {
             self.fail(out);
             return false;
@@ -65,27 +65,27 @@
         let strange = !told.whole && self.after.is_some_and(|after| told.index < after);
         self.after = Some(told.index).filter(|_| !strange);
         let heard = if strange { Heard::Older } else { Heard::Told(told) };
-        out.notices.push(self.news(heard));
+        out.events.push(self.news(heard));
         true
     }
 
-    fn fail(&mut self, out: &mut Outbox<News>) {
-        out.notices.push(self.news(Heard::Unreadable));
+    fn fail(&mut self, out: &mut ConnectionOutput<News>) {
+        out.events.push(self.news(Heard::Unreadable));
         self.over = true;
         out.close = true;
     }
 }
 
-impl Dialogue for Watch {
+impl ConnectionHandler for Watch {
     /// It is only ever hung up on.
     type Command = std::convert::Infallible;
-    type Notice = News;
+    type Event = News;
 
-    fn opened(&mut self, out: &mut Outbox<News>) {
+    fn on_open(&mut self, out: &mut ConnectionOutput<News>) {
         self.ask(out);
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, _at: Timestamp, out: &mut Outbox<News>) {
+    fn on_input(&mut self, input: &mut Vec<u8>, _at: Timestamp, out: &mut ConnectionOutput<News>) {
         while !self.over && !input.is_empty() {
             let (status, body, taken, keep) = match http::answer(input) {
                 Answer::Partial | Answer::UpToTheEnd { .. } => return,
@@ -111,7 +111,7 @@
     }
 
     /// Only where the peer has ended it is an answer whole that says no length: a reset is no end.
-    fn peer_ended(&mut self, input: &[u8], out: &mut Outbox<News>) {
+    fn on_peer_closed(&mut self, input: &[u8], out: &mut ConnectionOutput<News>) {
         if self.over {
             return;
         }
@@ -121,15 +121,15 @@
         }
     }
 
-    fn told(&mut self, command: Self::Command, _at: Timestamp, _out: &mut Outbox<News>) {
+    fn on_command(&mut self, command: Self::Command, _at: Timestamp, _out: &mut ConnectionOutput<News>) {
         match command {}
     }
 
-    fn ended(&mut self, _at: Timestamp, out: &mut Outbox<News>) {
-        out.notices.push(self.news(Heard::Down));
+    fn on_closed(&mut self, _at: Timestamp, out: &mut ConnectionOutput<News>) {
+        out.events.push(self.news(Heard::Down));
     }
 
-    fn hungry(&self, unused: usize) -> bool {
+    fn wants_input(&self, unused: usize) -> bool {
         !self.over && unused <= http::ANSWER * 2
     }
 }
--- a/crates/driver/src/routing/calls.rs
+++ b/crates/driver/src/routing/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to discovery: one watch at a time, and when the next one is due.
 
 use super::limits::Limits;
-use crate::transport::connection::Line;
+use crate::transport::connection::ConnectionHandle;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::convert::Infallible;
 use std::io;
@@ -15,12 +15,12 @@
     pub after: Option<u64>,
 }
 
-pub type Dial = Box<dyn FnMut(Call) -> io::Result<Line<Infallible>>>;
+pub type Dial = Box<dyn FnMut(Call) -> io::Result<ConnectionHandle<Infallible>>>;
 
 pub struct Calls {
     dial: Dial,
     address: SocketAddr,
-    line: Option<Line<Infallible>>,
+    line: Option<ConnectionHandle<Infallible>>,
     /// The connection in use; news of an earlier one is of no interest any more.
     number: u32,
     ends: Timestamp,
--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -2,7 +2,7 @@
 
 use super::limits::Limits;
 use crate::protocol::session::Say;
-use crate::transport::connection::Line;
+use crate::transport::connection::ConnectionHandle;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
 const LAST_MESSAGE: TimeSpan = TimeSpan::millis(500);
 
 struct Client {
-    line: Line<Say>,
+    line: ConnectionHandle<Say>,
     /// Its open statements.
     stmts: Vec<u32>,
     pause: Option<(Pause, Timestamp)>,
@@ -87,11 +87,11 @@
 
     /// Takes in a client that the kernel has accepted. Where all are busy beyond the bound it is turned away
     /// before it can send anything: that word could come for a statement that runs already.
-    pub fn arrive(&mut self, now: Timestamp, id: u32, line: Line<Say>) -> Room {
+    pub fn arrive(&mut self, now: Timestamp, id: u32, line: ConnectionHandle<Say>) -> Room {
         if self.leaving {
-            line.tell(Say::Leave);
+            line.send(Say::Leave);
         } else if self.moving {
-            line.tell(Say::HandOver);
+            line.send(Say::HandOver);
         }
         let most = if self.is_shared {
             self.most.div_ceil(2)
@@ -103,7 +103,7 @@
         } else if self.free_one(now) {
             Room::Made
         } else {
-            line.tell(Say::TurnAway);
+            line.send(Say::TurnAway);
             Room::None
         };
         let client = Client {
@@ -155,7 +155,7 @@
         let first = self.first(Pause::HalfClosed);
         if let Some((_, id)) = first {
             self.set(id, None);
-            self.open.get_mut(&id).into_iter().for_each(|c| c.line.hang_up());
+            self.open.get_mut(&id).into_iter().for_each(|c| c.line.close());
         }
         first.is_some()
     }
@@ -268,7 +268,7 @@
 
     pub fn say(&self, id: u32, say: Say) {
         if let Some(client) = self.open.get(&id) {
-            client.line.tell(say);
+            client.line.send(say);
         }
     }
 
@@ -280,7 +280,7 @@
     /// Has each go to another process between two statements, those to come included.
     pub fn hand_over(&mut self) {
         self.moving = true;
-        self.open.values().for_each(|c| c.line.tell(Say::HandOver));
+        self.open.values().for_each(|c| c.line.send(Say::HandOver));
     }
 
     pub fn has_asked(&self, id: u32) -> bool {
@@ -298,6 +298,6 @@
     /// Lets each go between two statements, those to come included.
     pub fn send_away(&mut self) {
         self.leaving = true;
-        self.open.values().for_each(|c| c.line.tell(Say::Leave));
+        self.open.values().for_each(|c| c.line.send(Say::Leave));
     }
 }
--- a/crates/driver/src/routing/errands.rs
+++ b/crates/driver/src/routing/errands.rs
@@ -2,9 +2,9 @@
 
 use super::limits::Part;
 use crate::protocol::execution::Run;
-use crate::transport::connection::Line;
-use crate::transport::connection_pool::Pool;
-use crate::transport::idle_lifetime::Ages;
+use crate::transport::connection::ConnectionHandle;
+use crate::transport::connection_pool::{ConnectionPool, IdleConnection};
+use crate::transport::idle_lifetime::IdleLifetimeEstimator;
 use asterlatch::interface::ExecutionOutcome;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -77,17 +77,17 @@
 }
 
 /// Opens a connection under this number.
-pub type Dial = Box<dyn FnMut(u32, SocketAddr) -> io::Result<Line<Run>>>;
+pub type Dial = Box<dyn FnMut(u32, SocketAddr) -> io::Result<ConnectionHandle<Run>>>;
 
 pub struct Errands {
-    pool: Pool<Run>,
+    pool: ConnectionPool<Run>,
     dial: Dial,
     busy: BTreeMap<u32, Errand>,
     running: BTreeMap<(u32, u8), u32>,
     ends: BTreeSet<(Timestamp, u32)>,
     /// Connections that come up for nobody, and until when they may.
     coming: BTreeMap<u32, Timestamp>,
-    ages: Ages,
+    ages: IdleLifetimeEstimator,
     /// Members that a connection ever stood to, and whether the last one was closed to make room.
     met: BTreeMap<u32, bool>,
     connect_timeout: TimeSpan,
@@ -103,13 +103,13 @@
 impl Errands {
     pub fn new(dial: Dial, connect_timeout: TimeSpan, idle: (TimeSpan, Part), most: usize) -> Errands {
         Errands {
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             dial,
             busy: BTreeMap::new(),
             running: BTreeMap::new(),
             ends: BTreeSet::new(),
             coming: BTreeMap::new(),
-            ages: Ages::default(),
+            ages: IdleLifetimeEstimator::default(),
             met: BTreeMap::new(),
             connect_timeout,
             idle_whole: idle.0,
@@ -141,8 +141,8 @@
         let mut errand = errand;
         let mut cause = None;
         let earliest = now - self.ages.limit().unwrap_or(self.idle).min(self.idle);
-        let connection = match self.pool.take(errand.member, address, earliest) {
-            Some((id, since)) => {
+        let connection = match self.pool.take_idle(errand.member, address, earliest) {
+            Some(IdleConnection { since, id }) => {
                 errand.idle = now - since;
                 id
             }
@@ -164,11 +164,11 @@
 
     /// Sends the query of the errand that has this connection.
     pub fn send(&mut self, connection: u32, query: Vec<u8>) {
-        self.pool.tell(connection, Run::Query(query));
+        self.pool.send(connection, Run::Query(query));
     }
 
     fn cause(&mut self, member: u32) -> Cause {
-        match (self.met.insert(member, false), self.pool.stands(member)) {
+        match (self.met.insert(member, false), self.pool.has_connection(member)) {
             (_, true) => Cause::Busy,
             (None, _) => Cause::First,
             (Some(true), _) => Cause::Crowded,
@@ -178,7 +178,7 @@
 
     fn open(&mut self, member: u32, address: SocketAddr) -> Result<u32, ExecutionOutcome> {
         if self.pool.count() >= self.most {
-            let (_, oldest) = self.pool.oldest_idle().ok_or(ExecutionOutcome::NotSent)?;
+            let oldest = self.pool.oldest_idle().ok_or(ExecutionOutcome::NotSent)?.id;
             if let Some(crowded) = self.pool.member(oldest).and_then(|m| self.met.get_mut(&m)) {
                 *crowded = true;
             }
@@ -197,7 +197,7 @@
     pub fn up(&mut self, connection: u32, now: Timestamp) -> Up {
         if let Some(ends) = self.coming.remove(&connection) {
             self.ends.remove(&(ends, connection));
-            self.pool.give_back(connection, now);
+            self.pool.release(connection, now);
             return Up::Idle;
         }
         let Some(errand) = self.busy.get_mut(&connection) else {
@@ -215,7 +215,7 @@
     pub fn take_back(&mut self, connection: u32, now: Timestamp) -> Option<Errand> {
         let errand = self.finish(connection)?;
         if errand.up {
-            self.pool.give_back(connection, now);
+            self.pool.release(connection, now);
         } else {
             self.ends.insert((errand.ends, connection));
             self.coming.insert(connection, errand.ends);
@@ -237,14 +237,14 @@
     pub fn answered(&mut self, connection: u32, now: Timestamp) -> Option<Errand> {
         let errand = self.finish(connection)?;
         self.note_age(&errand, now, false);
-        self.pool.give_back(connection, now);
+        self.pool.release(connection, now);
         Some(errand)
     }
 
     /// How a connection fared that had sat idle.
     pub fn note_age(&mut self, errand: &Errand, now: Timestamp, broke: bool) {
         if errand.reused {
-            self.ages.note(now, errand.idle, broke);
+            self.ages.record(now, errand.idle, broke);
         }
     }
 
@@ -286,7 +286,7 @@
     /// Nothing more goes to this member: what sits idle there is of no use.
     pub fn let_go(&mut self, member: u32) {
         self.met.remove(&member);
-        self.pool.let_go(member);
+        self.pool.close_idle(member);
     }
 
     /// The member of each execution that is out.
@@ -304,7 +304,7 @@
     /// Has all idle connections go to another process.
     pub fn hand_over_idle(&mut self) {
         for id in self.pool.retire_idle() {
-            self.pool.tell(id, Run::HandOver);
+            self.pool.send(id, Run::HandOver);
         }
     }
 
@@ -320,7 +320,7 @@
         &mut self,
         now: Timestamp,
         (member, address): (u32, SocketAddr),
-        stand: impl FnOnce(u32) -> io::Result<Line<Run>>,
+        stand: impl FnOnce(u32) -> io::Result<ConnectionHandle<Run>>,
     ) -> bool {
         if self.pool.count() >= self.most {
             return false;
@@ -330,17 +330,17 @@
             return false;
         };
         self.pool.add(id, member, address, line);
-        self.pool.give_back(id, now);
+        self.pool.release(id, now);
         true
     }
 
     pub fn end_idle(&mut self, now: Timestamp) {
-        self.pool.end_idle_before(now, self.idle);
+        self.pool.close_idle_since(now, self.idle);
     }
 
     pub fn next_at(&self) -> Option<Timestamp> {
         let end = self.ends.first().map(|(at, _)| *at);
-        let idle = self.pool.oldest_idle().map(|(since, _)| since + self.idle);
+        let idle = self.pool.oldest_idle().map(|oldest| oldest.since + self.idle);
         end.into_iter().chain(idle).min()
     }
 }
--- a/crates/driver/src/routing/owner/beside.rs
+++ b/crates/driver/src/routing/owner/beside.rs
@@ -6,7 +6,7 @@
 use crate::protocol::vitals;
 use crate::routing::endings;
 use crate::routing::tables::Members;
-use crate::transport::listener::Arrival;
+use crate::transport::listener::AcceptEvent;
 use asterlatch::interface::{Answer, MemberUpdate, Settings};
 use asterlatch::policy;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -89,7 +89,7 @@
 
     /// Leaves newcomers to another process that listens at the same socket, or takes them again.
     pub fn pause(&mut self, paused: bool) {
-        self.listening.as_ref().inspect(|l| l.pause(paused));
+        self.listening.as_ref().inspect(|l| l.set_paused(paused));
         if !paused && !self.draining {
             self.clients.stay();
         }
@@ -122,13 +122,13 @@
                 if moved.verdicts != Verdicts::default() {
                     self.verdicts.insert(id, moved.verdicts);
                 }
-                self.arrived(now, Arrival::Client(id, line));
+                self.arrived(now, AcceptEvent::Client(id, line));
                 self.figures.clients_adopted += 1;
                 if moved.has_asked {
                     self.clients.asked_before(id, now);
                 }
             }
-            Err(e) => self.arrived(now, Arrival::Failed(e)),
+            Err(e) => self.arrived(now, AcceptEvent::Failed(e)),
         }
     }
 
--- a/crates/driver/src/routing/owner/mod.rs
+++ b/crates/driver/src/routing/owner/mod.rs
@@ -20,10 +20,10 @@
 use crate::routing::statements::Statements;
 use crate::routing::tables::{session, Members, Names};
 use crate::transport::clock::Clock;
-use crate::transport::connection::Line;
-use crate::transport::io_journal::Witness;
-use crate::transport::listener::{Arrival, Listening};
-use crate::transport::memory_budget::Room as Memory;
+use crate::transport::connection::ConnectionHandle;
+use crate::transport::io_journal::IoJournalWriter;
+use crate::transport::listener::{AcceptEvent, ListenerHandle};
+use crate::transport::memory_budget::MemoryBudget as Memory;
 use asterlatch::interface::*;
 use asterlatch::policy;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -51,7 +51,7 @@
     pub adopt: Adopt,
     pub adopt_connection: AdoptConnection,
     /// Writes down what goes out, where another process is to go on if this one dies.
-    pub witness: Option<Witness>,
+    pub witness: Option<IoJournalWriter>,
     pub given: Given,
     pub limits: Limits,
     /// For clients and for members.
@@ -87,10 +87,10 @@
 }
 
 /// Goes on with a client's connection under this number.
-pub type Adopt = Box<dyn FnMut(u32, TcpStream, client::Standing) -> io::Result<Line<Say>>>;
+pub type Adopt = Box<dyn FnMut(u32, TcpStream, client::Standing) -> io::Result<ConnectionHandle<Say>>>;
 
 /// Goes on with an idle connection to a member under this number.
-pub type AdoptConnection = Box<dyn FnMut(u32, TcpStream) -> io::Result<Line<execution::Run>>>;
+pub type AdoptConnection = Box<dyn FnMut(u32, TcpStream) -> io::Result<ConnectionHandle<execution::Run>>>;
 
 /// Numbers of clients from another process begin here.
 const ADOPTED: u32 = 1 << 31;
@@ -153,7 +153,7 @@
     ended: VecDeque<Ended>,
     module_wakes: Option<Timestamp>,
     accept_again: Option<Timestamp>,
-    listening: Option<Listening>,
+    listening: Option<ListenerHandle>,
     pub notices: Vec<Notice>,
     pub listener_closed: bool,
     draining: bool,
@@ -164,7 +164,7 @@
     is_shared: bool,
     /// Members that were heard to drain meanwhile, and when they had started.
     pub drains: Vec<(String, u64)>,
-    witness: Option<Witness>,
+    witness: Option<IoJournalWriter>,
     /// Clients of a process that has died, some of whose statements may have run.
     verdicts: BTreeMap<u32, Verdicts>,
     /// By workload: a statement that may have run does no harm when its client repeats it.
@@ -367,13 +367,13 @@
         self.errands.bound(members, limits.member_idle);
         self.calls.bound(limits);
         let (of_clients, of_members) = given.bytes(&limits);
-        self.memory.0.bound(of_clients);
-        self.memory.1.bound(of_members);
+        self.memory.0.set_limit(of_clients);
+        self.memory.1.set_limit(of_members);
     }
 
     /// Bytes that clients and members fill now.
     pub fn memory_taken(&self) -> usize {
-        self.memory.0.taken() + self.memory.1.taken()
+        self.memory.0.used() + self.memory.1.used()
     }
 
     /// Descriptors and bytes that all processes of this service together may have.
@@ -383,10 +383,10 @@
 
     /// Bytes that clients may fill.
     pub fn clients_memory(&self) -> usize {
-        self.memory.0.most()
+        self.memory.0.limit()
     }
 
-    pub fn attach(&mut self, listening: Listening) {
+    pub fn attach(&mut self, listening: ListenerHandle) {
         self.listening = Some(listening);
     }
 
@@ -415,9 +415,9 @@
         self.clients.send_away();
     }
 
-    fn arrived(&mut self, now: Timestamp, arrival: Arrival<Say>) {
+    fn arrived(&mut self, now: Timestamp, arrival: AcceptEvent<Say>) {
         match arrival {
-            Arrival::Client(id, line) => {
+            AcceptEvent::Client(id, line) => {
                 self.figures.clients_accepted += 1;
                 match self.clients.arrive(now, id, line) {
                     Room::Free => {}
@@ -425,14 +425,14 @@
                     Room::None => self.figures.clients_turned_away += 1,
                 }
             }
-            Arrival::Failed(e) => {
+            AcceptEvent::Failed(e) => {
                 self.figures.accepts_failed += 1;
                 let text = format_args!("a client could not be accepted: {e}");
                 self.observer.say(now, "accept", text);
                 self.accept_again = Some(now + self.limits.accept_again);
                 self.figures.clients_closed_for_room += u64::from(self.clients.free_one(now));
             }
-            Arrival::Closed => {
+            AcceptEvent::Closed => {
                 // Nobody is refused before it is let go here.
                 self.listening = None;
                 self.listener_closed = true;
--- a/crates/driver/src/routing/owner/sending.rs
+++ b/crates/driver/src/routing/owner/sending.rs
@@ -74,7 +74,7 @@
                     end,
                     harmless,
                 };
-                witness.put(&out, None);
+                witness.append(&out, None);
             }
         }
         self.errands.send(connection, query);
--- a/crates/driver/src/routing/queue.rs
+++ b/crates/driver/src/routing/queue.rs
@@ -1,7 +1,7 @@
 //! What comes to the owner.
 
 use crate::protocol::{execution, session, watch};
-use crate::transport::listener::Arrival;
+use crate::transport::listener::AcceptEvent;
 
 /// What the process was told from outside.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -17,7 +17,7 @@
 }
 
 pub enum Input {
-    Arrival(Arrival<session::Say>),
+    Arrival(AcceptEvent<session::Say>),
     Client(session::Heard),
     Member(execution::Heard),
     /// News of the call with this number.
@@ -37,7 +37,7 @@
     };
 }
 taken_in! {
-    Arrival<session::Say> => Arrival,
+    AcceptEvent<session::Say> => Arrival,
     session::Heard => Client,
     execution::Heard => Member,
 }
--- /dev/null
+++ b/crates/driver/src/transport/connection/coroutine.rs
@@ -0,0 +1,482 @@
+//! The coroutine of a connection, and the ways to start one.
+
+use super::{ConnectionHandle, ConnectionHandler, ConnectionOutput};
+use crate::transport::clock::Clock;
+use crate::transport::event_registration;
+use crate::transport::memory_budget::{MemoryBudget, MemoryReservation};
+use asterlatch::time::Timestamp;
+use may::io::{CoIo, WaitIo};
+use rustix::event::{poll, PollFd, PollFlags, Timespec};
+use socket2::{Domain, Protocol, Socket, Type};
+use std::cell::RefCell;
+use std::io::{self, ErrorKind, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::sync::mpsc::{channel, Receiver, Sender, TryRecvError};
+
+/// Most bytes of one read.
+const READ_SIZE: usize = 16 * 1024;
+/// Buffered bytes that a connection keeps memory for and that don't count against the memory budget.
+const UNCOUNTED_BYTES: usize = 1024;
+/// Steps in a row after which a connection lets others run, however much its peer sends.
+const STEPS_IN_A_ROW: usize = 32;
+/// Bytes that a peer may still send after our end of a connection was closed. They are read and dropped: a close over
+/// unread bytes resets the connection, and the peer loses what it has not read yet.
+const MOST_LINGERING_BYTES: usize = 256 * 1024;
+/// Linux's `EINPROGRESS`, for which std has no kind.
+const IN_PROGRESS: i32 = 115;
+
+thread_local! {
+    /// Buffer of reads, used by one connection at a time: a buffer for each connection would stay with the idle ones,
+    /// which are the most.
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_SIZE]);
+}
+
+struct Connection<H: ConnectionHandler, M> {
+    io: CoIo<TcpStream>,
+    is_open: bool,
+    handler: H,
+    commands: Receiver<H::Command>,
+    queue: Sender<M>,
+    clock: Clock,
+    input: Vec<u8>,
+    /// When the last of `input` was read.
+    read_at: Timestamp,
+    out: ConnectionOutput<H::Event>,
+    has_unreported_writes: bool,
+    /// Bytes dropped since our side was closed.
+    lingering: Option<usize>,
+    /// For the bytes of `input` and `out`.
+    reservation: MemoryReservation,
+}
+
+/// What follows a step.
+#[derive(Clone, Copy, PartialEq)]
+enum Flow {
+    /// Wait for the socket or a command.
+    Wait,
+    /// Take another step at once.
+    Continue,
+    Close,
+    HandOver,
+}
+
+impl<H: ConnectionHandler, M: From<H::Event> + Send + 'static> Connection<H, M> {
+    /// Sends the events; the owner is gone only when the process ends.
+    fn report_events(&mut self) {
+        for event in self.out.events.drain(..) {
+            let _ = self.queue.send(event.into());
+        }
+    }
+
+    fn connect(&mut self) -> Flow {
+        if !matches!(self.io.inner().take_error(), Ok(None)) {
+            return Flow::Close;
+        }
+        match self.io.inner().peer_addr() {
+            Ok(_) => {
+                self.is_open = true;
+                self.handler.on_open(&mut self.out);
+                Flow::Continue
+            }
+            Err(e) if e.kind() == ErrorKind::NotConnected => Flow::Wait,
+            Err(_) => Flow::Close,
+        }
+    }
+
+    /// Whether more may be read. Not while a peer doesn't read its answers: it could fill the memory.
+    fn wants_input(&self) -> bool {
+        self.out.bytes.len() <= READ_SIZE && self.handler.wants_input(self.input.len())
+    }
+
+    fn read(&mut self) -> Flow {
+        if !self.wants_input() {
+            let has_left = self.handler.is_server() && self.has_hung_up();
+            return if has_left { Flow::Close } else { Flow::Wait };
+        }
+        match self.read_into_input() {
+            Ok(0) => {
+                self.handler.on_peer_closed(&self.input, &mut self.out);
+                Flow::Close
+            }
+            Ok(_) => {
+                self.read_at = self.clock.now();
+                self.handler
+                    .on_input(&mut self.input, self.read_at, &mut self.out);
+                Flow::Continue
+            }
+            Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                self.handler.on_all_read(&mut self.out);
+                Flow::Wait
+            }
+            Err(e) if e.kind() == ErrorKind::Interrupted => Flow::Continue,
+            Err(_) => Flow::Close,
+        }
+    }
+
+    fn read_into_input(&mut self) -> io::Result<usize> {
+        READ_BUFFER.with_borrow_mut(|buffer| {
+            let count = if self.handler.is_journaled() {
+                // A process that is killed must not take along what it has read.
+                let count = self.io.inner().peek(buffer)?;
+                self.handler.before_read(&buffer[..count]);
+                self.io.inner().read(&mut buffer[..count])?
+            } else {
+                self.io.inner().read(buffer)?
+            };
+            self.input.extend(&buffer[..count]);
+            Ok(count)
+        })
+    }
+
+    /// Whether the peer has closed or reset the connection, whatever is unread before that.
+    fn has_hung_up(&self) -> bool {
+        let mut fds = [PollFd::new(self.io.inner(), PollFlags::RDHUP)];
+        let at_once = Timespec::default();
+        let events = poll(&mut fds, Some(&at_once)).map_or(PollFlags::empty(), |_| fds[0].revents());
+        events.intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+    }
+
+    /// Closes our side. What was written before is the peer's to read.
+    fn half_close(&mut self) -> Flow {
+        if self.io.inner().shutdown(Shutdown::Write).is_err() {
+            return Flow::Close;
+        }
+        self.lingering = Some(0);
+        self.input = Vec::new();
+        self.reservation.try_resize(0);
+        self.handler.on_half_closed(&mut self.out);
+        self.report_events();
+        Flow::Continue
+    }
+
+    /// Drops what comes after our side was closed, until the peer closes its own.
+    fn drop_lingering(&mut self, dropped: usize) -> Flow {
+        let read = READ_BUFFER.with_borrow_mut(|buffer| self.io.inner().read(buffer));
+        let is_released = matches!(self.commands.try_recv(), Err(TryRecvError::Disconnected));
+        match read {
+            Ok(count) if count > 0 && dropped + count <= MOST_LINGERING_BYTES => {
+                self.lingering = Some(dropped + count);
+                Flow::Continue
+            }
+            Err(e) if e.kind() == ErrorKind::WouldBlock && !is_released => Flow::Wait,
+            Err(e) if e.kind() == ErrorKind::Interrupted => Flow::Continue,
+            _ => Flow::Close,
+        }
+    }
+
+    fn write(&mut self) -> Flow {
+        self.has_unreported_writes |= !self.out.bytes.is_empty();
+        while !self.out.bytes.is_empty() {
+            match self.io.inner().write(&self.out.bytes) {
+                Ok(count) => {
+                    self.out.bytes.drain(..count);
+                }
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Flow::Wait,
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return Flow::Close,
+            }
+        }
+        if std::mem::take(&mut self.has_unreported_writes) {
+            self.handler.on_written(&mut self.out);
+        }
+        Flow::Wait
+    }
+
+    /// Returns unneeded buffer memory and reserves memory for the buffered bytes; returns whether the budget has it.
+    fn reserve_memory(&mut self) -> bool {
+        for bytes in [&mut self.input, &mut self.out.bytes] {
+            if bytes.capacity() > UNCOUNTED_BYTES && bytes.len() <= bytes.capacity() / 4 {
+                bytes.shrink_to(2 * bytes.len());
+            }
+        }
+        let buffered = (self.input.len() + self.out.bytes.len()).saturating_sub(UNCOUNTED_BYTES);
+        // An answer that was begun is never cut off; while many are read slowly, statements find no memory instead. Nor is
+        // a connection closed that waits for an answer: no more is read ahead of that than `wants_input` allows.
+        if self.out.bytes.is_empty() && self.handler.may_be_closed() {
+            return self.reservation.try_resize(buffered);
+        }
+        self.reservation.force_resize(buffered);
+        true
+    }
+
+    /// Handles all that the socket and the owner have. Reading goes before commands, so that what is written to a
+    /// connection whose end was already received is known never to have been sent.
+    fn step(&mut self) -> Flow {
+        if let Some(dropped) = self.lingering {
+            return self.drop_lingering(dropped);
+        }
+        let wanted_input = self.wants_input();
+        let flow = if self.is_open { self.read() } else { self.connect() };
+        let flow = self.take_commands(flow);
+        let mut flow = self.write_and_reserve(flow);
+        // The kernel reports bytes only once: those left with it are asked for as soon as they are wanted.
+        if !wanted_input && self.wants_input() && flow == Flow::Wait {
+            flow = Flow::Continue;
+        }
+        self.report_events();
+        self.finish_step(flow)
+    }
+
+    fn take_commands(&mut self, mut flow: Flow) -> Flow {
+        while flow != Flow::Close {
+            match self.commands.try_recv() {
+                Ok(command) => {
+                    self.handler.on_command(command, self.clock.now(), &mut self.out);
+                    self.handler
+                        .on_input(&mut self.input, self.read_at, &mut self.out);
+                }
+                Err(TryRecvError::Empty) => break,
+                Err(TryRecvError::Disconnected) => flow = Flow::Close,
+            }
+        }
+        flow
+    }
+
+    fn write_and_reserve(&mut self, flow: Flow) -> Flow {
+        if flow == Flow::Close || (self.is_open && self.write() == Flow::Close) {
+            return Flow::Close;
+        }
+        if self.reserve_memory() {
+            return flow;
+        }
+        self.handler.on_memory_exhausted(&mut self.out);
+        if !self.out.close || self.write() == Flow::Close {
+            return Flow::Close;
+        }
+        flow
+    }
+
+    fn finish_step(&mut self, flow: Flow) -> Flow {
+        if flow == Flow::Close {
+            return Flow::Close;
+        }
+        let is_written = self.out.bytes.is_empty();
+        if self.out.close && (is_written || !self.is_open) {
+            return if self.is_open && self.handler.is_server() {
+                self.half_close()
+            } else {
+                Flow::Close
+            };
+        }
+        let read_again = std::mem::take(&mut self.out.read_again);
+        if self.out.hand_over && is_written {
+            return Flow::HandOver;
+        }
+        if read_again && flow == Flow::Wait {
+            return Flow::Continue;
+        }
+        flow
+    }
+
+    fn run(mut self) {
+        let mut steps = 0;
+        loop {
+            match self.step() {
+                Flow::Wait => {
+                    self.io.wait_io();
+                    steps = 0;
+                }
+                // A coroutine that yields is run again before the sockets are polled; only a new one waits.
+                Flow::Continue if steps == STEPS_IN_A_ROW => {
+                    may::go!(move || self.run());
+                    return;
+                }
+                Flow::Continue => steps += 1,
+                Flow::Close => break,
+                Flow::HandOver => return self.hand_over(),
+            }
+        }
+        self.close();
+    }
+
+    /// Continues with a second descriptor of the socket, while the first one is unregistered and closed.
+    fn hand_over(mut self) {
+        match self.io.inner().try_clone() {
+            Ok(stream) => {
+                let input = std::mem::take(&mut self.input);
+                event_registration::unregister(self.io.inner());
+                close_socket(self.io);
+                self.handler.on_handed_over(stream, input, &mut self.out);
+                for event in self.out.events.drain(..) {
+                    let _ = self.queue.send(event.into());
+                }
+            }
+            Err(_) => self.close(),
+        }
+    }
+
+    fn close(self) {
+        if self.is_open && self.lingering.is_none() {
+            self.shut_down_write();
+        }
+        let Connection {
+            io,
+            mut handler,
+            commands,
+            queue,
+            clock,
+            mut out,
+            ..
+        } = self;
+        if handler.is_shared() {
+            event_registration::unregister(io.inner());
+            // One whose peer is gone can't be shut down, and needn't.
+            let _ = io.inner().shutdown(Shutdown::Both);
+        }
+        // Closed before its end is reported, so that no more descriptors are open than the owner counts.
+        close_socket(io);
+        handler.on_closed(clock.now(), &mut out);
+        while let Ok(command) = commands.try_recv() {
+            handler.on_command(command, clock.now(), &mut out);
+        }
+        for event in out.events.drain(..) {
+            let _ = queue.send(event.into());
+        }
+    }
+
+    /// Whoever dropped the handle wants no more of it, but the peer may still read what was written.
+    fn shut_down_write(&self) {
+        let _ = self.io.inner().shutdown(Shutdown::Write);
+        let drop_some = |buffer: &mut Vec<u8>| matches!(self.io.inner().read(buffer), Ok(count) if count > 0);
+        READ_BUFFER.with_borrow_mut(|buffer| {
+            for _ in 0..MOST_LINGERING_BYTES / READ_SIZE {
+                if !drop_some(buffer) {
+                    break;
+                }
+            }
+        });
+    }
+}
+
+/// Runs a handler on a connection that is established (`is_open`) or being established. `announce` receives the handle
+/// before the first event is sent.
+///
+/// # Errors
+/// If the socket can't be configured or registered with the event loop.
+pub fn run<H, M>(
+    stream: TcpStream,
+    is_open: bool,
+    handler: H,
+    queue: &Sender<M>,
+    (clock, budget): (Clock, &MemoryBudget),
+    announce: impl FnOnce(ConnectionHandle<H::Command>),
+) -> io::Result<()>
+where
+    H: ConnectionHandler,
+    M: From<H::Event> + Send + 'static,
+{
+    resume(
+        stream,
+        is_open,
+        handler,
+        queue,
+        (clock, budget),
+        Vec::new(),
+        announce,
+    )
+}
+
+/// As [`run`], on a connection from which `input` was read that no handler has consumed yet.
+///
+/// # Errors
+/// If the socket can't be configured or registered with the event loop.
+pub fn resume<H, M>(
+    stream: TcpStream,
+    is_open: bool,
+    mut handler: H,
+    queue: &Sender<M>,
+    (clock, budget): (Clock, &MemoryBudget),
+    mut input: Vec<u8>,
+    announce: impl FnOnce(ConnectionHandle<H::Command>),
+) -> io::Result<()>
+where
+    H: ConnectionHandler,
+    M: From<H::Event> + Send + 'static,
+{
+    stream.set_nodelay(true)?;
+    handler.on_socket(&stream);
+    let registration = event_registration::lock();
+    let io = CoIo::new(stream).map_err(|_| io::Error::other("not registered with the event loop"))?;
+    drop(registration);
+    let (sender, commands) = channel();
+    let waker = io.waker();
+    let mut out = ConnectionOutput::default();
+    if is_open {
+        handler.on_open(&mut out);
+    }
+    if !input.is_empty() {
+        handler.on_input(&mut input, clock.now(), &mut out);
+    }
+    let connection = Connection {
+        io,
+        is_open,
+        handler,
+        commands,
+        queue: queue.clone(),
+        clock,
+        input,
+        read_at: clock.now(),
+        out,
+        has_unreported_writes: false,
+        lingering: None,
+        reservation: budget.empty_reservation(),
+    };
+    announce(ConnectionHandle {
+        commands: Some(sender),
+        waker: Some(waker),
+    });
+    may::go!(move || connection.run());
+    Ok(())
+}
+
+fn close_socket(io: CoIo<TcpStream>) {
+    let _registration = event_registration::lock();
+    drop(io);
+}
+
+/// Starts to establish a connection; its handler learns whether that succeeds.
+///
+/// # Errors
+/// If no socket can be opened, or the address can't be reached.
+pub fn dial<H, M>(
+    address: SocketAddr,
+    handler: H,
+    queue: &Sender<M>,
+    (clock, budget): (Clock, &MemoryBudget),
+) -> io::Result<ConnectionHandle<H::Command>>
+where
+    H: ConnectionHandler,
+    M: From<H::Event> + Send + 'static,
+{
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_nonblocking(true)?;
+    match socket.connect(&address.into()) {
+        Err(e) if e.kind() != ErrorKind::WouldBlock && e.raw_os_error() != Some(IN_PROGRESS) => {
+            return Err(e)
+        }
+        _ => {}
+    }
+    resume_owned(socket.into(), false, handler, queue, (clock, budget), Vec::new())
+}
+
+/// As [`resume`], for a caller that owns the handle itself.
+///
+/// # Errors
+/// If the socket can't be configured or registered with the event loop.
+pub fn resume_owned<H, M>(
+    stream: TcpStream,
+    is_open: bool,
+    handler: H,
+    queue: &Sender<M>,
+    context: (Clock, &MemoryBudget),
+    input: Vec<u8>,
+) -> io::Result<ConnectionHandle<H::Command>>
+where
+    H: ConnectionHandler,
+    M: From<H::Event> + Send + 'static,
+{
+    let mut handle = None;
+    let announce = |announced| handle = Some(announced);
+    resume(stream, is_open, handler, queue, context, input, announce)?;
+    handle.ok_or_else(|| io::Error::other("no handle announced"))
+}
--- a/crates/driver/src/transport/connection_pool.rs
+++ b/crates/driver/src/transport/connection_pool.rs
@@ -1,141 +1,160 @@
-//! Connections to members, held by the owner. One carries one statement at a time; among idle ones the most
-//! recently used goes first, so that those beyond the need grow old and are closed.
+//! Connections to members. One carries one statement at a time; among idle ones the most recently used is taken first, so
+//! that those beyond the need grow old and are closed.
 
-use super::connection::Line;
+use super::connection::ConnectionHandle;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-struct Held<C> {
-    line: Line<C>,
+struct PooledConnection<C> {
+    handle: ConnectionHandle<C>,
     member: u32,
     address: SocketAddr,
     idle_since: Option<Timestamp>,
 }
 
-pub struct Pool<C> {
-    held: BTreeMap<u32, Held<C>>,
+/// An idle connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct IdleConnection {
+    /// Since when it is idle.
+    pub since: Timestamp,
+    /// Id of the connection.
+    pub id: u32,
+}
+
+/// All connections to members, by id. Dropping one ends it.
+pub struct ConnectionPool<C> {
+    connections: BTreeMap<u32, PooledConnection<C>>,
     /// Idle ones by member, the most recently used last.
     idle: BTreeMap<u32, Vec<u32>>,
-    next: u32,
+    last_id: u32,
 }
 
-impl<C> Default for Pool<C> {
+impl<C> Default for ConnectionPool<C> {
     fn default() -> Self {
-        Pool {
-            held: BTreeMap::new(),
+        ConnectionPool {
+            connections: BTreeMap::new(),
             idle: BTreeMap::new(),
-            next: 0,
+            last_id: 0,
         }
     }
 }
 
-impl<C> Pool<C> {
+impl<C> ConnectionPool<C> {
+    /// An id for a new connection.
     pub fn next_id(&mut self) -> u32 {
-        self.next = self.next.wrapping_add(1);
-        self.next
+        self.last_id = self.last_id.wrapping_add(1);
+        self.last_id
     }
 
-    pub fn add(&mut self, id: u32, member: u32, address: SocketAddr, line: Line<C>) {
-        let idle_since = None;
-        let held = Held {
-            line,
+    /// Adds a busy connection.
+    pub fn add(&mut self, id: u32, member: u32, address: SocketAddr, handle: ConnectionHandle<C>) {
+        let connection = PooledConnection {
+            handle,
             member,
             address,
-            idle_since,
+            idle_since: None,
         };
-        self.held.insert(id, held);
+        self.connections.insert(id, connection);
     }
 
-    /// Takes an idle connection to the member at this address that has rested since then at the earliest, and says
-    /// since when.
-    pub fn take(
+    /// Takes an idle connection to the member at this address that is idle since `earliest` or later. Older ones and those
+    /// to a former address are closed.
+    pub fn take_idle(
         &mut self,
         member: u32,
         address: SocketAddr,
         earliest: Timestamp,
-    ) -> Option<(u32, Timestamp)> {
+    ) -> Option<IdleConnection> {
         let idle = self.idle.get_mut(&member)?;
         while let Some(id) = idle.pop() {
-            let held = self.held.get_mut(&id).filter(|h| h.address == address);
-            let since = held.and_then(|h| h.idle_since.take());
+            let connection = self.connections.get_mut(&id).filter(|c| c.address == address);
+            let since = connection.and_then(|c| c.idle_since.take());
             if let Some(since) = since.filter(|since| *since >= earliest) {
-                return Some((id, since));
+                return Some(IdleConnection { since, id });
             }
-            self.held.remove(&id);
+            self.connections.remove(&id);
         }
         self.idle.remove(&member);
         None
     }
 
-    /// Lets the idle connections to a member go.
-    pub fn let_go(&mut self, member: u32) {
+    /// Closes the idle connections to a member.
+    pub fn close_idle(&mut self, member: u32) {
         for id in self.idle.remove(&member).into_iter().flatten() {
-            self.held.remove(&id);
+            self.connections.remove(&id);
         }
     }
 
-    /// Takes all idle connections out of use, which stay held until their end is told.
+    /// Takes all idle connections out of use; they stay open until they are removed. Returns their ids.
     pub fn retire_idle(&mut self) -> Vec<u32> {
         let idle = std::mem::take(&mut self.idle);
         idle.into_values().flatten().collect()
     }
 
-    /// The member that a connection stands to.
+    /// The member of a connection.
     pub fn member(&self, id: u32) -> Option<u32> {
-        Some(self.held.get(&id)?.member)
+        Some(self.connections.get(&id)?.member)
     }
 
-    /// Whether any connection stands to a member.
-    pub fn stands(&self, member: u32) -> bool {
-        self.idle.contains_key(&member) || self.held.values().any(|h| h.member == member)
+    /// Whether any connection to a member is open.
+    pub fn has_connection(&self, member: u32) -> bool {
+        self.idle.contains_key(&member) || self.connections.values().any(|c| c.member == member)
     }
 
-    /// Members with an idle connection.
+    /// Number of members with an idle connection.
     pub fn idle_members(&self) -> usize {
         self.idle.len()
     }
 
-    pub fn give_back(&mut self, id: u32, now: Timestamp) {
-        if let Some(held) = self.held.get_mut(&id) {
-            held.idle_since = Some(now);
-            self.idle.entry(held.member).or_default().push(id);
+    /// A busy connection becomes idle.
+    pub fn release(&mut self, id: u32, now: Timestamp) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.idle_since = Some(now);
+            self.idle.entry(connection.member).or_default().push(id);
         }
     }
 
-    pub fn tell(&self, id: u32, command: C) {
-        if let Some(held) = self.held.get(&id) {
-            held.line.tell(command);
+    /// Sends a command to a connection; ignored if it is gone.
+    pub fn send(&self, id: u32, command: C) {
+        if let Some(connection) = self.connections.get(&id) {
+            connection.handle.send(command);
         }
     }
 
-    /// Lets the connection go; its coroutine ends when nobody holds the line.
+    /// Drops a connection; its coroutine ends with the last handle.
     pub fn remove(&mut self, id: u32) {
-        if let Some(held) = self.held.remove(&id) {
-            let Some(idle) = self.idle.get_mut(&held.member) else {
-                return;
-            };
-            idle.retain(|i| *i != id);
-            if idle.is_empty() {
-                self.idle.remove(&held.member);
-            }
+        let Some(connection) = self.connections.remove(&id) else {
+            return;
+        };
+        let Some(idle) = self.idle.get_mut(&connection.member) else {
+            return;
+        };
+        idle.retain(|other| *other != id);
+        if idle.is_empty() {
+            self.idle.remove(&connection.member);
         }
     }
 
+    /// Number of open connections.
     pub fn count(&self) -> usize {
-        self.held.len()
+        self.connections.len()
     }
 
-    /// The connection that has sat idle the longest, and since when.
-    pub fn oldest_idle(&self) -> Option<(Timestamp, u32)> {
-        let firsts = self.idle.values().filter_map(|ids| ids.first());
-        let since = |id: &u32| Some((self.held.get(id)?.idle_since?, *id));
-        firsts.filter_map(since).min()
+    /// The connection that has been idle for the longest time.
+    pub fn oldest_idle(&self) -> Option<IdleConnection> {
+        let oldest_of_members = self.idle.values().filter_map(|ids| ids.first());
+        let idle = |id: &u32| {
+            let since = self.connections.get(id)?.idle_since?;
+            Some(IdleConnection { since, id: *id })
+        };
+        oldest_of_members.filter_map(idle).min()
     }
 
-    pub fn end_idle_before(&mut self, now: Timestamp, most: TimeSpan) {
-        while let Some((_, id)) = self.oldest_idle().filter(|(since, _)| now - *since >= most) {
-            self.remove(id);
+    /// Closes the connections that have been idle for this long or longer.
+    pub fn close_idle_since(&mut self, now: Timestamp, idle_timeout: TimeSpan) {
+        while let Some(oldest) = self.oldest_idle().filter(|o| now - o.since >= idle_timeout) {
+            self.remove(oldest.id);
         }
     }
 }
--- a/crates/driver/src/transport/datagrams.rs
+++ b/crates/driver/src/transport/datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams between this driver and others, each at an address of its own. One descriptor for all of them, and one by which
-//! another thread ends the wait.
+//! Datagrams between this driver and its peers, each at an address of its own. One descriptor serves all of them, and
+//! another one lets other threads end a wait.
 
 use rustix::event::{eventfd, poll, EventfdFlags, PollFd, PollFlags, Timespec};
 use std::io::{self, ErrorKind};
@@ -8,112 +8,125 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longer ones are not this program's.
-const LONGEST: usize = 2048;
+/// Longer datagrams are truncated; peers send none.
+const MOST_BYTES: usize = 2048;
 
-/// Ends a wait from any thread.
+/// Ends a wait for datagrams; may be used from any thread.
 #[derive(Clone)]
-pub struct Waker(Arc<OwnedFd>);
+pub struct DatagramWaker(Arc<OwnedFd>);
 
-impl Waker {
+impl DatagramWaker {
+    /// Ends the current wait, or the next one.
     pub fn wake(&self) {
-        // Where it is full somebody was woken often enough.
+        // A full counter was incremented often enough.
         let _ = rustix::io::write(&*self.0, &1u64.to_ne_bytes());
     }
 }
 
-pub struct Datagrams {
+/// The socket for datagrams, owned by the thread that waits for them.
+pub struct DatagramSocket {
     socket: UdpSocket,
-    waker: Waker,
-    /// Whom datagrams are taken from, and sent to.
+    waker: DatagramWaker,
     peers: Vec<SocketAddr>,
     buffer: Vec<u8>,
 }
 
-pub enum Came<'a> {
-    From(usize, &'a [u8]),
-    /// Of nobody who may speak here.
-    Foreign(SocketAddr),
+/// What ended a wait.
+pub enum DatagramEvent<'a> {
+    /// A datagram of the peer with this index.
+    Received(usize, &'a [u8]),
+    /// A datagram from an address that no peer has.
+    UnknownSender(SocketAddr),
+    /// Another thread called [`DatagramWaker::wake`].
     Woken,
-    /// The time is over.
-    Nothing,
+    /// The time is over, or a send was found to have failed.
+    TimedOut,
 }
 
-impl Datagrams {
-    pub fn bind(at: SocketAddr, peers: Vec<SocketAddr>) -> io::Result<Datagrams> {
-        let socket = UdpSocket::bind(at)?;
+impl DatagramSocket {
+    /// Binds an address for datagrams from and to `peers`.
+    ///
+    /// # Errors
+    /// If the address can't be bound or no descriptor is left.
+    pub fn bind(address: SocketAddr, peers: Vec<SocketAddr>) -> io::Result<DatagramSocket> {
+        let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
         let waker = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
-        Ok(Datagrams {
+        Ok(DatagramSocket {
             socket,
-            waker: Waker(Arc::new(waker)),
+            waker: DatagramWaker(Arc::new(waker)),
             peers,
-            buffer: vec![0; LONGEST],
+            buffer: vec![0; MOST_BYTES],
         })
     }
 
-    pub fn waker(&self) -> Waker {
+    /// A waker for other threads.
+    pub fn waker(&self) -> DatagramWaker {
         self.waker.clone()
     }
 
-    /// What isn't sent now, for want of room or a way, is lost as on any network.
-    pub fn send(&self, to: usize, bytes: &[u8]) -> bool {
-        let address = self.peers.get(to);
-        address.is_some_and(|to| self.socket.send_to(bytes, to).is_ok())
+    /// Sends a datagram to the peer with this index; returns whether the kernel took it. One that it doesn't take is lost,
+    /// as on any network.
+    pub fn send(&self, peer: usize, bytes: &[u8]) -> bool {
+        let address = self.peers.get(peer);
+        address.is_some_and(|address| self.socket.send_to(bytes, address).is_ok())
     }
 
-    /// The next datagram, waited for at most that long.
-    pub fn next(&mut self, wait: Duration) -> io::Result<Came<'_>> {
+    /// Waits for the next datagram, at most for so long.
+    ///
+    /// # Errors
+    /// If the socket fails for another reason than an unreachable peer.
+    pub fn receive(&mut self, timeout: Duration) -> io::Result<DatagramEvent<'_>> {
         match self.socket.recv_from(&mut self.buffer) {
-            Ok((length, from)) => return Ok(self.came(length, from)),
-            Err(e) if e.kind() != ErrorKind::WouldBlock => return self.passed(&e),
+            Ok((length, from)) => return Ok(self.received(length, from)),
+            Err(e) if e.kind() != ErrorKind::WouldBlock => return ignore_unreachable(&e),
             Err(_) => {}
         }
         let mut ready = [
             PollFd::new(&self.socket, PollFlags::IN),
             PollFd::new(&*self.waker.0, PollFlags::IN),
         ];
-        let wait = Timespec {
-            tv_sec: wait.as_secs() as i64,
-            tv_nsec: i64::from(wait.subsec_nanos()),
+        let timeout = Timespec {
+            tv_sec: timeout.as_secs() as i64,
+            tv_nsec: i64::from(timeout.subsec_nanos()),
         };
-        match poll(&mut ready, Some(&wait)) {
-            Ok(0) => return Ok(Came::Nothing),
+        match poll(&mut ready, Some(&timeout)) {
+            Ok(0) | Err(rustix::io::Errno::INTR) => return Ok(DatagramEvent::TimedOut),
             Ok(_) => {}
-            Err(rustix::io::Errno::INTR) => return Ok(Came::Nothing),
             Err(e) => return Err(e.into()),
         }
-        let (datagram, woken) = (!ready[0].revents().is_empty(), !ready[1].revents().is_empty());
-        if woken {
+        let has_datagram = !ready[0].revents().is_empty();
+        let is_woken = !ready[1].revents().is_empty();
+        if is_woken {
             let _ = rustix::io::read(&*self.waker.0, &mut [0; 8]);
-            return Ok(Came::Woken);
+            return Ok(DatagramEvent::Woken);
         }
-        if !datagram {
-            return Ok(Came::Nothing);
+        if !has_datagram {
+            return Ok(DatagramEvent::TimedOut);
         }
         match self.socket.recv_from(&mut self.buffer) {
-            Ok((length, from)) => Ok(self.came(length, from)),
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(Came::Nothing),
-            Err(e) => self.passed(&e),
+            Ok((length, from)) => Ok(self.received(length, from)),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(DatagramEvent::TimedOut),
+            Err(e) => ignore_unreachable(&e),
         }
     }
 
-    fn came(&self, length: usize, from: SocketAddr) -> Came<'_> {
-        match self.peers.iter().position(|p| *p == from) {
-            Some(peer) => Came::From(peer, &self.buffer[..length]),
-            None => Came::Foreign(from),
+    fn received(&self, length: usize, from: SocketAddr) -> DatagramEvent<'_> {
+        match self.peers.iter().position(|peer| *peer == from) {
+            Some(peer) => DatagramEvent::Received(peer, &self.buffer[..length]),
+            None => DatagramEvent::UnknownSender(from),
         }
     }
+}
 
-    /// That nobody listens where something was sent is told here: it is as if that was lost.
-    fn passed(&self, fault: &io::Error) -> io::Result<Came<'_>> {
-        match fault.kind() {
-            ErrorKind::ConnectionRefused
-            | ErrorKind::ConnectionReset
-            | ErrorKind::Interrupted
-            | ErrorKind::HostUnreachable
-            | ErrorKind::NetworkUnreachable => Ok(Came::Nothing),
-            kind => Err(kind.into()),
-        }
+/// The kernel reports here that nobody received what was sent before: that datagram is lost like any other.
+fn ignore_unreachable<'a>(error: &io::Error) -> io::Result<DatagramEvent<'a>> {
+    match error.kind() {
+        ErrorKind::ConnectionRefused
+        | ErrorKind::ConnectionReset
+        | ErrorKind::Interrupted
+        | ErrorKind::HostUnreachable
+        | ErrorKind::NetworkUnreachable => Ok(DatagramEvent::TimedOut),
+        kind => Err(kind.into()),
     }
 }
--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -1,9 +1,10 @@
-//! Accepts clients. What the kernel has accepted counts as accepted, so there is no bound here: the owner
-//! closes connections that sit idle instead.
+//! Accepts clients. What the kernel has accepted counts as accepted, so there is no limit here: the owner closes idle
+//! connections instead.
 
 use super::clock::Clock;
-use super::connection::{self, Dialogue, Line};
-use super::memory_budget::Room;
+use super::connection::{self, ConnectionHandle, ConnectionHandler};
+use super::event_registration;
+use super::memory_budget::MemoryBudget;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use std::io::{self, ErrorKind};
 use std::net::TcpListener;
@@ -11,103 +12,178 @@
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
 
-/// A client's connection, or that one could not be accepted, or that none will be any more.
-pub enum Arrival<C> {
-    Client(u32, Line<C>),
+/// What a listener reports to its owner.
+pub enum AcceptEvent<C> {
+    /// A client has connected, with an id of its own.
+    Client(u32, ConnectionHandle<C>),
+    /// A client could not be accepted.
     Failed(io::Error),
+    /// No more clients are accepted.
     Closed,
 }
 
-pub struct Listening {
+/// A listening socket and the flags by which any thread controls its coroutine.
+pub struct ListenerHandle {
     io: Arc<CoIo<TcpListener>>,
-    closing: Arc<AtomicBool>,
+    is_closing: Arc<AtomicBool>,
     /// Another process accepts from the same socket.
-    paused: Arc<AtomicBool>,
+    is_paused: Arc<AtomicBool>,
     waker: WaitIoWaker,
 }
 
-impl Listening {
-    /// Looks again for clients after a failure.
+impl ListenerHandle {
+    /// Accepts again after a failure.
     pub fn retry(&self) {
         self.waker.wakeup();
     }
 
     /// A descriptor of the same socket, for another process.
+    ///
+    /// # Errors
+    /// If the descriptor can't be duplicated.
     pub fn descriptor(&self) -> io::Result<TcpListener> {
         self.io.inner().try_clone()
     }
 
-    /// Accepts nobody from now on, or again. Whom the kernel has accepted meanwhile waits for whoever looks first.
-    pub fn pause(&self, paused: bool) {
-        self.paused.store(paused, Ordering::Release);
+    /// Stops accepting, or starts again. Clients that the kernel has accepted meanwhile are left to whichever process
+    /// accepts first.
+    pub fn set_paused(&self, is_paused: bool) {
+        self.is_paused.store(is_paused, Ordering::Release);
         self.waker.wakeup();
     }
 
-    /// Takes in those that the kernel has accepted and then listens no more.
+    /// Accepts those that the kernel has accepted and then ends.
     pub fn close(&self) {
-        self.closing.store(true, Ordering::Release);
+        self.is_closing.store(true, Ordering::Release);
         self.waker.wakeup();
     }
 }
 
-/// Where it begins paused, another process accepts from the same socket.
-pub fn listen<D, M>(
-    listener: TcpListener,
-    paused: bool,
+struct Acceptor<M, F> {
+    io: Arc<CoIo<TcpListener>>,
+    is_closing: Arc<AtomicBool>,
+    is_paused: Arc<AtomicBool>,
     queue: Sender<M>,
-    (clock, room): (Clock, Room),
-    dialogue: impl Fn(u32) -> D + Send + 'static,
-) -> io::Result<Listening>
-where
-    D: Dialogue,
-    M: From<D::Notice> + From<Arrival<D::Command>> + Send + 'static,
-{
-    let io = CoIo::new(listener).map_err(|_| io::Error::other("listener not registered"))?;
-    let io = Arc::new(io);
-    let (closing, paused) = (
-        Arc::new(AtomicBool::new(false)),
-        Arc::new(AtomicBool::new(paused)),
-    );
-    let listening = Listening {
-        io: io.clone(),
-        closing: closing.clone(),
-        paused: paused.clone(),
-        waker: io.waker(),
-    };
-    let mut next = 0u32;
-    let accept_all = move || loop {
-        let last = closing.load(Ordering::Acquire);
-        if paused.load(Ordering::Acquire) {
-            // Those who wait are the other process's to take.
-            if last {
-                super::forget(io.inner());
-                break drop(queue.send(Arrival::Closed.into()));
+    clock: Clock,
+    budget: MemoryBudget,
+    handler: F,
+    last_id: u32,
+}
+
+/// What follows an attempt to accept.
+enum Flow {
+    Wait,
+    Continue,
+    End,
+}
+
+impl<M, F> Acceptor<M, F> {
+    fn run<H>(mut self)
+    where
+        H: ConnectionHandler,
+        M: From<H::Event> + From<AcceptEvent<H::Command>> + Send + 'static,
+        F: Fn(u32) -> H,
+    {
+        loop {
+            match self.accept::<H>() {
+                Flow::Wait => {
+                    self.io.wait_io();
+                }
+                Flow::Continue => {}
+                Flow::End => break,
+            }
+        }
+        let _ = self.queue.send(AcceptEvent::Closed.into());
+    }
+
+    fn accept<H>(&mut self) -> Flow
+    where
+        H: ConnectionHandler,
+        M: From<H::Event> + From<AcceptEvent<H::Command>> + Send + 'static,
+        F: Fn(u32) -> H,
+    {
+        let is_closing = self.is_closing.load(Ordering::Acquire);
+        if self.is_paused.load(Ordering::Acquire) {
+            if !is_closing {
+                return Flow::Wait;
             }
-            io.wait_io();
-            continue;
+            // Those who wait are the other process's to accept.
+            event_registration::unregister(self.io.inner());
+            return Flow::End;
         }
-        match io.inner().accept() {
+        match self.io.inner().accept() {
             Ok((stream, _)) => {
-                next = next.wrapping_add(1);
-                let id = next;
-                let announce = |line| drop(queue.send(Arrival::Client(id, line).into()));
-                if let Err(e) = connection::run(stream, true, dialogue(id), &queue, (clock, &room), announce)
-                {
-                    let _ = queue.send(Arrival::Failed(e).into());
-                }
+                self.serve(stream);
+                Flow::Continue
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock && last => {
-                break drop(queue.send(Arrival::Closed.into()))
+            Err(e) if e.kind() == ErrorKind::WouldBlock && is_closing => Flow::End,
+            Err(e) if e.kind() == ErrorKind::WouldBlock => Flow::Wait,
+            Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
+                Flow::Continue
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock => drop(io.wait_io()),
-            Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
             Err(e) => {
-                // Out of descriptors, most likely: trying on at once would only spin.
-                let _ = queue.send(Arrival::Failed(e).into());
-                io.wait_io();
+                // Out of descriptors, most likely: another attempt at once would only spin.
+                let _ = self.queue.send(AcceptEvent::Failed(e).into());
+                Flow::Wait
             }
         }
+    }
+
+    fn serve<H>(&mut self, stream: std::net::TcpStream)
+    where
+        H: ConnectionHandler,
+        M: From<H::Event> + From<AcceptEvent<H::Command>> + Send + 'static,
+        F: Fn(u32) -> H,
+    {
+        self.last_id = self.last_id.wrapping_add(1);
+        let id = self.last_id;
+        let announce = |handle| {
+            let _ = self.queue.send(AcceptEvent::Client(id, handle).into());
+        };
+        let context = (self.clock, &self.budget);
+        let handler = (self.handler)(id);
+        if let Err(e) = connection::run(stream, true, handler, &self.queue, context, announce) {
+            let _ = self.queue.send(AcceptEvent::Failed(e).into());
+        }
+    }
+}
+
+/// Starts to accept clients, each with a handler of its own. With `is_paused` another process accepts from the same
+/// socket at first.
+///
+/// # Errors
+/// If the listener can't be registered with the event loop.
+pub fn listen<H, M>(
+    listener: TcpListener,
+    is_paused: bool,
+    queue: Sender<M>,
+    (clock, budget): (Clock, MemoryBudget),
+    handler: impl Fn(u32) -> H + Send + 'static,
+) -> io::Result<ListenerHandle>
+where
+    H: ConnectionHandler,
+    M: From<H::Event> + From<AcceptEvent<H::Command>> + Send + 'static,
+{
+    let io = CoIo::new(listener).map_err(|_| io::Error::other("listener not registered"))?;
+    let io = Arc::new(io);
+    let is_closing = Arc::new(AtomicBool::new(false));
+    let is_paused = Arc::new(AtomicBool::new(is_paused));
+    let handle = ListenerHandle {
+        io: io.clone(),
+        is_closing: is_closing.clone(),
+        is_paused: is_paused.clone(),
+        waker: io.waker(),
+    };
+    let acceptor = Acceptor {
+        io,
+        is_closing,
+        is_paused,
+        queue,
+        clock,
+        budget,
+        handler,
+        last_id: 0,
     };
-    may::go!(accept_all);
-    Ok(listening)
+    may::go!(move || acceptor.run::<H>());
+    Ok(handle)
 }
--- a/crates/driver/src/transport/memory_budget.rs
+++ b/crates/driver/src/transport/memory_budget.rs
@@ -1,77 +1,85 @@
-//! Memory that many connections share: how much of it is taken, and how much there may be.
+//! A memory budget that many connections share. It counts bytes and allocates none.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-struct Shared {
-    taken: AtomicUsize,
-    most: AtomicUsize,
+struct Counters {
+    used: AtomicUsize,
+    limit: AtomicUsize,
 }
 
+/// Bytes that may be reserved in all; clones share them. May be used from any thread.
 #[derive(Clone)]
-pub struct Room(Arc<Shared>);
+pub struct MemoryBudget(Arc<Counters>);
 
-/// A part of it, given back when dropped.
-pub struct Taken {
-    room: Room,
+/// A part of the budget, returned when dropped.
+pub struct MemoryReservation {
+    budget: MemoryBudget,
     bytes: usize,
 }
 
-impl Room {
-    pub fn new(most: usize) -> Room {
-        let (taken, most) = (AtomicUsize::new(0), AtomicUsize::new(most));
-        Room(Arc::new(Shared { taken, most }))
+impl MemoryBudget {
+    /// A budget of so many bytes.
+    pub fn new(limit: usize) -> MemoryBudget {
+        MemoryBudget(Arc::new(Counters {
+            used: AtomicUsize::new(0),
+            limit: AtomicUsize::new(limit),
+        }))
     }
 
-    pub fn bound(&self, most: usize) {
-        self.0.most.store(most, Ordering::Relaxed);
+    /// Changes the limit; what is reserved stays.
+    pub fn set_limit(&self, limit: usize) {
+        self.0.limit.store(limit, Ordering::Relaxed);
     }
 
-    pub fn most(&self) -> usize {
-        self.0.most.load(Ordering::Relaxed)
+    /// Bytes that may be reserved in all.
+    pub fn limit(&self) -> usize {
+        self.0.limit.load(Ordering::Relaxed)
     }
 
-    pub fn taken(&self) -> usize {
-        self.0.taken.load(Ordering::Relaxed)
+    /// Bytes that are reserved.
+    pub fn used(&self) -> usize {
+        self.0.used.load(Ordering::Relaxed)
     }
 
-    /// No part yet.
-    pub fn none(&self) -> Taken {
-        Taken {
-            room: self.clone(),
+    /// An empty reservation.
+    pub fn empty_reservation(&self) -> MemoryReservation {
+        MemoryReservation {
+            budget: self.clone(),
             bytes: 0,
         }
     }
 
-    pub fn take(&self, bytes: usize) -> Option<Taken> {
-        let mut taken = self.none();
-        taken.resize(bytes).then_some(taken)
+    /// A reservation of so many bytes; `None` if they are not left.
+    pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
+        let mut reservation = self.empty_reservation();
+        reservation.try_resize(bytes).then_some(reservation)
     }
 }
 
-impl Taken {
-    /// Makes the part this large. What is too much is not taken; less is always possible.
-    pub fn resize(&mut self, bytes: usize) -> bool {
+impl MemoryReservation {
+    /// Changes the size if the budget allows that, and returns whether it did. Shrinking always succeeds.
+    pub fn try_resize(&mut self, bytes: usize) -> bool {
         let before = self.bytes;
-        self.hold(bytes);
-        let fits = bytes <= before || self.room.taken() <= self.room.most();
+        self.force_resize(bytes);
+        let fits = bytes <= before || self.budget.used() <= self.budget.limit();
         if !fits {
-            self.hold(before);
+            self.force_resize(before);
         }
         fits
     }
 
-    /// Makes the part this large, also beyond what there may be: others find less then.
-    pub fn hold(&mut self, bytes: usize) {
-        let taken = &self.room.0.taken;
-        taken.fetch_add(bytes, Ordering::Relaxed);
-        taken.fetch_sub(self.bytes, Ordering::Relaxed);
+    /// Changes the size, also beyond the limit: others find less left then.
+    pub fn force_resize(&mut self, bytes: usize) {
+        let used = &self.budget.0.used;
+        used.fetch_add(bytes, Ordering::Relaxed);
+        used.fetch_sub(self.bytes, Ordering::Relaxed);
         self.bytes = bytes;
     }
 }
 
-impl Drop for Taken {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.hold(0);
+        self.force_resize(0);
     }
 }
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -7,7 +7,7 @@
 use asterlatch_driver::program::operators::{registry, InForce};
 use asterlatch_driver::program::phases::{Phase, Phases, Seen, Times};
 use asterlatch_driver::routing::limits::{Limits, Part};
-use asterlatch_driver::transport::Stacks;
+use asterlatch_driver::transport::coroutines::CoroutineStacks;
 use asterlatch_handover::{predecessor, successor};
 
 fn at(ms: u64) -> Timestamp {
@@ -115,7 +115,10 @@
 fn the_settings_defaults_are_the_figures_of_the_service() {
     let force = InForce::of(&Meaning::default_of(registry()));
     assert_eq!(force.limits, Limits::default());
-    assert_eq!((force.times, force.stacks), (Times::default(), Stacks::default()));
+    assert_eq!(
+        (force.times, force.stacks),
+        (Times::default(), CoroutineStacks::default())
+    );
     assert_eq!(
         force.takeover,
         (predecessor::Times::default(), successor::Times::default())
--- a/crates/driver/tests/protocol.rs
+++ b/crates/driver/tests/protocol.rs
@@ -9,8 +9,8 @@
 use asterlatch_driver::protocol::roster::{self, Status};
 use asterlatch_driver::protocol::session::{self, Final, Say, Session};
 use asterlatch_driver::protocol::{vitals, watch};
-use asterlatch_driver::transport::connection::{Dialogue, Outbox};
-use asterlatch_driver::transport::memory_budget::Room;
+use asterlatch_driver::transport::connection::{ConnectionHandler, ConnectionOutput};
+use asterlatch_driver::transport::memory_budget::MemoryBudget;
 
 /// The longest messages and values that any driver takes.
 const QUERY: usize = 135_168;
@@ -30,29 +30,29 @@
 
 /// A client's connection, and room for so many bytes of statements.
 fn session(room: usize) -> Session {
-    Session::new(1, Room::new(room))
+    Session::new(1, MemoryBudget::new(room))
 }
 
 /// Statements that wait fill no more than their part of the memory; what comes beyond is told so at once.
 #[test]
 fn statements_fill_no_more_than_their_room() {
-    let (room, mut input) = (Room::new(20), Vec::new());
-    let mut sessions = [1, 2, 3].map(|n| (Session::new(n, room.clone()), Outbox::default()));
+    let (room, mut input) = (MemoryBudget::new(20), Vec::new());
+    let mut sessions = [1, 2, 3].map(|n| (Session::new(n, room.clone()), ConnectionOutput::default()));
     for (n, (session, out)) in sessions.iter_mut().enumerate() {
         input.extend([greeted(), query("SELECT 1")].concat());
-        session.heard(&mut input, AT, out);
+        session.on_input(&mut input, AT, out);
         let (news, said) = [("stmt(SELECT 1)", ""), ("no room", " E53300 Z")][n / 2];
-        assert_eq!(client_news(&out.notices), format!("idle {news}"));
+        assert_eq!(client_news(&out.events), format!("idle {news}"));
         assert_eq!(spoken(&out.bytes), format!("{WELCOME}{said}"));
     }
-    assert_eq!(room.taken(), 16);
+    assert_eq!(room.used(), 16);
     drop(sessions);
-    assert_eq!(room.taken(), 0, "given back with the statement");
+    assert_eq!(room.used(), 0, "given back with the statement");
     // An answer that was begun is held whatever it takes, and statements find no room meanwhile.
-    let mut unwritten = room.none();
-    unwritten.hold(50);
-    assert!(room.taken() == 50 && session::Text::new("SELECT 1", &room).is_none());
-    assert!(unwritten.resize(9) && session::Text::new("SELECT 1", &room).is_some());
+    let mut unwritten = room.empty_reservation();
+    unwritten.force_resize(50);
+    assert!(room.used() == 50 && session::Text::new("SELECT 1", &room).is_none());
+    assert!(unwritten.try_resize(9) && session::Text::new("SELECT 1", &room).is_some());
 }
 
 /// What is begun and not ended: said once a message, and ended with a word; who has asked before and begun nothing goes
@@ -74,11 +74,11 @@
         ("a statement that is out", after(&query("SELECT 1")), "idle stmt(SELECT 1)", "out"),
     ];
     for (name, bytes, news, said) in cases {
-        let (mut session, mut out) = (session(1 << 20), Outbox::default());
+        let (mut session, mut out) = (session(1 << 20), ConnectionOutput::default());
         hear(&mut session, &bytes, bytes.len().max(1), &mut out);
-        assert_eq!(client_news(&out.notices), news, "{name}");
+        assert_eq!(client_news(&out.events), news, "{name}");
         out.bytes.clear();
-        session.told(Say::TimeUp, AT, &mut out);
+        session.on_command(Say::TimeUp, AT, &mut out);
         match said {
             "out" => assert!(out.bytes.is_empty() && !out.close, "{name}"),
             _ => assert_eq!((&spoken(&out.bytes)[..], out.close), (said, true), "{name}"),
@@ -87,27 +87,30 @@
     // Told to leave in the middle of a message: that is taken and answered first.
     let (mut session, mut out, mut input) = (
         session(1 << 20),
-        Outbox::default(),
+        ConnectionOutput::default(),
         after(&half(&query("SELECT 1"))),
     );
-    session.heard(&mut input, AT, &mut out);
-    session.told(Say::Leave, AT, &mut out);
-    session.heard(&mut input, AT, &mut out);
+    session.on_input(&mut input, AT, &mut out);
+    session.on_command(Say::Leave, AT, &mut out);
+    session.on_input(&mut input, AT, &mut out);
     assert!(!out.close);
     input.extend(&query("SELECT 1")[query("SELECT 1").len() / 2..]);
-    session.heard(&mut input, AT, &mut out);
-    assert_eq!(client_news(&out.notices), "idle writing stmt(SELECT 1)");
-    session.told(Say::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
+    session.on_input(&mut input, AT, &mut out);
+    assert_eq!(client_news(&out.events), "idle writing stmt(SELECT 1)");
+    session.on_command(Say::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
     assert_eq!(leaves(&mut session, &mut input, &mut out), "", "it has asked");
     // Told to leave in the middle of one that it doesn't end.
-    let (mut session, mut out) = (Session::new(1, Room::new(1 << 20)), Outbox::default());
+    let (mut session, mut out) = (
+        Session::new(1, MemoryBudget::new(1 << 20)),
+        ConnectionOutput::default(),
+    );
     input.extend(after(&half(&query("SELECT 1"))));
-    session.heard(&mut input, AT, &mut out);
+    session.on_input(&mut input, AT, &mut out);
     out.bytes.clear();
-    session.told(Say::Leave, AT, &mut out);
-    session.caught_up(&mut out);
+    session.on_command(Say::Leave, AT, &mut out);
+    session.on_all_read(&mut out);
     assert!(!out.close && out.bytes.is_empty());
-    session.told(Say::TimeUp, AT, &mut out);
+    session.on_command(Say::TimeUp, AT, &mut out);
     assert_eq!(
         (&spoken(&out.bytes)[..], out.close),
         ("E57P03", true),
@@ -115,41 +118,47 @@
     );
     input.clear();
     // Told to leave with statements behind the one that is out: they have come, so all are answered.
-    let (mut session, mut out) = (Session::new(1, Room::new(1 << 20)), Outbox::default());
+    let (mut session, mut out) = (
+        Session::new(1, MemoryBudget::new(1 << 20)),
+        ConnectionOutput::default(),
+    );
     input.extend(after(&[query("a"), query("b"), query("c")].concat()));
-    session.heard(&mut input, AT, &mut out);
-    session.told(Say::Leave, AT, &mut out);
+    session.on_input(&mut input, AT, &mut out);
+    session.on_command(Say::Leave, AT, &mut out);
     for n in 0..3 {
         assert!(!out.close, "{n}");
-        session.told(Say::Answer(n, Final::Rows(Vec::new())), AT, &mut out);
-        session.heard(&mut input, AT, &mut out);
+        session.on_command(Say::Answer(n, Final::Rows(Vec::new())), AT, &mut out);
+        session.on_input(&mut input, AT, &mut out);
     }
     assert_eq!(leaves(&mut session, &mut input, &mut out), "");
-    assert_eq!(client_news(&out.notices), "idle stmt(a) stmt(b) stmt(c) idle");
+    assert_eq!(client_news(&out.events), "idle stmt(a) stmt(b) stmt(c) idle");
     // Told to leave while a statement lies at the socket: it came to a connection that stood, and is answered.
-    let (mut session, mut out) = (Session::new(1, Room::new(1 << 20)), Outbox::default());
+    let (mut session, mut out) = (
+        Session::new(1, MemoryBudget::new(1 << 20)),
+        ConnectionOutput::default(),
+    );
     input.extend(greeted());
-    session.heard(&mut input, AT, &mut out);
-    session.told(Say::Leave, AT, &mut out);
-    assert!(out.look && !out.close, "one more look");
+    session.on_input(&mut input, AT, &mut out);
+    session.on_command(Say::Leave, AT, &mut out);
+    assert!(out.read_again && !out.close, "one more look");
     input.extend(query("a"));
-    session.heard(&mut input, AT, &mut out);
-    session.caught_up(&mut out);
+    session.on_input(&mut input, AT, &mut out);
+    session.on_all_read(&mut out);
     assert!(!out.close);
-    assert_eq!(client_news(&out.notices), "idle stmt(a)");
-    session.told(Say::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
+    assert_eq!(client_news(&out.events), "idle stmt(a)");
+    session.on_command(Say::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
     assert_eq!(leaves(&mut session, &mut input, &mut out), "");
 }
 
 /// It looks once more at its socket, finds nothing, and ends; says with what word.
-fn leaves(session: &mut Session, input: &mut Vec<u8>, out: &mut Outbox<session::Heard>) -> String {
-    session.heard(input, AT, out);
+fn leaves(session: &mut Session, input: &mut Vec<u8>, out: &mut ConnectionOutput<session::Heard>) -> String {
+    session.on_input(input, AT, out);
     assert!(
-        std::mem::take(&mut out.look) && !out.close,
+        std::mem::take(&mut out.read_again) && !out.close,
         "not before it has looked"
     );
     out.bytes.clear();
-    session.caught_up(out);
+    session.on_all_read(out);
     assert!(out.close);
     spoken(&out.bytes)
 }
@@ -208,11 +217,16 @@
 }
 
 /// Gives the dialogue all at once, or byte by byte.
-fn hear<D: Dialogue>(dialogue: &mut D, bytes: &[u8], pieces: usize, out: &mut Outbox<D::Notice>) {
+fn hear<D: ConnectionHandler>(
+    dialogue: &mut D,
+    bytes: &[u8],
+    pieces: usize,
+    out: &mut ConnectionOutput<D::Event>,
+) {
     let mut input = Vec::new();
     for piece in bytes.chunks(pieces) {
         input.extend(piece);
-        dialogue.heard(&mut input, AT, out);
+        dialogue.on_input(&mut input, AT, out);
     }
 }
 
@@ -251,11 +265,11 @@
     ];
     for (name, bytes, said, news, close) in &cases {
         for pieces in [bytes.len(), 1] {
-            let (mut session, mut out) = (session(1 << 20), Outbox::default());
+            let (mut session, mut out) = (session(1 << 20), ConnectionOutput::default());
             hear(&mut session, bytes, pieces, &mut out);
             assert_eq!(&spoken(&out.bytes), said, "{name}");
             // How often it was in the middle of a message depends on the pieces.
-            let told = client_news(&out.notices).replace(" writing", "");
+            let told = client_news(&out.events).replace(" writing", "");
             let told = told
                 .replacen("idle", "first", 1)
                 .replace(" idle", "")
@@ -267,9 +281,9 @@
 
 #[test]
 fn a_statement_gets_one_answer_and_order_is_kept() {
-    let (mut session, mut out, mut input) = (session(1 << 20), Outbox::default(), Vec::new());
+    let (mut session, mut out, mut input) = (session(1 << 20), ConnectionOutput::default(), Vec::new());
     input.extend([greeted(), query("a"), query("b"), query("c")].concat());
-    session.heard(&mut input, AT, &mut out);
+    session.on_input(&mut input, AT, &mut out);
     out.bytes.clear();
     let hold = Final::Error {
         code: "53300",
@@ -295,9 +309,9 @@
         (Say::TurnAway, "", true),
     ];
     for (n, (say, said, close)) in steps.into_iter().enumerate() {
-        session.told(say, AT, &mut out);
-        session.heard(&mut input, AT, &mut out);
-        session.caught_up(&mut out);
+        session.on_command(say, AT, &mut out);
+        session.on_input(&mut input, AT, &mut out);
+        session.on_all_read(&mut out);
         if n == 1 {
             assert!(
                 out.bytes.starts_with(&rows),
@@ -307,30 +321,30 @@
         assert_eq!((&spoken(&out.bytes)[..], out.close), (said, close), "step {n}");
         out.bytes.clear();
     }
-    assert_eq!(client_news(&out.notices), "idle stmt(a) stmt(b) stmt(c) idle");
+    assert_eq!(client_news(&out.events), "idle stmt(a) stmt(b) stmt(c) idle");
 }
 
 /// Hundreds of statements at once fill no tables: so many are open together, the others wait unread, and those that
 /// need no member keep their place in the order.
 #[test]
 fn a_row_is_bounded_and_answered_in_order() {
-    let (mut session, mut out, mut input) = (session(1 << 20), Outbox::default(), Vec::new());
+    let (mut session, mut out, mut input) = (session(1 << 20), ConnectionOutput::default(), Vec::new());
     input.extend([greeted(), query("a"), query(""), query("b").repeat(300)].concat());
-    session.heard(&mut input, AT, &mut out);
+    session.on_input(&mut input, AT, &mut out);
     let open = out
-        .notices
+        .events
         .iter()
         .filter(|n| matches!(n, session::Heard::Statement { .. }))
         .count();
-    assert!(open < 20 && !session.hungry(20_000), "{open}");
+    assert!(open < 20 && !session.wants_input(20_000), "{open}");
     out.bytes.clear();
-    session.told(Say::Answer(2, Final::Rows(Vec::new())), AT, &mut out);
+    session.on_command(Say::Answer(2, Final::Rows(Vec::new())), AT, &mut out);
     assert!(out.bytes.is_empty(), "those before it have no answer");
-    session.told(Say::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
+    session.on_command(Say::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
     assert_eq!(spoken(&out.bytes), "Z I Z Z");
     for number in (1..600).filter(|n| *n != 2) {
-        session.heard(&mut input, AT, &mut out);
-        session.told(Say::Answer(number, Final::Rows(Vec::new())), AT, &mut out);
+        session.on_input(&mut input, AT, &mut out);
+        session.on_command(Say::Answer(number, Final::Rows(Vec::new())), AT, &mut out);
     }
     assert_eq!(spoken(&out.bytes).matches('Z').count(), 302);
 }
@@ -343,13 +357,13 @@
         ([greeted(), query("")].concat(), Say::Leave, ""),
         (Vec::new(), Say::TurnAway, "E53300"),
     ] {
-        let (mut session, mut out) = (session(1 << 20), Outbox::default());
+        let (mut session, mut out) = (session(1 << 20), ConnectionOutput::default());
         hear(&mut session, &before, 1000, &mut out);
         out.bytes.clear();
-        session.told(say, AT, &mut out);
-        session.caught_up(&mut out);
+        session.on_command(say, AT, &mut out);
+        session.on_all_read(&mut out);
         assert_eq!((&spoken(&out.bytes)[..], out.close), (said, true));
-        assert!(!session.hungry(0));
+        assert!(!session.wants_input(0));
     }
 }
 
@@ -461,7 +475,7 @@
             let (mut member, mut out) = greeted_member();
             hear(&mut member, bytes, pieces, &mut out);
             assert_eq!(
-                (member_news(&out.notices), out.close),
+                (member_news(&out.events), out.close),
                 (vec![(*news).to_owned()], *close),
                 "{name}"
             );
@@ -472,7 +486,7 @@
     let Some(execution::Heard::Replied {
         reply: Reply::Rows(rows),
         ..
-    }) = out.notices.pop()
+    }) = out.events.pop()
     else {
         panic!("the largest value is an answer");
     };
@@ -480,17 +494,17 @@
 }
 
 /// A connection whose query has gone out.
-fn greeted_member() -> (Executions, Outbox<execution::Heard>) {
+fn greeted_member() -> (Executions, ConnectionOutput<execution::Heard>) {
     let mut member = Executions::new(1, QUERY);
     let out = greet(&mut member);
     (member, out)
 }
 
-fn greet(member: &mut Executions) -> Outbox<execution::Heard> {
-    let mut out = Outbox::default();
-    member.opened(&mut out);
-    member.told(Run::Query(query("q")), AT, &mut out);
-    member.written(&mut out);
+fn greet(member: &mut Executions) -> ConnectionOutput<execution::Heard> {
+    let mut out = ConnectionOutput::default();
+    member.on_open(&mut out);
+    member.on_command(Run::Query(query("q")), AT, &mut out);
+    member.on_written(&mut out);
     let greeting = [
         message(b'R', &[0; 4]),
         status("rank", "copy"),
@@ -498,9 +512,9 @@
     ]
     .concat();
     hear(member, &greeting, 7, &mut out);
-    member.written(&mut out);
-    assert_eq!(member_news(&out.notices), ["up"]);
-    Outbox::default()
+    member.on_written(&mut out);
+    assert_eq!(member_news(&out.events), ["up"]);
+    ConnectionOutput::default()
 }
 
 #[test]
@@ -523,26 +537,26 @@
         ("while idle", vec![greeting.clone(), row, ready], 2, vec!["up", "rows(v)", "unwritten"]),
     ];
     for (name, came, written, told) in cases {
-        let (mut member, mut out) = (Executions::new(1, QUERY), Outbox::default());
-        member.told(Run::Query(query("q")), AT, &mut out);
-        member.opened(&mut out);
+        let (mut member, mut out) = (Executions::new(1, QUERY), ConnectionOutput::default());
+        member.on_command(Run::Query(query("q")), AT, &mut out);
+        member.on_open(&mut out);
         let mut left = written;
         for bytes in &came {
             if left > 0 {
-                member.written(&mut out);
+                member.on_written(&mut out);
                 left -= 1;
             }
             hear(&mut member, bytes, bytes.len(), &mut out);
         }
-        (0..left).for_each(|_| member.written(&mut out));
+        (0..left).for_each(|_| member.on_written(&mut out));
         // A greeting that is no welcome is not waited on.
         assert_eq!(
             out.close,
             name.contains("turned away") || name.contains("password"),
             "{name}"
         );
-        member.ended(AT, &mut out);
-        assert_eq!(member_news(&out.notices), told, "{name}");
+        member.on_closed(AT, &mut out);
+        assert_eq!(member_news(&out.events), told, "{name}");
     }
 }
 
@@ -624,7 +638,7 @@
         let mut member = Executions::new(1, messages::bound(room));
         let mut out = greet(&mut member);
         hear(&mut member, &answer, 10_000, &mut out);
-        assert!(member_news(&out.notices)[0].starts_with(news), "{room}");
+        assert!(member_news(&out.events)[0].starts_with(news), "{room}");
     }
 }
 
@@ -734,7 +748,7 @@
 fn a_watch_goes_on_in_the_turn_in_which_it_was_answered() {
     let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let list = |index: u32| answer(&format!(r#"{{"index":{index},"snapshot":true,"endpoints":[]}}"#));
-    let path = |out: &Outbox<watch::News>| {
+    let path = |out: &ConnectionOutput<watch::News>| {
         let text = String::from_utf8_lossy(&out.bytes).into_owned();
         text.split(' ').nth(1).unwrap_or_default().to_owned()
     };
@@ -744,9 +758,9 @@
     ] {
         let (mut calls, mut out) = (
             watch::Watch::new(3, "h".to_owned(), 500, known),
-            Outbox::default(),
+            ConnectionOutput::default(),
         );
-        calls.opened(&mut out);
+        calls.on_open(&mut out);
         assert_eq!(path(&out), first);
         for index in [8, 9] {
             out.bytes.clear();
@@ -756,7 +770,7 @@
                 format!("/registry/instances?after={index}&wait_ms=500")
             );
             assert!(
-                matches!(out.notices.pop(), Some(watch::News { call: 3, heard: watch::Heard::Told(r) }) if r.index == u64::from(index))
+                matches!(out.events.pop(), Some(watch::News { call: 3, heard: watch::Heard::Told(r) }) if r.index == u64::from(index))
             );
         }
         // Discovery began anew, with changes that came after nothing known here; in the end with the whole list.
@@ -765,7 +779,7 @@
         hear(&mut calls, change.as_bytes(), 11, &mut out);
         assert_eq!(path(&out), "/registry/instances");
         assert!(matches!(
-            out.notices.pop(),
+            out.events.pop(),
             Some(watch::News {
                 heard: watch::Heard::Older,
                 ..
@@ -773,11 +787,11 @@
         ));
         hear(&mut calls, list(2).as_bytes(), 11, &mut out);
         assert!(
-            matches!(out.notices.pop(), Some(watch::News { heard: watch::Heard::Told(r), .. }) if r.whole)
+            matches!(out.events.pop(), Some(watch::News { heard: watch::Heard::Told(r), .. }) if r.whole)
         );
         hear(&mut calls, answer("{}").as_bytes(), 11, &mut out);
         assert!(matches!(
-            out.notices.pop(),
+            out.events.pop(),
             Some(watch::News {
                 call: 3,
                 heard: watch::Heard::Unreadable
@@ -813,22 +827,22 @@
         ),
     ] {
         let mut call = watch::Watch::new(3, "h".to_owned(), 500, Some(7));
-        let (mut out, mut input) = (Outbox::default(), Vec::new());
-        call.opened(&mut out);
+        let (mut out, mut input) = (ConnectionOutput::default(), Vec::new());
+        call.on_open(&mut out);
         assert!(
-            call.hungry(1 << 20) && !call.hungry(16 << 20),
+            call.wants_input(1 << 20) && !call.wants_input(16 << 20),
             "one that never ends fills no memory"
         );
         for byte in bytes.bytes() {
             input.push(byte);
-            call.heard(&mut input, AT, &mut out);
+            call.on_input(&mut input, AT, &mut out);
         }
-        assert!(out.notices.is_empty(), "{status}: not before its end");
+        assert!(out.events.is_empty(), "{status}: not before its end");
         if ended {
-            call.peer_ended(&input, &mut out);
+            call.on_peer_closed(&input, &mut out);
         }
-        call.ended(AT, &mut out);
-        let words = out.notices.iter().map(|n| match &n.heard {
+        call.on_closed(AT, &mut out);
+        let words = out.events.iter().map(|n| match &n.heard {
             watch::Heard::Told(list) => list.index.to_string(),
             watch::Heard::Older => "older".to_owned(),
             watch::Heard::Unreadable => "unreadable".to_owned(),
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -11,11 +11,11 @@
 use asterlatch_driver::routing::limits::Limits;
 use asterlatch_driver::routing::owner::{Given, Observer, Owner, Place};
 use asterlatch_driver::routing::queue::Input;
-use asterlatch_driver::transport::connection::Line;
-use asterlatch_driver::transport::connection_pool::Pool;
-use asterlatch_driver::transport::idle_lifetime::Ages;
-use asterlatch_driver::transport::listener::Arrival;
-use asterlatch_driver::transport::memory_budget::Room;
+use asterlatch_driver::transport::connection::ConnectionHandle;
+use asterlatch_driver::transport::connection_pool::{ConnectionPool, IdleConnection};
+use asterlatch_driver::transport::idle_lifetime::IdleLifetimeEstimator;
+use asterlatch_driver::transport::listener::AcceptEvent;
+use asterlatch_driver::transport::memory_budget::MemoryBudget;
 use asterlatch_settings::{read, Pairs};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -54,7 +54,7 @@
     up: BTreeSet<u32>,
     asked: u32,
     /// For what clients send.
-    room: Room,
+    room: MemoryBudget,
     /// The error with which the next dial fails.
     fault: Rc<RefCell<Option<i32>>>,
 }
@@ -125,13 +125,13 @@
                 None => {
                     let (sender, told) = channel();
                     d.borrow_mut().insert(id, (address.to_string(), told));
-                    Ok(Line::to(sender))
+                    Ok(ConnectionHandle::to_channel(sender))
                 }
             }),
             discovery: Box::new(move |call| {
                 let (sender, told) = channel();
                 c.borrow_mut().push((call, told));
-                Ok(Line::to(sender))
+                Ok(ConnectionHandle::to_channel(sender))
             }),
             adopt: Box::new(|_, _, _| Err(io::Error::other("nobody comes"))),
             adopt_connection: Box::new(|_, _| Err(io::Error::other("nobody comes"))),
@@ -211,8 +211,10 @@
     fn client(&mut self, id: u32) {
         let (sender, told) = channel();
         self.clients.insert(id, told);
-        self.owner
-            .take(self.now, Input::Arrival(Arrival::Client(id, Line::to(sender))));
+        self.owner.take(
+            self.now,
+            Input::Arrival(AcceptEvent::Client(id, ConnectionHandle::to_channel(sender))),
+        );
     }
 
     fn asks(&mut self, client: u32, fields: &str) {
@@ -962,10 +964,10 @@
         (30, 40, false),
         (40, 0, false),
     ] {
-        let mut ages = Ages::default();
+        let mut ages = IdleLifetimeEstimator::default();
         for n in 0..100 {
-            ages.note(START, hardly, n < young);
-            ages.note(START, long, n < old);
+            ages.record(START, hardly, n < young);
+            ages.record(START, long, n < old);
         }
         let limit = ages.limit();
         assert_eq!(
@@ -974,25 +976,28 @@
             "{young} {old}"
         );
         // Not for ever: it is tried again when what was seen is old.
-        ages.note(START + TimeSpan::millis(30_000), hardly, false);
+        ages.record(START + TimeSpan::millis(30_000), hardly, false);
         assert_eq!(ages.limit(), None);
     }
-    let mut pool = Pool::default();
+    let mut pool = ConnectionPool::default();
     let (address, line) = (PRIMARY.parse().expect("is an address"), || {
-        Line::to(channel::<Run>().0)
+        ConnectionHandle::to_channel(channel::<Run>().0)
     });
     for (id, since) in [(1, 0), (2, 100), (3, 200)] {
         pool.add(id, 7, address, line());
-        pool.give_back(id, START + TimeSpan::millis(since));
+        pool.release(id, START + TimeSpan::millis(since));
     }
     let at = |ms| START + TimeSpan::millis(ms);
     assert_eq!(
-        pool.take(7, address, at(150)),
-        Some((3, at(200))),
+        pool.take_idle(7, address, at(150)),
+        Some(IdleConnection {
+            since: at(200),
+            id: 3
+        }),
         "the one used last"
     );
     assert_eq!(
-        (pool.take(7, address, at(150)), pool.count()),
+        (pool.take_idle(7, address, at(150)), pool.count()),
         (None, 1),
         "older ones are let go"
     );
@@ -1067,7 +1072,7 @@
     s.reply(connection, rows("v"), Some(false));
     assert_eq!(s.told(1), "rows(v)");
     // A quarter of the memory is for what clients send, and what they have sent is given back with its answer.
-    assert_eq!(s.room.taken(), 0);
+    assert_eq!(s.room.used(), 0);
     let memory = 400;
     s.owner.give(
         s.now,
--- a/crates/driver/tests/transport.rs
+++ b/crates/driver/tests/transport.rs
@@ -2,9 +2,11 @@
 
 use asterlatch::time::Timestamp;
 use asterlatch_driver::transport::clock::Clock;
-use asterlatch_driver::transport::connection::{dial, hold, Dialogue, Line, Outbox};
-use asterlatch_driver::transport::memory_budget::Room;
-use asterlatch_driver::transport::{start, Stacks};
+use asterlatch_driver::transport::connection::{
+    dial, resume_owned, ConnectionHandle, ConnectionHandler, ConnectionOutput,
+};
+use asterlatch_driver::transport::coroutines::{start, CoroutineStacks};
+use asterlatch_driver::transport::memory_budget::MemoryBudget;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::channel;
@@ -13,28 +15,28 @@
 /// Tells its number with the first byte that comes, and whether small writes leave at once.
 struct First(u32, bool);
 
-impl Dialogue for First {
+impl ConnectionHandler for First {
     type Command = ();
-    type Notice = (u32, bool);
-    fn stands(&mut self, stream: &TcpStream) {
+    type Event = (u32, bool);
+    fn on_socket(&mut self, stream: &TcpStream) {
         self.1 = stream.nodelay().is_ok_and(|set| set);
     }
-    fn heard(&mut self, input: &mut Vec<u8>, _at: Timestamp, out: &mut Outbox<(u32, bool)>) {
+    fn on_input(&mut self, input: &mut Vec<u8>, _at: Timestamp, out: &mut ConnectionOutput<(u32, bool)>) {
         input.clear();
-        out.notices.push((self.0, self.1));
+        out.events.push((self.0, self.1));
     }
-    fn told(&mut self, _command: (), _at: Timestamp, _out: &mut Outbox<(u32, bool)>) {}
-    fn ended(&mut self, _at: Timestamp, _out: &mut Outbox<(u32, bool)>) {}
-    fn hungry(&self, _unused: usize) -> bool {
+    fn on_command(&mut self, _command: (), _at: Timestamp, _out: &mut ConnectionOutput<(u32, bool)>) {}
+    fn on_closed(&mut self, _at: Timestamp, _out: &mut ConnectionOutput<(u32, bool)>) {}
+    fn wants_input(&self, _unused: usize) -> bool {
         true
     }
 }
 
 /// The number of a socket that is being closed may be given to one that is opened on another thread. Without
-/// `transport::numbers` some of these connections are never heard of again.
+/// `transport::event_registration::lock` some of these connections are never heard of again.
 #[test]
 fn sockets_opened_while_others_are_closed_are_heard_of() {
-    start(Stacks::default());
+    start(CoroutineStacks::default());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("is bound");
     std::thread::spawn(move || {
@@ -43,8 +45,8 @@
         }
     });
     let (queue, heard) = channel::<(u32, bool)>();
-    let (clock, room) = (Clock::start(), Room::new(1 << 20));
-    let mut lines: Vec<Line<()>> = Vec::new();
+    let (clock, room) = (Clock::start(), MemoryBudget::new(1 << 20));
+    let mut lines: Vec<ConnectionHandle<()>> = Vec::new();
     for number in 0..6000 {
         lines.push(dial(address, First(number, false), &queue, (clock, &room)).expect("is opened"));
         let told = heard.recv_timeout(Duration::from_secs(5));
@@ -57,18 +59,18 @@
 /// What the system held back would go down with a reset behind it.
 #[test]
 fn no_socket_holds_small_writes_back() {
-    start(Stacks::default());
+    start(CoroutineStacks::default());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("is bound");
     let (queue, heard) = channel::<(u32, bool)>();
-    let place = (Clock::start(), &Room::new(1 << 20));
+    let place = (Clock::start(), &MemoryBudget::new(1 << 20));
     let dialled = dial(address, First(1, false), &queue, place).expect("is opened");
     let (mut peer, _) = listener.accept().expect("came");
     peer.write_all(b"x").expect("is written");
     assert_eq!(heard.recv_timeout(Duration::from_secs(30)), Ok((1, true)));
     let mut peer = TcpStream::connect(address).expect("listens");
     let (accepted, _) = listener.accept().expect("came");
-    let held = hold(accepted, true, First(2, false), &queue, place, Vec::new());
+    let held = resume_owned(accepted, true, First(2, false), &queue, place, Vec::new());
     peer.write_all(b"x").expect("is written");
     assert_eq!(heard.recv_timeout(Duration::from_secs(30)), Ok((2, true)));
     drop((dialled, held));
