--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::comment::hashed;
 use crate::protocol::roster::{self, Roster};
-use crate::routing::owner::Given;
+use crate::routing::event_loop::Given;
 use asterlatch::interface::Settings;
 use asterlatch_settings::{Decoding, Pairs};
 use serde_json::Value;
--- a/crates/driver/src/program/counters.rs
+++ b/crates/driver/src/program/counters.rs
@@ -1,6 +1,6 @@
 //! The counters as one line.
 
-use crate::routing::figures::Figures;
+use crate::routing::metrics::Figures;
 
 pub fn line(figures: &Figures) -> String {
     let pairs: Vec<_> = figures
--- a/crates/driver/src/program/kept.rs
+++ b/crates/driver/src/program/kept.rs
@@ -1,6 +1,6 @@
 //! Copies of the connections of clients that another process serves on probation, with the ledger of what it does.
 
-use crate::routing::owner::Moved;
+use crate::routing::event_loop::Moved;
 use crate::transport::witness::{counts, has_given_up};
 use asterlatch_handover::codec::{Came, Reader};
 use asterlatch_handover::io_journal::{Back, Broken, Counts, Key, Ledger, Record};
--- a/crates/driver/src/program/log.rs
+++ b/crates/driver/src/program/log.rs
@@ -1,7 +1,7 @@
 //! The log: lines on standard error, so many a topic and second, with a count of those left out. `tracing` carries
 //! them; what a line looks like is decided here, once for the process.
 
-use crate::routing::owner::Observer;
+use crate::routing::event_loop::Observer;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::fmt::{self, Arguments, Write};
--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -4,9 +4,9 @@
 use super::config::Config;
 use super::log::{log, Log};
 use super::phases::{Phases, Times};
+use crate::routing::event_loop::Owner;
+use crate::routing::events::{Input, Notice};
 use crate::routing::limits::{Limits, Part, WorkloadLimits};
-use crate::routing::owner::Owner;
-use crate::routing::queue::{Input, Notice};
 use crate::transport::Stacks;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::generations::{Difference, Effect, Generation, Generations, Read, Told};
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -4,8 +4,8 @@
 use super::keeping::{self, Job};
 use crate::program::config::Config;
 use crate::program::operators::registry;
-use crate::routing::queue::Input as OwnersInput;
-use crate::routing::sharing::{News, Sharing, Terms, Word};
+use crate::routing::events::Input as OwnersInput;
+use crate::routing::gossip::{News, Sharing, Terms, Word};
 use crate::transport::clock::Clock;
 use crate::transport::datagrams::{Came, Datagrams, Waker};
 use asterlatch::time::{TimeSpan, Timestamp};
--- a/crates/driver/src/program/signals.rs
+++ b/crates/driver/src/program/signals.rs
@@ -1,7 +1,7 @@
 //! Signals become notices in the owner's queue: SIGTERM and SIGINT to leave, SIGUSR1 for the
 //! counters, SIGHUP to read the configuration again, SIGUSR2 for a new process to take over.
 
-use crate::routing::queue::{Input, Notice};
+use crate::routing::events::{Input, Notice};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1, SIGUSR2};
 use signal_hook::iterator::Signals;
 use std::io;
--- a/crates/driver/src/program/upgrade/control.rs
+++ b/crates/driver/src/program/upgrade/control.rs
@@ -1,7 +1,7 @@
 //! The socket at which upgrades and the fleet's state are asked for.
 
 use crate::program::sharing::{Line, Show, What};
-use crate::routing::queue::{Input, Notice};
+use crate::routing::events::{Input, Notice};
 use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::{UnixListener, UnixStream};
--- a/crates/driver/src/program/upgrade/handover.rs
+++ b/crates/driver/src/program/upgrade/handover.rs
@@ -1,8 +1,8 @@
 //! What goes from one process to the next: what was learned, and by which clock.
 
 use crate::program::log::Log;
-use crate::routing::owner::Owner;
-use crate::routing::tables::Members;
+use crate::routing::event_loop::Owner;
+use crate::routing::members::Members;
 use crate::transport::clock::Clock;
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -6,7 +6,7 @@
 pub mod old;
 
 use super::log::Log;
-use crate::routing::owner::Owner;
+use crate::routing::event_loop::Owner;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::{Joint, Word};
 use asterlatch_handover::message::Message;
--- a/crates/driver/src/routing/owner/turns.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -1,8 +1,8 @@
 //! Turns among drivers, and what they know of a member together.
 
 use super::{Observer, Owner};
-use crate::routing::sharing::Word;
-use crate::routing::tables;
+use crate::routing::gossip::Word;
+use crate::routing::members;
 use asterlatch::fleet_share;
 use asterlatch::interface::MemberUpdate;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -12,11 +12,11 @@
     /// The drivers that are there by now, and how many count.
     pub(super) fn count_peers(&mut self, now: Timestamp) {
         let Some(sharing) = &mut self.sharing else { return };
-        let keys = sharing.there.iter().map(|p| tables::key(&sharing.names[*p]));
+        let keys = sharing.there.iter().map(|p| members::key(&sharing.names[*p]));
         let others: BTreeSet<u64> = keys.collect();
         let count = sharing.turns.there(now, &others);
         self.module
-            .set_fleet_drivers(tables::key(&sharing.own_name), &others, count);
+            .set_fleet_drivers(members::key(&sharing.own_name), &others, count);
     }
 
     /// Whether this driver asks a member itself that its module wants asked, or leaves that to whose turn it is.
@@ -109,7 +109,7 @@
             sharing
                 .turns
                 .silence
-                .late(member, tables::key(driver), sent, said);
+                .late(member, members::key(driver), sent, said);
         }
     }
 }
--- a/crates/driver/src/routing/owner/sending.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -3,7 +3,7 @@
 
 use super::{Observer, Owner};
 use crate::protocol::messages;
-use crate::routing::errands::{Errand, Kind, Start, Up};
+use crate::routing::member_requests::{Errand, Kind, Start, Up};
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::Record;
--- a/crates/driver/src/routing/owner/sharing.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -2,10 +2,10 @@
 
 use super::{Observer, Owner};
 use crate::protocol::vitals;
-use crate::routing::endings;
-use crate::routing::errands::Kind;
-use crate::routing::sharing::{sightings, News, Out, Parked, Sharing, Word};
-use crate::routing::tables;
+use crate::routing::execution_outcomes;
+use crate::routing::gossip::{sightings, News, Out, Parked, Sharing, Word};
+use crate::routing::member_requests::Kind;
+use crate::routing::members;
 use asterlatch::interface::*;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::codec::Question;
@@ -154,7 +154,7 @@
         );
         if let Some(name) = self.members.name(member).filter(|_| answered) {
             sharing.turns.silence.heard(name, now);
-            sharing.turns.sums.answered(now, tables::key(name));
+            sharing.turns.sums.answered(now, members::key(name));
         }
         let Kind::Execution { stmt, number } = kind else {
             return;
@@ -162,7 +162,7 @@
         let Some(out) = sharing.out.remove(&(stmt, number)) else {
             return;
         };
-        if out.harmful && endings::never_ran(ending) {
+        if out.harmful && execution_outcomes::never_ran(ending) {
             sharing.log.untouched(out.name);
         }
         if let (true, true, Some(position)) = (
@@ -311,7 +311,7 @@
         let results = self.module.on_statement_withdrawn(now, stmt);
         self.carry_out(now, results);
         let hold_off = TimeSpan(0);
-        let (_, told) = endings::of_answer(&Answer::Rejected {
+        let (_, told) = execution_outcomes::of_answer(&Answer::Rejected {
             statement: stmt,
             retry_after: hold_off,
         });
--- a/crates/driver/src/routing/owner/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -1,24 +1,24 @@
 //! Holds the module and all tables. Each input is taken to its end before the next one; nothing here waits.
 
-mod beside;
-mod sending;
-mod sharing;
-mod turns;
+mod coordination;
+mod dispatch;
+mod gossip;
+mod peer_process;
 
 use crate::protocol::comment::{self, Marked, Unreadable};
 use crate::protocol::roster::Roster;
 use crate::protocol::session::{Final, Say, Text};
 use crate::protocol::{execution, messages, session as client, vitals, watch};
-use crate::routing::calls::{self, Calls};
 use crate::routing::clients::{Clients, Room};
-use crate::routing::endings;
-use crate::routing::errands::{self, Errand, Errands, Kind};
-use crate::routing::figures::Figures;
+use crate::routing::discovery_requests::{self, Calls};
+use crate::routing::events::{Input, Notice};
+use crate::routing::execution_outcomes;
+use crate::routing::gossip::Sharing;
 use crate::routing::limits::{Limits, WorkloadLimits};
-use crate::routing::queue::{Input, Notice};
-use crate::routing::sharing::Sharing;
+use crate::routing::member_requests::{self, Errand, Errands, Kind};
+use crate::routing::members::{session, Members, Names};
+use crate::routing::metrics::Figures;
 use crate::routing::statements::Statements;
-use crate::routing::tables::{session, Members, Names};
 use crate::transport::clock::Clock;
 use crate::transport::listener::{Arrival, Listening};
 use crate::transport::room::Room as Memory;
@@ -46,8 +46,8 @@
 
 /// How connections to members and discovery are opened.
 pub struct Place {
-    pub members: errands::Dial,
-    pub discovery: calls::Dial,
+    pub members: member_requests::Dial,
+    pub discovery: discovery_requests::Dial,
     pub adopt: Adopt,
     pub adopt_connection: AdoptConnection,
     /// Writes down what goes out, where another process is to go on if this one dies.
@@ -592,7 +592,7 @@
             }
         }
         for answer in &results.answers {
-            let (stmt, told) = endings::of_answer(answer);
+            let (stmt, told) = execution_outcomes::of_answer(answer);
             let answered = u64::from(self.answer(stmt, told));
             match answer {
                 Answer::Rejected { .. } => self.figures.rejected += answered,
@@ -639,7 +639,7 @@
             self.shares_end(now, end.errand.kind, member, (ending, end.sighting));
             let results = match end.errand.kind {
                 Kind::Execution { stmt, number } => {
-                    endings::count(&mut self.figures, ending);
+                    execution_outcomes::count(&mut self.figures, ending);
                     let end = ExecutionEnd {
                         statement: stmt,
                         attempt: number,
@@ -690,7 +690,7 @@
                 };
                 // What may not go to the client has run all the same.
                 let ending = if may_go {
-                    endings::of_reply(&reply)
+                    execution_outcomes::of_reply(&reply)
                 } else {
                     ExecutionOutcome::Errored
                 };
@@ -724,7 +724,12 @@
                     return self.restart(now, errand);
                 }
                 self.errands.note_age(&errand, now, written);
-                self.end(errand, at, endings::of_loss(written), ReplicaStatus::default());
+                self.end(
+                    errand,
+                    at,
+                    execution_outcomes::of_loss(written),
+                    ReplicaStatus::default(),
+                );
             }
         }
     }
--- a/crates/driver/src/routing/owner/beside.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -4,8 +4,8 @@
 use super::{Learned, Moved, Observer, Owner, ADOPTED};
 use crate::protocol::session::Say;
 use crate::protocol::vitals;
-use crate::routing::endings;
-use crate::routing::tables::Members;
+use crate::routing::execution_outcomes;
+use crate::routing::members::Members;
 use crate::transport::listener::Arrival;
 use asterlatch::interface::{Answer, MemberUpdate, Settings};
 use asterlatch::policy;
@@ -157,7 +157,7 @@
             ),
         };
         *count += 1;
-        let (_, told) = endings::of_answer(&answer);
+        let (_, told) = execution_outcomes::of_answer(&answer);
         self.clients.say(client, Say::Answer(number, told));
         true
     }
--- a/crates/driver/src/routing/queue.rs
+++ b/crates/driver/src/routing/events.rs
@@ -24,7 +24,7 @@
     Discovery(u32, watch::Heard),
     Notice(Notice),
     /// What other drivers have told.
-    Peers(super::sharing::News),
+    Peers(super::gossip::News),
 }
 
 macro_rules! taken_in {
--- a/crates/driver/src/routing/endings.rs
+++ b/crates/driver/src/routing/execution_outcomes.rs
@@ -1,6 +1,6 @@
 //! Endings in the module's words, and its answers in the clients'.
 
-use super::figures::Figures;
+use super::metrics::Figures;
 use crate::protocol::execution::Reply;
 use crate::protocol::session::Final;
 use asterlatch::interface::{Answer, ExecutionOutcome};
--- a/crates/driver/src/routing/sharing.rs
+++ b/crates/driver/src/routing/gossip.rs
@@ -1,8 +1,8 @@
 //! What the owner keeps for what drivers tell each other: what was seen and is still to be told, which statements went out
 //! that must not run twice, and which wait for others' word. It speaks to the engine by words, and never waits for it.
 
-use super::tables;
-use super::turns::Turns;
+use super::coordination::Turns;
+use super::members;
 use asterlatch::interface::{ReplicaStatus, Statement};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::in_doubt::{Inquiries, Log};
@@ -109,7 +109,7 @@
         tell: Tell,
     ) -> Sharing {
         let named = names.len() as u32 + 1;
-        let own_key = tables::key(&own.0);
+        let own_key = members::key(&own.0);
         Sharing {
             turns: Turns::new(now, (own_key, own.0.clone(), own.1), terms.tick, named),
             turns_at: Some(now),
--- a/crates/driver/src/routing/figures.rs
+++ b/crates/driver/src/routing/metrics.rs
@@ -1,6 +1,6 @@
 //! Counts of what was taken in, sent and answered.
 
-use super::errands::Cause;
+use super::member_requests::Cause;
 
 macro_rules! figures {
     ($($name:ident,)*) => {
--- a/crates/driver/src/routing/mod.rs
+++ b/crates/driver/src/routing/mod.rs
@@ -1,14 +1,14 @@
 //! The one owner of the decision module: inputs come through a queue, commands go out to connections.
 
-pub mod calls;
 pub mod clients;
-pub mod endings;
-pub mod errands;
-pub mod figures;
+pub mod coordination;
+pub mod discovery_requests;
+pub mod event_loop;
+pub mod events;
+pub mod execution_outcomes;
+pub mod gossip;
 pub mod limits;
-pub mod owner;
-pub mod queue;
-pub mod sharing;
+pub mod member_requests;
+pub mod members;
+pub mod metrics;
 pub mod statements;
-pub mod tables;
-pub mod turns;
--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -3,7 +3,7 @@
 mod stand;
 use asterlatch::interface::MemberState;
 use asterlatch_driver::protocol::roster::{Entry, Status};
-use asterlatch_driver::routing::tables::Members;
+use asterlatch_driver::routing::members::Members;
 use asterlatch_handover::codec::{send, Came, Reader};
 use asterlatch_handover::message::{Message, VERSION};
 use stand::*;
