--- a/crates/driver/src/program/counters.rs
+++ b/crates/driver/src/program/counters.rs
@@ -1,9 +1,9 @@
 //! The counters as one line.
 
-use crate::routing::metrics::Figures;
+use crate::routing::metrics::Metrics;
 
-pub fn line(figures: &Figures) -> String {
-    let pairs: Vec<_> = figures
+pub fn line(metrics: &Metrics) -> String {
+    let pairs: Vec<_> = metrics
         .named()
         .map(|(name, count)| format!("{name}={count}"))
         .collect();
--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -1,10 +1,10 @@
 //! The operators' file in service: read and stored on a thread of its own, decided on by `generations`, put in force by
-//! the owner. Without a file nothing of this runs.
+//! the event loop. Without a file nothing of this runs.
 
 use super::config::Config;
 use super::log::{log, Log};
 use super::phases::{Phases, Times};
-use crate::routing::event_loop::Owner;
+use crate::routing::event_loop::EventLoop;
 use crate::routing::events::{Input, Notice};
 use crate::routing::limits::{Limits, Part, WorkloadLimits};
 use crate::transport::Stacks;
@@ -214,7 +214,7 @@
 pub const DECISIONS: &str = "operators";
 pub const DETAILS: &str = "operators file";
 
-/// How far apart the driver's figures are looked at.
+/// How far apart the driver's metrics are looked at.
 const SAMPLES: TimeSpan = TimeSpan::millis(250);
 
 /// What a start found: the meaning to begin with, and lines to tell.
@@ -344,7 +344,13 @@
     }
 
     /// Takes in what is done and what the driver counts, and carries out what follows from it.
-    pub fn steer(&mut self, owner: &mut Owner<Log>, phases: &mut Phases, now: Timestamp, machine: Machine) {
+    pub fn steer(
+        &mut self,
+        event_loop: &mut EventLoop<Log>,
+        phases: &mut Phases,
+        now: Timestamp,
+        machine: Machine,
+    ) {
         while let Ok(done) = self.done.try_recv() {
             match done {
                 Done::Read {
@@ -357,20 +363,20 @@
                         self.changed(machine);
                     }
                     for line in text.lines() {
-                        log!(owner.observer, now, DETAILS, "{line}");
+                        log!(event_loop.observer, now, DETAILS, "{line}");
                     }
                     // What was counted until now was counted before the change, also what no sample holds yet.
-                    self.look(owner, phases, now);
-                    self.sample(owner, phases, now);
+                    self.look(event_loop, phases, now);
+                    self.sample(event_loop, phases, now);
                     let effects = self.generations.read_ended(now, ticket, outcome);
-                    self.carry_out(owner, phases, now, effects);
+                    self.carry_out(event_loop, phases, now, effects);
                 }
                 Done::Kept {
                     number,
                     fault: Some(fault),
                 } => {
                     log!(
-                        owner.observer,
+                        event_loop.observer,
                         now,
                         DECISIONS,
                         "generation {number} is not stored: {fault}"
@@ -380,25 +386,25 @@
             }
         }
         if self.is_watched {
-            self.look(owner, phases, now);
+            self.look(event_loop, phases, now);
         }
     }
 
     /// Samples are a while apart, and hold the fullest of the while: a full moment between two counts.
-    fn look(&mut self, owner: &mut Owner<Log>, phases: &mut Phases, now: Timestamp) {
-        let fill = fill(owner);
+    fn look(&mut self, event_loop: &mut EventLoop<Log>, phases: &mut Phases, now: Timestamp) {
+        let fill = fill(event_loop);
         for (fullest, fill) in self.fullest.iter_mut().zip(fill) {
             *fullest = (*fullest).max(fill);
         }
         if now - self.sampled >= SAMPLES {
-            self.sample(owner, phases, now);
+            self.sample(event_loop, phases, now);
         }
     }
 
-    fn sample(&mut self, owner: &mut Owner<Log>, phases: &mut Phases, now: Timestamp) {
-        let fill = fill(owner);
+    fn sample(&mut self, event_loop: &mut EventLoop<Log>, phases: &mut Phases, now: Timestamp) {
+        let fill = fill(event_loop);
         self.sampled = now;
-        let f = &owner.figures;
+        let f = &event_loop.metrics;
         let sample = Sample {
             demand: [
                 f.clients_accepted,
@@ -413,7 +419,7 @@
             fill: std::mem::replace(&mut self.fullest, fill),
         };
         let effects = self.generations.counted(now, sample);
-        self.carry_out(owner, phases, now, effects);
+        self.carry_out(event_loop, phases, now, effects);
     }
 
     /// When to look again though nothing comes in.
@@ -426,7 +432,7 @@
 
     fn carry_out(
         &mut self,
-        owner: &mut Owner<Log>,
+        event_loop: &mut EventLoop<Log>,
         phases: &mut Phases,
         now: Timestamp,
         effects: Vec<Effect<Meaning>>,
@@ -436,31 +442,31 @@
                 Effect::TakeOver(meaning) => {
                     let force = InForce::of(&meaning);
                     self.upgrade_times = force.takeover.0;
-                    take_over(owner, phases, &force);
+                    take_over(event_loop, phases, &force);
                 }
                 Effect::Keep(Generation { number, meaning, .. }) => {
                     self.store(number, meaning.canonical(registry()), kept(&meaning));
                 }
-                Effect::Tell(told) => log!(owner.observer, now, DECISIONS, "{}", written(&told)),
+                Effect::Tell(told) => log!(event_loop.observer, now, DECISIONS, "{}", written(&told)),
             }
         }
     }
 }
 
 /// How full the driver is, by want.
-fn fill(owner: &Owner<Log>) -> [u64; WANTS.len()] {
-    let clients = owner.open_clients() as u64;
-    let connections = owner.figures.open_member_connections;
-    [clients, clients + connections, owner.memory_taken() as u64]
+fn fill(event_loop: &EventLoop<Log>) -> [u64; WANTS.len()] {
+    let clients = event_loop.open_clients() as u64;
+    let connections = event_loop.metrics.open_member_connections;
+    [clients, clients + connections, event_loop.memory_taken() as u64]
 }
 
 fn kept(meaning: &Meaning) -> usize {
     meaning.amount(registry(), "activation", "kept").max(1) as usize
 }
 
-pub fn take_over(owner: &mut Owner<Log>, phases: &mut Phases, force: &InForce) {
-    owner.limit(force.limits, &force.workloads);
-    owner.observer.lines_a_second = force.lines_a_second;
+pub fn take_over(event_loop: &mut EventLoop<Log>, phases: &mut Phases, force: &InForce) {
+    event_loop.limit(force.limits, &force.workloads);
+    event_loop.observer.lines_a_second = force.lines_a_second;
     phases.times = force.times;
 }
 
--- a/crates/driver/src/program/phases.rs
+++ b/crates/driver/src/program/phases.rs
@@ -36,7 +36,7 @@
     /// How long clients may still arrive once the process was told to leave.
     pub arrivals: TimeSpan,
     /// How long a client that has its answer, and doesn't read it, is waited for; and since the last statement was
-    /// open, for the next one of a row may be on its way to the owner.
+    /// open, for the next one of a row may be on its way to the event loop.
     pub linger: TimeSpan,
     /// A drain is never longer.
     pub longest_drain: TimeSpan,
--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -12,7 +12,7 @@
 use crate::protocol::messages;
 use crate::protocol::session::Session;
 use crate::protocol::watch::Watch;
-use crate::routing::event_loop::{Owner, Place};
+use crate::routing::event_loop::{EventLoop, Place};
 use crate::routing::events::{Input, Notice};
 use crate::transport::clock::Clock;
 use crate::transport::room::Room;
@@ -71,7 +71,7 @@
         limits: force.limits,
         memory: memory.clone(),
     };
-    let mut owner = Owner::new(
+    let mut event_loop = EventLoop::new(
         config.settings.clone(),
         config.seed,
         place,
@@ -79,9 +79,9 @@
         Log::default(),
     );
     if let Some(resumed) = resumed {
-        owner.resume(clock.now(), &config.settings.0, resumed.learned);
+        event_loop.resume(clock.now(), &config.settings.0, resumed.learned);
     } else if let Some(known) = &config.known {
-        owner.begin_with(clock.now(), known);
+        event_loop.begin_with(clock.now(), known);
     }
     let (clients, room) = (memory.0.clone(), memory.0);
     let session = move |id| Session::new(id, room.clone()).witnessed(witness.clone());
@@ -93,26 +93,26 @@
         takeover.commit()?;
         takeover.follow(to_takeover.clone())?;
         // What the former one may have sent since it wrote down what it knew is reckoned with from the first.
-        owner.share(clock.now(), true, false);
+        event_loop.share(clock.now(), true, false);
     }
     let (tell_asks, asks) = channel();
     let mut upgrades = Upgrades::new(config.settings_text, to_takeover.clone(), asks);
     // While it may have to serve on, the former process keeps its own name, and its place among the others.
     let shares = Shares::of(&start.meaning);
     let to_sharing = to_takeover.clone();
-    let begin_sharing = |owner: &mut Owner<Log>| -> Result<Option<sharing::Line>, String> {
+    let begin_sharing = |event_loop: &mut EventLoop<Log>| -> Result<Option<sharing::Line>, String> {
         let Some(shares) = &shares else { return Ok(None) };
         let (shared, line) =
             sharing::start(shares, &config, clock, to_sharing.clone(), given.state.as_deref())?;
-        owner.join(shared);
+        event_loop.join(shared);
         Ok(Some(line))
     };
     let mut control = control.map(|path| move |line| upgrade::control(path, to_takeover, tell_asks, line));
     if takeover.is_some() && shares.is_some() {
-        owner.mute();
+        event_loop.mute();
     }
     if takeover.is_none() {
-        let line = begin_sharing(&mut owner)?;
+        let line = begin_sharing(&mut event_loop)?;
         if let Some(control) = control.take() {
             control(line)?;
         }
@@ -120,55 +120,55 @@
     let listening =
         listener::listen::<_, Input>(listener, takeover.is_some(), queue, (clock, clients), session);
     let listening = listening.map_err(|e| format!("{}: {e}", config.listen))?;
-    owner.attach(listening);
+    event_loop.attach(listening);
     let mut phases = Phases::default();
-    operators::take_over(&mut owner, &mut phases, &force);
+    operators::take_over(&mut event_loop, &mut phases, &force);
     for (topic, line) in &start.lines {
-        log!(owner.observer, clock.now(), topic, "{line}");
+        log!(event_loop.observer, clock.now(), topic, "{line}");
     }
     let mut operators = Operators::new(given, start, force.takeover.0, to_operators)?;
     let mut told_to_leave = false;
-    owner.run(&inputs, clock, |owner, now| {
-        for notice in std::mem::take(&mut owner.notices) {
+    event_loop.run(&inputs, clock, |event_loop, now| {
+        for notice in std::mem::take(&mut event_loop.notices) {
             match notice {
                 Notice::Leave => {
-                    upgrades.leave(owner, now);
+                    upgrades.leave(event_loop, now);
                     told_to_leave = true;
                 }
-                Notice::Upgrade if takeover.is_none() && !told_to_leave => upgrades.asked(owner, now),
+                Notice::Upgrade if takeover.is_none() && !told_to_leave => upgrades.asked(event_loop, now),
                 Notice::Upgrade => {
                     log!(
-                        owner.observer,
+                        event_loop.observer,
                         now,
                         "upgrade",
                         "not begun: this process is on probation, or leaves"
                     );
                 }
-                Notice::Report => report(owner, now),
+                Notice::Report => report(event_loop, now),
                 Notice::Reload => {
                     let newer = again();
                     machine = newer.as_ref().map_or(machine, operators::machine);
-                    reload(owner, now, &config, newer);
+                    reload(event_loop, now, &config, newer);
                     operators.changed(machine);
                 }
                 Notice::Done => {}
             }
         }
-        operators.steer(owner, &mut phases, now, machine);
+        operators.steer(event_loop, &mut phases, now, machine);
         upgrades.bound(operators.upgrade_times);
-        upgrades.steer(owner, now, takeover.is_none() && !told_to_leave);
+        upgrades.steer(event_loop, now, takeover.is_none() && !told_to_leave);
         told_to_leave |= upgrades.is_over;
         if let Some(t) = &mut takeover {
-            t.steer(owner, now);
+            t.steer(event_loop, now);
         }
         if takeover.take_if(|t| t.is_over()).is_some() {
-            let line = begin_sharing(owner).unwrap_or_else(|fault| {
-                log!(owner.observer, now, "fleet", "nothing is shared: {fault}");
+            let line = begin_sharing(event_loop).unwrap_or_else(|fault| {
+                log!(event_loop.observer, now, "fleet", "nothing is shared: {fault}");
                 None
             });
             if let Some(Err(fault)) = control.take().map(|control| control(line)) {
                 log!(
-                    owner.observer,
+                    event_loop.observer,
                     now,
                     "upgrade",
                     "no further one can be asked for: {fault}"
@@ -178,15 +178,15 @@
         let takeover_at = takeover.as_ref().map_or(Timestamp(u64::MAX), |t| t.next_at(now));
         let seen = Seen {
             told_to_leave,
-            listening: owner.is_listening(),
-            listener_closed: owner.listener_closed,
+            listening: event_loop.is_listening(),
+            listener_closed: event_loop.listener_closed,
             // Those on their way to another process are still held here.
-            open_clients: owner.open_clients() + upgrades.pending(),
-            open_statements: owner.open_statements(),
+            open_clients: event_loop.open_clients() + upgrades.pending(),
+            open_statements: event_loop.open_statements(),
         };
         while let Some(phase) = phases.advance(now, &seen) {
             log!(
-                owner.observer,
+                event_loop.observer,
                 now,
                 "phase",
                 "{} is {}",
@@ -194,9 +194,9 @@
                 phase.name()
             );
             match phase {
-                Phase::Draining { .. } => owner.send_clients_away(),
+                Phase::Draining { .. } => event_loop.send_clients_away(),
                 Phase::Stopped => {
-                    owner.leave_the_others();
+                    event_loop.leave_the_others();
                     return None;
                 }
                 _ => {}
@@ -205,39 +205,44 @@
         let next = phases.next_at(now).min(operators.next_at());
         Some(next.min(upgrades.next_at()).min(takeover_at))
     });
-    report(&mut owner, clock.now());
+    report(&mut event_loop, clock.now());
     Ok(())
 }
 
 /// A file that can't be read, or only in part, leaves the configuration in force.
-fn reload(owner: &mut Owner<Log>, now: Timestamp, config: &Config, newer: Result<Config, String>) {
+fn reload(event_loop: &mut EventLoop<Log>, now: Timestamp, config: &Config, newer: Result<Config, String>) {
     match newer {
         Ok(newer) => {
-            owner.figures.reloads += 1;
-            owner.give(now, newer.given);
+            event_loop.metrics.reloads += 1;
+            event_loop.give(now, newer.given);
             let kept = match config.kept(&newer) {
                 kept if kept.is_empty() => String::new(),
                 kept => format!("; kept until the next start: {}", kept.join(", ")),
             };
             let discovery = newer.given.discovery;
             log!(
-                owner.observer,
+                event_loop.observer,
                 now,
                 "configuration",
                 "read again, discovery at {discovery}{kept}"
             );
         }
         Err(fault) => {
-            owner.figures.reloads_failed += 1;
-            log!(owner.observer, now, "configuration", "kept as it was: {fault}");
+            event_loop.metrics.reloads_failed += 1;
+            log!(
+                event_loop.observer,
+                now,
+                "configuration",
+                "kept as it was: {fault}"
+            );
         }
     }
 }
 
-fn report(owner: &mut Owner<Log>, now: Timestamp) {
-    owner.figures.log_lines_left_out = owner.observer.left_out;
-    let line = counters::line(&owner.figures);
-    log!(owner.observer, now, "counters", "{line}");
+fn report(event_loop: &mut EventLoop<Log>, now: Timestamp) {
+    event_loop.metrics.log_lines_left_out = event_loop.observer.left_out;
+    let line = counters::line(&event_loop.metrics);
+    log!(event_loop.observer, now, "counters", "{line}");
 }
 
 /// Says whether this configuration could be served, by all that serving would need of it.
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -1,10 +1,10 @@
 //! The thread that speaks with other drivers: carries datagrams to the engine of `asterlatch-gossip` and out of it, and its
-//! news to the owner. It keeps no statement waiting: the owner speaks to it by words, and hears by its own queue.
+//! news to the event loop. It keeps no statement waiting: the event loop speaks to it by words, and hears by its own queue.
 
 use super::keeping::{self, Job};
 use crate::program::config::Config;
 use crate::program::operators::registry;
-use crate::routing::events::Input as OwnersInput;
+use crate::routing::events::Input as LoopEvent;
 use crate::routing::gossip::{News, Sharing, Terms, Word};
 use crate::transport::clock::Clock;
 use crate::transport::datagrams::{Came, Datagrams, Waker};
@@ -146,7 +146,7 @@
     shares: &Shares,
     config: &Config,
     clock: Clock,
-    queue: Sender<OwnersInput>,
+    queue: Sender<LoopEvent>,
     state: Option<&Path>,
 ) -> Result<(Sharing, Line), String> {
     let address = SocketAddr::new(config.listen.ip(), shares.port);
@@ -249,7 +249,7 @@
     if keeps {
         lines.push(report.line());
     }
-    // Nobody is there to be told of it yet: what comes out is for the owner alone, which hears it with the first news.
+    // Nobody is there to be told of it yet: what comes out is for the event loop alone, which hears it with the first news.
     for (fact, age) in used {
         engine.restore(now, fact, age);
     }
@@ -329,12 +329,12 @@
 
 struct Running {
     keeping: Option<Keeping>,
-    /// What the owner is to say.
+    /// What the event loop is to say.
     lines: Vec<String>,
     engine: Engine,
     datagrams: Datagrams,
     inbox: Receiver<ToEngine>,
-    queue: Sender<OwnersInput>,
+    queue: Sender<LoopEvent>,
     clock: Clock,
     /// Datagrams from nobody who may speak here, and such that couldn't be sent.
     foreign: u64,
@@ -352,7 +352,7 @@
                 self.lines.extend(keeping.steer(&mut self.engine, now));
             }
             for line in std::mem::take(&mut self.lines) {
-                if self.queue.send(OwnersInput::Peers(News::Line(line))).is_err() {
+                if self.queue.send(LoopEvent::Peers(News::Line(line))).is_err() {
                     return;
                 }
             }
@@ -373,7 +373,7 @@
                 }
                 Ok(Came::Woken) => Vec::new(),
                 Ok(Came::Nothing) => self.engine.take(self.clock.now(), Input::Time),
-                // Without a socket nothing more comes; what the owner does goes on.
+                // Without a socket nothing more comes; what the event loop does goes on.
                 Err(_) => return,
             };
             if !self.carry_out(outputs) {
@@ -400,13 +400,13 @@
         }
     }
 
-    /// Whether the owner is still there.
+    /// Whether the event loop is still there.
     fn carry_out(&mut self, outputs: Vec<Output>) -> bool {
         for output in outputs {
             match output {
                 Output::Send { to, bytes } => self.failed += u64::from(!self.datagrams.send(to, &bytes)),
                 news => {
-                    if self.queue.send(OwnersInput::Peers(News::Heard(news))).is_err() {
+                    if self.queue.send(LoopEvent::Peers(News::Heard(news))).is_err() {
                         return false;
                     }
                 }
@@ -502,7 +502,7 @@
     }
 }
 
-/// A fact's figures in words.
+/// A record's values as text.
 fn says(fact: &Record) -> String {
     match fact {
         Record::Member {
--- a/crates/driver/src/program/signals.rs
+++ b/crates/driver/src/program/signals.rs
@@ -1,4 +1,4 @@
-//! Signals become notices in the owner's queue: SIGTERM and SIGINT to leave, SIGUSR1 for the
+//! Signals become notices in the event loop's queue: SIGTERM and SIGINT to leave, SIGUSR1 for the
 //! counters, SIGHUP to read the configuration again, SIGUSR2 for a new process to take over.
 
 use crate::routing::events::{Input, Notice};
--- a/crates/driver/src/program/upgrade/handover.rs
+++ b/crates/driver/src/program/upgrade/handover.rs
@@ -1,7 +1,7 @@
 //! What goes from one process to the next: what was learned, and by which clock.
 
 use crate::program::log::Log;
-use crate::routing::event_loop::Owner;
+use crate::routing::event_loop::EventLoop;
 use crate::routing::members::Members;
 use crate::transport::clock::Clock;
 use asterlatch::policy::RoutingPolicy;
@@ -25,8 +25,12 @@
     members: Vec<u8>,
 }
 
-pub fn written(owner: &Owner<Log>, now: Timestamp, settings: u64) -> Result<Vec<u8>, postcard::Error> {
-    let (module, members) = owner.learned();
+pub fn written(
+    event_loop: &EventLoop<Log>,
+    now: Timestamp,
+    settings: u64,
+) -> Result<Vec<u8>, postcard::Error> {
+    let (module, members) = event_loop.learned();
     let handover = Handover {
         form: FORM,
         now,
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -4,7 +4,7 @@
 use super::{bind, words, VARIABLE};
 use crate::program::config::Config;
 use crate::program::log::{log, Log};
-use crate::routing::event_loop::{Moved, Owner};
+use crate::routing::event_loop::{EventLoop, Moved};
 use crate::routing::events::{Input, Notice};
 use crate::transport::witness::Witness;
 use asterlatch::time::Timestamp;
@@ -213,24 +213,24 @@
         thread.spawn(hear).map(drop).map_err(|e| format!("takeover: {e}"))
     }
 
-    pub fn steer(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
+    pub fn steer(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let mut effects = Vec::new();
         let machine_now = self.machine_now();
         while let Some(Ok(heard)) = self.heard.as_ref().map(Receiver::try_recv) {
             match heard {
-                Heard::Moved(moved) => owner.adopt(now, moved),
-                Heard::Member(member, stream) => owner.adopt_connection(now, member, stream),
+                Heard::Moved(moved) => event_loop.adopt(now, moved),
+                Heard::Member(member, stream) => event_loop.adopt_connection(now, member, stream),
                 Heard::Word(successor::Input::Heard(Message::Joint(words))) => {
-                    let answer = bind(owner, now, &mut self.joint, &words);
+                    let answer = bind(event_loop, now, &mut self.joint, &words);
                     answer.iter().for_each(|m| self.say(m));
                 }
                 Heard::Word(input) => {
                     if matches!(input, successor::Input::Garbled | successor::Input::Ended) {
                         self.ended = true;
                         // Nothing of the former one is out any more.
-                        owner.share(now, false, false);
-                        owner.figures.open_from_beside = 0;
-                        log!(owner.observer, now, "upgrade", "the former process has left");
+                        event_loop.share(now, false, false);
+                        event_loop.metrics.open_from_beside = 0;
+                        log!(event_loop.observer, now, "upgrade", "the former process has left");
                     }
                     effects.extend(self.machine.take(machine_now, input));
                 }
@@ -242,7 +242,7 @@
         let given_up = self.witness.take_if(|w| !w.is_on());
         if given_up.is_some() {
             log!(
-                owner.observer,
+                event_loop.observer,
                 now,
                 "upgrade",
                 "the ledger is given up: the former process doesn't read it"
@@ -251,11 +251,11 @@
         for effect in effects {
             match effect {
                 successor::Effect::Say(message) => self.say(&message),
-                successor::Effect::Accept => owner.pause(false),
+                successor::Effect::Accept => event_loop.pause(false),
                 successor::Effect::Tell(text) => {
                     let took = (machine_now - self.started).0 / 1000;
                     log!(
-                        owner.observer,
+                        event_loop.observer,
                         now,
                         "upgrade",
                         "{text}, {took} ms after this process began"
@@ -265,7 +265,7 @@
             }
         }
         if !self.ended {
-            let told = words(owner, &mut self.joint);
+            let told = words(event_loop, &mut self.joint);
             told.iter().for_each(|m| self.say(m));
         }
         // Whoever is proven, or alone, answers for its clients itself; not before the former one was told so.
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -5,7 +5,7 @@
 use super::{bind, words, VARIABLE};
 use crate::program::kept::Kept;
 use crate::program::log::{log, Log};
-use crate::routing::event_loop::Owner;
+use crate::routing::event_loop::EventLoop;
 use crate::routing::events::{Input, Notice};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::capacity_check;
@@ -78,14 +78,20 @@
     }
 
     /// An upgrade to this very program, as it lies on disk now.
-    pub fn asked(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
+    pub fn asked(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let binary = std::env::args_os().next().map(PathBuf::from);
-        self.ask(owner, now, binary.unwrap_or_default(), None);
+        self.ask(event_loop, now, binary.unwrap_or_default(), None);
     }
 
-    fn ask(&mut self, owner: &mut Owner<Log>, now: Timestamp, binary: PathBuf, reply: Option<UnixStream>) {
-        if let Err(why) = capacity_check::check(&Upgrades::measure(owner)) {
-            log!(owner.observer, now, "upgrade", "not begun: {why}");
+    fn ask(
+        &mut self,
+        event_loop: &mut EventLoop<Log>,
+        now: Timestamp,
+        binary: PathBuf,
+        reply: Option<UnixStream>,
+    ) {
+        if let Err(why) = capacity_check::check(&Upgrades::measure(event_loop)) {
+            log!(event_loop.observer, now, "upgrade", "not begun: {why}");
             reply.map(|mut r| writeln!(r, "failed: {why}"));
             return;
         }
@@ -93,7 +99,7 @@
         if effects.contains(&predecessor::Effect::Tell(Told::Busy)) {
             // Whoever asked before is still to be told of that one.
             log!(
-                owner.observer,
+                event_loop.observer,
                 now,
                 "upgrade",
                 "not begun: another one is under way"
@@ -102,16 +108,16 @@
             return;
         }
         (self.binary, self.reply) = (binary, reply);
-        self.carry_out(owner, now, effects);
+        self.carry_out(event_loop, now, effects);
     }
 
     /// What both processes would have and need. What the kernel doesn't tell is taken for nothing.
-    fn measure(owner: &Owner<Log>) -> capacity_check::Room {
+    fn measure(event_loop: &EventLoop<Log>) -> capacity_check::Room {
         let held = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
         let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
         let pages: u64 = pages.split(' ').nth(1).and_then(|p| p.parse().ok()).unwrap_or(0);
-        let (clients, messages) = owner.held();
-        let (descriptors, memory) = owner.most();
+        let (clients, messages) = event_loop.held();
+        let (descriptors, memory) = event_loop.most();
         capacity_check::Room {
             descriptors,
             held,
@@ -123,43 +129,43 @@
     }
 
     /// Has the other process know what binds both.
-    fn tell_joint(&mut self, owner: &mut Owner<Log>) {
+    fn tell_joint(&mut self, event_loop: &mut EventLoop<Log>) {
         // Else they are for the side that took over to tell.
         if self.machine.is_shared() {
-            let told = words(owner, &mut self.joint);
+            let told = words(event_loop, &mut self.joint);
             told.into_iter().for_each(|m| self.say(m, Vec::new()));
         }
     }
 
     /// The process is told to leave.
-    pub fn leave(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
-        self.take(owner, now, predecessor::Input::Leave);
+    pub fn leave(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        self.take(event_loop, now, predecessor::Input::Leave);
     }
 
-    pub fn steer(&mut self, owner: &mut Owner<Log>, now: Timestamp, may_begin: bool) {
+    pub fn steer(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, may_begin: bool) {
         while let Ok(Ask { binary, reply }) = self.asks.try_recv() {
             if may_begin {
-                self.ask(owner, now, binary, Some(reply));
+                self.ask(event_loop, now, binary, Some(reply));
             } else {
                 let _ = writeln!(&reply, "failed: this process is on probation, or leaves");
             }
         }
         while let Ok(input) = self.heard.try_recv() {
             if let predecessor::Input::Heard(Message::Joint(words)) = &input {
-                let answer = bind(owner, now, &mut self.joint, words);
+                let answer = bind(event_loop, now, &mut self.joint, words);
                 answer.into_iter().for_each(|m| self.say(m, Vec::new()));
             }
             if let predecessor::Input::Heard(Message::Missing(handed)) = &input {
                 self.kept.missing(*handed);
-                owner.figures.clients_cut += 1;
+                event_loop.metrics.clients_cut += 1;
             }
-            self.take(owner, now, input);
+            self.take(event_loop, now, input);
         }
         if self.machine.next_at() <= now {
-            self.take(owner, now, predecessor::Input::Time);
+            self.take(event_loop, now, predecessor::Input::Time);
         }
-        self.move_clients(owner, now);
-        self.tell_joint(owner);
+        self.move_clients(event_loop, now);
+        self.tell_joint(event_loop);
     }
 
     pub fn next_at(&self) -> Timestamp {
@@ -171,23 +177,28 @@
         self.machine.times = times;
     }
 
-    fn take(&mut self, owner: &mut Owner<Log>, now: Timestamp, input: predecessor::Input) {
+    fn take(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, input: predecessor::Input) {
         let effects = self.machine.take(now, input);
-        self.carry_out(owner, now, effects);
+        self.carry_out(event_loop, now, effects);
     }
 
-    fn carry_out(&mut self, owner: &mut Owner<Log>, now: Timestamp, effects: Vec<predecessor::Effect>) {
+    fn carry_out(
+        &mut self,
+        event_loop: &mut EventLoop<Log>,
+        now: Timestamp,
+        effects: Vec<predecessor::Effect>,
+    ) {
         for effect in effects {
             match effect {
                 predecessor::Effect::Start => self.start(),
-                predecessor::Effect::SendState => match written(owner, now, self.settings) {
-                    Ok(bytes) => match self.beside(owner) {
+                predecessor::Effect::SendState => match written(event_loop, now, self.settings) {
+                    Ok(bytes) => match self.beside(event_loop) {
                         Ok(beside) => self.say(Message::State(bytes), beside),
                         // It isn't told anything, and is known by that.
-                        Err(e) => log!(owner.observer, now, "upgrade", "no descriptors to send: {e}"),
+                        Err(e) => log!(event_loop.observer, now, "upgrade", "no descriptors to send: {e}"),
                     },
                     Err(e) => log!(
-                        owner.observer,
+                        event_loop.observer,
                         now,
                         "upgrade",
                         "the state can't be written out: {e}"
@@ -196,27 +207,27 @@
                 predecessor::Effect::Say(message) => self.say(message, Vec::new()),
                 predecessor::Effect::ServeBeside => {
                     self.joint = Joint::default();
-                    owner.share(now, true, true);
+                    event_loop.share(now, true, true);
                 }
-                predecessor::Effect::StopAccepting => owner.pause(true),
+                predecessor::Effect::StopAccepting => event_loop.pause(true),
                 predecessor::Effect::ServeAlone => {
-                    owner.share(now, false, false);
-                    owner.figures.open_from_beside = 0;
-                    owner.pause(false);
+                    event_loop.share(now, false, false);
+                    event_loop.metrics.open_from_beside = 0;
+                    event_loop.pause(false);
                 }
-                predecessor::Effect::SendAway => owner.hand_clients_over(),
-                predecessor::Effect::TakeBack => self.take_back(owner, now),
+                predecessor::Effect::SendAway => event_loop.hand_clients_over(),
+                predecessor::Effect::TakeBack => self.take_back(event_loop, now),
                 predecessor::Effect::Kill => self.kill(),
                 predecessor::Effect::Leave => {
                     self.kept.clear();
                     self.is_over = true;
                 }
-                predecessor::Effect::Tell(told) => self.told(owner, now, &told),
+                predecessor::Effect::Tell(told) => self.told(event_loop, now, &told),
             }
         }
     }
 
-    fn told(&mut self, owner: &mut Owner<Log>, now: Timestamp, told: &Told) {
+    fn told(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, told: &Told) {
         let text = match told {
             Told::Asked => format!("begun, to {} as process {}", self.binary.display(), self.pid),
             Told::Busy => "not begun: another one is under way, or this process leaves".to_owned(),
@@ -224,7 +235,7 @@
             Told::Done => "done, the service is the new process's".to_owned(),
             Told::Failed(why) => format!("failed, this process serves on: {why}"),
         };
-        log!(owner.observer, now, "upgrade", "{text}");
+        log!(event_loop.observer, now, "upgrade", "{text}");
         if let Some(reply) = &mut self.reply {
             // Whoever asked may have gone.
             let _ = writeln!(reply, "{text}");
@@ -241,41 +252,41 @@
     }
 
     /// Listener, ledger, and what the ledger is given up with.
-    fn beside(&mut self, owner: &Owner<Log>) -> io::Result<Vec<OwnedFd>> {
+    fn beside(&mut self, event_loop: &EventLoop<Log>) -> io::Result<Vec<OwnedFd>> {
         let link = self.link.as_mut().ok_or(io::ErrorKind::NotConnected)?;
-        let listener = owner.listener().ok_or(io::ErrorKind::NotConnected)?;
+        let listener = event_loop.listener().ok_or(io::ErrorKind::NotConnected)?;
         let (ours, theirs) = UnixStream::pair()?;
         let flags = EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK;
         let given_up = rustix::event::eventfd(0, flags)?;
         let copy = given_up.try_clone()?;
         // As much as its clients may fill here, they may fill there.
-        self.kept = Kept::new(owner.clients_memory());
+        self.kept = Kept::new(event_loop.clients_memory());
         link.follow(self.kept.follow(ours)?);
         self.given_up = Some(given_up);
         Ok(vec![listener.into(), theirs.into(), copy])
     }
 
     /// The new process is dead; its clients go on here.
-    fn take_back(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
+    fn take_back(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let Some(given_up) = self.given_up.take() else {
             return;
         };
         let back = self.kept.take_back(&given_up);
         let (count, cut) = (back.clients.len(), back.cut);
-        owner.figures.clients_taken_back += count as u64;
-        owner.figures.clients_cut += cut;
+        event_loop.metrics.clients_taken_back += count as u64;
+        event_loop.metrics.clients_cut += cut;
         for moved in back.clients {
-            owner.adopt(now, moved);
+            event_loop.adopt(now, moved);
         }
         match back.fault {
             Some(why) => log!(
-                owner.observer,
+                event_loop.observer,
                 now,
                 "upgrade",
                 "{cut} clients cut off, for the ledger isn't whole: {why}"
             ),
             None => log!(
-                owner.observer,
+                event_loop.observer,
                 now,
                 "upgrade",
                 "{count} clients taken back, {cut} cut off"
@@ -289,21 +300,21 @@
     }
 
     /// Sends those on that are to go on in the new process; where there is none any more they stay.
-    fn move_clients(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
+    fn move_clients(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let takes = matches!(
             self.machine.phase,
             predecessor::Phase::Standby | predecessor::Phase::Done
         );
         // Where nobody takes them they end: another is opened as one is needed.
-        for (member, stream) in std::mem::take(&mut owner.moved_connections) {
+        for (member, stream) in std::mem::take(&mut event_loop.moved_connections) {
             if takes {
                 self.pending.fetch_add(1, Ordering::AcqRel);
                 self.say(Message::Member(member), vec![stream.into()]);
             }
         }
-        for moved in std::mem::take(&mut owner.moved) {
+        for moved in std::mem::take(&mut event_loop.moved) {
             if !takes {
-                owner.adopt(now, moved);
+                event_loop.adopt(now, moved);
                 continue;
             }
             self.handed += 1;
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/session.rs
@@ -343,7 +343,7 @@
     fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut Outbox<Heard>) {
         self.has_asked = true;
         if text.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
-            // No news: a client that sends nothing else would fill the owner's queue.
+            // No news: a client that sends nothing else would fill the event loop's queue.
             let mut said = Vec::new();
             messages::put(&mut said, b'I', &[]);
             messages::put_ready(&mut said);
--- a/crates/driver/src/routing/coordination.rs
+++ b/crates/driver/src/routing/coordination.rs
@@ -1,4 +1,4 @@
-//! What the owner keeps for turns among drivers and for what they know of members together: the rules stand in
+//! What the event loop keeps for turns among drivers and for what they know of members together: the rules stand in
 //! `asterlatch_coordination`, here they meet members' names, ticks and facts.
 
 use super::members;
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -1,6 +1,6 @@
 //! Turns among drivers, and what they know of a member together.
 
-use super::{Observer, Owner};
+use super::{EventLoop, Observer};
 use crate::routing::gossip::Word;
 use crate::routing::members;
 use asterlatch::fleet_share;
@@ -8,7 +8,7 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-impl<O: Observer> Owner<O> {
+impl<O: Observer> EventLoop<O> {
     /// The drivers that are there by now, and how many count.
     pub(super) fn count_peers(&mut self, now: Timestamp) {
         let Some(sharing) = &mut self.sharing else { return };
@@ -28,7 +28,7 @@
             return true;
         };
         let may = sharing.turns.may_probe(now, name, sharing.there.is_empty());
-        self.figures.probes_left_to_others += u64::from(!may);
+        self.metrics.probes_left_to_others += u64::from(!may);
         may
     }
 
@@ -67,18 +67,18 @@
             .filter_map(|name| self.members.find(name))
             .collect::<Vec<_>>()
         {
-            self.figures.probes_for_all += 1;
+            self.metrics.probes_for_all += 1;
             self.probe(now, member);
         }
         for (member, until) in silent {
-            self.figures.silent_by_word += u64::from(until > Timestamp(0));
+            self.metrics.silent_by_word += u64::from(until > Timestamp(0));
             let results = self
                 .module
                 .on_member_update(now, member, MemberUpdate::Unresponsive(until));
             self.carry_out(now, results);
         }
         for (member, share) in drawn {
-            self.figures.shares_drawn += 1;
+            self.metrics.shares_drawn += 1;
             let results = self
                 .module
                 .on_member_update(now, member, MemberUpdate::AdmissionShare(share));
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -1,14 +1,14 @@
 //! How an execution or probe gets to its member. On a connection that stands it goes at once; where one has to come up
 //! first nothing leaves before the module has looked again, for much may have come meanwhile.
 
-use super::{Observer, Owner};
+use super::{EventLoop, Observer};
 use crate::protocol::messages;
 use crate::routing::member_requests::{Errand, Kind, Start, Up};
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::Record;
 
-impl<O: Observer> Owner<O> {
+impl<O: Observer> EventLoop<O> {
     /// Gives the errand a connection.
     pub(super) fn start(&mut self, now: Timestamp, errand: Errand) {
         let address = self.members.address(errand.member);
@@ -19,7 +19,7 @@
         match (started, errand.kind) {
             (Ok(Start::Stands(connection)), _) => self.send(now, connection, errand),
             (Ok(Start::Opens(cause)), kind) => {
-                self.figures.opened(Some(cause));
+                self.metrics.opened(Some(cause));
                 if let Kind::Execution { stmt, number } = kind {
                     self.module.on_connecting(stmt, number);
                 }
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -1,6 +1,6 @@
-//! What the owner makes of other drivers' word, and what it tells them.
+//! What the event loop makes of other drivers' word, and what it tells them.
 
-use super::{Observer, Owner};
+use super::{EventLoop, Observer};
 use crate::protocol::vitals;
 use crate::routing::execution_outcomes;
 use crate::routing::gossip::{sightings, News, Out, Parked, Sharing, Word};
@@ -25,7 +25,7 @@
     member.map_or(UNKNOWN_ATTEMPT, |member| PriorAttempt { age, member })
 }
 
-impl<O: Observer> Owner<O> {
+impl<O: Observer> EventLoop<O> {
     /// From now on others are told, and listened to.
     pub fn join(&mut self, sharing: Sharing) {
         (self.sharing, self.is_mute) = (Some(sharing), false);
@@ -57,7 +57,7 @@
             self.take_turns(now);
         }
         for (name, verdict) in due {
-            self.figures.inquiries_unanswered += 1;
+            self.metrics.inquiries_unanswered += 1;
             self.decided(now, name, verdict);
         }
     }
@@ -99,7 +99,7 @@
             (sharing.tell)(Word::Observed(facts));
         }
         for (id, work) in shares {
-            self.figures.cold_shares += 1;
+            self.metrics.cold_shares += 1;
             // It holds a little beyond the next telling.
             let until = now + tick + tick;
             let results = self
@@ -219,7 +219,7 @@
         };
         if sharing.log.is_given(name) {
             // Another driver was told that it won't be sent from here.
-            self.figures.statements_given_away += 1;
+            self.metrics.statements_given_away += 1;
             return with_prior_attempt(UNKNOWN_ATTEMPT);
         }
         match sharing.log.known(now, name) {
@@ -238,7 +238,7 @@
         match sharing.inquiries.ask(now, name, &peers, within) {
             Err(_) => Some(taken),
             Ok(turn) => {
-                self.figures.inquiries += 1;
+                self.metrics.inquiries += 1;
                 sharing.parked.insert(
                     name,
                     Parked {
@@ -270,7 +270,7 @@
         let prior = match verdict {
             Verdict::Untouched => None,
             Verdict::Sent { ago, member } => {
-                self.figures.inquiries_in_doubt += 1;
+                self.metrics.inquiries_in_doubt += 1;
                 let member = member.and_then(|m| self.members.find(&m));
                 Some(prior_attempt(ago, member))
             }
@@ -307,7 +307,7 @@
         let Some(stmt) = open.filter(|_| known == Known::Untouched) else {
             return;
         };
-        self.figures.statements_given_away += 1;
+        self.metrics.statements_given_away += 1;
         let results = self.module.on_statement_withdrawn(now, stmt);
         self.carry_out(now, results);
         let hold_off = TimeSpan(0);
@@ -315,7 +315,7 @@
             statement: stmt,
             retry_after: hold_off,
         });
-        self.figures.rejected += u64::from(self.answer(stmt, told));
+        self.metrics.rejected += u64::from(self.answer(stmt, told));
     }
 
     pub(super) fn peers_heard(&mut self, now: Timestamp, news: News) {
@@ -325,7 +325,7 @@
         };
         match heard {
             Output::News(fact, told) => {
-                self.figures.facts_from_others += 1;
+                self.metrics.facts_from_others += 1;
                 self.fact(now, &fact, told);
             }
             Output::Question { from, question } => self.questioned(now, from, question),
@@ -351,7 +351,7 @@
                 let (to, from) = (change.to.name(), change.from.name());
                 let name = sharing.names.get(change.peer).map_or("", String::as_str);
                 if change.to == Presence::Gone {
-                    self.figures.peers_lost += 1;
+                    self.metrics.peers_lost += 1;
                 }
                 let text = format_args!("driver {name} is {to}, was {from}");
                 self.observer.say(now, "fleet", text);
@@ -414,7 +414,7 @@
                     return;
                 };
                 self.errands.let_go(member);
-                self.figures.drains_from_others += 1;
+                self.metrics.drains_from_others += 1;
                 let results = self.module.on_member_update(
                     now,
                     member,
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -17,7 +17,7 @@
 use crate::routing::limits::{Limits, WorkloadLimits};
 use crate::routing::member_requests::{self, Errand, Errands, Kind};
 use crate::routing::members::{session, Members, Names};
-use crate::routing::metrics::Figures;
+use crate::routing::metrics::Metrics;
 use crate::routing::statements::Statements;
 use crate::transport::clock::Clock;
 use crate::transport::listener::{Arrival, Listening};
@@ -133,11 +133,11 @@
     sighting: ReplicaStatus,
 }
 
-pub struct Owner<O> {
+pub struct EventLoop<O> {
     module: policy::RoutingPolicy,
     decoding: Decoding,
     pub observer: O,
-    pub figures: Figures,
+    pub metrics: Metrics,
     workloads: Names,
     freshness: Vec<Freshness>,
     members: Members,
@@ -182,19 +182,19 @@
     remembers_sessions: bool,
 }
 
-impl<O: Observer> Owner<O> {
+impl<O: Observer> EventLoop<O> {
     pub fn new(
         (settings, decoding): (Settings, Decoding),
         seed: u64,
         place: Place,
         now: Timestamp,
         observer: O,
-    ) -> Owner<O> {
+    ) -> EventLoop<O> {
         let (given, limits) = (place.given, place.limits);
         let (most_clients, most_members) = given.connections(&limits);
         let (timeout, idle) = (decoding.connect_timeout, settings.idle_connection_timeout);
         let idle = (idle, limits.member_idle);
-        Owner {
+        EventLoop {
             module: policy::RoutingPolicy::new(&settings, seed, now),
             workloads: Names::of(&decoding.workloads),
             freshness: settings.workloads.iter().map(|w| w.freshness).collect(),
@@ -215,7 +215,7 @@
             workload_limits: vec![WorkloadLimits::default(); settings.workloads.len()],
             decoding,
             observer,
-            figures: Figures::default(),
+            metrics: Metrics::default(),
             ended: VecDeque::new(),
             module_wakes: Some(now),
             accept_again: None,
@@ -267,7 +267,7 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             };
             let late = (clock.now() - next).0;
-            self.figures.wake_up_latest_us = self.figures.wake_up_latest_us.max(late);
+            self.metrics.wake_up_latest_us = self.metrics.wake_up_latest_us.max(late);
             // All that is queued first: an answer that lies here must not be taken for one that is late.
             let mut taken = 0;
             while let Some(i) = input {
@@ -275,7 +275,7 @@
                 self.take(clock.now(), i);
                 input = inputs.try_recv().ok();
             }
-            self.figures.queue_longest = self.figures.queue_longest.max(taken);
+            self.metrics.queue_longest = self.metrics.queue_longest.max(taken);
             self.reach(clock.now());
         }
     }
@@ -320,8 +320,8 @@
         self.reach_sharing(now);
         self.errands.end_idle(now);
         let (slow, rested) = self.clients.end_pauses(now);
-        self.figures.clients_too_slow += slow;
-        self.figures.clients_rested += rested;
+        self.metrics.clients_too_slow += slow;
+        self.metrics.clients_rested += rested;
         if self.calls.is_silent(now) {
             let text = format_args!("silent, calling again");
             self.observer.say(now, "discovery", text);
@@ -334,9 +334,9 @@
             self.listening.as_ref().inspect(|l| l.retry());
         }
         self.tell_ended(now);
-        self.figures.open_statements = self.statements.count() as u64;
-        self.figures.open_clients = self.clients.count() as u64;
-        self.figures.open_member_connections = self.errands.connections() as u64;
+        self.metrics.open_statements = self.statements.count() as u64;
+        self.metrics.open_clients = self.clients.count() as u64;
+        self.metrics.open_member_connections = self.errands.connections() as u64;
     }
 
     /// Takes over what has changed. Whatever is open stays: fewer connections come about as they end.
@@ -418,19 +418,19 @@
     fn arrived(&mut self, now: Timestamp, arrival: Arrival<Say>) {
         match arrival {
             Arrival::Client(id, line) => {
-                self.figures.clients_accepted += 1;
+                self.metrics.clients_accepted += 1;
                 match self.clients.arrive(now, id, line) {
                     Room::Free => {}
-                    Room::Made => self.figures.clients_closed_for_room += 1,
-                    Room::None => self.figures.clients_turned_away += 1,
+                    Room::Made => self.metrics.clients_closed_for_room += 1,
+                    Room::None => self.metrics.clients_turned_away += 1,
                 }
             }
             Arrival::Failed(e) => {
-                self.figures.accepts_failed += 1;
+                self.metrics.accepts_failed += 1;
                 let text = format_args!("a client could not be accepted: {e}");
                 self.observer.say(now, "accept", text);
                 self.accept_again = Some(now + self.limits.accept_again);
-                self.figures.clients_closed_for_room += u64::from(self.clients.free_one(now));
+                self.metrics.clients_closed_for_room += u64::from(self.clients.free_one(now));
             }
             Arrival::Closed => {
                 // Nobody is refused before it is let go here.
@@ -457,12 +457,12 @@
             client::Heard::Writing { client, since } => self.clients.writes(client, since),
             client::Heard::HalfClosed { client } => self.clients.half_closed(client, now),
             client::Heard::Malformed => {
-                self.figures.clients_malformed += 1;
+                self.metrics.clients_malformed += 1;
                 let text = format_args!("sent what is not the protocol");
                 self.observer.say(now, "client", text);
             }
-            client::Heard::NoRoom => self.figures.rejected_for_memory += 1,
-            client::Heard::Oversized => self.figures.statements_unreadable += 1,
+            client::Heard::NoRoom => self.metrics.rejected_for_memory += 1,
+            client::Heard::Oversized => self.metrics.statements_unreadable += 1,
             client::Heard::Moved {
                 client,
                 stream,
@@ -484,7 +484,7 @@
                     if self.statements.release(stmt).is_none() {
                         continue;
                     }
-                    self.figures.withdrawn += 1;
+                    self.metrics.withdrawn += 1;
                     let results = self.module.on_statement_withdrawn(now, stmt);
                     self.carry_out(now, results);
                 }
@@ -504,13 +504,13 @@
         let (workload, marked) = match marked.and_then(|m| Ok((self.routable(&m, length)?, m))) {
             Ok(marked) => marked,
             Err(fault) => {
-                self.figures.statements_unreadable += 1;
+                self.metrics.statements_unreadable += 1;
                 let text = format_args!("not routed: {}", fault.message);
                 self.observer.say(now, "statement", text);
                 return self.clients.say(client, Say::Answer(number, fault.into()));
             }
         };
-        self.figures.statements_taken += 1;
+        self.metrics.statements_taken += 1;
         let own = self.workload_limits[workload].timeout;
         let longest = own.map_or(self.limits.longest_timeout, |own| {
             own.min(self.limits.longest_timeout)
@@ -564,7 +564,7 @@
     /// Gives a statement its one final answer; a later one finds it gone.
     fn answer(&mut self, stmt: u32, answer: Final) -> bool {
         let Some((client, number)) = self.statements.release(stmt) else {
-            self.figures.late_answers_dropped += 1;
+            self.metrics.late_answers_dropped += 1;
             return false;
         };
         self.clients.has_answer(client, stmt);
@@ -582,7 +582,7 @@
         }
         for e in &results.executions {
             if let Some((number, until)) = self.statements.execute(e.statement, e.deadline) {
-                self.figures.executions_sent += 1;
+                self.metrics.executions_sent += 1;
                 let kind = Kind::Execution {
                     stmt: e.statement,
                     number,
@@ -595,8 +595,8 @@
             let (stmt, told) = execution_outcomes::of_answer(answer);
             let answered = u64::from(self.answer(stmt, told));
             match answer {
-                Answer::Rejected { .. } => self.figures.rejected += answered,
-                Answer::Aborted { .. } => self.figures.aborted += answered,
+                Answer::Rejected { .. } => self.metrics.rejected += answered,
+                Answer::Aborted { .. } => self.metrics.aborted += answered,
             }
         }
         for member in &results.health_checks {
@@ -614,7 +614,7 @@
     }
 
     fn probe(&mut self, now: Timestamp, member: u32) {
-        self.figures.probes_sent += 1;
+        self.metrics.probes_sent += 1;
         // As long as a connection may take to come up: the settings know no other bound for a probe.
         let until = now + self.decoding.connect_timeout;
         self.start(now, Errand::new(Kind::Probe, member, now, until));
@@ -639,7 +639,7 @@
             self.shares_end(now, end.errand.kind, member, (ending, end.sighting));
             let results = match end.errand.kind {
                 Kind::Execution { stmt, number } => {
-                    execution_outcomes::count(&mut self.figures, ending);
+                    execution_outcomes::count(&mut self.metrics, ending);
                     let end = ExecutionEnd {
                         statement: stmt,
                         attempt: number,
@@ -653,7 +653,7 @@
                 }
                 Kind::Probe => {
                     let ok = ending == ExecutionOutcome::Completed;
-                    self.figures.probes_answered += u64::from(ok);
+                    self.metrics.probes_answered += u64::from(ok);
                     self.module
                         .on_health_check(now, member, ok, end.took, end.sighting)
                 }
@@ -696,14 +696,14 @@
                 };
                 self.end(errand, at, ending, sighting);
                 match (reply, errand.kind) {
-                    _ if !may_go => self.figures.answers_too_old += 1,
+                    _ if !may_go => self.metrics.answers_too_old += 1,
                     // The first whole answer goes to the client as the bytes that came.
                     (execution::Reply::Rows(rows), Kind::Execution { stmt, .. }) => {
                         let answered = self.answer(stmt, Final::Rows(rows));
-                        self.figures.completed += u64::from(answered);
+                        self.metrics.completed += u64::from(answered);
                     }
                     (execution::Reply::Malformed, _) => {
-                        self.figures.members_malformed += 1;
+                        self.metrics.members_malformed += 1;
                         let text = format_args!("sent what is not an answer");
                         self.observer.say(now, "member", text);
                     }
@@ -720,7 +720,7 @@
                 };
                 if errand.reused && !written {
                     // It had ended while it sat idle: nothing went out, so this isn't another execution.
-                    self.figures.idle_connections_stale += 1;
+                    self.metrics.idle_connections_stale += 1;
                     return self.restart(now, errand);
                 }
                 self.errands.note_age(&errand, now, written);
@@ -750,7 +750,7 @@
     }
 
     fn call(&mut self, now: Timestamp) {
-        self.figures.discovery_calls += 1;
+        self.metrics.discovery_calls += 1;
         if !self.calls.call(now) {
             self.call_failed(now);
         }
@@ -771,7 +771,7 @@
             }
             watch::Heard::Older => self.calls.forget(),
             watch::Heard::Unreadable => {
-                self.figures.rosters_unreadable += 1;
+                self.metrics.rosters_unreadable += 1;
                 let text = format_args!("answered what can't be read");
                 self.observer.say(now, "discovery", text);
             }
@@ -787,7 +787,7 @@
 
     /// Takes over a list or changes to it. Entries that can't be read are left out, the others stand.
     pub fn learn_roster(&mut self, now: Timestamp, roster: &Roster) {
-        self.figures.rosters_told += 1;
+        self.metrics.rosters_told += 1;
         let read = roster.entries.iter().filter_map(|e| self.members.learn(e));
         let entries: Vec<_> = read.collect();
         let leave = entries.iter().filter(|e| e.state != MemberState::Ready);
@@ -800,7 +800,7 @@
         self.shares_listed(roster.index, &entries);
         let left_out = roster.left_out + roster.entries.len() - entries.len();
         if left_out > 0 {
-            self.figures.roster_entries_left_out += left_out as u64;
+            self.metrics.roster_entries_left_out += left_out as u64;
             let text = format_args!("{left_out} entries of the list can't be read");
             self.observer.say(now, "discovery", text);
         }
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -1,7 +1,7 @@
-//! What the owner does for another process that serves beside this one: tells what was learned, hands clients and
+//! What the event loop does for another process that serves beside this one: tells what was learned, hands clients and
 //! connections over, takes them back, and holds to what binds both.
 
-use super::{Learned, Moved, Observer, Owner, ADOPTED};
+use super::{EventLoop, Learned, Moved, Observer, ADOPTED};
 use crate::protocol::session::Say;
 use crate::protocol::vitals;
 use crate::routing::execution_outcomes;
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::net::{TcpListener, TcpStream};
 
-impl<O: Observer> Owner<O> {
+impl<O: Observer> EventLoop<O> {
     /// What was learned, as another process goes on from it.
     pub fn learned(&self) -> Learned<'_> {
         (&self.module, &self.members)
@@ -65,7 +65,7 @@
             }),
             Word::Drains { member, since_ms } => self.members.find(member).map(|m| {
                 self.errands.let_go(m);
-                self.figures.drains_from_beside += 1;
+                self.metrics.drains_from_beside += 1;
                 self.module
                     .on_member_update(now, m, MemberUpdate::Draining(vitals::unix(*since_ms)))
             }),
@@ -108,7 +108,7 @@
         };
         let adopt = &mut self.adopt_connection;
         if self.errands.adopt(now, (member, address), |id| adopt(id, stream)) {
-            self.figures.connections_adopted += 1;
+            self.metrics.connections_adopted += 1;
         }
     }
 
@@ -123,7 +123,7 @@
                     self.verdicts.insert(id, moved.verdicts);
                 }
                 self.arrived(now, Arrival::Client(id, line));
-                self.figures.clients_adopted += 1;
+                self.metrics.clients_adopted += 1;
                 if moved.has_asked {
                     self.clients.asked_before(id, now);
                 }
@@ -145,14 +145,14 @@
         let (count, answer) = match verdict {
             Verdict::Open => return false,
             Verdict::Rejected => (
-                &mut self.figures.taken_back_rejected,
+                &mut self.metrics.taken_back_rejected,
                 Answer::Rejected {
                     statement: stmt,
                     retry_after: hold_off,
                 },
             ),
             Verdict::Aborted => (
-                &mut self.figures.taken_back_aborted,
+                &mut self.metrics.taken_back_aborted,
                 Answer::Aborted { statement: stmt },
             ),
         };
--- a/crates/driver/src/routing/events.rs
+++ b/crates/driver/src/routing/events.rs
@@ -1,4 +1,4 @@
-//! What comes to the owner.
+//! What comes to the event loop.
 
 use crate::protocol::{execution, session, watch};
 use crate::transport::listener::Arrival;
--- a/crates/driver/src/routing/execution_outcomes.rs
+++ b/crates/driver/src/routing/execution_outcomes.rs
@@ -1,6 +1,6 @@
 //! Endings in the module's words, and its answers in the clients'.
 
-use super::metrics::Figures;
+use super::metrics::Metrics;
 use crate::protocol::execution::Reply;
 use crate::protocol::session::Final;
 use asterlatch::interface::{Answer, ExecutionOutcome};
@@ -33,17 +33,17 @@
     asterlatch::policy::definitely_not_executed(ending)
 }
 
-pub fn count(figures: &mut Figures, ending: ExecutionOutcome) {
+pub fn count(metrics: &mut Metrics, ending: ExecutionOutcome) {
     *match ending {
-        ExecutionOutcome::Completed => &mut figures.ended_completed,
-        ExecutionOutcome::Errored => &mut figures.ended_errored,
-        ExecutionOutcome::Rejected => &mut figures.ended_turned_away,
-        ExecutionOutcome::TimedOut => &mut figures.ended_timed_out,
-        ExecutionOutcome::NoConnection => &mut figures.ended_no_connection,
-        ExecutionOutcome::ConnectionLost => &mut figures.ended_connection_lost,
-        ExecutionOutcome::Cancelled => &mut figures.ended_cancelled,
-        ExecutionOutcome::NotSent => &mut figures.ended_never_sent,
-        ExecutionOutcome::NotEligible => &mut figures.ended_missed,
+        ExecutionOutcome::Completed => &mut metrics.ended_completed,
+        ExecutionOutcome::Errored => &mut metrics.ended_errored,
+        ExecutionOutcome::Rejected => &mut metrics.ended_turned_away,
+        ExecutionOutcome::TimedOut => &mut metrics.ended_timed_out,
+        ExecutionOutcome::NoConnection => &mut metrics.ended_no_connection,
+        ExecutionOutcome::ConnectionLost => &mut metrics.ended_connection_lost,
+        ExecutionOutcome::Cancelled => &mut metrics.ended_cancelled,
+        ExecutionOutcome::NotSent => &mut metrics.ended_never_sent,
+        ExecutionOutcome::NotEligible => &mut metrics.ended_missed,
     } += 1;
 }
 
--- a/crates/driver/src/routing/gossip.rs
+++ b/crates/driver/src/routing/gossip.rs
@@ -1,4 +1,4 @@
-//! What the owner keeps for what drivers tell each other: what was seen and is still to be told, which statements went out
+//! What the event loop keeps for what drivers tell each other: what was seen and is still to be told, which statements went out
 //! that must not run twice, and which wait for others' word. It speaks to the engine by words, and never waits for it.
 
 use super::coordination::Turns;
@@ -11,7 +11,7 @@
 use asterlatch_gossip::slow_start::{self, Cold};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// To the engine: what it takes, as far as the owner says it.
+/// To the engine: what it takes, as far as the event loop says it.
 pub type Word = Input<'static>;
 
 /// From the engine.
--- a/crates/driver/src/routing/limits.rs
+++ b/crates/driver/src/routing/limits.rs
@@ -1,4 +1,4 @@
-//! The host's own figures: shares, times and rates that its operators may set. What stands here is what holds where
+//! Limits of the service that its operators may set: shares, times and rates. The values here are the defaults where
 //! they say nothing.
 
 use asterlatch::time::TimeSpan;
--- a/crates/driver/src/routing/metrics.rs
+++ b/crates/driver/src/routing/metrics.rs
@@ -2,20 +2,20 @@
 
 use super::member_requests::Cause;
 
-macro_rules! figures {
+macro_rules! metrics {
     ($($name:ident,)*) => {
         #[derive(Clone, Debug, Default)]
-        pub struct Figures {
+        pub struct Metrics {
             $(pub $name: u64,)*
         }
-        impl Figures {
+        impl Metrics {
             pub fn named(&self) -> impl Iterator<Item = (&'static str, u64)> {
                 [$((stringify!($name), self.$name),)*].into_iter()
             }
         }
     };
 }
-figures! {
+metrics! {
     clients_accepted,
     accepts_failed,
     clients_turned_away,
@@ -85,7 +85,7 @@
     open_member_connections,
 }
 
-impl Figures {
+impl Metrics {
     /// A connection was opened for this, if any was.
     pub fn opened(&mut self, cause: Option<Cause>) {
         let Some(cause) = cause else { return };
--- a/crates/driver/src/routing/mod.rs
+++ b/crates/driver/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! The one owner of the decision module: inputs come through a queue, commands go out to connections.
+//! The one event loop of the decision module: inputs come through a queue, commands go out to connections.
 
 pub mod clients;
 pub mod coordination;
--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients. What the kernel has accepted counts as accepted, so there is no bound here: the owner
+//! Accepts clients. What the kernel has accepted counts as accepted, so there is no bound here: the event loop
 //! closes connections that sit idle instead.
 
 use super::clock::Clock;
--- a/crates/driver/src/transport/pool.rs
+++ b/crates/driver/src/transport/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to members, held by the owner. One carries one statement at a time; among idle ones the most
+//! Connections to members, held by the event loop. One carries one statement at a time; among idle ones the most
 //! recently used goes first, so that those beyond the need grow old and are closed.
 
 use super::stream::Line;
--- a/crates/driver/src/transport/stream.rs
+++ b/crates/driver/src/transport/stream.rs
@@ -23,7 +23,7 @@
 /// resets the connection, and takes along what the peer has not read yet.
 const BEHIND: usize = 256 * 1024;
 
-/// What a dialogue wants done: bytes to write, news for the owner, the connection closed once they are out.
+/// What a dialogue wants done: bytes to write, news for the event loop, the connection closed once they are out.
 pub struct Outbox<N> {
     pub bytes: Vec<u8>,
     pub notices: Vec<N>,
@@ -95,7 +95,7 @@
     fn hungry(&self, unused: usize) -> bool;
 }
 
-/// The owner's end of a connection, which ends when this is dropped.
+/// The event loop's end of a connection, which ends when this is dropped.
 pub struct Line<C> {
     commands: Option<Sender<C>>,
     /// None where nothing but the commands is wanted, for there is no socket behind it.
@@ -169,7 +169,7 @@
 }
 
 impl<D: Dialogue, M: From<D::Notice> + Send + 'static> Connection<D, M> {
-    /// The owner is gone only when the process ends.
+    /// The event loop is gone only when the process ends.
     fn report(&mut self) {
         for notice in self.out.notices.drain(..) {
             let _ = self.queue.send(notice.into());
@@ -411,7 +411,7 @@
             // One whose peer is gone can't be shut down, and needn't.
             let _ = io.inner().shutdown(Shutdown::Both);
         }
-        // Closed before its end is told, so that no more descriptors are open than the owner counts.
+        // Closed before its end is told, so that no more descriptors are open than the event loop counts.
         close(io);
         dialogue.ended(clock.now(), &mut out);
         while let Ok(command) = commands.try_recv() {
@@ -481,7 +481,7 @@
         behind: None,
         taken: room.none(),
     };
-    // The owner must know the line before the first news from it.
+    // The event loop must know the line before the first news from it.
     announce(Line {
         commands: Some(sender),
         waker: Some(waker),
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// Without a file, and with an empty one, the service acts by its own figures.
+/// Without a file, and with an empty one, the service uses its own defaults.
 #[test]
 fn the_settings_defaults_are_the_figures_of_the_service() {
     let force = InForce::of(&Meaning::default_of(registry()));
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The owner of the module, told of connections and given a clock, without a socket.
+//! The event loop of the module, told of connections and given a clock, without a socket.
 
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -8,7 +8,7 @@
 use asterlatch_driver::protocol::session::{Final, Heard as Client, Say, Text};
 use asterlatch_driver::protocol::watch::{Heard as Discovery, News};
 use asterlatch_driver::routing::discovery_requests::Call;
-use asterlatch_driver::routing::event_loop::{Given, Observer, Owner, Place};
+use asterlatch_driver::routing::event_loop::{EventLoop, Given, Observer, Place};
 use asterlatch_driver::routing::events::Input;
 use asterlatch_driver::routing::limits::Limits;
 use asterlatch_driver::transport::ages::Ages;
@@ -45,7 +45,7 @@
 type Called = Rc<RefCell<Vec<(Call, Receiver<Infallible>)>>>;
 
 struct Stage {
-    owner: Owner<Quiet>,
+    event_loop: EventLoop<Quiet>,
     now: Timestamp,
     dialled: Dialled,
     called: Called,
@@ -96,14 +96,14 @@
 impl Stage {
     fn new(settings: &str, sockets: usize, memory: usize) -> Stage {
         let mut stage = Stage::empty(settings, sockets, memory);
-        stage.owner.learn_roster(START, &group());
+        stage.event_loop.learn_roster(START, &group());
         stage.begin()
     }
 
     /// At its start, with a list from before.
     fn knowing(settings: &str, sockets: usize, memory: usize) -> Stage {
         let mut stage = Stage::empty(settings, sockets, memory);
-        stage.owner.begin_with(START, &group());
+        stage.event_loop.begin_with(START, &group());
         stage.pass(0);
         stage
     }
@@ -142,7 +142,7 @@
         let json = serde_json::from_str(settings).expect("is JSON");
         let settings = Pairs::from_json(&json).and_then(|p| read(&p)).expect("is read");
         Stage {
-            owner: Owner::new(settings, 7, place, START, Quiet),
+            event_loop: EventLoop::new(settings, 7, place, START, Quiet),
             now: START,
             dialled,
             called,
@@ -175,22 +175,23 @@
 
     fn pass(&mut self, ms: u64) {
         let end = self.now + TimeSpan::millis(ms);
-        while self.owner.next_at() <= end {
-            self.now = self.now.max(self.owner.next_at());
-            self.owner.reach(self.now);
+        while self.event_loop.next_at() <= end {
+            self.now = self.now.max(self.event_loop.next_at());
+            self.event_loop.reach(self.now);
         }
         self.now = end;
-        self.owner.reach(self.now);
+        self.event_loop.reach(self.now);
     }
 
     /// A change of the list.
     fn changed(&mut self, entry: Entry) {
         let (whole, change) = (false, list(2, vec![entry]));
-        self.owner.learn_roster(self.now, &Roster { whole, ..change });
+        self.event_loop
+            .learn_roster(self.now, &Roster { whole, ..change });
     }
 
     fn heard(&mut self, heard: Member) {
-        self.owner.take(self.now, Input::Member(heard));
+        self.event_loop.take(self.now, Input::Member(heard));
     }
 
     fn reply(&mut self, connection: u32, reply: Reply, is_primary: Option<bool>) {
@@ -211,7 +212,7 @@
     fn client(&mut self, id: u32) {
         let (sender, told) = channel();
         self.clients.insert(id, told);
-        self.owner
+        self.event_loop
             .take(self.now, Input::Arrival(Arrival::Client(id, Line::to(sender))));
     }
 
@@ -231,7 +232,7 @@
             text,
             at,
         };
-        self.owner.take(self.now, Input::Client(heard));
+        self.event_loop.take(self.now, Input::Client(heard));
     }
 
     /// What the client was told, in short.
@@ -323,10 +324,13 @@
         assert_eq!(s.told(1), "rows(v)");
     }
     assert_eq!(
-        (s.owner.figures.completed, s.owner.figures.executions_sent),
+        (
+            s.event_loop.metrics.completed,
+            s.event_loop.metrics.executions_sent
+        ),
         (3, 3)
     );
-    assert_eq!(s.owner.open_statements(), 0);
+    assert_eq!(s.event_loop.open_statements(), 0);
 }
 
 /// What a member's connection did, what that makes of a write's client within 100 ms, and whether the write
@@ -404,11 +408,11 @@
         written: false,
     });
     let (fresh, at) = s.sent().expect("on a new one");
-    assert_eq!((at.as_str(), s.owner.figures.executions_sent), (PRIMARY, 1));
+    assert_eq!((at.as_str(), s.event_loop.metrics.executions_sent), (PRIMARY, 1));
     assert!(fresh != idle && s.told(1).is_empty());
     s.reply(fresh, rows("v"), Some(true));
     assert_eq!(
-        (s.told(1).as_str(), s.owner.figures.ended_completed),
+        (s.told(1).as_str(), s.event_loop.metrics.ended_completed),
         ("rows(v)", 1)
     );
 }
@@ -446,7 +450,7 @@
         }
         let refused = u64::from(behind > 500);
         assert_eq!(
-            (s.told(1).as_str(), s.owner.figures.answers_too_old),
+            (s.told(1).as_str(), s.event_loop.metrics.answers_too_old),
             (told, refused)
         );
     }
@@ -493,8 +497,10 @@
                     at: s.now,
                     written: true,
                 }),
-                Time => s.owner.reach(now),
-                Gone => s.owner.take(s.now, Input::Client(Client::Gone { client: 1 })),
+                Time => s.event_loop.reach(now),
+                Gone => s
+                    .event_loop
+                    .take(s.now, Input::Client(Client::Gone { client: 1 })),
             }
             words.extend(Some(s.told(1)).filter(|w| !w.is_empty()));
         }
@@ -513,7 +519,7 @@
         );
         let late = order.iter().position(|c| *c == Gone).unwrap_or(order.len());
         assert!(
-            late == order.len() || s.owner.open_statements() == 0,
+            late == order.len() || s.event_loop.open_statements() == 0,
             "{workload} {order:?}"
         );
     }
@@ -530,12 +536,15 @@
         (1..=200).for_each(|id| (0..3).for_each(|_| s.asks(id, "c=post,d=60000,cluster=1")));
         let out = std::iter::from_fn(|| s.sent()).collect::<Vec<_>>();
         assert!(!out.is_empty() && out.len() < 300, "{}", out.len());
-        (1..=200).for_each(|id| s.owner.take(s.now, Input::Client(Client::Gone { client: id })));
+        (1..=200).for_each(|id| {
+            s.event_loop
+                .take(s.now, Input::Client(Client::Gone { client: id }))
+        });
         out.iter()
             .for_each(|(connection, _)| s.reply(*connection, rows("v"), Some(true)));
         s.pass(1000);
         assert_eq!(
-            (s.sent(), s.owner.open_statements()),
+            (s.sent(), s.event_loop.open_statements()),
             (None, 0),
             "cancel {cancel}"
         );
@@ -547,11 +556,14 @@
 #[test]
 fn what_waits_for_its_connection_is_looked_at_again() {
     let uncalled = SETTINGS.replace(r#""cancel":true"#, r#""cancel":false"#);
-    let gone = |s: &mut Stage| s.owner.take(s.now, Input::Client(Client::Gone { client: 1 }));
+    let gone = |s: &mut Stage| {
+        s.event_loop
+            .take(s.now, Input::Client(Client::Gone { client: 1 }))
+    };
     let drains = |s: &mut Stage| s.changed(entry("p", Status::Draining, true));
     let missing = |s: &mut Stage| {
         let replica = entry("rr", Status::Serving, false);
-        s.owner.learn_roster(s.now, &list(3, vec![replica]));
+        s.event_loop.learn_roster(s.now, &list(3, vec![replica]));
     };
     type Comes = fn(&mut Stage);
     // What comes between, whether the statement goes out behind it, and what its client is told at its time: without a
@@ -604,7 +616,8 @@
     s.sent().expect("the first is sent");
     s.asks(1, POST);
     let (connection, _) = s.opened();
-    s.owner.take(s.now, Input::Client(Client::Gone { client: 1 }));
+    s.event_loop
+        .take(s.now, Input::Client(Client::Gone { client: 1 }));
     s.pass(240);
     assert!(s.is_open(connection));
     s.pass(20);
@@ -624,9 +637,13 @@
     assert_eq!(s.told(1), "rows(w)", "the connection keeps the order");
     s.asks(1, VIEW);
     let (third, _) = s.sent().expect("is sent at once");
-    s.owner.take(s.now, Input::Client(Client::Gone { client: 1 }));
+    s.event_loop
+        .take(s.now, Input::Client(Client::Gone { client: 1 }));
     assert!(!s.is_open(first) && !s.is_open(third));
-    assert_eq!((s.owner.open_statements(), s.owner.figures.withdrawn), (0, 2));
+    assert_eq!(
+        (s.event_loop.open_statements(), s.event_loop.metrics.withdrawn),
+        (0, 2)
+    );
 }
 
 #[test]
@@ -637,7 +654,8 @@
         s.asks(1, VIEW);
         let (connection, _) = s.sent().expect("is sent at once");
         if leaves {
-            s.owner.take(s.now, Input::Client(Client::Gone { client: 1 }));
+            s.event_loop
+                .take(s.now, Input::Client(Client::Gone { client: 1 }));
         } else {
             s.pass(900);
             assert_eq!(
@@ -647,11 +665,11 @@
             );
         }
         assert!(!s.is_open(connection), "giving up ends the connection");
-        assert_eq!(s.owner.open_statements(), 0);
+        assert_eq!(s.event_loop.open_statements(), 0);
         s.reply(connection, rows("late"), Some(false));
         s.pass(2000);
         assert_eq!(s.told(1), "");
-        assert_eq!(s.owner.figures.completed, 0);
+        assert_eq!(s.event_loop.metrics.completed, 0);
     }
 }
 
@@ -669,12 +687,13 @@
     // A waiting one crowds the first out as soon as its SLO time is over.
     s.client(2);
     s.asks(2, "c=view,d=5000,cluster=1");
-    s.owner.take(s.now, Input::Client(Client::Gone { client: 1 }));
+    s.event_loop
+        .take(s.now, Input::Client(Client::Gone { client: 1 }));
     assert!(s.is_open(connection));
-    let before = s.owner.figures.ended_completed;
+    let before = s.event_loop.metrics.ended_completed;
     s.reply(connection, rows("late"), Some(false));
-    assert_eq!(s.owner.figures.ended_completed, before + 1);
-    assert_eq!((s.told(1).as_str(), s.owner.figures.completed), ("", 0));
+    assert_eq!(s.event_loop.metrics.ended_completed, before + 1);
+    assert_eq!((s.told(1).as_str(), s.event_loop.metrics.completed), ("", 0));
 }
 
 #[test]
@@ -697,7 +716,7 @@
     assert_eq!((s.told(1).as_str(), s.sent()), ("22023", None));
     let (client, number, at) = (1, 0, s.now);
     let text = Text::new("SELECT 1", &s.room).expect("has room");
-    s.owner.take(
+    s.event_loop.take(
         s.now,
         Input::Client(Client::Statement {
             client,
@@ -733,7 +752,7 @@
     assert_eq!(s.told(22), "turned away", "none is idle");
     s.asks(22, VIEW);
     assert_eq!(
-        s.owner.figures.statements_taken, 20,
+        s.event_loop.metrics.statements_taken, 20,
         "what one that was turned away sends is not taken"
     );
     assert!(
@@ -751,8 +770,8 @@
         s.sent().expect("the first is sent");
         *s.fault.borrow_mut() = Some(code);
         s.asks(1, POST);
-        let figures = &s.owner.figures;
-        let counts = (figures.ended_never_sent, figures.ended_no_connection);
+        let metrics = &s.event_loop.metrics;
+        let counts = (metrics.ended_never_sent, metrics.ended_no_connection);
         assert_eq!(counts, if ended == "never_sent" { (1, 0) } else { (0, 1) });
         assert_eq!(s.told(1), "");
     }
@@ -782,7 +801,7 @@
 #[test]
 fn discovery_may_fail_and_the_last_good_list_stands() {
     let mut s = stage();
-    let hear = |s: &mut Stage, call, heard| s.owner.take(s.now, Input::from(News { call, heard }));
+    let hear = |s: &mut Stage, call, heard| s.event_loop.take(s.now, Input::from(News { call, heard }));
     assert_eq!(
         (s.called.borrow().len(), s.called.borrow()[0].0.after),
         (1, None),
@@ -812,7 +831,7 @@
     let mut pauses = Vec::new();
     for n in 0..6 {
         hear(&mut s, before + n, Discovery::Down);
-        pauses.push((s.owner.next_at() - s.now).0 / 1000);
+        pauses.push((s.event_loop.next_at() - s.now).0 / 1000);
         s.pass(2000);
     }
     assert!(
@@ -823,7 +842,7 @@
     let mut lost = entry("lost", Status::Serving, false);
     lost.address = "nowhere".to_owned();
     s.changed(lost);
-    assert_eq!(s.owner.figures.roster_entries_left_out, 1);
+    assert_eq!(s.event_loop.metrics.roster_entries_left_out, 1);
 }
 
 /// New members with new names replace the old ones all day: what was kept for those is let go with them, idle
@@ -855,7 +874,7 @@
         s.pass(50);
         old = name;
     }
-    let (names, ids, idle) = s.owner.members();
+    let (names, ids, idle) = s.event_loop.members();
     assert!(names <= 3 && ids <= 3 && idle <= 3, "{names} {ids} {idle}");
     let open = used.iter().filter(|c| s.is_open(**c)).count();
     assert!(open <= 2, "{open} connections to members that are gone");
@@ -892,9 +911,11 @@
             s.pass((start + TimeSpan::millis(*ms) - s.now).0 / 1000);
             let (client, since) = (1, s.now);
             match *does {
-                "idle" => s.owner.take(s.now, Input::Client(Client::Idle { client, since })),
+                "idle" => s
+                    .event_loop
+                    .take(s.now, Input::Client(Client::Idle { client, since })),
                 "writes" => s
-                    .owner
+                    .event_loop
                     .take(s.now, Input::Client(Client::Writing { client, since })),
                 "silence" => (50..60).for_each(|id| s.client(id)),
                 "asks" => {
@@ -918,7 +939,7 @@
         s.asks(id, VIEW);
         let (connection, _) = s.sent().expect("is sent at once");
         s.reply(connection, rows("v"), Some(false));
-        s.owner.take(
+        s.event_loop.take(
             s.now,
             Input::Client(Client::Idle {
                 client: id,
@@ -1005,20 +1026,20 @@
     let asked = SETTINGS.replacen('{', r#"{"discovery":"ask","#, 1);
     for settings in [SETTINGS, &asked] {
         let mut s = Stage::new(settings, 1024, 192 << 20);
-        let hear = |s: &mut Stage, call, heard| s.owner.take(s.now, Input::from(News { call, heard }));
+        let hear = |s: &mut Stage, call, heard| s.event_loop.take(s.now, Input::from(News { call, heard }));
         hear(&mut s, 1, Discovery::Told(group()));
         let mut given = Given {
             discovery: s.called.borrow()[0].0.address,
             sockets: 1024,
             memory: 192 << 20,
         };
-        s.owner.give(s.now, given);
+        s.event_loop.give(s.now, given);
         s.pass(0);
         assert_eq!(s.called.borrow().len(), 1, "the same address: the watch stands");
         given.discovery = "10.0.1.2:80".parse().expect("is an address");
         // Twice in a row must not call twice.
-        s.owner.give(s.now, given);
-        s.owner.give(s.now, given);
+        s.event_loop.give(s.now, given);
+        s.event_loop.give(s.now, given);
         s.pass(0);
         let calls: Vec<_> = s
             .called
@@ -1054,7 +1075,7 @@
     let (connection, _) = s.sent().expect("is sent at once");
     let discovery = s.called.borrow()[0].0.address;
     let (sockets, memory) = (50, 192 << 20);
-    s.owner.give(
+    s.event_loop.give(
         s.now,
         Given {
             discovery,
@@ -1069,7 +1090,7 @@
     // A quarter of the memory is for what clients send, and what they have sent is given back with its answer.
     assert_eq!(s.room.taken(), 0);
     let memory = 400;
-    s.owner.give(
+    s.event_loop.give(
         s.now,
         Given {
             discovery,
@@ -1092,7 +1113,7 @@
     );
     let mut s = Stage::new(&asks, 1024, 192 << 20);
     assert_eq!(s.called.borrow().len(), 1, "at the start");
-    s.owner.take(
+    s.event_loop.take(
         s.now,
         Input::from(News {
             call: 1,
@@ -1122,14 +1143,14 @@
         let mut s = Stage::knowing(settings, 1024, 192 << 20);
         let after = |s: &Stage| s.called.borrow().last().map(|(call, _)| call.after);
         assert_eq!(after(&s), Some(first));
-        s.owner.take(
+        s.event_loop.take(
             s.now,
             Input::from(News {
                 call: 1,
                 heard: Discovery::Older,
             }),
         );
-        s.owner.take(
+        s.event_loop.take(
             s.now,
             Input::from(News {
                 call: 1,
@@ -1144,23 +1165,23 @@
 #[test]
 fn a_probe_tells_position_and_role() {
     let mut s = Stage::new(SETTINGS, 1024, 192 << 20);
-    assert!(s.owner.figures.probes_answered > 0);
+    assert!(s.event_loop.metrics.probes_answered > 0);
     let asked = messages::probe(true);
     assert!(asked.windows(11).any(|w| w == b"SHOW vitals"));
     // The replica owes an answer for long enough to be shunned, and is probed until it speaks.
     s.client(1);
     s.asks(1, "c=view,d=60000,cluster=1");
     s.sent().expect("is sent at once");
-    let before = s.owner.figures.probes_sent;
+    let before = s.event_loop.metrics.probes_sent;
     s.pass(3000);
-    assert!(s.owner.figures.probes_sent > before);
+    assert!(s.event_loop.metrics.probes_sent > before);
 }
 
 #[test]
 fn clients_are_sent_away_and_those_that_still_come() {
     let mut s = stage();
     s.asks(1, VIEW);
-    s.owner.send_clients_away();
+    s.event_loop.send_clients_away();
     s.client(2);
     assert_eq!((s.told(1).as_str(), s.told(2).as_str()), ("leave", "leave"));
     let (connection, _) = s.sent().expect("what was taken goes on");
@@ -1178,22 +1199,22 @@
     };
     let mut stage = stage();
     stage
-        .owner
+        .event_loop
         .take(stage.now, Input::Client(Client::HalfClosed { client: 1 }));
     stage.pass(299);
     assert!(!ended(&stage, 1));
     stage.pass(1);
     assert!(ended(&stage, 1));
     stage
-        .owner
+        .event_loop
         .take(stage.now, Input::Client(Client::Gone { client: 1 }));
-    assert_eq!(stage.owner.open_clients(), 0);
+    assert_eq!(stage.event_loop.open_clients(), 0);
     // Six descriptors beyond the reserve: four clients.
     let mut stage = Stage::new(SETTINGS, 48 + 6, 192 << 20);
     (1..=4).for_each(|id| stage.client(id));
     stage.pass(1);
     stage
-        .owner
+        .event_loop
         .take(stage.now, Input::Client(Client::HalfClosed { client: 2 }));
     stage.client(5);
     assert!(ended(&stage, 2), "it goes first");
@@ -1212,9 +1233,9 @@
     assert_eq!(stage.told(1), "22023", "answered, so it rests now");
     let since = stage.now;
     stage
-        .owner
+        .event_loop
         .take(since, Input::Client(Client::Writing { client: 1, since }));
-    stage.owner.send_clients_away();
+    stage.event_loop.send_clients_away();
     stage.pass(499);
     assert_eq!(stage.told(1), "leave");
     stage.pass(1);
