--- a/crates/driver/src/routing/discovery_requests.rs
+++ b/crates/driver/src/routing/discovery_requests.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery: one watch at a time, and when the next one is due.
+//! DiscoveryRequests to discovery: one watch at a time, and when the next one is due.
 
 use super::limits::Limits;
 use crate::transport::stream::Line;
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 
 /// What a call needs to know: its number, whom to call, how long a watch waits and after which version.
-pub struct Call {
+pub struct DiscoveryRequest {
     pub number: u32,
     pub address: SocketAddr,
     pub wait_ms: u64,
     pub after: Option<u64>,
 }
 
-pub type Dial = Box<dyn FnMut(Call) -> io::Result<Line<Infallible>>>;
+pub type Dial = Box<dyn FnMut(DiscoveryRequest) -> io::Result<Line<Infallible>>>;
 
-pub struct Calls {
+pub struct DiscoveryRequests {
     dial: Dial,
     address: SocketAddr,
     line: Option<Line<Infallible>>,
@@ -34,9 +34,15 @@
     news_within: TimeSpan,
 }
 
-impl Calls {
-    pub fn new(dial: Dial, address: SocketAddr, on_request: bool, limits: Limits, now: Timestamp) -> Calls {
-        Calls {
+impl DiscoveryRequests {
+    pub fn new(
+        dial: Dial,
+        address: SocketAddr,
+        on_request: bool,
+        limits: Limits,
+        now: Timestamp,
+    ) -> DiscoveryRequests {
+        DiscoveryRequests {
             dial,
             address,
             line: None,
@@ -76,7 +82,7 @@
         self.line.is_some() && self.number == number
     }
 
-    /// Calls, unless a call stands; whether that could be done.
+    /// DiscoveryRequests, unless a call stands; whether that could be done.
     pub fn call(&mut self, now: Timestamp) -> bool {
         if self.line.is_some() {
             return true;
@@ -86,7 +92,7 @@
         let wait_ms = self.limits.watch.0 / 1000;
         self.news_within = self.limits.watch + self.limits.watch_late;
         self.ends = now + after.map_or(self.limits.list_late, |_| self.news_within);
-        self.line = (self.dial)(Call {
+        self.line = (self.dial)(DiscoveryRequest {
             number,
             address: self.address,
             wait_ms,
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -3,71 +3,71 @@
 
 use super::{EventLoop, Observer};
 use crate::protocol::messages;
-use crate::routing::member_requests::{Errand, Kind, Start, Up};
+use crate::routing::member_requests::{Assignment, ConnectionUp, MemberRequest, RequestKind};
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::Record;
 
 impl<O: Observer> EventLoop<O> {
-    /// Gives the errand a connection.
-    pub(super) fn start(&mut self, now: Timestamp, errand: Errand) {
-        let address = self.members.address(errand.member);
+    /// Gives the request a connection.
+    pub(super) fn start(&mut self, now: Timestamp, request: MemberRequest) {
+        let address = self.members.address(request.member);
         let started = match address {
-            Some(address) => self.errands.start(now, errand, address),
+            Some(address) => self.member_requests.start(now, request, address),
             None => Err(ExecutionOutcome::NotSent),
         };
-        match (started, errand.kind) {
-            (Ok(Start::Stands(connection)), _) => self.send(now, connection, errand),
-            (Ok(Start::Opens(cause)), kind) => {
+        match (started, request.kind) {
+            (Ok(Assignment::Ready(connection)), _) => self.send(now, connection, request),
+            (Ok(Assignment::Connecting(cause)), kind) => {
                 self.metrics.opened(Some(cause));
-                if let Kind::Execution { stmt, number } = kind {
+                if let RequestKind::Execution { stmt, number } = kind {
                     self.module.on_connecting(stmt, number);
                 }
             }
-            (Err(ending), _) => self.end(errand, now, ending, ReplicaStatus::default()),
+            (Err(ending), _) => self.end(request, now, ending, ReplicaStatus::default()),
         }
     }
 
     /// Its connection had ended before anything was written: it starts anew, if it still may.
-    pub(super) fn restart(&mut self, now: Timestamp, errand: Errand) {
-        if self.may_go(now, errand.kind) {
-            self.start(now, errand);
+    pub(super) fn restart(&mut self, now: Timestamp, request: MemberRequest) {
+        if self.may_go(now, request.kind) {
+            self.start(now, request);
         } else {
-            self.end(errand, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
+            self.end(request, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
         }
     }
 
     pub(super) fn connection_up(&mut self, now: Timestamp, connection: u32) {
-        let Up::For(errand) = self.errands.up(connection, now) else {
+        let ConnectionUp::Assigned(request) = self.member_requests.up(connection, now) else {
             return;
         };
-        if self.may_go(now, errand.kind) {
-            self.send(now, connection, errand);
-        } else if let Some(errand) = self.errands.take_back(connection, now) {
-            self.end(errand, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
+        if self.may_go(now, request.kind) {
+            self.send(now, connection, request);
+        } else if let Some(request) = self.member_requests.take_back(connection, now) {
+            self.end(request, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
         }
     }
 
-    fn may_go(&mut self, now: Timestamp, kind: Kind) -> bool {
+    fn may_go(&mut self, now: Timestamp, kind: RequestKind) -> bool {
         match kind {
-            Kind::Execution { stmt, number } => self.module.may_dispatch(now, stmt, number),
-            Kind::Probe => true,
+            RequestKind::Execution { stmt, number } => self.module.may_dispatch(now, stmt, number),
+            RequestKind::HealthCheck => true,
         }
     }
 
-    /// Hands what the errand is for to its connection, and writes that down first where another process may go on.
-    fn send(&mut self, now: Timestamp, connection: u32, errand: Errand) {
-        let query = match errand.kind {
-            Kind::Execution { stmt, .. } => self.statements.query(stmt, now, errand.until),
-            Kind::Probe => Some(messages::probe(self.decoding.reported)),
+    /// Hands what the request is for to its connection, and writes that down first where another process may go on.
+    fn send(&mut self, now: Timestamp, connection: u32, request: MemberRequest) {
+        let query = match request.kind {
+            RequestKind::Execution { stmt, .. } => self.statements.query(stmt, now, request.until),
+            RequestKind::HealthCheck => Some(messages::probe(self.decoding.reported)),
         };
         let Some(query) = query else {
-            if let Some(errand) = self.errands.take_back(connection, now) {
-                self.end(errand, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
+            if let Some(request) = self.member_requests.take_back(connection, now) {
+                self.end(request, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
             }
             return;
         };
-        if let (Kind::Execution { stmt, .. }, Some(witness)) = (errand.kind, &self.witness) {
+        if let (RequestKind::Execution { stmt, .. }, Some(witness)) = (request.kind, &self.witness) {
             if let Some((client, end, harmless)) = self.statements.place(stmt).filter(|_| witness.is_on()) {
                 let out = Record::Out {
                     client,
@@ -77,6 +77,6 @@
                 witness.put(&out, None);
             }
         }
-        self.errands.send(connection, query);
+        self.member_requests.send(connection, query);
     }
 }
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -4,7 +4,7 @@
 use crate::protocol::vitals;
 use crate::routing::execution_outcomes;
 use crate::routing::gossip::{sightings, News, Out, Parked, Sharing, Word};
-use crate::routing::member_requests::Kind;
+use crate::routing::member_requests::RequestKind;
 use crate::routing::members;
 use asterlatch::interface::*;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -138,7 +138,7 @@
     pub(super) fn shares_end(
         &mut self,
         now: Timestamp,
-        kind: Kind,
+        kind: RequestKind,
         member: u32,
         end: (ExecutionOutcome, ReplicaStatus),
     ) {
@@ -156,7 +156,7 @@
             sharing.turns.silence.heard(name, now);
             sharing.turns.sums.answered(now, members::key(name));
         }
-        let Kind::Execution { stmt, number } = kind else {
+        let RequestKind::Execution { stmt, number } = kind else {
             return;
         };
         let Some(out) = sharing.out.remove(&(stmt, number)) else {
@@ -413,7 +413,7 @@
                 let Some(member) = self.members.find(name).filter(|_| binds) else {
                     return;
                 };
-                self.errands.let_go(member);
+                self.member_requests.let_go(member);
                 self.metrics.drains_from_others += 1;
                 let results = self.module.on_member_update(
                     now,
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -10,12 +10,12 @@
 use crate::protocol::session::{Final, Say, Text};
 use crate::protocol::{execution, messages, session as client, vitals, watch};
 use crate::routing::clients::{Clients, Room};
-use crate::routing::discovery_requests::{self, Calls};
+use crate::routing::discovery_requests::{self, DiscoveryRequests};
 use crate::routing::events::{Input, Notice};
 use crate::routing::execution_outcomes;
 use crate::routing::gossip::Sharing;
 use crate::routing::limits::{Limits, WorkloadLimits};
-use crate::routing::member_requests::{self, Errand, Errands, Kind};
+use crate::routing::member_requests::{self, MemberRequest, MemberRequests, RequestKind};
 use crate::routing::members::{session, Members, Names};
 use crate::routing::metrics::Metrics;
 use crate::routing::statements::Statements;
@@ -127,7 +127,7 @@
 
 /// The end of an execution or probe that the module is still to be told of.
 struct Ended {
-    errand: Errand,
+    request: MemberRequest,
     ending: ExecutionOutcome,
     took: TimeSpan,
     sighting: ReplicaStatus,
@@ -143,8 +143,8 @@
     members: Members,
     clients: Clients,
     statements: Statements,
-    errands: Errands,
-    calls: Calls,
+    member_requests: MemberRequests,
+    discovery_requests: DiscoveryRequests,
     memory: (Memory, Memory),
     given: Given,
     limits: Limits,
@@ -201,8 +201,8 @@
             members: Members::new(&decoding.zones),
             clients: Clients::new(most_clients, limits),
             statements: Statements::default(),
-            errands: Errands::new(place.members, timeout, idle, most_members),
-            calls: Calls::new(
+            member_requests: MemberRequests::new(place.members, timeout, idle, most_members),
+            discovery_requests: DiscoveryRequests::new(
                 place.discovery,
                 given.discovery,
                 settings.poll_endpoint_list,
@@ -283,8 +283,8 @@
     pub fn next_at(&self) -> Timestamp {
         let times = [
             self.module_wakes,
-            self.errands.next_at(),
-            self.calls.next_at(),
+            self.member_requests.next_at(),
+            self.discovery_requests.next_at(),
             self.clients.next_at(),
             self.accept_again,
             self.sharing.as_ref().and_then(Sharing::next_at),
@@ -297,7 +297,7 @@
             Input::Arrival(arrival) => self.arrived(now, arrival),
             Input::Client(heard) => self.client_heard(now, heard),
             Input::Member(heard) => self.member_heard(now, heard),
-            Input::Discovery(number, heard) if self.calls.is_current(number) => {
+            Input::Discovery(number, heard) if self.discovery_requests.is_current(number) => {
                 self.discovery_heard(now, heard)
             }
             Input::Discovery(..) => {}
@@ -309,8 +309,8 @@
 
     /// Does what is due by the clock.
     pub fn reach(&mut self, now: Timestamp) {
-        while let Some((errand, ending)) = self.errands.overdue(now) {
-            self.end(errand, now, ending, ReplicaStatus::default());
+        while let Some((request, ending)) = self.member_requests.overdue(now) {
+            self.end(request, now, ending, ReplicaStatus::default());
             self.tell_ended(now);
         }
         if self.module_wakes.is_some_and(|at| at <= now) {
@@ -318,16 +318,16 @@
             self.carry_out(now, results);
         }
         self.reach_sharing(now);
-        self.errands.end_idle(now);
+        self.member_requests.end_idle(now);
         let (slow, rested) = self.clients.end_pauses(now);
         self.metrics.clients_too_slow += slow;
         self.metrics.clients_rested += rested;
-        if self.calls.is_silent(now) {
+        if self.discovery_requests.is_silent(now) {
             let text = format_args!("silent, calling again");
             self.observer.say(now, "discovery", text);
             self.call_failed(now);
         }
-        if self.calls.is_due(now) {
+        if self.discovery_requests.is_due(now) {
             self.call(now);
         }
         if self.accept_again.take_if(|at| *at <= now).is_some() {
@@ -336,14 +336,14 @@
         self.tell_ended(now);
         self.metrics.open_statements = self.statements.count() as u64;
         self.metrics.open_clients = self.clients.count() as u64;
-        self.metrics.open_member_connections = self.errands.connections() as u64;
+        self.metrics.open_member_connections = self.member_requests.connections() as u64;
     }
 
     /// Takes over what has changed. Whatever is open stays: fewer connections come about as they end.
     pub fn give(&mut self, now: Timestamp, given: Given) {
         self.given = given;
         self.bound();
-        self.calls.move_to(now, given.discovery);
+        self.discovery_requests.move_to(now, given.discovery);
     }
 
     /// Takes over what the operators set. Newcomers are bound by it first; nothing open ends for a smaller limit,
@@ -364,8 +364,8 @@
         let (given, limits) = (self.given, self.limits);
         let (clients, members) = given.connections(&limits);
         self.clients.bound(clients, limits);
-        self.errands.bound(members, limits.member_idle);
-        self.calls.bound(limits);
+        self.member_requests.bound(members, limits.member_idle);
+        self.discovery_requests.bound(limits);
         let (of_clients, of_members) = given.bytes(&limits);
         self.memory.0.bound(of_clients);
         self.memory.1.bound(of_members);
@@ -397,7 +397,7 @@
     /// What is kept of members: names, ids, and those with an idle connection.
     pub fn members(&self) -> (usize, usize, usize) {
         let (names, ids) = self.members.count();
-        (names, ids, self.errands.idle_members())
+        (names, ids, self.member_requests.idle_members())
     }
 
     pub fn open_clients(&self) -> usize {
@@ -576,19 +576,19 @@
     fn carry_out(&mut self, now: Timestamp, results: Actions) {
         self.module_wakes = results.wake_up_at;
         for c in &results.cancellations {
-            if let Some((errand, ending)) = self.errands.cancel(now, c.statement, c.attempt) {
-                self.end(errand, now, ending, ReplicaStatus::default());
+            if let Some((request, ending)) = self.member_requests.cancel(now, c.statement, c.attempt) {
+                self.end(request, now, ending, ReplicaStatus::default());
             }
         }
         for e in &results.executions {
             if let Some((number, until)) = self.statements.execute(e.statement, e.deadline) {
                 self.metrics.executions_sent += 1;
-                let kind = Kind::Execution {
+                let kind = RequestKind::Execution {
                     stmt: e.statement,
                     number,
                 };
                 self.shares_execution(now, e.statement, number, e.member);
-                self.start(now, Errand::new(kind, e.member, now, until));
+                self.start(now, MemberRequest::new(kind, e.member, now, until));
             }
         }
         for answer in &results.answers {
@@ -606,7 +606,7 @@
         }
         for member in &results.removed_members {
             self.members.let_go(*member);
-            self.errands.let_go(*member);
+            self.member_requests.let_go(*member);
         }
         if results.poll_endpoint_list {
             self.call(now);
@@ -617,13 +617,22 @@
         self.metrics.probes_sent += 1;
         // As long as a connection may take to come up: the settings know no other bound for a probe.
         let until = now + self.decoding.connect_timeout;
-        self.start(now, Errand::new(Kind::Probe, member, now, until));
+        self.start(
+            now,
+            MemberRequest::new(RequestKind::HealthCheck, member, now, until),
+        );
     }
 
-    fn end(&mut self, errand: Errand, at: Timestamp, ending: ExecutionOutcome, sighting: ReplicaStatus) {
-        let took = at - errand.sent;
+    fn end(
+        &mut self,
+        request: MemberRequest,
+        at: Timestamp,
+        ending: ExecutionOutcome,
+        sighting: ReplicaStatus,
+    ) {
+        let took = at - request.sent;
         self.ended.push_back(Ended {
-            errand,
+            request,
             ending,
             took,
             sighting,
@@ -635,10 +644,10 @@
     /// have their answer are told too, for what they say of the member.
     fn tell_ended(&mut self, now: Timestamp) {
         while let Some(end) = self.ended.pop_front() {
-            let (member, ending) = (end.errand.member, end.ending);
-            self.shares_end(now, end.errand.kind, member, (ending, end.sighting));
-            let results = match end.errand.kind {
-                Kind::Execution { stmt, number } => {
+            let (member, ending) = (end.request.member, end.ending);
+            self.shares_end(now, end.request.kind, member, (ending, end.sighting));
+            let results = match end.request.kind {
+                RequestKind::Execution { stmt, number } => {
                     execution_outcomes::count(&mut self.metrics, ending);
                     let end = ExecutionEnd {
                         statement: stmt,
@@ -651,7 +660,7 @@
                     };
                     self.module.on_execution_ended(now, &end)
                 }
-                Kind::Probe => {
+                RequestKind::HealthCheck => {
                     let ok = ending == ExecutionOutcome::Completed;
                     self.metrics.probes_answered += u64::from(ok);
                     self.module
@@ -666,7 +675,7 @@
         match heard {
             execution::Heard::Up { connection } => self.connection_up(now, connection),
             execution::Heard::Moved { connection, stream } => {
-                let member = self.errands.moved(connection);
+                let member = self.member_requests.moved(connection);
                 self.moved_connections.extend(member.map(|m| (m, stream)));
             }
             execution::Heard::Replied {
@@ -676,14 +685,14 @@
                 sighting,
                 report,
             } => {
-                let errand = match reply {
-                    execution::Reply::Malformed => self.errands.end(connection),
-                    _ => self.errands.answered(connection, now),
+                let request = match reply {
+                    execution::Reply::Malformed => self.member_requests.end(connection),
+                    _ => self.member_requests.answered(connection, now),
                 };
-                let Some(errand) = errand else { return };
-                let sighting = sighting.merge(self.reported(&errand, &reply, report));
-                let may_go = match (&reply, errand.kind) {
-                    (execution::Reply::Rows(_), Kind::Execution { stmt, number }) => {
+                let Some(request) = request else { return };
+                let sighting = sighting.merge(self.reported(&request, &reply, report));
+                let may_go = match (&reply, request.kind) {
+                    (execution::Reply::Rows(_), RequestKind::Execution { stmt, number }) => {
                         self.module.accepts_answer(stmt, number, sighting)
                     }
                     _ => true,
@@ -694,11 +703,11 @@
                 } else {
                     ExecutionOutcome::Errored
                 };
-                self.end(errand, at, ending, sighting);
-                match (reply, errand.kind) {
+                self.end(request, at, ending, sighting);
+                match (reply, request.kind) {
                     _ if !may_go => self.metrics.answers_too_old += 1,
                     // The first whole answer goes to the client as the bytes that came.
-                    (execution::Reply::Rows(rows), Kind::Execution { stmt, .. }) => {
+                    (execution::Reply::Rows(rows), RequestKind::Execution { stmt, .. }) => {
                         let answered = self.answer(stmt, Final::Rows(rows));
                         self.metrics.completed += u64::from(answered);
                     }
@@ -715,17 +724,17 @@
                 at,
                 written,
             } => {
-                let Some(errand) = self.errands.end(connection) else {
+                let Some(request) = self.member_requests.end(connection) else {
                     return;
                 };
-                if errand.reused && !written {
+                if request.reused && !written {
                     // It had ended while it sat idle: nothing went out, so this isn't another execution.
                     self.metrics.idle_connections_stale += 1;
-                    return self.restart(now, errand);
+                    return self.restart(now, request);
                 }
-                self.errands.note_age(&errand, now, written);
+                self.member_requests.note_age(&request, now, written);
                 self.end(
-                    errand,
+                    request,
                     at,
                     execution_outcomes::of_loss(written),
                     ReplicaStatus::default(),
@@ -735,12 +744,17 @@
     }
 
     /// What a report says, whether it came beside an answer or as the row that a probe asked for.
-    fn reported(&self, errand: &Errand, reply: &execution::Reply, beside: Option<String>) -> ReplicaStatus {
+    fn reported(
+        &self,
+        request: &MemberRequest,
+        reply: &execution::Reply,
+        beside: Option<String>,
+    ) -> ReplicaStatus {
         let fields = &self.decoding.report_fields;
         let name = |at: Option<usize>| at.and_then(|n| fields.get(n)).map(String::as_str);
         let (position, role) = (name(self.decoding.position_field), name(self.decoding.role_field));
-        let row = match (errand.kind, reply) {
-            (Kind::Probe, execution::Reply::Rows(rows)) => messages::row_value(rows),
+        let row = match (request.kind, reply) {
+            (RequestKind::HealthCheck, execution::Reply::Rows(rows)) => messages::row_value(rows),
             _ => None,
         };
         let row = row.and_then(|v| std::str::from_utf8(v).ok());
@@ -751,13 +765,13 @@
 
     fn call(&mut self, now: Timestamp) {
         self.metrics.discovery_calls += 1;
-        if !self.calls.call(now) {
+        if !self.discovery_requests.call(now) {
             self.call_failed(now);
         }
     }
 
     fn call_failed(&mut self, now: Timestamp) {
-        if self.calls.failed(now) {
+        if self.discovery_requests.failed(now) {
             let results = self.module.on_poll_failed(now);
             self.carry_out(now, results);
         }
@@ -766,10 +780,10 @@
     fn discovery_heard(&mut self, now: Timestamp, heard: watch::Heard) {
         match heard {
             watch::Heard::Told(roster) => {
-                self.calls.told(now, roster.index);
+                self.discovery_requests.told(now, roster.index);
                 self.learn_roster(now, &roster);
             }
-            watch::Heard::Older => self.calls.forget(),
+            watch::Heard::Older => self.discovery_requests.forget(),
             watch::Heard::Unreadable => {
                 self.metrics.rosters_unreadable += 1;
                 let text = format_args!("answered what can't be read");
@@ -781,7 +795,7 @@
 
     /// Begins with the list that is known from before.
     pub fn begin_with(&mut self, now: Timestamp, known: &Roster) {
-        self.calls.knows(known.index);
+        self.discovery_requests.knows(known.index);
         self.learn_roster(now, known);
     }
 
@@ -792,7 +806,7 @@
         let entries: Vec<_> = read.collect();
         let leave = entries.iter().filter(|e| e.state != MemberState::Ready);
         for e in leave {
-            self.errands.let_go(e.id);
+            self.member_requests.let_go(e.id);
             let name = self.members.name(e.id).filter(|_| self.is_shared);
             let since_ms = e.started_at.map_or(0, |at| at.0 / 1000);
             self.drains.extend(name.map(|n| (n.to_owned(), since_ms)));
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -50,7 +50,7 @@
     /// Executions that are out, by member.
     pub fn out(&self) -> BTreeMap<String, u32> {
         let mut out = BTreeMap::new();
-        for name in self.errands.out().filter_map(|m| self.members.name(m)) {
+        for name in self.member_requests.out().filter_map(|m| self.members.name(m)) {
             *out.entry(name.to_owned()).or_default() += 1;
         }
         out
@@ -64,7 +64,7 @@
                     .on_member_update(now, m, MemberUpdate::InFlight(*count as usize))
             }),
             Word::Drains { member, since_ms } => self.members.find(member).map(|m| {
-                self.errands.let_go(m);
+                self.member_requests.let_go(m);
                 self.metrics.drains_from_beside += 1;
                 self.module
                     .on_member_update(now, m, MemberUpdate::Draining(vitals::unix(*since_ms)))
@@ -98,7 +98,7 @@
     /// Has each client go to another process between two statements; those that do lie in `moved`.
     pub fn hand_clients_over(&mut self) {
         self.clients.hand_over();
-        self.errands.hand_over_idle();
+        self.member_requests.hand_over_idle();
     }
 
     /// Goes on with an idle connection to a member that is still known.
@@ -107,7 +107,10 @@
             return;
         };
         let adopt = &mut self.adopt_connection;
-        if self.errands.adopt(now, (member, address), |id| adopt(id, stream)) {
+        if self
+            .member_requests
+            .adopt(now, (member, address), |id| adopt(id, stream))
+        {
             self.metrics.connections_adopted += 1;
         }
     }
--- a/crates/driver/src/routing/member_requests.rs
+++ b/crates/driver/src/routing/member_requests.rs
@@ -12,14 +12,14 @@
 use std::net::SocketAddr;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum RequestKind {
     Execution { stmt: u32, number: u8 },
-    Probe,
+    HealthCheck,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Errand {
-    pub kind: Kind,
+pub struct MemberRequest {
+    pub kind: RequestKind,
     pub member: u32,
     pub sent: Timestamp,
     pub until: Timestamp,
@@ -31,9 +31,9 @@
     up: bool,
 }
 
-impl Errand {
-    pub fn new(kind: Kind, member: u32, sent: Timestamp, until: Timestamp) -> Errand {
-        Errand {
+impl MemberRequest {
+    pub fn new(kind: RequestKind, member: u32, sent: Timestamp, until: Timestamp) -> MemberRequest {
+        MemberRequest {
             kind,
             member,
             sent,
@@ -48,29 +48,29 @@
 
 /// Why a new connection was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum OpenReason {
     /// None ever stood to that member, since it was listed or its connections were let go.
     First,
     /// All that stand are busy.
-    Busy,
+    AllBusy,
     /// One stood, and rested too long or was ended.
-    Again,
+    Reopened,
     /// One stood, and was closed to make room for others.
-    Crowded,
+    Evicted,
 }
 
-/// What an errand begins with.
-pub enum Start {
+/// What an request begins with.
+pub enum Assignment {
     /// This connection stands, and may be sent on at once.
-    Stands(u32),
+    Ready(u32),
     /// One is coming up.
-    Opens(Cause),
+    Connecting(OpenReason),
 }
 
 /// A connection that has come up.
 #[derive(Debug, PartialEq)]
-pub enum Up {
-    For(Errand),
+pub enum ConnectionUp {
+    Assigned(MemberRequest),
     /// What it was opened for needs it no more: it is idle.
     Idle,
     Unknown,
@@ -79,10 +79,10 @@
 /// Opens a connection under this number.
 pub type Dial = Box<dyn FnMut(u32, SocketAddr) -> io::Result<Line<Run>>>;
 
-pub struct Errands {
+pub struct MemberRequests {
     pool: Pool<Run>,
     dial: Dial,
-    busy: BTreeMap<u32, Errand>,
+    busy: BTreeMap<u32, MemberRequest>,
     running: BTreeMap<(u32, u8), u32>,
     ends: BTreeSet<(Timestamp, u32)>,
     /// Connections that come up for nobody, and until when they may.
@@ -100,9 +100,9 @@
 /// Linux's errors for want of descriptors, which say nothing of the member.
 const NO_DESCRIPTOR: [i32; 2] = [23, 24];
 
-impl Errands {
-    pub fn new(dial: Dial, connect_timeout: TimeSpan, idle: (TimeSpan, Part), most: usize) -> Errands {
-        Errands {
+impl MemberRequests {
+    pub fn new(dial: Dial, connect_timeout: TimeSpan, idle: (TimeSpan, Part), most: usize) -> MemberRequests {
+        MemberRequests {
             pool: Pool::default(),
             dial,
             busy: BTreeMap::new(),
@@ -135,44 +135,44 @@
     pub fn start(
         &mut self,
         now: Timestamp,
-        errand: Errand,
+        request: MemberRequest,
         address: SocketAddr,
-    ) -> Result<Start, ExecutionOutcome> {
-        let mut errand = errand;
+    ) -> Result<Assignment, ExecutionOutcome> {
+        let mut request = request;
         let mut cause = None;
         let earliest = now - self.ages.limit().unwrap_or(self.idle).min(self.idle);
-        let connection = match self.pool.take(errand.member, address, earliest) {
+        let connection = match self.pool.take(request.member, address, earliest) {
             Some((id, since)) => {
-                errand.idle = now - since;
+                request.idle = now - since;
                 id
             }
             None => {
-                errand.reused = false;
-                errand.up = false;
-                cause = Some(self.cause(errand.member));
-                errand.ends = errand.until.min(now + self.connect_timeout);
-                self.open(errand.member, address)?
+                request.reused = false;
+                request.up = false;
+                cause = Some(self.cause(request.member));
+                request.ends = request.until.min(now + self.connect_timeout);
+                self.open(request.member, address)?
             }
         };
-        if let Kind::Execution { stmt, number } = errand.kind {
+        if let RequestKind::Execution { stmt, number } = request.kind {
             self.running.insert((stmt, number), connection);
         }
-        self.ends.insert((errand.ends, connection));
-        self.busy.insert(connection, errand);
-        Ok(cause.map_or(Start::Stands(connection), Start::Opens))
+        self.ends.insert((request.ends, connection));
+        self.busy.insert(connection, request);
+        Ok(cause.map_or(Assignment::Ready(connection), Assignment::Connecting))
     }
 
-    /// Sends the query of the errand that has this connection.
+    /// Sends the query of the request that has this connection.
     pub fn send(&mut self, connection: u32, query: Vec<u8>) {
         self.pool.tell(connection, Run::Query(query));
     }
 
-    fn cause(&mut self, member: u32) -> Cause {
+    fn cause(&mut self, member: u32) -> OpenReason {
         match (self.met.insert(member, false), self.pool.stands(member)) {
-            (_, true) => Cause::Busy,
-            (None, _) => Cause::First,
-            (Some(true), _) => Cause::Crowded,
-            (Some(false), _) => Cause::Again,
+            (_, true) => OpenReason::AllBusy,
+            (None, _) => OpenReason::First,
+            (Some(true), _) => OpenReason::Evicted,
+            (Some(false), _) => OpenReason::Reopened,
         }
     }
 
@@ -194,62 +194,62 @@
     }
 
     /// The connection stands: from now on its answer is waited for.
-    pub fn up(&mut self, connection: u32, now: Timestamp) -> Up {
+    pub fn up(&mut self, connection: u32, now: Timestamp) -> ConnectionUp {
         if let Some(ends) = self.coming.remove(&connection) {
             self.ends.remove(&(ends, connection));
             self.pool.give_back(connection, now);
-            return Up::Idle;
+            return ConnectionUp::Idle;
         }
-        let Some(errand) = self.busy.get_mut(&connection) else {
-            return Up::Unknown;
+        let Some(request) = self.busy.get_mut(&connection) else {
+            return ConnectionUp::Unknown;
         };
-        self.ends.remove(&(errand.ends, connection));
-        errand.up = true;
-        errand.ends = errand.until;
-        self.ends.insert((errand.ends, connection));
-        Up::For(*errand)
+        self.ends.remove(&(request.ends, connection));
+        request.up = true;
+        request.ends = request.until;
+        self.ends.insert((request.ends, connection));
+        ConnectionUp::Assigned(*request)
     }
 
-    /// Takes an errand back of which nothing has gone out. Its connection serves another: at once if it is up, else
+    /// Takes an request back of which nothing has gone out. Its connection serves another: at once if it is up, else
     /// when it comes up within its time.
-    pub fn take_back(&mut self, connection: u32, now: Timestamp) -> Option<Errand> {
-        let errand = self.finish(connection)?;
-        if errand.up {
+    pub fn take_back(&mut self, connection: u32, now: Timestamp) -> Option<MemberRequest> {
+        let request = self.finish(connection)?;
+        if request.up {
             self.pool.give_back(connection, now);
         } else {
-            self.ends.insert((errand.ends, connection));
-            self.coming.insert(connection, errand.ends);
+            self.ends.insert((request.ends, connection));
+            self.coming.insert(connection, request.ends);
         }
-        Some(errand)
+        Some(request)
     }
 
-    fn finish(&mut self, connection: u32) -> Option<Errand> {
-        let errand = self.busy.remove(&connection)?;
-        self.ends.remove(&(errand.ends, connection));
-        if let Kind::Execution { stmt, number } = errand.kind {
+    fn finish(&mut self, connection: u32) -> Option<MemberRequest> {
+        let request = self.busy.remove(&connection)?;
+        self.ends.remove(&(request.ends, connection));
+        if let RequestKind::Execution { stmt, number } = request.kind {
             self.running.remove(&(stmt, number));
         }
-        Some(errand)
+        Some(request)
     }
 
     /// Its answer has come, whole: the connection may serve again. What comes for one that was given up belongs
-    /// to no errand.
-    pub fn answered(&mut self, connection: u32, now: Timestamp) -> Option<Errand> {
-        let errand = self.finish(connection)?;
-        self.note_age(&errand, now, false);
+    /// to no request.
+    pub fn answered(&mut self, connection: u32, now: Timestamp) -> Option<MemberRequest> {
+        let request = self.finish(connection)?;
+        self.note_age(&request, now, false);
         self.pool.give_back(connection, now);
-        Some(errand)
+        Some(request)
     }
 
     /// How a connection fared that had sat idle.
-    pub fn note_age(&mut self, errand: &Errand, now: Timestamp, broke: bool) {
-        if errand.reused {
-            self.ages.note(now, errand.idle, broke);
+    pub fn note_age(&mut self, request: &MemberRequest, now: Timestamp, broke: bool) {
+        if request.reused {
+            self.ages.note(now, request.idle, broke);
         }
     }
 
     /// Ends the connection, which is never used again.
-    pub fn end(&mut self, connection: u32) -> Option<Errand> {
+    pub fn end(&mut self, connection: u32) -> Option<MemberRequest> {
         self.pool.remove(connection);
         if let Some(ends) = self.coming.remove(&connection) {
             self.ends.remove(&(ends, connection));
@@ -257,8 +257,13 @@
         self.finish(connection)
     }
 
-    /// Calls an execution off; says how that ends it.
-    pub fn cancel(&mut self, now: Timestamp, stmt: u32, number: u8) -> Option<(Errand, ExecutionOutcome)> {
+    /// DiscoveryRequests an execution off; says how that ends it.
+    pub fn cancel(
+        &mut self,
+        now: Timestamp,
+        stmt: u32,
+        number: u8,
+    ) -> Option<(MemberRequest, ExecutionOutcome)> {
         let connection = *self.running.get(&(stmt, number))?;
         if self.busy.get(&connection).is_some_and(|e| e.up) {
             Some((self.end(connection)?, ExecutionOutcome::Cancelled))
@@ -268,16 +273,16 @@
     }
 
     /// The first that has been waited for long enough, and how that ends it: what waited for its connection never ran.
-    pub fn overdue(&mut self, now: Timestamp) -> Option<(Errand, ExecutionOutcome)> {
+    pub fn overdue(&mut self, now: Timestamp) -> Option<(MemberRequest, ExecutionOutcome)> {
         while let Some((at, connection)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
             self.ends.remove(&(at, connection));
-            if let Some(errand) = self.end(connection) {
-                let ending = if errand.up {
+            if let Some(request) = self.end(connection) {
+                let ending = if request.up {
                     ExecutionOutcome::TimedOut
                 } else {
                     ExecutionOutcome::NoConnection
                 };
-                return Some((errand, ending));
+                return Some((request, ending));
             }
         }
         None
@@ -291,13 +296,13 @@
 
     /// The member of each execution that is out.
     pub fn out(&self) -> impl Iterator<Item = u32> + '_ {
-        let executions = self.busy.values().filter(|e| e.kind != Kind::Probe);
+        let executions = self.busy.values().filter(|e| e.kind != RequestKind::HealthCheck);
         executions.map(|e| e.member)
     }
 
     /// The same, each with when it was sent.
     pub fn sent(&self) -> impl Iterator<Item = (u32, Timestamp)> + '_ {
-        let executions = self.busy.values().filter(|e| e.kind != Kind::Probe);
+        let executions = self.busy.values().filter(|e| e.kind != RequestKind::HealthCheck);
         executions.map(|e| (e.member, e.sent))
     }
 
--- a/crates/driver/src/routing/metrics.rs
+++ b/crates/driver/src/routing/metrics.rs
@@ -1,6 +1,6 @@
 //! Counts of what was taken in, sent and answered.
 
-use super::member_requests::Cause;
+use super::member_requests::OpenReason;
 
 macro_rules! metrics {
     ($($name:ident,)*) => {
@@ -87,14 +87,14 @@
 
 impl Metrics {
     /// A connection was opened for this, if any was.
-    pub fn opened(&mut self, cause: Option<Cause>) {
+    pub fn opened(&mut self, cause: Option<OpenReason>) {
         let Some(cause) = cause else { return };
         self.connections_opened += 1;
         let of = match cause {
-            Cause::First => &mut self.opened_first,
-            Cause::Busy => &mut self.opened_busy,
-            Cause::Again => &mut self.opened_again,
-            Cause::Crowded => &mut self.opened_crowded,
+            OpenReason::First => &mut self.opened_first,
+            OpenReason::AllBusy => &mut self.opened_busy,
+            OpenReason::Reopened => &mut self.opened_again,
+            OpenReason::Evicted => &mut self.opened_crowded,
         };
         *of += 1;
     }
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -7,7 +7,7 @@
 use asterlatch_driver::protocol::roster::{Entry, Roster, Status};
 use asterlatch_driver::protocol::session::{Final, Heard as Client, Say, Text};
 use asterlatch_driver::protocol::watch::{Heard as Discovery, News};
-use asterlatch_driver::routing::discovery_requests::Call;
+use asterlatch_driver::routing::discovery_requests::DiscoveryRequest;
 use asterlatch_driver::routing::event_loop::{EventLoop, Given, Observer, Place};
 use asterlatch_driver::routing::events::Input;
 use asterlatch_driver::routing::limits::Limits;
@@ -42,7 +42,7 @@
 
 /// Connections by number: the member's address and what it is told.
 type Dialled = Rc<RefCell<BTreeMap<u32, (String, Receiver<Run>)>>>;
-type Called = Rc<RefCell<Vec<(Call, Receiver<Infallible>)>>>;
+type Called = Rc<RefCell<Vec<(DiscoveryRequest, Receiver<Infallible>)>>>;
 
 struct Stage {
     event_loop: EventLoop<Quiet>,
