--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -1,7 +1,7 @@
 //! What a driver is told at its start.
 
 use crate::protocol::comment::hashed;
-use crate::protocol::roster::{self, Roster};
+use crate::protocol::roster::{self, EndpointList};
 use crate::routing::event_loop::Given;
 use asterlatch::interface::Settings;
 use asterlatch_settings::{Decoding, Pairs};
@@ -13,7 +13,7 @@
     pub listen: SocketAddr,
     pub given: Given,
     pub seed: u64,
-    pub known: Option<Roster>,
+    pub known: Option<EndpointList>,
     pub settings: (Settings, Decoding),
     /// The same for the same text of the settings.
     pub settings_text: u64,
--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -5,7 +5,7 @@
 use super::log::{log, Log};
 use super::phases::{Phases, Times};
 use crate::routing::event_loop::EventLoop;
-use crate::routing::events::{Input, Notice};
+use crate::routing::events::{ControlEvent, Event};
 use crate::routing::limits::{Limits, Part, WorkloadLimits};
 use crate::transport::Stacks;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -293,7 +293,7 @@
         given: &Given,
         start: Start,
         upgrade_times: predecessor::Times,
-        queue: Sender<Input>,
+        queue: Sender<Event>,
     ) -> Result<Operators, String> {
         let canonical = start.meaning.canonical(registry());
         let digest = hash(&canonical);
@@ -494,7 +494,7 @@
     file: String,
     state: Option<PathBuf>,
     tell: Sender<Done>,
-    queue: Sender<Input>,
+    queue: Sender<Event>,
 ) -> Result<Sender<Job>, String> {
     let (jobs, todo) = channel();
     let work = move || {
@@ -532,7 +532,7 @@
                     Done::Kept { number, fault }
                 }
             };
-            if tell.send(done).is_err() || queue.send(Input::Notice(Notice::Done)).is_err() {
+            if tell.send(done).is_err() || queue.send(Event::Control(ControlEvent::WakeUp)).is_err() {
                 return;
             }
         }
--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -13,7 +13,7 @@
 use crate::protocol::session::Session;
 use crate::protocol::watch::Watch;
 use crate::routing::event_loop::{EventLoop, Place};
-use crate::routing::events::{Input, Notice};
+use crate::routing::events::{ControlEvent, Event};
 use crate::transport::clock::Clock;
 use crate::transport::room::Room;
 use crate::transport::{self, listener, stream};
@@ -50,22 +50,22 @@
     let place = Place {
         witness: witness.clone(),
         members: Box::new(move |id, address| {
-            stream::dial::<_, Input>(address, Executions::new(id, longest), &to_members, (clock, &room))
+            stream::dial::<_, Event>(address, Executions::new(id, longest), &to_members, (clock, &room))
         }),
         discovery: Box::new(move |call| {
             let watch = Watch::new(call.number, call.address.to_string(), call.wait_ms, call.after);
-            stream::dial::<_, Input>(call.address, watch, &to_discovery, (clock, &unbound))
+            stream::dial::<_, Event>(call.address, watch, &to_discovery, (clock, &unbound))
         }),
         adopt: Box::new(move |id, stream, mut standing| {
             let session = Session::resume(id, adopted_room.clone(), &standing);
             let session = session.witnessed(witnessed.clone());
             let input = std::mem::take(&mut standing.input);
-            stream::hold::<_, Input>(stream, true, session, &to_adopted, (clock, &adopted_room), input)
+            stream::hold::<_, Event>(stream, true, session, &to_adopted, (clock, &adopted_room), input)
         }),
         adopt_connection: Box::new(move |id, stream| {
             let executions = Executions::resume(id, longest);
             let place = (clock, &members_room);
-            stream::hold::<_, Input>(stream, true, executions, &to_resumed, place, Vec::new())
+            stream::hold::<_, Event>(stream, true, executions, &to_resumed, place, Vec::new())
         }),
         given: config.given,
         limits: force.limits,
@@ -118,7 +118,7 @@
         }
     }
     let listening =
-        listener::listen::<_, Input>(listener, takeover.is_some(), queue, (clock, clients), session);
+        listener::listen::<_, Event>(listener, takeover.is_some(), queue, (clock, clients), session);
     let listening = listening.map_err(|e| format!("{}: {e}", config.listen))?;
     event_loop.attach(listening);
     let mut phases = Phases::default();
@@ -129,14 +129,16 @@
     let mut operators = Operators::new(given, start, force.takeover.0, to_operators)?;
     let mut told_to_leave = false;
     event_loop.run(&inputs, clock, |event_loop, now| {
-        for notice in std::mem::take(&mut event_loop.notices) {
-            match notice {
-                Notice::Leave => {
+        for event in std::mem::take(&mut event_loop.control_events) {
+            match event {
+                ControlEvent::Shutdown => {
                     upgrades.leave(event_loop, now);
                     told_to_leave = true;
                 }
-                Notice::Upgrade if takeover.is_none() && !told_to_leave => upgrades.asked(event_loop, now),
-                Notice::Upgrade => {
+                ControlEvent::Upgrade if takeover.is_none() && !told_to_leave => {
+                    upgrades.asked(event_loop, now)
+                }
+                ControlEvent::Upgrade => {
                     log!(
                         event_loop.observer,
                         now,
@@ -144,14 +146,14 @@
                         "not begun: this process is on probation, or leaves"
                     );
                 }
-                Notice::Report => report(event_loop, now),
-                Notice::Reload => {
+                ControlEvent::ReportMetrics => report(event_loop, now),
+                ControlEvent::Reload => {
                     let newer = again();
                     machine = newer.as_ref().map_or(machine, operators::machine);
                     reload(event_loop, now, &config, newer);
                     operators.changed(machine);
                 }
-                Notice::Done => {}
+                ControlEvent::WakeUp => {}
             }
         }
         operators.steer(event_loop, &mut phases, now, machine);
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -4,8 +4,8 @@
 use super::keeping::{self, Job};
 use crate::program::config::Config;
 use crate::program::operators::registry;
-use crate::routing::events::Input as LoopEvent;
-use crate::routing::gossip::{News, Sharing, Terms, Word};
+use crate::routing::events::Event;
+use crate::routing::gossip::{GossipMessage, Sharing, Terms, Word};
 use crate::transport::clock::Clock;
 use crate::transport::datagrams::{Came, Datagrams, Waker};
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -146,7 +146,7 @@
     shares: &Shares,
     config: &Config,
     clock: Clock,
-    queue: Sender<LoopEvent>,
+    queue: Sender<Event>,
     state: Option<&Path>,
 ) -> Result<(Sharing, Line), String> {
     let address = SocketAddr::new(config.listen.ip(), shares.port);
@@ -334,7 +334,7 @@
     engine: Engine,
     datagrams: Datagrams,
     inbox: Receiver<ToEngine>,
-    queue: Sender<LoopEvent>,
+    queue: Sender<Event>,
     clock: Clock,
     /// Datagrams from nobody who may speak here, and such that couldn't be sent.
     foreign: u64,
@@ -352,7 +352,11 @@
                 self.lines.extend(keeping.steer(&mut self.engine, now));
             }
             for line in std::mem::take(&mut self.lines) {
-                if self.queue.send(LoopEvent::Peers(News::Line(line))).is_err() {
+                if self
+                    .queue
+                    .send(Event::Gossip(GossipMessage::LogLine(line)))
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -406,7 +410,11 @@
             match output {
                 Output::Send { to, bytes } => self.failed += u64::from(!self.datagrams.send(to, &bytes)),
                 news => {
-                    if self.queue.send(LoopEvent::Peers(News::Heard(news))).is_err() {
+                    if self
+                        .queue
+                        .send(Event::Gossip(GossipMessage::Output(news)))
+                        .is_err()
+                    {
                         return false;
                     }
                 }
--- a/crates/driver/src/program/upgrade/control.rs
+++ b/crates/driver/src/program/upgrade/control.rs
@@ -1,7 +1,7 @@
 //! The socket at which upgrades and the fleet's state are asked for.
 
 use crate::program::sharing::{Line, Show, What};
-use crate::routing::events::{Input, Notice};
+use crate::routing::events::{ControlEvent, Event};
 use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -18,7 +18,7 @@
 /// Listens for `asterlatch upgrade` at this path. Only who runs as this process's user may ask.
 pub fn control(
     path: &Path,
-    queue: Sender<Input>,
+    queue: Sender<Event>,
     asks: Sender<Ask>,
     fleet: Option<Line>,
 ) -> Result<(), String> {
@@ -52,7 +52,7 @@
                         binary: PathBuf::from(binary),
                         reply: stream,
                     };
-                    asks.send(ask).is_ok() && queue.send(Input::Notice(Notice::Done)).is_ok()
+                    asks.send(ask).is_ok() && queue.send(Event::Control(ControlEvent::WakeUp)).is_ok()
                 }
                 Some(("fleet", wish)) => {
                     show(wish, stream, fleet.as_ref());
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -5,7 +5,7 @@
 use crate::program::config::Config;
 use crate::program::log::{log, Log};
 use crate::routing::event_loop::{EventLoop, Moved};
-use crate::routing::events::{Input, Notice};
+use crate::routing::events::{ControlEvent, Event};
 use crate::transport::witness::Witness;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::Joint;
@@ -172,7 +172,7 @@
     }
 
     /// From now on the former process is listened to on a thread of its own.
-    pub fn follow(&mut self, queue: Sender<Input>) -> Result<(), String> {
+    pub fn follow(&mut self, queue: Sender<Event>) -> Result<(), String> {
         let _ = self.socket.set_read_timeout(None);
         let (tell, heard) = channel();
         self.heard = Some(heard);
@@ -205,7 +205,8 @@
                 heard,
                 Heard::Word(successor::Input::Garbled | successor::Input::Ended)
             );
-            if tell.send(heard).is_err() || queue.send(Input::Notice(Notice::Done)).is_err() || last {
+            if tell.send(heard).is_err() || queue.send(Event::Control(ControlEvent::WakeUp)).is_err() || last
+            {
                 return;
             }
         };
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -6,7 +6,7 @@
 use crate::program::kept::Kept;
 use crate::program::log::{log, Log};
 use crate::routing::event_loop::EventLoop;
-use crate::routing::events::{Input, Notice};
+use crate::routing::events::{ControlEvent, Event};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::capacity_check;
 use asterlatch_handover::co_serving::Joint;
@@ -29,7 +29,7 @@
 /// The side that serves.
 pub struct Upgrades {
     machine: Old,
-    queue: Sender<Input>,
+    queue: Sender<Event>,
     tell: Sender<predecessor::Input>,
     heard: Receiver<predecessor::Input>,
     asks: Receiver<Ask>,
@@ -54,7 +54,7 @@
 }
 
 impl Upgrades {
-    pub fn new(settings: u64, queue: Sender<Input>, asks: Receiver<Ask>) -> Upgrades {
+    pub fn new(settings: u64, queue: Sender<Event>, asks: Receiver<Ask>) -> Upgrades {
         let (tell, heard) = channel();
         Upgrades {
             machine: Old::new(predecessor::Times::default()),
@@ -345,7 +345,7 @@
             Err(e) => {
                 let why = format!("{}: {e}", self.binary.display());
                 let _ = self.tell.send(predecessor::Input::NotStarted(why));
-                let _ = self.queue.send(Input::Notice(Notice::Done));
+                let _ = self.queue.send(Event::Control(ControlEvent::WakeUp));
             }
         }
     }
@@ -374,7 +374,7 @@
 fn begin(
     binary: &Path,
     tell: &Sender<predecessor::Input>,
-    queue: &Sender<Input>,
+    queue: &Sender<Event>,
     pending: &Arc<AtomicUsize>,
 ) -> io::Result<(u32, OwnedFd, Link)> {
     let (ours, theirs) = UnixStream::pair()?;
@@ -412,7 +412,7 @@
             let _ = send(&socket, &message, &beside);
             if matches!(message, Message::Client(_) | Message::Member(_)) {
                 unsent.fetch_sub(1, Ordering::AcqRel);
-                let _ = woken.send(Input::Notice(Notice::Done));
+                let _ = woken.send(Event::Control(ControlEvent::WakeUp));
             }
         }
     };
@@ -426,7 +426,10 @@
                 Came::Ended => break,
             };
             let garbled = input == predecessor::Input::Garbled;
-            if tell.send(input).is_err() || queue.send(Input::Notice(Notice::Done)).is_err() || garbled {
+            if tell.send(input).is_err()
+                || queue.send(Event::Control(ControlEvent::WakeUp)).is_err()
+                || garbled
+            {
                 break;
             }
         }
@@ -434,7 +437,7 @@
         let _ = child.wait();
         ledger.try_iter().for_each(|reads| drop(reads.join()));
         let _ = tell.send(predecessor::Input::Ended);
-        let _ = queue.send(Input::Notice(Notice::Done));
+        let _ = queue.send(Event::Control(ControlEvent::WakeUp));
     };
     std::thread::Builder::new()
         .name("takeover".to_owned())
--- a/crates/driver/src/protocol/execution.rs
+++ b/crates/driver/src/protocol/execution.rs
@@ -17,9 +17,9 @@
 }
 
 /// News of a member's connection.
-pub enum Heard {
+pub enum MemberEvent {
     /// It is ready for its first query.
-    Up { connection: u32 },
+    Connected { connection: u32 },
     Replied {
         connection: u32,
         at: Timestamp,
@@ -28,9 +28,9 @@
         report: Option<String>,
     },
     /// The connection, idle, is to go on in another process.
-    Moved { connection: u32, stream: TcpStream },
+    Transferred { connection: u32, stream: TcpStream },
     /// It is over, with or without what was to be run having gone out to its last byte.
-    Down {
+    Closed {
         connection: u32,
         at: Timestamp,
         written: bool,
@@ -38,7 +38,7 @@
 }
 
 /// What a member's connection is told.
-pub enum Run {
+pub enum MemberCommand {
     /// A query to send, whole.
     Query(Vec<u8>),
     /// Gives the connection up, which sits idle.
@@ -101,15 +101,15 @@
         }
     }
 
-    fn send(&mut self, query: Vec<u8>, out: &mut Outbox<Heard>) {
+    fn send(&mut self, query: Vec<u8>, out: &mut Outbox<MemberEvent>) {
         *self = Executions::new(self.connection, self.bound);
         self.state = State::Busy;
         self.sent = true;
         out.bytes.extend(query);
     }
 
-    fn reply(&mut self, reply: Reply, at: Timestamp, out: &mut Outbox<Heard>) {
-        out.notices.push(Heard::Replied {
+    fn reply(&mut self, reply: Reply, at: Timestamp, out: &mut Outbox<MemberEvent>) {
+        out.notices.push(MemberEvent::Replied {
             connection: self.connection,
             at,
             reply,
@@ -121,7 +121,7 @@
 
     /// Nothing that comes after can be told from the rest, so the connection is over too, and nothing that came
     /// before it with the answer is believed.
-    fn malformed(&mut self, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn malformed(&mut self, at: Timestamp, out: &mut Outbox<MemberEvent>) {
         if self.sent {
             (self.sighting, self.report) = (ReplicaStatus::default(), None);
             self.reply(Reply::Malformed, at, out);
@@ -129,7 +129,7 @@
         self.close(out);
     }
 
-    fn close(&mut self, out: &mut Outbox<Heard>) {
+    fn close(&mut self, out: &mut Outbox<MemberEvent>) {
         self.state = State::Over;
         out.close = true;
     }
@@ -163,7 +163,7 @@
         body: &[u8],
         bytes: &[u8],
         at: Timestamp,
-        out: &mut Outbox<Heard>,
+        out: &mut Outbox<MemberEvent>,
     ) -> bool {
         let busy = self.state == State::Busy;
         match kind {
@@ -203,7 +203,7 @@
             }
             b'Z' if self.state == State::Greeting && self.error.is_none() => {
                 self.state = State::Idle;
-                out.notices.push(Heard::Up {
+                out.notices.push(MemberEvent::Connected {
                     connection: self.connection,
                 });
                 if let Some(query) = self.first.take() {
@@ -225,16 +225,16 @@
 }
 
 impl Dialogue for Executions {
-    type Command = Run;
-    type Notice = Heard;
+    type Command = MemberCommand;
+    type Notice = MemberEvent;
 
-    fn opened(&mut self, out: &mut Outbox<Heard>) {
+    fn opened(&mut self, out: &mut Outbox<MemberEvent>) {
         if self.state == State::Greeting {
             messages::put_startup(&mut out.bytes, "asterlatch");
         }
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn heard(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Outbox<MemberEvent>) {
         let mut taken = 0;
         while self.state != State::Over {
             match messages::front(&input[taken..], self.bound) {
@@ -256,27 +256,27 @@
         }
     }
 
-    fn told(&mut self, run: Run, _at: Timestamp, out: &mut Outbox<Heard>) {
+    fn told(&mut self, run: MemberCommand, _at: Timestamp, out: &mut Outbox<MemberEvent>) {
         match (run, &self.state) {
-            (Run::Query(query), State::Greeting) => self.first = Some(query),
-            (Run::Query(query), State::Idle) => self.send(query, out),
-            (Run::HandOver, State::Idle) => out.surrender = true,
+            (MemberCommand::Query(query), State::Greeting) => self.first = Some(query),
+            (MemberCommand::Query(query), State::Idle) => self.send(query, out),
+            (MemberCommand::HandOver, State::Idle) => out.surrender = true,
             _ => {}
         }
     }
 
-    fn surrendered(&mut self, stream: TcpStream, _input: Vec<u8>, out: &mut Outbox<Heard>) {
+    fn surrendered(&mut self, stream: TcpStream, _input: Vec<u8>, out: &mut Outbox<MemberEvent>) {
         // Idle, nothing lies unused: stray bytes have ended it before.
         self.state = State::Over;
         let connection = self.connection;
-        out.notices.push(Heard::Moved { connection, stream });
+        out.notices.push(MemberEvent::Transferred { connection, stream });
     }
 
-    fn written(&mut self, _out: &mut Outbox<Heard>) {
+    fn written(&mut self, _out: &mut Outbox<MemberEvent>) {
         self.written = self.sent;
     }
 
-    fn ended(&mut self, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn ended(&mut self, at: Timestamp, out: &mut Outbox<MemberEvent>) {
         if self.sent {
             // What came whole before the end is the answer all the same.
             if let Some(reply) = self.whole() {
@@ -285,7 +285,7 @@
         }
         self.state = State::Over;
         let written = self.sent && self.written;
-        out.notices.push(Heard::Down {
+        out.notices.push(MemberEvent::Closed {
             connection: self.connection,
             at,
             written,
--- a/crates/driver/src/protocol/roster.rs
+++ b/crates/driver/src/protocol/roster.rs
@@ -10,7 +10,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     pub name: String,
     pub address: String,
     pub zone: String,
@@ -22,16 +22,16 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Roster {
+pub struct EndpointList {
     pub index: u64,
     /// The whole list, not only what changed.
     pub whole: bool,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<Endpoint>,
     /// Entries that could not be read.
     pub left_out: usize,
 }
 
-fn entry(value: &Value) -> Option<Entry> {
+fn entry(value: &Value) -> Option<Endpoint> {
     let text = |name: &str| value.get(name).and_then(Value::as_str);
     let given = |name: &str| text(name).filter(|t| !t.is_empty()).map(str::to_owned);
     let status = match text("status")? {
@@ -43,7 +43,7 @@
     // One that is gone may come with little more than its name.
     let address = given("address").or((status == Status::Deleted).then(String::new))?;
     let group = value.get("group").map_or(Some(0), Value::as_u64)?;
-    Some(Entry {
+    Some(Endpoint {
         name: given("name")?,
         address,
         zone: text("zone").unwrap_or_default().to_owned(),
@@ -55,10 +55,10 @@
     })
 }
 
-pub fn from_value(value: &Value) -> Option<Roster> {
+pub fn from_value(value: &Value) -> Option<EndpointList> {
     let listed = value.get("endpoints")?.as_array()?;
     let entries: Vec<_> = listed.iter().filter_map(entry).collect();
-    Some(Roster {
+    Some(EndpointList {
         index: value.get("index")?.as_u64()?,
         whole: value.get("snapshot").and_then(Value::as_bool).unwrap_or(true),
         left_out: listed.len() - entries.len(),
@@ -89,7 +89,7 @@
     true
 }
 
-pub fn read(body: &[u8]) -> Option<Roster> {
+pub fn read(body: &[u8]) -> Option<EndpointList> {
     let shallow = Some(body).filter(|b| is_shallow(b))?;
     from_value(&serde_json::from_slice(shallow).ok()?)
 }
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/session.rs
@@ -12,7 +12,7 @@
 use std::os::fd::AsFd;
 
 /// News of a client.
-pub enum Heard {
+pub enum ClientEvent {
     /// A statement, as it came, read whole at this time.
     Statement {
         client: u32,
@@ -24,7 +24,7 @@
         at: Timestamp,
     },
     /// Part of a message has come since then.
-    Writing {
+    PartialMessage {
         client: u32,
         since: Timestamp,
     },
@@ -36,9 +36,9 @@
     Malformed,
     Oversized,
     /// A statement was rejected, or the connection ended, for want of memory.
-    NoRoom,
+    OutOfMemory,
     /// The connection is to go on in another process, from here.
-    Moved {
+    Transferred {
         client: u32,
         stream: TcpStream,
         standing: Standing,
@@ -48,7 +48,7 @@
         client: u32,
     },
     /// The connection is over.
-    Gone {
+    Closed {
         client: u32,
     },
 }
@@ -123,17 +123,17 @@
 }
 
 /// What a client's connection is told.
-pub enum Say {
+pub enum ClientCommand {
     /// The answer of the statement with this number.
     Answer(u32, Final),
     /// Closes once nothing is out.
-    Leave,
+    Drain,
     /// Gives the connection up once nothing is out, with what the client has sent ahead.
     HandOver,
     /// Ends the connection of whoever took too long to send something whole.
-    TimeUp,
+    TimeOut,
     /// Ends the connection of whoever finds no room, before any statement.
-    TurnAway,
+    Reject,
 }
 
 /// Bytes that a client may have sent ahead of its answer before it isn't read any further. What is not read when it
@@ -239,23 +239,23 @@
         });
     }
 
-    fn close(&mut self, out: &mut Outbox<Heard>) {
+    fn close(&mut self, out: &mut Outbox<ClientEvent>) {
         out.close = true;
         self.state = State::Over;
     }
 
-    fn fatal(&mut self, code: &str, message: &str, out: &mut Outbox<Heard>) {
+    fn fatal(&mut self, code: &str, message: &str, out: &mut Outbox<ClientEvent>) {
         messages::put_error(&mut out.bytes, "FATAL", code, message, None);
         self.close(out);
     }
 
-    fn malformed(&mut self, message: &str, out: &mut Outbox<Heard>) {
-        out.notices.push(Heard::Malformed);
+    fn malformed(&mut self, message: &str, out: &mut Outbox<ClientEvent>) {
+        out.notices.push(ClientEvent::Malformed);
         self.fatal("08P01", message, out);
     }
 
     /// Reads what comes before the first query; says how many bytes that took.
-    fn open(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<Heard>) -> usize {
+    fn open(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<ClientEvent>) -> usize {
         match messages::opening(input) {
             Opening::Partial => 0,
             Opening::Encryption { whole } => {
@@ -288,14 +288,14 @@
         }
     }
 
-    fn rest(&mut self, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn rest(&mut self, at: Timestamp, out: &mut Outbox<ClientEvent>) {
         let client = self.client;
         self.state = State::Open;
-        out.notices.push(Heard::Idle { client, since: at });
+        out.notices.push(ClientEvent::Idle { client, since: at });
     }
 
     /// Reads one message; says how many bytes that took. Behind open statements only a further one is read.
-    fn next(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<Heard>) -> usize {
+    fn next(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<ClientEvent>) -> usize {
         match messages::front(input, messages::bound(self.room.most())) {
             Front::Partial => 0,
             Front::Message {
@@ -319,7 +319,7 @@
                 0
             }
             Front::TooLong { kind: b'Q', whole } => {
-                out.notices.push(Heard::Oversized);
+                out.notices.push(ClientEvent::Oversized);
                 self.skip = whole;
                 let answer = Final::from(TOO_LARGE).into_bytes();
                 self.row.push_back((self.at, Some(answer)));
@@ -340,7 +340,7 @@
     }
 
     /// Gives a query its place in the row, and with it the answer of one that needs no member.
-    fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut Outbox<ClientEvent>) {
         self.has_asked = true;
         if text.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
             // No news: a client that sends nothing else would fill the event loop's queue.
@@ -351,7 +351,7 @@
         } else if let Some(text) = Text::new(text, &self.room) {
             let (client, number) = (self.client, self.first.wrapping_add(self.row.len() as u32));
             self.row.push_back((end, None));
-            out.notices.push(Heard::Statement {
+            out.notices.push(ClientEvent::Statement {
                 client,
                 number,
                 end,
@@ -359,14 +359,14 @@
                 at,
             });
         } else {
-            out.notices.push(Heard::NoRoom);
+            out.notices.push(ClientEvent::OutOfMemory);
             self.row.push_back((end, Some(Final::from(NO_ROOM).into_bytes())));
         }
         self.flush(out);
     }
 
     /// Writes the answers that none before them keeps back.
-    fn flush(&mut self, out: &mut Outbox<Heard>) {
+    fn flush(&mut self, out: &mut Outbox<ClientEvent>) {
         while let Some((end, Some(answer))) = self.row.pop_front_if(|(_, answer)| answer.is_some()) {
             self.says(answer.len(), end);
             self.first = self.first.wrapping_add(1);
@@ -379,7 +379,7 @@
         }
     }
 
-    fn answer(&mut self, number: u32, answer: Final, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn answer(&mut self, number: u32, answer: Final, at: Timestamp, out: &mut Outbox<ClientEvent>) {
         let place = number.wrapping_sub(self.first) as usize;
         // An answer to a statement that has its own would be a second one, and is left out.
         let open = self.row.get_mut(place).map(|(_, a)| a).filter(|a| a.is_none());
@@ -399,7 +399,7 @@
         self.leaving && !self.begun && self.row.is_empty() && self.state != State::Over
     }
 
-    fn end_if_leaving(&mut self, out: &mut Outbox<Heard>) {
+    fn end_if_leaving(&mut self, out: &mut Outbox<ClientEvent>) {
         if self.moving && self.row.is_empty() && self.state != State::Over {
             out.surrender = true;
         } else if self.could_leave() {
@@ -410,7 +410,7 @@
 
     /// Who has asked knows by a plain end that nothing of it was taken, and asks elsewhere. A new connection that ends
     /// without a word tells its client nothing.
-    fn send_off(&mut self, out: &mut Outbox<Heard>) {
+    fn send_off(&mut self, out: &mut Outbox<ClientEvent>) {
         match self.has_asked {
             true => self.close(out),
             false => self.fatal("57P03", "this connection takes no statement any more", out),
@@ -419,8 +419,8 @@
 }
 
 impl Dialogue for Session {
-    type Command = Say;
-    type Notice = Heard;
+    type Command = ClientCommand;
+    type Notice = ClientEvent;
 
     fn stands(&mut self, stream: &TcpStream) {
         let Some(witness) = &self.witness else { return };
@@ -447,11 +447,11 @@
         });
     }
 
-    fn written(&mut self, _out: &mut Outbox<Heard>) {
+    fn written(&mut self, _out: &mut Outbox<ClientEvent>) {
         self.settled = self.said;
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn heard(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Outbox<ClientEvent>) {
         let mut used = 0;
         loop {
             if self.moving {
@@ -479,43 +479,45 @@
         let begun = waits && (self.skip > 0 || !input.is_empty());
         let (client, since) = (self.client, at);
         if begun && !self.begun {
-            out.notices.push(Heard::Writing { client, since });
+            out.notices.push(ClientEvent::PartialMessage { client, since });
         } else if waits && self.begun && !begun {
-            out.notices.push(Heard::Idle { client, since });
+            out.notices.push(ClientEvent::Idle { client, since });
         }
         self.begun = begun;
         self.end_if_leaving(out);
     }
 
-    fn told(&mut self, say: Say, at: Timestamp, out: &mut Outbox<Heard>) {
+    fn told(&mut self, say: ClientCommand, at: Timestamp, out: &mut Outbox<ClientEvent>) {
         match say {
-            Say::Answer(number, answer) => self.answer(number, answer, at, out),
-            Say::Leave => {
+            ClientCommand::Answer(number, answer) => self.answer(number, answer, at, out),
+            ClientCommand::Drain => {
                 self.leaving = true;
                 self.end_if_leaving(out);
             }
-            Say::HandOver => {
+            ClientCommand::HandOver => {
                 self.moving = true;
                 self.end_if_leaving(out);
             }
             // It goes to somebody who has time and room for it.
-            Say::TimeUp | Say::TurnAway if self.moving => {}
-            Say::TimeUp | Say::TurnAway if self.state == State::Over => {}
-            Say::TimeUp if !self.row.is_empty() => {}
+            ClientCommand::TimeOut | ClientCommand::Reject if self.moving => {}
+            ClientCommand::TimeOut | ClientCommand::Reject if self.state == State::Over => {}
+            ClientCommand::TimeOut if !self.row.is_empty() => {}
             // Any word but a refusal would be taken for the answer of a statement which is on its way.
-            Say::TimeUp if self.state == State::Open && !self.begun => self.send_off(out),
-            Say::TimeUp if self.leaving => self.fatal("57P03", "the message was not ended in time", out),
-            Say::TimeUp => self.malformed("the message was not ended in time", out),
-            Say::TurnAway => self.fatal("53300", "too many connections", out),
+            ClientCommand::TimeOut if self.state == State::Open && !self.begun => self.send_off(out),
+            ClientCommand::TimeOut if self.leaving => {
+                self.fatal("57P03", "the message was not ended in time", out)
+            }
+            ClientCommand::TimeOut => self.malformed("the message was not ended in time", out),
+            ClientCommand::Reject => self.fatal("53300", "too many connections", out),
         }
     }
 
-    fn crowded(&mut self, out: &mut Outbox<Heard>) {
-        out.notices.push(Heard::NoRoom);
+    fn crowded(&mut self, out: &mut Outbox<ClientEvent>) {
+        out.notices.push(ClientEvent::OutOfMemory);
         self.fatal("53300", "no memory is left for the message", out);
     }
 
-    fn caught_up(&mut self, out: &mut Outbox<Heard>) {
+    fn caught_up(&mut self, out: &mut Outbox<ClientEvent>) {
         if self.could_leave() && !self.moving {
             self.send_off(out);
         }
@@ -525,18 +527,18 @@
         true
     }
 
-    fn half_closed(&mut self, out: &mut Outbox<Heard>) {
-        out.notices.push(Heard::HalfClosed { client: self.client });
+    fn half_closed(&mut self, out: &mut Outbox<ClientEvent>) {
+        out.notices.push(ClientEvent::HalfClosed { client: self.client });
     }
 
     fn may_end(&self) -> bool {
         self.row.is_empty()
     }
 
-    fn surrendered(&mut self, stream: TcpStream, input: Vec<u8>, out: &mut Outbox<Heard>) {
+    fn surrendered(&mut self, stream: TcpStream, input: Vec<u8>, out: &mut Outbox<ClientEvent>) {
         let opened = self.state == State::Open;
         self.state = State::Over;
-        out.notices.push(Heard::Moved {
+        out.notices.push(ClientEvent::Transferred {
             client: self.client,
             stream,
             standing: Standing {
@@ -548,10 +550,10 @@
         });
     }
 
-    fn ended(&mut self, _at: Timestamp, out: &mut Outbox<Heard>) {
+    fn ended(&mut self, _at: Timestamp, out: &mut Outbox<ClientEvent>) {
         self.state = State::Over;
         self.note(|| Record::Gone { client: self.client });
-        out.notices.push(Heard::Gone { client: self.client });
+        out.notices.push(ClientEvent::Closed { client: self.client });
     }
 
     /// While statements are open no more than a row of them is read ahead: the rest stays with the kernel, not in
--- a/crates/driver/src/protocol/watch.rs
+++ b/crates/driver/src/protocol/watch.rs
@@ -2,27 +2,27 @@
 //! in which the last was answered.
 
 use super::http::{self, Answer};
-use super::roster::{self, Roster};
+use super::roster::{self, EndpointList};
 use crate::transport::stream::{Dialogue, Outbox};
 use asterlatch::time::Timestamp;
 
-pub enum Heard {
-    Told(Roster),
+pub enum DiscoveryEvent {
+    Listed(EndpointList),
     /// Discovery has an older version than the one that is known: the whole list is asked for.
-    Older,
+    Outdated,
     /// An answer that can't be read; the last good list stands.
     Unreadable,
-    Down,
+    Closed,
 }
 
-/// What the call with this number heard.
-pub struct News {
-    pub call: u32,
-    pub heard: Heard,
+/// An event of the discovery request with this number.
+pub struct DiscoveryMessage {
+    pub request: u32,
+    pub event: DiscoveryEvent,
 }
 
 pub struct Watch {
-    call: u32,
+    request: u32,
     host: String,
     wait_ms: u64,
     /// The version after which news are wanted.
@@ -31,9 +31,9 @@
 }
 
 impl Watch {
-    pub fn new(call: u32, host: String, wait_ms: u64, after: Option<u64>) -> Watch {
+    pub fn new(request: u32, host: String, wait_ms: u64, after: Option<u64>) -> Watch {
         Watch {
-            call,
+            request,
             host,
             wait_ms,
             after,
@@ -41,12 +41,12 @@
         }
     }
 
-    fn news(&self, heard: Heard) -> News {
-        let call = self.call;
-        News { call, heard }
+    fn message(&self, event: DiscoveryEvent) -> DiscoveryMessage {
+        let request = self.request;
+        DiscoveryMessage { request, event }
     }
 
-    fn ask(&self, out: &mut Outbox<News>) {
+    fn ask(&self, out: &mut Outbox<DiscoveryMessage>) {
         const LIST: &str = "/registry/instances";
         let path = match self.after {
             Some(index) => format!("{LIST}?after={index}&wait_ms={}", self.wait_ms),
@@ -56,7 +56,7 @@
     }
 
     /// A whole answer; false where it can't be read, which ends the call.
-    fn take(&mut self, status: u16, body: &[u8], out: &mut Outbox<News>) -> bool {
+    fn take(&mut self, status: u16, body: &[u8], out: &mut Outbox<DiscoveryMessage>) -> bool {
         let Some(told) = roster::read(body).filter(|_| status == 200) else {
             self.fail(out);
             return false;
@@ -64,13 +64,17 @@
         // Changes up to a version before the one that they were to come after belong to another history.
         let strange = !told.whole && self.after.is_some_and(|after| told.index < after);
         self.after = Some(told.index).filter(|_| !strange);
-        let heard = if strange { Heard::Older } else { Heard::Told(told) };
-        out.notices.push(self.news(heard));
+        let heard = if strange {
+            DiscoveryEvent::Outdated
+        } else {
+            DiscoveryEvent::Listed(told)
+        };
+        out.notices.push(self.message(heard));
         true
     }
 
-    fn fail(&mut self, out: &mut Outbox<News>) {
-        out.notices.push(self.news(Heard::Unreadable));
+    fn fail(&mut self, out: &mut Outbox<DiscoveryMessage>) {
+        out.notices.push(self.message(DiscoveryEvent::Unreadable));
         self.over = true;
         out.close = true;
     }
@@ -79,13 +83,13 @@
 impl Dialogue for Watch {
     /// It is only ever hung up on.
     type Command = std::convert::Infallible;
-    type Notice = News;
+    type Notice = DiscoveryMessage;
 
-    fn opened(&mut self, out: &mut Outbox<News>) {
+    fn opened(&mut self, out: &mut Outbox<DiscoveryMessage>) {
         self.ask(out);
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, _at: Timestamp, out: &mut Outbox<News>) {
+    fn heard(&mut self, input: &mut Vec<u8>, _at: Timestamp, out: &mut Outbox<DiscoveryMessage>) {
         while !self.over && !input.is_empty() {
             let (status, body, taken, keep) = match http::answer(input) {
                 Answer::Partial | Answer::UpToTheEnd { .. } => return,
@@ -111,7 +115,7 @@
     }
 
     /// Only where the peer has ended it is an answer whole that says no length: a reset is no end.
-    fn peer_ended(&mut self, input: &[u8], out: &mut Outbox<News>) {
+    fn peer_ended(&mut self, input: &[u8], out: &mut Outbox<DiscoveryMessage>) {
         if self.over {
             return;
         }
@@ -121,12 +125,12 @@
         }
     }
 
-    fn told(&mut self, command: Self::Command, _at: Timestamp, _out: &mut Outbox<News>) {
+    fn told(&mut self, command: Self::Command, _at: Timestamp, _out: &mut Outbox<DiscoveryMessage>) {
         match command {}
     }
 
-    fn ended(&mut self, _at: Timestamp, out: &mut Outbox<News>) {
-        out.notices.push(self.news(Heard::Down));
+    fn ended(&mut self, _at: Timestamp, out: &mut Outbox<DiscoveryMessage>) {
+        out.notices.push(self.message(DiscoveryEvent::Closed));
     }
 
     fn hungry(&self, unused: usize) -> bool {
--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -1,7 +1,7 @@
 //! Clients' connections: how many of them there may be, and how long each may take.
 
 use super::limits::Limits;
-use crate::protocol::session::Say;
+use crate::protocol::session::ClientCommand;
 use crate::transport::stream::Line;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +25,7 @@
 const LAST_MESSAGE: TimeSpan = TimeSpan::millis(500);
 
 struct Client {
-    line: Line<Say>,
+    line: Line<ClientCommand>,
     /// Its open statements.
     stmts: Vec<u32>,
     pause: Option<(Pause, Timestamp)>,
@@ -87,11 +87,11 @@
 
     /// Takes in a client that the kernel has accepted. Where all are busy beyond the bound it is turned away
     /// before it can send anything: that word could come for a statement that runs already.
-    pub fn arrive(&mut self, now: Timestamp, id: u32, line: Line<Say>) -> Room {
+    pub fn arrive(&mut self, now: Timestamp, id: u32, line: Line<ClientCommand>) -> Room {
         if self.leaving {
-            line.tell(Say::Leave);
+            line.tell(ClientCommand::Drain);
         } else if self.moving {
-            line.tell(Say::HandOver);
+            line.tell(ClientCommand::HandOver);
         }
         let most = if self.is_shared {
             self.most.div_ceil(2)
@@ -103,7 +103,7 @@
         } else if self.free_one(now) {
             Room::Made
         } else {
-            line.tell(Say::TurnAway);
+            line.tell(ClientCommand::Reject);
             Room::None
         };
         let client = Client {
@@ -146,7 +146,7 @@
         let Some((_, id)) = silent.or(self.first(Pause::Resting)).or(arriving) else {
             return false;
         };
-        self.tell_off(id, Say::Leave);
+        self.tell_off(id, ClientCommand::Drain);
         true
     }
 
@@ -165,7 +165,7 @@
         self.set(id, Some((Pause::HalfClosed, now)));
     }
 
-    fn tell_off(&mut self, id: u32, say: Say) {
+    fn tell_off(&mut self, id: u32, say: ClientCommand) {
         self.set(id, None);
         self.say(id, say);
     }
@@ -202,12 +202,12 @@
                 match pause {
                     Pause::Resting => {
                         rested += 1;
-                        self.tell_off(id, Say::Leave);
+                        self.tell_off(id, ClientCommand::Drain);
                     }
                     Pause::HalfClosed => drop(self.end_one_half_closed()),
                     Pause::Arriving | Pause::Writing => {
                         slow += 1;
-                        self.tell_off(id, Say::TimeUp);
+                        self.tell_off(id, ClientCommand::TimeOut);
                     }
                 }
             }
@@ -266,7 +266,7 @@
         client.stmts
     }
 
-    pub fn say(&self, id: u32, say: Say) {
+    pub fn say(&self, id: u32, say: ClientCommand) {
         if let Some(client) = self.open.get(&id) {
             client.line.tell(say);
         }
@@ -280,7 +280,9 @@
     /// Has each go to another process between two statements, those to come included.
     pub fn hand_over(&mut self) {
         self.moving = true;
-        self.open.values().for_each(|c| c.line.tell(Say::HandOver));
+        self.open
+            .values()
+            .for_each(|c| c.line.tell(ClientCommand::HandOver));
     }
 
     pub fn has_asked(&self, id: u32) -> bool {
@@ -298,6 +300,6 @@
     /// Lets each go between two statements, those to come included.
     pub fn send_away(&mut self) {
         self.leaving = true;
-        self.open.values().for_each(|c| c.line.tell(Say::Leave));
+        self.open.values().for_each(|c| c.line.tell(ClientCommand::Drain));
     }
 }
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -3,7 +3,7 @@
 use super::{EventLoop, Observer};
 use crate::protocol::vitals;
 use crate::routing::execution_outcomes;
-use crate::routing::gossip::{sightings, News, Out, Parked, Sharing, Word};
+use crate::routing::gossip::{sightings, GossipMessage, Out, Parked, Sharing, Word};
 use crate::routing::member_requests::RequestKind;
 use crate::routing::members;
 use asterlatch::interface::*;
@@ -318,10 +318,10 @@
         self.metrics.rejected += u64::from(self.answer(stmt, told));
     }
 
-    pub(super) fn peers_heard(&mut self, now: Timestamp, news: News) {
+    pub(super) fn on_gossip_message(&mut self, now: Timestamp, news: GossipMessage) {
         let heard = match news {
-            News::Heard(heard) => heard,
-            News::Line(line) => return self.observer.say(now, "fleet", format_args!("{line}")),
+            GossipMessage::Output(heard) => heard,
+            GossipMessage::LogLine(line) => return self.observer.say(now, "fleet", format_args!("{line}")),
         };
         match heard {
             Output::News(fact, told) => {
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -6,12 +6,14 @@
 mod peer_process;
 
 use crate::protocol::comment::{self, Marked, Unreadable};
-use crate::protocol::roster::Roster;
-use crate::protocol::session::{Final, Say, Text};
-use crate::protocol::{execution, messages, session as client, vitals, watch};
+use crate::protocol::execution::{self, MemberEvent, Reply};
+use crate::protocol::roster::EndpointList;
+use crate::protocol::session::{self as client, ClientCommand, ClientEvent, Final, Text};
+use crate::protocol::watch::{DiscoveryEvent, DiscoveryMessage};
+use crate::protocol::{messages, vitals};
 use crate::routing::clients::{Clients, Room};
 use crate::routing::discovery_requests::{self, DiscoveryRequests};
-use crate::routing::events::{Input, Notice};
+use crate::routing::events::{ControlEvent, Event};
 use crate::routing::execution_outcomes;
 use crate::routing::gossip::Sharing;
 use crate::routing::limits::{Limits, WorkloadLimits};
@@ -87,10 +89,10 @@
 }
 
 /// Goes on with a client's connection under this number.
-pub type Adopt = Box<dyn FnMut(u32, TcpStream, client::Standing) -> io::Result<Line<Say>>>;
+pub type Adopt = Box<dyn FnMut(u32, TcpStream, client::Standing) -> io::Result<Line<ClientCommand>>>;
 
 /// Goes on with an idle connection to a member under this number.
-pub type AdoptConnection = Box<dyn FnMut(u32, TcpStream) -> io::Result<Line<execution::Run>>>;
+pub type AdoptConnection = Box<dyn FnMut(u32, TcpStream) -> io::Result<Line<execution::MemberCommand>>>;
 
 /// Numbers of clients from another process begin here.
 const ADOPTED: u32 = 1 << 31;
@@ -154,7 +156,7 @@
     module_wakes: Option<Timestamp>,
     accept_again: Option<Timestamp>,
     listening: Option<Listening>,
-    pub notices: Vec<Notice>,
+    pub control_events: Vec<ControlEvent>,
     pub listener_closed: bool,
     draining: bool,
     adopt: Adopt,
@@ -220,7 +222,7 @@
             module_wakes: Some(now),
             accept_again: None,
             listening: None,
-            notices: Vec::new(),
+            control_events: Vec::new(),
             listener_closed: false,
             draining: false,
             adopt: place.adopt,
@@ -251,7 +253,7 @@
     /// Takes inputs until `steer` has nothing more to come back for.
     pub fn run(
         &mut self,
-        inputs: &Receiver<Input>,
+        inputs: &Receiver<Event>,
         clock: Clock,
         mut steer: impl FnMut(&mut Self, Timestamp) -> Option<Timestamp>,
     ) {
@@ -292,17 +294,14 @@
         times.into_iter().flatten().min().unwrap_or(Timestamp(u64::MAX))
     }
 
-    pub fn take(&mut self, now: Timestamp, input: Input) {
+    pub fn take(&mut self, now: Timestamp, input: Event) {
         match input {
-            Input::Arrival(arrival) => self.arrived(now, arrival),
-            Input::Client(heard) => self.client_heard(now, heard),
-            Input::Member(heard) => self.member_heard(now, heard),
-            Input::Discovery(number, heard) if self.discovery_requests.is_current(number) => {
-                self.discovery_heard(now, heard)
-            }
-            Input::Discovery(..) => {}
-            Input::Peers(news) => self.peers_heard(now, news),
-            Input::Notice(notice) => self.notices.push(notice),
+            Event::Arrival(arrival) => self.arrived(now, arrival),
+            Event::Client(heard) => self.client_heard(now, heard),
+            Event::Member(heard) => self.member_heard(now, heard),
+            Event::Discovery(message) => self.on_discovery_message(now, message),
+            Event::Gossip(message) => self.on_gossip_message(now, message),
+            Event::Control(event) => self.control_events.push(event),
         }
         self.tell_ended(now);
     }
@@ -415,7 +414,7 @@
         self.clients.send_away();
     }
 
-    fn arrived(&mut self, now: Timestamp, arrival: Arrival<Say>) {
+    fn arrived(&mut self, now: Timestamp, arrival: Arrival<ClientCommand>) {
         match arrival {
             Arrival::Client(id, line) => {
                 self.metrics.clients_accepted += 1;
@@ -440,9 +439,9 @@
         }
     }
 
-    fn client_heard(&mut self, now: Timestamp, heard: client::Heard) {
+    fn client_heard(&mut self, now: Timestamp, heard: ClientEvent) {
         match heard {
-            client::Heard::Statement {
+            ClientEvent::Statement {
                 client,
                 number,
                 end,
@@ -453,17 +452,17 @@
                     self.statement(now, (client, number, end), text, at);
                 }
             }
-            client::Heard::Idle { client, since } => self.clients.rests(client, since),
-            client::Heard::Writing { client, since } => self.clients.writes(client, since),
-            client::Heard::HalfClosed { client } => self.clients.half_closed(client, now),
-            client::Heard::Malformed => {
+            ClientEvent::Idle { client, since } => self.clients.rests(client, since),
+            ClientEvent::PartialMessage { client, since } => self.clients.writes(client, since),
+            ClientEvent::HalfClosed { client } => self.clients.half_closed(client, now),
+            ClientEvent::Malformed => {
                 self.metrics.clients_malformed += 1;
                 let text = format_args!("sent what is not the protocol");
                 self.observer.say(now, "client", text);
             }
-            client::Heard::NoRoom => self.metrics.rejected_for_memory += 1,
-            client::Heard::Oversized => self.metrics.statements_unreadable += 1,
-            client::Heard::Moved {
+            ClientEvent::OutOfMemory => self.metrics.rejected_for_memory += 1,
+            ClientEvent::Oversized => self.metrics.statements_unreadable += 1,
+            ClientEvent::Transferred {
                 client,
                 stream,
                 standing,
@@ -478,7 +477,7 @@
                     verdicts: Verdicts::default(),
                 });
             }
-            client::Heard::Gone { client } => {
+            ClientEvent::Closed { client } => {
                 self.verdicts.remove(&client);
                 for stmt in self.clients.gone(client) {
                     if self.statements.release(stmt).is_none() {
@@ -507,7 +506,9 @@
                 self.metrics.statements_unreadable += 1;
                 let text = format_args!("not routed: {}", fault.message);
                 self.observer.say(now, "statement", text);
-                return self.clients.say(client, Say::Answer(number, fault.into()));
+                return self
+                    .clients
+                    .say(client, ClientCommand::Answer(number, fault.into()));
             }
         };
         self.metrics.statements_taken += 1;
@@ -568,7 +569,7 @@
             return false;
         };
         self.clients.has_answer(client, stmt);
-        self.clients.say(client, Say::Answer(number, answer));
+        self.clients.say(client, ClientCommand::Answer(number, answer));
         true
     }
 
@@ -671,14 +672,14 @@
         }
     }
 
-    fn member_heard(&mut self, now: Timestamp, heard: execution::Heard) {
+    fn member_heard(&mut self, now: Timestamp, heard: MemberEvent) {
         match heard {
-            execution::Heard::Up { connection } => self.connection_up(now, connection),
-            execution::Heard::Moved { connection, stream } => {
+            MemberEvent::Connected { connection } => self.connection_up(now, connection),
+            MemberEvent::Transferred { connection, stream } => {
                 let member = self.member_requests.moved(connection);
                 self.moved_connections.extend(member.map(|m| (m, stream)));
             }
-            execution::Heard::Replied {
+            MemberEvent::Replied {
                 connection,
                 at,
                 reply,
@@ -686,13 +687,13 @@
                 report,
             } => {
                 let request = match reply {
-                    execution::Reply::Malformed => self.member_requests.end(connection),
+                    Reply::Malformed => self.member_requests.end(connection),
                     _ => self.member_requests.answered(connection, now),
                 };
                 let Some(request) = request else { return };
                 let sighting = sighting.merge(self.reported(&request, &reply, report));
                 let may_go = match (&reply, request.kind) {
-                    (execution::Reply::Rows(_), RequestKind::Execution { stmt, number }) => {
+                    (Reply::Rows(_), RequestKind::Execution { stmt, number }) => {
                         self.module.accepts_answer(stmt, number, sighting)
                     }
                     _ => true,
@@ -707,11 +708,11 @@
                 match (reply, request.kind) {
                     _ if !may_go => self.metrics.answers_too_old += 1,
                     // The first whole answer goes to the client as the bytes that came.
-                    (execution::Reply::Rows(rows), RequestKind::Execution { stmt, .. }) => {
+                    (Reply::Rows(rows), RequestKind::Execution { stmt, .. }) => {
                         let answered = self.answer(stmt, Final::Rows(rows));
                         self.metrics.completed += u64::from(answered);
                     }
-                    (execution::Reply::Malformed, _) => {
+                    (Reply::Malformed, _) => {
                         self.metrics.members_malformed += 1;
                         let text = format_args!("sent what is not an answer");
                         self.observer.say(now, "member", text);
@@ -719,7 +720,7 @@
                     _ => {}
                 }
             }
-            execution::Heard::Down {
+            MemberEvent::Closed {
                 connection,
                 at,
                 written,
@@ -744,17 +745,12 @@
     }
 
     /// What a report says, whether it came beside an answer or as the row that a probe asked for.
-    fn reported(
-        &self,
-        request: &MemberRequest,
-        reply: &execution::Reply,
-        beside: Option<String>,
-    ) -> ReplicaStatus {
+    fn reported(&self, request: &MemberRequest, reply: &Reply, beside: Option<String>) -> ReplicaStatus {
         let fields = &self.decoding.report_fields;
         let name = |at: Option<usize>| at.and_then(|n| fields.get(n)).map(String::as_str);
         let (position, role) = (name(self.decoding.position_field), name(self.decoding.role_field));
         let row = match (request.kind, reply) {
-            (RequestKind::HealthCheck, execution::Reply::Rows(rows)) => messages::row_value(rows),
+            (RequestKind::HealthCheck, Reply::Rows(rows)) => messages::row_value(rows),
             _ => None,
         };
         let row = row.and_then(|v| std::str::from_utf8(v).ok());
@@ -777,30 +773,34 @@
         }
     }
 
-    fn discovery_heard(&mut self, now: Timestamp, heard: watch::Heard) {
-        match heard {
-            watch::Heard::Told(roster) => {
+    /// Events of a request that is over change nothing.
+    fn on_discovery_message(&mut self, now: Timestamp, message: DiscoveryMessage) {
+        if !self.discovery_requests.is_current(message.request) {
+            return;
+        }
+        match message.event {
+            DiscoveryEvent::Listed(roster) => {
                 self.discovery_requests.told(now, roster.index);
                 self.learn_roster(now, &roster);
             }
-            watch::Heard::Older => self.discovery_requests.forget(),
-            watch::Heard::Unreadable => {
+            DiscoveryEvent::Outdated => self.discovery_requests.forget(),
+            DiscoveryEvent::Unreadable => {
                 self.metrics.rosters_unreadable += 1;
                 let text = format_args!("answered what can't be read");
                 self.observer.say(now, "discovery", text);
             }
-            watch::Heard::Down => self.call_failed(now),
+            DiscoveryEvent::Closed => self.call_failed(now),
         }
     }
 
     /// Begins with the list that is known from before.
-    pub fn begin_with(&mut self, now: Timestamp, known: &Roster) {
+    pub fn begin_with(&mut self, now: Timestamp, known: &EndpointList) {
         self.discovery_requests.knows(known.index);
         self.learn_roster(now, known);
     }
 
     /// Takes over a list or changes to it. Entries that can't be read are left out, the others stand.
-    pub fn learn_roster(&mut self, now: Timestamp, roster: &Roster) {
+    pub fn learn_roster(&mut self, now: Timestamp, roster: &EndpointList) {
         self.metrics.rosters_told += 1;
         let read = roster.entries.iter().filter_map(|e| self.members.learn(e));
         let entries: Vec<_> = read.collect();
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -2,7 +2,7 @@
 //! connections over, takes them back, and holds to what binds both.
 
 use super::{EventLoop, Learned, Moved, Observer, ADOPTED};
-use crate::protocol::session::Say;
+use crate::protocol::session::ClientCommand;
 use crate::protocol::vitals;
 use crate::routing::execution_outcomes;
 use crate::routing::members::Members;
@@ -161,7 +161,7 @@
         };
         *count += 1;
         let (_, told) = execution_outcomes::of_answer(&answer);
-        self.clients.say(client, Say::Answer(number, told));
+        self.clients.say(client, ClientCommand::Answer(number, told));
         true
     }
 }
--- a/crates/driver/src/routing/events.rs
+++ b/crates/driver/src/routing/events.rs
@@ -1,49 +1,54 @@
-//! What comes to the event loop.
+//! Events in the queue of the event loop.
 
-use crate::protocol::{execution, session, watch};
+use super::gossip::GossipMessage;
+use crate::protocol::execution::MemberEvent;
+use crate::protocol::session::{ClientCommand, ClientEvent};
+use crate::protocol::watch::DiscoveryMessage;
 use crate::transport::listener::Arrival;
 
-/// What the process was told from outside.
+/// What operators or other threads ask of the process. The event loop only collects these for the program.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Notice {
-    Leave,
-    Report,
-    /// The configuration is to be read again.
+pub enum ControlEvent {
+    /// Shut down gracefully (SIGTERM, SIGINT).
+    Shutdown,
+    /// Log all counters (SIGUSR1).
+    ReportMetrics,
+    /// Read the configuration again (SIGHUP).
     Reload,
-    /// A new process is to take over.
+    /// Hand the service over to a new process (SIGUSR2).
     Upgrade,
-    /// Something was done for the program beside this queue.
-    Done,
+    /// Another thread has left something for the program outside this queue.
+    WakeUp,
 }
 
-pub enum Input {
-    Arrival(Arrival<session::Say>),
-    Client(session::Heard),
-    Member(execution::Heard),
-    /// News of the call with this number.
-    Discovery(u32, watch::Heard),
-    Notice(Notice),
-    /// What other drivers have told.
-    Peers(super::gossip::News),
+/// An event of any source.
+pub enum Event {
+    /// The listener accepted a client, failed to, or closed.
+    Arrival(Arrival<ClientCommand>),
+    /// From a client's connection.
+    Client(ClientEvent),
+    /// From a member's connection.
+    Member(MemberEvent),
+    /// From a connection to discovery; events of any other than the current request are stale.
+    Discovery(DiscoveryMessage),
+    /// For the program.
+    Control(ControlEvent),
+    /// From the gossip thread.
+    Gossip(GossipMessage),
 }
 
-macro_rules! taken_in {
-    ($($kind:ty => $name:ident,)*) => {
-        $(impl From<$kind> for Input {
-            fn from(news: $kind) -> Input {
-                Input::$name(news)
+macro_rules! event_from {
+    ($($source:ty => $variant:ident,)*) => {
+        $(impl From<$source> for Event {
+            fn from(source: $source) -> Event {
+                Event::$variant(source)
             }
         })*
     };
 }
-taken_in! {
-    Arrival<session::Say> => Arrival,
-    session::Heard => Client,
-    execution::Heard => Member,
-}
-
-impl From<watch::News> for Input {
-    fn from(news: watch::News) -> Input {
-        Input::Discovery(news.call, news.heard)
-    }
+event_from! {
+    Arrival<ClientCommand> => Arrival,
+    ClientEvent => Client,
+    MemberEvent => Member,
+    DiscoveryMessage => Discovery,
 }
--- a/crates/driver/src/routing/gossip.rs
+++ b/crates/driver/src/routing/gossip.rs
@@ -15,10 +15,10 @@
 pub type Word = Input<'static>;
 
 /// From the engine.
-pub enum News {
-    Heard(Output),
+pub enum GossipMessage {
+    Output(Output),
     /// For the log.
-    Line(String),
+    LogLine(String),
 }
 
 pub type Tell = Box<dyn FnMut(Word)>;
--- a/crates/driver/src/routing/member_requests.rs
+++ b/crates/driver/src/routing/member_requests.rs
@@ -1,7 +1,7 @@
 //! What members' connections are busy with: executions and probes, each with the time at which it ends.
 
 use super::limits::Part;
-use crate::protocol::execution::Run;
+use crate::protocol::execution::MemberCommand;
 use crate::transport::ages::Ages;
 use crate::transport::pool::Pool;
 use crate::transport::stream::Line;
@@ -77,10 +77,10 @@
 }
 
 /// Opens a connection under this number.
-pub type Dial = Box<dyn FnMut(u32, SocketAddr) -> io::Result<Line<Run>>>;
+pub type Dial = Box<dyn FnMut(u32, SocketAddr) -> io::Result<Line<MemberCommand>>>;
 
 pub struct MemberRequests {
-    pool: Pool<Run>,
+    pool: Pool<MemberCommand>,
     dial: Dial,
     busy: BTreeMap<u32, MemberRequest>,
     running: BTreeMap<(u32, u8), u32>,
@@ -164,7 +164,7 @@
 
     /// Sends the query of the request that has this connection.
     pub fn send(&mut self, connection: u32, query: Vec<u8>) {
-        self.pool.tell(connection, Run::Query(query));
+        self.pool.tell(connection, MemberCommand::Query(query));
     }
 
     fn cause(&mut self, member: u32) -> OpenReason {
@@ -309,7 +309,7 @@
     /// Has all idle connections go to another process.
     pub fn hand_over_idle(&mut self) {
         for id in self.pool.retire_idle() {
-            self.pool.tell(id, Run::HandOver);
+            self.pool.tell(id, MemberCommand::HandOver);
         }
     }
 
@@ -325,7 +325,7 @@
         &mut self,
         now: Timestamp,
         (member, address): (u32, SocketAddr),
-        stand: impl FnOnce(u32) -> io::Result<Line<Run>>,
+        stand: impl FnOnce(u32) -> io::Result<Line<MemberCommand>>,
     ) -> bool {
         if self.pool.count() >= self.most {
             return false;
--- a/crates/driver/src/routing/members.rs
+++ b/crates/driver/src/routing/members.rs
@@ -1,7 +1,7 @@
 //! Names as small ids: members, zones and workloads as the module knows them.
 
 use crate::protocol::comment::hashed;
-use crate::protocol::roster::{Entry, Status};
+use crate::protocol::roster::{Endpoint, Status};
 use crate::protocol::vitals;
 use asterlatch::interface::{MemberEntry, MemberState};
 use asterlatch_settings::word;
@@ -99,7 +99,7 @@
     }
 
     /// The entry as the module takes it; none where its address can't be read.
-    pub fn learn(&mut self, e: &Entry) -> Option<MemberEntry> {
+    pub fn learn(&mut self, e: &Endpoint) -> Option<MemberEntry> {
         let address = e.address.parse().ok();
         if address.is_none() && e.status != Status::Deleted {
             return None;
--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -2,7 +2,7 @@
 
 mod stand;
 use asterlatch::interface::MemberState;
-use asterlatch_driver::protocol::roster::{Entry, Status};
+use asterlatch_driver::protocol::roster::{Endpoint, Status};
 use asterlatch_driver::routing::members::Members;
 use asterlatch_handover::codec::{send, Came, Reader};
 use asterlatch_handover::message::{Message, VERSION};
@@ -20,8 +20,8 @@
         .collect()
 }
 
-fn entry(name: &str, group: u32, status: Status) -> Entry {
-    Entry {
+fn entry(name: &str, group: u32, status: Status) -> Endpoint {
+    Endpoint {
         name: name.to_owned(),
         address: format!("10.0.0.{group}:5432"),
         zone: format!("zone-{group}"),
--- a/crates/driver/tests/protocol.rs
+++ b/crates/driver/tests/protocol.rs
@@ -3,11 +3,11 @@
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_driver::protocol::comment::{self, Marked};
-use asterlatch_driver::protocol::execution::{self, Executions, Reply, Run};
+use asterlatch_driver::protocol::execution::{self, Executions, MemberCommand, Reply};
 use asterlatch_driver::protocol::http::{self, Answer};
 use asterlatch_driver::protocol::messages::{self, Front};
 use asterlatch_driver::protocol::roster::{self, Status};
-use asterlatch_driver::protocol::session::{self, Final, Say, Session};
+use asterlatch_driver::protocol::session::{self, ClientCommand, Final, Session};
 use asterlatch_driver::protocol::{vitals, watch};
 use asterlatch_driver::transport::room::Room;
 use asterlatch_driver::transport::stream::{Dialogue, Outbox};
@@ -78,7 +78,7 @@
         hear(&mut session, &bytes, bytes.len().max(1), &mut out);
         assert_eq!(client_news(&out.notices), news, "{name}");
         out.bytes.clear();
-        session.told(Say::TimeUp, AT, &mut out);
+        session.told(ClientCommand::TimeOut, AT, &mut out);
         match said {
             "out" => assert!(out.bytes.is_empty() && !out.close, "{name}"),
             _ => assert_eq!((&spoken(&out.bytes)[..], out.close), (said, true), "{name}"),
@@ -91,23 +91,23 @@
         after(&half(&query("SELECT 1"))),
     );
     session.heard(&mut input, AT, &mut out);
-    session.told(Say::Leave, AT, &mut out);
+    session.told(ClientCommand::Drain, AT, &mut out);
     session.heard(&mut input, AT, &mut out);
     assert!(!out.close);
     input.extend(&query("SELECT 1")[query("SELECT 1").len() / 2..]);
     session.heard(&mut input, AT, &mut out);
     assert_eq!(client_news(&out.notices), "idle writing stmt(SELECT 1)");
-    session.told(Say::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
+    session.told(ClientCommand::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
     assert_eq!(leaves(&mut session, &mut input, &mut out), "", "it has asked");
     // Told to leave in the middle of one that it doesn't end.
     let (mut session, mut out) = (Session::new(1, Room::new(1 << 20)), Outbox::default());
     input.extend(after(&half(&query("SELECT 1"))));
     session.heard(&mut input, AT, &mut out);
     out.bytes.clear();
-    session.told(Say::Leave, AT, &mut out);
+    session.told(ClientCommand::Drain, AT, &mut out);
     session.caught_up(&mut out);
     assert!(!out.close && out.bytes.is_empty());
-    session.told(Say::TimeUp, AT, &mut out);
+    session.told(ClientCommand::TimeOut, AT, &mut out);
     assert_eq!(
         (&spoken(&out.bytes)[..], out.close),
         ("E57P03", true),
@@ -118,10 +118,10 @@
     let (mut session, mut out) = (Session::new(1, Room::new(1 << 20)), Outbox::default());
     input.extend(after(&[query("a"), query("b"), query("c")].concat()));
     session.heard(&mut input, AT, &mut out);
-    session.told(Say::Leave, AT, &mut out);
+    session.told(ClientCommand::Drain, AT, &mut out);
     for n in 0..3 {
         assert!(!out.close, "{n}");
-        session.told(Say::Answer(n, Final::Rows(Vec::new())), AT, &mut out);
+        session.told(ClientCommand::Answer(n, Final::Rows(Vec::new())), AT, &mut out);
         session.heard(&mut input, AT, &mut out);
     }
     assert_eq!(leaves(&mut session, &mut input, &mut out), "");
@@ -130,19 +130,19 @@
     let (mut session, mut out) = (Session::new(1, Room::new(1 << 20)), Outbox::default());
     input.extend(greeted());
     session.heard(&mut input, AT, &mut out);
-    session.told(Say::Leave, AT, &mut out);
+    session.told(ClientCommand::Drain, AT, &mut out);
     assert!(out.look && !out.close, "one more look");
     input.extend(query("a"));
     session.heard(&mut input, AT, &mut out);
     session.caught_up(&mut out);
     assert!(!out.close);
     assert_eq!(client_news(&out.notices), "idle stmt(a)");
-    session.told(Say::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
+    session.told(ClientCommand::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
     assert_eq!(leaves(&mut session, &mut input, &mut out), "");
 }
 
 /// It looks once more at its socket, finds nothing, and ends; says with what word.
-fn leaves(session: &mut Session, input: &mut Vec<u8>, out: &mut Outbox<session::Heard>) -> String {
+fn leaves(session: &mut Session, input: &mut Vec<u8>, out: &mut Outbox<session::ClientEvent>) -> String {
     session.heard(input, AT, out);
     assert!(
         std::mem::take(&mut out.look) && !out.close,
@@ -191,18 +191,18 @@
     said.join(" ")
 }
 
-fn client_news(notices: &[session::Heard]) -> String {
+fn client_news(notices: &[session::ClientEvent]) -> String {
     let told = notices.iter();
     let words = told.map(|n| match n {
-        session::Heard::Moved { .. } => "moved".to_owned(),
-        session::Heard::Statement { text, .. } => format!("stmt({})", text.text),
-        session::Heard::Idle { .. } => "idle".to_owned(),
-        session::Heard::Writing { .. } => "writing".to_owned(),
-        session::Heard::Malformed => "malformed".to_owned(),
-        session::Heard::Oversized => "oversized".to_owned(),
-        session::Heard::NoRoom => "no room".to_owned(),
-        session::Heard::HalfClosed { .. } => "half closed".to_owned(),
-        session::Heard::Gone { .. } => "gone".to_owned(),
+        session::ClientEvent::Transferred { .. } => "moved".to_owned(),
+        session::ClientEvent::Statement { text, .. } => format!("stmt({})", text.text),
+        session::ClientEvent::Idle { .. } => "idle".to_owned(),
+        session::ClientEvent::PartialMessage { .. } => "writing".to_owned(),
+        session::ClientEvent::Malformed => "malformed".to_owned(),
+        session::ClientEvent::Oversized => "oversized".to_owned(),
+        session::ClientEvent::OutOfMemory => "no room".to_owned(),
+        session::ClientEvent::HalfClosed { .. } => "half closed".to_owned(),
+        session::ClientEvent::Closed { .. } => "gone".to_owned(),
     });
     words.collect::<Vec<_>>().join(" ")
 }
@@ -284,15 +284,19 @@
     let rows = [message(b'T', b"t"), message(b'D', b"d"), message(b'C', b"c")].concat();
     // What is said, what goes out, and whether the connection ends.
     let steps = [
-        (Say::Answer(2, fail), "", false),
-        (Say::Answer(0, Final::Rows(rows.clone())), "T D C Z", false),
-        (Say::Answer(0, Final::Rows(rows.clone())), "", false),
-        (Say::Leave, "", false),
-        (Say::Answer(2, Final::Rows(rows.clone())), "", false),
-        (Say::Answer(1, hold), "E53300250 Z E40003 Z", true),
+        (ClientCommand::Answer(2, fail), "", false),
+        (
+            ClientCommand::Answer(0, Final::Rows(rows.clone())),
+            "T D C Z",
+            false,
+        ),
+        (ClientCommand::Answer(0, Final::Rows(rows.clone())), "", false),
+        (ClientCommand::Drain, "", false),
+        (ClientCommand::Answer(2, Final::Rows(rows.clone())), "", false),
+        (ClientCommand::Answer(1, hold), "E53300250 Z E40003 Z", true),
         // Whatever else comes after the end, which is there once nothing more lies at the socket.
-        (Say::Answer(1, Final::Rows(rows.clone())), "", true),
-        (Say::TurnAway, "", true),
+        (ClientCommand::Answer(1, Final::Rows(rows.clone())), "", true),
+        (ClientCommand::Reject, "", true),
     ];
     for (n, (say, said, close)) in steps.into_iter().enumerate() {
         session.told(say, AT, &mut out);
@@ -320,17 +324,21 @@
     let open = out
         .notices
         .iter()
-        .filter(|n| matches!(n, session::Heard::Statement { .. }))
+        .filter(|n| matches!(n, session::ClientEvent::Statement { .. }))
         .count();
     assert!(open < 20 && !session.hungry(20_000), "{open}");
     out.bytes.clear();
-    session.told(Say::Answer(2, Final::Rows(Vec::new())), AT, &mut out);
+    session.told(ClientCommand::Answer(2, Final::Rows(Vec::new())), AT, &mut out);
     assert!(out.bytes.is_empty(), "those before it have no answer");
-    session.told(Say::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
+    session.told(ClientCommand::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
     assert_eq!(spoken(&out.bytes), "Z I Z Z");
     for number in (1..600).filter(|n| *n != 2) {
         session.heard(&mut input, AT, &mut out);
-        session.told(Say::Answer(number, Final::Rows(Vec::new())), AT, &mut out);
+        session.told(
+            ClientCommand::Answer(number, Final::Rows(Vec::new())),
+            AT,
+            &mut out,
+        );
     }
     assert_eq!(spoken(&out.bytes).matches('Z').count(), 302);
 }
@@ -338,10 +346,10 @@
 #[test]
 fn leaving_and_refusing_wait_for_nothing_that_is_not_out() {
     for (before, say, said) in [
-        (Vec::new(), Say::Leave, "E57P03"),
-        (greeted(), Say::Leave, "E57P03"),
-        ([greeted(), query("")].concat(), Say::Leave, ""),
-        (Vec::new(), Say::TurnAway, "E53300"),
+        (Vec::new(), ClientCommand::Drain, "E57P03"),
+        (greeted(), ClientCommand::Drain, "E57P03"),
+        ([greeted(), query("")].concat(), ClientCommand::Drain, ""),
+        (Vec::new(), ClientCommand::Reject, "E53300"),
     ] {
         let (mut session, mut out) = (session(1 << 20), Outbox::default());
         hear(&mut session, &before, 1000, &mut out);
@@ -377,11 +385,11 @@
     message(b'E', format!("SERROR\0C{code}\0Mwhy\0\0").as_bytes())
 }
 
-fn member_news(notices: &[execution::Heard]) -> Vec<String> {
+fn member_news(notices: &[execution::MemberEvent]) -> Vec<String> {
     let words = notices.iter().map(|n| match n {
-        execution::Heard::Moved { .. } => "moved".to_owned(),
-        execution::Heard::Up { .. } => "up".to_owned(),
-        execution::Heard::Replied {
+        execution::MemberEvent::Transferred { .. } => "moved".to_owned(),
+        execution::MemberEvent::Connected { .. } => "up".to_owned(),
+        execution::MemberEvent::Replied {
             reply,
             sighting,
             report,
@@ -401,7 +409,9 @@
             let role = sighting.is_primary.map_or("", |p| if p { "!" } else { "?" });
             format!("{reply}{at}{role}{}", report.as_deref().unwrap_or_default())
         }
-        execution::Heard::Down { written, .. } => if *written { "lost" } else { "unwritten" }.to_owned(),
+        execution::MemberEvent::Closed { written, .. } => {
+            if *written { "lost" } else { "unwritten" }.to_owned()
+        }
     });
     words.collect()
 }
@@ -469,7 +479,7 @@
     }
     let (mut member, mut out) = greeted_member();
     hear(&mut member, &large, 1000, &mut out);
-    let Some(execution::Heard::Replied {
+    let Some(execution::MemberEvent::Replied {
         reply: Reply::Rows(rows),
         ..
     }) = out.notices.pop()
@@ -480,16 +490,16 @@
 }
 
 /// A connection whose query has gone out.
-fn greeted_member() -> (Executions, Outbox<execution::Heard>) {
+fn greeted_member() -> (Executions, Outbox<execution::MemberEvent>) {
     let mut member = Executions::new(1, QUERY);
     let out = greet(&mut member);
     (member, out)
 }
 
-fn greet(member: &mut Executions) -> Outbox<execution::Heard> {
+fn greet(member: &mut Executions) -> Outbox<execution::MemberEvent> {
     let mut out = Outbox::default();
     member.opened(&mut out);
-    member.told(Run::Query(query("q")), AT, &mut out);
+    member.told(MemberCommand::Query(query("q")), AT, &mut out);
     member.written(&mut out);
     let greeting = [
         message(b'R', &[0; 4]),
@@ -524,7 +534,7 @@
     ];
     for (name, came, written, told) in cases {
         let (mut member, mut out) = (Executions::new(1, QUERY), Outbox::default());
-        member.told(Run::Query(query("q")), AT, &mut out);
+        member.told(MemberCommand::Query(query("q")), AT, &mut out);
         member.opened(&mut out);
         let mut left = written;
         for bytes in &came {
@@ -734,7 +744,7 @@
 fn a_watch_goes_on_in_the_turn_in_which_it_was_answered() {
     let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let list = |index: u32| answer(&format!(r#"{{"index":{index},"snapshot":true,"endpoints":[]}}"#));
-    let path = |out: &Outbox<watch::News>| {
+    let path = |out: &Outbox<watch::DiscoveryMessage>| {
         let text = String::from_utf8_lossy(&out.bytes).into_owned();
         text.split(' ').nth(1).unwrap_or_default().to_owned()
     };
@@ -756,7 +766,7 @@
                 format!("/registry/instances?after={index}&wait_ms=500")
             );
             assert!(
-                matches!(out.notices.pop(), Some(watch::News { call: 3, heard: watch::Heard::Told(r) }) if r.index == u64::from(index))
+                matches!(out.notices.pop(), Some(watch::DiscoveryMessage { request: 3, event: watch::DiscoveryEvent::Listed(r) }) if r.index == u64::from(index))
             );
         }
         // Discovery began anew, with changes that came after nothing known here; in the end with the whole list.
@@ -766,21 +776,21 @@
         assert_eq!(path(&out), "/registry/instances");
         assert!(matches!(
             out.notices.pop(),
-            Some(watch::News {
-                heard: watch::Heard::Older,
+            Some(watch::DiscoveryMessage {
+                event: watch::DiscoveryEvent::Outdated,
                 ..
             })
         ));
         hear(&mut calls, list(2).as_bytes(), 11, &mut out);
         assert!(
-            matches!(out.notices.pop(), Some(watch::News { heard: watch::Heard::Told(r), .. }) if r.whole)
+            matches!(out.notices.pop(), Some(watch::DiscoveryMessage { event: watch::DiscoveryEvent::Listed(r), .. }) if r.whole)
         );
         hear(&mut calls, answer("{}").as_bytes(), 11, &mut out);
         assert!(matches!(
             out.notices.pop(),
-            Some(watch::News {
-                call: 3,
-                heard: watch::Heard::Unreadable
+            Some(watch::DiscoveryMessage {
+                request: 3,
+                event: watch::DiscoveryEvent::Unreadable
             })
         ));
         assert!(out.close);
@@ -828,11 +838,11 @@
             call.peer_ended(&input, &mut out);
         }
         call.ended(AT, &mut out);
-        let words = out.notices.iter().map(|n| match &n.heard {
-            watch::Heard::Told(list) => list.index.to_string(),
-            watch::Heard::Older => "older".to_owned(),
-            watch::Heard::Unreadable => "unreadable".to_owned(),
-            watch::Heard::Down => "down".to_owned(),
+        let words = out.notices.iter().map(|n| match &n.event {
+            watch::DiscoveryEvent::Listed(list) => list.index.to_string(),
+            watch::DiscoveryEvent::Outdated => "older".to_owned(),
+            watch::DiscoveryEvent::Unreadable => "unreadable".to_owned(),
+            watch::DiscoveryEvent::Closed => "down".to_owned(),
         });
         let words = words.collect::<Vec<_>>().join(" ");
         assert_eq!(words, format!("{told} down").trim(), "{status}");
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -2,14 +2,14 @@
 
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_driver::protocol::execution::{Heard as Member, Reply, Run};
+use asterlatch_driver::protocol::execution::{MemberCommand, MemberEvent, Reply};
 use asterlatch_driver::protocol::messages;
-use asterlatch_driver::protocol::roster::{Entry, Roster, Status};
-use asterlatch_driver::protocol::session::{Final, Heard as Client, Say, Text};
-use asterlatch_driver::protocol::watch::{Heard as Discovery, News};
+use asterlatch_driver::protocol::roster::{Endpoint, EndpointList, Status};
+use asterlatch_driver::protocol::session::{ClientCommand, ClientEvent, Final, Text};
+use asterlatch_driver::protocol::watch::{DiscoveryEvent, DiscoveryMessage};
 use asterlatch_driver::routing::discovery_requests::DiscoveryRequest;
 use asterlatch_driver::routing::event_loop::{EventLoop, Given, Observer, Place};
-use asterlatch_driver::routing::events::Input;
+use asterlatch_driver::routing::events::Event;
 use asterlatch_driver::routing::limits::Limits;
 use asterlatch_driver::transport::ages::Ages;
 use asterlatch_driver::transport::listener::Arrival;
@@ -41,7 +41,7 @@
 }
 
 /// Connections by number: the member's address and what it is told.
-type Dialled = Rc<RefCell<BTreeMap<u32, (String, Receiver<Run>)>>>;
+type Dialled = Rc<RefCell<BTreeMap<u32, (String, Receiver<MemberCommand>)>>>;
 type Called = Rc<RefCell<Vec<(DiscoveryRequest, Receiver<Infallible>)>>>;
 
 struct Stage {
@@ -49,7 +49,7 @@
     now: Timestamp,
     dialled: Dialled,
     called: Called,
-    clients: BTreeMap<u32, Receiver<Say>>,
+    clients: BTreeMap<u32, Receiver<ClientCommand>>,
     /// Connections that have come up.
     up: BTreeSet<u32>,
     asked: u32,
@@ -59,8 +59,8 @@
     fault: Rc<RefCell<Option<i32>>>,
 }
 
-fn entry(name: &str, status: Status, is_primary: bool) -> Entry {
-    Entry {
+fn entry(name: &str, status: Status, is_primary: bool) -> Endpoint {
+    Endpoint {
         name: name.to_owned(),
         address: format!("10.0.0.{}:5432", name.len()),
         zone: "a".to_owned(),
@@ -72,8 +72,8 @@
     }
 }
 
-fn list(index: u64, entries: Vec<Entry>) -> Roster {
-    Roster {
+fn list(index: u64, entries: Vec<Endpoint>) -> EndpointList {
+    EndpointList {
         index,
         whole: true,
         entries,
@@ -82,7 +82,7 @@
 }
 
 /// Its primary stands at 10.0.0.1, its replica at 10.0.0.2.
-fn group() -> Roster {
+fn group() -> EndpointList {
     let (primary, replica) = (
         entry("p", Status::Serving, true),
         entry("rr", Status::Serving, false),
@@ -162,7 +162,7 @@
         let probes: Vec<_> = stage.dialled.borrow().keys().copied().collect();
         for connection in probes {
             stage.up.insert(connection);
-            stage.heard(Member::Up { connection });
+            stage.heard(MemberEvent::Connected { connection });
             stage.reply(connection, Reply::Rows(Vec::new()), None);
             stage
                 .dialled
@@ -184,14 +184,14 @@
     }
 
     /// A change of the list.
-    fn changed(&mut self, entry: Entry) {
+    fn changed(&mut self, entry: Endpoint) {
         let (whole, change) = (false, list(2, vec![entry]));
         self.event_loop
-            .learn_roster(self.now, &Roster { whole, ..change });
+            .learn_roster(self.now, &EndpointList { whole, ..change });
     }
 
-    fn heard(&mut self, heard: Member) {
-        self.event_loop.take(self.now, Input::Member(heard));
+    fn heard(&mut self, event: MemberEvent) {
+        self.event_loop.take(self.now, Event::Member(event));
     }
 
     fn reply(&mut self, connection: u32, reply: Reply, is_primary: Option<bool>) {
@@ -200,7 +200,7 @@
             position: Some(at),
             is_primary,
         };
-        self.heard(Member::Replied {
+        self.heard(MemberEvent::Replied {
             connection,
             at,
             reply,
@@ -213,7 +213,7 @@
         let (sender, told) = channel();
         self.clients.insert(id, told);
         self.event_loop
-            .take(self.now, Input::Arrival(Arrival::Client(id, Line::to(sender))));
+            .take(self.now, Event::Arrival(Arrival::Client(id, Line::to(sender))));
     }
 
     fn asks(&mut self, client: u32, fields: &str) {
@@ -225,22 +225,24 @@
         let text = format!("/* id={id},{fields} */ SELECT blob FROM rows WHERE handle = 'k'");
         let (number, at) = (0, self.now);
         let text = Text::new(&text, &self.room).expect("has room");
-        let heard = Client::Statement {
+        let heard = ClientEvent::Statement {
             client,
             end: 0,
             number,
             text,
             at,
         };
-        self.event_loop.take(self.now, Input::Client(heard));
+        self.event_loop.take(self.now, Event::Client(heard));
     }
 
     /// What the client was told, in short.
     fn told(&self, client: u32) -> String {
         let words = self.clients[&client].try_iter().map(|say| match say {
-            Say::HandOver => "moves".to_owned(),
-            Say::Answer(_, Final::Rows(rows)) => format!("rows({})", String::from_utf8_lossy(&rows)),
-            Say::Answer(
+            ClientCommand::HandOver => "moves".to_owned(),
+            ClientCommand::Answer(_, Final::Rows(rows)) => {
+                format!("rows({})", String::from_utf8_lossy(&rows))
+            }
+            ClientCommand::Answer(
                 _,
                 Final::Error {
                     code, hold_off_ms, ..
@@ -249,9 +251,9 @@
                 "{code}{}",
                 hold_off_ms.map_or(String::new(), |ms| format!("+{ms}"))
             ),
-            Say::Leave => "leave".to_owned(),
-            Say::TimeUp => "time up".to_owned(),
-            Say::TurnAway => "turned away".to_owned(),
+            ClientCommand::Drain => "leave".to_owned(),
+            ClientCommand::TimeOut => "time up".to_owned(),
+            ClientCommand::Reject => "turned away".to_owned(),
         });
         words.collect::<Vec<_>>().join(" ")
     }
@@ -268,7 +270,7 @@
         let opened: Vec<_> = self.dialled.borrow().keys().copied().collect();
         for connection in opened {
             if self.up.insert(connection) {
-                self.heard(Member::Up { connection });
+                self.heard(MemberEvent::Connected { connection });
             }
         }
         self.given()
@@ -278,7 +280,7 @@
     fn given(&self) -> Option<(u32, String)> {
         let dialled = self.dialled.borrow();
         let found = dialled.iter().rev().find_map(|(id, (address, told))| {
-            let Run::Query(query) = told.try_recv().ok()? else {
+            let MemberCommand::Query(query) = told.try_recv().ok()? else {
                 return None;
             };
             let text = String::from_utf8_lossy(&query).into_owned();
@@ -316,7 +318,7 @@
         assert_eq!(at, address, "the design's ordinary path");
         s.reply(connection, rows("v"), Some(at == PRIMARY));
         s.reply(connection, rows("again"), Some(at == PRIMARY));
-        s.heard(Member::Down {
+        s.heard(MemberEvent::Closed {
             connection: 99,
             at: s.now,
             written: true,
@@ -342,7 +344,7 @@
         Malformed,
         Down(bool),
         /// The connection doesn't come up in time; what it tells behind that.
-        Late(Option<Member>),
+        Late(Option<MemberEvent>),
     }
     #[rustfmt::skip]
     let cases = [
@@ -353,8 +355,8 @@
         ("lost before the last byte", Came::Down(false), "", true),
         ("turned away", Came::Error("53300"), "", true),
         ("no connection in time", Came::Late(None), "", true),
-        ("it is told to be over", Came::Late(Some(Member::Down { connection: 0, at: START, written: false })), "", true),
-        ("a connection at the last moment", Came::Late(Some(Member::Up { connection: 0 })), "", true),
+        ("it is told to be over", Came::Late(Some(MemberEvent::Closed { connection: 0, at: START, written: false })), "", true),
+        ("a connection at the last moment", Came::Late(Some(MemberEvent::Connected { connection: 0 })), "", true),
     ];
     for (name, came, told, again) in cases {
         let mut s = stage();
@@ -371,7 +373,7 @@
         match came {
             Came::Error(code) => s.reply(connection, Reply::Error(code.to_owned()), None),
             Came::Malformed => s.reply(connection, Reply::Malformed, None),
-            Came::Down(written) => s.heard(Member::Down {
+            Came::Down(written) => s.heard(MemberEvent::Closed {
                 connection,
                 at: s.now,
                 written,
@@ -381,8 +383,8 @@
                 s.pass(250);
                 assert!(!s.is_open(connection), "{name}: is hung up on");
                 match word {
-                    Some(Member::Up { .. }) => s.heard(Member::Up { connection }),
-                    Some(_) => s.heard(Member::Down {
+                    Some(MemberEvent::Connected { .. }) => s.heard(MemberEvent::Connected { connection }),
+                    Some(_) => s.heard(MemberEvent::Closed {
                         connection,
                         at: s.now,
                         written: false,
@@ -402,7 +404,7 @@
     let mut s = stage();
     s.asks(1, POST);
     let (idle, _) = s.sent().expect("on the connection of the probe");
-    s.heard(Member::Down {
+    s.heard(MemberEvent::Closed {
         connection: idle,
         at: s.now,
         written: false,
@@ -434,7 +436,7 @@
             is_primary: None,
         };
         let (reply, at, report) = (rows("old"), s.now, None);
-        s.heard(Member::Replied {
+        s.heard(MemberEvent::Replied {
             connection,
             at,
             reply,
@@ -492,7 +494,7 @@
             match comes {
                 Answer => s.reply(connection, rows("v"), None),
                 Refusal => s.reply(connection, Reply::Error("XX000".to_owned()), None),
-                Reset => s.heard(Member::Down {
+                Reset => s.heard(MemberEvent::Closed {
                     connection,
                     at: s.now,
                     written: true,
@@ -500,7 +502,7 @@
                 Time => s.event_loop.reach(now),
                 Gone => s
                     .event_loop
-                    .take(s.now, Input::Client(Client::Gone { client: 1 })),
+                    .take(s.now, Event::Client(ClientEvent::Closed { client: 1 })),
             }
             words.extend(Some(s.told(1)).filter(|w| !w.is_empty()));
         }
@@ -538,7 +540,7 @@
         assert!(!out.is_empty() && out.len() < 300, "{}", out.len());
         (1..=200).for_each(|id| {
             s.event_loop
-                .take(s.now, Input::Client(Client::Gone { client: id }))
+                .take(s.now, Event::Client(ClientEvent::Closed { client: id }))
         });
         out.iter()
             .for_each(|(connection, _)| s.reply(*connection, rows("v"), Some(true)));
@@ -558,7 +560,7 @@
     let uncalled = SETTINGS.replace(r#""cancel":true"#, r#""cancel":false"#);
     let gone = |s: &mut Stage| {
         s.event_loop
-            .take(s.now, Input::Client(Client::Gone { client: 1 }))
+            .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }))
     };
     let drains = |s: &mut Stage| s.changed(entry("p", Status::Draining, true));
     let missing = |s: &mut Stage| {
@@ -588,7 +590,7 @@
         let over = !s.is_open(connection);
         assert_eq!(over, name == "its time is over", "{name}");
         s.up.insert(connection);
-        s.heard(Member::Up { connection });
+        s.heard(MemberEvent::Connected { connection });
         assert_eq!(s.given().is_some(), goes, "{name}");
         s.pass(250);
         let said = s.told(1);
@@ -617,7 +619,7 @@
     s.asks(1, POST);
     let (connection, _) = s.opened();
     s.event_loop
-        .take(s.now, Input::Client(Client::Gone { client: 1 }));
+        .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
     s.pass(240);
     assert!(s.is_open(connection));
     s.pass(20);
@@ -638,7 +640,7 @@
     s.asks(1, VIEW);
     let (third, _) = s.sent().expect("is sent at once");
     s.event_loop
-        .take(s.now, Input::Client(Client::Gone { client: 1 }));
+        .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
     assert!(!s.is_open(first) && !s.is_open(third));
     assert_eq!(
         (s.event_loop.open_statements(), s.event_loop.metrics.withdrawn),
@@ -655,7 +657,7 @@
         let (connection, _) = s.sent().expect("is sent at once");
         if leaves {
             s.event_loop
-                .take(s.now, Input::Client(Client::Gone { client: 1 }));
+                .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
         } else {
             s.pass(900);
             assert_eq!(
@@ -688,7 +690,7 @@
     s.client(2);
     s.asks(2, "c=view,d=5000,cluster=1");
     s.event_loop
-        .take(s.now, Input::Client(Client::Gone { client: 1 }));
+        .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
     assert!(s.is_open(connection));
     let before = s.event_loop.metrics.ended_completed;
     s.reply(connection, rows("late"), Some(false));
@@ -718,7 +720,7 @@
     let text = Text::new("SELECT 1", &s.room).expect("has room");
     s.event_loop.take(
         s.now,
-        Input::Client(Client::Statement {
+        Event::Client(ClientEvent::Statement {
             client,
             end: 0,
             number,
@@ -801,22 +803,25 @@
 #[test]
 fn discovery_may_fail_and_the_last_good_list_stands() {
     let mut s = stage();
-    let hear = |s: &mut Stage, call, heard| s.event_loop.take(s.now, Input::from(News { call, heard }));
+    let hear = |s: &mut Stage, request, event| {
+        s.event_loop
+            .take(s.now, Event::from(DiscoveryMessage { request, event }))
+    };
     assert_eq!(
         (s.called.borrow().len(), s.called.borrow()[0].0.after),
         (1, None),
         "the whole list first"
     );
-    hear(&mut s, 1, Discovery::Told(group()));
-    hear(&mut s, 1, Discovery::Unreadable);
-    hear(&mut s, 1, Discovery::Down);
+    hear(&mut s, 1, DiscoveryEvent::Listed(group()));
+    hear(&mut s, 1, DiscoveryEvent::Unreadable);
+    hear(&mut s, 1, DiscoveryEvent::Closed);
     s.pass(99);
     assert_eq!(s.called.borrow().len(), 1, "not without a pause");
     s.pass(1);
     assert_eq!(s.called.borrow()[1].0.after, Some(1), "only what is newer");
     // News of a call that is over must not end the one that stands, nor change the list.
-    hear(&mut s, 1, Discovery::Down);
-    hear(&mut s, 1, Discovery::Told(list(9, Vec::new())));
+    hear(&mut s, 1, DiscoveryEvent::Closed);
+    hear(&mut s, 1, DiscoveryEvent::Listed(list(9, Vec::new())));
     s.asks(1, VIEW);
     assert!(s.sent().is_some());
     s.pass(2900);
@@ -830,7 +835,7 @@
     let before = s.called.borrow().len() as u32;
     let mut pauses = Vec::new();
     for n in 0..6 {
-        hear(&mut s, before + n, Discovery::Down);
+        hear(&mut s, before + n, DiscoveryEvent::Closed);
         pauses.push((s.event_loop.next_at() - s.now).0 / 1000);
         s.pass(2000);
     }
@@ -855,7 +860,7 @@
         let name = format!("r{n}");
         let at = |name: &str, status| {
             let address = format!("10.0.{}.{}:5432", 2 + n / 200, 1 + n % 200);
-            Entry {
+            Endpoint {
                 address,
                 ..entry(name, status, false)
             }
@@ -913,10 +918,11 @@
             match *does {
                 "idle" => s
                     .event_loop
-                    .take(s.now, Input::Client(Client::Idle { client, since })),
-                "writes" => s
-                    .event_loop
-                    .take(s.now, Input::Client(Client::Writing { client, since })),
+                    .take(s.now, Event::Client(ClientEvent::Idle { client, since })),
+                "writes" => s.event_loop.take(
+                    s.now,
+                    Event::Client(ClientEvent::PartialMessage { client, since }),
+                ),
                 "silence" => (50..60).for_each(|id| s.client(id)),
                 "asks" => {
                     s.asks(1, POST);
@@ -941,7 +947,7 @@
         s.reply(connection, rows("v"), Some(false));
         s.event_loop.take(
             s.now,
-            Input::Client(Client::Idle {
+            Event::Client(ClientEvent::Idle {
                 client: id,
                 since: s.now,
             }),
@@ -1000,7 +1006,7 @@
     }
     let mut pool = Pool::default();
     let (address, line) = (PRIMARY.parse().expect("is an address"), || {
-        Line::to(channel::<Run>().0)
+        Line::to(channel::<MemberCommand>().0)
     });
     for (id, since) in [(1, 0), (2, 100), (3, 200)] {
         pool.add(id, 7, address, line());
@@ -1026,8 +1032,11 @@
     let asked = SETTINGS.replacen('{', r#"{"discovery":"ask","#, 1);
     for settings in [SETTINGS, &asked] {
         let mut s = Stage::new(settings, 1024, 192 << 20);
-        let hear = |s: &mut Stage, call, heard| s.event_loop.take(s.now, Input::from(News { call, heard }));
-        hear(&mut s, 1, Discovery::Told(group()));
+        let hear = |s: &mut Stage, request, event| {
+            s.event_loop
+                .take(s.now, Event::from(DiscoveryMessage { request, event }))
+        };
+        hear(&mut s, 1, DiscoveryEvent::Listed(group()));
         let mut given = Given {
             discovery: s.called.borrow()[0].0.address,
             sockets: 1024,
@@ -1056,8 +1065,8 @@
             s.called.borrow()[0].1.try_recv(),
             Err(TryRecvError::Disconnected)
         ));
-        hear(&mut s, 1, Discovery::Told(list(9, Vec::new())));
-        hear(&mut s, 1, Discovery::Down);
+        hear(&mut s, 1, DiscoveryEvent::Listed(list(9, Vec::new())));
+        hear(&mut s, 1, DiscoveryEvent::Closed);
         s.client(1);
         s.asks(1, VIEW);
         assert!(
@@ -1115,9 +1124,9 @@
     assert_eq!(s.called.borrow().len(), 1, "at the start");
     s.event_loop.take(
         s.now,
-        Input::from(News {
-            call: 1,
-            heard: Discovery::Down,
+        Event::from(DiscoveryMessage {
+            request: 1,
+            event: DiscoveryEvent::Closed,
         }),
     );
     s.pass(30);
@@ -1145,16 +1154,16 @@
         assert_eq!(after(&s), Some(first));
         s.event_loop.take(
             s.now,
-            Input::from(News {
-                call: 1,
-                heard: Discovery::Older,
+            Event::from(DiscoveryMessage {
+                request: 1,
+                event: DiscoveryEvent::Outdated,
             }),
         );
         s.event_loop.take(
             s.now,
-            Input::from(News {
-                call: 1,
-                heard: Discovery::Down,
+            Event::from(DiscoveryMessage {
+                request: 1,
+                event: DiscoveryEvent::Closed,
             }),
         );
         s.pass(1600);
@@ -1200,14 +1209,14 @@
     let mut stage = stage();
     stage
         .event_loop
-        .take(stage.now, Input::Client(Client::HalfClosed { client: 1 }));
+        .take(stage.now, Event::Client(ClientEvent::HalfClosed { client: 1 }));
     stage.pass(299);
     assert!(!ended(&stage, 1));
     stage.pass(1);
     assert!(ended(&stage, 1));
     stage
         .event_loop
-        .take(stage.now, Input::Client(Client::Gone { client: 1 }));
+        .take(stage.now, Event::Client(ClientEvent::Closed { client: 1 }));
     assert_eq!(stage.event_loop.open_clients(), 0);
     // Six descriptors beyond the reserve: four clients.
     let mut stage = Stage::new(SETTINGS, 48 + 6, 192 << 20);
@@ -1215,7 +1224,7 @@
     stage.pass(1);
     stage
         .event_loop
-        .take(stage.now, Input::Client(Client::HalfClosed { client: 2 }));
+        .take(stage.now, Event::Client(ClientEvent::HalfClosed { client: 2 }));
     stage.client(5);
     assert!(ended(&stage, 2), "it goes first");
     assert_eq!(
@@ -1232,9 +1241,10 @@
     stage.asks(1, "c=view,d=900,cluster=9");
     assert_eq!(stage.told(1), "22023", "answered, so it rests now");
     let since = stage.now;
-    stage
-        .event_loop
-        .take(since, Input::Client(Client::Writing { client: 1, since }));
+    stage.event_loop.take(
+        since,
+        Event::Client(ClientEvent::PartialMessage { client: 1, since }),
+    );
     stage.event_loop.send_clients_away();
     stage.pass(499);
     assert_eq!(stage.told(1), "leave");
