--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -15,7 +15,7 @@
 use crate::routing::event_loop::{EventLoop, Place};
 use crate::routing::events::{ControlEvent, Event};
 use crate::transport::clock::Clock;
-use crate::transport::room::Room;
+use crate::transport::memory_budget::MemoryBudget;
 use crate::transport::{self, listener, stream};
 use asterlatch::time::Timestamp;
 use std::net::TcpListener;
@@ -43,8 +43,8 @@
     let (to_takeover, to_adopted, to_resumed) = (queue.clone(), queue.clone(), queue.clone());
     let memory = config.given.rooms(&force.limits);
     // Discovery has one connection, whose answers have a bound of their own.
-    let (room, unbound) = (memory.1.clone(), Room::new(usize::MAX));
-    let longest = messages::bound(room.most());
+    let (room, unbound) = (memory.1.clone(), MemoryBudget::new(usize::MAX));
+    let longest = messages::bound(room.capacity());
     let (adopted_room, members_room) = memory.clone();
     let witnessed = witness.clone();
     let place = Place {
--- a/crates/driver/src/protocol/roster.rs
+++ b/crates/driver/src/protocol/roster.rs
@@ -25,10 +25,10 @@
 pub struct EndpointList {
     pub index: u64,
     /// The whole list, not only what changed.
-    pub whole: bool,
+    pub is_complete: bool,
     pub entries: Vec<Endpoint>,
     /// Entries that could not be read.
-    pub left_out: usize,
+    pub skipped: usize,
 }
 
 fn entry(value: &Value) -> Option<Endpoint> {
@@ -60,8 +60,8 @@
     let entries: Vec<_> = listed.iter().filter_map(entry).collect();
     Some(EndpointList {
         index: value.get("index")?.as_u64()?,
-        whole: value.get("snapshot").and_then(Value::as_bool).unwrap_or(true),
-        left_out: listed.len() - entries.len(),
+        is_complete: value.get("snapshot").and_then(Value::as_bool).unwrap_or(true),
+        skipped: listed.len() - entries.len(),
         entries,
     })
 }
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/session.rs
@@ -2,7 +2,7 @@
 
 use super::comment::{Unreadable, NO_ROOM, TOO_LARGE};
 use super::messages::{self, Front, Opening};
-use crate::transport::room::{Room, Taken};
+use crate::transport::memory_budget::{MemoryBudget, MemoryReservation};
 use crate::transport::stream::{Dialogue, Outbox};
 use crate::transport::witness::Witness;
 use asterlatch::time::Timestamp;
@@ -56,13 +56,13 @@
 /// A statement's text, with the room that it takes.
 pub struct Text {
     pub text: String,
-    _room: Taken,
+    _room: MemoryReservation,
 }
 
 impl Text {
     /// None where there is no room for it.
-    pub fn new(text: &str, room: &Room) -> Option<Text> {
-        let _room = room.take(text.len())?;
+    pub fn new(text: &str, room: &MemoryBudget) -> Option<Text> {
+        let _room = room.reserve(text.len())?;
         let text = text.to_owned();
         Some(Text { text, _room })
     }
@@ -167,7 +167,7 @@
     /// The number of the first in the row.
     first: u32,
     /// For statements that have no answer yet.
-    room: Room,
+    room: MemoryBudget,
     /// How much of all that was read is taken, and how much was there in front of the message that is read now.
     taken: u64,
     at: u64,
@@ -180,7 +180,7 @@
 }
 
 impl Session {
-    pub fn new(client: u32, room: Room) -> Session {
+    pub fn new(client: u32, room: MemoryBudget) -> Session {
         Session {
             client,
             state: State::Opening,
@@ -202,7 +202,7 @@
     }
 
     /// Goes on where another process stood with this client.
-    pub fn resume(client: u32, room: Room, standing: &Standing) -> Session {
+    pub fn resume(client: u32, room: MemoryBudget, standing: &Standing) -> Session {
         let state = if standing.opened {
             State::Open
         } else {
@@ -296,7 +296,7 @@
 
     /// Reads one message; says how many bytes that took. Behind open statements only a further one is read.
     fn next(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<ClientEvent>) -> usize {
-        match messages::front(input, messages::bound(self.room.most())) {
+        match messages::front(input, messages::bound(self.room.capacity())) {
             Front::Partial => 0,
             Front::Message {
                 kind: b'Q',
@@ -562,7 +562,7 @@
         match self.state {
             State::Over => false,
             _ if self.moving => false,
-            _ if self.row.is_empty() => unused <= messages::bound(self.room.most()) + 5,
+            _ if self.row.is_empty() => unused <= messages::bound(self.room.capacity()) + 5,
             _ => unused <= AHEAD,
         }
     }
--- a/crates/driver/src/protocol/watch.rs
+++ b/crates/driver/src/protocol/watch.rs
@@ -62,7 +62,7 @@
             return false;
         };
         // Changes up to a version before the one that they were to come after belong to another history.
-        let strange = !told.whole && self.after.is_some_and(|after| told.index < after);
+        let strange = !told.is_complete && self.after.is_some_and(|after| told.index < after);
         self.after = Some(told.index).filter(|_| !strange);
         let heard = if strange {
             DiscoveryEvent::Outdated
--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -51,11 +51,11 @@
 
 /// What it took to find room for a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Room {
-    Free,
+pub enum Admission {
+    Admitted,
     /// Another one was let go.
-    Made,
-    None,
+    AdmittedByEviction,
+    Rejected,
 }
 
 impl Clients {
@@ -87,7 +87,7 @@
 
     /// Takes in a client that the kernel has accepted. Where all are busy beyond the bound it is turned away
     /// before it can send anything: that word could come for a statement that runs already.
-    pub fn arrive(&mut self, now: Timestamp, id: u32, line: Line<ClientCommand>) -> Room {
+    pub fn arrive(&mut self, now: Timestamp, id: u32, line: Line<ClientCommand>) -> Admission {
         if self.leaving {
             line.tell(ClientCommand::Drain);
         } else if self.moving {
@@ -99,19 +99,19 @@
             self.most
         };
         let room = if self.open.len() < most {
-            Room::Free
+            Admission::Admitted
         } else if self.free_one(now) {
-            Room::Made
+            Admission::AdmittedByEviction
         } else {
             line.tell(ClientCommand::Reject);
-            Room::None
+            Admission::Rejected
         };
         let client = Client {
             line,
             stmts: Vec::new(),
             pause: None,
             has_asked: false,
-            turned_away: room == Room::None,
+            turned_away: room == Admission::Rejected,
         };
         self.open.insert(id, client);
         self.set(id, Some((Pause::Arriving, now)));
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -11,7 +11,7 @@
 use crate::protocol::session::{self as client, ClientCommand, ClientEvent, Final, Text};
 use crate::protocol::watch::{DiscoveryEvent, DiscoveryMessage};
 use crate::protocol::{messages, vitals};
-use crate::routing::clients::{Clients, Room};
+use crate::routing::clients::{Admission, Clients};
 use crate::routing::discovery_requests::{self, DiscoveryRequests};
 use crate::routing::events::{ControlEvent, Event};
 use crate::routing::execution_outcomes;
@@ -23,7 +23,7 @@
 use crate::routing::statements::Statements;
 use crate::transport::clock::Clock;
 use crate::transport::listener::{Arrival, Listening};
-use crate::transport::room::Room as Memory;
+use crate::transport::memory_budget::MemoryBudget;
 use crate::transport::stream::Line;
 use crate::transport::witness::Witness;
 use asterlatch::interface::*;
@@ -57,7 +57,7 @@
     pub given: Given,
     pub limits: Limits,
     /// For clients and for members.
-    pub memory: (Memory, Memory),
+    pub memory: (MemoryBudget, MemoryBudget),
 }
 
 /// A client on its way from one process to another.
@@ -114,9 +114,9 @@
         )
     }
 
-    pub fn rooms(&self, limits: &Limits) -> (Memory, Memory) {
+    pub fn rooms(&self, limits: &Limits) -> (MemoryBudget, MemoryBudget) {
         let (clients, members) = self.bytes(limits);
-        (Memory::new(clients), Memory::new(members))
+        (MemoryBudget::new(clients), MemoryBudget::new(members))
     }
 
     /// How many connections clients and members may have.
@@ -147,7 +147,7 @@
     statements: Statements,
     member_requests: MemberRequests,
     discovery_requests: DiscoveryRequests,
-    memory: (Memory, Memory),
+    memory: (MemoryBudget, MemoryBudget),
     given: Given,
     limits: Limits,
     /// By workload.
@@ -366,13 +366,13 @@
         self.member_requests.bound(members, limits.member_idle);
         self.discovery_requests.bound(limits);
         let (of_clients, of_members) = given.bytes(&limits);
-        self.memory.0.bound(of_clients);
-        self.memory.1.bound(of_members);
+        self.memory.0.set_capacity(of_clients);
+        self.memory.1.set_capacity(of_members);
     }
 
     /// Bytes that clients and members fill now.
     pub fn memory_taken(&self) -> usize {
-        self.memory.0.taken() + self.memory.1.taken()
+        self.memory.0.reserved() + self.memory.1.reserved()
     }
 
     /// Descriptors and bytes that all processes of this service together may have.
@@ -382,7 +382,7 @@
 
     /// Bytes that clients may fill.
     pub fn clients_memory(&self) -> usize {
-        self.memory.0.most()
+        self.memory.0.capacity()
     }
 
     pub fn attach(&mut self, listening: Listening) {
@@ -419,9 +419,9 @@
             Arrival::Client(id, line) => {
                 self.metrics.clients_accepted += 1;
                 match self.clients.arrive(now, id, line) {
-                    Room::Free => {}
-                    Room::Made => self.metrics.clients_closed_for_room += 1,
-                    Room::None => self.metrics.clients_turned_away += 1,
+                    Admission::Admitted => {}
+                    Admission::AdmittedByEviction => self.metrics.clients_closed_for_room += 1,
+                    Admission::Rejected => self.metrics.clients_turned_away += 1,
                 }
             }
             Arrival::Failed(e) => {
@@ -812,14 +812,14 @@
             self.drains.extend(name.map(|n| (n.to_owned(), since_ms)));
         }
         self.shares_listed(roster.index, &entries);
-        let left_out = roster.left_out + roster.entries.len() - entries.len();
+        let left_out = roster.skipped + roster.entries.len() - entries.len();
         if left_out > 0 {
             self.metrics.roster_entries_left_out += left_out as u64;
             let text = format_args!("{left_out} entries of the list can't be read");
             self.observer.say(now, "discovery", text);
         }
-        if roster.whole || !entries.is_empty() {
-            let results = self.module.on_endpoint_list(now, &entries, roster.whole);
+        if roster.is_complete || !entries.is_empty() {
+            let results = self.module.on_endpoint_list(now, &entries, roster.is_complete);
             self.carry_out(now, results);
         }
         self.tell_ended(now);
--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -2,7 +2,7 @@
 //! closes connections that sit idle instead.
 
 use super::clock::Clock;
-use super::room::Room;
+use super::memory_budget::MemoryBudget;
 use super::stream::{self, Dialogue, Line};
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use std::io::{self, ErrorKind};
@@ -55,7 +55,7 @@
     listener: TcpListener,
     paused: bool,
     queue: Sender<M>,
-    (clock, room): (Clock, Room),
+    (clock, room): (Clock, MemoryBudget),
     dialogue: impl Fn(u32) -> D + Send + 'static,
 ) -> io::Result<Listening>
 where
--- a/crates/driver/src/transport/mod.rs
+++ b/crates/driver/src/transport/mod.rs
@@ -73,7 +73,7 @@
 pub mod clock;
 pub mod datagrams;
 pub mod listener;
+pub mod memory_budget;
 pub mod pool;
-pub mod room;
 pub mod stream;
 pub mod witness;
--- a/crates/driver/src/transport/stream.rs
+++ b/crates/driver/src/transport/stream.rs
@@ -2,7 +2,7 @@
 //! It keeps no time: whoever holds the `Line` says when to end it.
 
 use super::clock::Clock;
-use super::room::{Room, Taken};
+use super::memory_budget::{MemoryBudget, MemoryReservation};
 use asterlatch::time::Timestamp;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -158,7 +158,7 @@
     /// Our side is shut, and so many bytes have come since.
     behind: Option<usize>,
     /// For what lies in `input` and `out`.
-    taken: Taken,
+    taken: MemoryReservation,
 }
 
 enum Flow {
@@ -299,7 +299,7 @@
         if self.out.bytes.is_empty() && self.dialogue.may_end() {
             return self.taken.resize(lying);
         }
-        self.taken.hold(lying);
+        self.taken.force_resize(lying);
         true
     }
 
@@ -429,7 +429,7 @@
     up: bool,
     dialogue: D,
     queue: &Sender<M>,
-    (clock, room): (Clock, &Room),
+    (clock, room): (Clock, &MemoryBudget),
     announce: impl FnOnce(Line<D::Command>),
 ) -> io::Result<()>
 where
@@ -445,7 +445,7 @@
     up: bool,
     mut dialogue: D,
     queue: &Sender<M>,
-    (clock, room): (Clock, &Room),
+    (clock, room): (Clock, &MemoryBudget),
     mut input: Vec<u8>,
     announce: impl FnOnce(Line<D::Command>),
 ) -> io::Result<()>
@@ -479,7 +479,7 @@
         out,
         unwritten: false,
         behind: None,
-        taken: room.none(),
+        taken: room.empty_reservation(),
     };
     // The event loop must know the line before the first news from it.
     announce(Line {
@@ -500,7 +500,7 @@
     address: SocketAddr,
     dialogue: D,
     queue: &Sender<M>,
-    (clock, room): (Clock, &Room),
+    (clock, room): (Clock, &MemoryBudget),
 ) -> io::Result<Line<D::Command>>
 where
     D: Dialogue,
@@ -523,7 +523,7 @@
     up: bool,
     dialogue: D,
     queue: &Sender<M>,
-    place: (Clock, &Room),
+    place: (Clock, &MemoryBudget),
     input: Vec<u8>,
 ) -> io::Result<Line<D::Command>>
 where
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -57,8 +57,8 @@
             config.settings.0.workloads.len().to_string(),
         ),
         ("known.index", known.index.to_string()),
-        ("known.snapshot", known.whole.to_string()),
-        ("known.endpoints left out", known.left_out.to_string()),
+        ("known.snapshot", known.is_complete.to_string()),
+        ("known.endpoints left out", known.skipped.to_string()),
     ]);
     for entry in &known.entries {
         text += &lines(&[
--- a/crates/driver/tests/protocol.rs
+++ b/crates/driver/tests/protocol.rs
@@ -9,7 +9,7 @@
 use asterlatch_driver::protocol::roster::{self, Status};
 use asterlatch_driver::protocol::session::{self, ClientCommand, Final, Session};
 use asterlatch_driver::protocol::{vitals, watch};
-use asterlatch_driver::transport::room::Room;
+use asterlatch_driver::transport::memory_budget::MemoryBudget;
 use asterlatch_driver::transport::stream::{Dialogue, Outbox};
 
 /// The longest messages and values that any driver takes.
@@ -30,13 +30,13 @@
 
 /// A client's connection, and room for so many bytes of statements.
 fn session(room: usize) -> Session {
-    Session::new(1, Room::new(room))
+    Session::new(1, MemoryBudget::new(room))
 }
 
 /// Statements that wait fill no more than their part of the memory; what comes beyond is told so at once.
 #[test]
 fn statements_fill_no_more_than_their_room() {
-    let (room, mut input) = (Room::new(20), Vec::new());
+    let (room, mut input) = (MemoryBudget::new(20), Vec::new());
     let mut sessions = [1, 2, 3].map(|n| (Session::new(n, room.clone()), Outbox::default()));
     for (n, (session, out)) in sessions.iter_mut().enumerate() {
         input.extend([greeted(), query("SELECT 1")].concat());
@@ -45,13 +45,13 @@
         assert_eq!(client_news(&out.notices), format!("idle {news}"));
         assert_eq!(spoken(&out.bytes), format!("{WELCOME}{said}"));
     }
-    assert_eq!(room.taken(), 16);
+    assert_eq!(room.reserved(), 16);
     drop(sessions);
-    assert_eq!(room.taken(), 0, "given back with the statement");
+    assert_eq!(room.reserved(), 0, "given back with the statement");
     // An answer that was begun is held whatever it takes, and statements find no room meanwhile.
-    let mut unwritten = room.none();
-    unwritten.hold(50);
-    assert!(room.taken() == 50 && session::Text::new("SELECT 1", &room).is_none());
+    let mut unwritten = room.empty_reservation();
+    unwritten.force_resize(50);
+    assert!(room.reserved() == 50 && session::Text::new("SELECT 1", &room).is_none());
     assert!(unwritten.resize(9) && session::Text::new("SELECT 1", &room).is_some());
 }
 
@@ -100,7 +100,7 @@
     session.told(ClientCommand::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
     assert_eq!(leaves(&mut session, &mut input, &mut out), "", "it has asked");
     // Told to leave in the middle of one that it doesn't end.
-    let (mut session, mut out) = (Session::new(1, Room::new(1 << 20)), Outbox::default());
+    let (mut session, mut out) = (Session::new(1, MemoryBudget::new(1 << 20)), Outbox::default());
     input.extend(after(&half(&query("SELECT 1"))));
     session.heard(&mut input, AT, &mut out);
     out.bytes.clear();
@@ -115,7 +115,7 @@
     );
     input.clear();
     // Told to leave with statements behind the one that is out: they have come, so all are answered.
-    let (mut session, mut out) = (Session::new(1, Room::new(1 << 20)), Outbox::default());
+    let (mut session, mut out) = (Session::new(1, MemoryBudget::new(1 << 20)), Outbox::default());
     input.extend(after(&[query("a"), query("b"), query("c")].concat()));
     session.heard(&mut input, AT, &mut out);
     session.told(ClientCommand::Drain, AT, &mut out);
@@ -127,7 +127,7 @@
     assert_eq!(leaves(&mut session, &mut input, &mut out), "");
     assert_eq!(client_news(&out.notices), "idle stmt(a) stmt(b) stmt(c) idle");
     // Told to leave while a statement lies at the socket: it came to a connection that stood, and is answered.
-    let (mut session, mut out) = (Session::new(1, Room::new(1 << 20)), Outbox::default());
+    let (mut session, mut out) = (Session::new(1, MemoryBudget::new(1 << 20)), Outbox::default());
     input.extend(greeted());
     session.heard(&mut input, AT, &mut out);
     session.told(ClientCommand::Drain, AT, &mut out);
@@ -726,12 +726,12 @@
     ];
     for (text, expected) in cases {
         let read = roster::read(text.as_bytes());
-        assert_eq!(read.map(|r| (r.entries.len(), r.left_out)), expected, "{text}");
+        assert_eq!(read.map(|r| (r.entries.len(), r.skipped)), expected, "{text}");
     }
     let read = roster::read(listed(good).as_bytes()).expect("is good");
     let e = &read.entries[0];
     assert_eq!(
-        (read.index, read.whole, e.status, e.group),
+        (read.index, read.is_complete, e.status, e.group),
         (4, false, Status::Draining, 3)
     );
     assert_eq!(
@@ -783,7 +783,7 @@
         ));
         hear(&mut calls, list(2).as_bytes(), 11, &mut out);
         assert!(
-            matches!(out.notices.pop(), Some(watch::DiscoveryMessage { event: watch::DiscoveryEvent::Listed(r), .. }) if r.whole)
+            matches!(out.notices.pop(), Some(watch::DiscoveryMessage { event: watch::DiscoveryEvent::Listed(r), .. }) if r.is_complete)
         );
         hear(&mut calls, answer("{}").as_bytes(), 11, &mut out);
         assert!(matches!(
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -13,8 +13,8 @@
 use asterlatch_driver::routing::limits::Limits;
 use asterlatch_driver::transport::ages::Ages;
 use asterlatch_driver::transport::listener::Arrival;
+use asterlatch_driver::transport::memory_budget::MemoryBudget;
 use asterlatch_driver::transport::pool::Pool;
-use asterlatch_driver::transport::room::Room;
 use asterlatch_driver::transport::stream::Line;
 use asterlatch_settings::{read, Pairs};
 use std::cell::RefCell;
@@ -54,7 +54,7 @@
     up: BTreeSet<u32>,
     asked: u32,
     /// For what clients send.
-    room: Room,
+    room: MemoryBudget,
     /// The error with which the next dial fails.
     fault: Rc<RefCell<Option<i32>>>,
 }
@@ -75,9 +75,9 @@
 fn list(index: u64, entries: Vec<Endpoint>) -> EndpointList {
     EndpointList {
         index,
-        whole: true,
+        is_complete: true,
         entries,
-        left_out: 0,
+        skipped: 0,
     }
 }
 
@@ -185,9 +185,14 @@
 
     /// A change of the list.
     fn changed(&mut self, entry: Endpoint) {
-        let (whole, change) = (false, list(2, vec![entry]));
-        self.event_loop
-            .learn_roster(self.now, &EndpointList { whole, ..change });
+        let (is_complete, change) = (false, list(2, vec![entry]));
+        self.event_loop.learn_roster(
+            self.now,
+            &EndpointList {
+                is_complete,
+                ..change
+            },
+        );
     }
 
     fn heard(&mut self, event: MemberEvent) {
@@ -1097,7 +1102,7 @@
     s.reply(connection, rows("v"), Some(false));
     assert_eq!(s.told(1), "rows(v)");
     // A quarter of the memory is for what clients send, and what they have sent is given back with its answer.
-    assert_eq!(s.room.taken(), 0);
+    assert_eq!(s.room.reserved(), 0);
     let memory = 400;
     s.event_loop.give(
         s.now,
--- a/crates/driver/tests/transport.rs
+++ b/crates/driver/tests/transport.rs
@@ -2,7 +2,7 @@
 
 use asterlatch::time::Timestamp;
 use asterlatch_driver::transport::clock::Clock;
-use asterlatch_driver::transport::room::Room;
+use asterlatch_driver::transport::memory_budget::MemoryBudget;
 use asterlatch_driver::transport::stream::{dial, hold, Dialogue, Line, Outbox};
 use asterlatch_driver::transport::{start, Stacks};
 use std::io::Write;
@@ -43,7 +43,7 @@
         }
     });
     let (queue, heard) = channel::<(u32, bool)>();
-    let (clock, room) = (Clock::start(), Room::new(1 << 20));
+    let (clock, room) = (Clock::start(), MemoryBudget::new(1 << 20));
     let mut lines: Vec<Line<()>> = Vec::new();
     for number in 0..6000 {
         lines.push(dial(address, First(number, false), &queue, (clock, &room)).expect("is opened"));
@@ -61,7 +61,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("is bound");
     let (queue, heard) = channel::<(u32, bool)>();
-    let place = (Clock::start(), &Room::new(1 << 20));
+    let place = (Clock::start(), &MemoryBudget::new(1 << 20));
     let dialled = dial(address, First(1, false), &queue, place).expect("is opened");
     let (mut peer, _) = listener.accept().expect("came");
     peer.write_all(b"x").expect("is written");
