--- a/crates/driver/src/program/upgrade/handover.rs
+++ b/crates/driver/src/program/upgrade/handover.rs
@@ -2,7 +2,7 @@
 
 use crate::program::log::Log;
 use crate::routing::event_loop::EventLoop;
-use crate::routing::members::Members;
+use crate::routing::members::MemberDirectory;
 use crate::transport::clock::Clock;
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -45,7 +45,7 @@
 /// What a new process goes on from.
 pub struct Resumed {
     pub clock: Clock,
-    pub learned: (RoutingPolicy, Members),
+    pub learned: (RoutingPolicy, MemberDirectory),
 }
 
 pub fn read(bytes: &[u8], settings: u64) -> Result<Resumed, String> {
--- a/crates/driver/src/routing/coordination.rs
+++ b/crates/driver/src/routing/coordination.rs
@@ -29,7 +29,7 @@
     name: String,
     life: u64,
     said: u64,
-    /// Members whose probes the module wants, by name, and when this driver last asked each for all.
+    /// MemberDirectory whose probes the module wants, by name, and when this driver last asked each for all.
     wanted: BTreeMap<String, Timestamp>,
 }
 
@@ -139,7 +139,7 @@
     ) -> (Option<Record>, Vec<(String, f64)>) {
         self.sums.age(now);
         let drawn = shares.iter().filter_map(|(name, own)| {
-            let share = self.sums.drawn(now, members::key(name), *own)?;
+            let share = self.sums.drawn(now, members::fleet_key(name), *own)?;
             Some((name.clone(), share))
         });
         let drawn: Vec<_> = drawn.collect();
@@ -147,7 +147,10 @@
             return (None, drawn);
         }
         self.tell_at = now + LOADS;
-        let of: BTreeMap<Key, f64> = shares.iter().map(|(name, s)| (members::key(name), *s)).collect();
+        let of: BTreeMap<Key, f64> = shares
+            .iter()
+            .map(|(name, s)| (members::fleet_key(name), *s))
+            .collect();
         let told = self.sums.tellable(now, MOST_SHARES).into_iter();
         let told: Vec<_> = told
             .filter_map(|(key, answers)| Some((key, (of.get(&key)? * 200.0) as u8, (answers * 10.0) as u8)))
@@ -165,7 +168,7 @@
 
     /// Another driver's word on loads.
     pub fn load_told(&mut self, (driver, life): (&str, u64), shares: &[(u64, u8, u8)], said: Timestamp) {
-        let driver = (members::key(driver), life);
+        let driver = (members::fleet_key(driver), life);
         for (member, share, answers) in shares {
             let (share, answers) = (f64::from(*share) / 200.0, f64::from(*answers) / 10.0);
             self.sums.told(*member, driver, share, answers, said);
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -12,11 +12,14 @@
     /// The drivers that are there by now, and how many count.
     pub(super) fn count_peers(&mut self, now: Timestamp) {
         let Some(sharing) = &mut self.sharing else { return };
-        let keys = sharing.there.iter().map(|p| members::key(&sharing.names[*p]));
+        let keys = sharing
+            .there
+            .iter()
+            .map(|p| members::fleet_key(&sharing.names[*p]));
         let others: BTreeSet<u64> = keys.collect();
         let count = sharing.turns.there(now, &others);
         self.module
-            .set_fleet_drivers(members::key(&sharing.own_name), &others, count);
+            .set_fleet_drivers(members::fleet_key(&sharing.own_name), &others, count);
     }
 
     /// Whether this driver asks a member itself that its module wants asked, or leaves that to whose turn it is.
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Members at which executions of this driver are late, each with when the last such was sent.
+    /// MemberDirectory at which executions of this driver are late, each with when the last such was sent.
     fn late_here(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
         let before = fleet_share::late_since(now, self.module.longest_typical_latency());
         let mut late: BTreeMap<String, Timestamp> = BTreeMap::new();
@@ -109,7 +112,7 @@
             sharing
                 .turns
                 .silence
-                .late(member, members::key(driver), sent, said);
+                .late(member, members::fleet_key(driver), sent, said);
         }
     }
 }
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -5,7 +5,7 @@
 use crate::routing::execution_outcomes;
 use crate::routing::gossip::{sightings, GossipMessage, Out, Parked, Sharing, Word};
 use crate::routing::member_requests::RequestKind;
-use crate::routing::members;
+use crate::routing::members::{self, MemberIdentity};
 use asterlatch::interface::*;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::codec::Question;
@@ -47,7 +47,7 @@
     pub(super) fn reach_sharing(&mut self, now: Timestamp) {
         let Some(sharing) = &mut self.sharing else { return };
         let members = &self.members;
-        sharing.reach(now, |m| members.told_as(m));
+        sharing.reach(now, |m| members.identity(m));
         let due = sharing.inquiries.due(now);
         let turns = sharing.turns_at.take_if(|at| *at <= now).is_some();
         if sharing.cold_at.take_if(|at| *at <= now).is_some() {
@@ -73,14 +73,17 @@
         let view = self.module.warming_members(now).into_iter();
         let cold: Vec<_> = view
             .filter_map(|w| {
-                let told = self.members.told_as(w.member)?;
-                Some((w.member, told, w.warm_up_fraction, w.carried_load))
+                let identity = self.members.identity(w.member)?;
+                Some((w.member, identity, w.warm_up_fraction, w.carried_load))
             })
             .collect();
-        let names: Vec<String> = cold.iter().map(|(_, (name, ..), ..)| name.clone()).collect();
+        let names: Vec<String> = cold
+            .iter()
+            .map(|(_, identity, ..)| identity.name.clone())
+            .collect();
         sharing.cold.keep(&names);
         let (mut facts, mut shares) = (Vec::new(), Vec::new());
-        for (id, (name, started_ms, _), warmth, carries) in cold {
+        for (id, MemberIdentity { name, started_ms, .. }, warmth, carries) in cold {
             let known = (name.as_str(), started_ms);
             let (share, sum) = sharing.cold.share(now, known, (warmth, carries), &there);
             shares.extend(share.map(|work| (id, work)));
@@ -154,7 +157,7 @@
         );
         if let Some(name) = self.members.name(member).filter(|_| answered) {
             sharing.turns.silence.heard(name, now);
-            sharing.turns.sums.answered(now, members::key(name));
+            sharing.turns.sums.answered(now, members::fleet_key(name));
         }
         let RequestKind::Execution { stmt, number } = kind else {
             return;
@@ -162,7 +165,7 @@
         let Some(out) = sharing.out.remove(&(stmt, number)) else {
             return;
         };
-        if out.harmful && execution_outcomes::never_ran(ending) {
+        if out.harmful && execution_outcomes::definitely_not_executed(ending) {
             sharing.log.untouched(out.name);
         }
         if let (true, true, Some(position)) = (
@@ -310,12 +313,8 @@
         self.metrics.statements_given_away += 1;
         let results = self.module.on_statement_withdrawn(now, stmt);
         self.carry_out(now, results);
-        let hold_off = TimeSpan(0);
-        let (_, told) = execution_outcomes::of_answer(&Answer::Rejected {
-            statement: stmt,
-            retry_after: hold_off,
-        });
-        self.metrics.rejected += u64::from(self.answer(stmt, told));
+        let answer = execution_outcomes::rejected(TimeSpan(0));
+        self.metrics.rejected += u64::from(self.answer(stmt, answer));
     }
 
     pub(super) fn on_gossip_message(&mut self, now: Timestamp, news: GossipMessage) {
@@ -383,11 +382,7 @@
             } => {
                 let member = self.members.find(name);
                 // Of another start of it nothing holds here.
-                let same = |m: &u32| {
-                    self.members
-                        .told_as(*m)
-                        .is_some_and(|(_, at, _)| at == *started_ms)
-                };
+                let same = |m: &u32| self.members.has_started_at(*m, *started_ms);
                 let Some(member) = member.filter(same) else { return };
                 if let Some(sharing) = &mut self.sharing {
                     sharing.turns.silence.heard(name, told);
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -18,7 +18,7 @@
 use crate::routing::gossip::Sharing;
 use crate::routing::limits::{Limits, WorkloadLimits};
 use crate::routing::member_requests::{self, MemberRequest, MemberRequests, RequestKind};
-use crate::routing::members::{session, Members, Names};
+use crate::routing::members::{session_key, MemberDirectory, NameTable};
 use crate::routing::metrics::Metrics;
 use crate::routing::statements::Statements;
 use crate::transport::clock::Clock;
@@ -44,7 +44,7 @@
 }
 
 /// What is handed over: the module's memory, and whom its ids mean.
-pub type Learned<'a> = (&'a policy::RoutingPolicy, &'a Members);
+pub type Learned<'a> = (&'a policy::RoutingPolicy, &'a MemberDirectory);
 
 /// How connections to members and discovery are opened.
 pub struct Place {
@@ -140,9 +140,9 @@
     decoding: Decoding,
     pub observer: O,
     pub metrics: Metrics,
-    workloads: Names,
+    workloads: NameTable,
     freshness: Vec<Freshness>,
-    members: Members,
+    members: MemberDirectory,
     clients: Clients,
     statements: Statements,
     member_requests: MemberRequests,
@@ -164,7 +164,7 @@
     adopted: u32,
     /// Another process serves beside this one, on the same descriptors and memory.
     is_shared: bool,
-    /// Members that were heard to drain meanwhile, and when they had started.
+    /// MemberDirectory that were heard to drain meanwhile, and when they had started.
     pub drains: Vec<(String, u64)>,
     witness: Option<Witness>,
     /// Clients of a process that has died, some of whose statements may have run.
@@ -198,9 +198,9 @@
         let idle = (idle, limits.member_idle);
         EventLoop {
             module: policy::RoutingPolicy::new(&settings, seed, now),
-            workloads: Names::of(&decoding.workloads),
+            workloads: NameTable::of(&decoding.workloads),
             freshness: settings.workloads.iter().map(|w| w.freshness).collect(),
-            members: Members::new(&decoding.zones),
+            members: MemberDirectory::new(&decoding.zones),
             clients: Clients::new(most_clients, limits),
             statements: Statements::default(),
             member_requests: MemberRequests::new(place.members, timeout, idle, most_members),
@@ -395,8 +395,8 @@
 
     /// What is kept of members: names, ids, and those with an idle connection.
     pub fn members(&self) -> (usize, usize, usize) {
-        let (names, ids) = self.members.count();
-        (names, ids, self.member_requests.idle_members())
+        let size = self.members.size();
+        (size.names, size.ids, self.member_requests.idle_members())
     }
 
     pub fn open_clients(&self) -> usize {
@@ -518,7 +518,7 @@
         });
         let sessions = matches!(self.freshness[workload], Freshness::Session | Freshness::Write);
         let key = marked.key.as_deref().filter(|_| sessions);
-        let session = key.map_or(0, session);
+        let session = key.map_or(0, session_key);
         let (id, times_out) = self.statements.hold(
             (client, number, end),
             text,
@@ -593,8 +593,8 @@
             }
         }
         for answer in &results.answers {
-            let (stmt, told) = execution_outcomes::of_answer(answer);
-            let answered = u64::from(self.answer(stmt, told));
+            let client_answer = execution_outcomes::to_client(answer);
+            let answered = u64::from(self.answer(client_answer.statement, client_answer.answer));
             match answer {
                 Answer::Rejected { .. } => self.metrics.rejected += answered,
                 Answer::Aborted { .. } => self.metrics.aborted += answered,
@@ -606,7 +606,7 @@
             }
         }
         for member in &results.removed_members {
-            self.members.let_go(*member);
+            self.members.remove(*member);
             self.member_requests.let_go(*member);
         }
         if results.poll_endpoint_list {
@@ -737,7 +737,7 @@
                 self.end(
                     request,
                     at,
-                    execution_outcomes::of_loss(written),
+                    execution_outcomes::of_closed_connection(written),
                     ReplicaStatus::default(),
                 );
             }
@@ -802,7 +802,7 @@
     /// Takes over a list or changes to it. Entries that can't be read are left out, the others stand.
     pub fn learn_roster(&mut self, now: Timestamp, roster: &EndpointList) {
         self.metrics.rosters_told += 1;
-        let read = roster.entries.iter().filter_map(|e| self.members.learn(e));
+        let read = roster.entries.iter().filter_map(|e| self.members.upsert(e));
         let entries: Vec<_> = read.collect();
         let leave = entries.iter().filter(|e| e.state != MemberState::Ready);
         for e in leave {
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -5,9 +5,9 @@
 use crate::protocol::session::ClientCommand;
 use crate::protocol::vitals;
 use crate::routing::execution_outcomes;
-use crate::routing::members::Members;
+use crate::routing::members::MemberDirectory;
 use crate::transport::listener::Arrival;
-use asterlatch::interface::{Answer, MemberUpdate, Settings};
+use asterlatch::interface::{MemberUpdate, Settings};
 use asterlatch::policy;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::co_serving::Word;
@@ -26,7 +26,7 @@
         &mut self,
         now: Timestamp,
         settings: &Settings,
-        (module, members): (policy::RoutingPolicy, Members),
+        (module, members): (policy::RoutingPolicy, MemberDirectory),
     ) {
         self.module = policy::RoutingPolicy::resume(module, settings, false, now);
         self.members = members;
@@ -144,24 +144,19 @@
         if verdicts.is_over(end) {
             self.verdicts.remove(&client);
         }
-        let (stmt, hold_off) = (0, TimeSpan(0));
         let (count, answer) = match verdict {
             Verdict::Open => return false,
             Verdict::Rejected => (
                 &mut self.metrics.taken_back_rejected,
-                Answer::Rejected {
-                    statement: stmt,
-                    retry_after: hold_off,
-                },
+                execution_outcomes::rejected(TimeSpan(0)),
             ),
             Verdict::Aborted => (
                 &mut self.metrics.taken_back_aborted,
-                Answer::Aborted { statement: stmt },
+                execution_outcomes::aborted(),
             ),
         };
         *count += 1;
-        let (_, told) = execution_outcomes::of_answer(&answer);
-        self.clients.say(client, ClientCommand::Answer(number, told));
+        self.clients.say(client, ClientCommand::Answer(number, answer));
         true
     }
 }
--- a/crates/driver/src/routing/execution_outcomes.rs
+++ b/crates/driver/src/routing/execution_outcomes.rs
@@ -1,4 +1,4 @@
-//! Endings in the module's words, and its answers in the clients'.
+//! Translates replies of members into execution outcomes, and answers of the policy into final answers for clients.
 
 use super::metrics::Metrics;
 use crate::protocol::execution::Reply;
@@ -6,21 +6,28 @@
 use asterlatch::interface::{Answer, ExecutionOutcome};
 use asterlatch::time::TimeSpan;
 
-/// How an execution ended that a member answered. Only the codes that prove it untouched do so.
+/// SQLSTATE codes by which a member rejects a statement before execution.
+const READ_ONLY_TRANSACTION: &str = "25006";
+const SNAPSHOT_TOO_OLD: &str = "72000";
+const TOO_MANY_CONNECTIONS: &str = "53300";
+/// SQLSTATE code for an indeterminate outcome: statement completion unknown.
+const COMPLETION_UNKNOWN: &str = "40003";
+
+/// The outcome of an execution that a member replied to. Only three error codes prove that it wasn't executed.
 pub fn of_reply(reply: &Reply) -> ExecutionOutcome {
     match reply {
         Reply::Rows(_) => ExecutionOutcome::Completed,
         Reply::Error(code) => match code.as_str() {
-            "25006" | "72000" => ExecutionOutcome::NotEligible,
-            "53300" => ExecutionOutcome::Rejected,
+            READ_ONLY_TRANSACTION | SNAPSHOT_TOO_OLD => ExecutionOutcome::NotEligible,
+            TOO_MANY_CONNECTIONS => ExecutionOutcome::Rejected,
             _ => ExecutionOutcome::Errored,
         },
         Reply::Malformed => ExecutionOutcome::Errored,
     }
 }
 
-/// How an execution ended whose connection is over.
-pub fn of_loss(written: bool) -> ExecutionOutcome {
+/// The outcome of an execution whose connection closed; `written` if all of the query was written before.
+pub fn of_closed_connection(written: bool) -> ExecutionOutcome {
     if written {
         ExecutionOutcome::ConnectionLost
     } else {
@@ -28,13 +35,14 @@
     }
 }
 
-/// The same proof that the module goes by.
-pub fn never_ran(ending: ExecutionOutcome) -> bool {
-    asterlatch::policy::definitely_not_executed(ending)
+/// Whether an execution with this outcome has certainly had no effect, as the policy judges it.
+pub fn definitely_not_executed(outcome: ExecutionOutcome) -> bool {
+    asterlatch::policy::definitely_not_executed(outcome)
 }
 
-pub fn count(metrics: &mut Metrics, ending: ExecutionOutcome) {
-    *match ending {
+/// Counts an execution by its outcome.
+pub fn count(metrics: &mut Metrics, outcome: ExecutionOutcome) {
+    let counter = match outcome {
         ExecutionOutcome::Completed => &mut metrics.ended_completed,
         ExecutionOutcome::Errored => &mut metrics.ended_errored,
         ExecutionOutcome::Rejected => &mut metrics.ended_turned_away,
@@ -44,30 +52,49 @@
         ExecutionOutcome::Cancelled => &mut metrics.ended_cancelled,
         ExecutionOutcome::NotSent => &mut metrics.ended_never_sent,
         ExecutionOutcome::NotEligible => &mut metrics.ended_missed,
-    } += 1;
+    };
+    *counter += 1;
+}
+
+/// A final answer to a statement that no member answered.
+pub struct StatementAnswer {
+    /// Id of the statement.
+    pub statement: u32,
+    /// What its client receives.
+    pub answer: Final,
 }
 
-/// The statement and what its client is told.
-pub fn of_answer(answer: &Answer) -> (u32, Final) {
-    let (stmt, code, message, hold_off) = match *answer {
+/// The final answer that a client receives for an answer of the policy.
+pub fn to_client(answer: &Answer) -> StatementAnswer {
+    match *answer {
         Answer::Rejected {
-            statement: stmt,
-            retry_after: hold_off,
-        } => (
-            stmt,
-            "53300",
-            "not executed, or harmless to execute again",
-            hold_off,
-        ),
-        Answer::Aborted { statement: stmt } => {
-            (stmt, "40003", "the statement may have been executed", TimeSpan(0))
-        }
-    };
-    let hold_off_ms = Some(hold_off.0 / 1000).filter(|ms| *ms > 0);
-    let told = Final::Error {
-        code,
-        message,
-        hold_off_ms,
-    };
-    (stmt, told)
+            statement,
+            retry_after,
+        } => StatementAnswer {
+            statement,
+            answer: rejected(retry_after),
+        },
+        Answer::Aborted { statement } => StatementAnswer {
+            statement,
+            answer: aborted(),
+        },
+    }
+}
+
+/// Not executed, or harmless to execute again.
+pub fn rejected(retry_after: TimeSpan) -> Final {
+    Final::Error {
+        code: TOO_MANY_CONNECTIONS,
+        message: "not executed, or harmless to execute again",
+        hold_off_ms: Some(retry_after.0 / 1000).filter(|ms| *ms > 0),
+    }
+}
+
+/// The statement may have been executed.
+pub fn aborted() -> Final {
+    Final::Error {
+        code: COMPLETION_UNKNOWN,
+        message: "the statement may have been executed",
+        hold_off_ms: None,
+    }
 }
--- a/crates/driver/src/routing/gossip.rs
+++ b/crates/driver/src/routing/gossip.rs
@@ -2,7 +2,7 @@
 //! that must not run twice, and which wait for others' word. It speaks to the engine by words, and never waits for it.
 
 use super::coordination::Turns;
-use super::members;
+use super::members::{self, MemberIdentity};
 use asterlatch::interface::{ReplicaStatus, Statement};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::in_doubt::{Inquiries, Log};
@@ -109,7 +109,7 @@
         tell: Tell,
     ) -> Sharing {
         let named = names.len() as u32 + 1;
-        let own_key = members::key(&own.0);
+        let own_key = members::fleet_key(&own.0);
         Sharing {
             turns: Turns::new(now, (own_key, own.0.clone(), own.1), terms.tick, named),
             turns_at: Some(now),
@@ -201,13 +201,18 @@
     }
 
     /// Tells what was seen, where it is time; `of` says how others call a member, its start and group.
-    pub fn reach(&mut self, now: Timestamp, of: impl Fn(u32) -> Option<(String, u64, u32)>) {
+    pub fn reach(&mut self, now: Timestamp, of: impl Fn(u32) -> Option<MemberIdentity>) {
         if self.tell_at.take_if(|at| *at <= now).is_none() {
             return;
         }
         let mut facts: Vec<(Record, TimeSpan)> = Vec::new();
         for (member, saw) in std::mem::take(&mut self.saw) {
-            let Some((name, started_ms, group)) = of(member) else {
+            let Some(MemberIdentity {
+                name,
+                started_ms,
+                group,
+            }) = of(member)
+            else {
                 continue;
             };
             let fact = Record::Member {
--- a/crates/driver/src/routing/member_requests.rs
+++ b/crates/driver/src/routing/member_requests.rs
@@ -88,7 +88,7 @@
     /// Connections that come up for nobody, and until when they may.
     coming: BTreeMap<u32, Timestamp>,
     ages: Ages,
-    /// Members that a connection ever stood to, and whether the last one was closed to make room.
+    /// MemberDirectory that a connection ever stood to, and whether the last one was closed to make room.
     met: BTreeMap<u32, bool>,
     connect_timeout: TimeSpan,
     /// The settings' idle time, and the part of it that is used.
--- a/crates/driver/src/routing/members.rs
+++ b/crates/driver/src/routing/members.rs
@@ -1,4 +1,4 @@
-//! Names as small ids: members, zones and workloads as the module knows them.
+//! The member directory: names of members, zones and workloads as the small ids that the routing policy uses.
 
 use crate::protocol::comment::hashed;
 use crate::protocol::roster::{Endpoint, Status};
@@ -9,141 +9,189 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
+/// Names numbered in the order of their first use.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Names(BTreeMap<String, usize>);
+pub struct NameTable(BTreeMap<String, usize>);
 
-impl Names {
-    pub fn of(names: &[String]) -> Names {
-        let mut table = Names::default();
+impl NameTable {
+    /// Numbers these names, of which each may stand more than once.
+    pub fn of(names: &[String]) -> NameTable {
+        let mut table = NameTable::default();
         for name in names {
             table.intern(name);
         }
         table
     }
 
+    /// The number of a name that is in the table.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.0.get(name).copied()
     }
 
+    /// The number of a name, which is added if it is new.
     pub fn intern(&mut self, name: &str) -> usize {
-        match self.find(name) {
-            Some(id) => id,
-            None => {
-                let id = self.0.len();
-                self.0.insert(name.to_owned(), id);
-                id
-            }
+        if let Some(number) = self.find(name) {
+            return number;
         }
+        let number = self.0.len();
+        self.0.insert(name.to_owned(), number);
+        number
     }
 }
 
+/// A member's record. It is handed over to other processes: fields and their order are part of that format.
 #[derive(Serialize, Deserialize)]
-struct Known {
+struct MemberRecord {
     name: String,
     address: Option<SocketAddr>,
     group: u32,
-    since_ms: u64,
+    started_ms: u64,
 }
 
-/// Members from the first word of them until the module lets them go. No id is given twice, so one that is still
-/// under way can't mean another member.
+/// How drivers refer to an instance of a member among themselves.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MemberIdentity {
+    /// Name in the endpoint list.
+    pub name: String,
+    /// Time of its last start, as Unix time in milliseconds; zero if unknown.
+    pub started_ms: u64,
+    /// Id of its group.
+    pub group: u32,
+}
+
+/// Number of entries of a directory.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DirectorySize {
+    /// Names that resolve to an id.
+    pub names: usize,
+    /// Ids with a record.
+    pub ids: usize,
+}
+
+/// Members from their first listing until the policy removes them. Ids are never reused, so one in flight can't come to
+/// mean another member. It is handed over to other processes: fields and their order are part of that format.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Members {
+pub struct MemberDirectory {
     ids: BTreeMap<String, u32>,
-    known: BTreeMap<u32, Known>,
-    next: u32,
-    zones: Names,
+    records: BTreeMap<u32, MemberRecord>,
+    next_id: u32,
+    zones: NameTable,
     groups: BTreeSet<u32>,
 }
 
-impl Members {
-    pub fn new(zones: &[String]) -> Members {
-        Members {
-            zones: Names::of(zones),
-            ..Members::default()
+impl MemberDirectory {
+    /// An empty directory; zones are numbered as the settings list them.
+    pub fn new(zones: &[String]) -> MemberDirectory {
+        MemberDirectory {
+            zones: NameTable::of(zones),
+            ..MemberDirectory::default()
         }
     }
 
+    /// Last known address of a member.
     pub fn address(&self, member: u32) -> Option<SocketAddr> {
-        self.known.get(&member)?.address
+        self.records.get(&member)?.address
     }
 
+    /// Name of a member.
     pub fn name(&self, member: u32) -> Option<&str> {
-        self.known.get(&member).map(|k| k.name.as_str())
+        self.records.get(&member).map(|record| record.name.as_str())
     }
 
-    /// As other drivers are told of it: its name, when it started (Unix time in milliseconds), and its group.
-    pub fn told_as(&self, member: u32) -> Option<(String, u64, u32)> {
-        let known = self.known.get(&member)?;
-        Some((known.name.clone(), known.since_ms, known.group))
+    /// How other drivers know a member.
+    pub fn identity(&self, member: u32) -> Option<MemberIdentity> {
+        let record = self.records.get(&member)?;
+        Some(MemberIdentity {
+            name: record.name.clone(),
+            started_ms: record.started_ms,
+            group: record.group,
+        })
+    }
+
+    /// Whether a member last started then, in milliseconds of Unix time.
+    pub fn has_started_at(&self, member: u32, started_ms: u64) -> bool {
+        let record = self.records.get(&member);
+        record.is_some_and(|record| record.started_ms == started_ms)
     }
 
+    /// Id of the member with this name.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.ids.get(name).copied()
     }
 
-    /// How many there are, by name and by id.
-    pub fn count(&self) -> (usize, usize) {
-        (self.ids.len(), self.known.len())
+    /// Number of names and ids.
+    pub fn size(&self) -> DirectorySize {
+        DirectorySize {
+            names: self.ids.len(),
+            ids: self.records.len(),
+        }
     }
 
-    /// The module has let it go.
-    pub fn let_go(&mut self, member: u32) {
-        if let Some(known) = self.known.remove(&member) {
-            self.ids.remove(&known.name);
+    /// Removes a member that the policy no longer uses. If it is listed again it gets a new id.
+    pub fn remove(&mut self, member: u32) {
+        if let Some(record) = self.records.remove(&member) {
+            self.ids.remove(&record.name);
         }
     }
 
+    /// Whether any member of this group was ever listed.
     pub fn has_group(&self, group: u32) -> bool {
         self.groups.contains(&group)
     }
 
-    /// The entry as the module takes it; none where its address can't be read.
-    pub fn learn(&mut self, e: &Endpoint) -> Option<MemberEntry> {
-        let address = e.address.parse().ok();
-        if address.is_none() && e.status != Status::Deleted {
+    /// Adds or updates a member, and returns its entry for the policy; `None` if its address can't be read.
+    pub fn upsert(&mut self, endpoint: &Endpoint) -> Option<MemberEntry> {
+        let address = endpoint.address.parse().ok();
+        let is_deleted = endpoint.status == Status::Deleted;
+        if address.is_none() && !is_deleted {
             return None;
         }
-        let id = *self.ids.entry(e.name.clone()).or_insert(self.next);
-        let known = self.known.entry(id).or_insert_with(|| Known {
-            name: e.name.clone(),
-            address: None,
-            group: e.group,
-            since_ms: e.since_ms,
-        });
-        if e.status != Status::Deleted {
-            (known.group, known.since_ms) = (e.group, e.since_ms);
-        }
-        known.address = address.or(known.address);
-        self.next = self.next.max(id.wrapping_add(1));
-        // One that is gone may come with little more than its name.
-        if e.status != Status::Deleted {
-            self.groups.insert(e.group);
+        let id = self.record(endpoint, address, is_deleted);
+        // A deleted endpoint may carry little more than its name.
+        if !is_deleted {
+            self.groups.insert(endpoint.group);
         }
         Some(MemberEntry {
             id,
-            fleet_key: key(&e.name),
-            // Settings have lost what their joined lists can't hold, so these names lose it too.
-            zone: self.zones.intern(&word(&e.zone)) as u16,
-            group: e.group,
-            state: match e.status {
+            fleet_key: fleet_key(&endpoint.name),
+            // Names of zones in the settings have lost spaces and commas, so these lose them too.
+            zone: self.zones.intern(&word(&endpoint.zone)) as u16,
+            group: endpoint.group,
+            state: match endpoint.status {
                 Status::Serving => MemberState::Ready,
                 Status::Draining => MemberState::Draining,
                 Status::Deleted => MemberState::Gone,
             },
-            listed_as_primary: e.is_primary,
-            capacity: e.weight,
-            started_at: vitals::unix(e.since_ms),
+            listed_as_primary: endpoint.is_primary,
+            capacity: endpoint.weight,
+            started_at: vitals::unix(endpoint.since_ms),
         })
     }
+
+    fn record(&mut self, endpoint: &Endpoint, address: Option<SocketAddr>, is_deleted: bool) -> u32 {
+        let id = *self.ids.entry(endpoint.name.clone()).or_insert(self.next_id);
+        let record = self.records.entry(id).or_insert_with(|| MemberRecord {
+            name: endpoint.name.clone(),
+            address: None,
+            group: endpoint.group,
+            started_ms: endpoint.since_ms,
+        });
+        if !is_deleted {
+            record.group = endpoint.group;
+            record.started_ms = endpoint.since_ms;
+        }
+        record.address = address.or(record.address);
+        self.next_id = self.next_id.max(id.wrapping_add(1));
+        id
+    }
 }
 
-/// What a driver or member of this name is known by, alike at all drivers.
-pub fn key(name: &str) -> u64 {
+/// Key of a driver or member by its name, the same at all drivers.
+pub fn fleet_key(name: &str) -> u64 {
     hashed(name)
 }
 
-/// The session that a key names; zero stands for none.
-pub fn session(key: &str) -> u64 {
-    hashed(key).max(1)
+/// Key of the session with this routing key; zero stands for no session.
+pub fn session_key(routing_key: &str) -> u64 {
+    hashed(routing_key).max(1)
 }
--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -3,7 +3,7 @@
 mod stand;
 use asterlatch::interface::MemberState;
 use asterlatch_driver::protocol::roster::{Endpoint, Status};
-use asterlatch_driver::routing::members::Members;
+use asterlatch_driver::routing::members::{DirectorySize, MemberDirectory, MemberIdentity};
 use asterlatch_handover::codec::{send, Came, Reader};
 use asterlatch_handover::message::{Message, VERSION};
 use stand::*;
@@ -34,8 +34,8 @@
 }
 
 /// Three members in two groups, after a fourth has been let go.
-fn members() -> Members {
-    let mut members = Members::new(&["zone-1".to_owned()]);
+fn members() -> MemberDirectory {
+    let mut members = MemberDirectory::new(&["zone-1".to_owned()]);
     let entries = [
         entry("m-1", 1, Status::Serving),
         entry("m-gone", 1, Status::Serving),
@@ -43,28 +43,37 @@
         entry("m-3", 1, Status::Deleted),
     ];
     for e in &entries {
-        members.learn(e).expect("has an address");
+        members.upsert(e).expect("has an address");
     }
-    members.let_go(1);
+    members.remove(1);
     members
 }
 
 #[test]
 fn members_read_from_the_build_before_mean_the_same() {
     let bytes = fs::read(path("members.bin")).expect("lies there");
-    let mut read: Members = postcard::from_bytes(&bytes).expect("can be read");
+    let mut read: MemberDirectory = postcard::from_bytes(&bytes).expect("can be read");
     assert_eq!(postcard::to_stdvec(&read).expect("can be written"), bytes);
     assert_eq!(postcard::to_stdvec(&members()).expect("can be written"), bytes);
-    assert_eq!(read.count(), (3, 3));
+    assert_eq!(read.size(), DirectorySize { names: 3, ids: 3 });
     assert_eq!(read.address(0), Some("10.0.0.1:5432".parse().expect("is one")));
-    assert_eq!(read.told_as(2), Some(("m-2".to_owned(), 1_700_000_000_000, 2)));
+    let identity = MemberIdentity {
+        name: "m-2".to_owned(),
+        started_ms: 1_700_000_000_000,
+        group: 2,
+    };
+    assert_eq!(read.identity(2), Some(identity));
     assert_eq!(read.find("m-3"), Some(3));
     assert_eq!((read.name(1), read.find("m-gone")), (None, None));
     assert!(read.has_group(1) && read.has_group(2) && !read.has_group(3));
     // Ids and zones go on from where they were.
-    let next = read.learn(&entry("m-4", 3, Status::Serving)).expect("is learned");
+    let next = read
+        .upsert(&entry("m-4", 3, Status::Serving))
+        .expect("is learned");
     assert_eq!((next.id, next.zone, next.state), (4, 2, MemberState::Ready));
-    let known = read.learn(&entry("m-2", 2, Status::Serving)).expect("is learned");
+    let known = read
+        .upsert(&entry("m-2", 2, Status::Serving))
+        .expect("is learned");
     assert_eq!((known.id, known.zone), (2, 1));
 }
 
