--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -6,7 +6,7 @@
 use super::phases::{Phases, Times};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::{ControlEvent, Event};
-use crate::routing::limits::{Limits, Part, WorkloadLimits};
+use crate::routing::limits::{CrowdedIdleTimeout, Limits, Share, WorkloadLimits};
 use crate::transport::Stacks;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::generations::{Difference, Effect, Generation, Generations, Read, Told};
@@ -44,30 +44,36 @@
     pub fn of(meaning: &Meaning) -> InForce {
         let amount = |section, row| meaning.amount(registry(), section, row).max(0);
         let span = |section, row| TimeSpan(amount(section, row) as u64);
-        let part = |section, row| Part(amount(section, row) as u32);
+        let part = |section, row| Share(amount(section, row) as u32);
         let client = |row| span("clients", row);
         let call = |row| span("discovery", row);
         let limits = Limits {
-            reserve: amount("descriptors", "reserve") as usize,
-            clients: part("descriptors", "clients"),
-            clients_memory: part("memory", "clients"),
-            members_memory: part("memory", "members"),
-            first_statement: client("first_statement"),
-            message: client("message"),
-            rest: client("rest"),
-            rest_among: [
-                (part("clients", "crowded_from"), client("crowded_rest")),
-                (part("clients", "filling_from"), client("filling_rest")),
+            reserved_descriptors: amount("descriptors", "reserve") as usize,
+            client_share: part("descriptors", "clients"),
+            client_memory_share: part("memory", "clients"),
+            member_memory_share: part("memory", "members"),
+            first_statement_timeout: client("first_statement"),
+            message_timeout: client("message"),
+            client_idle_timeout: client("rest"),
+            crowded_idle_timeouts: [
+                CrowdedIdleTimeout {
+                    from: part("clients", "crowded_from"),
+                    timeout: client("crowded_rest"),
+                },
+                CrowdedIdleTimeout {
+                    from: part("clients", "filling_from"),
+                    timeout: client("filling_rest"),
+                },
             ],
-            just_came: client("just_came"),
-            accept_again: client("accept_again"),
-            longest_timeout: span("statements", "longest_timeout"),
-            member_idle: part("members", "idle"),
-            watch: call("watch"),
-            watch_late: call("watch_late"),
-            list_late: call("list_late"),
-            first_pause: call("first_pause"),
-            longest_pause: call("longest_pause"),
+            arrival_grace: client("just_came"),
+            accept_backoff: client("accept_again"),
+            max_statement_timeout: span("statements", "longest_timeout"),
+            member_idle_share: part("members", "idle"),
+            watch_timeout: call("watch"),
+            watch_grace: call("watch_late"),
+            list_timeout: call("list_late"),
+            initial_backoff: call("first_pause"),
+            max_backoff: call("longest_pause"),
         };
         let times = Times {
             arrivals: span("phases", "arrivals"),
@@ -84,7 +90,7 @@
             let at = |row: Option<usize>| Some(amounts.get(row?)?.as_ref()?.amount);
             let own = WorkloadLimits {
                 timeout: at(timeout).map(|us| TimeSpan(us as u64)),
-                longest: at(longest).map(|bytes| bytes as usize),
+                max_bytes: at(longest).map(|bytes| bytes as usize),
             };
             (name.to_owned(), own)
         });
--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: how many of them there may be, and how long each may take.
+//! Clients' connections: admission, eviction, and timeouts of clients without an open statement.
 
 use super::limits::Limits;
 use crate::protocol::session::ClientCommand;
@@ -6,101 +6,124 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a client without an open statement is at.
+/// What a client without an open statement is waited for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Pause {
-    /// It has asked for nothing yet.
-    Arriving,
-    /// Part of a message has come.
-    Writing,
-    Resting,
-    /// It was sent off, and may still read and send: what it sends is dropped.
-    HalfClosed,
+enum Wait {
+    /// It has not sent any statement yet.
+    FirstStatement,
+    /// Part of a message has arrived.
+    RestOfMessage,
+    NextStatement,
+    /// Our side of the connection is shut; what the client still sends is dropped until it closes its own.
+    PeerClose,
 }
-const PAUSES: [Pause; 4] = [Pause::Arriving, Pause::Writing, Pause::Resting, Pause::HalfClosed];
-
-/// For its way and the client's own end.
-const HALF_CLOSED: TimeSpan = TimeSpan::millis(300);
-/// Who is in the middle of a message when the process leaves has this long to end it.
-const LAST_MESSAGE: TimeSpan = TimeSpan::millis(500);
+const WAITS: [Wait; 4] = [
+    Wait::FirstStatement,
+    Wait::RestOfMessage,
+    Wait::NextStatement,
+    Wait::PeerClose,
+];
+
+/// Time for a client to close its side of a connection that is shut on ours.
+const HALF_CLOSED_TIMEOUT: TimeSpan = TimeSpan::millis(300);
+/// Upper bound for the message timeout during a drain.
+const DRAIN_MESSAGE_TIMEOUT: TimeSpan = TimeSpan::millis(500);
 
 struct Client {
     line: Line<ClientCommand>,
-    /// Its open statements.
-    stmts: Vec<u32>,
-    pause: Option<(Pause, Timestamp)>,
-    has_asked: bool,
-    /// It was told that there is no room for it, so nothing it sends is taken.
-    turned_away: bool,
+    open_statements: Vec<u32>,
+    /// What it is waited for, and since when; `None` while it has an open statement.
+    wait: Option<(Wait, Timestamp)>,
+    /// It has sent at least one statement, here or at another process.
+    is_active: bool,
+    /// It was rejected on arrival, so no statement of it is accepted.
+    is_rejected: bool,
 }
 
-pub struct Clients {
-    open: BTreeMap<u32, Client>,
-    /// Those in each kind of pause, by its start.
-    pauses: [BTreeSet<(Timestamp, u32)>; PAUSES.len()],
-    /// How many of all have asked for something.
-    asked: usize,
-    most: usize,
-    /// Each takes two descriptors while another process holds it as well.
-    is_shared: bool,
-    limits: Limits,
-    leaving: bool,
-    /// Whoever is between two statements goes to another process.
-    moving: bool,
+/// What becomes of clients between two statements.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Mode {
+    Serving,
+    /// They go to another process.
+    HandingOver,
+    /// They are disconnected.
+    Draining,
 }
 
-/// What it took to find room for a client.
+/// Result of the admission of a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
+    /// There was a free place.
     Admitted,
-    /// Another one was let go.
+    /// Another client was evicted for it.
     AdmittedByEviction,
+    /// All others have open statements; it is told so before it can send anything.
     Rejected,
 }
 
+/// Number of clients disconnected by a timeout.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ExpiredClients {
+    /// Their first statement or the rest of a message did not arrive in time.
+    pub too_slow: u64,
+    /// They were idle between two statements.
+    pub idle: u64,
+}
+
+/// The table of clients' connections. Only the event loop uses it.
+pub struct Clients {
+    open: BTreeMap<u32, Client>,
+    /// Clients by what they are waited for, ordered by the start of the wait.
+    waiting: [BTreeSet<(Timestamp, u32)>; WAITS.len()],
+    active_count: usize,
+    max_clients: usize,
+    /// Another process holds a descriptor for each client as well.
+    is_co_serving: bool,
+    limits: Limits,
+    mode: Mode,
+}
+
 impl Clients {
-    pub fn new(most: usize, limits: Limits) -> Clients {
+    /// A table for at most `max_clients` connections.
+    pub fn new(max_clients: usize, limits: Limits) -> Clients {
         Clients {
             open: BTreeMap::new(),
-            pauses: Default::default(),
-            asked: 0,
-            most,
-            is_shared: false,
+            waiting: Default::default(),
+            active_count: 0,
+            max_clients,
+            is_co_serving: false,
             limits,
-            leaving: false,
-            moving: false,
+            mode: Mode::Serving,
         }
     }
 
-    /// From now on; who is here stays, but for pauses that are too long by then.
-    pub fn bound(&mut self, most: usize, limits: Limits) {
-        (self.most, self.limits) = (most, limits);
+    /// Changes the limits. Connected clients stay, unless a shorter timeout has already passed.
+    pub fn set_limits(&mut self, max_clients: usize, limits: Limits) {
+        self.max_clients = max_clients;
+        self.limits = limits;
     }
 
-    pub fn share(&mut self, is_shared: bool) {
-        self.is_shared = is_shared;
+    /// States whether another process serves on the same descriptors.
+    pub fn set_co_serving(&mut self, is_co_serving: bool) {
+        self.is_co_serving = is_co_serving;
     }
 
+    /// Number of connections.
     pub fn count(&self) -> usize {
         self.open.len()
     }
 
-    /// Takes in a client that the kernel has accepted. Where all are busy beyond the bound it is turned away
-    /// before it can send anything: that word could come for a statement that runs already.
-    pub fn arrive(&mut self, now: Timestamp, id: u32, line: Line<ClientCommand>) -> Admission {
-        if self.leaving {
-            line.tell(ClientCommand::Drain);
-        } else if self.moving {
-            line.tell(ClientCommand::HandOver);
+    /// Adds a client that the kernel has accepted. If all places are taken by clients with open statements it is
+    /// rejected before it can send anything: later, the rejection could be taken for one of a statement that runs.
+    pub fn admit(&mut self, now: Timestamp, id: u32, line: Line<ClientCommand>) -> Admission {
+        match self.mode {
+            Mode::Serving => {}
+            Mode::HandingOver => line.tell(ClientCommand::HandOver),
+            Mode::Draining => line.tell(ClientCommand::Drain),
         }
-        let most = if self.is_shared {
-            self.most.div_ceil(2)
-        } else {
-            self.most
-        };
-        let room = if self.open.len() < most {
+        let admission = if self.open.len() < self.capacity() {
             Admission::Admitted
-        } else if self.free_one(now) {
+        } else if self.evict_one(now) {
             Admission::AdmittedByEviction
         } else {
             line.tell(ClientCommand::Reject);
@@ -108,198 +131,234 @@
         };
         let client = Client {
             line,
-            stmts: Vec::new(),
-            pause: None,
-            has_asked: false,
-            turned_away: room == Admission::Rejected,
+            open_statements: Vec::new(),
+            wait: None,
+            is_active: false,
+            is_rejected: admission == Admission::Rejected,
         };
         self.open.insert(id, client);
-        self.set(id, Some((Pause::Arriving, now)));
-        room
+        self.set_wait(id, Some((Wait::FirstStatement, now)));
+        admission
     }
 
-    fn set(&mut self, id: u32, pause: Option<(Pause, Timestamp)>) {
+    fn capacity(&self) -> usize {
+        if self.is_co_serving {
+            self.max_clients.div_ceil(2)
+        } else {
+            self.max_clients
+        }
+    }
+
+    fn set_wait(&mut self, id: u32, wait: Option<(Wait, Timestamp)>) {
         let Some(client) = self.open.get_mut(&id) else {
             return;
         };
-        if let Some((before, since)) = std::mem::replace(&mut client.pause, pause) {
-            self.pauses[before as usize].remove(&(since, id));
+        if let Some((former, since)) = std::mem::replace(&mut client.wait, wait) {
+            self.waiting[former as usize].remove(&(since, id));
         }
-        if let Some((pause, since)) = pause {
-            self.pauses[pause as usize].insert((since, id));
+        if let Some((wait, since)) = wait {
+            self.waiting[wait as usize].insert((since, id));
         }
     }
 
-    fn first(&self, pause: Pause) -> Option<(Timestamp, u32)> {
-        self.pauses[pause as usize].first().copied()
+    fn longest_waiting(&self, wait: Wait) -> Option<(Timestamp, u32)> {
+        self.waiting[wait as usize].first().copied()
     }
 
-    /// Lets one go for the sake of another: first who was sent off already; then who came long ago and asked for nothing,
-    /// or who came with so many others that they would push out all that have asked; then who has rested the longest.
-    pub fn free_one(&mut self, now: Timestamp) -> bool {
-        if self.end_one_half_closed() {
+    /// Disconnects one client in favour of another: first one whose connection is shut on our side already; then one
+    /// that has not sent any statement, if it arrived long ago or with so many others that they would evict all active
+    /// clients; then the one that has been idle the longest. Returns whether there was any.
+    pub fn evict_one(&mut self, now: Timestamp) -> bool {
+        if self.close_one_half_closed() {
             return true;
         }
-        let arriving = self.first(Pause::Arriving);
-        let many = self.pauses[Pause::Arriving as usize].len() > self.most / 2;
-        let silent = arriving.filter(|(since, _)| many || now - *since > self.limits.just_came);
-        let Some((_, id)) = silent.or(self.first(Pause::Resting)).or(arriving) else {
+        let arriving = self.longest_waiting(Wait::FirstStatement);
+        let many = self.waiting[Wait::FirstStatement as usize].len() > self.max_clients / 2;
+        let silent = arriving.filter(|(since, _)| many || now - *since > self.limits.arrival_grace);
+        let idle = self.longest_waiting(Wait::NextStatement);
+        let Some((_, id)) = silent.or(idle).or(arriving) else {
             return false;
         };
-        self.tell_off(id, ClientCommand::Drain);
+        self.disconnect(id, ClientCommand::Drain);
         true
     }
 
-    /// Ends the connection that was shut first, whatever its client may still send; whether there was one.
-    fn end_one_half_closed(&mut self) -> bool {
-        let first = self.first(Pause::HalfClosed);
-        if let Some((_, id)) = first {
-            self.set(id, None);
-            self.open.get_mut(&id).into_iter().for_each(|c| c.line.hang_up());
+    fn close_one_half_closed(&mut self) -> bool {
+        let Some((_, id)) = self.longest_waiting(Wait::PeerClose) else {
+            return false;
+        };
+        self.set_wait(id, None);
+        if let Some(client) = self.open.get_mut(&id) {
+            client.line.hang_up();
         }
-        first.is_some()
-    }
-
-    /// Our side of its connection is shut since now.
-    pub fn half_closed(&mut self, id: u32, now: Timestamp) {
-        self.set(id, Some((Pause::HalfClosed, now)));
+        true
     }
 
-    fn tell_off(&mut self, id: u32, say: ClientCommand) {
-        self.set(id, None);
-        self.say(id, say);
+    fn disconnect(&mut self, id: u32, command: ClientCommand) {
+        self.set_wait(id, None);
+        self.send(id, command);
     }
 
-    fn limit(&self, pause: Pause) -> TimeSpan {
-        match pause {
-            Pause::Arriving => self.limits.first_statement,
-            Pause::Writing if self.leaving => self.limits.message.min(LAST_MESSAGE),
-            Pause::Writing => self.limits.message,
-            Pause::HalfClosed => HALF_CLOSED,
-            Pause::Resting => {
-                let part = self.asked as f64 / self.most as f64;
-                let found = self
-                    .limits
-                    .rest_among
-                    .iter()
-                    .find(|(from, _)| part >= from.ratio());
-                found.map_or(self.limits.rest, |(_, limit)| *limit)
+    fn timeout(&self, wait: Wait) -> TimeSpan {
+        match wait {
+            Wait::FirstStatement => self.limits.first_statement_timeout,
+            Wait::RestOfMessage if self.mode == Mode::Draining => {
+                self.limits.message_timeout.min(DRAIN_MESSAGE_TIMEOUT)
             }
+            Wait::RestOfMessage => self.limits.message_timeout,
+            Wait::PeerClose => HALF_CLOSED_TIMEOUT,
+            Wait::NextStatement => self.idle_timeout(),
         }
     }
 
+    fn idle_timeout(&self) -> TimeSpan {
+        let active_share = self.active_count as f64 / self.max_clients as f64;
+        let mut crowded = self.limits.crowded_idle_timeouts.iter();
+        let applicable = crowded.find(|crowded| active_share >= crowded.from.ratio());
+        applicable.map_or(self.limits.client_idle_timeout, |crowded| crowded.timeout)
+    }
+
+    /// When the next timeout passes.
     pub fn next_at(&self) -> Option<Timestamp> {
-        let end = |pause| Some(self.first(pause)?.0 + self.limit(pause));
-        PAUSES.into_iter().filter_map(end).min()
-    }
-
-    /// Lets those go whose pause has lasted too long; how many were too slow, and how many had only rested.
-    pub fn end_pauses(&mut self, now: Timestamp) -> (u64, u64) {
-        let (mut slow, mut rested) = (0, 0);
-        for pause in PAUSES {
-            let over = |c: &Clients| c.first(pause).filter(|(since, _)| now - *since >= c.limit(pause));
-            while let Some((_, id)) = over(self) {
-                match pause {
-                    Pause::Resting => {
-                        rested += 1;
-                        self.tell_off(id, ClientCommand::Drain);
+        let expires_at = |wait| Some(self.longest_waiting(wait)?.0 + self.timeout(wait));
+        WAITS.into_iter().filter_map(expires_at).min()
+    }
+
+    /// Disconnects clients whose timeout has passed.
+    pub fn close_expired(&mut self, now: Timestamp) -> ExpiredClients {
+        let mut expired = ExpiredClients::default();
+        for wait in WAITS {
+            while let Some(id) = self.next_expired(wait, now) {
+                match wait {
+                    Wait::NextStatement => {
+                        expired.idle += 1;
+                        self.disconnect(id, ClientCommand::Drain);
                     }
-                    Pause::HalfClosed => drop(self.end_one_half_closed()),
-                    Pause::Arriving | Pause::Writing => {
-                        slow += 1;
-                        self.tell_off(id, ClientCommand::TimeOut);
+                    Wait::PeerClose => {
+                        self.close_one_half_closed();
+                    }
+                    Wait::FirstStatement | Wait::RestOfMessage => {
+                        expired.too_slow += 1;
+                        self.disconnect(id, ClientCommand::TimeOut);
                     }
                 }
             }
         }
-        (slow, rested)
+        expired
+    }
+
+    fn next_expired(&self, wait: Wait, now: Timestamp) -> Option<u32> {
+        let (since, id) = self.longest_waiting(wait)?;
+        (now - since >= self.timeout(wait)).then_some(id)
+    }
+
+    /// Our side of the client's connection is shut.
+    pub fn on_half_closed(&mut self, id: u32, now: Timestamp) {
+        self.set_wait(id, Some((Wait::PeerClose, now)));
     }
 
-    /// It waits for nothing since then; one that has asked for nothing yet is no further by that.
-    pub fn rests(&mut self, id: u32, since: Timestamp) {
-        if !self.is(id, Pause::Arriving) {
-            self.set(id, Some((Pause::Resting, since)));
+    /// The client has been between two statements since then. Before its first statement this changes nothing.
+    pub fn on_idle(&mut self, id: u32, since: Timestamp) {
+        if !self.is_arriving(id) {
+            self.set_wait(id, Some((Wait::NextStatement, since)));
         }
     }
 
-    /// Part of a message came then.
-    pub fn writes(&mut self, id: u32, since: Timestamp) {
-        if !self.is(id, Pause::Arriving) {
-            self.set(id, Some((Pause::Writing, since)));
+    /// Part of a message arrived then. Before the client's first statement this changes nothing.
+    pub fn on_partial_message(&mut self, id: u32, since: Timestamp) {
+        if !self.is_arriving(id) {
+            self.set_wait(id, Some((Wait::RestOfMessage, since)));
         }
     }
 
-    fn is(&self, id: u32, pause: Pause) -> bool {
-        let found = self.open.get(&id).and_then(|c| c.pause);
-        found.is_some_and(|(p, _)| p == pause)
+    fn is_arriving(&self, id: u32) -> bool {
+        let wait = self.open.get(&id).and_then(|client| client.wait);
+        wait.is_some_and(|(wait, _)| wait == Wait::FirstStatement)
     }
 
-    /// It has sent a statement; whether that may be taken.
-    pub fn asks(&mut self, id: u32) -> bool {
-        self.set(id, None);
+    /// The client has sent a statement. Returns whether it may be accepted.
+    pub fn on_statement(&mut self, id: u32) -> bool {
+        self.set_wait(id, None);
+        self.set_active(id);
+        self.open.get(&id).is_some_and(|client| !client.is_rejected)
+    }
+
+    fn set_active(&mut self, id: u32) {
         let Some(client) = self.open.get_mut(&id) else {
-            return false;
+            return;
         };
-        self.asked += usize::from(!std::mem::replace(&mut client.has_asked, true));
-        !client.turned_away
+        if !client.is_active {
+            client.is_active = true;
+            self.active_count += 1;
+        }
     }
 
-    pub fn waits_for(&mut self, id: u32, stmt: u32) {
+    /// Records an open statement of the client.
+    pub fn add_statement(&mut self, id: u32, statement: u32) {
         if let Some(client) = self.open.get_mut(&id) {
-            client.stmts.push(stmt);
+            client.open_statements.push(statement);
         }
     }
 
-    pub fn has_answer(&mut self, id: u32, stmt: u32) {
+    /// A statement of the client has its final answer.
+    pub fn remove_statement(&mut self, id: u32, statement: u32) {
         if let Some(client) = self.open.get_mut(&id) {
-            client.stmts.retain(|s| *s != stmt);
+            client.open_statements.retain(|open| *open != statement);
         }
     }
 
-    /// Its connection is over; says which statements it waited for.
-    pub fn gone(&mut self, id: u32) -> Vec<u32> {
-        self.set(id, None);
+    /// Removes a client whose connection is closed or transferred, and returns its open statements.
+    pub fn remove(&mut self, id: u32) -> Vec<u32> {
+        self.set_wait(id, None);
         let Some(client) = self.open.remove(&id) else {
             return Vec::new();
         };
-        self.asked -= usize::from(client.has_asked);
-        client.stmts
+        self.active_count -= usize::from(client.is_active);
+        client.open_statements
     }
 
-    pub fn say(&self, id: u32, say: ClientCommand) {
+    /// Sends a command to the client's connection, if there is one.
+    pub fn send(&self, id: u32, command: ClientCommand) {
         if let Some(client) = self.open.get(&id) {
-            client.line.tell(say);
+            client.line.tell(command);
         }
     }
 
-    /// Those to come may stay; who was told to go goes.
-    pub fn stay(&mut self) {
-        (self.leaving, self.moving) = (false, false);
+    /// Whether the client has sent a statement, here or at another process.
+    pub fn is_active(&self, id: u32) -> bool {
+        self.open.get(&id).is_some_and(|client| client.is_active)
     }
 
-    /// Has each go to another process between two statements, those to come included.
-    pub fn hand_over(&mut self) {
-        self.moving = true;
-        self.open
-            .values()
-            .for_each(|c| c.line.tell(ClientCommand::HandOver));
+    /// Marks a client as idle that has sent statements to another process.
+    pub fn mark_active(&mut self, id: u32, now: Timestamp) {
+        if self.open.contains_key(&id) {
+            self.set_active(id);
+            self.set_wait(id, Some((Wait::NextStatement, now)));
+        }
     }
 
-    pub fn has_asked(&self, id: u32) -> bool {
-        self.open.get(&id).is_some_and(|c| c.has_asked)
+    /// Ends a handover or drain for clients that arrive from now on.
+    pub fn resume_serving(&mut self) {
+        self.mode = Mode::Serving;
     }
 
-    /// One that came from another process has asked there.
-    pub fn asked_before(&mut self, id: u32, now: Timestamp) {
-        if let Some(client) = self.open.get_mut(&id) {
-            self.asked += usize::from(!std::mem::replace(&mut client.has_asked, true));
-            self.set(id, Some((Pause::Resting, now)));
+    /// Hands each client over to another process between two statements, including those still to arrive.
+    pub fn begin_handover(&mut self) {
+        if self.mode != Mode::Draining {
+            self.mode = Mode::HandingOver;
         }
+        self.send_to_all(|| ClientCommand::HandOver);
     }
 
-    /// Lets each go between two statements, those to come included.
-    pub fn send_away(&mut self) {
-        self.leaving = true;
-        self.open.values().for_each(|c| c.line.tell(ClientCommand::Drain));
+    /// Disconnects each client between two statements, including those still to arrive.
+    pub fn begin_drain(&mut self) {
+        self.mode = Mode::Draining;
+        self.send_to_all(|| ClientCommand::Drain);
+    }
+
+    fn send_to_all(&self, command: impl Fn() -> ClientCommand) {
+        for client in self.open.values() {
+            client.line.tell(command());
+        }
     }
 }
--- a/crates/driver/src/routing/discovery_requests.rs
+++ b/crates/driver/src/routing/discovery_requests.rs
@@ -49,11 +49,11 @@
             number: 0,
             ends: now,
             again: (!on_request).then_some(now),
-            pause: limits.first_pause,
+            pause: limits.initial_backoff,
             index: None,
             on_request,
             limits,
-            news_within: limits.watch + limits.watch_late,
+            news_within: limits.watch_timeout + limits.watch_grace,
         }
     }
 
@@ -89,9 +89,9 @@
         }
         self.number += 1;
         let (number, after) = (self.number, self.index);
-        let wait_ms = self.limits.watch.0 / 1000;
-        self.news_within = self.limits.watch + self.limits.watch_late;
-        self.ends = now + after.map_or(self.limits.list_late, |_| self.news_within);
+        let wait_ms = self.limits.watch_timeout.0 / 1000;
+        self.news_within = self.limits.watch_timeout + self.limits.watch_grace;
+        self.ends = now + after.map_or(self.limits.list_timeout, |_| self.news_within);
         self.line = (self.dial)(DiscoveryRequest {
             number,
             address: self.address,
@@ -109,13 +109,13 @@
             return;
         }
         (self.address, self.line, self.index) = (address, None, None);
-        (self.pause, self.again) = (self.limits.first_pause, Some(now));
+        (self.pause, self.again) = (self.limits.initial_backoff, Some(now));
     }
 
     /// News came; the next watch is on its way already.
     pub fn told(&mut self, now: Timestamp, index: u64) {
         self.ends = now + self.news_within;
-        self.pause = self.limits.first_pause;
+        self.pause = self.limits.initial_backoff;
         self.index = Some(index);
     }
 
@@ -125,7 +125,7 @@
         self.line = None;
         if !self.on_request {
             self.again = Some(now + self.pause);
-            self.pause = (self.pause + self.pause).min(self.limits.longest_pause);
+            self.pause = (self.pause + self.pause).min(self.limits.max_backoff);
         }
         self.on_request
     }
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -109,8 +109,8 @@
     /// How much memory what clients and members send may fill.
     fn bytes(&self, limits: &Limits) -> (usize, usize) {
         (
-            limits.clients_memory.of(self.memory),
-            limits.members_memory.of(self.memory),
+            limits.client_memory_share.of(self.memory),
+            limits.member_memory_share.of(self.memory),
         )
     }
 
@@ -121,8 +121,8 @@
 
     /// How many connections clients and members may have.
     pub fn connections(&self, limits: &Limits) -> (usize, usize) {
-        let most = self.sockets.saturating_sub(limits.reserve).max(2);
-        let clients = limits.clients.of(most).max(1);
+        let most = self.sockets.saturating_sub(limits.reserved_descriptors).max(2);
+        let clients = limits.client_share.of(most).max(1);
         (clients, most - clients)
     }
 }
@@ -195,7 +195,7 @@
         let (given, limits) = (place.given, place.limits);
         let (most_clients, most_members) = given.connections(&limits);
         let (timeout, idle) = (decoding.connect_timeout, settings.idle_connection_timeout);
-        let idle = (idle, limits.member_idle);
+        let idle = (idle, limits.member_idle_share);
         EventLoop {
             module: policy::RoutingPolicy::new(&settings, seed, now),
             workloads: NameTable::of(&decoding.workloads),
@@ -318,9 +318,9 @@
         }
         self.reach_sharing(now);
         self.member_requests.end_idle(now);
-        let (slow, rested) = self.clients.end_pauses(now);
-        self.metrics.clients_too_slow += slow;
-        self.metrics.clients_rested += rested;
+        let expired = self.clients.close_expired(now);
+        self.metrics.clients_too_slow += expired.too_slow;
+        self.metrics.clients_rested += expired.idle;
         if self.discovery_requests.is_silent(now) {
             let text = format_args!("silent, calling again");
             self.observer.say(now, "discovery", text);
@@ -362,8 +362,8 @@
     fn bound(&mut self) {
         let (given, limits) = (self.given, self.limits);
         let (clients, members) = given.connections(&limits);
-        self.clients.bound(clients, limits);
-        self.member_requests.bound(members, limits.member_idle);
+        self.clients.set_limits(clients, limits);
+        self.member_requests.bound(members, limits.member_idle_share);
         self.discovery_requests.bound(limits);
         let (of_clients, of_members) = given.bytes(&limits);
         self.memory.0.set_capacity(of_clients);
@@ -411,14 +411,14 @@
     pub fn send_clients_away(&mut self) {
         self.draining = true;
         self.listening.as_ref().inspect(|l| l.close());
-        self.clients.send_away();
+        self.clients.begin_drain();
     }
 
     fn arrived(&mut self, now: Timestamp, arrival: Arrival<ClientCommand>) {
         match arrival {
             Arrival::Client(id, line) => {
                 self.metrics.clients_accepted += 1;
-                match self.clients.arrive(now, id, line) {
+                match self.clients.admit(now, id, line) {
                     Admission::Admitted => {}
                     Admission::AdmittedByEviction => self.metrics.clients_closed_for_room += 1,
                     Admission::Rejected => self.metrics.clients_turned_away += 1,
@@ -428,8 +428,8 @@
                 self.metrics.accepts_failed += 1;
                 let text = format_args!("a client could not be accepted: {e}");
                 self.observer.say(now, "accept", text);
-                self.accept_again = Some(now + self.limits.accept_again);
-                self.metrics.clients_closed_for_room += u64::from(self.clients.free_one(now));
+                self.accept_again = Some(now + self.limits.accept_backoff);
+                self.metrics.clients_closed_for_room += u64::from(self.clients.evict_one(now));
             }
             Arrival::Closed => {
                 // Nobody is refused before it is let go here.
@@ -448,13 +448,13 @@
                 text,
                 at,
             } => {
-                if self.clients.asks(client) && !self.judged(client, number, end) {
+                if self.clients.on_statement(client) && !self.judged(client, number, end) {
                     self.statement(now, (client, number, end), text, at);
                 }
             }
-            ClientEvent::Idle { client, since } => self.clients.rests(client, since),
-            ClientEvent::PartialMessage { client, since } => self.clients.writes(client, since),
-            ClientEvent::HalfClosed { client } => self.clients.half_closed(client, now),
+            ClientEvent::Idle { client, since } => self.clients.on_idle(client, since),
+            ClientEvent::PartialMessage { client, since } => self.clients.on_partial_message(client, since),
+            ClientEvent::HalfClosed { client } => self.clients.on_half_closed(client, now),
             ClientEvent::Malformed => {
                 self.metrics.clients_malformed += 1;
                 let text = format_args!("sent what is not the protocol");
@@ -467,9 +467,9 @@
                 stream,
                 standing,
             } => {
-                let has_asked = self.clients.has_asked(client);
+                let has_asked = self.clients.is_active(client);
                 // Between two statements nothing of it is open.
-                self.clients.gone(client);
+                self.clients.remove(client);
                 self.moved.push(Moved {
                     stream,
                     standing,
@@ -479,7 +479,7 @@
             }
             ClientEvent::Closed { client } => {
                 self.verdicts.remove(&client);
-                for stmt in self.clients.gone(client) {
+                for stmt in self.clients.remove(client) {
                     if self.statements.release(stmt).is_none() {
                         continue;
                     }
@@ -508,13 +508,13 @@
                 self.observer.say(now, "statement", text);
                 return self
                     .clients
-                    .say(client, ClientCommand::Answer(number, fault.into()));
+                    .send(client, ClientCommand::Answer(number, fault.into()));
             }
         };
         self.metrics.statements_taken += 1;
         let own = self.workload_limits[workload].timeout;
-        let longest = own.map_or(self.limits.longest_timeout, |own| {
-            own.min(self.limits.longest_timeout)
+        let longest = own.map_or(self.limits.max_statement_timeout, |own| {
+            own.min(self.limits.max_statement_timeout)
         });
         let sessions = matches!(self.freshness[workload], Freshness::Session | Freshness::Write);
         let key = marked.key.as_deref().filter(|_| sessions);
@@ -526,7 +526,7 @@
             (at, longest),
             (workload, session, self.harmless[workload]),
         );
-        self.clients.waits_for(client, id);
+        self.clients.add_statement(client, id);
         let taken = Statement {
             id,
             workload,
@@ -556,7 +556,7 @@
         }
         let known = self.workloads.find(&asterlatch_settings::word(&marked.workload));
         let workload = known.ok_or(comment::NO_WORKLOAD)?;
-        match self.workload_limits[workload].longest {
+        match self.workload_limits[workload].max_bytes {
             Some(longest) if length > longest => Err(comment::TOO_LARGE),
             _ => Ok(workload),
         }
@@ -568,8 +568,8 @@
             self.metrics.late_answers_dropped += 1;
             return false;
         };
-        self.clients.has_answer(client, stmt);
-        self.clients.say(client, ClientCommand::Answer(number, answer));
+        self.clients.remove_statement(client, stmt);
+        self.clients.send(client, ClientCommand::Answer(number, answer));
         true
     }
 
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -41,7 +41,7 @@
             // What the other one sent is in no log here.
             sharing.log.blank(now);
         }
-        self.clients.share(is_shared);
+        self.clients.set_co_serving(is_shared);
         let results = self.module.set_peer_process(now, is_shared && leaves);
         self.carry_out(now, results);
         self.tell_ended(now);
@@ -91,13 +91,13 @@
     pub fn pause(&mut self, paused: bool) {
         self.listening.as_ref().inspect(|l| l.pause(paused));
         if !paused && !self.draining {
-            self.clients.stay();
+            self.clients.resume_serving();
         }
     }
 
     /// Has each client go to another process between two statements; those that do lie in `moved`.
     pub fn hand_clients_over(&mut self) {
-        self.clients.hand_over();
+        self.clients.begin_handover();
         self.member_requests.hand_over_idle();
     }
 
@@ -128,7 +128,7 @@
                 self.arrived(now, Arrival::Client(id, line));
                 self.metrics.clients_adopted += 1;
                 if moved.has_asked {
-                    self.clients.asked_before(id, now);
+                    self.clients.mark_active(id, now);
                 }
             }
             Err(e) => self.arrived(now, Arrival::Failed(e)),
@@ -156,7 +156,7 @@
             ),
         };
         *count += 1;
-        self.clients.say(client, ClientCommand::Answer(number, answer));
+        self.clients.send(client, ClientCommand::Answer(number, answer));
         true
     }
 }
--- a/crates/driver/src/routing/member_requests.rs
+++ b/crates/driver/src/routing/member_requests.rs
@@ -1,6 +1,6 @@
 //! What members' connections are busy with: executions and probes, each with the time at which it ends.
 
-use super::limits::Part;
+use super::limits::Share;
 use crate::protocol::execution::MemberCommand;
 use crate::transport::ages::Ages;
 use crate::transport::pool::Pool;
@@ -101,7 +101,12 @@
 const NO_DESCRIPTOR: [i32; 2] = [23, 24];
 
 impl MemberRequests {
-    pub fn new(dial: Dial, connect_timeout: TimeSpan, idle: (TimeSpan, Part), most: usize) -> MemberRequests {
+    pub fn new(
+        dial: Dial,
+        connect_timeout: TimeSpan,
+        idle: (TimeSpan, Share),
+        most: usize,
+    ) -> MemberRequests {
         MemberRequests {
             pool: Pool::default(),
             dial,
@@ -118,7 +123,7 @@
         }
     }
 
-    pub fn bound(&mut self, most: usize, idle: Part) {
+    pub fn bound(&mut self, most: usize, idle: Share) {
         (self.most, self.idle) = (most, self.idle_whole * idle.ratio());
     }
 
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -85,29 +85,35 @@
 /// What the parts of the program take over, by the setting that states it. Times in microseconds, shares in millionths.
 fn described_in_force(force: &InForce) -> String {
     let limits = &force.limits;
-    let [(crowded_from, crowded_rest), (filling_from, filling_rest)] = limits.rest_among;
+    let [crowded, filling] = limits.crowded_idle_timeouts;
     let (serving, taking) = &force.takeover;
     let mut text = lines(&[
-        ("descriptors.reserve", limits.reserve.to_string()),
-        ("descriptors.clients", limits.clients.0.to_string()),
-        ("memory.clients", limits.clients_memory.0.to_string()),
-        ("memory.members", limits.members_memory.0.to_string()),
-        ("clients.first_statement", limits.first_statement.0.to_string()),
-        ("clients.message", limits.message.0.to_string()),
-        ("clients.rest", limits.rest.0.to_string()),
-        ("clients.filling_from", filling_from.0.to_string()),
-        ("clients.filling_rest", filling_rest.0.to_string()),
-        ("clients.crowded_from", crowded_from.0.to_string()),
-        ("clients.crowded_rest", crowded_rest.0.to_string()),
-        ("clients.just_came", limits.just_came.0.to_string()),
-        ("clients.accept_again", limits.accept_again.0.to_string()),
-        ("statements.longest_timeout", limits.longest_timeout.0.to_string()),
-        ("members.idle", limits.member_idle.0.to_string()),
-        ("discovery.watch", limits.watch.0.to_string()),
-        ("discovery.watch_late", limits.watch_late.0.to_string()),
-        ("discovery.list_late", limits.list_late.0.to_string()),
-        ("discovery.first_pause", limits.first_pause.0.to_string()),
-        ("discovery.longest_pause", limits.longest_pause.0.to_string()),
+        ("descriptors.reserve", limits.reserved_descriptors.to_string()),
+        ("descriptors.clients", limits.client_share.0.to_string()),
+        ("memory.clients", limits.client_memory_share.0.to_string()),
+        ("memory.members", limits.member_memory_share.0.to_string()),
+        (
+            "clients.first_statement",
+            limits.first_statement_timeout.0.to_string(),
+        ),
+        ("clients.message", limits.message_timeout.0.to_string()),
+        ("clients.rest", limits.client_idle_timeout.0.to_string()),
+        ("clients.filling_from", filling.from.0.to_string()),
+        ("clients.filling_rest", filling.timeout.0.to_string()),
+        ("clients.crowded_from", crowded.from.0.to_string()),
+        ("clients.crowded_rest", crowded.timeout.0.to_string()),
+        ("clients.just_came", limits.arrival_grace.0.to_string()),
+        ("clients.accept_again", limits.accept_backoff.0.to_string()),
+        (
+            "statements.longest_timeout",
+            limits.max_statement_timeout.0.to_string(),
+        ),
+        ("members.idle", limits.member_idle_share.0.to_string()),
+        ("discovery.watch", limits.watch_timeout.0.to_string()),
+        ("discovery.watch_late", limits.watch_grace.0.to_string()),
+        ("discovery.list_late", limits.list_timeout.0.to_string()),
+        ("discovery.first_pause", limits.initial_backoff.0.to_string()),
+        ("discovery.longest_pause", limits.max_backoff.0.to_string()),
         ("phases.arrivals", force.times.arrivals.0.to_string()),
         ("phases.linger", force.times.linger.0.to_string()),
         ("phases.longest_drain", force.times.longest_drain.0.to_string()),
@@ -131,7 +137,7 @@
         text += &lines(&[
             ("workload", name.clone()),
             ("workload.timeout", format!("{timeout:?}")),
-            ("workload.longest", format!("{:?}", own.longest)),
+            ("workload.longest", format!("{:?}", own.max_bytes)),
         ]);
     }
     text
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -6,7 +6,7 @@
 use asterlatch_driver::program::log::Log;
 use asterlatch_driver::program::operators::{registry, InForce};
 use asterlatch_driver::program::phases::{Phase, Phases, Seen, Times};
-use asterlatch_driver::routing::limits::{Limits, Part};
+use asterlatch_driver::routing::limits::{Limits, Share};
 use asterlatch_driver::transport::Stacks;
 use asterlatch_handover::{predecessor, successor};
 
@@ -127,14 +127,14 @@
     // Two thirds and a quarter as they were before they could be set, for any machine with less than a million descriptors.
     let limits = Limits::default();
     for n in 0..300_000 {
-        assert_eq!(limits.clients.of(n), n * 2 / 3, "{n}");
-        assert_eq!(limits.clients_memory.of(n * 4096), n * 4096 / 4, "{n}");
+        assert_eq!(limits.client_share.of(n), n * 2 / 3, "{n}");
+        assert_eq!(limits.client_memory_share.of(n * 4096), n * 4096 / 4, "{n}");
     }
     assert_eq!(
         (
-            Part(850_000).ratio(),
-            Part(400_000).ratio(),
-            Part(250_000).ratio()
+            Share(850_000).ratio(),
+            Share(400_000).ratio(),
+            Share(250_000).ratio()
         ),
         (0.85, 0.4, 0.25)
     );
