--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -93,7 +93,12 @@
     fn late_here(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
         let before = fleet_share::late_since(now, self.module.longest_typical_latency());
         let mut late: BTreeMap<String, Timestamp> = BTreeMap::new();
-        for (member, sent) in self.member_requests.sent().filter(|(_, sent)| *sent < before) {
+        for (member, sent) in self
+            .member_requests
+            .executions()
+            .filter(|e| e.started_at < before)
+            .map(|e| (e.member, e.started_at))
+        {
             if let Some(name) = self.members.name(member) {
                 let last = late.entry(name.to_owned()).or_insert(sent);
                 *last = sent.max(*last);
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -20,8 +20,8 @@
             (Ok(Assignment::Ready(connection)), _) => self.send(now, connection, request),
             (Ok(Assignment::Connecting(cause)), kind) => {
                 self.metrics.opened(Some(cause));
-                if let RequestKind::Execution { stmt, number } = kind {
-                    self.module.on_connecting(stmt, number);
+                if let RequestKind::Execution(id) = kind {
+                    self.module.on_connecting(id.statement, id.attempt);
                 }
             }
             (Err(ending), _) => self.end(request, now, ending, ReplicaStatus::default()),
@@ -38,19 +38,19 @@
     }
 
     pub(super) fn connection_up(&mut self, now: Timestamp, connection: u32) {
-        let ConnectionUp::Assigned(request) = self.member_requests.up(connection, now) else {
+        let ConnectionUp::Assigned(request) = self.member_requests.on_connected(connection, now) else {
             return;
         };
         if self.may_go(now, request.kind) {
             self.send(now, connection, request);
-        } else if let Some(request) = self.member_requests.take_back(connection, now) {
+        } else if let Some(request) = self.member_requests.withdraw(connection, now) {
             self.end(request, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
         }
     }
 
     fn may_go(&mut self, now: Timestamp, kind: RequestKind) -> bool {
         match kind {
-            RequestKind::Execution { stmt, number } => self.module.may_dispatch(now, stmt, number),
+            RequestKind::Execution(id) => self.module.may_dispatch(now, id.statement, id.attempt),
             RequestKind::HealthCheck => true,
         }
     }
@@ -58,17 +58,19 @@
     /// Hands what the request is for to its connection, and writes that down first where another process may go on.
     fn send(&mut self, now: Timestamp, connection: u32, request: MemberRequest) {
         let query = match request.kind {
-            RequestKind::Execution { stmt, .. } => self.statements.query(stmt, now, request.until),
+            RequestKind::Execution(id) => self.statements.query(id.statement, now, request.deadline),
             RequestKind::HealthCheck => Some(messages::probe(self.decoding.reported)),
         };
         let Some(query) = query else {
-            if let Some(request) = self.member_requests.take_back(connection, now) {
+            if let Some(request) = self.member_requests.withdraw(connection, now) {
                 self.end(request, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
             }
             return;
         };
-        if let (RequestKind::Execution { stmt, .. }, Some(witness)) = (request.kind, &self.witness) {
-            if let Some((client, end, harmless)) = self.statements.place(stmt).filter(|_| witness.is_on()) {
+        if let (RequestKind::Execution(id), Some(witness)) = (request.kind, &self.witness) {
+            if let Some((client, end, harmless)) =
+                self.statements.place(id.statement).filter(|_| witness.is_on())
+            {
                 let out = Record::Out {
                     client,
                     end,
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -4,7 +4,7 @@
 use crate::protocol::vitals;
 use crate::routing::execution_outcomes;
 use crate::routing::gossip::{sightings, GossipMessage, Out, Parked, Sharing, Word};
-use crate::routing::member_requests::RequestKind;
+use crate::routing::member_requests::{AttemptId, RequestKind};
 use crate::routing::members::{self, MemberIdentity};
 use asterlatch::interface::*;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -159,7 +159,11 @@
             sharing.turns.silence.heard(name, now);
             sharing.turns.sums.answered(now, members::fleet_key(name));
         }
-        let RequestKind::Execution { stmt, number } = kind else {
+        let RequestKind::Execution(AttemptId {
+            statement: stmt,
+            attempt: number,
+        }) = kind
+        else {
             return;
         };
         let Some(out) = sharing.out.remove(&(stmt, number)) else {
@@ -408,7 +412,7 @@
                 let Some(member) = self.members.find(name).filter(|_| binds) else {
                     return;
                 };
-                self.member_requests.let_go(member);
+                self.member_requests.close_idle(member);
                 self.metrics.drains_from_others += 1;
                 let results = self.module.on_member_update(
                     now,
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -17,7 +17,9 @@
 use crate::routing::execution_outcomes;
 use crate::routing::gossip::Sharing;
 use crate::routing::limits::{Limits, WorkloadLimits};
-use crate::routing::member_requests::{self, MemberRequest, MemberRequests, RequestKind};
+use crate::routing::member_requests::{
+    self, AttemptId, ConnectionLimits, MemberRequest, MemberRequests, RequestKind, UnansweredRequest,
+};
 use crate::routing::members::{session_key, MemberDirectory, NameTable};
 use crate::routing::metrics::Metrics;
 use crate::routing::statements::Statements;
@@ -48,7 +50,7 @@
 
 /// How connections to members and discovery are opened.
 pub struct Place {
-    pub members: member_requests::Dial,
+    pub members: member_requests::DialMember,
     pub discovery: discovery_requests::Dial,
     pub adopt: Adopt,
     pub adopt_connection: AdoptConnection,
@@ -194,8 +196,12 @@
     ) -> EventLoop<O> {
         let (given, limits) = (place.given, place.limits);
         let (most_clients, most_members) = given.connections(&limits);
-        let (timeout, idle) = (decoding.connect_timeout, settings.idle_connection_timeout);
-        let idle = (idle, limits.member_idle_share);
+        let connection_limits = ConnectionLimits {
+            connect_timeout: decoding.connect_timeout,
+            idle_timeout: settings.idle_connection_timeout,
+            idle_share: limits.member_idle_share,
+            max_connections: most_members,
+        };
         EventLoop {
             module: policy::RoutingPolicy::new(&settings, seed, now),
             workloads: NameTable::of(&decoding.workloads),
@@ -203,7 +209,7 @@
             members: MemberDirectory::new(&decoding.zones),
             clients: Clients::new(most_clients, limits),
             statements: Statements::default(),
-            member_requests: MemberRequests::new(place.members, timeout, idle, most_members),
+            member_requests: MemberRequests::new(place.members, connection_limits),
             discovery_requests: DiscoveryRequests::new(
                 place.discovery,
                 given.discovery,
@@ -308,7 +314,11 @@
 
     /// Does what is due by the clock.
     pub fn reach(&mut self, now: Timestamp) {
-        while let Some((request, ending)) = self.member_requests.overdue(now) {
+        while let Some(UnansweredRequest {
+            request,
+            outcome: ending,
+        }) = self.member_requests.next_timed_out(now)
+        {
             self.end(request, now, ending, ReplicaStatus::default());
             self.tell_ended(now);
         }
@@ -317,7 +327,7 @@
             self.carry_out(now, results);
         }
         self.reach_sharing(now);
-        self.member_requests.end_idle(now);
+        self.member_requests.close_expired_idle(now);
         let expired = self.clients.close_expired(now);
         self.metrics.clients_too_slow += expired.too_slow;
         self.metrics.clients_rested += expired.idle;
@@ -335,7 +345,7 @@
         self.tell_ended(now);
         self.metrics.open_statements = self.statements.count() as u64;
         self.metrics.open_clients = self.clients.count() as u64;
-        self.metrics.open_member_connections = self.member_requests.connections() as u64;
+        self.metrics.open_member_connections = self.member_requests.connection_count() as u64;
     }
 
     /// Takes over what has changed. Whatever is open stays: fewer connections come about as they end.
@@ -363,7 +373,7 @@
         let (given, limits) = (self.given, self.limits);
         let (clients, members) = given.connections(&limits);
         self.clients.set_limits(clients, limits);
-        self.member_requests.bound(members, limits.member_idle_share);
+        self.member_requests.set_limits(members, limits.member_idle_share);
         self.discovery_requests.bound(limits);
         let (of_clients, of_members) = given.bytes(&limits);
         self.memory.0.set_capacity(of_clients);
@@ -396,7 +406,7 @@
     /// What is kept of members: names, ids, and those with an idle connection.
     pub fn members(&self) -> (usize, usize, usize) {
         let size = self.members.size();
-        (size.names, size.ids, self.member_requests.idle_members())
+        (size.names, size.ids, self.member_requests.idle_member_count())
     }
 
     pub fn open_clients(&self) -> usize {
@@ -577,17 +587,26 @@
     fn carry_out(&mut self, now: Timestamp, results: Actions) {
         self.module_wakes = results.wake_up_at;
         for c in &results.cancellations {
-            if let Some((request, ending)) = self.member_requests.cancel(now, c.statement, c.attempt) {
+            if let Some(UnansweredRequest {
+                request,
+                outcome: ending,
+            }) = self.member_requests.cancel(
+                now,
+                AttemptId {
+                    statement: c.statement,
+                    attempt: c.attempt,
+                },
+            ) {
                 self.end(request, now, ending, ReplicaStatus::default());
             }
         }
         for e in &results.executions {
             if let Some((number, until)) = self.statements.execute(e.statement, e.deadline) {
                 self.metrics.executions_sent += 1;
-                let kind = RequestKind::Execution {
-                    stmt: e.statement,
-                    number,
-                };
+                let kind = RequestKind::Execution(AttemptId {
+                    statement: e.statement,
+                    attempt: number,
+                });
                 self.shares_execution(now, e.statement, number, e.member);
                 self.start(now, MemberRequest::new(kind, e.member, now, until));
             }
@@ -607,7 +626,7 @@
         }
         for member in &results.removed_members {
             self.members.remove(*member);
-            self.member_requests.let_go(*member);
+            self.member_requests.close_idle(*member);
         }
         if results.poll_endpoint_list {
             self.call(now);
@@ -631,7 +650,7 @@
         ending: ExecutionOutcome,
         sighting: ReplicaStatus,
     ) {
-        let took = at - request.sent;
+        let took = at - request.started_at;
         self.ended.push_back(Ended {
             request,
             ending,
@@ -648,7 +667,10 @@
             let (member, ending) = (end.request.member, end.ending);
             self.shares_end(now, end.request.kind, member, (ending, end.sighting));
             let results = match end.request.kind {
-                RequestKind::Execution { stmt, number } => {
+                RequestKind::Execution(AttemptId {
+                    statement: stmt,
+                    attempt: number,
+                }) => {
                     execution_outcomes::count(&mut self.metrics, ending);
                     let end = ExecutionEnd {
                         statement: stmt,
@@ -676,7 +698,7 @@
         match heard {
             MemberEvent::Connected { connection } => self.connection_up(now, connection),
             MemberEvent::Transferred { connection, stream } => {
-                let member = self.member_requests.moved(connection);
+                let member = self.member_requests.on_transferred(connection);
                 self.moved_connections.extend(member.map(|m| (m, stream)));
             }
             MemberEvent::Replied {
@@ -687,15 +709,19 @@
                 report,
             } => {
                 let request = match reply {
-                    Reply::Malformed => self.member_requests.end(connection),
-                    _ => self.member_requests.answered(connection, now),
+                    Reply::Malformed => self.member_requests.close(connection),
+                    _ => self.member_requests.on_answered(connection, now),
                 };
                 let Some(request) = request else { return };
                 let sighting = sighting.merge(self.reported(&request, &reply, report));
                 let may_go = match (&reply, request.kind) {
-                    (Reply::Rows(_), RequestKind::Execution { stmt, number }) => {
-                        self.module.accepts_answer(stmt, number, sighting)
-                    }
+                    (
+                        Reply::Rows(_),
+                        RequestKind::Execution(AttemptId {
+                            statement: stmt,
+                            attempt: number,
+                        }),
+                    ) => self.module.accepts_answer(stmt, number, sighting),
                     _ => true,
                 };
                 // What may not go to the client has run all the same.
@@ -708,7 +734,7 @@
                 match (reply, request.kind) {
                     _ if !may_go => self.metrics.answers_too_old += 1,
                     // The first whole answer goes to the client as the bytes that came.
-                    (Reply::Rows(rows), RequestKind::Execution { stmt, .. }) => {
+                    (Reply::Rows(rows), RequestKind::Execution(AttemptId { statement: stmt, .. })) => {
                         let answered = self.answer(stmt, Final::Rows(rows));
                         self.metrics.completed += u64::from(answered);
                     }
@@ -725,15 +751,15 @@
                 at,
                 written,
             } => {
-                let Some(request) = self.member_requests.end(connection) else {
+                let Some(request) = self.member_requests.close(connection) else {
                     return;
                 };
-                if request.reused && !written {
+                if request.is_reused_connection && !written {
                     // It had ended while it sat idle: nothing went out, so this isn't another execution.
                     self.metrics.idle_connections_stale += 1;
                     return self.restart(now, request);
                 }
-                self.member_requests.note_age(&request, now, written);
+                self.member_requests.record_reuse(&request, now, written);
                 self.end(
                     request,
                     at,
@@ -806,7 +832,7 @@
         let entries: Vec<_> = read.collect();
         let leave = entries.iter().filter(|e| e.state != MemberState::Ready);
         for e in leave {
-            self.member_requests.let_go(e.id);
+            self.member_requests.close_idle(e.id);
             let name = self.members.name(e.id).filter(|_| self.is_shared);
             let since_ms = e.started_at.map_or(0, |at| at.0 / 1000);
             self.drains.extend(name.map(|n| (n.to_owned(), since_ms)));
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -5,6 +5,7 @@
 use crate::protocol::session::ClientCommand;
 use crate::protocol::vitals;
 use crate::routing::execution_outcomes;
+use crate::routing::member_requests::AdoptedConnection;
 use crate::routing::members::MemberDirectory;
 use crate::transport::listener::Arrival;
 use asterlatch::interface::{MemberUpdate, Settings};
@@ -50,7 +51,11 @@
     /// Executions that are out, by member.
     pub fn out(&self) -> BTreeMap<String, u32> {
         let mut out = BTreeMap::new();
-        for name in self.member_requests.out().filter_map(|m| self.members.name(m)) {
+        for name in self
+            .member_requests
+            .executions()
+            .filter_map(|e| self.members.name(e.member))
+        {
             *out.entry(name.to_owned()).or_default() += 1;
         }
         out
@@ -64,7 +69,7 @@
                     .on_member_update(now, m, MemberUpdate::InFlight(*count as usize))
             }),
             Word::Drains { member, since_ms } => self.members.find(member).map(|m| {
-                self.member_requests.let_go(m);
+                self.member_requests.close_idle(m);
                 self.metrics.drains_from_beside += 1;
                 self.module
                     .on_member_update(now, m, MemberUpdate::Draining(vitals::unix(*since_ms)))
@@ -109,7 +114,7 @@
         let adopt = &mut self.adopt_connection;
         if self
             .member_requests
-            .adopt(now, (member, address), |id| adopt(id, stream))
+            .adopt(now, AdoptedConnection { member, address }, |id| adopt(id, stream))
         {
             self.metrics.connections_adopted += 1;
         }
--- /dev/null
+++ b/crates/driver/src/routing/member_requests/mod.rs
@@ -0,0 +1,336 @@
+//! Requests to members: executions and health checks in flight, their connections and timeouts.
+
+mod request;
+
+use super::limits::Share;
+use crate::protocol::execution::MemberCommand;
+use crate::transport::ages::Ages;
+use crate::transport::pool::Pool;
+use crate::transport::stream::Line;
+use asterlatch::interface::ExecutionOutcome;
+use asterlatch::time::{TimeSpan, Timestamp};
+pub use request::{
+    Assignment, AttemptId, ConnectionUp, InFlightExecution, MemberRequest, OpenReason, RequestKind,
+    UnansweredRequest,
+};
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::net::SocketAddr;
+
+/// Opens a connection to a member at this address under this number.
+pub type DialMember = Box<dyn FnMut(u32, SocketAddr) -> io::Result<Line<MemberCommand>>>;
+
+/// Limits of the connections to members.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ConnectionLimits {
+    /// Longest time until a connection is established.
+    pub connect_timeout: TimeSpan,
+    /// Idle time after which members close connections.
+    pub idle_timeout: TimeSpan,
+    /// Share of the idle timeout for which an idle connection is used.
+    pub idle_share: Share,
+    /// Most connections at a time.
+    pub max_connections: usize,
+}
+
+impl ConnectionLimits {
+    fn max_idle(&self) -> TimeSpan {
+        self.idle_timeout * self.idle_share.ratio()
+    }
+}
+
+/// An idle connection that another process hands over.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AdoptedConnection {
+    /// Id of the member.
+    pub member: u32,
+    /// Its address.
+    pub address: SocketAddr,
+}
+
+/// The table of requests in flight, with the connections that serve them. Only the event loop uses it.
+pub struct MemberRequests {
+    pool: Pool<MemberCommand>,
+    dial: DialMember,
+    /// Requests by their connection.
+    in_flight: BTreeMap<u32, MemberRequest>,
+    /// Connections of executions.
+    connections: BTreeMap<AttemptId, u32>,
+    timeouts: BTreeSet<(Timestamp, u32)>,
+    /// Connections being established without a request, with the end of the time that they may take.
+    unassigned: BTreeMap<u32, Timestamp>,
+    idle_lifetimes: Ages,
+    /// Members with a connection now or earlier, and whether the last one was evicted.
+    evicted: BTreeMap<u32, bool>,
+    limits: ConnectionLimits,
+}
+
+/// Linux's error numbers ENFILE and EMFILE: a lack of descriptors, which says nothing about the member.
+const OUT_OF_DESCRIPTORS: [i32; 2] = [23, 24];
+
+impl MemberRequests {
+    /// A table without connections.
+    pub fn new(dial: DialMember, limits: ConnectionLimits) -> MemberRequests {
+        MemberRequests {
+            pool: Pool::default(),
+            dial,
+            in_flight: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            timeouts: BTreeSet::new(),
+            unassigned: BTreeMap::new(),
+            idle_lifetimes: Ages::default(),
+            evicted: BTreeMap::new(),
+            limits,
+        }
+    }
+
+    /// Changes the limits that may change while the process serves. Connections beyond them stay until they end.
+    pub fn set_limits(&mut self, max_connections: usize, idle_share: Share) {
+        self.limits.max_connections = max_connections;
+        self.limits.idle_share = idle_share;
+    }
+
+    /// Number of connections, in use or idle.
+    pub fn connection_count(&self) -> usize {
+        self.pool.count()
+    }
+
+    /// Number of members with an idle connection.
+    pub fn idle_member_count(&self) -> usize {
+        self.pool.idle_members()
+    }
+
+    /// Assigns an idle connection to the request, or opens one; nothing is sent before that is established.
+    ///
+    /// # Errors
+    /// The outcome of the request if no connection can be opened.
+    pub fn start(
+        &mut self,
+        now: Timestamp,
+        request: MemberRequest,
+        address: SocketAddr,
+    ) -> Result<Assignment, ExecutionOutcome> {
+        let max_idle = self.limits.max_idle();
+        let idle_limit = self.idle_lifetimes.limit().unwrap_or(max_idle).min(max_idle);
+        if let Some((connection, idle_since)) = self.pool.take(request.member, address, now - idle_limit) {
+            let idle_time = now - idle_since;
+            self.assign(connection, MemberRequest { idle_time, ..request });
+            return Ok(Assignment::Ready(connection));
+        }
+        let reason = self.open_reason(request.member);
+        let request = MemberRequest {
+            is_reused_connection: false,
+            is_connected: false,
+            times_out_at: request.deadline.min(now + self.limits.connect_timeout),
+            ..request
+        };
+        let connection = self.open(request.member, address)?;
+        self.assign(connection, request);
+        Ok(Assignment::Connecting(reason))
+    }
+
+    fn assign(&mut self, connection: u32, request: MemberRequest) {
+        if let RequestKind::Execution(attempt) = request.kind {
+            self.connections.insert(attempt, connection);
+        }
+        self.timeouts.insert((request.times_out_at, connection));
+        self.in_flight.insert(connection, request);
+    }
+
+    /// Sends the query of the request that this connection is assigned to.
+    pub fn send(&mut self, connection: u32, query: Vec<u8>) {
+        self.pool.tell(connection, MemberCommand::Query(query));
+    }
+
+    fn open_reason(&mut self, member: u32) -> OpenReason {
+        match (self.evicted.insert(member, false), self.pool.stands(member)) {
+            (_, true) => OpenReason::AllBusy,
+            (None, _) => OpenReason::First,
+            (Some(true), _) => OpenReason::Evicted,
+            (Some(false), _) => OpenReason::Reopened,
+        }
+    }
+
+    fn open(&mut self, member: u32, address: SocketAddr) -> Result<u32, ExecutionOutcome> {
+        if self.pool.count() >= self.limits.max_connections {
+            self.evict_oldest_idle()?;
+        }
+        let connection = self.pool.next_id();
+        let line = (self.dial)(connection, address).map_err(|error| match error.raw_os_error() {
+            Some(code) if OUT_OF_DESCRIPTORS.contains(&code) => ExecutionOutcome::NotSent,
+            _ => ExecutionOutcome::NoConnection,
+        })?;
+        self.pool.add(connection, member, address, line);
+        Ok(connection)
+    }
+
+    fn evict_oldest_idle(&mut self) -> Result<(), ExecutionOutcome> {
+        let (_, oldest) = self.pool.oldest_idle().ok_or(ExecutionOutcome::NotSent)?;
+        let member = self.pool.member(oldest);
+        if let Some(is_evicted) = member.and_then(|member| self.evicted.get_mut(&member)) {
+            *is_evicted = true;
+        }
+        self.pool.remove(oldest);
+        Ok(())
+    }
+
+    /// The connection is established: from now on the answer is waited for.
+    pub fn on_connected(&mut self, connection: u32, now: Timestamp) -> ConnectionUp {
+        if let Some(times_out_at) = self.unassigned.remove(&connection) {
+            self.timeouts.remove(&(times_out_at, connection));
+            self.pool.give_back(connection, now);
+            return ConnectionUp::Idle;
+        }
+        let Some(request) = self.in_flight.get_mut(&connection) else {
+            return ConnectionUp::Unknown;
+        };
+        self.timeouts.remove(&(request.times_out_at, connection));
+        request.is_connected = true;
+        request.times_out_at = request.deadline;
+        self.timeouts.insert((request.times_out_at, connection));
+        ConnectionUp::Assigned(*request)
+    }
+
+    /// Withdraws a request of which nothing has been sent. Its connection serves another: at once if it is established,
+    /// else once it is, within its time.
+    pub fn withdraw(&mut self, connection: u32, now: Timestamp) -> Option<MemberRequest> {
+        let request = self.take(connection)?;
+        if request.is_connected {
+            self.pool.give_back(connection, now);
+        } else {
+            self.timeouts.insert((request.times_out_at, connection));
+            self.unassigned.insert(connection, request.times_out_at);
+        }
+        Some(request)
+    }
+
+    fn take(&mut self, connection: u32) -> Option<MemberRequest> {
+        let request = self.in_flight.remove(&connection)?;
+        self.timeouts.remove(&(request.times_out_at, connection));
+        if let RequestKind::Execution(attempt) = request.kind {
+            self.connections.remove(&attempt);
+        }
+        Some(request)
+    }
+
+    /// The complete answer has arrived, so the connection may serve again. The answer to a request that was given up
+    /// belongs to none.
+    pub fn on_answered(&mut self, connection: u32, now: Timestamp) -> Option<MemberRequest> {
+        let request = self.take(connection)?;
+        self.record_reuse(&request, now, false);
+        self.pool.give_back(connection, now);
+        Some(request)
+    }
+
+    /// Records whether a connection that had been idle broke at its next use.
+    pub fn record_reuse(&mut self, request: &MemberRequest, now: Timestamp, broke: bool) {
+        if request.is_reused_connection {
+            self.idle_lifetimes.note(now, request.idle_time, broke);
+        }
+    }
+
+    /// Closes the connection, and returns its request.
+    pub fn close(&mut self, connection: u32) -> Option<MemberRequest> {
+        self.pool.remove(connection);
+        if let Some(times_out_at) = self.unassigned.remove(&connection) {
+            self.timeouts.remove(&(times_out_at, connection));
+        }
+        self.take(connection)
+    }
+
+    /// Cancels an execution: by closing its connection if the query may have been sent.
+    pub fn cancel(&mut self, now: Timestamp, attempt: AttemptId) -> Option<UnansweredRequest> {
+        let connection = *self.connections.get(&attempt)?;
+        let request = self.in_flight.get(&connection);
+        if request.is_some_and(|request| request.is_connected) {
+            Some(UnansweredRequest {
+                request: self.close(connection)?,
+                outcome: ExecutionOutcome::Cancelled,
+            })
+        } else {
+            Some(UnansweredRequest {
+                request: self.withdraw(connection, now)?,
+                outcome: ExecutionOutcome::NotSent,
+            })
+        }
+    }
+
+    /// Takes the first request whose time is up, and closes its connection. One without an established connection was
+    /// never sent.
+    pub fn next_timed_out(&mut self, now: Timestamp) -> Option<UnansweredRequest> {
+        while let Some((at, connection)) = self.timeouts.first().copied().filter(|(at, _)| *at <= now) {
+            self.timeouts.remove(&(at, connection));
+            if let Some(request) = self.close(connection) {
+                let outcome = if request.is_connected {
+                    ExecutionOutcome::TimedOut
+                } else {
+                    ExecutionOutcome::NoConnection
+                };
+                return Some(UnansweredRequest { request, outcome });
+            }
+        }
+        None
+    }
+
+    /// Closes idle connections to a member that receives nothing more.
+    pub fn close_idle(&mut self, member: u32) {
+        self.evicted.remove(&member);
+        self.pool.let_go(member);
+    }
+
+    /// Executions in flight, or waiting for their connection.
+    pub fn executions(&self) -> impl Iterator<Item = InFlightExecution> + '_ {
+        let requests = self.in_flight.values();
+        let executions = requests.filter(|request| request.kind != RequestKind::HealthCheck);
+        executions.map(|request| InFlightExecution {
+            member: request.member,
+            started_at: request.started_at,
+        })
+    }
+
+    /// Hands all idle connections over to another process.
+    pub fn hand_over_idle(&mut self) {
+        for connection in self.pool.retire_idle() {
+            self.pool.tell(connection, MemberCommand::HandOver);
+        }
+    }
+
+    /// A connection was transferred to another process. Returns the member that it leads to.
+    pub fn on_transferred(&mut self, connection: u32) -> Option<u32> {
+        let member = self.pool.member(connection);
+        self.pool.remove(connection);
+        member
+    }
+
+    /// Adopts an idle connection of another process. Returns false if there are too many, or `resume` fails.
+    pub fn adopt(
+        &mut self,
+        now: Timestamp,
+        adopted: AdoptedConnection,
+        resume: impl FnOnce(u32) -> io::Result<Line<MemberCommand>>,
+    ) -> bool {
+        if self.pool.count() >= self.limits.max_connections {
+            return false;
+        }
+        let connection = self.pool.next_id();
+        let Ok(line) = resume(connection) else {
+            return false;
+        };
+        self.pool.add(connection, adopted.member, adopted.address, line);
+        self.pool.give_back(connection, now);
+        true
+    }
+
+    /// Closes connections that have been idle for too long.
+    pub fn close_expired_idle(&mut self, now: Timestamp) {
+        self.pool.end_idle_before(now, self.limits.max_idle());
+    }
+
+    /// When the next request times out or the next idle connection expires.
+    pub fn next_at(&self) -> Option<Timestamp> {
+        let timeout = self.timeouts.first().map(|(at, _)| *at);
+        let oldest_idle = self.pool.oldest_idle();
+        let idle_expiry = oldest_idle.map(|(since, _)| since + self.limits.max_idle());
+        timeout.into_iter().chain(idle_expiry).min()
+    }
+}
