--- a/crates/driver/src/program/kept.rs
+++ b/crates/driver/src/program/kept.rs
@@ -2,7 +2,7 @@
 
 use crate::routing::owner::Moved;
 use crate::transport::witness::{counts, has_given_up};
-use asterlatch_handover::codec::{Came, Reader};
+use asterlatch_handover::codec::{FrameReader, Received};
 use asterlatch_handover::io_journal::{Back, Broken, Counts, Key, Ledger, Record};
 use asterlatch_handover::message::Client;
 use std::collections::BTreeMap;
@@ -104,12 +104,12 @@
     pub fn follow(&self, socket: UnixStream) -> std::io::Result<JoinHandle<()>> {
         let kept = self.clone();
         let read = move || {
-            let mut reader = Reader::<Record>::new(socket);
+            let mut reader = FrameReader::<Record>::new(socket);
             loop {
                 match reader.read() {
-                    Came::Message(record, beside) => kept.take(record, beside.into_iter().next()),
-                    Came::Garbled(_) => kept.table().give_up(Broken::Senseless),
-                    Came::Ended => return,
+                    Received::Message(record, beside) => kept.take(record, beside.into_iter().next()),
+                    Received::Invalid(_) => kept.table().give_up(Broken::Senseless),
+                    Received::Closed => return,
                 }
             }
         };
--- a/crates/driver/src/program/upgrade/handover.rs
+++ b/crates/driver/src/program/upgrade/handover.rs
@@ -6,7 +6,7 @@
 use crate::transport::clock::Clock;
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_handover::codec::machine_us;
+use asterlatch_handover::codec::monotonic_micros;
 use serde::{Deserialize, Serialize};
 
 /// Of what is written out, beside the version of the takeover itself.
@@ -30,7 +30,7 @@
     let handover = Handover {
         form: FORM,
         now,
-        machine: TimeSpan(machine_us()),
+        machine: TimeSpan(monotonic_micros()),
         settings,
         module: postcard::to_stdvec(module)?,
         members: postcard::to_stdvec(members)?,
@@ -58,7 +58,7 @@
     let module = module.map_err(|e| format!("what was learned can't be read: {e}"))?;
     let members = members.map_err(|e| format!("the members can't be read: {e}"))?;
     Ok(Resumed {
-        clock: Clock::resume(handover.now, handover.machine, TimeSpan(machine_us())),
+        clock: Clock::resume(handover.now, handover.machine, TimeSpan(monotonic_micros())),
         learned: (module, members),
     })
 }
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -9,7 +9,7 @@
 use crate::routing::owner::Owner;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::{Joint, Word};
-use asterlatch_handover::message::Message;
+use asterlatch_handover::message::HandoverMessage;
 pub use control::{control, request};
 pub use new::{inherited, Takeover};
 pub use old::Upgrades;
@@ -18,18 +18,23 @@
 pub const VARIABLE: &str = "ASTERLATCH_TAKEOVER";
 
 /// Takes over what the other process tells that binds both; what it is to be answered.
-fn bind(owner: &mut Owner<Log>, now: Timestamp, joint: &mut Joint, words: &[Word]) -> Option<Message> {
+fn bind(
+    owner: &mut Owner<Log>,
+    now: Timestamp,
+    joint: &mut Joint,
+    words: &[Word],
+) -> Option<HandoverMessage> {
     words.iter().for_each(|word| owner.bind(now, word));
     let answer = joint.heard(words);
     owner.figures.open_from_beside = joint.beside();
-    answer.map(|word| Message::Joint(vec![word]))
+    answer.map(|word| HandoverMessage::CoServing(vec![word]))
 }
 
 /// What the other process is to know that binds both: drains that were heard here, and what is out.
-fn words(owner: &mut Owner<Log>, joint: &mut Joint) -> Option<Message> {
+fn words(owner: &mut Owner<Log>, joint: &mut Joint) -> Option<HandoverMessage> {
     let drains = std::mem::take(&mut owner.drains);
     let drains = drains.iter().filter_map(|(m, since)| joint.drains(m, *since));
     let mut words: Vec<Word> = drains.collect();
     words.extend(joint.open(owner.out()));
-    (!words.is_empty()).then_some(Message::Joint(words))
+    (!words.is_empty()).then_some(HandoverMessage::CoServing(words))
 }
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -9,9 +9,9 @@
 use crate::transport::witness::Witness;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::Joint;
-use asterlatch_handover::codec::{machine_us, send, Came, Reader};
+use asterlatch_handover::codec::{monotonic_micros, send, FrameReader, Received};
 use asterlatch_handover::io_journal::Verdicts;
-use asterlatch_handover::message::Message;
+use asterlatch_handover::message::HandoverMessage;
 use asterlatch_handover::successor::{self, New};
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{FromRawFd, OwnedFd};
@@ -30,7 +30,7 @@
 pub struct Takeover {
     machine: New,
     socket: UnixStream,
-    reader: Option<Reader>,
+    reader: Option<FrameReader>,
     heard: Option<Receiver<Heard>>,
     /// The former process is gone.
     ended: bool,
@@ -60,24 +60,24 @@
     Ok(Some(Takeover {
         machine: New::begin(times),
         socket,
-        reader: Some(Reader::new(reader)),
+        reader: Some(FrameReader::new(reader)),
         heard: None,
         ended: false,
         listener: None,
         ledger: None,
         witness: None,
         joint: Joint::default(),
-        started: Timestamp(machine_us()),
+        started: Timestamp(monotonic_micros()),
     }))
 }
 
 impl Takeover {
     /// Until it serves the machine's clock will do.
     fn machine_now(&self) -> Timestamp {
-        Timestamp(machine_us())
+        Timestamp(monotonic_micros())
     }
 
-    fn say(&self, message: &Message) {
+    fn say(&self, message: &HandoverMessage) {
         // A former process that is gone is known by its end.
         let _ = send(&self.socket, message, &[]);
     }
@@ -132,7 +132,7 @@
             return Vec::new();
         };
         let input = match reader.read() {
-            Came::Message(message, descriptors) => {
+            Received::Message(message, descriptors) => {
                 let mut beside = descriptors.into_iter();
                 if let (Some(listener), Some(ledger), Some(given_up)) =
                     (beside.next(), beside.next(), beside.next())
@@ -142,10 +142,10 @@
                 }
                 successor::Input::Heard(message)
             }
-            Came::Garbled(_) => successor::Input::Garbled,
+            Received::Invalid(_) => successor::Input::Garbled,
             // A silence ends the reading as well; the rules tell them apart by the time.
-            Came::Ended if self.machine.next_at() <= self.machine_now() => successor::Input::Time,
-            Came::Ended => successor::Input::Ended,
+            Received::Closed if self.machine.next_at() <= self.machine_now() => successor::Input::Time,
+            Received::Closed => successor::Input::Ended,
         };
         let now = self.machine_now();
         self.machine.take(now, input)
@@ -182,24 +182,24 @@
         let socket = self.socket.try_clone().map_err(|e| format!("takeover: {e}"))?;
         let hear = move || loop {
             let heard = match reader.read() {
-                Came::Message(Message::Client(client), descriptors) => {
+                Received::Message(HandoverMessage::ClientConnection(client), descriptors) => {
                     let Some(stream) = descriptors.into_iter().next() else {
                         // The kernel drops what a process has no descriptor for.
-                        let _ = send(&socket, &Message::Missing(client.handed), &[]);
+                        let _ = send(&socket, &HandoverMessage::ConnectionMissing(client.handed), &[]);
                         continue;
                     };
                     let (handed, verdicts) = (Some(client.handed), Verdicts::default());
                     Heard::Moved(Moved::from(client, handed, stream.into(), verdicts))
                 }
-                Came::Message(Message::Member(member), descriptors) => {
+                Received::Message(HandoverMessage::MemberConnection(member), descriptors) => {
                     let Some(stream) = descriptors.into_iter().next() else {
                         continue;
                     };
                     Heard::Member(member, TcpStream::from(stream))
                 }
-                Came::Message(message, _) => Heard::Word(successor::Input::Heard(message)),
-                Came::Garbled(_) => Heard::Word(successor::Input::Garbled),
-                Came::Ended => Heard::Word(successor::Input::Ended),
+                Received::Message(message, _) => Heard::Word(successor::Input::Heard(message)),
+                Received::Invalid(_) => Heard::Word(successor::Input::Garbled),
+                Received::Closed => Heard::Word(successor::Input::Ended),
             };
             let last = matches!(
                 heard,
@@ -220,7 +220,7 @@
             match heard {
                 Heard::Moved(moved) => owner.adopt(now, moved),
                 Heard::Member(member, stream) => owner.adopt_connection(now, member, stream),
-                Heard::Word(successor::Input::Heard(Message::Joint(words))) => {
+                Heard::Word(successor::Input::Heard(HandoverMessage::CoServing(words))) => {
                     let answer = bind(owner, now, &mut self.joint, &words);
                     answer.iter().for_each(|m| self.say(m));
                 }
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -10,8 +10,8 @@
 use asterlatch::time::Timestamp;
 use asterlatch_handover::capacity_check;
 use asterlatch_handover::co_serving::Joint;
-use asterlatch_handover::codec::{send, Came, Reader};
-use asterlatch_handover::message::{Client, Message};
+use asterlatch_handover::codec::{send, FrameReader, Received};
+use asterlatch_handover::message::{Client, HandoverMessage};
 use asterlatch_handover::predecessor::{self, Old, Told};
 use rustix::event::EventfdFlags;
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
@@ -145,11 +145,11 @@
             }
         }
         while let Ok(input) = self.heard.try_recv() {
-            if let predecessor::Input::Heard(Message::Joint(words)) = &input {
+            if let predecessor::Input::Heard(HandoverMessage::CoServing(words)) = &input {
                 let answer = bind(owner, now, &mut self.joint, words);
                 answer.into_iter().for_each(|m| self.say(m, Vec::new()));
             }
-            if let predecessor::Input::Heard(Message::Missing(handed)) = &input {
+            if let predecessor::Input::Heard(HandoverMessage::ConnectionMissing(handed)) = &input {
                 self.kept.missing(*handed);
                 owner.figures.clients_cut += 1;
             }
@@ -182,7 +182,7 @@
                 predecessor::Effect::Start => self.start(),
                 predecessor::Effect::SendState => match written(owner, now, self.settings) {
                     Ok(bytes) => match self.beside(owner) {
-                        Ok(beside) => self.say(Message::State(bytes), beside),
+                        Ok(beside) => self.say(HandoverMessage::State(bytes), beside),
                         // It isn't told anything, and is known by that.
                         Err(e) => log!(owner.observer, now, "upgrade", "no descriptors to send: {e}"),
                     },
@@ -234,7 +234,7 @@
         }
     }
 
-    fn say(&self, message: Message, beside: Vec<OwnedFd>) {
+    fn say(&self, message: HandoverMessage, beside: Vec<OwnedFd>) {
         if let Some(link) = &self.link {
             let _ = link.send((message, beside));
         }
@@ -298,7 +298,7 @@
         for (member, stream) in std::mem::take(&mut owner.moved_connections) {
             if takes {
                 self.pending.fetch_add(1, Ordering::AcqRel);
-                self.say(Message::Member(member), vec![stream.into()]);
+                self.say(HandoverMessage::MemberConnection(member), vec![stream.into()]);
             }
         }
         for moved in std::mem::take(&mut owner.moved) {
@@ -316,7 +316,10 @@
             };
             self.kept.hand_over(client.clone(), &moved.stream);
             self.pending.fetch_add(1, Ordering::AcqRel);
-            self.say(Message::Client(client), vec![moved.stream.into()]);
+            self.say(
+                HandoverMessage::ClientConnection(client),
+                vec![moved.stream.into()],
+            );
         }
     }
 
@@ -340,7 +343,7 @@
     }
 }
 
-type Beside = (Message, Vec<OwnedFd>);
+type Beside = (HandoverMessage, Vec<OwnedFd>);
 
 /// What goes to the new process, and the thread that reads its ledger.
 struct Link {
@@ -399,7 +402,10 @@
             let beside: Vec<_> = descriptors.iter().map(AsFd::as_fd).collect();
             // One that doesn't hear is known by its end, or by its silence.
             let _ = send(&socket, &message, &beside);
-            if matches!(message, Message::Client(_) | Message::Member(_)) {
+            if matches!(
+                message,
+                HandoverMessage::ClientConnection(_) | HandoverMessage::MemberConnection(_)
+            ) {
                 unsent.fetch_sub(1, Ordering::AcqRel);
                 let _ = woken.send(Input::Notice(Notice::Done));
             }
@@ -407,12 +413,12 @@
     };
     let (tell, queue) = (tell.clone(), queue.clone());
     let hear = move || {
-        let mut reader = Reader::new(ours);
+        let mut reader = FrameReader::new(ours);
         loop {
             let input = match reader.read() {
-                Came::Message(message, _) => predecessor::Input::Heard(message),
-                Came::Garbled(_) => predecessor::Input::Garbled,
-                Came::Ended => break,
+                Received::Message(message, _) => predecessor::Input::Heard(message),
+                Received::Invalid(_) => predecessor::Input::Garbled,
+                Received::Closed => break,
             };
             let garbled = input == predecessor::Input::Garbled;
             if tell.send(input).is_err() || queue.send(Input::Notice(Notice::Done)).is_err() || garbled {
--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -4,8 +4,8 @@
 use asterlatch::interface::MemberState;
 use asterlatch_driver::protocol::roster::{Entry, Status};
 use asterlatch_driver::routing::tables::Members;
-use asterlatch_handover::codec::{send, Came, Reader};
-use asterlatch_handover::message::{Message, VERSION};
+use asterlatch_handover::codec::{send, FrameReader, Received};
+use asterlatch_handover::message::{HandoverMessage, VERSION};
 use stand::*;
 use std::fs;
 use std::net::{SocketAddr, TcpListener};
@@ -88,23 +88,23 @@
     let mut child = start(&mut command);
     drop(theirs);
     ours.set_read_timeout(Some(PATIENCE)).expect("is set");
-    let mut reader = Reader::<Message>::new(ours.try_clone().expect("a copy"));
+    let mut reader = FrameReader::<HandoverMessage>::new(ours.try_clone().expect("a copy"));
     let mut next = || match reader.read() {
-        Came::Message(message, _) => message,
+        Received::Message(message, _) => message,
         other => panic!("{other:?}"),
     };
-    assert_eq!(next(), Message::Hello { version: VERSION });
+    assert_eq!(next(), HandoverMessage::Hello { version: VERSION });
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let (_ledger, written) = UnixStream::pair().expect("a pair");
     let flags = rustix::event::EventfdFlags::CLOEXEC;
     let given_up = rustix::event::eventfd(0, flags).expect("is made");
     let beside = [listener.as_fd(), written.as_fd(), given_up.as_fd()];
-    send(&ours, &Message::State(bytes), &beside).expect("is sent");
+    send(&ours, &HandoverMessage::State(bytes), &beside).expect("is sent");
     let answer = next();
     let _ = child.kill();
     let _ = child.wait();
     let _ = fs::remove_file(&configured);
-    assert_eq!(answer, Message::Ready);
+    assert_eq!(answer, HandoverMessage::Ready);
 }
 
 /// The state is not written by the program itself, whose clock and secrets of chance differ at each start, but put
--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -1,6 +1,6 @@
 //! Messages over a Unix socket, with descriptors beside them.
 
-use crate::message::{Fault, Framed, Message};
+use crate::message::{FrameError, Framed, HandoverMessage};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -13,14 +13,14 @@
 use std::os::unix::net::UnixStream;
 
 /// Descriptors that one message may bring.
-const MOST_DESCRIPTORS: usize = 8;
+const MAX_DESCRIPTORS: usize = 8;
 
 /// Sends a message; descriptors go with its first byte.
 pub fn send(socket: &UnixStream, message: &impl Framed, descriptors: &[BorrowedFd]) -> io::Result<()> {
-    let bytes = message.frame().map_err(|f| io::Error::other(format!("{f:?}")))?;
+    let bytes = message.encode().map_err(|f| io::Error::other(format!("{f:?}")))?;
     let mut sent = 0;
     while sent < bytes.len() {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
         let mut beside = SendAncillaryBuffer::new(&mut space);
         let fits =
             sent > 0 || descriptors.is_empty() || beside.push(SendAncillaryMessage::ScmRights(descriptors));
@@ -40,14 +40,14 @@
 
 /// What came last.
 #[derive(Debug)]
-pub enum Came<T = Message> {
+pub enum Received<T = HandoverMessage> {
     Message(T, Vec<OwnedFd>),
-    Garbled(Fault),
-    Ended,
+    Invalid(FrameError),
+    Closed,
 }
 
 /// Reads one message after another from a socket.
-pub struct Reader<T = Message> {
+pub struct FrameReader<T = HandoverMessage> {
     socket: UnixStream,
     input: Vec<u8>,
     /// How much of it is taken: many small ones come at once.
@@ -56,9 +56,9 @@
     kind: PhantomData<T>,
 }
 
-impl<T: Framed> Reader<T> {
-    pub fn new(socket: UnixStream) -> Reader<T> {
-        Reader {
+impl<T: Framed> FrameReader<T> {
+    pub fn new(socket: UnixStream) -> FrameReader<T> {
+        FrameReader {
             socket,
             input: Vec::new(),
             used: 0,
@@ -69,21 +69,21 @@
 
     /// The next message, waited for, with its own of the descriptors that came by then. The kernel may give the end of
     /// one message and the descriptors of the next together.
-    pub fn read(&mut self) -> Came<T> {
+    pub fn read(&mut self) -> Received<T> {
         loop {
-            match T::next(&self.input[self.used..]) {
+            match T::decode(&self.input[self.used..]) {
                 Ok(Some((message, length))) => {
                     self.used += length;
-                    let own = message.descriptors().min(self.descriptors.len());
+                    let own = message.descriptor_count().min(self.descriptors.len());
                     let own = self.descriptors.drain(..own).collect();
-                    return Came::Message(message, own);
+                    return Received::Message(message, own);
                 }
-                Err(fault) => return Came::Garbled(fault),
+                Err(fault) => return Received::Invalid(fault),
                 Ok(None) => {}
             }
             self.input.drain(..std::mem::take(&mut self.used));
             let mut chunk = [0; 64 * 1024];
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
             let mut beside = RecvAncillaryBuffer::new(&mut space);
             let mut parts = [IoSliceMut::new(&mut chunk)];
             let got = match recvmsg(&self.socket, &mut parts, &mut beside, RecvFlags::CMSG_CLOEXEC) {
@@ -97,7 +97,7 @@
                 }
             }
             if got == 0 {
-                return Came::Ended;
+                return Received::Closed;
             }
             self.input.extend(&chunk[..got]);
         }
@@ -105,7 +105,7 @@
 }
 
 /// Time by the machine's clock that no setting of the wall clock moves, in microseconds: both processes read the same.
-pub fn machine_us() -> u64 {
+pub fn monotonic_micros() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1000
 }
--- a/crates/handover/src/io_journal.rs
+++ b/crates/handover/src/io_journal.rs
@@ -41,11 +41,11 @@
 
 impl Framed for Record {
     /// It may hold as much as is read at once.
-    const LONGEST: usize = 1024 * 1024;
+    const MAX_LENGTH: usize = 1024 * 1024;
     /// One whose writer died in the middle of it is too short, and stays unread: what it announced was not done.
-    const HASHED: bool = false;
+    const IS_HASHED: bool = false;
 
-    fn descriptors(&self) -> usize {
+    fn descriptor_count(&self) -> usize {
         usize::from(matches!(self, Record::Arrived { .. }))
     }
 }
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -8,10 +8,10 @@
 /// Of the protocol. Another one is refused before anything moves.
 pub const VERSION: u32 = 3;
 /// The longest frame: some ten thousand members' state.
-pub const LONGEST: usize = 32 * 1024 * 1024;
+pub const MAX_LENGTH: usize = 32 * 1024 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Message {
+pub enum HandoverMessage {
     /// New: it runs, and speaks this version.
     Hello { version: u32 },
     /// Old: what was learned, with the listener, the ledger's socket and what the ledger is given up with beside it.
@@ -19,25 +19,25 @@
     /// New: it could read everything and could serve.
     Ready,
     /// New: it could not, and why.
-    Unfit(String),
+    LoadFailed(String),
     /// Old: serve whom you are sent from now on.
     Commit,
     /// New: it does.
-    Taken,
+    CommitAcknowledged,
     /// Old: it leaves, and accepts no more.
-    Yours,
+    AcceptClients,
     /// Old: a client between two statements, with its connection beside.
-    Client(Client),
+    ClientConnection(Client),
     /// Old: an idle connection to the member with this id, beside.
-    Member(u32),
+    MemberConnection(u32),
     /// Either: what binds both.
-    Joint(Vec<Word>),
+    CoServing(Vec<Word>),
     /// New: the client with this number came without its connection, for want of descriptors.
-    Missing(u64),
+    ConnectionMissing(u64),
     /// Either: it lives.
-    Beat,
+    Heartbeat,
     /// New: its probation is over.
-    Proven,
+    ProbationPassed,
 }
 
 /// What is known of a client that moves.
@@ -56,27 +56,27 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FrameError {
     TooLong,
-    OtherHash,
-    Unreadable,
+    HashMismatch,
+    Malformed,
 }
 
 /// What goes over a socket in frames: a length, a hash where one is wanted, and the body.
 pub trait Framed: Serialize + DeserializeOwned {
-    const LONGEST: usize;
-    const HASHED: bool;
+    const MAX_LENGTH: usize;
+    const IS_HASHED: bool;
 
     /// How many descriptors go beside it: what is read together may belong to the one before.
-    fn descriptors(&self) -> usize;
+    fn descriptor_count(&self) -> usize;
 
-    fn frame(&self) -> Result<Vec<u8>, Fault> {
-        let body = postcard::to_stdvec(self).map_err(|_| Fault::Unreadable)?;
-        if body.len() > Self::LONGEST {
-            return Err(Fault::TooLong);
+    fn encode(&self) -> Result<Vec<u8>, FrameError> {
+        let body = postcard::to_stdvec(self).map_err(|_| FrameError::Malformed)?;
+        if body.len() > Self::MAX_LENGTH {
+            return Err(FrameError::TooLong);
         }
         let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
-        if Self::HASHED {
+        if Self::IS_HASHED {
             bytes.extend(Sha256::digest(&body));
         }
         bytes.extend(body);
@@ -84,34 +84,34 @@
     }
 
     /// The first of `input` and how many bytes it takes; nothing where more bytes are needed.
-    fn next(input: &[u8]) -> Result<Option<(Self, usize)>, Fault> {
-        let head = if Self::HASHED { 4 + 32 } else { 4 };
+    fn decode(input: &[u8]) -> Result<Option<(Self, usize)>, FrameError> {
+        let head = if Self::IS_HASHED { 4 + 32 } else { 4 };
         let Some((length, hash)) = input.get(..head).and_then(|h| h.split_first_chunk::<4>()) else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length) as usize;
-        if length > Self::LONGEST {
-            return Err(Fault::TooLong);
+        if length > Self::MAX_LENGTH {
+            return Err(FrameError::TooLong);
         }
         let Some(body) = input.get(head..head + length) else {
             return Ok(None);
         };
-        if Self::HASHED && Sha256::digest(body).as_slice() != hash {
-            return Err(Fault::OtherHash);
+        if Self::IS_HASHED && Sha256::digest(body).as_slice() != hash {
+            return Err(FrameError::HashMismatch);
         }
-        let message = postcard::from_bytes(body).map_err(|_| Fault::Unreadable)?;
+        let message = postcard::from_bytes(body).map_err(|_| FrameError::Malformed)?;
         Ok(Some((message, head + length)))
     }
 }
 
-impl Framed for Message {
-    const LONGEST: usize = LONGEST;
-    const HASHED: bool = true;
+impl Framed for HandoverMessage {
+    const MAX_LENGTH: usize = MAX_LENGTH;
+    const IS_HASHED: bool = true;
 
-    fn descriptors(&self) -> usize {
+    fn descriptor_count(&self) -> usize {
         match self {
-            Message::State(_) => 3,
-            Message::Client(_) | Message::Member(_) => 1,
+            HandoverMessage::State(_) => 3,
+            HandoverMessage::ClientConnection(_) | HandoverMessage::MemberConnection(_) => 1,
             _ => 0,
         }
     }
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -1,6 +1,6 @@
 //! The side of the process that serves now. Goes on serving whatever becomes of the new one.
 
-use crate::message::{Message, VERSION};
+use crate::message::{HandoverMessage, VERSION};
 use crate::{go_through, Rule};
 use asterlatch::time::{TimeSpan, Timestamp};
 
@@ -50,7 +50,7 @@
     Ask,
     /// The new process could not be started.
     NotStarted(String),
-    Heard(Message),
+    Heard(HandoverMessage),
     /// What came can't be read.
     Garbled,
     /// The new process is gone, for certain.
@@ -66,7 +66,7 @@
     Start,
     /// Write out what was learned and send it with the listener.
     SendState,
-    Say(Message),
+    Say(HandoverMessage),
     /// The two serve the same members from now on.
     ServeBeside,
     /// Accept no more clients.
@@ -208,15 +208,19 @@
                 Some(vec![Effect::Kill, Effect::Tell(Told::Failed(why))])
             }
             // What is still open here may take long; newcomers don't wait for it.
-            Phase::Committed | Phase::Standby => {
-                Some(vec![Effect::StopAccepting, Effect::Say(Message::Yours)])
-            }
+            Phase::Committed | Phase::Standby => Some(vec![
+                Effect::StopAccepting,
+                Effect::Say(HandoverMessage::AcceptClients),
+            ]),
             _ => Some(Vec::new()),
         }
     }
 
     fn send_state(&mut self) -> Option<Vec<Effect>> {
-        if !self.is(Phase::Offered, &Input::Heard(Message::Hello { version: VERSION })) {
+        if !self.is(
+            Phase::Offered,
+            &Input::Heard(HandoverMessage::Hello { version: VERSION }),
+        ) {
             return None;
         }
         self.go(Phase::Sent, Some(self.times.ready));
@@ -226,16 +230,19 @@
     /// The new one gets clients from here on. That this one accepts for it leaves no moment in which a client is known
     /// to a process alone that may be killed on probation.
     fn commit(&mut self) -> Option<Vec<Effect>> {
-        if !self.is(Phase::Sent, &Input::Heard(Message::Ready)) {
+        if !self.is(Phase::Sent, &Input::Heard(HandoverMessage::Ready)) {
             return None;
         }
         self.go(Phase::Committed, Some(self.times.taken));
-        let say = Effect::Say(Message::Commit);
+        let say = Effect::Say(HandoverMessage::Commit);
         Some(vec![Effect::ServeBeside, say, Effect::Tell(Told::Committed)])
     }
 
     fn taken(&mut self) -> Option<Vec<Effect>> {
-        if !self.is(Phase::Committed, &Input::Heard(Message::Taken)) {
+        if !self.is(
+            Phase::Committed,
+            &Input::Heard(HandoverMessage::CommitAcknowledged),
+        ) {
             return None;
         }
         self.go(Phase::Standby, Some(self.times.beat));
@@ -244,7 +251,7 @@
     }
 
     fn proven(&mut self) -> Option<Vec<Effect>> {
-        if !self.is(Phase::Standby, &Input::Heard(Message::Proven)) {
+        if !self.is(Phase::Standby, &Input::Heard(HandoverMessage::ProbationPassed)) {
             return None;
         }
         self.go(Phase::Done, None);
@@ -256,7 +263,7 @@
     }
 
     fn beat(&mut self) -> Option<Vec<Effect>> {
-        if !self.is(Phase::Standby, &Input::Heard(Message::Beat)) {
+        if !self.is(Phase::Standby, &Input::Heard(HandoverMessage::Heartbeat)) {
             return None;
         }
         self.go(Phase::Standby, Some(self.times.beat));
@@ -298,12 +305,14 @@
             Input::Time if self.now < self.until => return None,
             Input::Time => format!("the new process was silent while {:?}", self.phase),
             Input::Garbled => "the new process sent what can't be read".to_owned(),
-            Input::Heard(Message::Unfit(why)) => format!("the new process can't serve: {why}"),
-            Input::Heard(Message::Hello { version }) if *version != VERSION => {
+            Input::Heard(HandoverMessage::LoadFailed(why)) => format!("the new process can't serve: {why}"),
+            Input::Heard(HandoverMessage::Hello { version }) if *version != VERSION => {
                 format!("the new process speaks version {version} of the takeover, this one {VERSION}")
             }
             // What binds both may be on its way whatever else goes on.
-            Input::Heard(Message::Joint(_) | Message::Missing(_)) => return None,
+            Input::Heard(HandoverMessage::CoServing(_) | HandoverMessage::ConnectionMissing(_)) => {
+                return None
+            }
             Input::Heard(other) => format!("the new process said {other:?} while {:?}", self.phase),
             _ => return None,
         };
@@ -321,7 +330,7 @@
             return None;
         }
         self.beats_at = self.now + (self.times.beat * (1.0 / BEATS)).max(TimeSpan::millis(1));
-        Some(vec![Effect::Say(Message::Beat)])
+        Some(vec![Effect::Say(HandoverMessage::Heartbeat)])
     }
 
     fn pass_over(&mut self) -> Option<Vec<Effect>> {
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -1,7 +1,7 @@
 //! The side of the new process. On probation it serves whom the old one hands over; it accepts clients itself once it is
 //! proven, or where the old one leaves, is gone or has fallen silent.
 
-use crate::message::{Message, VERSION};
+use crate::message::{HandoverMessage, VERSION};
 use crate::{go_through, Rule};
 use asterlatch::time::{TimeSpan, Timestamp};
 
@@ -43,7 +43,7 @@
 pub enum Input {
     /// It runs.
     Start,
-    Heard(Message),
+    Heard(HandoverMessage),
     Garbled,
     /// State and listener came, and this process could serve with them, or why not.
     Loaded(Result<(), String>),
@@ -54,7 +54,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    Say(Message),
+    Say(HandoverMessage),
     Load(Vec<u8>),
     /// Serve whom the old one hands over.
     Serve,
@@ -152,14 +152,14 @@
             return None;
         }
         self.go(Phase::Started, Some(self.times.patience));
-        Some(vec![Effect::Say(Message::Hello { version: VERSION })])
+        Some(vec![Effect::Say(HandoverMessage::Hello { version: VERSION })])
     }
 
     fn load(&mut self) -> Option<Vec<Effect>> {
         let started = self.phase == Phase::Started;
-        let state = |i: &mut Input| started && matches!(i, Input::Heard(Message::State(_)));
+        let state = |i: &mut Input| started && matches!(i, Input::Heard(HandoverMessage::State(_)));
         match self.input.take_if(state)? {
-            Input::Heard(Message::State(bytes)) => Some(vec![Effect::Load(bytes)]),
+            Input::Heard(HandoverMessage::State(bytes)) => Some(vec![Effect::Load(bytes)]),
             _ => None,
         }
     }
@@ -171,35 +171,35 @@
         match self.input.take_if(|i| matches!(i, Input::Loaded(_)))? {
             Input::Loaded(Err(why)) => {
                 self.go(Phase::Over, None);
-                let say = Effect::Say(Message::Unfit(why.clone()));
+                let say = Effect::Say(HandoverMessage::LoadFailed(why.clone()));
                 Some(vec![say, Effect::End(why)])
             }
             _ => {
                 self.go(Phase::Loaded, Some(self.times.patience));
-                Some(vec![Effect::Say(Message::Ready)])
+                Some(vec![Effect::Say(HandoverMessage::Ready)])
             }
         }
     }
 
     fn serve(&mut self) -> Option<Vec<Effect>> {
-        if self.phase != Phase::Loaded || self.input != Some(Input::Heard(Message::Commit)) {
+        if self.phase != Phase::Loaded || self.input != Some(Input::Heard(HandoverMessage::Commit)) {
             return None;
         }
         self.go(Phase::Probation, None);
         self.beats_at = self.now + self.times.beat;
         self.proven_at = self.now + self.times.probation;
         self.silent_at = self.now + self.times.silence;
-        let taken = Effect::Say(Message::Taken);
+        let taken = Effect::Say(HandoverMessage::CommitAcknowledged);
         Some(vec![Effect::Serve, taken, Effect::Tell("serves, on probation")])
     }
 
-    fn hears(&self, message: &Message) -> bool {
+    fn hears(&self, message: &HandoverMessage) -> bool {
         let heard = matches!(&self.input, Some(Input::Heard(m)) if m == message);
         self.phase == Phase::Probation && heard
     }
 
     fn hear(&mut self) -> Option<Vec<Effect>> {
-        if !self.hears(&Message::Beat) {
+        if !self.hears(&HandoverMessage::Heartbeat) {
             return None;
         }
         self.input = None;
@@ -216,7 +216,7 @@
 
     /// The old one leaves before this one is proven.
     fn replace(&mut self) -> Option<Vec<Effect>> {
-        if !self.hears(&Message::Yours) {
+        if !self.hears(&HandoverMessage::AcceptClients) {
             return None;
         }
         self.input = None;
@@ -249,7 +249,7 @@
             return None;
         }
         self.go(Phase::Owner, None);
-        let mut effects = vec![Effect::Say(Message::Proven)];
+        let mut effects = vec![Effect::Say(HandoverMessage::ProbationPassed)];
         effects.extend(self.begin_to_accept("proven, the service is this one's"));
         Some(effects)
     }
@@ -259,7 +259,7 @@
             return None;
         }
         self.beats_at = self.now + self.times.beat;
-        Some(vec![Effect::Say(Message::Beat)])
+        Some(vec![Effect::Say(HandoverMessage::Heartbeat)])
     }
 
     /// Nothing was told to serve, so nothing is served: the old one does, or nobody, as without this one.
@@ -270,7 +270,7 @@
         let why = match self.input.as_ref()? {
             Input::Ended => "the former process is gone before the commit",
             Input::Garbled => "the former process sent what can't be read",
-            Input::Heard(Message::Joint(_)) => return None,
+            Input::Heard(HandoverMessage::CoServing(_)) => return None,
             Input::Heard(_) => "the former process said what makes no sense here",
             Input::Time if self.now >= self.until => "the former process was silent for too long",
             _ => return None,
--- a/crates/handover/tests/fixtures.rs
+++ b/crates/handover/tests/fixtures.rs
@@ -2,7 +2,7 @@
 
 use asterlatch_handover::co_serving::Word;
 use asterlatch_handover::io_journal::Record;
-use asterlatch_handover::message::{Client, Framed, Message};
+use asterlatch_handover::message::{Client, Framed, HandoverMessage};
 use std::fmt::Debug;
 use std::fs;
 use std::path::PathBuf;
@@ -14,24 +14,24 @@
 }
 
 /// Each kind, in the order of its number on the wire.
-fn messages() -> Vec<Message> {
+fn messages() -> Vec<HandoverMessage> {
     vec![
-        Message::Hello { version: 3 },
-        Message::State((0..=255).collect()),
-        Message::Ready,
-        Message::Unfit("the state has form 1, not 2".to_owned()),
-        Message::Commit,
-        Message::Taken,
-        Message::Yours,
-        Message::Client(Client {
+        HandoverMessage::Hello { version: 3 },
+        HandoverMessage::State((0..=255).collect()),
+        HandoverMessage::Ready,
+        HandoverMessage::LoadFailed("the state has form 1, not 2".to_owned()),
+        HandoverMessage::Commit,
+        HandoverMessage::CommitAcknowledged,
+        HandoverMessage::AcceptClients,
+        HandoverMessage::ClientConnection(Client {
             handed: 300,
             opened: true,
             has_asked: false,
             skip: 70_000,
             input: b"Q\0\0\0\x08abc".to_vec(),
         }),
-        Message::Member(129),
-        Message::Joint(vec![
+        HandoverMessage::MemberConnection(129),
+        HandoverMessage::CoServing(vec![
             Word::Open {
                 member: "m-1".to_owned(),
                 count: 200,
@@ -42,9 +42,9 @@
             },
             Word::Heard,
         ]),
-        Message::Missing(300),
-        Message::Beat,
-        Message::Proven,
+        HandoverMessage::ConnectionMissing(300),
+        HandoverMessage::Heartbeat,
+        HandoverMessage::ProbationPassed,
     ]
 }
 
@@ -84,7 +84,7 @@
 }
 
 fn frames<T: Framed>(all: &[T]) -> Vec<u8> {
-    let frames = all.iter().map(|one| one.frame().expect("fits"));
+    let frames = all.iter().map(|one| one.encode().expect("fits"));
     frames.collect::<Vec<_>>().concat()
 }
 
@@ -92,9 +92,9 @@
     let bytes = fs::read(path(name)).expect("lies there");
     let mut used = 0;
     for (at, one) in expected.iter().enumerate() {
-        let (read, length) = T::next(&bytes[used..]).expect("is sound").expect("is whole");
+        let (read, length) = T::decode(&bytes[used..]).expect("is sound").expect("is whole");
         assert_eq!(read, *one, "frame {at} of {name}");
-        let again = read.frame().expect("fits");
+        let again = read.encode().expect("fits");
         assert_eq!(
             again,
             bytes[used..used + length],
--- a/crates/handover/tests/ledger.rs
+++ b/crates/handover/tests/ledger.rs
@@ -186,9 +186,9 @@
             let did = step(&mut clients[client], client as u32, &mut chance);
             if let Some((record, deed, amount)) = did {
                 // The record goes through its form on the socket, and one cut short is none.
-                let bytes = record.frame().expect("fits");
-                assert_eq!(Record::next(&bytes[..bytes.len() - 1]), Ok(None));
-                let (record, _) = Record::next(&bytes).expect("whole").expect("whole");
+                let bytes = record.encode().expect("fits");
+                assert_eq!(Record::decode(&bytes[..bytes.len() - 1]), Ok(None));
+                let (record, _) = Record::decode(&bytes).expect("whole").expect("whole");
                 ledger.take(record).expect("makes sense");
                 cut += check(&ledger, &clients, &format!("seed {seed}, announced step {n}"));
                 deed(&mut clients[client], amount);
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -2,7 +2,7 @@
 //! world allows.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_handover::message::{Client, Message};
+use asterlatch_handover::message::{Client, HandoverMessage};
 use asterlatch_handover::{predecessor, successor};
 use stateright::{Checker, Model, Property};
 
@@ -63,8 +63,8 @@
     answers: u8,
     /// What the ledger had of a statement was answered by the old one.
     judged: bool,
-    to_old: Vec<Message>,
-    to_new: Vec<Message>,
+    to_old: Vec<HandoverMessage>,
+    to_new: Vec<HandoverMessage>,
     upgrades: u8,
     deaths: u8,
     leaves: u8,
@@ -136,7 +136,7 @@
             effects.retain(|e| *e != predecessor::Effect::TakeBack);
         }
         if self.mistake == Some(Mistake::LeaveSilently) {
-            effects.retain(|e| *e != predecessor::Effect::Say(Message::Yours));
+            effects.retain(|e| *e != predecessor::Effect::Say(HandoverMessage::AcceptClients));
         }
         effects.retain(|e| !matches!(e, predecessor::Effect::Tell(_)));
         w.old_todo.extend(effects);
@@ -148,7 +148,7 @@
         let mut effects = machine.take(now, input);
         machine.rebase();
         if self.mistake == Some(Mistake::AcceptWhenReady)
-            && effects.contains(&successor::Effect::Say(Message::Ready))
+            && effects.contains(&successor::Effect::Say(HandoverMessage::Ready))
         {
             effects.push(successor::Effect::Accept);
         }
@@ -164,7 +164,7 @@
                 (w.to_old, w.to_new, w.new_todo) = (Vec::new(), Vec::new(), Vec::new());
                 self.new_takes(w, false, successor::Input::Start);
             }
-            predecessor::Effect::SendState => w.to_new.push(Message::State(Vec::new())),
+            predecessor::Effect::SendState => w.to_new.push(HandoverMessage::State(Vec::new())),
             predecessor::Effect::Say(message) => w.to_new.push(message),
             predecessor::Effect::StopAccepting => w.old_accepts = false,
             predecessor::Effect::ServeAlone => (w.old_accepts, w.moving) = (true, false),
@@ -266,7 +266,7 @@
         may(old_idle && !w.to_old.is_empty(), Step::OldHears);
         may(new_idle && !w.to_new.is_empty(), Step::NewHears);
         // Signs of life that nobody hears teach nothing more from the second on.
-        let heard = |queue: &Vec<Message>| queue.len() < 2;
+        let heard = |queue: &Vec<HandoverMessage>| queue.len() < 2;
         may(
             old_idle && w.old.next_at() < Timestamp(u64::MAX) && heard(&w.to_new),
             Step::OldLate,
@@ -305,7 +305,10 @@
             w.new_alive && w.deaths < self.deaths && !w.to_old.is_empty(),
             Step::NewDies { last_words: false },
         );
-        let loading = new_idle && w.to_new.first().is_some_and(|m| matches!(m, Message::State(_)));
+        let loading = new_idle
+            && w.to_new
+                .first()
+                .is_some_and(|m| matches!(m, HandoverMessage::State(_)));
         may(loading, Step::NewIsUnfit);
     }
 
@@ -328,7 +331,7 @@
             }
             Step::NewHears => {
                 let message = w.to_new.remove(0);
-                if matches!(message, Message::Client(_)) {
+                if matches!(message, HandoverMessage::ClientConnection(_)) {
                     w.client = With::New;
                     // What was read of it goes along.
                     w.new_owns |= w.old_owns;
@@ -374,7 +377,8 @@
             Step::NewAnswers => (w.new_owns, w.answers) = (false, w.answers + 1),
             Step::Moves => {
                 w.client = With::Between;
-                w.to_new.push(Message::Client(Client::default()));
+                w.to_new
+                    .push(HandoverMessage::ClientConnection(Client::default()));
             }
         }
         Some(w)
