--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -37,7 +37,7 @@
     pub stacks: Stacks,
     pub lines_a_second: u32,
     /// Of the process that serves, and of one that takes over.
-    pub takeover: (predecessor::Times, successor::Times),
+    pub takeover: (predecessor::Timeouts, successor::Timeouts),
 }
 
 impl InForce {
@@ -89,18 +89,18 @@
             (name.to_owned(), own)
         });
         let upgrade = |row| span("upgrade", row);
-        let serving = predecessor::Times {
+        let serving = predecessor::Timeouts {
             hello: upgrade("hello"),
             ready: upgrade("ready"),
-            taken: upgrade("taken"),
-            beat: upgrade("silence"),
+            commit_acknowledged: upgrade("taken"),
+            heartbeat: upgrade("silence"),
         };
-        let taking = successor::Times {
+        let taking = successor::Timeouts {
             // The former process has its own patience, which ends first.
-            patience: upgrade("ready") + upgrade("ready"),
+            predecessor_response: upgrade("ready") + upgrade("ready"),
             // As long as the former one lets this one be silent: it tells ten times meanwhile that it lives.
-            silence: upgrade("silence"),
-            beat: upgrade("beat"),
+            predecessor_heartbeat: upgrade("silence"),
+            heartbeat_interval: upgrade("beat"),
             probation: upgrade("probation"),
         };
         InForce {
@@ -206,7 +206,7 @@
     sampled: Timestamp,
     is_watched: bool,
     /// As they are in force now.
-    pub upgrade_times: predecessor::Times,
+    pub upgrade_times: predecessor::Timeouts,
 }
 
 /// What was decided, and what is wrong with a file: each has its own limit of lines, so that a long list of faults
@@ -292,7 +292,7 @@
     pub fn new(
         given: &Given,
         start: Start,
-        upgrade_times: predecessor::Times,
+        upgrade_times: predecessor::Timeouts,
         queue: Sender<Input>,
     ) -> Result<Operators, String> {
         let canonical = start.meaning.canonical(registry());
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -12,7 +12,7 @@
 use asterlatch_handover::codec::{monotonic_micros, send, FrameReader, Received};
 use asterlatch_handover::io_journal::Verdicts;
 use asterlatch_handover::message::HandoverMessage;
-use asterlatch_handover::successor::{self, New};
+use asterlatch_handover::successor::{self, Successor};
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{FromRawFd, OwnedFd};
 use std::os::unix::net::UnixStream;
@@ -21,14 +21,14 @@
 
 /// What comes from the former process while this one serves.
 enum Heard {
-    Word(successor::Input),
+    Word(successor::Event),
     Moved(Moved),
     Member(u32, TcpStream),
 }
 
 /// The side of the new process.
 pub struct Takeover {
-    machine: New,
+    machine: Successor,
     socket: UnixStream,
     reader: Option<FrameReader>,
     heard: Option<Receiver<Heard>>,
@@ -43,7 +43,7 @@
 }
 
 /// Takes the socket to the former process, where this one was started to take over.
-pub fn inherited(times: successor::Times) -> Result<Option<Takeover>, String> {
+pub fn inherited(times: successor::Timeouts) -> Result<Option<Takeover>, String> {
     let Some(number) = std::env::var_os(VARIABLE) else {
         return Ok(None);
     };
@@ -58,7 +58,7 @@
     prepared.map_err(|e| format!("{VARIABLE}: {e}"))?;
     let reader = socket.try_clone().map_err(|e| format!("{VARIABLE}: {e}"))?;
     Ok(Some(Takeover {
-        machine: New::begin(times),
+        machine: Successor::new(times),
         socket,
         reader: Some(FrameReader::new(reader)),
         heard: None,
@@ -85,20 +85,22 @@
     /// Says hello, and waits for state and listener.
     pub fn load(&mut self, config: &Config) -> Result<Resumed, String> {
         let now = self.machine_now();
-        let mut effects = self.machine.take(now, successor::Input::Start);
+        let mut effects = self.machine.on_event(now, successor::Event::Started);
         loop {
             for effect in std::mem::take(&mut effects) {
                 match effect {
-                    successor::Effect::Say(message) => self.say(&message),
-                    successor::Effect::Load(bytes) => {
+                    successor::Action::Send(message) => self.say(&message),
+                    successor::Action::LoadState(bytes) => {
                         match (read(&bytes, config.settings_text), &self.listener) {
                             (Ok(resumed), Some(_)) => return Ok(resumed),
                             (Ok(_), None) => effects.extend(self.loaded(Err("no listener came".to_owned()))),
                             (Err(why), _) => effects.extend(self.loaded(Err(why))),
                         }
                     }
-                    successor::Effect::End(why) => return Err(why),
-                    successor::Effect::Serve | successor::Effect::Accept | successor::Effect::Tell(_) => {}
+                    successor::Action::Abort(why) => return Err(why),
+                    successor::Action::StartServing
+                    | successor::Action::StartAccepting
+                    | successor::Action::Report(_) => {}
                 }
             }
             if effects.is_empty() {
@@ -107,9 +109,9 @@
         }
     }
 
-    fn loaded(&mut self, result: Result<(), String>) -> Vec<successor::Effect> {
+    fn loaded(&mut self, result: Result<(), String>) -> Vec<successor::Action> {
         let now = self.machine_now();
-        self.machine.take(now, successor::Input::Loaded(result))
+        self.machine.on_event(now, successor::Event::Loaded(result))
     }
 
     pub fn listener(&mut self) -> Option<TcpListener> {
@@ -124,8 +126,8 @@
     }
 
     /// The next word of the former process, its end, or its silence.
-    fn wait(&mut self) -> Vec<successor::Effect> {
-        let wait = self.machine.next_at() - self.machine_now();
+    fn wait(&mut self) -> Vec<successor::Action> {
+        let wait = self.machine.next_deadline() - self.machine_now();
         let timeout = Duration::from_micros(wait.0.clamp(1, 60_000_000));
         let _ = self.socket.set_read_timeout(Some(timeout));
         let Some(reader) = &mut self.reader else {
@@ -140,15 +142,17 @@
                     self.listener = Some(listener.into());
                     self.ledger = Some((ledger.into(), given_up));
                 }
-                successor::Input::Heard(message)
+                successor::Event::Message(message)
             }
-            Received::Invalid(_) => successor::Input::Garbled,
+            Received::Invalid(_) => successor::Event::InvalidFrame,
             // A silence ends the reading as well; the rules tell them apart by the time.
-            Received::Closed if self.machine.next_at() <= self.machine_now() => successor::Input::Time,
-            Received::Closed => successor::Input::Ended,
+            Received::Closed if self.machine.next_deadline() <= self.machine_now() => {
+                successor::Event::TimerElapsed
+            }
+            Received::Closed => successor::Event::PredecessorExited,
         };
         let now = self.machine_now();
-        self.machine.take(now, input)
+        self.machine.on_event(now, input)
     }
 
     /// Says that this process could serve, and waits until it is to.
@@ -158,10 +162,12 @@
             let mut serves = false;
             for effect in std::mem::take(&mut effects) {
                 match effect {
-                    successor::Effect::Say(message) => self.say(&message),
-                    successor::Effect::Serve => serves = true,
-                    successor::Effect::End(why) => return Err(why),
-                    successor::Effect::Load(_) | successor::Effect::Accept | successor::Effect::Tell(_) => {}
+                    successor::Action::Send(message) => self.say(&message),
+                    successor::Action::StartServing => serves = true,
+                    successor::Action::Abort(why) => return Err(why),
+                    successor::Action::LoadState(_)
+                    | successor::Action::StartAccepting
+                    | successor::Action::Report(_) => {}
                 }
             }
             if serves {
@@ -197,13 +203,13 @@
                     };
                     Heard::Member(member, TcpStream::from(stream))
                 }
-                Received::Message(message, _) => Heard::Word(successor::Input::Heard(message)),
-                Received::Invalid(_) => Heard::Word(successor::Input::Garbled),
-                Received::Closed => Heard::Word(successor::Input::Ended),
+                Received::Message(message, _) => Heard::Word(successor::Event::Message(message)),
+                Received::Invalid(_) => Heard::Word(successor::Event::InvalidFrame),
+                Received::Closed => Heard::Word(successor::Event::PredecessorExited),
             };
             let last = matches!(
                 heard,
-                Heard::Word(successor::Input::Garbled | successor::Input::Ended)
+                Heard::Word(successor::Event::InvalidFrame | successor::Event::PredecessorExited)
             );
             if tell.send(heard).is_err() || queue.send(Input::Notice(Notice::Done)).is_err() || last {
                 return;
@@ -220,24 +226,27 @@
             match heard {
                 Heard::Moved(moved) => owner.adopt(now, moved),
                 Heard::Member(member, stream) => owner.adopt_connection(now, member, stream),
-                Heard::Word(successor::Input::Heard(HandoverMessage::CoServing(words))) => {
+                Heard::Word(successor::Event::Message(HandoverMessage::CoServing(words))) => {
                     let answer = bind(owner, now, &mut self.joint, &words);
                     answer.iter().for_each(|m| self.say(m));
                 }
                 Heard::Word(input) => {
-                    if matches!(input, successor::Input::Garbled | successor::Input::Ended) {
+                    if matches!(
+                        input,
+                        successor::Event::InvalidFrame | successor::Event::PredecessorExited
+                    ) {
                         self.ended = true;
                         // Nothing of the former one is out any more.
                         owner.share(now, false, false);
                         owner.figures.open_from_beside = 0;
                         log!(owner.observer, now, "upgrade", "the former process has left");
                     }
-                    effects.extend(self.machine.take(machine_now, input));
+                    effects.extend(self.machine.on_event(machine_now, input));
                 }
             }
         }
-        if self.machine.next_at() <= machine_now {
-            effects.extend(self.machine.take(machine_now, successor::Input::Time));
+        if self.machine.next_deadline() <= machine_now {
+            effects.extend(self.machine.on_event(machine_now, successor::Event::TimerElapsed));
         }
         let given_up = self.witness.take_if(|w| !w.is_on());
         if given_up.is_some() {
@@ -250,9 +259,9 @@
         }
         for effect in effects {
             match effect {
-                successor::Effect::Say(message) => self.say(&message),
-                successor::Effect::Accept => owner.pause(false),
-                successor::Effect::Tell(text) => {
+                successor::Action::Send(message) => self.say(&message),
+                successor::Action::StartAccepting => owner.pause(false),
+                successor::Action::Report(text) => {
                     let took = (machine_now - self.started).0 / 1000;
                     log!(
                         owner.observer,
@@ -269,14 +278,14 @@
             told.iter().for_each(|m| self.say(m));
         }
         // Whoever is proven, or alone, answers for its clients itself; not before the former one was told so.
-        if self.machine.phase == successor::Phase::Owner {
+        if self.machine.phase == successor::Phase::Serving {
             self.witness.take().inspect(Witness::stop);
         }
     }
 
     /// In the service's own time.
     pub fn next_at(&self, now: Timestamp) -> Timestamp {
-        match self.machine.next_at() {
+        match self.machine.next_deadline() {
             Timestamp(u64::MAX) => Timestamp(u64::MAX),
             at => now + (at - self.machine_now()),
         }
@@ -284,6 +293,6 @@
 
     /// The service is this process's alone, and no client is to come from the former one any more.
     pub fn is_over(&self) -> bool {
-        self.ended && self.machine.phase == successor::Phase::Owner
+        self.ended && self.machine.phase == successor::Phase::Serving
     }
 }
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -12,7 +12,7 @@
 use asterlatch_handover::co_serving::Joint;
 use asterlatch_handover::codec::{send, FrameReader, Received};
 use asterlatch_handover::message::{Client, HandoverMessage};
-use asterlatch_handover::predecessor::{self, Old, Told};
+use asterlatch_handover::predecessor::{self, Predecessor, Progress};
 use rustix::event::EventfdFlags;
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
 use std::ffi::OsString;
@@ -28,10 +28,10 @@
 
 /// The side that serves.
 pub struct Upgrades {
-    machine: Old,
+    machine: Predecessor,
     queue: Sender<Input>,
-    tell: Sender<predecessor::Input>,
-    heard: Receiver<predecessor::Input>,
+    tell: Sender<predecessor::Event>,
+    heard: Receiver<predecessor::Event>,
     asks: Receiver<Ask>,
     /// Says what goes to the new process, and its end, while there is one.
     link: Option<Link>,
@@ -57,7 +57,7 @@
     pub fn new(settings: u64, queue: Sender<Input>, asks: Receiver<Ask>) -> Upgrades {
         let (tell, heard) = channel();
         Upgrades {
-            machine: Old::new(predecessor::Times::default()),
+            machine: Predecessor::new(predecessor::Timeouts::default()),
             queue,
             tell,
             heard,
@@ -89,8 +89,8 @@
             reply.map(|mut r| writeln!(r, "failed: {why}"));
             return;
         }
-        let effects = self.machine.take(now, predecessor::Input::Ask);
-        if effects.contains(&predecessor::Effect::Tell(Told::Busy)) {
+        let effects = self.machine.on_event(now, predecessor::Event::UpgradeRequested);
+        if effects.contains(&predecessor::Action::Report(Progress::Busy)) {
             // Whoever asked before is still to be told of that one.
             log!(
                 owner.observer,
@@ -125,7 +125,7 @@
     /// Has the other process know what binds both.
     fn tell_joint(&mut self, owner: &mut Owner<Log>) {
         // Else they are for the side that took over to tell.
-        if self.machine.is_shared() {
+        if self.machine.is_co_serving() {
             let told = words(owner, &mut self.joint);
             told.into_iter().for_each(|m| self.say(m, Vec::new()));
         }
@@ -133,7 +133,7 @@
 
     /// The process is told to leave.
     pub fn leave(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
-        self.take(owner, now, predecessor::Input::Leave);
+        self.take(owner, now, predecessor::Event::ShutdownRequested);
     }
 
     pub fn steer(&mut self, owner: &mut Owner<Log>, now: Timestamp, may_begin: bool) {
@@ -145,42 +145,42 @@
             }
         }
         while let Ok(input) = self.heard.try_recv() {
-            if let predecessor::Input::Heard(HandoverMessage::CoServing(words)) = &input {
+            if let predecessor::Event::Message(HandoverMessage::CoServing(words)) = &input {
                 let answer = bind(owner, now, &mut self.joint, words);
                 answer.into_iter().for_each(|m| self.say(m, Vec::new()));
             }
-            if let predecessor::Input::Heard(HandoverMessage::ConnectionMissing(handed)) = &input {
+            if let predecessor::Event::Message(HandoverMessage::ConnectionMissing(handed)) = &input {
                 self.kept.missing(*handed);
                 owner.figures.clients_cut += 1;
             }
             self.take(owner, now, input);
         }
-        if self.machine.next_at() <= now {
-            self.take(owner, now, predecessor::Input::Time);
+        if self.machine.next_deadline() <= now {
+            self.take(owner, now, predecessor::Event::TimerElapsed);
         }
         self.move_clients(owner, now);
         self.tell_joint(owner);
     }
 
     pub fn next_at(&self) -> Timestamp {
-        self.machine.next_at()
+        self.machine.next_deadline()
     }
 
     /// From the next phase on.
-    pub fn bound(&mut self, times: predecessor::Times) {
+    pub fn bound(&mut self, times: predecessor::Timeouts) {
         self.machine.times = times;
     }
 
-    fn take(&mut self, owner: &mut Owner<Log>, now: Timestamp, input: predecessor::Input) {
-        let effects = self.machine.take(now, input);
+    fn take(&mut self, owner: &mut Owner<Log>, now: Timestamp, input: predecessor::Event) {
+        let effects = self.machine.on_event(now, input);
         self.carry_out(owner, now, effects);
     }
 
-    fn carry_out(&mut self, owner: &mut Owner<Log>, now: Timestamp, effects: Vec<predecessor::Effect>) {
+    fn carry_out(&mut self, owner: &mut Owner<Log>, now: Timestamp, effects: Vec<predecessor::Action>) {
         for effect in effects {
             match effect {
-                predecessor::Effect::Start => self.start(),
-                predecessor::Effect::SendState => match written(owner, now, self.settings) {
+                predecessor::Action::StartSuccessor => self.start(),
+                predecessor::Action::SendState => match written(owner, now, self.settings) {
                     Ok(bytes) => match self.beside(owner) {
                         Ok(beside) => self.say(HandoverMessage::State(bytes), beside),
                         // It isn't told anything, and is known by that.
@@ -193,43 +193,43 @@
                         "the state can't be written out: {e}"
                     ),
                 },
-                predecessor::Effect::Say(message) => self.say(message, Vec::new()),
-                predecessor::Effect::ServeBeside => {
+                predecessor::Action::Send(message) => self.say(message, Vec::new()),
+                predecessor::Action::StartCoServing => {
                     self.joint = Joint::default();
                     owner.share(now, true, true);
                 }
-                predecessor::Effect::StopAccepting => owner.pause(true),
-                predecessor::Effect::ServeAlone => {
+                predecessor::Action::StopAccepting => owner.pause(true),
+                predecessor::Action::ResumeServingAlone => {
                     owner.share(now, false, false);
                     owner.figures.open_from_beside = 0;
                     owner.pause(false);
                 }
-                predecessor::Effect::SendAway => owner.hand_clients_over(),
-                predecessor::Effect::TakeBack => self.take_back(owner, now),
-                predecessor::Effect::Kill => self.kill(),
-                predecessor::Effect::Leave => {
+                predecessor::Action::MoveClients => owner.hand_clients_over(),
+                predecessor::Action::ReclaimClients => self.take_back(owner, now),
+                predecessor::Action::KillSuccessor => self.kill(),
+                predecessor::Action::Drain => {
                     self.kept.clear();
                     self.is_over = true;
                 }
-                predecessor::Effect::Tell(told) => self.told(owner, now, &told),
+                predecessor::Action::Report(told) => self.told(owner, now, &told),
             }
         }
     }
 
-    fn told(&mut self, owner: &mut Owner<Log>, now: Timestamp, told: &Told) {
+    fn told(&mut self, owner: &mut Owner<Log>, now: Timestamp, told: &Progress) {
         let text = match told {
-            Told::Asked => format!("begun, to {} as process {}", self.binary.display(), self.pid),
-            Told::Busy => "not begun: another one is under way, or this process leaves".to_owned(),
-            Told::Committed => "the new process could serve and is told to".to_owned(),
-            Told::Done => "done, the service is the new process's".to_owned(),
-            Told::Failed(why) => format!("failed, this process serves on: {why}"),
+            Progress::Requested => format!("begun, to {} as process {}", self.binary.display(), self.pid),
+            Progress::Busy => "not begun: another one is under way, or this process leaves".to_owned(),
+            Progress::Committed => "the new process could serve and is told to".to_owned(),
+            Progress::Done => "done, the service is the new process's".to_owned(),
+            Progress::Failed(why) => format!("failed, this process serves on: {why}"),
         };
         log!(owner.observer, now, "upgrade", "{text}");
         if let Some(reply) = &mut self.reply {
             // Whoever asked may have gone.
             let _ = writeln!(reply, "{text}");
         }
-        if matches!(told, Told::Busy | Told::Done | Told::Failed(_)) {
+        if matches!(told, Progress::Busy | Progress::Done | Progress::Failed(_)) {
             self.reply = None;
         }
     }
@@ -336,7 +336,7 @@
             Ok((pid, child, link)) => (self.pid, self.child, self.link) = (pid, Some(child), Some(link)),
             Err(e) => {
                 let why = format!("{}: {e}", self.binary.display());
-                let _ = self.tell.send(predecessor::Input::NotStarted(why));
+                let _ = self.tell.send(predecessor::Event::StartFailed(why));
                 let _ = self.queue.send(Input::Notice(Notice::Done));
             }
         }
@@ -365,7 +365,7 @@
 /// Starts the new process with this one's arguments, and the threads that talk to it.
 fn begin(
     binary: &Path,
-    tell: &Sender<predecessor::Input>,
+    tell: &Sender<predecessor::Event>,
     queue: &Sender<Input>,
     pending: &Arc<AtomicUsize>,
 ) -> io::Result<(u32, OwnedFd, Link)> {
@@ -416,11 +416,11 @@
         let mut reader = FrameReader::new(ours);
         loop {
             let input = match reader.read() {
-                Received::Message(message, _) => predecessor::Input::Heard(message),
-                Received::Invalid(_) => predecessor::Input::Garbled,
+                Received::Message(message, _) => predecessor::Event::Message(message),
+                Received::Invalid(_) => predecessor::Event::InvalidFrame,
                 Received::Closed => break,
             };
-            let garbled = input == predecessor::Input::Garbled;
+            let garbled = input == predecessor::Event::InvalidFrame;
             if tell.send(input).is_err() || queue.send(Input::Notice(Notice::Done)).is_err() || garbled {
                 break;
             }
@@ -428,7 +428,7 @@
         // A closed socket is no end: only the kernel's word is.
         let _ = child.wait();
         ledger.try_iter().for_each(|reads| drop(reads.join()));
-        let _ = tell.send(predecessor::Input::Ended);
+        let _ = tell.send(predecessor::Event::SuccessorExited);
         let _ = queue.send(Input::Notice(Notice::Done));
     };
     std::thread::Builder::new()
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -116,14 +116,14 @@
         ("log.lines", force.lines_a_second.to_string()),
         ("upgrade.hello", serving.hello.0.to_string()),
         ("upgrade.ready", serving.ready.0.to_string()),
-        ("upgrade.taken", serving.taken.0.to_string()),
+        ("upgrade.taken", serving.commit_acknowledged.0.to_string()),
         (
             "upgrade.silence of the serving process",
-            serving.beat.0.to_string(),
+            serving.heartbeat.0.to_string(),
         ),
-        ("upgrade.ready twice", taking.patience.0.to_string()),
-        ("upgrade.silence", taking.silence.0.to_string()),
-        ("upgrade.beat", taking.beat.0.to_string()),
+        ("upgrade.ready twice", taking.predecessor_response.0.to_string()),
+        ("upgrade.silence", taking.predecessor_heartbeat.0.to_string()),
+        ("upgrade.beat", taking.heartbeat_interval.0.to_string()),
         ("upgrade.probation", taking.probation.0.to_string()),
     ]);
     for (name, own) in &force.workloads {
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -118,7 +118,7 @@
     assert_eq!((force.times, force.stacks), (Times::default(), Stacks::default()));
     assert_eq!(
         force.takeover,
-        (predecessor::Times::default(), successor::Times::default())
+        (predecessor::Timeouts::default(), successor::Timeouts::default())
     );
     assert_eq!(
         (force.lines_a_second, force.workloads.len()),
--- a/crates/driver/tests/upgrade.rs
+++ b/crates/driver/tests/upgrade.rs
@@ -327,7 +327,7 @@
         ("no program", stage.folder.write("text", "not a program"), "Permission denied"),
         ("exits with 0", script("zero", "exit 0"), "the new process ended"),
         ("crashes", script("crash", "kill -SEGV $$"), "the new process ended"),
-        ("hangs", script("hang", "exec sleep 1000"), "was silent while Offered"),
+        ("hangs", script("hang", "exec sleep 1000"), "was silent while AwaitingHello"),
         ("says rubbish", script("rubbish", "eval \"head -c 4000 /dev/zero >&$ASTERLATCH_TAKEOVER\"; exec sleep 1000"), "what can't be read"),
     ];
     for (n, (name, binary, words)) in cases.iter().enumerate() {
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -28,13 +28,13 @@
 pub mod successor;
 
 /// A condition and an effect: nothing where it doesn't hold.
-type Rule<M, E> = fn(&mut M) -> Option<Vec<E>>;
+type Rule<M, A> = fn(&mut M) -> Option<Vec<A>>;
 
 /// Goes through the rules in their order, again and again, until none fires.
-fn go_through<M, E>(rules: &[Rule<M, E>], machine: &mut M) -> Vec<E> {
-    let mut effects = Vec::new();
+fn run_rules<M, A>(rules: &[Rule<M, A>], machine: &mut M) -> Vec<A> {
+    let mut actions = Vec::new();
     while let Some(more) = rules.iter().find_map(|rule| rule(machine)) {
-        effects.extend(more);
+        actions.extend(more);
     }
-    effects
+    actions
 }
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -2,7 +2,7 @@
 //! proven, or where the old one leaves, is gone or has fallen silent.
 
 use crate::message::{HandoverMessage, VERSION};
-use crate::{go_through, Rule};
+use crate::{run_rules, Rule};
 use asterlatch::time::{TimeSpan, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -13,127 +13,129 @@
     /// It serves; the old one accepts for it.
     Probation,
     /// The service is its own.
-    Owner,
+    Serving,
     /// It never served, and ends.
-    Over,
+    Aborted,
 }
 
 /// How long the old one may take, how long it may be silent on probation before this one accepts in its place, how often
 /// it is told that this one lives, and how long that goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Times {
-    pub patience: TimeSpan,
-    pub silence: TimeSpan,
-    pub beat: TimeSpan,
+pub struct Timeouts {
+    pub predecessor_response: TimeSpan,
+    pub predecessor_heartbeat: TimeSpan,
+    pub heartbeat_interval: TimeSpan,
     pub probation: TimeSpan,
 }
 
-impl Default for Times {
-    fn default() -> Times {
-        Times {
-            patience: TimeSpan::millis(20_000),
-            silence: TimeSpan::millis(5000),
-            beat: TimeSpan::millis(1000),
+impl Default for Timeouts {
+    fn default() -> Timeouts {
+        Timeouts {
+            predecessor_response: TimeSpan::millis(20_000),
+            predecessor_heartbeat: TimeSpan::millis(5000),
+            heartbeat_interval: TimeSpan::millis(1000),
             probation: TimeSpan::millis(10_000),
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Input {
+pub enum Event {
     /// It runs.
-    Start,
-    Heard(HandoverMessage),
-    Garbled,
+    Started,
+    Message(HandoverMessage),
+    InvalidFrame,
     /// State and listener came, and this process could serve with them, or why not.
     Loaded(Result<(), String>),
     /// The old process is gone.
-    Ended,
-    Time,
+    PredecessorExited,
+    TimerElapsed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Effect {
-    Say(HandoverMessage),
-    Load(Vec<u8>),
+pub enum Action {
+    Send(HandoverMessage),
+    LoadState(Vec<u8>),
     /// Serve whom the old one hands over.
-    Serve,
+    StartServing,
     /// Accept clients.
-    Accept,
+    StartAccepting,
     /// End this process, which never served.
-    End(String),
-    Tell(&'static str),
+    Abort(String),
+    Report(&'static str),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct New {
+pub struct Successor {
     pub phase: Phase,
-    times: Times,
-    until: Timestamp,
+    times: Timeouts,
+    deadline: Timestamp,
     /// When the next sign of life is due here, the last of all, and the next of the old one.
-    beats_at: Timestamp,
-    proven_at: Timestamp,
-    silent_at: Timestamp,
-    accepts: bool,
+    next_heartbeat_at: Timestamp,
+    probation_ends_at: Timestamp,
+    predecessor_timeout_at: Timestamp,
+    is_accepting: bool,
     now: Timestamp,
-    input: Option<Input>,
+    event: Option<Event>,
 }
 
-const RULES: [Rule<New, Effect>; 12] = [
-    New::greet,
-    New::load,
-    New::ready,
-    New::serve,
-    New::hear,
-    New::replace,
-    New::outlive,
-    New::stand_in,
-    New::prove,
-    New::say_beat,
-    New::give_up,
-    New::pass_over,
+const RULES: [Rule<Successor, Action>; 12] = [
+    Successor::send_hello,
+    Successor::load_state,
+    Successor::report_load_result,
+    Successor::start_probation,
+    Successor::on_heartbeat,
+    Successor::on_accept_clients,
+    Successor::on_predecessor_exited,
+    Successor::on_predecessor_timeout,
+    Successor::pass_probation,
+    Successor::send_heartbeat,
+    Successor::abort,
+    Successor::ignore_event,
 ];
 
-impl New {
-    pub fn begin(times: Times) -> New {
-        New {
+impl Successor {
+    pub fn new(times: Timeouts) -> Successor {
+        Successor {
             phase: Phase::Started,
             times,
-            until: Timestamp(u64::MAX),
-            beats_at: Timestamp(u64::MAX),
-            proven_at: Timestamp(u64::MAX),
-            silent_at: Timestamp(u64::MAX),
-            accepts: false,
+            deadline: Timestamp(u64::MAX),
+            next_heartbeat_at: Timestamp(u64::MAX),
+            probation_ends_at: Timestamp(u64::MAX),
+            predecessor_timeout_at: Timestamp(u64::MAX),
+            is_accepting: false,
             now: Timestamp(0),
-            input: None,
+            event: None,
         }
     }
 
-    pub fn next_at(&self) -> Timestamp {
+    pub fn next_deadline(&self) -> Timestamp {
         if self.phase != Phase::Probation {
-            return self.until;
+            return self.deadline;
         }
-        let silent_at = if self.accepts {
+        let predecessor_timeout_at = if self.is_accepting {
             Timestamp(u64::MAX)
         } else {
-            self.silent_at
+            self.predecessor_timeout_at
         };
-        self.beats_at.min(self.proven_at).min(silent_at)
+        self.next_heartbeat_at
+            .min(self.probation_ends_at)
+            .min(predecessor_timeout_at)
     }
 
-    pub fn take(&mut self, now: Timestamp, input: Input) -> Vec<Effect> {
-        (self.now, self.input) = (now, Some(input));
-        go_through(&RULES, self)
+    pub fn on_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
+        (self.now, self.event) = (now, Some(event));
+        run_rules(&RULES, self)
     }
 
     /// Counts all times from now on: what a checker of the protocol tells states apart by must not grow with the clock.
     pub fn rebase(&mut self) {
         let now = self.now;
         let times = [
-            &mut self.until,
-            &mut self.beats_at,
-            &mut self.proven_at,
-            &mut self.silent_at,
+            &mut self.deadline,
+            &mut self.next_heartbeat_at,
+            &mut self.probation_ends_at,
+            &mut self.predecessor_timeout_at,
         ];
         for at in times.into_iter().filter(|at| **at < Timestamp(u64::MAX)) {
             *at = Timestamp(0) + (*at - now);
@@ -141,145 +143,151 @@
         self.now = Timestamp(0);
     }
 
-    fn go(&mut self, phase: Phase, within: Option<TimeSpan>) {
+    fn enter_phase(&mut self, phase: Phase, within: Option<TimeSpan>) {
         self.phase = phase;
-        self.until = within.map_or(Timestamp(u64::MAX), |w| self.now + w);
-        self.input = None;
+        self.deadline = within.map_or(Timestamp(u64::MAX), |w| self.now + w);
+        self.event = None;
     }
 
-    fn greet(&mut self) -> Option<Vec<Effect>> {
-        if self.phase != Phase::Started || self.input != Some(Input::Start) {
+    fn send_hello(&mut self) -> Option<Vec<Action>> {
+        if self.phase != Phase::Started || self.event != Some(Event::Started) {
             return None;
         }
-        self.go(Phase::Started, Some(self.times.patience));
-        Some(vec![Effect::Say(HandoverMessage::Hello { version: VERSION })])
+        self.enter_phase(Phase::Started, Some(self.times.predecessor_response));
+        Some(vec![Action::Send(HandoverMessage::Hello { version: VERSION })])
     }
 
-    fn load(&mut self) -> Option<Vec<Effect>> {
+    fn load_state(&mut self) -> Option<Vec<Action>> {
         let started = self.phase == Phase::Started;
-        let state = |i: &mut Input| started && matches!(i, Input::Heard(HandoverMessage::State(_)));
-        match self.input.take_if(state)? {
-            Input::Heard(HandoverMessage::State(bytes)) => Some(vec![Effect::Load(bytes)]),
+        let state = |i: &mut Event| started && matches!(i, Event::Message(HandoverMessage::State(_)));
+        match self.event.take_if(state)? {
+            Event::Message(HandoverMessage::State(bytes)) => Some(vec![Action::LoadState(bytes)]),
             _ => None,
         }
     }
 
-    fn ready(&mut self) -> Option<Vec<Effect>> {
+    fn report_load_result(&mut self) -> Option<Vec<Action>> {
         if self.phase != Phase::Started {
             return None;
         }
-        match self.input.take_if(|i| matches!(i, Input::Loaded(_)))? {
-            Input::Loaded(Err(why)) => {
-                self.go(Phase::Over, None);
-                let say = Effect::Say(HandoverMessage::LoadFailed(why.clone()));
-                Some(vec![say, Effect::End(why)])
+        match self.event.take_if(|i| matches!(i, Event::Loaded(_)))? {
+            Event::Loaded(Err(why)) => {
+                self.enter_phase(Phase::Aborted, None);
+                let say = Action::Send(HandoverMessage::LoadFailed(why.clone()));
+                Some(vec![say, Action::Abort(why)])
             }
             _ => {
-                self.go(Phase::Loaded, Some(self.times.patience));
-                Some(vec![Effect::Say(HandoverMessage::Ready)])
+                self.enter_phase(Phase::Loaded, Some(self.times.predecessor_response));
+                Some(vec![Action::Send(HandoverMessage::Ready)])
             }
         }
     }
 
-    fn serve(&mut self) -> Option<Vec<Effect>> {
-        if self.phase != Phase::Loaded || self.input != Some(Input::Heard(HandoverMessage::Commit)) {
+    fn start_probation(&mut self) -> Option<Vec<Action>> {
+        if self.phase != Phase::Loaded || self.event != Some(Event::Message(HandoverMessage::Commit)) {
             return None;
         }
-        self.go(Phase::Probation, None);
-        self.beats_at = self.now + self.times.beat;
-        self.proven_at = self.now + self.times.probation;
-        self.silent_at = self.now + self.times.silence;
-        let taken = Effect::Say(HandoverMessage::CommitAcknowledged);
-        Some(vec![Effect::Serve, taken, Effect::Tell("serves, on probation")])
+        self.enter_phase(Phase::Probation, None);
+        self.next_heartbeat_at = self.now + self.times.heartbeat_interval;
+        self.probation_ends_at = self.now + self.times.probation;
+        self.predecessor_timeout_at = self.now + self.times.predecessor_heartbeat;
+        let taken = Action::Send(HandoverMessage::CommitAcknowledged);
+        Some(vec![
+            Action::StartServing,
+            taken,
+            Action::Report("serves, on probation"),
+        ])
     }
 
-    fn hears(&self, message: &HandoverMessage) -> bool {
-        let heard = matches!(&self.input, Some(Input::Heard(m)) if m == message);
+    fn has_message(&self, message: &HandoverMessage) -> bool {
+        let heard = matches!(&self.event, Some(Event::Message(m)) if m == message);
         self.phase == Phase::Probation && heard
     }
 
-    fn hear(&mut self) -> Option<Vec<Effect>> {
-        if !self.hears(&HandoverMessage::Heartbeat) {
+    fn on_heartbeat(&mut self) -> Option<Vec<Action>> {
+        if !self.has_message(&HandoverMessage::Heartbeat) {
             return None;
         }
-        self.input = None;
-        self.silent_at = self.now + self.times.silence;
+        self.event = None;
+        self.predecessor_timeout_at = self.now + self.times.predecessor_heartbeat;
         Some(Vec::new())
     }
 
     /// Accepts from now on, where it doesn't yet.
-    fn begin_to_accept(&mut self, why: &'static str) -> Vec<Effect> {
-        let begins = !std::mem::replace(&mut self.accepts, true);
-        let accept = begins.then_some(Effect::Accept);
-        accept.into_iter().chain([Effect::Tell(why)]).collect()
+    fn start_accepting(&mut self, why: &'static str) -> Vec<Action> {
+        let begins = !std::mem::replace(&mut self.is_accepting, true);
+        let accept = begins.then_some(Action::StartAccepting);
+        accept.into_iter().chain([Action::Report(why)]).collect()
     }
 
     /// The old one leaves before this one is proven.
-    fn replace(&mut self) -> Option<Vec<Effect>> {
-        if !self.hears(&HandoverMessage::AcceptClients) {
+    fn on_accept_clients(&mut self) -> Option<Vec<Action>> {
+        if !self.has_message(&HandoverMessage::AcceptClients) {
             return None;
         }
-        self.input = None;
-        Some(self.begin_to_accept("accepts, for the former process leaves"))
+        self.event = None;
+        Some(self.start_accepting("accepts, for the former process leaves"))
     }
 
     /// The old one died on the way: this one goes on.
-    fn outlive(&mut self) -> Option<Vec<Effect>> {
-        if self.phase != Phase::Probation || !matches!(self.input, Some(Input::Ended | Input::Garbled)) {
+    fn on_predecessor_exited(&mut self) -> Option<Vec<Action>> {
+        if self.phase != Phase::Probation
+            || !matches!(self.event, Some(Event::PredecessorExited | Event::InvalidFrame))
+        {
             return None;
         }
-        self.go(Phase::Owner, None);
-        Some(self.begin_to_accept("the former process is gone, the service is this one's"))
+        self.enter_phase(Phase::Serving, None);
+        Some(self.start_accepting("the former process is gone, the service is this one's"))
     }
 
     fn is_due(&self, at: Timestamp) -> bool {
-        self.phase == Phase::Probation && self.input == Some(Input::Time) && self.now >= at
+        self.phase == Phase::Probation && self.event == Some(Event::TimerElapsed) && self.now >= at
     }
 
     /// The old one hangs: newcomers would wait for as long as it does. Should it go on, both accept, which does no harm.
-    fn stand_in(&mut self) -> Option<Vec<Effect>> {
-        if self.accepts || !self.is_due(self.silent_at) {
+    fn on_predecessor_timeout(&mut self) -> Option<Vec<Action>> {
+        if self.is_accepting || !self.is_due(self.predecessor_timeout_at) {
             return None;
         }
-        Some(self.begin_to_accept("accepts, for the former process is silent"))
+        Some(self.start_accepting("accepts, for the former process is silent"))
     }
 
-    fn prove(&mut self) -> Option<Vec<Effect>> {
-        if !self.is_due(self.proven_at) {
+    fn pass_probation(&mut self) -> Option<Vec<Action>> {
+        if !self.is_due(self.probation_ends_at) {
             return None;
         }
-        self.go(Phase::Owner, None);
-        let mut effects = vec![Effect::Say(HandoverMessage::ProbationPassed)];
-        effects.extend(self.begin_to_accept("proven, the service is this one's"));
-        Some(effects)
+        self.enter_phase(Phase::Serving, None);
+        let mut actions = vec![Action::Send(HandoverMessage::ProbationPassed)];
+        actions.extend(self.start_accepting("proven, the service is this one's"));
+        Some(actions)
     }
 
-    fn say_beat(&mut self) -> Option<Vec<Effect>> {
-        if !self.is_due(self.beats_at) {
+    fn send_heartbeat(&mut self) -> Option<Vec<Action>> {
+        if !self.is_due(self.next_heartbeat_at) {
             return None;
         }
-        self.beats_at = self.now + self.times.beat;
-        Some(vec![Effect::Say(HandoverMessage::Heartbeat)])
+        self.next_heartbeat_at = self.now + self.times.heartbeat_interval;
+        Some(vec![Action::Send(HandoverMessage::Heartbeat)])
     }
 
     /// Nothing was told to serve, so nothing is served: the old one does, or nobody, as without this one.
-    fn give_up(&mut self) -> Option<Vec<Effect>> {
+    fn abort(&mut self) -> Option<Vec<Action>> {
         if !matches!(self.phase, Phase::Started | Phase::Loaded) {
             return None;
         }
-        let why = match self.input.as_ref()? {
-            Input::Ended => "the former process is gone before the commit",
-            Input::Garbled => "the former process sent what can't be read",
-            Input::Heard(HandoverMessage::CoServing(_)) => return None,
-            Input::Heard(_) => "the former process said what makes no sense here",
-            Input::Time if self.now >= self.until => "the former process was silent for too long",
+        let why = match self.event.as_ref()? {
+            Event::PredecessorExited => "the former process is gone before the commit",
+            Event::InvalidFrame => "the former process sent what can't be read",
+            Event::Message(HandoverMessage::CoServing(_)) => return None,
+            Event::Message(_) => "the former process said what makes no sense here",
+            Event::TimerElapsed if self.now >= self.deadline => "the former process was silent for too long",
             _ => return None,
         };
-        self.go(Phase::Over, None);
-        Some(vec![Effect::End(why.to_owned())])
+        self.enter_phase(Phase::Aborted, None);
+        Some(vec![Action::Abort(why.to_owned())])
     }
 
-    fn pass_over(&mut self) -> Option<Vec<Effect>> {
-        self.input.take().map(|_| Vec::new())
+    fn ignore_event(&mut self) -> Option<Vec<Action>> {
+        self.event.take().map(|_| Vec::new())
     }
 }
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -38,16 +38,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    old: predecessor::Old,
+    old: predecessor::Predecessor,
     /// Effects decided on and not yet done: a process may die between any two.
-    old_todo: Vec<predecessor::Effect>,
+    old_todo: Vec<predecessor::Action>,
     old_alive: bool,
     old_accepts: bool,
     old_left: bool,
     /// Clients move to the new one between two statements.
     moving: bool,
-    new: Option<successor::New>,
-    new_todo: Vec<successor::Effect>,
+    new: Option<successor::Successor>,
+    new_todo: Vec<successor::Action>,
     new_alive: bool,
     new_accepts: bool,
     /// A signal on its way.
@@ -102,85 +102,91 @@
     deaths: u8,
 }
 
-fn old_times() -> predecessor::Times {
+fn old_times() -> predecessor::Timeouts {
     let one = TimeSpan::millis(10);
-    predecessor::Times {
+    predecessor::Timeouts {
         hello: one,
         ready: one,
-        taken: one,
-        beat: one,
+        commit_acknowledged: one,
+        heartbeat: one,
     }
 }
 
-fn new_times() -> successor::Times {
-    successor::Times {
-        patience: TimeSpan::millis(10),
-        silence: TimeSpan::millis(10),
-        beat: TimeSpan::millis(10),
+fn new_times() -> successor::Timeouts {
+    successor::Timeouts {
+        predecessor_response: TimeSpan::millis(10),
+        predecessor_heartbeat: TimeSpan::millis(10),
+        heartbeat_interval: TimeSpan::millis(10),
         probation: TimeSpan::millis(20),
     }
 }
 
 impl Takeover {
-    fn old_takes(&self, w: &mut World, late: bool, input: predecessor::Input) {
-        let now = if late { w.old.next_at() } else { Timestamp(0) };
-        let mut effects = w.old.take(now, input);
+    fn old_takes(&self, w: &mut World, late: bool, input: predecessor::Event) {
+        let now = if late { w.old.next_deadline() } else { Timestamp(0) };
+        let mut effects = w.old.on_event(now, input);
         w.old.rebase();
-        if self.mistake == Some(Mistake::LeaveAtOnce) && effects.contains(&predecessor::Effect::SendAway) {
-            effects.push(predecessor::Effect::Leave);
+        if self.mistake == Some(Mistake::LeaveAtOnce) && effects.contains(&predecessor::Action::MoveClients) {
+            effects.push(predecessor::Action::Drain);
         }
-        if self.mistake == Some(Mistake::TakeBackAtOnce) && effects.contains(&predecessor::Effect::Kill) {
-            effects.push(predecessor::Effect::TakeBack);
+        if self.mistake == Some(Mistake::TakeBackAtOnce)
+            && effects.contains(&predecessor::Action::KillSuccessor)
+        {
+            effects.push(predecessor::Action::ReclaimClients);
         }
         if self.mistake == Some(Mistake::TakeNobodyBack) {
-            effects.retain(|e| *e != predecessor::Effect::TakeBack);
+            effects.retain(|e| *e != predecessor::Action::ReclaimClients);
         }
         if self.mistake == Some(Mistake::LeaveSilently) {
-            effects.retain(|e| *e != predecessor::Effect::Say(HandoverMessage::AcceptClients));
+            effects.retain(|e| *e != predecessor::Action::Send(HandoverMessage::AcceptClients));
         }
-        effects.retain(|e| !matches!(e, predecessor::Effect::Tell(_)));
+        effects.retain(|e| !matches!(e, predecessor::Action::Report(_)));
         w.old_todo.extend(effects);
     }
 
-    fn new_takes(&self, w: &mut World, late: bool, input: successor::Input) {
+    fn new_takes(&self, w: &mut World, late: bool, input: successor::Event) {
         let Some(machine) = &mut w.new else { return };
-        let now = if late { machine.next_at() } else { Timestamp(0) };
-        let mut effects = machine.take(now, input);
+        let now = if late {
+            machine.next_deadline()
+        } else {
+            Timestamp(0)
+        };
+        let mut effects = machine.on_event(now, input);
         machine.rebase();
         if self.mistake == Some(Mistake::AcceptWhenReady)
-            && effects.contains(&successor::Effect::Say(HandoverMessage::Ready))
+            && effects.contains(&successor::Action::Send(HandoverMessage::Ready))
         {
-            effects.push(successor::Effect::Accept);
+            effects.push(successor::Action::StartAccepting);
         }
-        effects.retain(|e| !matches!(e, successor::Effect::Tell(_)));
+        effects.retain(|e| !matches!(e, successor::Action::Report(_)));
         w.new_todo.extend(effects);
     }
 
     fn old_does(&self, w: &mut World) {
         match w.old_todo.remove(0) {
-            predecessor::Effect::Start => {
-                w.new = Some(successor::New::begin(new_times()));
+            predecessor::Action::StartSuccessor => {
+                w.new = Some(successor::Successor::new(new_times()));
                 (w.new_alive, w.new_accepts) = (true, false);
                 (w.to_old, w.to_new, w.new_todo) = (Vec::new(), Vec::new(), Vec::new());
-                self.new_takes(w, false, successor::Input::Start);
+                self.new_takes(w, false, successor::Event::Started);
             }
-            predecessor::Effect::SendState => w.to_new.push(HandoverMessage::State(Vec::new())),
-            predecessor::Effect::Say(message) => w.to_new.push(message),
-            predecessor::Effect::StopAccepting => w.old_accepts = false,
-            predecessor::Effect::ServeAlone => (w.old_accepts, w.moving) = (true, false),
-            predecessor::Effect::TakeBack => self.take_back(w),
-            predecessor::Effect::Kill => w.killing = true,
-            predecessor::Effect::Leave => {
+            predecessor::Action::SendState => w.to_new.push(HandoverMessage::State(Vec::new())),
+            predecessor::Action::Send(message) => w.to_new.push(message),
+            predecessor::Action::StopAccepting => w.old_accepts = false,
+            predecessor::Action::ResumeServingAlone => (w.old_accepts, w.moving) = (true, false),
+            predecessor::Action::ReclaimClients => self.take_back(w),
+            predecessor::Action::KillSuccessor => w.killing = true,
+            predecessor::Action::Drain => {
                 // It goes when it holds nobody.
                 if w.client == With::Old {
-                    w.old_todo.insert(0, predecessor::Effect::Leave);
+                    w.old_todo.insert(0, predecessor::Action::Drain);
                     return;
                 }
                 (w.old_alive, w.old_accepts, w.old_left) = (false, false, true);
                 w.to_old.clear();
             }
-            predecessor::Effect::SendAway => w.moving = true,
-            predecessor::Effect::ServeBeside | predecessor::Effect::Tell(_) => {}
+            predecessor::Action::MoveClients => w.moving = true,
+            predecessor::Action::StartCoServing | predecessor::Action::Report(_) => {}
         }
     }
 
@@ -201,12 +207,12 @@
 
     fn new_does(&self, w: &mut World) {
         match w.new_todo.remove(0) {
-            successor::Effect::Say(message) if w.old_alive => w.to_old.push(message),
-            successor::Effect::Say(_) | successor::Effect::Tell(_) => {}
-            successor::Effect::Load(_) => self.new_takes(w, false, successor::Input::Loaded(Ok(()))),
-            successor::Effect::Serve => {}
-            successor::Effect::Accept => w.new_accepts = true,
-            successor::Effect::End(_) => new_dies(w),
+            successor::Action::Send(message) if w.old_alive => w.to_old.push(message),
+            successor::Action::Send(_) | successor::Action::Report(_) => {}
+            successor::Action::LoadState(_) => self.new_takes(w, false, successor::Event::Loaded(Ok(()))),
+            successor::Action::StartServing => {}
+            successor::Action::StartAccepting => w.new_accepts = true,
+            successor::Action::Abort(_) => new_dies(w),
         }
     }
 }
@@ -227,7 +233,7 @@
 
     fn init_states(&self) -> Vec<World> {
         vec![World {
-            old: predecessor::Old::new(old_times()),
+            old: predecessor::Predecessor::new(old_times()),
             old_todo: Vec::new(),
             old_alive: true,
             old_accepts: true,
@@ -258,7 +264,10 @@
         let mut may = |possible: bool, step: Step| steps.extend(possible.then_some(step));
         let old_idle = w.old_alive && w.old_todo.is_empty();
         let new_idle = w.new_alive && w.new_todo.is_empty();
-        let new_timer = w.new.as_ref().is_some_and(|n| n.next_at() < Timestamp(u64::MAX));
+        let new_timer = w
+            .new
+            .as_ref()
+            .is_some_and(|n| n.next_deadline() < Timestamp(u64::MAX));
         may(old_idle && w.upgrades < 2, Step::Ask);
         may(old_idle && w.leaves < 1, Step::Leave);
         may(w.old_alive && !w.old_todo.is_empty(), Step::OldDoes);
@@ -268,7 +277,7 @@
         // Signs of life that nobody hears teach nothing more from the second on.
         let heard = |queue: &Vec<HandoverMessage>| queue.len() < 2;
         may(
-            old_idle && w.old.next_at() < Timestamp(u64::MAX) && heard(&w.to_new),
+            old_idle && w.old.next_deadline() < Timestamp(u64::MAX) && heard(&w.to_new),
             Step::OldLate,
         );
         may(new_idle && new_timer && heard(&w.to_old), Step::NewLate);
@@ -317,17 +326,17 @@
         match step {
             Step::Ask => {
                 w.upgrades += 1;
-                self.old_takes(&mut w, false, predecessor::Input::Ask);
+                self.old_takes(&mut w, false, predecessor::Event::UpgradeRequested);
             }
             Step::Leave => {
                 w.leaves += 1;
-                self.old_takes(&mut w, false, predecessor::Input::Leave);
+                self.old_takes(&mut w, false, predecessor::Event::ShutdownRequested);
             }
             Step::OldDoes => self.old_does(&mut w),
             Step::NewDoes => self.new_does(&mut w),
             Step::OldHears => {
                 let message = w.to_old.remove(0);
-                self.old_takes(&mut w, false, predecessor::Input::Heard(message));
+                self.old_takes(&mut w, false, predecessor::Event::Message(message));
             }
             Step::NewHears => {
                 let message = w.to_new.remove(0);
@@ -337,23 +346,23 @@
                     w.new_owns |= w.old_owns;
                     return Some(w);
                 }
-                self.new_takes(&mut w, false, successor::Input::Heard(message));
+                self.new_takes(&mut w, false, successor::Event::Message(message));
             }
             Step::NewIsUnfit => {
                 w.to_new.remove(0);
                 self.new_takes(
                     &mut w,
                     false,
-                    successor::Input::Loaded(Err("bad file".to_owned())),
+                    successor::Event::Loaded(Err("bad file".to_owned())),
                 );
             }
-            Step::OldLate => self.old_takes(&mut w, true, predecessor::Input::Time),
-            Step::NewLate => self.new_takes(&mut w, true, successor::Input::Time),
+            Step::OldLate => self.old_takes(&mut w, true, predecessor::Event::TimerElapsed),
+            Step::NewLate => self.new_takes(&mut w, true, successor::Event::TimerElapsed),
             Step::OldSeesEnd => {
                 w.new = None;
-                self.old_takes(&mut w, false, predecessor::Input::Ended);
+                self.old_takes(&mut w, false, predecessor::Event::SuccessorExited);
             }
-            Step::NewSeesEnd => self.new_takes(&mut w, false, successor::Input::Ended),
+            Step::NewSeesEnd => self.new_takes(&mut w, false, successor::Event::PredecessorExited),
             Step::SignalArrives => new_dies(&mut w),
             Step::OldDies => {
                 w.deaths += 1;
@@ -389,8 +398,8 @@
             Property::always(
                 "the new one accepts before it is proven only for one that leaves, hangs or is gone",
                 |_, w: &World| {
-                    let proven = |n: &successor::New| {
-                        matches!(n.phase, successor::Phase::Probation | successor::Phase::Owner)
+                    let proven = |n: &successor::Successor| {
+                        matches!(n.phase, successor::Phase::Probation | successor::Phase::Serving)
                     };
                     !w.new_accepts || w.new.as_ref().is_some_and(proven)
                 },
@@ -422,7 +431,7 @@
                 w.judged
             }),
             Property::always("where nobody accepts, something is on its way", |_, w: &World| {
-                let timers = w.old.next_at() < Timestamp(u64::MAX);
+                let timers = w.old.next_deadline() < Timestamp(u64::MAX);
                 let old = w.old_alive && (!w.old_todo.is_empty() || timers || !w.to_old.is_empty());
                 let end_unseen = w.old_alive && w.new.is_some() && !w.new_alive;
                 let new = w.new_alive && (!w.new_todo.is_empty() || !w.to_new.is_empty() || w.killing);
@@ -433,7 +442,10 @@
             Property::always(
                 "the old one leaves only a service that is the new one's",
                 |_, w: &World| {
-                    let proven = w.new.as_ref().is_some_and(|n| n.phase == successor::Phase::Owner);
+                    let proven = w
+                        .new
+                        .as_ref()
+                        .is_some_and(|n| n.phase == successor::Phase::Serving);
                     !w.old_left || proven
                 },
             ),
@@ -466,7 +478,9 @@
                 !w.old_alive
                     && !w.old_left
                     && w.new_accepts
-                    && w.new.as_ref().is_some_and(|n| n.phase == successor::Phase::Owner)
+                    && w.new
+                        .as_ref()
+                        .is_some_and(|n| n.phase == successor::Phase::Serving)
             }),
         ]
     }
