--- a/crates/driver/src/program/kept.rs
+++ b/crates/driver/src/program/kept.rs
@@ -3,8 +3,10 @@
 use crate::routing::owner::Moved;
 use crate::transport::witness::{counts, has_given_up};
 use asterlatch_handover::codec::{FrameReader, Received};
-use asterlatch_handover::io_journal::{Back, Broken, Counts, Key, Ledger, Record};
-use asterlatch_handover::message::Client;
+use asterlatch_handover::io_journal::{
+    ClientRecovery, ConnectionKey, JournalRecord, JournalReplay, ReplayError, SocketByteCounts,
+};
+use asterlatch_handover::message::ClientState;
 use std::collections::BTreeMap;
 use std::net::{Shutdown, TcpStream};
 use std::os::fd::OwnedFd;
@@ -15,14 +17,14 @@
 #[derive(Default)]
 struct Table {
     /// None where nothing is known of the clients any more.
-    ledger: Option<Ledger>,
+    ledger: Option<JournalReplay>,
     /// Each with what the kernel had counted of it when the other process began.
-    sockets: BTreeMap<Key, (TcpStream, Counts)>,
-    broken: Option<Broken>,
+    sockets: BTreeMap<ConnectionKey, (TcpStream, SocketByteCounts)>,
+    broken: Option<ReplayError>,
 }
 
 impl Table {
-    fn give_up(&mut self, broken: Broken) {
+    fn give_up(&mut self, broken: ReplayError) {
         (self.ledger, self.broken) = (None, Some(broken));
         self.sockets.clear();
     }
@@ -45,7 +47,7 @@
 impl Kept {
     pub fn new(most: usize) -> Kept {
         let kept = Kept::default();
-        kept.table().ledger = Some(Ledger::new(most));
+        kept.table().ledger = Some(JournalReplay::new(most));
         kept
     }
 
@@ -54,12 +56,12 @@
     }
 
     /// A client goes to the other process; where no copy of its connection can be had it will be cut.
-    pub fn hand_over(&self, client: Client, stream: &TcpStream) {
+    pub fn hand_over(&self, client: ClientState, stream: &TcpStream) {
         let mut table = self.table();
         let table = &mut *table;
         let Some(ledger) = &mut table.ledger else { return };
-        let key = Key::Handed(client.handed);
-        if let Err(broken) = ledger.hand_over(client) {
+        let key = ConnectionKey::Transfer(client.transfer_id);
+        if let Err(broken) = ledger.begin_transfer(client) {
             return table.give_up(broken);
         }
         // Nobody reads or writes it in this moment.
@@ -72,30 +74,35 @@
     pub fn missing(&self, handed: u64) {
         let mut table = self.table();
         if let Some(ledger) = &mut table.ledger {
-            ledger.missing(handed);
+            ledger.cancel_transfer(handed);
         }
-        table.sockets.remove(&Key::Handed(handed));
+        table.sockets.remove(&ConnectionKey::Transfer(handed));
     }
 
-    fn take(&self, record: Record, descriptor: Option<OwnedFd>) {
+    fn take(&self, record: JournalRecord, descriptor: Option<OwnedFd>) {
         let mut table = self.table();
         let table = &mut *table;
         let Some(ledger) = &mut table.ledger else { return };
         match record {
-            Record::Arrived { client } => {
+            JournalRecord::Accepted { client } => {
                 if let Some(descriptor) = descriptor {
-                    let socket = (TcpStream::from(descriptor), Counts::default());
-                    table.sockets.insert(Key::Client(client), socket);
+                    let socket = (TcpStream::from(descriptor), SocketByteCounts::default());
+                    table.sockets.insert(ConnectionKey::Client(client), socket);
                 }
             }
-            Record::Adopted { client, handed } => {
-                let socket = table.sockets.remove(&Key::Handed(handed));
-                table.sockets.extend(socket.map(|s| (Key::Client(client), s)));
+            JournalRecord::Adopted {
+                client,
+                transfer_id: handed,
+            } => {
+                let socket = table.sockets.remove(&ConnectionKey::Transfer(handed));
+                table
+                    .sockets
+                    .extend(socket.map(|s| (ConnectionKey::Client(client), s)));
             }
-            Record::Gone { client } => drop(table.sockets.remove(&Key::Client(client))),
+            JournalRecord::Closed { client } => drop(table.sockets.remove(&ConnectionKey::Client(client))),
             _ => {}
         }
-        if let Err(broken) = ledger.take(record) {
+        if let Err(broken) = ledger.apply(record) {
             table.give_up(broken);
         }
     }
@@ -104,11 +111,11 @@
     pub fn follow(&self, socket: UnixStream) -> std::io::Result<JoinHandle<()>> {
         let kept = self.clone();
         let read = move || {
-            let mut reader = FrameReader::<Record>::new(socket);
+            let mut reader = FrameReader::<JournalRecord>::new(socket);
             loop {
                 match reader.read() {
                     Received::Message(record, beside) => kept.take(record, beside.into_iter().next()),
-                    Received::Invalid(_) => kept.table().give_up(Broken::Senseless),
+                    Received::Invalid(_) => kept.table().give_up(ReplayError::Inconsistent),
                     Received::Closed => return,
                 }
             }
@@ -139,16 +146,16 @@
             return back;
         }
         let since = |key| {
-            let (socket, base): &(TcpStream, Counts) = sockets.get(&key)?;
+            let (socket, base): &(TcpStream, SocketByteCounts) = sockets.get(&key)?;
             let all = counts(socket).ok()?;
-            Some(Counts {
+            Some(SocketByteCounts {
                 read: all.read.checked_sub(base.read)?,
                 written: all.written.checked_sub(base.written)?,
             })
         };
-        for (key, outcome) in ledger.settle(since) {
+        for (key, outcome) in ledger.recover_clients(since) {
             match (outcome, sockets.remove(&key)) {
-                (Back::GoesOn(client, verdicts), Some((stream, _))) => {
+                (ClientRecovery::Resume(client, verdicts), Some((stream, _))) => {
                     back.clients.push(Moved::from(client, None, stream, verdicts));
                 }
                 (_, socket) => {
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -8,7 +8,7 @@
 use super::log::Log;
 use crate::routing::owner::Owner;
 use asterlatch::time::Timestamp;
-use asterlatch_handover::co_serving::{Joint, Word};
+use asterlatch_handover::co_serving::{CoServingMessage, CoServingState};
 use asterlatch_handover::message::HandoverMessage;
 pub use control::{control, request};
 pub use new::{inherited, Takeover};
@@ -21,20 +21,22 @@
 fn bind(
     owner: &mut Owner<Log>,
     now: Timestamp,
-    joint: &mut Joint,
-    words: &[Word],
+    joint: &mut CoServingState,
+    words: &[CoServingMessage],
 ) -> Option<HandoverMessage> {
     words.iter().for_each(|word| owner.bind(now, word));
-    let answer = joint.heard(words);
-    owner.figures.open_from_beside = joint.beside();
+    let answer = joint.on_messages(words);
+    owner.figures.open_from_beside = joint.peer_in_flight();
     answer.map(|word| HandoverMessage::CoServing(vec![word]))
 }
 
 /// What the other process is to know that binds both: drains that were heard here, and what is out.
-fn words(owner: &mut Owner<Log>, joint: &mut Joint) -> Option<HandoverMessage> {
+fn words(owner: &mut Owner<Log>, joint: &mut CoServingState) -> Option<HandoverMessage> {
     let drains = std::mem::take(&mut owner.drains);
-    let drains = drains.iter().filter_map(|(m, since)| joint.drains(m, *since));
-    let mut words: Vec<Word> = drains.collect();
-    words.extend(joint.open(owner.out()));
+    let drains = drains
+        .iter()
+        .filter_map(|(m, since)| joint.drain_update(m, *since));
+    let mut words: Vec<CoServingMessage> = drains.collect();
+    words.extend(joint.in_flight_updates(owner.out()));
     (!words.is_empty()).then_some(HandoverMessage::CoServing(words))
 }
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -8,9 +8,9 @@
 use crate::routing::queue::{Input, Notice};
 use crate::transport::witness::Witness;
 use asterlatch::time::Timestamp;
-use asterlatch_handover::co_serving::Joint;
+use asterlatch_handover::co_serving::CoServingState;
 use asterlatch_handover::codec::{monotonic_micros, send, FrameReader, Received};
-use asterlatch_handover::io_journal::Verdicts;
+use asterlatch_handover::io_journal::StatementVerdicts;
 use asterlatch_handover::message::HandoverMessage;
 use asterlatch_handover::successor::{self, Successor};
 use std::net::{TcpListener, TcpStream};
@@ -38,7 +38,7 @@
     /// To write the ledger into, and to give it up with.
     ledger: Option<(UnixStream, OwnedFd)>,
     witness: Option<Witness>,
-    joint: Joint,
+    joint: CoServingState,
     started: Timestamp,
 }
 
@@ -66,7 +66,7 @@
         listener: None,
         ledger: None,
         witness: None,
-        joint: Joint::default(),
+        joint: CoServingState::default(),
         started: Timestamp(monotonic_micros()),
     }))
 }
@@ -191,10 +191,14 @@
                 Received::Message(HandoverMessage::ClientConnection(client), descriptors) => {
                     let Some(stream) = descriptors.into_iter().next() else {
                         // The kernel drops what a process has no descriptor for.
-                        let _ = send(&socket, &HandoverMessage::ConnectionMissing(client.handed), &[]);
+                        let _ = send(
+                            &socket,
+                            &HandoverMessage::ConnectionMissing(client.transfer_id),
+                            &[],
+                        );
                         continue;
                     };
-                    let (handed, verdicts) = (Some(client.handed), Verdicts::default());
+                    let (handed, verdicts) = (Some(client.transfer_id), StatementVerdicts::default());
                     Heard::Moved(Moved::from(client, handed, stream.into(), verdicts))
                 }
                 Received::Message(HandoverMessage::MemberConnection(member), descriptors) => {
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -9,9 +9,9 @@
 use crate::routing::queue::{Input, Notice};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::capacity_check;
-use asterlatch_handover::co_serving::Joint;
+use asterlatch_handover::co_serving::CoServingState;
 use asterlatch_handover::codec::{send, FrameReader, Received};
-use asterlatch_handover::message::{Client, HandoverMessage};
+use asterlatch_handover::message::{ClientState, HandoverMessage};
 use asterlatch_handover::predecessor::{self, Predecessor, Progress};
 use rustix::event::EventfdFlags;
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
@@ -41,7 +41,7 @@
     given_up: Option<OwnedFd>,
     handed: u64,
     /// What the new process was told that binds both.
-    joint: Joint,
+    joint: CoServingState,
     /// Messages with a client or a member's connection that have not left yet.
     pending: Arc<AtomicUsize>,
     child: Option<OwnedFd>,
@@ -66,7 +66,7 @@
             kept: Kept::default(),
             given_up: None,
             handed: 0,
-            joint: Joint::default(),
+            joint: CoServingState::default(),
             pending: Arc::default(),
             child: None,
             pid: 0,
@@ -84,7 +84,7 @@
     }
 
     fn ask(&mut self, owner: &mut Owner<Log>, now: Timestamp, binary: PathBuf, reply: Option<UnixStream>) {
-        if let Err(why) = capacity_check::check(&Upgrades::measure(owner)) {
+        if let Err(why) = capacity_check::check_capacity(&Upgrades::measure(owner)) {
             log!(owner.observer, now, "upgrade", "not begun: {why}");
             reply.map(|mut r| writeln!(r, "failed: {why}"));
             return;
@@ -106,19 +106,19 @@
     }
 
     /// What both processes would have and need. What the kernel doesn't tell is taken for nothing.
-    fn measure(owner: &Owner<Log>) -> capacity_check::Room {
+    fn measure(owner: &Owner<Log>) -> capacity_check::ResourceUsage {
         let held = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
         let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
         let pages: u64 = pages.split(' ').nth(1).and_then(|p| p.parse().ok()).unwrap_or(0);
         let (clients, messages) = owner.held();
         let (descriptors, memory) = owner.most();
-        capacity_check::Room {
-            descriptors,
-            held,
-            clients,
-            memory: memory as u64,
-            resident: pages * rustix::param::page_size() as u64,
-            messages: messages as u64,
+        capacity_check::ResourceUsage {
+            descriptor_limit: descriptors,
+            open_descriptors: held,
+            client_connections: clients,
+            memory_limit: memory as u64,
+            resident_memory: pages * rustix::param::page_size() as u64,
+            message_memory: messages as u64,
         }
     }
 
@@ -195,7 +195,7 @@
                 },
                 predecessor::Action::Send(message) => self.say(message, Vec::new()),
                 predecessor::Action::StartCoServing => {
-                    self.joint = Joint::default();
+                    self.joint = CoServingState::default();
                     owner.share(now, true, true);
                 }
                 predecessor::Action::StopAccepting => owner.pause(true),
@@ -307,11 +307,11 @@
                 continue;
             }
             self.handed += 1;
-            let client = Client {
-                handed: self.handed,
-                opened: moved.standing.opened,
-                has_asked: moved.has_asked,
-                skip: moved.standing.skip as u64,
+            let client = ClientState {
+                transfer_id: self.handed,
+                startup_complete: moved.standing.opened,
+                has_sent_statement: moved.has_asked,
+                bytes_to_skip: moved.standing.skip as u64,
                 input: moved.standing.input,
             };
             self.kept.hand_over(client.clone(), &moved.stream);
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/session.rs
@@ -6,7 +6,7 @@
 use crate::transport::stream::{Dialogue, Outbox};
 use crate::transport::witness::Witness;
 use asterlatch::time::Timestamp;
-use asterlatch_handover::io_journal::Record;
+use asterlatch_handover::io_journal::JournalRecord;
 use std::collections::VecDeque;
 use std::net::TcpStream;
 use std::os::fd::AsFd;
@@ -220,7 +220,7 @@
         self
     }
 
-    fn note(&self, record: impl FnOnce() -> Record) {
+    fn note(&self, record: impl FnOnce() -> JournalRecord) {
         if let Some(witness) = self.witness.as_ref().filter(|w| w.is_on()) {
             witness.put(&record(), None);
         }
@@ -229,13 +229,13 @@
     /// So many bytes are to be written that answer all before `dealt`.
     fn says(&mut self, length: usize, dealt: u64) {
         self.said += length as u64;
-        self.note(|| Record::Says {
+        self.note(|| JournalRecord::Write {
             client: self.client,
             length: length as u64,
-            settled: self.settled,
-            dealt,
-            opened: self.state == State::Open,
-            skip: self.skip as u64,
+            written_to: self.settled,
+            answered_to: dealt,
+            startup_complete: self.state == State::Open,
+            bytes_to_skip: self.skip as u64,
         });
     }
 
@@ -426,8 +426,14 @@
         let Some(witness) = &self.witness else { return };
         let client = self.client;
         match self.handed {
-            Some(handed) => witness.put(&Record::Adopted { client, handed }, None),
-            None => witness.put(&Record::Arrived { client }, Some(stream.as_fd())),
+            Some(handed) => witness.put(
+                &JournalRecord::Adopted {
+                    client,
+                    transfer_id: handed,
+                },
+                None,
+            ),
+            None => witness.put(&JournalRecord::Accepted { client }, Some(stream.as_fd())),
         }
     }
 
@@ -440,9 +446,9 @@
     }
 
     fn reads(&mut self, bytes: &[u8]) {
-        self.note(|| Record::Reads {
+        self.note(|| JournalRecord::Read {
             client: self.client,
-            settled: self.settled,
+            written_to: self.settled,
             bytes: bytes.to_vec(),
         });
     }
@@ -550,7 +556,7 @@
 
     fn ended(&mut self, _at: Timestamp, out: &mut Outbox<Heard>) {
         self.state = State::Over;
-        self.note(|| Record::Gone { client: self.client });
+        self.note(|| JournalRecord::Closed { client: self.client });
         out.notices.push(Heard::Gone { client: self.client });
     }
 
--- a/crates/driver/src/routing/owner/beside.rs
+++ b/crates/driver/src/routing/owner/beside.rs
@@ -10,8 +10,8 @@
 use asterlatch::interface::{Answer, MemberUpdate, Settings};
 use asterlatch::policy;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_handover::co_serving::Word;
-use asterlatch_handover::io_journal::{Verdict, Verdicts};
+use asterlatch_handover::co_serving::CoServingMessage;
+use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use std::collections::BTreeMap;
 use std::net::{TcpListener, TcpStream};
 
@@ -57,19 +57,22 @@
     }
 
     /// Takes over what binds both processes. A member that is not known here gets nothing from here.
-    pub fn bind(&mut self, now: Timestamp, word: &Word) {
+    pub fn bind(&mut self, now: Timestamp, word: &CoServingMessage) {
         let results = match word {
-            Word::Open { member, count } => self.members.find(member).map(|m| {
+            CoServingMessage::InFlight { member, count } => self.members.find(member).map(|m| {
                 self.module
                     .on_member_update(now, m, MemberUpdate::InFlight(*count as usize))
             }),
-            Word::Drains { member, since_ms } => self.members.find(member).map(|m| {
+            CoServingMessage::Draining {
+                member,
+                started_ms: since_ms,
+            } => self.members.find(member).map(|m| {
                 self.errands.let_go(m);
                 self.figures.drains_from_beside += 1;
                 self.module
                     .on_member_update(now, m, MemberUpdate::Draining(vitals::unix(*since_ms)))
             }),
-            Word::Heard => None,
+            CoServingMessage::Acknowledged => None,
         };
         if let Some(results) = results {
             self.carry_out(now, results);
@@ -119,7 +122,7 @@
         match (self.adopt)(id, moved.stream, moved.standing) {
             Ok(line) => {
                 // Its news lie in the queue, and come behind this.
-                if moved.verdicts != Verdicts::default() {
+                if moved.verdicts != StatementVerdicts::default() {
                     self.verdicts.insert(id, moved.verdicts);
                 }
                 self.arrived(now, Arrival::Client(id, line));
@@ -137,21 +140,21 @@
         let Some(verdicts) = self.verdicts.get(&client) else {
             return false;
         };
-        let verdict = verdicts.of(end);
-        if verdicts.is_over(end) {
+        let verdict = verdicts.verdict_for(end);
+        if verdicts.is_past_last(end) {
             self.verdicts.remove(&client);
         }
         let (stmt, hold_off) = (0, TimeSpan(0));
         let (count, answer) = match verdict {
-            Verdict::Open => return false,
-            Verdict::Rejected => (
+            StatementVerdict::Unread => return false,
+            StatementVerdict::Rejected => (
                 &mut self.figures.taken_back_rejected,
                 Answer::Rejected {
                     statement: stmt,
                     retry_after: hold_off,
                 },
             ),
-            Verdict::Aborted => (
+            StatementVerdict::Aborted => (
                 &mut self.figures.taken_back_aborted,
                 Answer::Aborted { statement: stmt },
             ),
--- a/crates/driver/src/routing/owner/mod.rs
+++ b/crates/driver/src/routing/owner/mod.rs
@@ -27,7 +27,7 @@
 use asterlatch::interface::*;
 use asterlatch::policy;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_handover::io_journal::Verdicts;
+use asterlatch_handover::io_journal::StatementVerdicts;
 use asterlatch_handover::message as moving;
 use asterlatch_settings::Decoding;
 use std::collections::{BTreeMap, VecDeque};
@@ -64,19 +64,24 @@
     pub standing: client::Standing,
     pub has_asked: bool,
     /// How what was read from it by a process that has died is to be answered.
-    pub verdicts: Verdicts,
+    pub verdicts: StatementVerdicts,
 }
 
 impl Moved {
     /// As another process tells of it, under this number of the ledger where one keeps it.
-    pub fn from(client: moving::Client, handed: Option<u64>, stream: TcpStream, verdicts: Verdicts) -> Moved {
+    pub fn from(
+        client: moving::ClientState,
+        handed: Option<u64>,
+        stream: TcpStream,
+        verdicts: StatementVerdicts,
+    ) -> Moved {
         let standing = client::Standing {
-            opened: client.opened,
-            skip: client.skip as usize,
+            opened: client.startup_complete,
+            skip: client.bytes_to_skip as usize,
             input: client.input,
             handed,
         };
-        let has_asked = client.has_asked;
+        let has_asked = client.has_sent_statement;
         Moved {
             stream,
             standing,
@@ -166,7 +171,7 @@
     pub drains: Vec<(String, u64)>,
     witness: Option<Witness>,
     /// Clients of a process that has died, some of whose statements may have run.
-    verdicts: BTreeMap<u32, Verdicts>,
+    verdicts: BTreeMap<u32, StatementVerdicts>,
     /// By workload: a statement that may have run does no harm when its client repeats it.
     harmless: Vec<bool>,
     /// Idle connections to members that are to go on in another process.
@@ -475,7 +480,7 @@
                     stream,
                     standing,
                     has_asked,
-                    verdicts: Verdicts::default(),
+                    verdicts: StatementVerdicts::default(),
                 });
             }
             client::Heard::Gone { client } => {
--- a/crates/driver/src/routing/owner/sending.rs
+++ b/crates/driver/src/routing/owner/sending.rs
@@ -6,7 +6,7 @@
 use crate::routing::errands::{Errand, Kind, Start, Up};
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
-use asterlatch_handover::io_journal::Record;
+use asterlatch_handover::io_journal::JournalRecord;
 
 impl<O: Observer> Owner<O> {
     /// Gives the errand a connection.
@@ -69,10 +69,10 @@
         };
         if let (Kind::Execution { stmt, .. }, Some(witness)) = (errand.kind, &self.witness) {
             if let Some((client, end, harmless)) = self.statements.place(stmt).filter(|_| witness.is_on()) {
-                let out = Record::Out {
+                let out = JournalRecord::Dispatched {
                     client,
                     end,
-                    harmless,
+                    is_retry_safe: harmless,
                 };
                 witness.put(&out, None);
             }
--- a/crates/driver/src/transport/witness.rs
+++ b/crates/driver/src/transport/witness.rs
@@ -2,7 +2,7 @@
 //! when this one is killed: what was written into its socket outlives the writer.
 
 use asterlatch_handover::codec::send;
-use asterlatch_handover::io_journal::{Counts, Record};
+use asterlatch_handover::io_journal::{JournalRecord, SocketByteCounts};
 use std::ffi::c_void;
 use std::io::{self, ErrorKind};
 use std::net::TcpStream;
@@ -45,7 +45,7 @@
     }
 
     /// Returns once the record is with the kernel, or nothing is written down any more.
-    pub fn put(&self, record: &Record, beside: Option<BorrowedFd>) {
+    pub fn put(&self, record: &JournalRecord, beside: Option<BorrowedFd>) {
         if !self.is_on() {
             return;
         }
@@ -102,7 +102,7 @@
 /// How much was read from a socket and written to it in its whole life, whoever did it. Nobody may read or write it
 /// meanwhile; its peer may: an acknowledgement or a byte that comes between two of the kernel's answers would else be
 /// counted twice or not at all, and its client be taken for one with half an answer.
-pub fn counts(stream: &TcpStream) -> io::Result<Counts> {
+pub fn counts(stream: &TcpStream) -> io::Result<SocketByteCounts> {
     for _ in 0..LOOKS {
         let before = info(stream)?;
         let unread = rustix::io::ioctl_fionread(stream)?;
@@ -113,7 +113,7 @@
         }
         let (state, acked, received) = info(stream)?;
         if before == (state, acked, received) {
-            return Ok(Counts {
+            return Ok(SocketByteCounts {
                 read: received.saturating_sub(unread + u64::from(ENDED.contains(&state))),
                 written: acked + u64::try_from(unsent).unwrap_or(0),
             });
--- a/crates/handover/src/io_journal.rs
+++ b/crates/handover/src/io_journal.rs
@@ -5,54 +5,58 @@
 //! Offsets count the bytes of one client in one direction from where the new process began with it: first those that were
 //! handed over with the client, then those that come from its socket.
 
-use crate::message::{Client, Framed};
+use crate::message::{ClientState, Framed};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A line of the ledger. `client` is the new process's number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Record {
+pub enum JournalRecord {
     /// The new process has accepted a client, whose connection lies beside.
-    Arrived { client: u32 },
+    Accepted { client: u32 },
     /// The client that was handed over under this number.
-    Adopted { client: u32, handed: u64 },
+    Adopted { client: u32, transfer_id: u64 },
     /// These bytes lie at the socket, and are read next. What was said before is known to be out up to `settled`.
-    Reads {
+    Read {
         client: u32,
-        settled: u64,
+        written_to: u64,
         bytes: Vec<u8>,
     },
     /// The statement that ends at this offset goes to a member now: from here on it may have run. Whether that is
     /// harmless to repeat.
-    Out { client: u32, end: u64, harmless: bool },
+    Dispatched {
+        client: u32,
+        end: u64,
+        is_retry_safe: bool,
+    },
     /// So many bytes are written next. Once they are out, all that was read before `dealt` has its answer, and the client
     /// stands so.
-    Says {
+    Write {
         client: u32,
         length: u64,
-        settled: u64,
-        dealt: u64,
-        opened: bool,
-        skip: u64,
+        written_to: u64,
+        answered_to: u64,
+        startup_complete: bool,
+        bytes_to_skip: u64,
     },
     /// The new process has ended this connection, or its client has.
-    Gone { client: u32 },
+    Closed { client: u32 },
 }
 
-impl Framed for Record {
+impl Framed for JournalRecord {
     /// It may hold as much as is read at once.
     const MAX_LENGTH: usize = 1024 * 1024;
     /// One whose writer died in the middle of it is too short, and stays unread: what it announced was not done.
     const IS_HASHED: bool = false;
 
     fn descriptor_count(&self) -> usize {
-        usize::from(matches!(self, Record::Arrived { .. }))
+        usize::from(matches!(self, JournalRecord::Accepted { .. }))
     }
 }
 
 /// What the kernel counts of a socket since then.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counts {
+pub struct SocketByteCounts {
     /// Bytes that were read from it.
     pub read: u64,
     /// Bytes that were written to it.
@@ -60,264 +64,272 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Said {
+struct PendingWrite {
     end: u64,
-    dealt: u64,
-    opened: bool,
-    skip: u64,
+    answered_to: u64,
+    startup_complete: bool,
+    bytes_to_skip: u64,
     /// Among what it answers is more than the startup.
-    asked: bool,
+    answers_statement: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Account {
-    opened: bool,
-    has_asked: bool,
-    skip: u64,
+struct ClientReplay {
+    startup_complete: bool,
+    has_sent_statement: bool,
+    bytes_to_skip: u64,
     /// Bytes from `dealt` on.
     input: Vec<u8>,
-    dealt: u64,
+    answered_to: u64,
     /// How many of all came along with the client.
-    brought: u64,
+    transferred_length: u64,
     /// Where ends what was said, and what of it is known to be out.
-    said_to: u64,
-    out_to: u64,
-    said: VecDeque<Said>,
+    announced_to: u64,
+    written_to: u64,
+    pending_writes: VecDeque<PendingWrite>,
     /// Statements that went out, by where they end, and whether that is harmless to repeat.
-    out: BTreeMap<u64, bool>,
+    dispatched: BTreeMap<u64, bool>,
 }
 
 /// What becomes of a client whose process has died.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Back {
+pub enum ClientRecovery {
     /// What was read from it and has no answer yet is its input: statements that end within are answered by the verdicts,
     /// a message that is not whole yet goes on.
-    GoesOn(Client, Verdicts),
+    Resume(ClientState, StatementVerdicts),
     /// It has part of an answer, or bytes of it are lost: nothing whole can be said to it any more.
-    Cut,
+    Disconnect,
 }
 
 /// How each statement is to be answered that the dead process had read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Verdicts {
-    upto: u64,
-    out: BTreeMap<u64, bool>,
+pub struct StatementVerdicts {
+    read_to: u64,
+    dispatched: BTreeMap<u64, bool>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum StatementVerdict {
     /// It never went out, or did and is harmless to repeat: the client may ask again.
     Rejected,
     /// It may have been executed.
     Aborted,
     /// The dead process hadn't read it whole: it is a statement like any other.
-    Open,
+    Unread,
 }
 
-impl Verdicts {
+impl StatementVerdicts {
     /// Of the statement that ends at this offset of what was taken back.
-    pub fn of(&self, end: u64) -> Verdict {
-        match self.out.get(&end) {
-            _ if end > self.upto => Verdict::Open,
-            Some(false) => Verdict::Aborted,
-            Some(true) | None => Verdict::Rejected,
+    pub fn verdict_for(&self, end: u64) -> StatementVerdict {
+        match self.dispatched.get(&end) {
+            _ if end > self.read_to => StatementVerdict::Unread,
+            Some(false) => StatementVerdict::Aborted,
+            Some(true) | None => StatementVerdict::Rejected,
         }
     }
 
     /// Whether one that ends later could need a verdict.
-    pub fn is_over(&self, end: u64) -> bool {
-        end >= self.upto
+    pub fn is_past_last(&self, end: u64) -> bool {
+        end >= self.read_to
     }
 }
 
 /// All clients that the new process has, as far as it wrote that down.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Ledger {
-    handed: BTreeMap<u64, Client>,
-    clients: BTreeMap<u32, Account>,
+pub struct JournalReplay {
+    transfers: BTreeMap<u64, ClientState>,
+    clients: BTreeMap<u32, ClientReplay>,
     /// Bytes kept, and the most that may be.
-    kept: usize,
-    most: usize,
+    memory_used: usize,
+    memory_limit: usize,
 }
 
 /// Why a ledger can't be gone on with: the clients in it are the new process's alone from then on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Broken {
+pub enum ReplayError {
     /// More is kept than there is room for.
-    Full,
+    MemoryExceeded,
     /// It says what makes no sense: of a client that is not there, or of an offset that is not reached.
-    Senseless,
+    Inconsistent,
 }
 
 /// For each client that is known, beside its bytes.
-const ENTRY: usize = 256;
+const CLIENT_OVERHEAD: usize = 256;
 
-fn on_its_way(client: &Client) -> usize {
-    ENTRY + client.input.len()
+fn transfer_memory(client: &ClientState) -> usize {
+    CLIENT_OVERHEAD + client.input.len()
 }
 
-impl Account {
-    fn begin(client: Client) -> Account {
-        Account {
-            opened: client.opened,
-            has_asked: client.has_asked,
-            skip: client.skip,
-            brought: client.input.len() as u64,
+impl ClientReplay {
+    fn from_transfer(client: ClientState) -> ClientReplay {
+        ClientReplay {
+            startup_complete: client.startup_complete,
+            has_sent_statement: client.has_sent_statement,
+            bytes_to_skip: client.bytes_to_skip,
+            transferred_length: client.input.len() as u64,
             input: client.input,
-            ..Account::default()
+            ..ClientReplay::default()
         }
     }
 
     fn read_to(&self) -> u64 {
-        self.dealt + self.input.len() as u64
+        self.answered_to + self.input.len() as u64
     }
 
     fn size(&self) -> usize {
-        ENTRY + self.input.len() + (self.out.len() + self.said.len()) * size_of::<Said>()
+        CLIENT_OVERHEAD
+            + self.input.len()
+            + (self.dispatched.len() + self.pending_writes.len()) * size_of::<PendingWrite>()
     }
 
     /// What is out is dealt with: nothing before it is needed any more.
-    fn settle(&mut self, written: u64) -> Result<(), Broken> {
-        while let Some(said) = self.said.pop_front_if(|s| s.end <= written) {
-            if said.dealt < self.dealt || said.dealt > self.read_to() {
-                return Err(Broken::Senseless);
+    fn settle(&mut self, written: u64) -> Result<(), ReplayError> {
+        while let Some(said) = self.pending_writes.pop_front_if(|s| s.end <= written) {
+            if said.answered_to < self.answered_to || said.answered_to > self.read_to() {
+                return Err(ReplayError::Inconsistent);
             }
-            self.input.drain(..(said.dealt - self.dealt) as usize);
-            (self.dealt, self.out_to) = (said.dealt, said.end);
-            (self.opened, self.skip) = (said.opened, said.skip);
-            self.out = self.out.split_off(&(said.dealt + 1));
-            self.has_asked |= said.asked;
+            self.input.drain(..(said.answered_to - self.answered_to) as usize);
+            (self.answered_to, self.written_to) = (said.answered_to, said.end);
+            (self.startup_complete, self.bytes_to_skip) = (said.startup_complete, said.bytes_to_skip);
+            self.dispatched = self.dispatched.split_off(&(said.answered_to + 1));
+            self.has_sent_statement |= said.answers_statement;
         }
         // What is passed over needn't be kept, however long it is.
-        if self.said.is_empty() {
-            let passed = self.skip.min(self.input.len() as u64);
+        if self.pending_writes.is_empty() {
+            let passed = self.bytes_to_skip.min(self.input.len() as u64);
             self.input.drain(..passed as usize);
-            (self.dealt, self.skip) = (self.dealt + passed, self.skip - passed);
+            (self.answered_to, self.bytes_to_skip) = (self.answered_to + passed, self.bytes_to_skip - passed);
         }
         Ok(())
     }
 
     /// Goes on where the dead process stopped, by what the kernel says of the socket.
-    fn back(mut self, counts: Counts) -> Back {
+    fn recover(mut self, counts: SocketByteCounts) -> ClientRecovery {
         let settled = self.settle(counts.written);
         // What was announced may not have been begun; what was begun and not ended can't be mended.
-        let whole = counts.written == self.out_to;
+        let whole = counts.written == self.written_to;
         // The last bytes announced may still lie at the socket: they will be read from there.
-        let read_to = self.brought + counts.read;
-        if settled.is_err() || !whole || read_to > self.read_to() || read_to < self.dealt {
-            return Back::Cut;
+        let read_to = self.transferred_length + counts.read;
+        if settled.is_err() || !whole || read_to > self.read_to() || read_to < self.answered_to {
+            return ClientRecovery::Disconnect;
         }
-        self.input.truncate((read_to - self.dealt) as usize);
-        let dealt = self.dealt;
-        let out = self
-            .out
+        self.input.truncate((read_to - self.answered_to) as usize);
+        let answered_to = self.answered_to;
+        let dispatched = self
+            .dispatched
             .into_iter()
-            .map(|(end, harmless)| (end - dealt, harmless));
-        let verdicts = Verdicts {
-            upto: self.input.len() as u64,
-            out: out.collect(),
+            .map(|(end, is_retry_safe)| (end - answered_to, is_retry_safe));
+        let verdicts = StatementVerdicts {
+            read_to: self.input.len() as u64,
+            dispatched: dispatched.collect(),
         };
-        let client = Client {
-            handed: 0,
-            opened: self.opened,
-            has_asked: self.has_asked,
-            skip: self.skip,
+        let client = ClientState {
+            transfer_id: 0,
+            startup_complete: self.startup_complete,
+            has_sent_statement: self.has_sent_statement,
+            bytes_to_skip: self.bytes_to_skip,
             input: self.input,
         };
-        Back::GoesOn(client, verdicts)
+        ClientRecovery::Resume(client, verdicts)
     }
 }
 
-impl Ledger {
+impl JournalReplay {
     /// With room for so many bytes.
-    pub fn new(most: usize) -> Ledger {
-        Ledger {
-            most,
-            ..Ledger::default()
+    pub fn new(memory_limit: usize) -> JournalReplay {
+        JournalReplay {
+            memory_limit,
+            ..JournalReplay::default()
         }
     }
 
     /// A client is on its way to the new process under its number.
-    pub fn hand_over(&mut self, client: Client) -> Result<(), Broken> {
-        self.kept += on_its_way(&client);
-        self.handed.insert(client.handed, client);
+    pub fn begin_transfer(&mut self, client: ClientState) -> Result<(), ReplayError> {
+        self.memory_used += transfer_memory(&client);
+        self.transfers.insert(client.transfer_id, client);
         self.bounded()
     }
 
     /// A client that was handed over didn't arrive.
-    pub fn missing(&mut self, handed: u64) {
-        self.kept -= self.handed.remove(&handed).map_or(0, |c| on_its_way(&c));
+    pub fn cancel_transfer(&mut self, transfer_id: u64) {
+        self.memory_used -= self
+            .transfers
+            .remove(&transfer_id)
+            .map_or(0, |c| transfer_memory(&c));
     }
 
-    fn bounded(&self) -> Result<(), Broken> {
-        if self.kept > self.most {
-            return Err(Broken::Full);
+    fn bounded(&self) -> Result<(), ReplayError> {
+        if self.memory_used > self.memory_limit {
+            return Err(ReplayError::MemoryExceeded);
         }
         Ok(())
     }
 
-    pub fn take(&mut self, record: Record) -> Result<(), Broken> {
+    pub fn apply(&mut self, record: JournalRecord) -> Result<(), ReplayError> {
         match record {
-            Record::Arrived { client } => {
-                self.kept += ENTRY;
-                self.clients.insert(client, Account::default());
+            JournalRecord::Accepted { client } => {
+                self.memory_used += CLIENT_OVERHEAD;
+                self.clients.insert(client, ClientReplay::default());
             }
-            Record::Adopted { client, handed } => {
+            JournalRecord::Adopted { client, transfer_id } => {
                 // Its bytes are counted already, and go along.
-                let moved = self.handed.remove(&handed).ok_or(Broken::Senseless)?;
-                self.clients.insert(client, Account::begin(moved));
+                let moved = self
+                    .transfers
+                    .remove(&transfer_id)
+                    .ok_or(ReplayError::Inconsistent)?;
+                self.clients.insert(client, ClientReplay::from_transfer(moved));
             }
-            Record::Gone { client } => {
+            JournalRecord::Closed { client } => {
                 // One that was turned away before it was written down is none of ours.
-                self.kept -= self.clients.remove(&client).map_or(0, |c| c.size());
+                self.memory_used -= self.clients.remove(&client).map_or(0, |c| c.size());
             }
-            Record::Reads {
+            JournalRecord::Read {
                 client,
-                settled,
+                written_to,
                 bytes,
             } => self.change(client, |c| {
                 c.input.extend(bytes);
-                c.settle(settled)
+                c.settle(written_to)
             })?,
-            Record::Out {
+            JournalRecord::Dispatched {
                 client,
                 end,
-                harmless,
+                is_retry_safe,
             } => {
                 let known = self.clients.contains_key(&client);
                 // Its client may have gone while it was on its way.
                 if known {
                     self.change(client, |c| {
                         if end > c.read_to() {
-                            return Err(Broken::Senseless);
+                            return Err(ReplayError::Inconsistent);
                         }
                         // One whose answer is out needs no verdict.
-                        if end > c.dealt {
-                            c.out.insert(end, harmless);
+                        if end > c.answered_to {
+                            c.dispatched.insert(end, is_retry_safe);
                         }
                         Ok(())
                     })?;
                 }
             }
-            Record::Says {
+            JournalRecord::Write {
                 client,
                 length,
-                settled,
-                dealt,
-                opened,
-                skip,
+                written_to,
+                answered_to,
+                startup_complete,
+                bytes_to_skip,
             } => self.change(client, |c| {
-                c.said_to += length;
-                let asked = c.opened && dealt > c.dealt;
-                let end = c.said_to;
-                c.said.push_back(Said {
+                c.announced_to += length;
+                let answers_statement = c.startup_complete && answered_to > c.answered_to;
+                let end = c.announced_to;
+                c.pending_writes.push_back(PendingWrite {
                     end,
-                    dealt,
-                    opened,
-                    skip,
-                    asked,
+                    answered_to,
+                    startup_complete,
+                    bytes_to_skip,
+                    answers_statement,
                 });
-                c.settle(settled)
+                c.settle(written_to)
             })?,
         }
         self.bounded()
@@ -326,35 +338,47 @@
     fn change(
         &mut self,
         client: u32,
-        change: impl FnOnce(&mut Account) -> Result<(), Broken>,
-    ) -> Result<(), Broken> {
-        let client = self.clients.get_mut(&client).ok_or(Broken::Senseless)?;
+        change: impl FnOnce(&mut ClientReplay) -> Result<(), ReplayError>,
+    ) -> Result<(), ReplayError> {
+        let client = self.clients.get_mut(&client).ok_or(ReplayError::Inconsistent)?;
         let before = client.size();
         let changed = change(client);
-        self.kept = self.kept + client.size() - before;
+        self.memory_used = self.memory_used + client.size() - before;
         changed
     }
 
     /// Clients that are on their way or known, and bytes kept of them.
-    pub fn count(&self) -> (usize, usize) {
-        (self.handed.len() + self.clients.len(), self.kept)
+    pub fn usage(&self) -> (usize, usize) {
+        (self.transfers.len() + self.clients.len(), self.memory_used)
     }
 
     /// The new process is dead: what becomes of each of its clients, those on their way first. `counts` tells what the
     /// kernel counts of a socket, or that it can't.
-    pub fn settle(self, mut counts: impl FnMut(Key) -> Option<Counts>) -> Vec<(Key, Back)> {
-        let handed = self.handed.into_iter();
-        let handed = handed.map(|(n, client)| (Key::Handed(n), Account::begin(client)));
-        let clients = self.clients.into_iter().map(|(n, c)| (Key::Client(n), c));
-        let all = handed.chain(clients);
-        let settled = all.map(|(key, client)| (key, counts(key).map_or(Back::Cut, |c| client.back(c))));
+    pub fn recover_clients(
+        self,
+        mut counts: impl FnMut(ConnectionKey) -> Option<SocketByteCounts>,
+    ) -> Vec<(ConnectionKey, ClientRecovery)> {
+        let transfer_id = self.transfers.into_iter();
+        let transfer_id =
+            transfer_id.map(|(n, client)| (ConnectionKey::Transfer(n), ClientReplay::from_transfer(client)));
+        let clients = self
+            .clients
+            .into_iter()
+            .map(|(n, c)| (ConnectionKey::Client(n), c));
+        let all = transfer_id.chain(clients);
+        let settled = all.map(|(key, client)| {
+            (
+                key,
+                counts(key).map_or(ClientRecovery::Disconnect, |c| client.recover(c)),
+            )
+        });
         settled.collect()
     }
 }
 
 /// By what number a client is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Key {
-    Handed(u64),
+pub enum ConnectionKey {
+    Transfer(u64),
     Client(u32),
 }
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,6 +1,6 @@
 //! What the two sides say, as frames: kind, length and hash before the body, so that a cut or changed one is known.
 
-use crate::co_serving::Word;
+use crate::co_serving::CoServingMessage;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -27,11 +27,11 @@
     /// Old: it leaves, and accepts no more.
     AcceptClients,
     /// Old: a client between two statements, with its connection beside.
-    ClientConnection(Client),
+    ClientConnection(ClientState),
     /// Old: an idle connection to the member with this id, beside.
     MemberConnection(u32),
     /// Either: what binds both.
-    CoServing(Vec<Word>),
+    CoServing(Vec<CoServingMessage>),
     /// New: the client with this number came without its connection, for want of descriptors.
     ConnectionMissing(u64),
     /// Either: it lives.
@@ -42,15 +42,15 @@
 
 /// What is known of a client that moves.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Client {
+pub struct ClientState {
     /// By which the ledger knows it.
-    pub handed: u64,
+    pub transfer_id: u64,
     /// Its startup is over.
-    pub opened: bool,
+    pub startup_complete: bool,
     /// It has sent a statement before.
-    pub has_asked: bool,
+    pub has_sent_statement: bool,
     /// Bytes of an oversized statement that are still to be passed over.
-    pub skip: u64,
+    pub bytes_to_skip: u64,
     /// What was read from it and not taken yet.
     pub input: Vec<u8>,
 }
--- a/crates/handover/tests/fixtures.rs
+++ b/crates/handover/tests/fixtures.rs
@@ -1,8 +1,8 @@
 //! Frames that the build before wrote: they are read as what they meant, and written again byte by byte alike.
 
-use asterlatch_handover::co_serving::Word;
-use asterlatch_handover::io_journal::Record;
-use asterlatch_handover::message::{Client, Framed, HandoverMessage};
+use asterlatch_handover::co_serving::CoServingMessage;
+use asterlatch_handover::io_journal::JournalRecord;
+use asterlatch_handover::message::{ClientState, Framed, HandoverMessage};
 use std::fmt::Debug;
 use std::fs;
 use std::path::PathBuf;
@@ -23,24 +23,24 @@
         HandoverMessage::Commit,
         HandoverMessage::CommitAcknowledged,
         HandoverMessage::AcceptClients,
-        HandoverMessage::ClientConnection(Client {
-            handed: 300,
-            opened: true,
-            has_asked: false,
-            skip: 70_000,
+        HandoverMessage::ClientConnection(ClientState {
+            transfer_id: 300,
+            startup_complete: true,
+            has_sent_statement: false,
+            bytes_to_skip: 70_000,
             input: b"Q\0\0\0\x08abc".to_vec(),
         }),
         HandoverMessage::MemberConnection(129),
         HandoverMessage::CoServing(vec![
-            Word::Open {
+            CoServingMessage::InFlight {
                 member: "m-1".to_owned(),
                 count: 200,
             },
-            Word::Drains {
+            CoServingMessage::Draining {
                 member: "m-2".to_owned(),
-                since_ms: 1_700_000_000_000,
+                started_ms: 1_700_000_000_000,
             },
-            Word::Heard,
+            CoServingMessage::Acknowledged,
         ]),
         HandoverMessage::ConnectionMissing(300),
         HandoverMessage::Heartbeat,
@@ -49,37 +49,37 @@
 }
 
 /// Each kind, in the order of its number on the socket.
-fn records() -> Vec<Record> {
+fn records() -> Vec<JournalRecord> {
     vec![
-        Record::Arrived { client: 7 },
-        Record::Adopted {
+        JournalRecord::Accepted { client: 7 },
+        JournalRecord::Adopted {
             client: 200,
-            handed: 300,
+            transfer_id: 300,
         },
-        Record::Reads {
+        JournalRecord::Read {
             client: 7,
-            settled: 1000,
+            written_to: 1000,
             bytes: b"select 1;".to_vec(),
         },
-        Record::Out {
+        JournalRecord::Dispatched {
             client: 7,
             end: 9,
-            harmless: true,
+            is_retry_safe: true,
         },
-        Record::Out {
+        JournalRecord::Dispatched {
             client: 200,
             end: 4000,
-            harmless: false,
+            is_retry_safe: false,
         },
-        Record::Says {
+        JournalRecord::Write {
             client: 7,
             length: 50,
-            settled: 1000,
-            dealt: 9,
-            opened: true,
-            skip: 4096,
+            written_to: 1000,
+            answered_to: 9,
+            startup_complete: true,
+            bytes_to_skip: 4096,
         },
-        Record::Gone { client: 200 },
+        JournalRecord::Closed { client: 200 },
     ]
 }
 
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -2,7 +2,7 @@
 //! world allows.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_handover::message::{Client, HandoverMessage};
+use asterlatch_handover::message::{ClientState, HandoverMessage};
 use asterlatch_handover::{predecessor, successor};
 use stateright::{Checker, Model, Property};
 
@@ -387,7 +387,7 @@
             Step::Moves => {
                 w.client = With::Between;
                 w.to_new
-                    .push(HandoverMessage::ClientConnection(Client::default()));
+                    .push(HandoverMessage::ClientConnection(ClientState::default()));
             }
         }
         Some(w)
