--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -97,7 +97,7 @@
                             (Err(why), _) => effects.extend(self.loaded(Err(why))),
                         }
                     }
-                    successor::Action::Abort(why) => return Err(why),
+                    successor::Action::Abort(why) => return Err(why.to_string()),
                     successor::Action::StartServing
                     | successor::Action::StartAccepting
                     | successor::Action::Report(_) => {}
@@ -111,7 +111,11 @@
 
     fn loaded(&mut self, result: Result<(), String>) -> Vec<successor::Action> {
         let now = self.machine_now();
-        self.machine.on_event(now, successor::Event::Loaded(result))
+        let event = match result {
+            Ok(()) => successor::Event::Loaded,
+            Err(reason) => successor::Event::LoadFailed { reason },
+        };
+        self.machine.on_event(now, event)
     }
 
     pub fn listener(&mut self) -> Option<TcpListener> {
@@ -164,7 +168,7 @@
                 match effect {
                     successor::Action::Send(message) => self.say(&message),
                     successor::Action::StartServing => serves = true,
-                    successor::Action::Abort(why) => return Err(why),
+                    successor::Action::Abort(why) => return Err(why.to_string()),
                     successor::Action::LoadState(_)
                     | successor::Action::StartAccepting
                     | successor::Action::Report(_) => {}
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -12,7 +12,7 @@
 use asterlatch_handover::co_serving::CoServingState;
 use asterlatch_handover::codec::{send, FrameReader, Received};
 use asterlatch_handover::message::{ClientState, HandoverMessage};
-use asterlatch_handover::predecessor::{self, Predecessor, Progress};
+use asterlatch_handover::predecessor::{self, Predecessor, Progress, StartError};
 use rustix::event::EventfdFlags;
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
 use std::ffi::OsString;
@@ -168,7 +168,7 @@
 
     /// From the next phase on.
     pub fn bound(&mut self, times: predecessor::Timeouts) {
-        self.machine.times = times;
+        self.machine.timeouts = times;
     }
 
     fn take(&mut self, owner: &mut Owner<Log>, now: Timestamp, input: predecessor::Event) {
@@ -335,8 +335,11 @@
         match begun {
             Ok((pid, child, link)) => (self.pid, self.child, self.link) = (pid, Some(child), Some(link)),
             Err(e) => {
-                let why = format!("{}: {e}", self.binary.display());
-                let _ = self.tell.send(predecessor::Event::StartFailed(why));
+                let error = StartError {
+                    program: self.binary.clone(),
+                    cause: e.to_string(),
+                };
+                let _ = self.tell.send(predecessor::Event::StartFailed(error));
                 let _ = self.queue.send(Input::Notice(Notice::Done));
             }
         }
--- a/crates/driver/tests/upgrade.rs
+++ b/crates/driver/tests/upgrade.rs
@@ -327,7 +327,7 @@
         ("no program", stage.folder.write("text", "not a program"), "Permission denied"),
         ("exits with 0", script("zero", "exit 0"), "the new process ended"),
         ("crashes", script("crash", "kill -SEGV $$"), "the new process ended"),
-        ("hangs", script("hang", "exec sleep 1000"), "was silent while AwaitingHello"),
+        ("hangs", script("hang", "exec sleep 1000"), "was unresponsive while AwaitingHello"),
         ("says rubbish", script("rubbish", "eval \"head -c 4000 /dev/zero >&$ASTERLATCH_TAKEOVER\"; exec sleep 1000"), "what can't be read"),
     ];
     for (n, (name, binary, words)) in cases.iter().enumerate() {
@@ -424,12 +424,12 @@
         (
             "STOP",
             true,
-            "upgrade: failed, this process serves on: the new process was silent while Standby",
+            "upgrade: failed, this process serves on: the new process was unresponsive while Standby",
         ),
         (
             "KILL",
             false,
-            "upgrade: the former process is gone, the service is this one's",
+            "upgrade: the predecessor is gone, the service is this one's",
         ),
     ] {
         let member = member(Manner::Answers);
@@ -837,8 +837,8 @@
 #[test]
 fn newcomers_find_whoever_is_left_to_accept_them() {
     for (signal, words) in [
-        ("STOP", "accepts, for the former process is silent"),
-        ("TERM", "accepts, for the former process leaves"),
+        ("STOP", "accepts, for the predecessor is unresponsive"),
+        ("TERM", "accepts, for the predecessor drains"),
     ] {
         let member = member(Manner::Waits);
         let times = TIMES.replace("probation = 200ms", "probation = 10min");
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,23 +1,26 @@
-//! Hands a running service over to a new process without a gap.
+//! Handover of a running service from one process to its successor without a gap.
 //!
-//! `old` and `new` are the two sides, each an ordered list of rules without I/O: what came in, what the time is, and
-//! what to do. `message` is what they say to one another, `wire` carries it, with descriptors, over a Unix socket.
+//! [`predecessor`] and [`successor`] are the state machines of both sides: each is an ordered list of rules without I/O.
+//! [`message`] holds what they send to one another, [`codec`] frames it and carries it, with descriptors, over a Unix
+//! socket.
 //!
-//! | old | new | who accepts clients |
+//! | predecessor | successor | who accepts clients |
 //! | --- | --- | --- |
-//! | Serving | | old |
-//! | Offered: the new process was started | Started: says hello | old |
-//! | Sent: state and listener are on their way | Loaded: says that it is ready | old |
-//! | Committed: has it serve whom it is sent | | old |
-//! | Standby: accepts, and hands over | Probation: serves whom it is sent | old |
-//! | Fencing: the new one is killed, its end awaited | | old |
-//! | Done: accepts no more | Owner: accepts | new |
+//! | Serving | | predecessor |
+//! | AwaitingHello: it started the successor | Started: sends its hello | predecessor |
+//! | AwaitingReady: state and listener are on their way | Loaded: reports that it is ready | predecessor |
+//! | AwaitingCommitAcknowledgement: it told the successor to serve | | predecessor |
+//! | Standby: accepts clients and moves them | Probation: serves the clients that are moved | predecessor |
+//! | Fencing: the successor is killed, its end awaited | | predecessor |
+//! | Done: accepts no more | Serving: accepts | successor |
 //!
-//! The new one accepts on probation only where the old one leaves or has fallen silent, and where it is gone. The old one
-//! goes on with the other's clients only once that one's end is certain. The socket tells of a death only after what was
-//! sent before it, so a word that was sent is heard even if its sender is gone by then.
+//! The successor accepts on probation only where the predecessor drains, is unresponsive or has exited. The predecessor
+//! goes on with the successor's clients only once that process is certainly dead. A socket reports the death of its peer
+//! only after what the peer sent before it, so no message is lost with its sender.
 //!
-//! `fit` says whether both have room, `joint` what binds both while they serve side by side, and `ledger` is what the old one knows of the clients of the new one on probation, and goes on with if that dies.
+//! [`capacity_check`] tells whether both processes fit into their limits, [`co_serving`] is what they share while both
+//! serve, and [`io_journal`] is what the predecessor knows of the clients of a successor on probation and goes on from if
+//! that one dies.
 
 pub mod capacity_check;
 pub mod co_serving;
@@ -27,10 +30,15 @@
 pub mod predecessor;
 pub mod successor;
 
-/// A condition and an effect: nothing where it doesn't hold.
+use asterlatch::time::Timestamp;
+
+/// The deadline of a timer that doesn't run.
+const NEVER: Timestamp = Timestamp(u64::MAX);
+
+/// A rule of a state machine: the actions that it takes, or nothing where its condition doesn't hold.
 type Rule<M, A> = fn(&mut M) -> Option<Vec<A>>;
 
-/// Goes through the rules in their order, again and again, until none fires.
+/// Runs the first rule whose condition holds, again and again until none does, and returns their actions in order.
 fn run_rules<M, A>(rules: &[Rule<M, A>], machine: &mut M) -> Vec<A> {
     let mut actions = Vec::new();
     while let Some(more) = rules.iter().find_map(|rule| rule(machine)) {
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -1,35 +1,46 @@
-//! The side of the process that serves now. Goes on serving whatever becomes of the new one.
+//! State machine of the predecessor: the process that serves now and starts its successor.
+//!
+//! It never depends on the successor: whatever becomes of that process, this one goes on serving or resumes to. Events
+//! and the current time go in, actions come out; the caller carries them out in order.
 
 use crate::message::{HandoverMessage, VERSION};
-use crate::{run_rules, Rule};
+use crate::{run_rules, Rule, NEVER};
 use asterlatch::time::{TimeSpan, Timestamp};
+use std::path::PathBuf;
+use thiserror::Error;
 
+/// How far the handover has come, as the predecessor sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
+    /// No handover is under way.
     Serving,
-    /// The new process was started and is to say hello.
+    /// The successor was started and must send its hello.
     AwaitingHello,
-    /// It has state and listener, and is to be ready.
+    /// The successor has state and listener and must report that it is ready.
     AwaitingReady,
-    /// The new one is to say that it serves whom it is sent.
+    /// The successor was told to serve and must acknowledge that.
     AwaitingCommitAcknowledgement,
-    /// The new one serves on probation; this one accepts for it, and hands over whom it accepted.
+    /// The successor serves on probation. This process accepts clients for it and moves them there.
     Standby,
-    /// The new one is to be gone before anything else; whether clients are accepted again then.
+    /// The successor was killed and must be gone before anything else happens.
     Fencing {
+        /// Whether this process accepts clients again once the successor is gone.
         resume_accepting: bool,
     },
-    /// The new one has the service for good.
+    /// The successor owns the service.
     Done,
 }
 
-/// How long each phase may take.
+/// How long each phase may last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timeouts {
+    /// From the start of the successor to its hello.
     pub hello: TimeSpan,
+    /// From the state's dispatch to the successor's ready.
     pub ready: TimeSpan,
+    /// From the commit to its acknowledgement.
     pub commit_acknowledged: TimeSpan,
-    /// Between two signs of life on probation.
+    /// Between two heartbeats of the successor on probation.
     pub heartbeat: TimeSpan,
 }
 
@@ -44,70 +55,138 @@
     }
 }
 
+/// The successor's program could not be started.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
+#[error("{}: {cause}", program.display())]
+pub struct StartError {
+    /// The program that was to be run.
+    pub program: PathBuf,
+    /// What the operating system said.
+    pub cause: String,
+}
+
+/// Why an upgrade failed. The predecessor goes on serving after each of these.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
+pub enum UpgradeError {
+    /// This process was asked to shut down before the commit.
+    #[error("this process is shutting down")]
+    ShuttingDown,
+    /// The successor's program could not be started.
+    #[error(transparent)]
+    StartFailed(#[from] StartError),
+    /// The successor exited or was killed by somebody else.
+    #[error("the new process ended")]
+    SuccessorExited,
+    /// The phase's timeout elapsed.
+    #[error("the new process was unresponsive while {phase:?}")]
+    Unresponsive {
+        /// The phase that lasted too long.
+        phase: Phase,
+    },
+    /// The successor sent bytes that are no frame of this protocol.
+    #[error("the new process sent what can't be read")]
+    InvalidFrame,
+    /// The successor could not load the state or could not serve with it.
+    #[error("the new process can't serve: {reason}")]
+    LoadFailed {
+        /// The successor's own words.
+        reason: String,
+    },
+    /// The successor speaks another version of this protocol.
+    #[error("the new process speaks version {version} of the handover, this one {VERSION}")]
+    VersionMismatch {
+        /// The successor's version.
+        version: u32,
+    },
+    /// The successor sent a message that its phase doesn't allow.
+    #[error("the new process said {message:?} while {phase:?}")]
+    UnexpectedMessage {
+        /// What it sent.
+        message: Box<HandoverMessage>,
+        /// The phase in which that arrived.
+        phase: Phase,
+    },
+}
+
+/// What the predecessor reacts to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// An upgrade is asked for.
+    /// An operator asks for an upgrade.
     UpgradeRequested,
-    /// The new process could not be started.
-    StartFailed(String),
+    /// The successor could not be started.
+    StartFailed(StartError),
+    /// The successor sent this.
     Message(HandoverMessage),
-    /// What came can't be read.
+    /// The successor sent bytes that are no frame of this protocol.
     InvalidFrame,
-    /// The new process is gone, for certain.
+    /// The kernel reported the end of the successor.
     SuccessorExited,
-    /// This process is told to leave.
+    /// This process is asked to shut down.
     ShutdownRequested,
+    /// Nothing happened but time passed.
     TimerElapsed,
 }
 
+/// What the caller must do next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Start the new process.
+    /// Start the successor's program.
     StartSuccessor,
-    /// Write out what was learned and send it with the listener.
+    /// Serialize the learned state and send it with the listener and the journal's descriptors.
     SendState,
+    /// Send this message to the successor.
     Send(HandoverMessage),
-    /// The two serve the same members from now on.
+    /// Share the members' concurrency limits with the successor from now on.
     StartCoServing,
     /// Accept no more clients.
     StopAccepting,
-    /// Alone again: accept on, and let who is here stay.
+    /// Serve alone again: accept clients and keep those that are connected.
     ResumeServingAlone,
-    /// Let clients go between two statements: the new one takes them.
+    /// Move each client to the successor as soon as it is between two statements.
     MoveClients,
-    /// Go on with the clients of the new process, which is dead.
+    /// Go on with the clients of the dead successor.
     ReclaimClients,
-    /// Kill the new process, and tell when it is gone.
+    /// Kill the successor and report its end as [`Event::SuccessorExited`].
     KillSuccessor,
-    /// The service is the new one's: leave once all is answered.
+    /// Drain: the service is the successor's, so exit once all statements are answered.
     Drain,
+    /// Report to the log and to whoever asked for the upgrade.
     Report(Progress),
 }
 
+/// What is reported of an upgrade.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
+    /// The upgrade has begun.
     Requested,
-    /// One is under way.
+    /// The upgrade was refused: another one is under way, or this process is shutting down.
     Busy,
+    /// The successor is ready and was told to serve.
     Committed,
+    /// The successor owns the service.
     Done,
-    Failed(String),
+    /// The upgrade failed and this process serves on.
+    Failed(UpgradeError),
 }
 
+/// The predecessor's side of one handover after another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Predecessor {
+    /// How far the current handover has come.
     pub phase: Phase,
-    pub times: Timeouts,
+    /// Timeouts of the phases entered from now on.
+    pub timeouts: Timeouts,
+    /// When the current phase times out.
     deadline: Timestamp,
-    /// When the new one is next told that this one lives, on probation.
+    /// When the next heartbeat is due to a successor on probation.
     next_heartbeat_at: Timestamp,
     now: Timestamp,
+    /// The event that no rule has consumed yet.
     event: Option<Event>,
-    /// This process is to leave once no new one is in its way.
     is_shutting_down: bool,
 }
 
-/// In this order; each takes the event where it is its own.
+/// Run in this order; each consumes the events that are its own.
 const RULES: [Rule<Predecessor, Action>; 12] = [
     Predecessor::refuse_concurrent_upgrade,
     Predecessor::start_successor,
@@ -123,43 +202,46 @@
     Predecessor::ignore_event,
 ];
 
-/// So many signs of life go to the new process in the time after which it is silent itself.
+/// Heartbeats sent within the time after which their absence counts as unresponsive.
 const HEARTBEATS_PER_TIMEOUT: f64 = 10.0;
 
 impl Predecessor {
-    pub fn new(times: Timeouts) -> Predecessor {
+    /// A process that serves alone.
+    pub fn new(timeouts: Timeouts) -> Predecessor {
         Predecessor {
             phase: Phase::Serving,
-            times,
-            deadline: Timestamp(u64::MAX),
-            next_heartbeat_at: Timestamp(u64::MAX),
+            timeouts,
+            deadline: NEVER,
+            next_heartbeat_at: NEVER,
             now: Timestamp(0),
             event: None,
             is_shutting_down: false,
         }
     }
 
+    /// When [`Event::TimerElapsed`] is due at the latest; the largest timestamp where no timer runs.
     pub fn next_deadline(&self) -> Timestamp {
         self.deadline.min(self.next_heartbeat_at)
     }
 
+    /// Handles one event at `now` and returns what to do, in order.
     pub fn on_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
-        (self.now, self.event) = (now, Some(event));
+        self.now = now;
+        self.event = Some(event);
         run_rules(&RULES, self)
     }
 
-    /// Counts all times from now on: what a checker of the protocol tells states apart by must not grow with the clock.
+    /// Counts all times from now on, so that a model checker's states don't grow with the clock.
     pub fn rebase(&mut self) {
-        if self.deadline < Timestamp(u64::MAX) {
-            self.deadline = Timestamp(0) + (self.deadline - self.now);
-        }
-        if self.next_heartbeat_at < Timestamp(u64::MAX) {
-            self.next_heartbeat_at = Timestamp(0) + (self.next_heartbeat_at - self.now);
+        for at in [&mut self.deadline, &mut self.next_heartbeat_at] {
+            if *at < NEVER {
+                *at = Timestamp(0) + (*at - self.now);
+            }
         }
         self.now = Timestamp(0);
     }
 
-    /// The new process serves beside this one.
+    /// Whether the successor may serve the same members by now.
     pub fn is_co_serving(&self) -> bool {
         matches!(
             self.phase,
@@ -167,23 +249,24 @@
         )
     }
 
-    fn enter_phase(&mut self, phase: Phase, within: Option<TimeSpan>) {
+    /// Enters `phase`, consumes the event and starts the phase's timeout where there is one.
+    fn enter_phase(&mut self, phase: Phase, timeout: Option<TimeSpan>) {
         if phase != Phase::Standby {
-            self.next_heartbeat_at = Timestamp(u64::MAX);
+            self.next_heartbeat_at = NEVER;
         }
         self.phase = phase;
-        self.deadline = within.map_or(Timestamp(u64::MAX), |w| self.now + w);
+        self.deadline = timeout.map_or(NEVER, |timeout| self.now + timeout);
         self.event = None;
     }
 
+    /// Whether `event` happened in `phase`.
     fn matches(&self, phase: Phase, event: &Event) -> bool {
         self.phase == phase && self.event.as_ref() == Some(event)
     }
 
     fn refuse_concurrent_upgrade(&mut self) -> Option<Vec<Action>> {
-        if self.event != Some(Event::UpgradeRequested)
-            || (self.phase == Phase::Serving && !self.is_shutting_down)
-        {
+        let may_begin = self.phase == Phase::Serving && !self.is_shutting_down;
+        if self.event != Some(Event::UpgradeRequested) || may_begin {
             return None;
         }
         self.event = None;
@@ -194,12 +277,12 @@
         if !self.matches(Phase::Serving, &Event::UpgradeRequested) {
             return None;
         }
-        self.enter_phase(Phase::AwaitingHello, Some(self.times.hello));
+        self.enter_phase(Phase::AwaitingHello, Some(self.timeouts.hello));
         Some(vec![Action::StartSuccessor, Action::Report(Progress::Requested)])
     }
 
-    /// Before the commit the new one is withdrawn, for this process is told to end the service; behind it the service
-    /// is the new one's, and this process leaves without it.
+    /// Before the commit the successor is withdrawn, for the operator ends the service. After it the service is the
+    /// successor's, which goes on without this process.
     fn shut_down(&mut self) -> Option<Vec<Action>> {
         if self.event != Some(Event::ShutdownRequested) {
             return None;
@@ -208,16 +291,9 @@
         self.is_shutting_down = true;
         match self.phase {
             Phase::AwaitingHello | Phase::AwaitingReady => {
-                self.enter_phase(
-                    Phase::Fencing {
-                        resume_accepting: false,
-                    },
-                    None,
-                );
-                let why = "this process was told to leave".to_owned();
-                Some(vec![Action::KillSuccessor, Action::Report(Progress::Failed(why))])
+                Some(self.fence(UpgradeError::ShuttingDown, false))
             }
-            // What is still open here may take long; newcomers don't wait for it.
+            // Statements in flight here may take long; new clients don't wait for them.
             Phase::AwaitingCommitAcknowledgement | Phase::Standby => Some(vec![
                 Action::StopAccepting,
                 Action::Send(HandoverMessage::AcceptClients),
@@ -227,42 +303,35 @@
     }
 
     fn send_state(&mut self) -> Option<Vec<Action>> {
-        if !self.matches(
-            Phase::AwaitingHello,
-            &Event::Message(HandoverMessage::Hello { version: VERSION }),
-        ) {
+        let hello = Event::Message(HandoverMessage::Hello { version: VERSION });
+        if !self.matches(Phase::AwaitingHello, &hello) {
             return None;
         }
-        self.enter_phase(Phase::AwaitingReady, Some(self.times.ready));
+        self.enter_phase(Phase::AwaitingReady, Some(self.timeouts.ready));
         Some(vec![Action::SendState])
     }
 
-    /// The new one gets clients from here on. That this one accepts for it leaves no moment in which a client is known
-    /// to a process alone that may be killed on probation.
+    /// The successor gets clients from here on. This process accepts for it, so that no client is ever known only to a
+    /// process that may be killed on probation.
     fn commit(&mut self) -> Option<Vec<Action>> {
         if !self.matches(Phase::AwaitingReady, &Event::Message(HandoverMessage::Ready)) {
             return None;
         }
-        self.enter_phase(
-            Phase::AwaitingCommitAcknowledgement,
-            Some(self.times.commit_acknowledged),
-        );
-        let say = Action::Send(HandoverMessage::Commit);
+        let timeout = self.timeouts.commit_acknowledged;
+        self.enter_phase(Phase::AwaitingCommitAcknowledgement, Some(timeout));
         Some(vec![
             Action::StartCoServing,
-            say,
+            Action::Send(HandoverMessage::Commit),
             Action::Report(Progress::Committed),
         ])
     }
 
     fn on_commit_acknowledged(&mut self) -> Option<Vec<Action>> {
-        if !self.matches(
-            Phase::AwaitingCommitAcknowledgement,
-            &Event::Message(HandoverMessage::CommitAcknowledged),
-        ) {
+        let acknowledged = Event::Message(HandoverMessage::CommitAcknowledged);
+        if !self.matches(Phase::AwaitingCommitAcknowledgement, &acknowledged) {
             return None;
         }
-        self.enter_phase(Phase::Standby, Some(self.times.heartbeat));
+        self.enter_phase(Phase::Standby, Some(self.timeouts.heartbeat));
         self.next_heartbeat_at = self.now;
         Some(vec![Action::MoveClients])
     }
@@ -283,75 +352,80 @@
         if !self.matches(Phase::Standby, &Event::Message(HandoverMessage::Heartbeat)) {
             return None;
         }
-        self.enter_phase(Phase::Standby, Some(self.times.heartbeat));
+        self.enter_phase(Phase::Standby, Some(self.timeouts.heartbeat));
         Some(Vec::new())
     }
 
-    /// Only an end that is certain lets this process go on with the other's clients.
+    /// Only the certain end of the successor lets this process go on with its clients.
     fn on_successor_exited(&mut self) -> Option<Vec<Action>> {
-        let not_started = match self.event.as_ref()? {
-            Event::SuccessorExited => None,
-            Event::StartFailed(why) => Some(why.clone()),
+        let error = match self.event.as_ref()? {
+            Event::SuccessorExited => UpgradeError::SuccessorExited,
+            Event::StartFailed(error) => error.clone().into(),
             _ => return None,
         };
-        let why = not_started.unwrap_or_else(|| "the new process ended".to_owned());
-        let failed = Action::Report(Progress::Failed(why));
         let phase = self.phase;
-        let alone = matches!(
-            phase,
-            Phase::AwaitingCommitAcknowledgement
-                | Phase::Standby
-                | Phase::Fencing {
-                    resume_accepting: true
-                }
-        );
-        let actions = match phase {
-            // Its end was told of when it was decided on.
-            Phase::Fencing { .. } => Vec::new(),
-            Phase::Serving | Phase::Done => {
-                self.event = None;
-                return Some(Vec::new());
-            }
-            _ => vec![failed],
-        };
+        if matches!(phase, Phase::Serving | Phase::Done) {
+            self.event = None;
+            return Some(Vec::new());
+        }
         self.enter_phase(Phase::Serving, None);
-        let again = alone.then_some([Action::ResumeServingAlone, Action::ReclaimClients]);
-        Some(again.into_iter().flatten().chain(actions).collect())
+        let mut actions = Vec::new();
+        if phase.successor_may_have_served() {
+            actions.extend([Action::ResumeServingAlone, Action::ReclaimClients]);
+        }
+        // A fenced successor was reported when it was fenced.
+        if !matches!(phase, Phase::Fencing { .. }) {
+            actions.push(Action::Report(Progress::Failed(error)));
+        }
+        Some(actions)
     }
 
-    /// What isn't in time, or makes no sense here: the new one may hang, or be none of ours. It must be gone before
-    /// anything else, for it may accept clients at any moment.
+    /// A successor that is late or sends what makes no sense may hang or be another program. It may accept clients at any
+    /// moment, so it must be gone before anything else.
     fn fence_successor(&mut self) -> Option<Vec<Action>> {
-        let why = match self.event.as_ref()? {
-            Event::TimerElapsed if self.now < self.deadline => return None,
-            Event::TimerElapsed => format!("the new process was silent while {:?}", self.phase),
-            Event::InvalidFrame => "the new process sent what can't be read".to_owned(),
-            Event::Message(HandoverMessage::LoadFailed(why)) => format!("the new process can't serve: {why}"),
-            Event::Message(HandoverMessage::Hello { version }) if *version != VERSION => {
-                format!("the new process speaks version {version} of the takeover, this one {VERSION}")
-            }
-            // What binds both may be on its way whatever else goes on.
-            Event::Message(HandoverMessage::CoServing(_) | HandoverMessage::ConnectionMissing(_)) => {
-                return None
-            }
-            Event::Message(other) => format!("the new process said {other:?} while {:?}", self.phase),
-            _ => return None,
-        };
+        let error = self.protocol_error()?;
         let resume_accepting = match self.phase {
             Phase::AwaitingHello | Phase::AwaitingReady => false,
             Phase::AwaitingCommitAcknowledgement | Phase::Standby => true,
             Phase::Serving | Phase::Fencing { .. } | Phase::Done => return None,
         };
+        Some(self.fence(error, resume_accepting))
+    }
+
+    /// What is wrong with an event that no earlier rule has consumed; nothing where it is harmless.
+    fn protocol_error(&self) -> Option<UpgradeError> {
+        let phase = self.phase;
+        match self.event.as_ref()? {
+            Event::TimerElapsed if self.now < self.deadline => None,
+            Event::TimerElapsed => Some(UpgradeError::Unresponsive { phase }),
+            Event::InvalidFrame => Some(UpgradeError::InvalidFrame),
+            Event::Message(HandoverMessage::LoadFailed(reason)) => Some(UpgradeError::LoadFailed {
+                reason: reason.clone(),
+            }),
+            Event::Message(HandoverMessage::Hello { version }) if *version != VERSION => {
+                Some(UpgradeError::VersionMismatch { version: *version })
+            }
+            // Co-serving messages may be on their way in any phase.
+            Event::Message(HandoverMessage::CoServing(_) | HandoverMessage::ConnectionMissing(_)) => None,
+            Event::Message(message) => Some(UpgradeError::UnexpectedMessage {
+                message: Box::new(message.clone()),
+                phase,
+            }),
+            _ => None,
+        }
+    }
+
+    fn fence(&mut self, error: UpgradeError, resume_accepting: bool) -> Vec<Action> {
         self.enter_phase(Phase::Fencing { resume_accepting }, None);
-        Some(vec![Action::KillSuccessor, Action::Report(Progress::Failed(why))])
+        vec![Action::KillSuccessor, Action::Report(Progress::Failed(error))]
     }
 
     fn send_heartbeat(&mut self) -> Option<Vec<Action>> {
         if !self.matches(Phase::Standby, &Event::TimerElapsed) || self.now < self.next_heartbeat_at {
             return None;
         }
-        self.next_heartbeat_at =
-            self.now + (self.times.heartbeat * (1.0 / HEARTBEATS_PER_TIMEOUT)).max(TimeSpan::millis(1));
+        let interval = self.timeouts.heartbeat * (1.0 / HEARTBEATS_PER_TIMEOUT);
+        self.next_heartbeat_at = self.now + interval.max(TimeSpan::millis(1));
         Some(vec![Action::Send(HandoverMessage::Heartbeat)])
     }
 
@@ -359,3 +433,17 @@
         self.event.take().map(|_| Vec::new())
     }
 }
+
+impl Phase {
+    /// Whether clients may have moved to a successor whose end is seen in this phase.
+    fn successor_may_have_served(self) -> bool {
+        matches!(
+            self,
+            Phase::AwaitingCommitAcknowledgement
+                | Phase::Standby
+                | Phase::Fencing {
+                    resume_accepting: true
+                }
+        )
+    }
+}
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -1,30 +1,39 @@
-//! The side of the new process. On probation it serves whom the old one hands over; it accepts clients itself once it is
-//! proven, or where the old one leaves, is gone or has fallen silent.
+//! State machine of the successor: the process that takes the service over.
+//!
+//! On probation it serves the clients that the predecessor moves to it. It accepts clients itself once the probation is
+//! passed, or earlier if the predecessor drains, exits or becomes unresponsive.
 
 use crate::message::{HandoverMessage, VERSION};
-use crate::{run_rules, Rule};
+use crate::{run_rules, Rule, NEVER};
 use asterlatch::time::{TimeSpan, Timestamp};
+use std::fmt;
+use thiserror::Error;
 
+/// How far the handover has come, as the successor sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
+    /// It runs and waits for the state.
     Started,
-    /// It has state and listener, and could serve.
+    /// It has loaded the state and could serve.
     Loaded,
-    /// It serves; the old one accepts for it.
+    /// It serves; the predecessor accepts clients for it.
     Probation,
-    /// The service is its own.
+    /// It owns the service.
     Serving,
-    /// It never served, and ends.
+    /// It never served and must exit.
     Aborted,
 }
 
-/// How long the old one may take, how long it may be silent on probation before this one accepts in its place, how often
-/// it is told that this one lives, and how long that goes on.
+/// Timeouts and intervals of the successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timeouts {
+    /// How long the predecessor may take for the state, and then for the commit.
     pub predecessor_response: TimeSpan,
+    /// After so long without a heartbeat of the predecessor this process accepts clients in its place.
     pub predecessor_heartbeat: TimeSpan,
+    /// Between two heartbeats to the predecessor.
     pub heartbeat_interval: TimeSpan,
+    /// How long this process must serve before the service is its own.
     pub probation: TimeSpan,
 }
 
@@ -39,46 +48,115 @@
     }
 }
 
+/// Why the successor exits without having served. The predecessor serves on if it still runs.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
+pub enum AbortReason {
+    /// The state could not be loaded, or this process could not serve with it.
+    #[error("{reason}")]
+    LoadFailed {
+        /// What failed; the predecessor is told the same.
+        reason: String,
+    },
+    /// The predecessor exited before the commit.
+    #[error("the predecessor is gone before the commit")]
+    PredecessorExited,
+    /// The predecessor sent bytes that are no frame of this protocol.
+    #[error("the predecessor sent what can't be read")]
+    InvalidFrame,
+    /// The predecessor sent a message that this phase doesn't allow.
+    #[error("the predecessor said what makes no sense here")]
+    UnexpectedMessage,
+    /// The predecessor did not answer in time.
+    #[error("the predecessor was unresponsive for too long")]
+    Unresponsive,
+}
+
+/// What the successor reacts to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// It runs.
+    /// This process runs.
     Started,
+    /// The predecessor sent this.
     Message(HandoverMessage),
+    /// The predecessor sent bytes that are no frame of this protocol.
     InvalidFrame,
-    /// State and listener came, and this process could serve with them, or why not.
-    Loaded(Result<(), String>),
-    /// The old process is gone.
+    /// State and listener arrived and this process can serve with them.
+    Loaded,
+    /// State or listener are missing or unusable.
+    LoadFailed {
+        /// What failed, in words for operators.
+        reason: String,
+    },
+    /// The predecessor closed the socket.
     PredecessorExited,
+    /// Nothing happened but time passed.
     TimerElapsed,
 }
 
+/// What the caller must do next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
+    /// Send this message to the predecessor.
     Send(HandoverMessage),
+    /// Load this state and report [`Event::Loaded`] or [`Event::LoadFailed`].
     LoadState(Vec<u8>),
-    /// Serve whom the old one hands over.
+    /// Serve the clients that the predecessor moves here.
     StartServing,
-    /// Accept clients.
+    /// Accept clients at the listener.
     StartAccepting,
-    /// End this process, which never served.
-    Abort(String),
-    Report(&'static str),
+    /// Exit; this process never served.
+    Abort(AbortReason),
+    /// Report to the log.
+    Report(Progress),
 }
 
+/// What is reported of the handover.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Progress {
+    /// The probation has begun.
+    OnProbation,
+    /// The predecessor drains before the probation is passed.
+    PredecessorDrains,
+    /// The predecessor sends no heartbeats.
+    PredecessorUnresponsive,
+    /// The predecessor exited before the probation was passed.
+    PredecessorExited,
+    /// The probation is passed.
+    ProbationPassed,
+}
+
+impl fmt::Display for Progress {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Progress::OnProbation => "serves, on probation",
+            Progress::PredecessorDrains => "accepts, for the predecessor drains",
+            Progress::PredecessorUnresponsive => "accepts, for the predecessor is unresponsive",
+            Progress::PredecessorExited => "the predecessor is gone, the service is this one's",
+            Progress::ProbationPassed => "proven, the service is this one's",
+        })
+    }
+}
+
+/// The successor's side of one handover.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Successor {
+    /// How far the handover has come.
     pub phase: Phase,
-    times: Timeouts,
+    timeouts: Timeouts,
+    /// Until when the predecessor must send what this phase waits for.
     deadline: Timestamp,
-    /// When the next sign of life is due here, the last of all, and the next of the old one.
+    /// When the next heartbeat is due to the predecessor.
     next_heartbeat_at: Timestamp,
     probation_ends_at: Timestamp,
+    /// When the predecessor counts as unresponsive unless a heartbeat of it arrives.
     predecessor_timeout_at: Timestamp,
     is_accepting: bool,
     now: Timestamp,
+    /// The event that no rule has consumed yet.
     event: Option<Event>,
 }
 
+/// Run in this order; each consumes the events that are its own.
 const RULES: [Rule<Successor, Action>; 12] = [
     Successor::send_hello,
     Successor::load_state,
@@ -95,57 +173,60 @@
 ];
 
 impl Successor {
-    pub fn new(times: Timeouts) -> Successor {
+    /// A process that has just been started by its predecessor.
+    pub fn new(timeouts: Timeouts) -> Successor {
         Successor {
             phase: Phase::Started,
-            times,
-            deadline: Timestamp(u64::MAX),
-            next_heartbeat_at: Timestamp(u64::MAX),
-            probation_ends_at: Timestamp(u64::MAX),
-            predecessor_timeout_at: Timestamp(u64::MAX),
+            timeouts,
+            deadline: NEVER,
+            next_heartbeat_at: NEVER,
+            probation_ends_at: NEVER,
+            predecessor_timeout_at: NEVER,
             is_accepting: false,
             now: Timestamp(0),
             event: None,
         }
     }
 
+    /// When [`Event::TimerElapsed`] is due at the latest; the largest timestamp where no timer runs.
     pub fn next_deadline(&self) -> Timestamp {
         if self.phase != Phase::Probation {
             return self.deadline;
         }
-        let predecessor_timeout_at = if self.is_accepting {
-            Timestamp(u64::MAX)
-        } else {
-            self.predecessor_timeout_at
-        };
-        self.next_heartbeat_at
-            .min(self.probation_ends_at)
-            .min(predecessor_timeout_at)
+        let own = self.next_heartbeat_at.min(self.probation_ends_at);
+        if self.is_accepting {
+            return own;
+        }
+        own.min(self.predecessor_timeout_at)
     }
 
+    /// Handles one event at `now` and returns what to do, in order.
     pub fn on_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
-        (self.now, self.event) = (now, Some(event));
+        self.now = now;
+        self.event = Some(event);
         run_rules(&RULES, self)
     }
 
-    /// Counts all times from now on: what a checker of the protocol tells states apart by must not grow with the clock.
+    /// Counts all times from now on, so that a model checker's states don't grow with the clock.
     pub fn rebase(&mut self) {
-        let now = self.now;
         let times = [
             &mut self.deadline,
             &mut self.next_heartbeat_at,
             &mut self.probation_ends_at,
             &mut self.predecessor_timeout_at,
         ];
-        for at in times.into_iter().filter(|at| **at < Timestamp(u64::MAX)) {
-            *at = Timestamp(0) + (*at - now);
+        for at in times {
+            if *at < NEVER {
+                *at = Timestamp(0) + (*at - self.now);
+            }
         }
         self.now = Timestamp(0);
     }
 
-    fn enter_phase(&mut self, phase: Phase, within: Option<TimeSpan>) {
+    /// Enters `phase`, consumes the event and starts the phase's timeout where there is one.
+    fn enter_phase(&mut self, phase: Phase, timeout: Option<TimeSpan>) {
         self.phase = phase;
-        self.deadline = within.map_or(Timestamp(u64::MAX), |w| self.now + w);
+        self.deadline = timeout.map_or(NEVER, |timeout| self.now + timeout);
         self.event = None;
     }
 
@@ -153,14 +234,16 @@
         if self.phase != Phase::Started || self.event != Some(Event::Started) {
             return None;
         }
-        self.enter_phase(Phase::Started, Some(self.times.predecessor_response));
+        self.enter_phase(Phase::Started, Some(self.timeouts.predecessor_response));
         Some(vec![Action::Send(HandoverMessage::Hello { version: VERSION })])
     }
 
     fn load_state(&mut self) -> Option<Vec<Action>> {
-        let started = self.phase == Phase::Started;
-        let state = |i: &mut Event| started && matches!(i, Event::Message(HandoverMessage::State(_)));
-        match self.event.take_if(state)? {
+        if self.phase != Phase::Started {
+            return None;
+        }
+        let is_state = |event: &mut Event| matches!(event, Event::Message(HandoverMessage::State(_)));
+        match self.event.take_if(is_state)? {
             Event::Message(HandoverMessage::State(bytes)) => Some(vec![Action::LoadState(bytes)]),
             _ => None,
         }
@@ -170,14 +253,17 @@
         if self.phase != Phase::Started {
             return None;
         }
-        match self.event.take_if(|i| matches!(i, Event::Loaded(_)))? {
-            Event::Loaded(Err(why)) => {
+        let is_result = |event: &mut Event| matches!(event, Event::Loaded | Event::LoadFailed { .. });
+        match self.event.take_if(is_result)? {
+            Event::LoadFailed { reason } => {
                 self.enter_phase(Phase::Aborted, None);
-                let say = Action::Send(HandoverMessage::LoadFailed(why.clone()));
-                Some(vec![say, Action::Abort(why)])
+                Some(vec![
+                    Action::Send(HandoverMessage::LoadFailed(reason.clone())),
+                    Action::Abort(AbortReason::LoadFailed { reason }),
+                ])
             }
             _ => {
-                self.enter_phase(Phase::Loaded, Some(self.times.predecessor_response));
+                self.enter_phase(Phase::Loaded, Some(self.timeouts.predecessor_response));
                 Some(vec![Action::Send(HandoverMessage::Ready)])
             }
         }
@@ -188,20 +274,20 @@
             return None;
         }
         self.enter_phase(Phase::Probation, None);
-        self.next_heartbeat_at = self.now + self.times.heartbeat_interval;
-        self.probation_ends_at = self.now + self.times.probation;
-        self.predecessor_timeout_at = self.now + self.times.predecessor_heartbeat;
-        let taken = Action::Send(HandoverMessage::CommitAcknowledged);
+        self.next_heartbeat_at = self.now + self.timeouts.heartbeat_interval;
+        self.probation_ends_at = self.now + self.timeouts.probation;
+        self.predecessor_timeout_at = self.now + self.timeouts.predecessor_heartbeat;
         Some(vec![
             Action::StartServing,
-            taken,
-            Action::Report("serves, on probation"),
+            Action::Send(HandoverMessage::CommitAcknowledged),
+            Action::Report(Progress::OnProbation),
         ])
     }
 
+    /// Whether the predecessor sent `message` and this process is on probation.
     fn has_message(&self, message: &HandoverMessage) -> bool {
-        let heard = matches!(&self.event, Some(Event::Message(m)) if m == message);
-        self.phase == Phase::Probation && heard
+        let is_current = matches!(&self.event, Some(Event::Message(current)) if current == message);
+        self.phase == Phase::Probation && is_current
     }
 
     fn on_heartbeat(&mut self) -> Option<Vec<Action>> {
@@ -209,47 +295,51 @@
             return None;
         }
         self.event = None;
-        self.predecessor_timeout_at = self.now + self.times.predecessor_heartbeat;
+        self.predecessor_timeout_at = self.now + self.timeouts.predecessor_heartbeat;
         Some(Vec::new())
     }
 
-    /// Accepts from now on, where it doesn't yet.
-    fn start_accepting(&mut self, why: &'static str) -> Vec<Action> {
-        let begins = !std::mem::replace(&mut self.is_accepting, true);
-        let accept = begins.then_some(Action::StartAccepting);
-        accept.into_iter().chain([Action::Report(why)]).collect()
+    /// Starts accepting unless this process does already, and reports why the service changed.
+    fn start_accepting(&mut self, progress: Progress) -> Vec<Action> {
+        let mut actions = Vec::new();
+        if !self.is_accepting {
+            self.is_accepting = true;
+            actions.push(Action::StartAccepting);
+        }
+        actions.push(Action::Report(progress));
+        actions
     }
 
-    /// The old one leaves before this one is proven.
+    /// The predecessor drains before the probation is passed.
     fn on_accept_clients(&mut self) -> Option<Vec<Action>> {
         if !self.has_message(&HandoverMessage::AcceptClients) {
             return None;
         }
         self.event = None;
-        Some(self.start_accepting("accepts, for the former process leaves"))
+        Some(self.start_accepting(Progress::PredecessorDrains))
     }
 
-    /// The old one died on the way: this one goes on.
+    /// The predecessor died before the probation was passed: this process goes on alone.
     fn on_predecessor_exited(&mut self) -> Option<Vec<Action>> {
-        if self.phase != Phase::Probation
-            || !matches!(self.event, Some(Event::PredecessorExited | Event::InvalidFrame))
-        {
+        let has_exited = matches!(self.event, Some(Event::PredecessorExited | Event::InvalidFrame));
+        if self.phase != Phase::Probation || !has_exited {
             return None;
         }
         self.enter_phase(Phase::Serving, None);
-        Some(self.start_accepting("the former process is gone, the service is this one's"))
+        Some(self.start_accepting(Progress::PredecessorExited))
     }
 
+    /// Whether `at` is reached on probation.
     fn is_due(&self, at: Timestamp) -> bool {
         self.phase == Phase::Probation && self.event == Some(Event::TimerElapsed) && self.now >= at
     }
 
-    /// The old one hangs: newcomers would wait for as long as it does. Should it go on, both accept, which does no harm.
+    /// New clients would wait for as long as the predecessor hangs. If it recovers both accept, which is harmless.
     fn on_predecessor_timeout(&mut self) -> Option<Vec<Action>> {
         if self.is_accepting || !self.is_due(self.predecessor_timeout_at) {
             return None;
         }
-        Some(self.start_accepting("accepts, for the former process is silent"))
+        Some(self.start_accepting(Progress::PredecessorUnresponsive))
     }
 
     fn pass_probation(&mut self) -> Option<Vec<Action>> {
@@ -258,7 +348,7 @@
         }
         self.enter_phase(Phase::Serving, None);
         let mut actions = vec![Action::Send(HandoverMessage::ProbationPassed)];
-        actions.extend(self.start_accepting("proven, the service is this one's"));
+        actions.extend(self.start_accepting(Progress::ProbationPassed));
         Some(actions)
     }
 
@@ -266,25 +356,25 @@
         if !self.is_due(self.next_heartbeat_at) {
             return None;
         }
-        self.next_heartbeat_at = self.now + self.times.heartbeat_interval;
+        self.next_heartbeat_at = self.now + self.timeouts.heartbeat_interval;
         Some(vec![Action::Send(HandoverMessage::Heartbeat)])
     }
 
-    /// Nothing was told to serve, so nothing is served: the old one does, or nobody, as without this one.
+    /// Before the commit nothing is served here, so giving up costs nobody an answer.
     fn abort(&mut self) -> Option<Vec<Action>> {
         if !matches!(self.phase, Phase::Started | Phase::Loaded) {
             return None;
         }
-        let why = match self.event.as_ref()? {
-            Event::PredecessorExited => "the former process is gone before the commit",
-            Event::InvalidFrame => "the former process sent what can't be read",
+        let reason = match self.event.as_ref()? {
+            Event::PredecessorExited => AbortReason::PredecessorExited,
+            Event::InvalidFrame => AbortReason::InvalidFrame,
             Event::Message(HandoverMessage::CoServing(_)) => return None,
-            Event::Message(_) => "the former process said what makes no sense here",
-            Event::TimerElapsed if self.now >= self.deadline => "the former process was silent for too long",
+            Event::Message(_) => AbortReason::UnexpectedMessage,
+            Event::TimerElapsed if self.now >= self.deadline => AbortReason::Unresponsive,
             _ => return None,
         };
         self.enter_phase(Phase::Aborted, None);
-        Some(vec![Action::Abort(why.to_owned())])
+        Some(vec![Action::Abort(reason)])
     }
 
     fn ignore_event(&mut self) -> Option<Vec<Action>> {
