--- a/crates/handover/src/io_journal.rs
+++ b/crates/handover/src/io_journal.rs
@@ -5,7 +5,8 @@
 //! Offsets count the bytes of one client in one direction from where the new process began with it: first those that were
 //! handed over with the client, then those that come from its socket.
 
-use crate::message::{ClientState, Framed};
+use crate::codec::Framed;
+use crate::message::ClientState;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/handover/tests/fixtures.rs
+++ b/crates/handover/tests/fixtures.rs
@@ -1,8 +1,9 @@
-//! Frames that the build before wrote: they are read as what they meant, and written again byte by byte alike.
+//! Frames written by an earlier build: they decode to the same values, and encode to the same bytes again.
 
 use asterlatch_handover::co_serving::CoServingMessage;
+use asterlatch_handover::codec::Framed;
 use asterlatch_handover::io_journal::JournalRecord;
-use asterlatch_handover::message::{ClientState, Framed, HandoverMessage};
+use asterlatch_handover::message::{ClientState, HandoverMessage};
 use std::fmt::Debug;
 use std::fs;
 use std::path::PathBuf;
@@ -13,7 +14,7 @@
         .collect()
 }
 
-/// Each kind, in the order of its number on the wire.
+/// One of each variant, in the order of their numbers on the wire.
 fn messages() -> Vec<HandoverMessage> {
     vec![
         HandoverMessage::Hello { version: 3 },
@@ -48,7 +49,7 @@
     ]
 }
 
-/// Each kind, in the order of its number on the socket.
+/// One of each variant, in the order of their numbers on the wire.
 fn records() -> Vec<JournalRecord> {
     vec![
         JournalRecord::Accepted { client: 7 },
@@ -92,32 +93,32 @@
     let bytes = fs::read(path(name)).expect("lies there");
     let mut used = 0;
     for (at, one) in expected.iter().enumerate() {
-        let (read, length) = T::decode(&bytes[used..]).expect("is sound").expect("is whole");
-        assert_eq!(read, *one, "frame {at} of {name}");
-        let again = read.encode().expect("fits");
+        let decoded = T::decode(&bytes[used..]).expect("is sound").expect("is complete");
+        assert_eq!(decoded.message, *one, "frame {at} of {name}");
+        let again = decoded.message.encode().expect("fits");
         assert_eq!(
             again,
-            bytes[used..used + length],
-            "frame {at} of {name}, written again"
+            bytes[used..used + decoded.frame_length],
+            "frame {at} of {name}, encoded again"
         );
-        used += length;
+        used += decoded.frame_length;
     }
     assert_eq!(used, bytes.len(), "{name} holds more frames");
-    assert_eq!(frames(expected), bytes, "{name}, written again");
+    assert_eq!(frames(expected), bytes, "{name}, encoded again");
 }
 
 #[test]
-fn messages_read_from_the_build_before_mean_the_same() {
+fn decode_messages_of_earlier_build_yields_same_values() {
     check("messages.bin", &messages());
 }
 
 #[test]
-fn records_read_from_the_build_before_mean_the_same() {
+fn decode_records_of_earlier_build_yields_same_values() {
     check("records.bin", &records());
 }
 
 #[test]
-#[ignore = "writes the fixtures: only by a build whose frames are to be kept"]
+#[ignore = "writes the fixtures: only run it on a build whose frames must stay"]
 fn write_fixtures() {
     fs::write(path("messages.bin"), frames(&messages())).expect("is written");
     fs::write(path("records.bin"), frames(&records())).expect("is written");
--- a/crates/handover/tests/ledger.rs
+++ b/crates/handover/tests/ledger.rs
@@ -1,10 +1,11 @@
 //! A process that serves clients and writes down what it does, killed behind each of its steps.
 
+use asterlatch_handover::codec::{Decoded, Framed};
 use asterlatch_handover::io_journal::{
     ClientRecovery, ConnectionKey, JournalRecord, JournalReplay, ReplayError, SocketByteCounts,
     StatementVerdict,
 };
-use asterlatch_handover::message::{ClientState, Framed};
+use asterlatch_handover::message::ClientState;
 use std::collections::BTreeSet;
 
 /// What a client sends: each statement is its bytes up to a stop; an answer is as many bytes as this.
@@ -193,7 +194,8 @@
                 // The record goes through its form on the socket, and one cut short is none.
                 let bytes = record.encode().expect("fits");
                 assert_eq!(JournalRecord::decode(&bytes[..bytes.len() - 1]), Ok(None));
-                let (record, _) = JournalRecord::decode(&bytes).expect("whole").expect("whole");
+                let Decoded { message: record, .. } =
+                    JournalRecord::decode(&bytes).expect("whole").expect("whole");
                 ledger.apply(record).expect("makes sense");
                 cut += check(&ledger, &clients, &format!("seed {seed}, announced step {n}"));
                 deed(&mut clients[client], amount);
