--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -8,8 +8,8 @@
 use super::log::Log;
 use crate::routing::event_loop::EventLoop;
 use asterlatch::time::Timestamp;
-use asterlatch_handover::co_serving::{Joint, Word};
-use asterlatch_handover::message::Message;
+use asterlatch_handover::co_serving::{CoServingMessage, CoServingState};
+use asterlatch_handover::message::HandoverMessage;
 pub use control::{control, request};
 pub use new::{inherited, Takeover};
 pub use old::Upgrades;
@@ -21,20 +21,22 @@
 fn bind(
     event_loop: &mut EventLoop<Log>,
     now: Timestamp,
-    joint: &mut Joint,
-    words: &[Word],
-) -> Option<Message> {
+    joint: &mut CoServingState,
+    words: &[CoServingMessage],
+) -> Option<HandoverMessage> {
     words.iter().for_each(|word| event_loop.bind(now, word));
-    let answer = joint.heard(words);
-    event_loop.metrics.open_from_beside = joint.beside();
-    answer.map(|word| Message::Joint(vec![word]))
+    let answer = joint.on_messages(words);
+    event_loop.metrics.open_from_beside = joint.peer_in_flight();
+    answer.map(|word| HandoverMessage::CoServing(vec![word]))
 }
 
 /// What the other process is to know that binds both: drains that were heard here, and what is out.
-fn words(event_loop: &mut EventLoop<Log>, joint: &mut Joint) -> Option<Message> {
+fn words(event_loop: &mut EventLoop<Log>, joint: &mut CoServingState) -> Option<HandoverMessage> {
     let drains = std::mem::take(&mut event_loop.drains);
-    let drains = drains.iter().filter_map(|(m, since)| joint.drains(m, *since));
-    let mut words: Vec<Word> = drains.collect();
-    words.extend(joint.open(event_loop.out()));
-    (!words.is_empty()).then_some(Message::Joint(words))
+    let drains = drains
+        .iter()
+        .filter_map(|(m, since)| joint.drain_update(m, *since));
+    let mut words: Vec<CoServingMessage> = drains.collect();
+    words.extend(joint.in_flight_updates(event_loop.out()));
+    (!words.is_empty()).then_some(HandoverMessage::CoServing(words))
 }
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -6,7 +6,7 @@
 use crate::routing::member_requests::{Assignment, ConnectionUp, MemberRequest, RequestKind};
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
-use asterlatch_handover::io_journal::Record;
+use asterlatch_handover::io_journal::JournalRecord;
 
 impl<O: Observer> EventLoop<O> {
     /// Gives the request a connection.
@@ -71,10 +71,10 @@
             if let Some((client, end, harmless)) =
                 self.statements.place(id.statement).filter(|_| witness.is_on())
             {
-                let out = Record::Out {
+                let out = JournalRecord::Dispatched {
                     client,
                     end,
-                    harmless,
+                    is_retry_safe: harmless,
                 };
                 witness.put(&out, None);
             }
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -11,8 +11,8 @@
 use asterlatch::interface::{MemberUpdate, Settings};
 use asterlatch::policy;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_handover::co_serving::Word;
-use asterlatch_handover::io_journal::{Verdict, Verdicts};
+use asterlatch_handover::co_serving::CoServingMessage;
+use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use std::collections::BTreeMap;
 use std::net::{TcpListener, TcpStream};
 
@@ -62,19 +62,22 @@
     }
 
     /// Takes over what binds both processes. A member that is not known here gets nothing from here.
-    pub fn bind(&mut self, now: Timestamp, word: &Word) {
+    pub fn bind(&mut self, now: Timestamp, word: &CoServingMessage) {
         let results = match word {
-            Word::Open { member, count } => self.members.find(member).map(|m| {
+            CoServingMessage::InFlight { member, count } => self.members.find(member).map(|m| {
                 self.module
                     .on_member_update(now, m, MemberUpdate::InFlight(*count as usize))
             }),
-            Word::Drains { member, since_ms } => self.members.find(member).map(|m| {
+            CoServingMessage::Draining {
+                member,
+                started_ms: since_ms,
+            } => self.members.find(member).map(|m| {
                 self.member_requests.close_idle(m);
                 self.metrics.drains_from_beside += 1;
                 self.module
                     .on_member_update(now, m, MemberUpdate::Draining(vitals::unix(*since_ms)))
             }),
-            Word::Heard => None,
+            CoServingMessage::Acknowledged => None,
         };
         if let Some(results) = results {
             self.carry_out(now, results);
@@ -127,7 +130,7 @@
         match (self.adopt)(id, moved.stream, moved.standing) {
             Ok(line) => {
                 // Its news lie in the queue, and come behind this.
-                if moved.verdicts != Verdicts::default() {
+                if moved.verdicts != StatementVerdicts::default() {
                     self.verdicts.insert(id, moved.verdicts);
                 }
                 self.arrived(now, Arrival::Client(id, line));
@@ -145,17 +148,17 @@
         let Some(verdicts) = self.verdicts.get(&client) else {
             return false;
         };
-        let verdict = verdicts.of(end);
-        if verdicts.is_over(end) {
+        let verdict = verdicts.verdict_for(end);
+        if verdicts.is_past_last(end) {
             self.verdicts.remove(&client);
         }
         let (count, answer) = match verdict {
-            Verdict::Open => return false,
-            Verdict::Rejected => (
+            StatementVerdict::Unread => return false,
+            StatementVerdict::Rejected => (
                 &mut self.metrics.taken_back_rejected,
                 execution_outcomes::rejected(TimeSpan(0)),
             ),
-            Verdict::Aborted => (
+            StatementVerdict::Aborted => (
                 &mut self.metrics.taken_back_aborted,
                 execution_outcomes::aborted(),
             ),
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,118 +1,75 @@
-//! What the two sides say, as frames: kind, length and hash before the body, so that a cut or changed one is known.
+//! Messages between predecessor and successor.
+//!
+//! Their bytes are positional: variants, fields and their order stay as they are while [`VERSION`] does.
 
-use crate::co_serving::Word;
-use serde::de::DeserializeOwned;
+use crate::co_serving::CoServingMessage;
+use crate::codec::Framed;
 use serde::{Deserialize, Serialize};
-use sha2::{Digest, Sha256};
 
-/// Of the protocol. Another one is refused before anything moves.
+/// Version of the handover protocol. A peer with another one is refused before anything moves.
 pub const VERSION: u32 = 3;
-/// The longest frame: some ten thousand members' state.
-pub const LONGEST: usize = 32 * 1024 * 1024;
+/// Bytes of the longest message: the state of some ten thousand members.
+pub const MAX_LENGTH: usize = 32 * 1024 * 1024;
 
+/// A message of the handover protocol, with its sender in front.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Message {
-    /// New: it runs, and speaks this version.
-    Hello { version: u32 },
-    /// Old: what was learned, with the listener, the ledger's socket and what the ledger is given up with beside it.
+pub enum HandoverMessage {
+    /// Successor: it runs and speaks this version.
+    Hello {
+        /// Its [`VERSION`].
+        version: u32,
+    },
+    /// Predecessor: the learned state. Three descriptors go along: the listener, the journal's socket, and the event that
+    /// tells that the journal was abandoned.
     State(Vec<u8>),
-    /// New: it could read everything and could serve.
+    /// Successor: it has loaded everything and could serve.
     Ready,
-    /// New: it could not, and why.
-    Unfit(String),
-    /// Old: serve whom you are sent from now on.
+    /// Successor: it could not load the state, and why.
+    LoadFailed(String),
+    /// Predecessor: serve the clients that are moved to you from now on.
     Commit,
-    /// New: it does.
-    Taken,
-    /// Old: it leaves, and accepts no more.
-    Yours,
-    /// Old: a client between two statements, with its connection beside.
-    Client(Client),
-    /// Old: an idle connection to the member with this id, beside.
-    Member(u32),
-    /// Either: what binds both.
-    Joint(Vec<Word>),
-    /// New: the client with this number came without its connection, for want of descriptors.
-    Missing(u64),
+    /// Successor: it does.
+    CommitAcknowledged,
+    /// Predecessor: it drains and accepts no more; the successor must.
+    AcceptClients,
+    /// Predecessor: a client between two statements. Its connection goes along.
+    ClientConnection(ClientState),
+    /// Predecessor: an idle connection to the member with this id, which goes along.
+    MemberConnection(u32),
+    /// Either: limits and drains that bind both while they serve side by side.
+    CoServing(Vec<CoServingMessage>),
+    /// Successor: the client of this transfer came without its connection, for want of descriptors.
+    ConnectionMissing(u64),
     /// Either: it lives.
-    Beat,
-    /// New: its probation is over.
-    Proven,
+    Heartbeat,
+    /// Successor: its probation is passed.
+    ProbationPassed,
 }
 
-/// What is known of a client that moves.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Client {
-    /// By which the ledger knows it.
-    pub handed: u64,
-    /// Its startup is over.
-    pub opened: bool,
-    /// It has sent a statement before.
-    pub has_asked: bool,
-    /// Bytes of an oversized statement that are still to be passed over.
-    pub skip: u64,
-    /// What was read from it and not taken yet.
-    pub input: Vec<u8>,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
-    TooLong,
-    OtherHash,
-    Unreadable,
-}
-
-/// What goes over a socket in frames: a length, a hash where one is wanted, and the body.
-pub trait Framed: Serialize + DeserializeOwned {
-    const LONGEST: usize;
-    const HASHED: bool;
-
-    /// How many descriptors go beside it: what is read together may belong to the one before.
-    fn descriptors(&self) -> usize;
-
-    fn frame(&self) -> Result<Vec<u8>, Fault> {
-        let body = postcard::to_stdvec(self).map_err(|_| Fault::Unreadable)?;
-        if body.len() > Self::LONGEST {
-            return Err(Fault::TooLong);
-        }
-        let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
-        if Self::HASHED {
-            bytes.extend(Sha256::digest(&body));
-        }
-        bytes.extend(body);
-        Ok(bytes)
-    }
+impl Framed for HandoverMessage {
+    const MAX_LENGTH: usize = MAX_LENGTH;
+    const IS_HASHED: bool = true;
 
-    /// The first of `input` and how many bytes it takes; nothing where more bytes are needed.
-    fn next(input: &[u8]) -> Result<Option<(Self, usize)>, Fault> {
-        let head = if Self::HASHED { 4 + 32 } else { 4 };
-        let Some((length, hash)) = input.get(..head).and_then(|h| h.split_first_chunk::<4>()) else {
-            return Ok(None);
-        };
-        let length = u32::from_be_bytes(*length) as usize;
-        if length > Self::LONGEST {
-            return Err(Fault::TooLong);
-        }
-        let Some(body) = input.get(head..head + length) else {
-            return Ok(None);
-        };
-        if Self::HASHED && Sha256::digest(body).as_slice() != hash {
-            return Err(Fault::OtherHash);
-        }
-        let message = postcard::from_bytes(body).map_err(|_| Fault::Unreadable)?;
-        Ok(Some((message, head + length)))
-    }
-}
-
-impl Framed for Message {
-    const LONGEST: usize = LONGEST;
-    const HASHED: bool = true;
-
-    fn descriptors(&self) -> usize {
+    fn descriptor_count(&self) -> usize {
         match self {
-            Message::State(_) => 3,
-            Message::Client(_) | Message::Member(_) => 1,
+            HandoverMessage::State(_) => 3,
+            HandoverMessage::ClientConnection(_) | HandoverMessage::MemberConnection(_) => 1,
             _ => 0,
         }
     }
 }
+
+/// State of a client that moves from one process to another.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct ClientState {
+    /// Number of its transfer, by which the journal knows the client.
+    pub transfer_id: u64,
+    /// Whether its startup message was read and answered.
+    pub startup_complete: bool,
+    /// Whether it has sent a statement before.
+    pub has_sent_statement: bool,
+    /// Bytes of an oversized message that are still to be read and discarded.
+    pub bytes_to_skip: u64,
+    /// Bytes that were read from it and not yet parsed.
+    pub input: Vec<u8>,
+}
