--- a/crates/driver/src/routing/discovery_requests.rs
+++ b/crates/driver/src/routing/discovery_requests.rs
@@ -1,4 +1,4 @@
-//! DiscoveryRequests to discovery: one watch at a time, and when the next one is due.
+//! Requests to discovery for the endpoint list: one watch at a time, with backoff after failures.
 
 use super::limits::Limits;
 use crate::transport::stream::Line;
@@ -7,38 +7,46 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What a call needs to know: its number, whom to call, how long a watch waits and after which version.
+/// A request to be made.
 pub struct DiscoveryRequest {
+    /// Its number, which its events carry.
     pub number: u32,
+    /// Address of discovery.
     pub address: SocketAddr,
+    /// How long a watch waits for a change, in milliseconds.
     pub wait_ms: u64,
+    /// Version of the list that is known; `None` asks for the complete list.
     pub after: Option<u64>,
 }
 
-pub type Dial = Box<dyn FnMut(DiscoveryRequest) -> io::Result<Line<Infallible>>>;
+/// Opens a connection to discovery for a request.
+pub type DialDiscovery = Box<dyn FnMut(DiscoveryRequest) -> io::Result<Line<Infallible>>>;
 
+/// The current request to discovery, and when the next one is due. Only the event loop uses it.
 pub struct DiscoveryRequests {
-    dial: Dial,
+    dial: DialDiscovery,
     address: SocketAddr,
     line: Option<Line<Infallible>>,
-    /// The connection in use; news of an earlier one is of no interest any more.
+    /// Number of the last request; events of earlier ones are stale.
     number: u32,
-    ends: Timestamp,
-    again: Option<Timestamp>,
-    pause: TimeSpan,
-    index: Option<u64>,
-    /// The module says when to call.
-    on_request: bool,
+    /// When an answer to the current request is overdue.
+    times_out_at: Timestamp,
+    retry_at: Option<Timestamp>,
+    backoff: TimeSpan,
+    known_version: Option<u64>,
+    /// The policy decides when to poll.
+    is_polled: bool,
     limits: Limits,
-    /// How long the call in use may take for news: it was made with this.
-    news_within: TimeSpan,
+    /// Time for each further change on the current request, by the limits that it was made with.
+    change_timeout: TimeSpan,
 }
 
 impl DiscoveryRequests {
+    /// No request yet. If the policy does not poll, the first one is due at once.
     pub fn new(
-        dial: Dial,
+        dial: DialDiscovery,
         address: SocketAddr,
-        on_request: bool,
+        is_polled: bool,
         limits: Limits,
         now: Timestamp,
     ) -> DiscoveryRequests {
@@ -47,95 +55,103 @@
             address,
             line: None,
             number: 0,
-            ends: now,
-            again: (!on_request).then_some(now),
-            pause: limits.initial_backoff,
-            index: None,
-            on_request,
+            times_out_at: now,
+            retry_at: (!is_polled).then_some(now),
+            backoff: limits.initial_backoff,
+            known_version: None,
+            is_polled,
             limits,
-            news_within: limits.watch_timeout + limits.watch_grace,
+            change_timeout: limits.watch_timeout + limits.watch_grace,
         }
     }
 
-    /// A list of this version is known from the first. Where discovery is asked, and each call costs it work, the first one
-    /// is for what is newer; an agent that answers at no cost is asked for the whole.
-    pub fn knows(&mut self, index: u64) {
-        self.index = Some(index).filter(|_| self.on_request);
+    /// States that a list of this version is known from the start. Polling discovery costs it work, so the first poll
+    /// asks only for later changes; a watch, which costs nothing, begins with the complete list.
+    pub fn set_known_version(&mut self, version: u64) {
+        self.known_version = Some(version).filter(|_| self.is_polled);
     }
 
-    /// The version that is known means nothing at discovery: the next list has to be a whole one.
-    pub fn forget(&mut self) {
-        self.index = None;
+    /// Discovery does not know the known version: the next list has to be complete.
+    pub fn forget_version(&mut self) {
+        self.known_version = None;
     }
 
-    /// For calls from now on.
-    pub fn bound(&mut self, limits: Limits) {
+    /// Changes the limits for later requests.
+    pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
+    /// When the current request times out or the next one is due.
     pub fn next_at(&self) -> Option<Timestamp> {
-        let ends = self.line.as_ref().map(|_| self.ends);
-        ends.into_iter().chain(self.again).min()
+        let timeout = self.line.as_ref().map(|_| self.times_out_at);
+        timeout.into_iter().chain(self.retry_at).min()
     }
 
+    /// Whether events of this request are still of interest.
     pub fn is_current(&self, number: u32) -> bool {
         self.line.is_some() && self.number == number
     }
 
-    /// DiscoveryRequests, unless a call stands; whether that could be done.
-    pub fn call(&mut self, now: Timestamp) -> bool {
+    /// Makes a request unless one is in flight. Returns false if no connection can be opened.
+    pub fn request(&mut self, now: Timestamp) -> bool {
         if self.line.is_some() {
             return true;
         }
         self.number += 1;
-        let (number, after) = (self.number, self.index);
-        let wait_ms = self.limits.watch_timeout.0 / 1000;
-        self.news_within = self.limits.watch_timeout + self.limits.watch_grace;
-        self.ends = now + after.map_or(self.limits.list_timeout, |_| self.news_within);
-        self.line = (self.dial)(DiscoveryRequest {
-            number,
+        self.change_timeout = self.limits.watch_timeout + self.limits.watch_grace;
+        let timeout = match self.known_version {
+            Some(_) => self.change_timeout,
+            None => self.limits.list_timeout,
+        };
+        self.times_out_at = now + timeout;
+        let request = DiscoveryRequest {
+            number: self.number,
             address: self.address,
-            wait_ms,
-            after,
-        })
-        .ok();
+            wait_ms: self.limits.watch_timeout.0 / 1000,
+            after: self.known_version,
+        };
+        self.line = (self.dial)(request).ok();
         self.line.is_some()
     }
 
-    /// From now on discovery is at this address, and its whole list comes first: a version means nothing at any
-    /// other. The call to the old one is hung up on, for that one may stay silent until it closes.
-    pub fn move_to(&mut self, now: Timestamp, address: SocketAddr) {
+    /// Changes the address of discovery. Versions mean nothing at any other address, so the complete list is requested
+    /// at once. The current request ends: the former discovery may stay silent until it closes.
+    pub fn set_address(&mut self, now: Timestamp, address: SocketAddr) {
         if address == self.address {
             return;
         }
-        (self.address, self.line, self.index) = (address, None, None);
-        (self.pause, self.again) = (self.limits.initial_backoff, Some(now));
+        self.address = address;
+        self.line = None;
+        self.known_version = None;
+        self.backoff = self.limits.initial_backoff;
+        self.retry_at = Some(now);
     }
 
-    /// News came; the next watch is on its way already.
-    pub fn told(&mut self, now: Timestamp, index: u64) {
-        self.ends = now + self.news_within;
-        self.pause = self.limits.initial_backoff;
-        self.index = Some(index);
+    /// A list of this version arrived; the next watch has been sent on the same connection already.
+    pub fn on_list(&mut self, now: Timestamp, version: u64) {
+        self.times_out_at = now + self.change_timeout;
+        self.backoff = self.limits.initial_backoff;
+        self.known_version = Some(version);
     }
 
-    /// The call is over. The next one comes after a growing pause, or when the module says so: then it must be
-    /// told.
-    pub fn failed(&mut self, now: Timestamp) -> bool {
+    /// Ends the current request. The next one is due after a growing backoff; if the policy polls, it decides, and true
+    /// is returned.
+    pub fn on_failed(&mut self, now: Timestamp) -> bool {
         self.line = None;
-        if !self.on_request {
-            self.again = Some(now + self.pause);
-            self.pause = (self.pause + self.pause).min(self.limits.max_backoff);
+        if !self.is_polled {
+            self.retry_at = Some(now + self.backoff);
+            self.backoff = (self.backoff + self.backoff).min(self.limits.max_backoff);
         }
-        self.on_request
+        self.is_polled
     }
 
-    /// The call has been silent for too long.
-    pub fn is_silent(&self, now: Timestamp) -> bool {
-        self.line.is_some() && self.ends <= now
+    /// Whether the current request has timed out.
+    pub fn is_timed_out(&self, now: Timestamp) -> bool {
+        self.line.is_some() && self.times_out_at <= now
     }
 
-    pub fn is_due(&mut self, now: Timestamp) -> bool {
-        self.again.take_if(|at| *at <= now).is_some()
+    /// Whether the next request is due; true only once for each.
+    pub fn take_due(&mut self, now: Timestamp) -> bool {
+        self.retry_at.take_if(|at| *at <= now).is_some()
     }
 }
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -68,13 +68,11 @@
             return;
         };
         if let (RequestKind::Execution(id), Some(witness)) = (request.kind, &self.witness) {
-            if let Some((client, end, harmless)) =
-                self.statements.place(id.statement).filter(|_| witness.is_on())
-            {
+            if let Some(origin) = self.statements.origin(id.statement).filter(|_| witness.is_on()) {
                 let out = JournalRecord::Dispatched {
-                    client,
-                    end,
-                    is_retry_safe: harmless,
+                    client: origin.client,
+                    end: origin.end,
+                    is_retry_safe: self.statements.is_client_retry_safe(id.statement),
                 };
                 witness.put(&out, None);
             }
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -6,6 +6,7 @@
 use crate::routing::gossip::{sightings, GossipMessage, Out, Parked, Sharing, Word};
 use crate::routing::member_requests::{AttemptId, RequestKind};
 use crate::routing::members::{self, MemberIdentity};
+use crate::routing::statements::StatementKeys;
 use asterlatch::interface::*;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::codec::Question;
@@ -115,7 +116,12 @@
     /// An execution goes out; others may have to know.
     pub(super) fn shares_execution(&mut self, now: Timestamp, stmt: u32, number: u8, member: u32) {
         let Some(sharing) = &mut self.sharing else { return };
-        let Some((name, workload, session)) = self.statements.marks(stmt) else {
+        let Some(StatementKeys {
+            client_id: name,
+            workload,
+            session,
+        }) = self.statements.keys(stmt)
+        else {
             return;
         };
         let work = self.module.typical_latency(workload);
@@ -125,8 +131,8 @@
         let out = Out {
             name,
             session,
-            harmful: self.harmful[workload],
-            writes: self.freshness[workload] == Freshness::Write,
+            harmful: self.workloads.get(workload).needs_deduplication,
+            writes: self.workloads.get(workload).is_write(),
         };
         if out.harmful {
             let member = self.members.name(member).unwrap_or_default();
@@ -211,7 +217,7 @@
         taken: Statement,
         times_out: Timestamp,
     ) -> Option<Statement> {
-        let harmful = self.harmful[taken.workload];
+        let harmful = self.workloads.get(taken.workload).needs_deduplication;
         let with_prior_attempt = |prior: PriorAttempt| {
             Some(Statement {
                 prior_attempt: Some(prior),
@@ -271,7 +277,7 @@
             turn: parked.turn,
         }));
         // Its client may have gone.
-        if !self.statements.holds(parked.taken.id) {
+        if !self.statements.contains(parked.taken.id) {
             return;
         }
         let prior = match verdict {
@@ -310,7 +316,7 @@
             question,
             known: known.clone(),
         });
-        let open = self.statements.named(question.id);
+        let open = self.statements.find(question.id);
         let Some(stmt) = open.filter(|_| known == Known::Untouched) else {
             return;
         };
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -20,9 +20,10 @@
 use crate::routing::member_requests::{
     self, AttemptId, ConnectionLimits, MemberRequest, MemberRequests, RequestKind, UnansweredRequest,
 };
-use crate::routing::members::{session_key, MemberDirectory, NameTable};
+use crate::routing::members::{session_key, MemberDirectory};
 use crate::routing::metrics::Metrics;
-use crate::routing::statements::Statements;
+use crate::routing::statements::{NewStatement, NextAttempt, OpenedStatement, StatementOrigin, Statements};
+use crate::routing::workloads::Workloads;
 use crate::transport::clock::Clock;
 use crate::transport::listener::{Arrival, Listening};
 use crate::transport::memory_budget::MemoryBudget;
@@ -51,7 +52,7 @@
 /// How connections to members and discovery are opened.
 pub struct Place {
     pub members: member_requests::DialMember,
-    pub discovery: discovery_requests::Dial,
+    pub discovery: discovery_requests::DialDiscovery,
     pub adopt: Adopt,
     pub adopt_connection: AdoptConnection,
     /// Writes down what goes out, where another process is to go on if this one dies.
@@ -147,8 +148,7 @@
     decoding: Decoding,
     pub observer: O,
     pub metrics: Metrics,
-    workloads: NameTable,
-    freshness: Vec<Freshness>,
+    workloads: Workloads,
     members: MemberDirectory,
     clients: Clients,
     statements: Statements,
@@ -157,8 +157,6 @@
     memory: (MemoryBudget, MemoryBudget),
     given: Given,
     limits: Limits,
-    /// By workload.
-    workload_limits: Vec<WorkloadLimits>,
     ended: VecDeque<Ended>,
     module_wakes: Option<Timestamp>,
     accept_again: Option<Timestamp>,
@@ -176,8 +174,6 @@
     witness: Option<Witness>,
     /// Clients of a process that has died, some of whose statements may have run.
     verdicts: BTreeMap<u32, StatementVerdicts>,
-    /// By workload: a statement that may have run does no harm when its client repeats it.
-    harmless: Vec<bool>,
     /// Idle connections to members that are to go on in another process.
     pub moved_connections: Vec<(u32, TcpStream)>,
     /// Clients that are to go on in another process.
@@ -185,8 +181,6 @@
     /// What is shared with other drivers, where anything is.
     sharing: Option<Sharing>,
     is_mute: bool,
-    /// By workload: to run one twice is no small matter, so others are asked before a marked repeat goes out.
-    harmful: Vec<bool>,
     /// Positions of sessions' writes are kept here, for clients don't carry them.
     remembers_sessions: bool,
 }
@@ -209,8 +203,7 @@
         };
         EventLoop {
             module: policy::RoutingPolicy::new(&settings, seed, now),
-            workloads: NameTable::of(&decoding.workloads),
-            freshness: settings.workloads.iter().map(|w| w.freshness).collect(),
+            workloads: Workloads::new(&settings, &decoding),
             members: MemberDirectory::new(&decoding.zones),
             clients: Clients::new(most_clients, limits),
             statements: Statements::default(),
@@ -225,7 +218,6 @@
             memory: place.memory,
             given,
             limits,
-            workload_limits: vec![WorkloadLimits::default(); settings.workloads.len()],
             decoding,
             observer,
             metrics: Metrics::default(),
@@ -240,22 +232,12 @@
             adopt_connection: place.adopt_connection,
             witness: place.witness,
             verdicts: BTreeMap::new(),
-            harmless: settings
-                .workloads
-                .iter()
-                .map(WorkloadSettings::is_client_retry_safe)
-                .collect(),
             moved_connections: Vec::new(),
             adopted: 0,
             is_shared: false,
             drains: Vec::new(),
             sharing: None,
             is_mute: false,
-            harmful: settings
-                .workloads
-                .iter()
-                .map(|w| w.retry_safety != RetrySafety::Idempotent)
-                .collect(),
             remembers_sessions: !settings.session_age_carried,
             moved: Vec::new(),
         }
@@ -336,12 +318,12 @@
         let expired = self.clients.close_expired(now);
         self.metrics.clients_too_slow += expired.too_slow;
         self.metrics.clients_rested += expired.idle;
-        if self.discovery_requests.is_silent(now) {
+        if self.discovery_requests.is_timed_out(now) {
             let text = format_args!("silent, calling again");
             self.observer.say(now, "discovery", text);
             self.call_failed(now);
         }
-        if self.discovery_requests.is_due(now) {
+        if self.discovery_requests.take_due(now) {
             self.call(now);
         }
         if self.accept_again.take_if(|at| *at <= now).is_some() {
@@ -357,20 +339,14 @@
     pub fn give(&mut self, now: Timestamp, given: Given) {
         self.given = given;
         self.bound();
-        self.discovery_requests.move_to(now, given.discovery);
+        self.discovery_requests.set_address(now, given.discovery);
     }
 
     /// Takes over what the operators set. Newcomers are bound by it first; nothing open ends for a smaller limit,
     /// but for pauses that are too long by then.
     pub fn limit(&mut self, limits: Limits, by_workload: &BTreeMap<String, WorkloadLimits>) {
         self.limits = limits;
-        self.workload_limits.fill(WorkloadLimits::default());
-        for (name, limits) in by_workload {
-            let workload = self.workloads.find(&asterlatch_settings::word(name));
-            if let Some(own) = workload.and_then(|w| self.workload_limits.get_mut(w)) {
-                *own = *limits;
-            }
-        }
+        self.workloads.set_limits(by_workload);
         self.bound();
     }
 
@@ -379,7 +355,7 @@
         let (clients, members) = given.connections(&limits);
         self.clients.set_limits(clients, limits);
         self.member_requests.set_limits(members, limits.member_idle_share);
-        self.discovery_requests.bound(limits);
+        self.discovery_requests.set_limits(limits);
         let (of_clients, of_members) = given.bytes(&limits);
         self.memory.0.set_capacity(of_clients);
         self.memory.1.set_capacity(of_members);
@@ -495,7 +471,7 @@
             ClientEvent::Closed { client } => {
                 self.verdicts.remove(&client);
                 for stmt in self.clients.remove(client) {
-                    if self.statements.release(stmt).is_none() {
+                    if self.statements.remove(stmt).is_none() {
                         continue;
                     }
                     self.metrics.withdrawn += 1;
@@ -527,20 +503,22 @@
             }
         };
         self.metrics.statements_taken += 1;
-        let own = self.workload_limits[workload].timeout;
-        let longest = own.map_or(self.limits.max_statement_timeout, |own| {
-            own.min(self.limits.max_statement_timeout)
-        });
-        let sessions = matches!(self.freshness[workload], Freshness::Session | Freshness::Write);
-        let key = marked.key.as_deref().filter(|_| sessions);
+        let properties = self.workloads.get(workload);
+        let key = marked.key.as_deref().filter(|_| properties.uses_sessions());
         let session = key.map_or(0, session_key);
-        let (id, times_out) = self.statements.hold(
-            (client, number, end),
+        let OpenedStatement {
+            id,
+            deadline: times_out,
+        } = self.statements.insert(NewStatement {
+            origin: StatementOrigin { client, number, end },
             text,
-            &marked,
-            (at, longest),
-            (workload, session, self.harmless[workload]),
-        );
+            fields: &marked,
+            received_at: at,
+            max_timeout: properties.max_statement_timeout(&self.limits),
+            workload,
+            session,
+            is_client_retry_safe: properties.is_client_retry_safe,
+        });
         self.clients.add_statement(client, id);
         let taken = Statement {
             id,
@@ -563,15 +541,15 @@
 
     /// The workload of a statement that can be routed.
     fn routable(&self, marked: &Marked, length: usize) -> Result<usize, Unreadable> {
-        if self.statements.has_name(marked.id) {
+        if self.statements.find(marked.id).is_some() {
             return Err(comment::SAME_ID);
         }
         if !self.members.has_group(marked.group) {
             return Err(comment::NO_GROUP);
         }
-        let known = self.workloads.find(&asterlatch_settings::word(&marked.workload));
+        let known = self.workloads.find(&marked.workload);
         let workload = known.ok_or(comment::NO_WORKLOAD)?;
-        match self.workload_limits[workload].max_bytes {
+        match self.workloads.get(workload).limits.max_bytes {
             Some(longest) if length > longest => Err(comment::TOO_LARGE),
             _ => Ok(workload),
         }
@@ -579,7 +557,7 @@
 
     /// Gives a statement its one final answer; a later one finds it gone.
     fn answer(&mut self, stmt: u32, answer: Final) -> bool {
-        let Some((client, number)) = self.statements.release(stmt) else {
+        let Some(StatementOrigin { client, number, .. }) = self.statements.remove(stmt) else {
             self.metrics.late_answers_dropped += 1;
             return false;
         };
@@ -606,7 +584,11 @@
             }
         }
         for e in &results.executions {
-            if let Some((number, until)) = self.statements.execute(e.statement, e.deadline) {
+            if let Some(NextAttempt {
+                number,
+                deadline: until,
+            }) = self.statements.begin_attempt(e.statement, e.deadline)
+            {
                 self.metrics.executions_sent += 1;
                 let kind = RequestKind::Execution(AttemptId {
                     statement: e.statement,
@@ -683,7 +665,7 @@
                         member,
                         outcome: ending,
                         latency: end.took,
-                        is_answered: !self.statements.holds(stmt),
+                        is_answered: !self.statements.contains(stmt),
                         status: end.sighting,
                     };
                     self.module.on_execution_ended(now, &end)
@@ -792,13 +774,13 @@
 
     fn call(&mut self, now: Timestamp) {
         self.metrics.discovery_calls += 1;
-        if !self.discovery_requests.call(now) {
+        if !self.discovery_requests.request(now) {
             self.call_failed(now);
         }
     }
 
     fn call_failed(&mut self, now: Timestamp) {
-        if self.discovery_requests.failed(now) {
+        if self.discovery_requests.on_failed(now) {
             let results = self.module.on_poll_failed(now);
             self.carry_out(now, results);
         }
@@ -811,10 +793,10 @@
         }
         match message.event {
             DiscoveryEvent::Listed(roster) => {
-                self.discovery_requests.told(now, roster.index);
+                self.discovery_requests.on_list(now, roster.index);
                 self.learn_roster(now, &roster);
             }
-            DiscoveryEvent::Outdated => self.discovery_requests.forget(),
+            DiscoveryEvent::Outdated => self.discovery_requests.forget_version(),
             DiscoveryEvent::Unreadable => {
                 self.metrics.rosters_unreadable += 1;
                 let text = format_args!("answered what can't be read");
@@ -826,7 +808,7 @@
 
     /// Begins with the list that is known from before.
     pub fn begin_with(&mut self, now: Timestamp, known: &EndpointList) {
-        self.discovery_requests.knows(known.index);
+        self.discovery_requests.set_known_version(known.index);
         self.learn_roster(now, known);
     }
 
--- a/crates/driver/src/routing/mod.rs
+++ b/crates/driver/src/routing/mod.rs
@@ -12,3 +12,4 @@
 pub mod members;
 pub mod metrics;
 pub mod statements;
+pub mod workloads;
--- a/crates/driver/src/routing/statements.rs
+++ b/crates/driver/src/routing/statements.rs
@@ -1,4 +1,4 @@
-//! Statements that have no final answer yet, with the bytes that came.
+//! Open statements: accepted, and without a final answer yet.
 
 use crate::protocol::comment::{self, Marked};
 use crate::protocol::messages;
@@ -7,114 +7,172 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-struct Held {
-    client: u32,
-    /// Its number on the client's connection.
-    number: u32,
-    /// What its client calls it.
-    name: u64,
-    /// Where it ends among all that was read from its client here.
-    end: u64,
-    /// It does no harm when its client repeats it though it may have run.
-    harmless: bool,
+/// Where a statement comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StatementOrigin {
+    /// Number of the client's connection.
+    pub client: u32,
+    /// Number of the statement on that connection, by which it is answered.
+    pub number: u32,
+    /// Offset of its end in all bytes that this process has read from the client.
+    pub end: u64,
+}
+
+/// A statement to be opened.
+pub struct NewStatement<'a> {
+    /// Where it comes from.
+    pub origin: StatementOrigin,
+    /// The statement as it was sent.
+    pub text: Text,
+    /// Fields of its comment.
+    pub fields: &'a Marked,
+    /// When it was received.
+    pub received_at: Timestamp,
+    /// Upper bound for its timeout.
+    pub max_timeout: TimeSpan,
+    /// Index of its workload.
+    pub workload: usize,
+    /// Key of its session; zero if it has none.
+    pub session: u64,
+    /// Its client may retry it though it may have been executed.
+    pub is_client_retry_safe: bool,
+}
+
+/// Id and deadline of a statement that has been opened.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OpenedStatement {
+    /// Id within this process.
+    pub id: u32,
+    /// End of its timeout.
+    pub deadline: Timestamp,
+}
+
+/// What identifies a statement to other drivers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StatementKeys {
+    /// Hash of the id that its client gave it.
+    pub client_id: u64,
+    /// Index of its workload.
+    pub workload: usize,
+    /// Key of its session; zero if it has none.
+    pub session: u64,
+}
+
+/// The next attempt of a statement.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NextAttempt {
+    /// Its number, counted from zero.
+    pub number: u8,
+    /// When its answer is no longer waited for.
+    pub deadline: Timestamp,
+}
+
+struct OpenStatement {
+    origin: StatementOrigin,
+    client_id: u64,
+    is_client_retry_safe: bool,
     text: Text,
-    left_at: Range<usize>,
-    times_out: Timestamp,
-    executions: u8,
+    /// Where the digits of the time left stand in the text.
+    time_left_range: Range<usize>,
+    deadline: Timestamp,
+    attempts: u8,
     workload: usize,
     session: u64,
 }
 
+/// The table of open statements. Only the event loop uses it.
 #[derive(Default)]
 pub struct Statements {
-    held: BTreeMap<u32, Held>,
-    names: BTreeMap<u64, u32>,
-    next: u32,
+    open: BTreeMap<u32, OpenStatement>,
+    by_client_id: BTreeMap<u64, u32>,
+    last_id: u32,
 }
 
 impl Statements {
+    /// Number of open statements.
     pub fn count(&self) -> usize {
-        self.held.len()
+        self.open.len()
     }
 
-    pub fn holds(&self, id: u32) -> bool {
-        self.held.contains_key(&id)
+    /// Whether the statement is open.
+    pub fn contains(&self, id: u32) -> bool {
+        self.open.contains_key(&id)
     }
 
-    /// Whether one that its client calls the same is open: to a member this one would be a copy of that.
-    pub fn has_name(&self, name: u64) -> bool {
-        self.names.contains_key(&name)
+    /// The open statement with this id of its client. A second one would look like a retry of it to members.
+    pub fn find(&self, client_id: u64) -> Option<u32> {
+        self.by_client_id.get(&client_id).copied()
     }
 
-    /// Holds a statement that came then, and gives it an id; says that and its statement timeout, which is its
-    /// client's or the longest that is allowed.
-    pub fn hold(
-        &mut self,
-        (client, number, end): (u32, u32, u64),
-        text: Text,
-        marked: &Marked,
-        (at, longest): (Timestamp, TimeSpan),
-        (workload, session, harmless): (usize, u64, bool),
-    ) -> (u32, Timestamp) {
-        self.next = self.next.wrapping_add(1);
-        let times_out = at + TimeSpan::millis(marked.left_ms).min(longest);
-        let held = Held {
-            client,
-            number,
-            end,
-            harmless,
-            name: marked.id,
-            text,
-            left_at: marked.left_at.clone(),
-            times_out,
-            executions: 0,
-            workload,
-            session,
+    /// Opens a statement.
+    pub fn insert(&mut self, new: NewStatement) -> OpenedStatement {
+        self.last_id = self.last_id.wrapping_add(1);
+        let id = self.last_id;
+        let timeout = TimeSpan::millis(new.fields.left_ms).min(new.max_timeout);
+        let deadline = new.received_at + timeout;
+        let statement = OpenStatement {
+            origin: new.origin,
+            client_id: new.fields.id,
+            is_client_retry_safe: new.is_client_retry_safe,
+            text: new.text,
+            time_left_range: new.fields.left_at.clone(),
+            deadline,
+            attempts: 0,
+            workload: new.workload,
+            session: new.session,
         };
-        self.names.insert(marked.id, self.next);
-        self.held.insert(self.next, held);
-        (self.next, times_out)
+        self.by_client_id.insert(statement.client_id, id);
+        self.open.insert(id, statement);
+        OpenedStatement { id, deadline }
     }
 
-    /// The one that its client calls this.
-    pub fn named(&self, name: u64) -> Option<u32> {
-        self.names.get(&name).copied()
+    /// What identifies a statement to other drivers.
+    pub fn keys(&self, id: u32) -> Option<StatementKeys> {
+        let statement = self.open.get(&id)?;
+        Some(StatementKeys {
+            client_id: statement.client_id,
+            workload: statement.workload,
+            session: statement.session,
+        })
     }
 
-    /// Its name, workload and session.
-    pub fn marks(&self, id: u32) -> Option<(u64, usize, u64)> {
-        let held = self.held.get(&id)?;
-        Some((held.name, held.workload, held.session))
+    /// Removes a statement that has its final answer, or whose client is gone.
+    pub fn remove(&mut self, id: u32) -> Option<StatementOrigin> {
+        let statement = self.open.remove(&id)?;
+        self.by_client_id.remove(&statement.client_id);
+        Some(statement.origin)
     }
 
-    /// Lets go of one that has its final answer, or needs none; says whose it was, and
-    /// its number there.
-    pub fn release(&mut self, id: u32) -> Option<(u32, u32)> {
-        let held = self.held.remove(&id)?;
-        self.names.remove(&held.name);
-        Some((held.client, held.number))
+    /// Counts an attempt that is waited for until then, or until the statement's own deadline.
+    pub fn begin_attempt(&mut self, id: u32, deadline: Timestamp) -> Option<NextAttempt> {
+        let statement = self.open.get_mut(&id)?;
+        // As the policy numbers them.
+        let number = statement.attempts;
+        statement.attempts = number.wrapping_add(1);
+        Some(NextAttempt {
+            number,
+            deadline: deadline.min(statement.deadline),
+        })
     }
 
-    /// The number of its next execution, and until when that may be waited for.
-    pub fn execute(&mut self, id: u32, until: Timestamp) -> Option<(u8, Timestamp)> {
-        let held = self.held.get_mut(&id)?;
-        // As the module numbers them.
-        let number = held.executions;
-        held.executions = number.wrapping_add(1);
-        Some((number, until.min(held.times_out)))
+    /// Where a statement comes from.
+    pub fn origin(&self, id: u32) -> Option<StatementOrigin> {
+        self.open.get(&id).map(|statement| statement.origin)
     }
 
-    /// Whose it is, where it ends among what was read from there, and whether repeating it is harmless.
-    pub fn place(&self, id: u32) -> Option<(u32, u64, bool)> {
-        let held = self.held.get(&id)?;
-        Some((held.client, held.end, held.harmless))
+    /// Whether its client may retry a statement though it may have been executed.
+    pub fn is_client_retry_safe(&self, id: u32) -> bool {
+        let statement = self.open.get(&id);
+        statement.is_some_and(|statement| statement.is_client_retry_safe)
     }
 
-    /// What goes to a member that is waited for until then. Rounded down, so that no member works for longer
-    /// than anybody waits.
-    pub fn query(&self, id: u32, now: Timestamp, until: Timestamp) -> Option<Vec<u8>> {
-        let held = self.held.get(&id)?;
-        let text = comment::with_left(held.text.text.as_bytes(), &held.left_at, (until - now).0 / 1000);
+    /// The query for a member that is waited for until then. The time left is rounded down, so that no member works for
+    /// longer than anybody waits.
+    pub fn query(&self, id: u32, now: Timestamp, deadline: Timestamp) -> Option<Vec<u8>> {
+        let statement = self.open.get(&id)?;
+        let text = statement.text.text.as_bytes();
+        let time_left_ms = (deadline - now).0 / 1000;
+        let text = comment::with_left(text, &statement.time_left_range, time_left_ms);
         let mut query = Vec::with_capacity(text.len() + 8);
         messages::put_query(&mut query, &text);
         Some(query)
