--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -1,11 +1,11 @@
 //! The thread that speaks with other drivers: carries datagrams to the engine of `asterlatch-gossip` and out of it, and its
-//! news to the owner. It keeps no statement waiting: the owner speaks to it by words, and hears by its own queue.
+//! news to the event loop. It keeps no statement waiting: the event loop speaks to it by words, and hears by its own queue.
 
 use super::keeping::{self, Job};
 use crate::program::config::Config;
 use crate::program::operators::registry;
-use crate::routing::queue::Input as OwnersInput;
-use crate::routing::sharing::{News, Sharing, Terms, Word};
+use crate::routing::events::Event;
+use crate::routing::gossip::{GossipMessage, Sharing, Terms, Word};
 use crate::transport::clock::Clock;
 use crate::transport::datagrams::{DatagramEvent, DatagramSocket, DatagramWaker};
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -146,7 +146,7 @@
     shares: &Shares,
     config: &Config,
     clock: Clock,
-    queue: Sender<OwnersInput>,
+    queue: Sender<Event>,
     state: Option<&Path>,
 ) -> Result<(Sharing, Line), String> {
     let address = SocketAddr::new(config.listen.ip(), shares.port);
@@ -249,7 +249,7 @@
     if keeps {
         lines.push(report.line());
     }
-    // Nobody is there to be told of it yet: what comes out is for the owner alone, which hears it with the first news.
+    // Nobody is there to be told of it yet: what comes out is for the event loop alone, which hears it with the first news.
     for (fact, age) in used {
         engine.restore(now, fact, age);
     }
@@ -329,12 +329,12 @@
 
 struct Running {
     keeping: Option<Keeping>,
-    /// What the owner is to say.
+    /// What the event loop is to say.
     lines: Vec<String>,
     engine: Engine,
     datagrams: DatagramSocket,
     inbox: Receiver<ToEngine>,
-    queue: Sender<OwnersInput>,
+    queue: Sender<Event>,
     clock: Clock,
     /// Datagrams from nobody who may speak here, and such that couldn't be sent.
     foreign: u64,
@@ -352,7 +352,11 @@
                 self.lines.extend(keeping.steer(&mut self.engine, now));
             }
             for line in std::mem::take(&mut self.lines) {
-                if self.queue.send(OwnersInput::Peers(News::Line(line))).is_err() {
+                if self
+                    .queue
+                    .send(Event::Gossip(GossipMessage::LogLine(line)))
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -373,7 +377,7 @@
                 }
                 Ok(DatagramEvent::Woken) => Vec::new(),
                 Ok(DatagramEvent::TimedOut) => self.engine.take(self.clock.now(), Input::Time),
-                // Without a socket nothing more comes; what the owner does goes on.
+                // Without a socket nothing more comes; what the event loop does goes on.
                 Err(_) => return,
             };
             if !self.carry_out(outputs) {
@@ -400,13 +404,17 @@
         }
     }
 
-    /// Whether the owner is still there.
+    /// Whether the event loop is still there.
     fn carry_out(&mut self, outputs: Vec<Output>) -> bool {
         for output in outputs {
             match output {
                 Output::Send { to, bytes } => self.failed += u64::from(!self.datagrams.send(to, &bytes)),
                 news => {
-                    if self.queue.send(OwnersInput::Peers(News::Heard(news))).is_err() {
+                    if self
+                        .queue
+                        .send(Event::Gossip(GossipMessage::Output(news)))
+                        .is_err()
+                    {
                         return false;
                     }
                 }
@@ -502,7 +510,7 @@
     }
 }
 
-/// A fact's figures in words.
+/// A record's values as text.
 fn says(fact: &Record) -> String {
     match fact {
         Record::Member {
--- a/crates/driver/src/program/upgrade/handover.rs
+++ b/crates/driver/src/program/upgrade/handover.rs
@@ -1,12 +1,12 @@
 //! What goes from one process to the next: what was learned, and by which clock.
 
 use crate::program::log::Log;
-use crate::routing::owner::Owner;
-use crate::routing::tables::Members;
+use crate::routing::event_loop::EventLoop;
+use crate::routing::members::MemberDirectory;
 use crate::transport::clock::Clock;
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_handover::codec::machine_us;
+use asterlatch_handover::codec::monotonic_micros;
 use serde::{Deserialize, Serialize};
 
 /// Of what is written out, beside the version of the takeover itself.
@@ -25,12 +25,16 @@
     members: Vec<u8>,
 }
 
-pub fn written(owner: &Owner<Log>, now: Timestamp, settings: u64) -> Result<Vec<u8>, postcard::Error> {
-    let (module, members) = owner.learned();
+pub fn written(
+    event_loop: &EventLoop<Log>,
+    now: Timestamp,
+    settings: u64,
+) -> Result<Vec<u8>, postcard::Error> {
+    let (module, members) = event_loop.learned();
     let handover = Handover {
         form: FORM,
         now,
-        machine: TimeSpan(machine_us()),
+        machine: TimeSpan(monotonic_micros()),
         settings,
         module: postcard::to_stdvec(module)?,
         members: postcard::to_stdvec(members)?,
@@ -41,7 +45,7 @@
 /// What a new process goes on from.
 pub struct Resumed {
     pub clock: Clock,
-    pub learned: (RoutingPolicy, Members),
+    pub learned: (RoutingPolicy, MemberDirectory),
 }
 
 pub fn read(bytes: &[u8], settings: u64) -> Result<Resumed, String> {
@@ -58,7 +62,7 @@
     let module = module.map_err(|e| format!("what was learned can't be read: {e}"))?;
     let members = members.map_err(|e| format!("the members can't be read: {e}"))?;
     Ok(Resumed {
-        clock: Clock::resume(handover.now, handover.machine, TimeSpan(machine_us())),
+        clock: Clock::resume(handover.now, handover.machine, TimeSpan(monotonic_micros())),
         learned: (module, members),
     })
 }
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -1,4 +1,4 @@
-//! Carries out what the two sides of a takeover decide. All waiting is done on threads beside the owner's.
+//! Carries out what the two sides of a takeover decide. All waiting is done on threads beside the event loop's.
 
 pub mod control;
 mod handover;
@@ -6,10 +6,10 @@
 pub mod old;
 
 use super::log::Log;
-use crate::routing::owner::Owner;
+use crate::routing::event_loop::EventLoop;
 use asterlatch::time::Timestamp;
-use asterlatch_handover::co_serving::{Joint, Word};
-use asterlatch_handover::message::Message;
+use asterlatch_handover::co_serving::{CoServingMessage, CoServingState};
+use asterlatch_handover::message::HandoverMessage;
 pub use control::{control, request};
 pub use new::{inherited, Takeover};
 pub use old::Upgrades;
@@ -18,18 +18,25 @@
 pub const VARIABLE: &str = "ASTERLATCH_TAKEOVER";
 
 /// Takes over what the other process tells that binds both; what it is to be answered.
-fn bind(owner: &mut Owner<Log>, now: Timestamp, joint: &mut Joint, words: &[Word]) -> Option<Message> {
-    words.iter().for_each(|word| owner.bind(now, word));
-    let answer = joint.heard(words);
-    owner.figures.open_from_beside = joint.beside();
-    answer.map(|word| Message::Joint(vec![word]))
+fn bind(
+    event_loop: &mut EventLoop<Log>,
+    now: Timestamp,
+    joint: &mut CoServingState,
+    words: &[CoServingMessage],
+) -> Option<HandoverMessage> {
+    words.iter().for_each(|word| event_loop.bind(now, word));
+    let answer = joint.on_messages(words);
+    event_loop.metrics.open_from_beside = joint.peer_in_flight();
+    answer.map(|word| HandoverMessage::CoServing(vec![word]))
 }
 
 /// What the other process is to know that binds both: drains that were heard here, and what is out.
-fn words(owner: &mut Owner<Log>, joint: &mut Joint) -> Option<Message> {
-    let drains = std::mem::take(&mut owner.drains);
-    let drains = drains.iter().filter_map(|(m, since)| joint.drains(m, *since));
-    let mut words: Vec<Word> = drains.collect();
-    words.extend(joint.open(owner.out()));
-    (!words.is_empty()).then_some(Message::Joint(words))
+fn words(event_loop: &mut EventLoop<Log>, joint: &mut CoServingState) -> Option<HandoverMessage> {
+    let drains = std::mem::take(&mut event_loop.drains);
+    let drains = drains
+        .iter()
+        .filter_map(|(m, since)| joint.drain_update(m, *since));
+    let mut words: Vec<CoServingMessage> = drains.collect();
+    words.extend(joint.in_flight_updates(event_loop.out()));
+    (!words.is_empty()).then_some(HandoverMessage::CoServing(words))
 }
--- a/crates/driver/src/protocol/execution.rs
+++ b/crates/driver/src/protocol/execution.rs
@@ -17,9 +17,9 @@
 }
 
 /// News of a member's connection.
-pub enum Heard {
+pub enum MemberEvent {
     /// It is ready for its first query.
-    Up { connection: u32 },
+    Connected { connection: u32 },
     Replied {
         connection: u32,
         at: Timestamp,
@@ -28,9 +28,9 @@
         report: Option<String>,
     },
     /// The connection, idle, is to go on in another process.
-    Moved { connection: u32, stream: TcpStream },
+    Transferred { connection: u32, stream: TcpStream },
     /// It is over, with or without what was to be run having gone out to its last byte.
-    Down {
+    Closed {
         connection: u32,
         at: Timestamp,
         written: bool,
@@ -38,7 +38,7 @@
 }
 
 /// What a member's connection is told.
-pub enum Run {
+pub enum MemberCommand {
     /// A query to send, whole.
     Query(Vec<u8>),
     /// Gives the connection up, which sits idle.
@@ -101,15 +101,15 @@
         }
     }
 
-    fn send(&mut self, query: Vec<u8>, out: &mut ConnectionOutput<Heard>) {
+    fn send(&mut self, query: Vec<u8>, out: &mut ConnectionOutput<MemberEvent>) {
         *self = Executions::new(self.connection, self.bound);
         self.state = State::Busy;
         self.sent = true;
         out.bytes.extend(query);
     }
 
-    fn reply(&mut self, reply: Reply, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
-        out.events.push(Heard::Replied {
+    fn reply(&mut self, reply: Reply, at: Timestamp, out: &mut ConnectionOutput<MemberEvent>) {
+        out.events.push(MemberEvent::Replied {
             connection: self.connection,
             at,
             reply,
@@ -121,7 +121,7 @@
 
     /// Nothing that comes after can be told from the rest, so the connection is over too, and nothing that came
     /// before it with the answer is believed.
-    fn malformed(&mut self, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+    fn malformed(&mut self, at: Timestamp, out: &mut ConnectionOutput<MemberEvent>) {
         if self.sent {
             (self.sighting, self.report) = (ReplicaStatus::default(), None);
             self.reply(Reply::Malformed, at, out);
@@ -129,7 +129,7 @@
         self.close(out);
     }
 
-    fn close(&mut self, out: &mut ConnectionOutput<Heard>) {
+    fn close(&mut self, out: &mut ConnectionOutput<MemberEvent>) {
         self.state = State::Over;
         out.close = true;
     }
@@ -163,7 +163,7 @@
         body: &[u8],
         bytes: &[u8],
         at: Timestamp,
-        out: &mut ConnectionOutput<Heard>,
+        out: &mut ConnectionOutput<MemberEvent>,
     ) -> bool {
         let busy = self.state == State::Busy;
         match kind {
@@ -203,7 +203,7 @@
             }
             b'Z' if self.state == State::Greeting && self.error.is_none() => {
                 self.state = State::Idle;
-                out.events.push(Heard::Up {
+                out.events.push(MemberEvent::Connected {
                     connection: self.connection,
                 });
                 if let Some(query) = self.first.take() {
@@ -225,16 +225,16 @@
 }
 
 impl ConnectionHandler for Executions {
-    type Command = Run;
-    type Event = Heard;
+    type Command = MemberCommand;
+    type Event = MemberEvent;
 
-    fn on_open(&mut self, out: &mut ConnectionOutput<Heard>) {
+    fn on_open(&mut self, out: &mut ConnectionOutput<MemberEvent>) {
         if self.state == State::Greeting {
             messages::put_startup(&mut out.bytes, "asterlatch");
         }
     }
 
-    fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+    fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut ConnectionOutput<MemberEvent>) {
         let mut taken = 0;
         while self.state != State::Over {
             match messages::front(&input[taken..], self.bound) {
@@ -256,27 +256,32 @@
         }
     }
 
-    fn on_command(&mut self, run: Run, _at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+    fn on_command(&mut self, run: MemberCommand, _at: Timestamp, out: &mut ConnectionOutput<MemberEvent>) {
         match (run, &self.state) {
-            (Run::Query(query), State::Greeting) => self.first = Some(query),
-            (Run::Query(query), State::Idle) => self.send(query, out),
-            (Run::HandOver, State::Idle) => out.hand_over = true,
+            (MemberCommand::Query(query), State::Greeting) => self.first = Some(query),
+            (MemberCommand::Query(query), State::Idle) => self.send(query, out),
+            (MemberCommand::HandOver, State::Idle) => out.hand_over = true,
             _ => {}
         }
     }
 
-    fn on_handed_over(&mut self, stream: TcpStream, _input: Vec<u8>, out: &mut ConnectionOutput<Heard>) {
+    fn on_handed_over(
+        &mut self,
+        stream: TcpStream,
+        _input: Vec<u8>,
+        out: &mut ConnectionOutput<MemberEvent>,
+    ) {
         // Idle, nothing lies unused: stray bytes have ended it before.
         self.state = State::Over;
         let connection = self.connection;
-        out.events.push(Heard::Moved { connection, stream });
+        out.events.push(MemberEvent::Transferred { connection, stream });
     }
 
-    fn on_written(&mut self, _out: &mut ConnectionOutput<Heard>) {
+    fn on_written(&mut self, _out: &mut ConnectionOutput<MemberEvent>) {
         self.written = self.sent;
     }
 
-    fn on_closed(&mut self, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+    fn on_closed(&mut self, at: Timestamp, out: &mut ConnectionOutput<MemberEvent>) {
         if self.sent {
             // What came whole before the end is the answer all the same.
             if let Some(reply) = self.whole() {
@@ -285,7 +290,7 @@
         }
         self.state = State::Over;
         let written = self.sent && self.written;
-        out.events.push(Heard::Down {
+        out.events.push(MemberEvent::Closed {
             connection: self.connection,
             at,
             written,
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/session.rs
@@ -6,13 +6,13 @@
 use crate::transport::io_journal::IoJournalWriter;
 use crate::transport::memory_budget::{MemoryBudget, MemoryReservation};
 use asterlatch::time::Timestamp;
-use asterlatch_handover::io_journal::Record;
+use asterlatch_handover::io_journal::JournalRecord;
 use std::collections::VecDeque;
 use std::net::TcpStream;
 use std::os::fd::AsFd;
 
 /// News of a client.
-pub enum Heard {
+pub enum ClientEvent {
     /// A statement, as it came, read whole at this time.
     Statement {
         client: u32,
@@ -24,7 +24,7 @@
         at: Timestamp,
     },
     /// Part of a message has come since then.
-    Writing {
+    PartialMessage {
         client: u32,
         since: Timestamp,
     },
@@ -36,9 +36,9 @@
     Malformed,
     Oversized,
     /// A statement was rejected, or the connection ended, for want of memory.
-    NoRoom,
+    OutOfMemory,
     /// The connection is to go on in another process, from here.
-    Moved {
+    Transferred {
         client: u32,
         stream: TcpStream,
         standing: Standing,
@@ -48,7 +48,7 @@
         client: u32,
     },
     /// The connection is over.
-    Gone {
+    Closed {
         client: u32,
     },
 }
@@ -123,17 +123,17 @@
 }
 
 /// What a client's connection is told.
-pub enum Say {
+pub enum ClientCommand {
     /// The answer of the statement with this number.
     Answer(u32, Final),
     /// Closes once nothing is out.
-    Leave,
+    Drain,
     /// Gives the connection up once nothing is out, with what the client has sent ahead.
     HandOver,
     /// Ends the connection of whoever took too long to send something whole.
-    TimeUp,
+    TimeOut,
     /// Ends the connection of whoever finds no room, before any statement.
-    TurnAway,
+    Reject,
 }
 
 /// Bytes that a client may have sent ahead of its answer before it isn't read any further. What is not read when it
@@ -220,7 +220,7 @@
         self
     }
 
-    fn note(&self, record: impl FnOnce() -> Record) {
+    fn note(&self, record: impl FnOnce() -> JournalRecord) {
         if let Some(witness) = self.witness.as_ref().filter(|w| w.is_on()) {
             witness.append(&record(), None);
         }
@@ -229,33 +229,33 @@
     /// So many bytes are to be written that answer all before `dealt`.
     fn says(&mut self, length: usize, dealt: u64) {
         self.said += length as u64;
-        self.note(|| Record::Says {
+        self.note(|| JournalRecord::Write {
             client: self.client,
             length: length as u64,
-            settled: self.settled,
-            dealt,
-            opened: self.state == State::Open,
-            skip: self.skip as u64,
+            written_to: self.settled,
+            answered_to: dealt,
+            startup_complete: self.state == State::Open,
+            bytes_to_skip: self.skip as u64,
         });
     }
 
-    fn close(&mut self, out: &mut ConnectionOutput<Heard>) {
+    fn close(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
         out.close = true;
         self.state = State::Over;
     }
 
-    fn fatal(&mut self, code: &str, message: &str, out: &mut ConnectionOutput<Heard>) {
+    fn fatal(&mut self, code: &str, message: &str, out: &mut ConnectionOutput<ClientEvent>) {
         messages::put_error(&mut out.bytes, "FATAL", code, message, None);
         self.close(out);
     }
 
-    fn malformed(&mut self, message: &str, out: &mut ConnectionOutput<Heard>) {
-        out.events.push(Heard::Malformed);
+    fn malformed(&mut self, message: &str, out: &mut ConnectionOutput<ClientEvent>) {
+        out.events.push(ClientEvent::Malformed);
         self.fatal("08P01", message, out);
     }
 
     /// Reads what comes before the first query; says how many bytes that took.
-    fn open(&mut self, input: &[u8], at: Timestamp, out: &mut ConnectionOutput<Heard>) -> usize {
+    fn open(&mut self, input: &[u8], at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) -> usize {
         match messages::opening(input) {
             Opening::Partial => 0,
             Opening::Encryption { whole } => {
@@ -288,15 +288,15 @@
         }
     }
 
-    fn rest(&mut self, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+    fn rest(&mut self, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         let client = self.client;
         self.state = State::Open;
-        out.events.push(Heard::Idle { client, since: at });
+        out.events.push(ClientEvent::Idle { client, since: at });
     }
 
     /// Reads one message; says how many bytes that took. Behind open statements only a further one is read.
-    fn next(&mut self, input: &[u8], at: Timestamp, out: &mut ConnectionOutput<Heard>) -> usize {
-        match messages::front(input, messages::bound(self.room.limit())) {
+    fn next(&mut self, input: &[u8], at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) -> usize {
+        match messages::front(input, messages::bound(self.room.capacity())) {
             Front::Partial => 0,
             Front::Message {
                 kind: b'Q',
@@ -319,7 +319,7 @@
                 0
             }
             Front::TooLong { kind: b'Q', whole } => {
-                out.events.push(Heard::Oversized);
+                out.events.push(ClientEvent::Oversized);
                 self.skip = whole;
                 let answer = Final::from(TOO_LARGE).into_bytes();
                 self.row.push_back((self.at, Some(answer)));
@@ -340,10 +340,10 @@
     }
 
     /// Gives a query its place in the row, and with it the answer of one that needs no member.
-    fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+    fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         self.has_asked = true;
         if text.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
-            // No news: a client that sends nothing else would fill the owner's queue.
+            // No news: a client that sends nothing else would fill the event loop's queue.
             let mut said = Vec::new();
             messages::put(&mut said, b'I', &[]);
             messages::put_ready(&mut said);
@@ -351,7 +351,7 @@
         } else if let Some(text) = Text::new(text, &self.room) {
             let (client, number) = (self.client, self.first.wrapping_add(self.row.len() as u32));
             self.row.push_back((end, None));
-            out.events.push(Heard::Statement {
+            out.events.push(ClientEvent::Statement {
                 client,
                 number,
                 end,
@@ -359,14 +359,14 @@
                 at,
             });
         } else {
-            out.events.push(Heard::NoRoom);
+            out.events.push(ClientEvent::OutOfMemory);
             self.row.push_back((end, Some(Final::from(NO_ROOM).into_bytes())));
         }
         self.flush(out);
     }
 
     /// Writes the answers that none before them keeps back.
-    fn flush(&mut self, out: &mut ConnectionOutput<Heard>) {
+    fn flush(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
         while let Some((end, Some(answer))) = self.row.pop_front_if(|(_, answer)| answer.is_some()) {
             self.says(answer.len(), end);
             self.first = self.first.wrapping_add(1);
@@ -379,7 +379,7 @@
         }
     }
 
-    fn answer(&mut self, number: u32, answer: Final, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+    fn answer(&mut self, number: u32, answer: Final, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         let place = number.wrapping_sub(self.first) as usize;
         // An answer to a statement that has its own would be a second one, and is left out.
         let open = self.row.get_mut(place).map(|(_, a)| a).filter(|a| a.is_none());
@@ -399,7 +399,7 @@
         self.leaving && !self.begun && self.row.is_empty() && self.state != State::Over
     }
 
-    fn end_if_leaving(&mut self, out: &mut ConnectionOutput<Heard>) {
+    fn end_if_leaving(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
         if self.moving && self.row.is_empty() && self.state != State::Over {
             out.hand_over = true;
         } else if self.could_leave() {
@@ -410,7 +410,7 @@
 
     /// Who has asked knows by a plain end that nothing of it was taken, and asks elsewhere. A new connection that ends
     /// without a word tells its client nothing.
-    fn send_off(&mut self, out: &mut ConnectionOutput<Heard>) {
+    fn send_off(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
         match self.has_asked {
             true => self.close(out),
             false => self.fatal("57P03", "this connection takes no statement any more", out),
@@ -419,15 +419,21 @@
 }
 
 impl ConnectionHandler for Session {
-    type Command = Say;
-    type Event = Heard;
+    type Command = ClientCommand;
+    type Event = ClientEvent;
 
     fn on_socket(&mut self, stream: &TcpStream) {
         let Some(witness) = &self.witness else { return };
         let client = self.client;
         match self.handed {
-            Some(handed) => witness.append(&Record::Adopted { client, handed }, None),
-            None => witness.append(&Record::Arrived { client }, Some(stream.as_fd())),
+            Some(handed) => witness.append(
+                &JournalRecord::Adopted {
+                    client,
+                    transfer_id: handed,
+                },
+                None,
+            ),
+            None => witness.append(&JournalRecord::Accepted { client }, Some(stream.as_fd())),
         }
     }
 
@@ -440,18 +446,18 @@
     }
 
     fn before_read(&mut self, bytes: &[u8]) {
-        self.note(|| Record::Reads {
+        self.note(|| JournalRecord::Read {
             client: self.client,
-            settled: self.settled,
+            written_to: self.settled,
             bytes: bytes.to_vec(),
         });
     }
 
-    fn on_written(&mut self, _out: &mut ConnectionOutput<Heard>) {
+    fn on_written(&mut self, _out: &mut ConnectionOutput<ClientEvent>) {
         self.settled = self.said;
     }
 
-    fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+    fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         let mut used = 0;
         loop {
             if self.moving {
@@ -479,43 +485,45 @@
         let begun = waits && (self.skip > 0 || !input.is_empty());
         let (client, since) = (self.client, at);
         if begun && !self.begun {
-            out.events.push(Heard::Writing { client, since });
+            out.events.push(ClientEvent::PartialMessage { client, since });
         } else if waits && self.begun && !begun {
-            out.events.push(Heard::Idle { client, since });
+            out.events.push(ClientEvent::Idle { client, since });
         }
         self.begun = begun;
         self.end_if_leaving(out);
     }
 
-    fn on_command(&mut self, say: Say, at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+    fn on_command(&mut self, say: ClientCommand, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         match say {
-            Say::Answer(number, answer) => self.answer(number, answer, at, out),
-            Say::Leave => {
+            ClientCommand::Answer(number, answer) => self.answer(number, answer, at, out),
+            ClientCommand::Drain => {
                 self.leaving = true;
                 self.end_if_leaving(out);
             }
-            Say::HandOver => {
+            ClientCommand::HandOver => {
                 self.moving = true;
                 self.end_if_leaving(out);
             }
             // It goes to somebody who has time and room for it.
-            Say::TimeUp | Say::TurnAway if self.moving => {}
-            Say::TimeUp | Say::TurnAway if self.state == State::Over => {}
-            Say::TimeUp if !self.row.is_empty() => {}
+            ClientCommand::TimeOut | ClientCommand::Reject if self.moving => {}
+            ClientCommand::TimeOut | ClientCommand::Reject if self.state == State::Over => {}
+            ClientCommand::TimeOut if !self.row.is_empty() => {}
             // Any word but a refusal would be taken for the answer of a statement which is on its way.
-            Say::TimeUp if self.state == State::Open && !self.begun => self.send_off(out),
-            Say::TimeUp if self.leaving => self.fatal("57P03", "the message was not ended in time", out),
-            Say::TimeUp => self.malformed("the message was not ended in time", out),
-            Say::TurnAway => self.fatal("53300", "too many connections", out),
+            ClientCommand::TimeOut if self.state == State::Open && !self.begun => self.send_off(out),
+            ClientCommand::TimeOut if self.leaving => {
+                self.fatal("57P03", "the message was not ended in time", out)
+            }
+            ClientCommand::TimeOut => self.malformed("the message was not ended in time", out),
+            ClientCommand::Reject => self.fatal("53300", "too many connections", out),
         }
     }
 
-    fn on_memory_exhausted(&mut self, out: &mut ConnectionOutput<Heard>) {
-        out.events.push(Heard::NoRoom);
+    fn on_memory_exhausted(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
+        out.events.push(ClientEvent::OutOfMemory);
         self.fatal("53300", "no memory is left for the message", out);
     }
 
-    fn on_all_read(&mut self, out: &mut ConnectionOutput<Heard>) {
+    fn on_all_read(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
         if self.could_leave() && !self.moving {
             self.send_off(out);
         }
@@ -525,18 +533,18 @@
         true
     }
 
-    fn on_half_closed(&mut self, out: &mut ConnectionOutput<Heard>) {
-        out.events.push(Heard::HalfClosed { client: self.client });
+    fn on_half_closed(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
+        out.events.push(ClientEvent::HalfClosed { client: self.client });
     }
 
     fn may_be_closed(&self) -> bool {
         self.row.is_empty()
     }
 
-    fn on_handed_over(&mut self, stream: TcpStream, input: Vec<u8>, out: &mut ConnectionOutput<Heard>) {
+    fn on_handed_over(&mut self, stream: TcpStream, input: Vec<u8>, out: &mut ConnectionOutput<ClientEvent>) {
         let opened = self.state == State::Open;
         self.state = State::Over;
-        out.events.push(Heard::Moved {
+        out.events.push(ClientEvent::Transferred {
             client: self.client,
             stream,
             standing: Standing {
@@ -548,10 +556,10 @@
         });
     }
 
-    fn on_closed(&mut self, _at: Timestamp, out: &mut ConnectionOutput<Heard>) {
+    fn on_closed(&mut self, _at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         self.state = State::Over;
-        self.note(|| Record::Gone { client: self.client });
-        out.events.push(Heard::Gone { client: self.client });
+        self.note(|| JournalRecord::Closed { client: self.client });
+        out.events.push(ClientEvent::Closed { client: self.client });
     }
 
     /// While statements are open no more than a row of them is read ahead: the rest stays with the kernel, not in
@@ -560,7 +568,7 @@
         match self.state {
             State::Over => false,
             _ if self.moving => false,
-            _ if self.row.is_empty() => unused <= messages::bound(self.room.limit()) + 5,
+            _ if self.row.is_empty() => unused <= messages::bound(self.room.capacity()) + 5,
             _ => unused <= AHEAD,
         }
     }
--- a/crates/driver/src/protocol/watch.rs
+++ b/crates/driver/src/protocol/watch.rs
@@ -2,27 +2,27 @@
 //! in which the last was answered.
 
 use super::http::{self, Answer};
-use super::roster::{self, Roster};
+use super::roster::{self, EndpointList};
 use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use asterlatch::time::Timestamp;
 
-pub enum Heard {
-    Told(Roster),
+pub enum DiscoveryEvent {
+    Listed(EndpointList),
     /// Discovery has an older version than the one that is known: the whole list is asked for.
-    Older,
+    Outdated,
     /// An answer that can't be read; the last good list stands.
     Unreadable,
-    Down,
+    Closed,
 }
 
-/// What the call with this number heard.
-pub struct News {
-    pub call: u32,
-    pub heard: Heard,
+/// An event of the discovery request with this number.
+pub struct DiscoveryMessage {
+    pub request: u32,
+    pub event: DiscoveryEvent,
 }
 
 pub struct Watch {
-    call: u32,
+    request: u32,
     host: String,
     wait_ms: u64,
     /// The version after which news are wanted.
@@ -31,9 +31,9 @@
 }
 
 impl Watch {
-    pub fn new(call: u32, host: String, wait_ms: u64, after: Option<u64>) -> Watch {
+    pub fn new(request: u32, host: String, wait_ms: u64, after: Option<u64>) -> Watch {
         Watch {
-            call,
+            request,
             host,
             wait_ms,
             after,
@@ -41,12 +41,12 @@
         }
     }
 
-    fn news(&self, heard: Heard) -> News {
-        let call = self.call;
-        News { call, heard }
+    fn message(&self, event: DiscoveryEvent) -> DiscoveryMessage {
+        let request = self.request;
+        DiscoveryMessage { request, event }
     }
 
-    fn ask(&self, out: &mut ConnectionOutput<News>) {
+    fn ask(&self, out: &mut ConnectionOutput<DiscoveryMessage>) {
         const LIST: &str = "/registry/instances";
         let path = match self.after {
             Some(index) => format!("{LIST}?after={index}&wait_ms={}", self.wait_ms),
@@ -56,21 +56,25 @@
     }
 
     /// A whole answer; false where it can't be read, which ends the call.
-    fn take(&mut self, status: u16, body: &[u8], out: &mut ConnectionOutput<News>) -> bool {
+    fn take(&mut self, status: u16, body: &[u8], out: &mut ConnectionOutput<DiscoveryMessage>) -> bool {
         let Some(told) = roster::read(body).filter(|_| status == 200) else {
             self.fail(out);
             return false;
         };
         // Changes up to a version before the one that they were to come after belong to another history.
-        let strange = !told.whole && self.after.is_some_and(|after| told.index < after);
+        let strange = !told.is_complete && self.after.is_some_and(|after| told.index < after);
         self.after = Some(told.index).filter(|_| !strange);
-        let heard = if strange { Heard::Older } else { Heard::Told(told) };
-        out.events.push(self.news(heard));
+        let heard = if strange {
+            DiscoveryEvent::Outdated
+        } else {
+            DiscoveryEvent::Listed(told)
+        };
+        out.events.push(self.message(heard));
         true
     }
 
-    fn fail(&mut self, out: &mut ConnectionOutput<News>) {
-        out.events.push(self.news(Heard::Unreadable));
+    fn fail(&mut self, out: &mut ConnectionOutput<DiscoveryMessage>) {
+        out.events.push(self.message(DiscoveryEvent::Unreadable));
         self.over = true;
         out.close = true;
     }
@@ -79,13 +83,18 @@
 impl ConnectionHandler for Watch {
     /// It is only ever hung up on.
     type Command = std::convert::Infallible;
-    type Event = News;
+    type Event = DiscoveryMessage;
 
-    fn on_open(&mut self, out: &mut ConnectionOutput<News>) {
+    fn on_open(&mut self, out: &mut ConnectionOutput<DiscoveryMessage>) {
         self.ask(out);
     }
 
-    fn on_input(&mut self, input: &mut Vec<u8>, _at: Timestamp, out: &mut ConnectionOutput<News>) {
+    fn on_input(
+        &mut self,
+        input: &mut Vec<u8>,
+        _at: Timestamp,
+        out: &mut ConnectionOutput<DiscoveryMessage>,
+    ) {
         while !self.over && !input.is_empty() {
             let (status, body, taken, keep) = match http::answer(input) {
                 Answer::Partial | Answer::UpToTheEnd { .. } => return,
@@ -111,7 +120,7 @@
     }
 
     /// Only where the peer has ended it is an answer whole that says no length: a reset is no end.
-    fn on_peer_closed(&mut self, input: &[u8], out: &mut ConnectionOutput<News>) {
+    fn on_peer_closed(&mut self, input: &[u8], out: &mut ConnectionOutput<DiscoveryMessage>) {
         if self.over {
             return;
         }
@@ -121,12 +130,17 @@
         }
     }
 
-    fn on_command(&mut self, command: Self::Command, _at: Timestamp, _out: &mut ConnectionOutput<News>) {
+    fn on_command(
+        &mut self,
+        command: Self::Command,
+        _at: Timestamp,
+        _out: &mut ConnectionOutput<DiscoveryMessage>,
+    ) {
         match command {}
     }
 
-    fn on_closed(&mut self, _at: Timestamp, out: &mut ConnectionOutput<News>) {
-        out.events.push(self.news(Heard::Down));
+    fn on_closed(&mut self, _at: Timestamp, out: &mut ConnectionOutput<DiscoveryMessage>) {
+        out.events.push(self.message(DiscoveryEvent::Closed));
     }
 
     fn wants_input(&self, unused: usize) -> bool {
--- a/crates/driver/src/routing/owner/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -1,33 +1,38 @@
 //! Holds the module and all tables. Each input is taken to its end before the next one; nothing here waits.
 
-mod beside;
-mod sending;
-mod sharing;
-mod turns;
+mod coordination;
+mod dispatch;
+mod gossip;
+mod peer_process;
 
 use crate::protocol::comment::{self, Marked, Unreadable};
-use crate::protocol::roster::Roster;
-use crate::protocol::session::{Final, Say, Text};
-use crate::protocol::{execution, messages, session as client, vitals, watch};
-use crate::routing::calls::{self, Calls};
-use crate::routing::clients::{Clients, Room};
-use crate::routing::endings;
-use crate::routing::errands::{self, Errand, Errands, Kind};
-use crate::routing::figures::Figures;
+use crate::protocol::execution::{self, MemberEvent, Reply};
+use crate::protocol::roster::EndpointList;
+use crate::protocol::session::{self as client, ClientCommand, ClientEvent, Final, Text};
+use crate::protocol::watch::{DiscoveryEvent, DiscoveryMessage};
+use crate::protocol::{messages, vitals};
+use crate::routing::clients::{Admission, Clients};
+use crate::routing::discovery_requests::{self, DiscoveryRequests};
+use crate::routing::events::{ControlEvent, Event};
+use crate::routing::execution_outcomes;
+use crate::routing::gossip::Sharing;
 use crate::routing::limits::{Limits, WorkloadLimits};
-use crate::routing::queue::{Input, Notice};
-use crate::routing::sharing::Sharing;
-use crate::routing::statements::Statements;
-use crate::routing::tables::{session, Members, Names};
+use crate::routing::member_requests::{
+    self, AttemptId, ConnectionLimits, MemberRequest, MemberRequests, RequestKind, UnansweredRequest,
+};
+use crate::routing::members::{session_key, MemberDirectory};
+use crate::routing::metrics::Metrics;
+use crate::routing::statements::{NewStatement, NextAttempt, OpenedStatement, StatementOrigin, Statements};
+use crate::routing::workloads::Workloads;
 use crate::transport::clock::Clock;
 use crate::transport::connection::ConnectionHandle;
 use crate::transport::io_journal::IoJournalWriter;
 use crate::transport::listener::{AcceptEvent, ListenerHandle};
-use crate::transport::memory_budget::MemoryBudget as Memory;
+use crate::transport::memory_budget::MemoryBudget;
 use asterlatch::interface::*;
 use asterlatch::policy;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_handover::io_journal::Verdicts;
+use asterlatch_handover::io_journal::StatementVerdicts;
 use asterlatch_handover::message as moving;
 use asterlatch_settings::Decoding;
 use std::collections::{BTreeMap, VecDeque};
@@ -42,12 +47,12 @@
 }
 
 /// What is handed over: the module's memory, and whom its ids mean.
-pub type Learned<'a> = (&'a policy::RoutingPolicy, &'a Members);
+pub type Learned<'a> = (&'a policy::RoutingPolicy, &'a MemberDirectory);
 
 /// How connections to members and discovery are opened.
 pub struct Place {
-    pub members: errands::Dial,
-    pub discovery: calls::Dial,
+    pub members: member_requests::DialMember,
+    pub discovery: discovery_requests::DialDiscovery,
     pub adopt: Adopt,
     pub adopt_connection: AdoptConnection,
     /// Writes down what goes out, where another process is to go on if this one dies.
@@ -55,7 +60,7 @@
     pub given: Given,
     pub limits: Limits,
     /// For clients and for members.
-    pub memory: (Memory, Memory),
+    pub memory: (MemoryBudget, MemoryBudget),
 }
 
 /// A client on its way from one process to another.
@@ -64,19 +69,24 @@
     pub standing: client::Standing,
     pub has_asked: bool,
     /// How what was read from it by a process that has died is to be answered.
-    pub verdicts: Verdicts,
+    pub verdicts: StatementVerdicts,
 }
 
 impl Moved {
     /// As another process tells of it, under this number of the ledger where one keeps it.
-    pub fn from(client: moving::Client, handed: Option<u64>, stream: TcpStream, verdicts: Verdicts) -> Moved {
+    pub fn from(
+        client: moving::ClientState,
+        handed: Option<u64>,
+        stream: TcpStream,
+        verdicts: StatementVerdicts,
+    ) -> Moved {
         let standing = client::Standing {
-            opened: client.opened,
-            skip: client.skip as usize,
+            opened: client.startup_complete,
+            skip: client.bytes_to_skip as usize,
             input: client.input,
             handed,
         };
-        let has_asked = client.has_asked;
+        let has_asked = client.has_sent_statement;
         Moved {
             stream,
             standing,
@@ -87,10 +97,12 @@
 }
 
 /// Goes on with a client's connection under this number.
-pub type Adopt = Box<dyn FnMut(u32, TcpStream, client::Standing) -> io::Result<ConnectionHandle<Say>>>;
+pub type Adopt =
+    Box<dyn FnMut(u32, TcpStream, client::Standing) -> io::Result<ConnectionHandle<ClientCommand>>>;
 
 /// Goes on with an idle connection to a member under this number.
-pub type AdoptConnection = Box<dyn FnMut(u32, TcpStream) -> io::Result<ConnectionHandle<execution::Run>>>;
+pub type AdoptConnection =
+    Box<dyn FnMut(u32, TcpStream) -> io::Result<ConnectionHandle<execution::MemberCommand>>>;
 
 /// Numbers of clients from another process begin here.
 const ADOPTED: u32 = 1 << 31;
@@ -107,54 +119,51 @@
     /// How much memory what clients and members send may fill.
     fn bytes(&self, limits: &Limits) -> (usize, usize) {
         (
-            limits.clients_memory.of(self.memory),
-            limits.members_memory.of(self.memory),
+            limits.client_memory_share.of(self.memory),
+            limits.member_memory_share.of(self.memory),
         )
     }
 
-    pub fn rooms(&self, limits: &Limits) -> (Memory, Memory) {
+    pub fn rooms(&self, limits: &Limits) -> (MemoryBudget, MemoryBudget) {
         let (clients, members) = self.bytes(limits);
-        (Memory::new(clients), Memory::new(members))
+        (MemoryBudget::new(clients), MemoryBudget::new(members))
     }
 
     /// How many connections clients and members may have.
     pub fn connections(&self, limits: &Limits) -> (usize, usize) {
-        let most = self.sockets.saturating_sub(limits.reserve).max(2);
-        let clients = limits.clients.of(most).max(1);
+        let most = self.sockets.saturating_sub(limits.reserved_descriptors).max(2);
+        let clients = limits.client_share.of(most).max(1);
         (clients, most - clients)
     }
 }
 
 /// The end of an execution or probe that the module is still to be told of.
 struct Ended {
-    errand: Errand,
+    request: MemberRequest,
     ending: ExecutionOutcome,
     took: TimeSpan,
     sighting: ReplicaStatus,
 }
 
-pub struct Owner<O> {
+pub struct EventLoop<O> {
     module: policy::RoutingPolicy,
     decoding: Decoding,
     pub observer: O,
-    pub figures: Figures,
-    workloads: Names,
-    freshness: Vec<Freshness>,
-    members: Members,
+    pub metrics: Metrics,
+    workloads: Workloads,
+    members: MemberDirectory,
     clients: Clients,
     statements: Statements,
-    errands: Errands,
-    calls: Calls,
-    memory: (Memory, Memory),
+    member_requests: MemberRequests,
+    discovery_requests: DiscoveryRequests,
+    memory: (MemoryBudget, MemoryBudget),
     given: Given,
     limits: Limits,
-    /// By workload.
-    workload_limits: Vec<WorkloadLimits>,
     ended: VecDeque<Ended>,
     module_wakes: Option<Timestamp>,
     accept_again: Option<Timestamp>,
     listening: Option<ListenerHandle>,
-    pub notices: Vec<Notice>,
+    pub control_events: Vec<ControlEvent>,
     pub listener_closed: bool,
     draining: bool,
     adopt: Adopt,
@@ -162,13 +171,11 @@
     adopted: u32,
     /// Another process serves beside this one, on the same descriptors and memory.
     is_shared: bool,
-    /// Members that were heard to drain meanwhile, and when they had started.
+    /// MemberDirectory that were heard to drain meanwhile, and when they had started.
     pub drains: Vec<(String, u64)>,
     witness: Option<IoJournalWriter>,
     /// Clients of a process that has died, some of whose statements may have run.
-    verdicts: BTreeMap<u32, Verdicts>,
-    /// By workload: a statement that may have run does no harm when its client repeats it.
-    harmless: Vec<bool>,
+    verdicts: BTreeMap<u32, StatementVerdicts>,
     /// Idle connections to members that are to go on in another process.
     pub moved_connections: Vec<(u32, TcpStream)>,
     /// Clients that are to go on in another process.
@@ -176,33 +183,34 @@
     /// What is shared with other drivers, where anything is.
     sharing: Option<Sharing>,
     is_mute: bool,
-    /// By workload: to run one twice is no small matter, so others are asked before a marked repeat goes out.
-    harmful: Vec<bool>,
     /// Positions of sessions' writes are kept here, for clients don't carry them.
     remembers_sessions: bool,
 }
 
-impl<O: Observer> Owner<O> {
+impl<O: Observer> EventLoop<O> {
     pub fn new(
         (settings, decoding): (Settings, Decoding),
         seed: u64,
         place: Place,
         now: Timestamp,
         observer: O,
-    ) -> Owner<O> {
+    ) -> EventLoop<O> {
         let (given, limits) = (place.given, place.limits);
         let (most_clients, most_members) = given.connections(&limits);
-        let (timeout, idle) = (decoding.connect_timeout, settings.idle_connection_timeout);
-        let idle = (idle, limits.member_idle);
-        Owner {
+        let connection_limits = ConnectionLimits {
+            connect_timeout: decoding.connect_timeout,
+            idle_timeout: settings.idle_connection_timeout,
+            idle_share: limits.member_idle_share,
+            max_connections: most_members,
+        };
+        EventLoop {
             module: policy::RoutingPolicy::new(&settings, seed, now),
-            workloads: Names::of(&decoding.workloads),
-            freshness: settings.workloads.iter().map(|w| w.freshness).collect(),
-            members: Members::new(&decoding.zones),
+            workloads: Workloads::new(&settings, &decoding),
+            members: MemberDirectory::new(&decoding.zones),
             clients: Clients::new(most_clients, limits),
             statements: Statements::default(),
-            errands: Errands::new(place.members, timeout, idle, most_members),
-            calls: Calls::new(
+            member_requests: MemberRequests::new(place.members, connection_limits),
+            discovery_requests: DiscoveryRequests::new(
                 place.discovery,
                 given.discovery,
                 settings.poll_endpoint_list,
@@ -212,37 +220,26 @@
             memory: place.memory,
             given,
             limits,
-            workload_limits: vec![WorkloadLimits::default(); settings.workloads.len()],
             decoding,
             observer,
-            figures: Figures::default(),
+            metrics: Metrics::default(),
             ended: VecDeque::new(),
             module_wakes: Some(now),
             accept_again: None,
             listening: None,
-            notices: Vec::new(),
+            control_events: Vec::new(),
             listener_closed: false,
             draining: false,
             adopt: place.adopt,
             adopt_connection: place.adopt_connection,
             witness: place.witness,
             verdicts: BTreeMap::new(),
-            harmless: settings
-                .workloads
-                .iter()
-                .map(WorkloadSettings::is_client_retry_safe)
-                .collect(),
             moved_connections: Vec::new(),
             adopted: 0,
             is_shared: false,
             drains: Vec::new(),
             sharing: None,
             is_mute: false,
-            harmful: settings
-                .workloads
-                .iter()
-                .map(|w| w.retry_safety != RetrySafety::Idempotent)
-                .collect(),
             remembers_sessions: !settings.session_age_carried,
             moved: Vec::new(),
         }
@@ -251,7 +248,7 @@
     /// Takes inputs until `steer` has nothing more to come back for.
     pub fn run(
         &mut self,
-        inputs: &Receiver<Input>,
+        inputs: &Receiver<Event>,
         clock: Clock,
         mut steer: impl FnMut(&mut Self, Timestamp) -> Option<Timestamp>,
     ) {
@@ -267,7 +264,7 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             };
             let late = (clock.now() - next).0;
-            self.figures.wake_up_latest_us = self.figures.wake_up_latest_us.max(late);
+            self.metrics.wake_up_latest_us = self.metrics.wake_up_latest_us.max(late);
             // All that is queued first: an answer that lies here must not be taken for one that is late.
             let mut taken = 0;
             while let Some(i) = input {
@@ -275,7 +272,7 @@
                 self.take(clock.now(), i);
                 input = inputs.try_recv().ok();
             }
-            self.figures.queue_longest = self.figures.queue_longest.max(taken);
+            self.metrics.queue_longest = self.metrics.queue_longest.max(taken);
             self.reach(clock.now());
         }
     }
@@ -283,8 +280,8 @@
     pub fn next_at(&self) -> Timestamp {
         let times = [
             self.module_wakes,
-            self.errands.next_at(),
-            self.calls.next_at(),
+            self.member_requests.next_at(),
+            self.discovery_requests.next_at(),
             self.clients.next_at(),
             self.accept_again,
             self.sharing.as_ref().and_then(Sharing::next_at),
@@ -292,25 +289,26 @@
         times.into_iter().flatten().min().unwrap_or(Timestamp(u64::MAX))
     }
 
-    pub fn take(&mut self, now: Timestamp, input: Input) {
+    pub fn take(&mut self, now: Timestamp, input: Event) {
         match input {
-            Input::Arrival(arrival) => self.arrived(now, arrival),
-            Input::Client(heard) => self.client_heard(now, heard),
-            Input::Member(heard) => self.member_heard(now, heard),
-            Input::Discovery(number, heard) if self.calls.is_current(number) => {
-                self.discovery_heard(now, heard)
-            }
-            Input::Discovery(..) => {}
-            Input::Peers(news) => self.peers_heard(now, news),
-            Input::Notice(notice) => self.notices.push(notice),
+            Event::Arrival(arrival) => self.arrived(now, arrival),
+            Event::Client(heard) => self.client_heard(now, heard),
+            Event::Member(heard) => self.member_heard(now, heard),
+            Event::Discovery(message) => self.on_discovery_message(now, message),
+            Event::Gossip(message) => self.on_gossip_message(now, message),
+            Event::Control(event) => self.control_events.push(event),
         }
         self.tell_ended(now);
     }
 
     /// Does what is due by the clock.
     pub fn reach(&mut self, now: Timestamp) {
-        while let Some((errand, ending)) = self.errands.overdue(now) {
-            self.end(errand, now, ending, ReplicaStatus::default());
+        while let Some(UnansweredRequest {
+            request,
+            outcome: ending,
+        }) = self.member_requests.next_timed_out(now)
+        {
+            self.end(request, now, ending, ReplicaStatus::default());
             self.tell_ended(now);
         }
         if self.module_wakes.is_some_and(|at| at <= now) {
@@ -318,62 +316,56 @@
             self.carry_out(now, results);
         }
         self.reach_sharing(now);
-        self.errands.end_idle(now);
-        let (slow, rested) = self.clients.end_pauses(now);
-        self.figures.clients_too_slow += slow;
-        self.figures.clients_rested += rested;
-        if self.calls.is_silent(now) {
+        self.member_requests.close_expired_idle(now);
+        let expired = self.clients.close_expired(now);
+        self.metrics.clients_too_slow += expired.too_slow;
+        self.metrics.clients_rested += expired.idle;
+        if self.discovery_requests.is_timed_out(now) {
             let text = format_args!("silent, calling again");
             self.observer.say(now, "discovery", text);
             self.call_failed(now);
         }
-        if self.calls.is_due(now) {
+        if self.discovery_requests.take_due(now) {
             self.call(now);
         }
         if self.accept_again.take_if(|at| *at <= now).is_some() {
             self.listening.as_ref().inspect(|l| l.retry());
         }
         self.tell_ended(now);
-        self.figures.open_statements = self.statements.count() as u64;
-        self.figures.open_clients = self.clients.count() as u64;
-        self.figures.open_member_connections = self.errands.connections() as u64;
+        self.metrics.open_statements = self.statements.count() as u64;
+        self.metrics.open_clients = self.clients.count() as u64;
+        self.metrics.open_member_connections = self.member_requests.connection_count() as u64;
     }
 
     /// Takes over what has changed. Whatever is open stays: fewer connections come about as they end.
     pub fn give(&mut self, now: Timestamp, given: Given) {
         self.given = given;
         self.bound();
-        self.calls.move_to(now, given.discovery);
+        self.discovery_requests.set_address(now, given.discovery);
     }
 
     /// Takes over what the operators set. Newcomers are bound by it first; nothing open ends for a smaller limit,
     /// but for pauses that are too long by then.
     pub fn limit(&mut self, limits: Limits, by_workload: &BTreeMap<String, WorkloadLimits>) {
         self.limits = limits;
-        self.workload_limits.fill(WorkloadLimits::default());
-        for (name, limits) in by_workload {
-            let workload = self.workloads.find(&asterlatch_settings::word(name));
-            if let Some(own) = workload.and_then(|w| self.workload_limits.get_mut(w)) {
-                *own = *limits;
-            }
-        }
+        self.workloads.set_limits(by_workload);
         self.bound();
     }
 
     fn bound(&mut self) {
         let (given, limits) = (self.given, self.limits);
         let (clients, members) = given.connections(&limits);
-        self.clients.bound(clients, limits);
-        self.errands.bound(members, limits.member_idle);
-        self.calls.bound(limits);
+        self.clients.set_limits(clients, limits);
+        self.member_requests.set_limits(members, limits.member_idle_share);
+        self.discovery_requests.set_limits(limits);
         let (of_clients, of_members) = given.bytes(&limits);
-        self.memory.0.set_limit(of_clients);
-        self.memory.1.set_limit(of_members);
+        self.memory.0.set_capacity(of_clients);
+        self.memory.1.set_capacity(of_members);
     }
 
     /// Bytes that clients and members fill now.
     pub fn memory_taken(&self) -> usize {
-        self.memory.0.used() + self.memory.1.used()
+        self.memory.0.reserved() + self.memory.1.reserved()
     }
 
     /// Descriptors and bytes that all processes of this service together may have.
@@ -383,7 +375,7 @@
 
     /// Bytes that clients may fill.
     pub fn clients_memory(&self) -> usize {
-        self.memory.0.limit()
+        self.memory.0.capacity()
     }
 
     pub fn attach(&mut self, listening: ListenerHandle) {
@@ -396,8 +388,8 @@
 
     /// What is kept of members: names, ids, and those with an idle connection.
     pub fn members(&self) -> (usize, usize, usize) {
-        let (names, ids) = self.members.count();
-        (names, ids, self.errands.idle_members())
+        let size = self.members.size();
+        (size.names, size.ids, self.member_requests.idle_member_count())
     }
 
     pub fn open_clients(&self) -> usize {
@@ -412,25 +404,25 @@
     pub fn send_clients_away(&mut self) {
         self.draining = true;
         self.listening.as_ref().inspect(|l| l.close());
-        self.clients.send_away();
+        self.clients.begin_drain();
     }
 
-    fn arrived(&mut self, now: Timestamp, arrival: AcceptEvent<Say>) {
+    fn arrived(&mut self, now: Timestamp, arrival: AcceptEvent<ClientCommand>) {
         match arrival {
             AcceptEvent::Client(id, line) => {
-                self.figures.clients_accepted += 1;
-                match self.clients.arrive(now, id, line) {
-                    Room::Free => {}
-                    Room::Made => self.figures.clients_closed_for_room += 1,
-                    Room::None => self.figures.clients_turned_away += 1,
+                self.metrics.clients_accepted += 1;
+                match self.clients.admit(now, id, line) {
+                    Admission::Admitted => {}
+                    Admission::AdmittedByEviction => self.metrics.clients_closed_for_room += 1,
+                    Admission::Rejected => self.metrics.clients_turned_away += 1,
                 }
             }
             AcceptEvent::Failed(e) => {
-                self.figures.accepts_failed += 1;
+                self.metrics.accepts_failed += 1;
                 let text = format_args!("a client could not be accepted: {e}");
                 self.observer.say(now, "accept", text);
-                self.accept_again = Some(now + self.limits.accept_again);
-                self.figures.clients_closed_for_room += u64::from(self.clients.free_one(now));
+                self.accept_again = Some(now + self.limits.accept_backoff);
+                self.metrics.clients_closed_for_room += u64::from(self.clients.evict_one(now));
             }
             AcceptEvent::Closed => {
                 // Nobody is refused before it is let go here.
@@ -440,51 +432,51 @@
         }
     }
 
-    fn client_heard(&mut self, now: Timestamp, heard: client::Heard) {
+    fn client_heard(&mut self, now: Timestamp, heard: ClientEvent) {
         match heard {
-            client::Heard::Statement {
+            ClientEvent::Statement {
                 client,
                 number,
                 end,
                 text,
                 at,
             } => {
-                if self.clients.asks(client) && !self.judged(client, number, end) {
+                if self.clients.on_statement(client) && !self.judged(client, number, end) {
                     self.statement(now, (client, number, end), text, at);
                 }
             }
-            client::Heard::Idle { client, since } => self.clients.rests(client, since),
-            client::Heard::Writing { client, since } => self.clients.writes(client, since),
-            client::Heard::HalfClosed { client } => self.clients.half_closed(client, now),
-            client::Heard::Malformed => {
-                self.figures.clients_malformed += 1;
+            ClientEvent::Idle { client, since } => self.clients.on_idle(client, since),
+            ClientEvent::PartialMessage { client, since } => self.clients.on_partial_message(client, since),
+            ClientEvent::HalfClosed { client } => self.clients.on_half_closed(client, now),
+            ClientEvent::Malformed => {
+                self.metrics.clients_malformed += 1;
                 let text = format_args!("sent what is not the protocol");
                 self.observer.say(now, "client", text);
             }
-            client::Heard::NoRoom => self.figures.rejected_for_memory += 1,
-            client::Heard::Oversized => self.figures.statements_unreadable += 1,
-            client::Heard::Moved {
+            ClientEvent::OutOfMemory => self.metrics.rejected_for_memory += 1,
+            ClientEvent::Oversized => self.metrics.statements_unreadable += 1,
+            ClientEvent::Transferred {
                 client,
                 stream,
                 standing,
             } => {
-                let has_asked = self.clients.has_asked(client);
+                let has_asked = self.clients.is_active(client);
                 // Between two statements nothing of it is open.
-                self.clients.gone(client);
+                self.clients.remove(client);
                 self.moved.push(Moved {
                     stream,
                     standing,
                     has_asked,
-                    verdicts: Verdicts::default(),
+                    verdicts: StatementVerdicts::default(),
                 });
             }
-            client::Heard::Gone { client } => {
+            ClientEvent::Closed { client } => {
                 self.verdicts.remove(&client);
-                for stmt in self.clients.gone(client) {
-                    if self.statements.release(stmt).is_none() {
+                for stmt in self.clients.remove(client) {
+                    if self.statements.remove(stmt).is_none() {
                         continue;
                     }
-                    self.figures.withdrawn += 1;
+                    self.metrics.withdrawn += 1;
                     let results = self.module.on_statement_withdrawn(now, stmt);
                     self.carry_out(now, results);
                 }
@@ -504,28 +496,32 @@
         let (workload, marked) = match marked.and_then(|m| Ok((self.routable(&m, length)?, m))) {
             Ok(marked) => marked,
             Err(fault) => {
-                self.figures.statements_unreadable += 1;
+                self.metrics.statements_unreadable += 1;
                 let text = format_args!("not routed: {}", fault.message);
                 self.observer.say(now, "statement", text);
-                return self.clients.say(client, Say::Answer(number, fault.into()));
+                return self
+                    .clients
+                    .send(client, ClientCommand::Answer(number, fault.into()));
             }
         };
-        self.figures.statements_taken += 1;
-        let own = self.workload_limits[workload].timeout;
-        let longest = own.map_or(self.limits.longest_timeout, |own| {
-            own.min(self.limits.longest_timeout)
-        });
-        let sessions = matches!(self.freshness[workload], Freshness::Session | Freshness::Write);
-        let key = marked.key.as_deref().filter(|_| sessions);
-        let session = key.map_or(0, session);
-        let (id, times_out) = self.statements.hold(
-            (client, number, end),
+        self.metrics.statements_taken += 1;
+        let properties = self.workloads.get(workload);
+        let key = marked.key.as_deref().filter(|_| properties.uses_sessions());
+        let session = key.map_or(0, session_key);
+        let OpenedStatement {
+            id,
+            deadline: times_out,
+        } = self.statements.insert(NewStatement {
+            origin: StatementOrigin { client, number, end },
             text,
-            &marked,
-            (at, longest),
-            (workload, session, self.harmless[workload]),
-        );
-        self.clients.waits_for(client, id);
+            fields: &marked,
+            received_at: at,
+            max_timeout: properties.max_statement_timeout(&self.limits),
+            workload,
+            session,
+            is_client_retry_safe: properties.is_client_retry_safe,
+        });
+        self.clients.add_statement(client, id);
         let taken = Statement {
             id,
             workload,
@@ -547,15 +543,15 @@
 
     /// The workload of a statement that can be routed.
     fn routable(&self, marked: &Marked, length: usize) -> Result<usize, Unreadable> {
-        if self.statements.has_name(marked.id) {
+        if self.statements.find(marked.id).is_some() {
             return Err(comment::SAME_ID);
         }
         if !self.members.has_group(marked.group) {
             return Err(comment::NO_GROUP);
         }
-        let known = self.workloads.find(&asterlatch_settings::word(&marked.workload));
+        let known = self.workloads.find(&marked.workload);
         let workload = known.ok_or(comment::NO_WORKLOAD)?;
-        match self.workload_limits[workload].longest {
+        match self.workloads.get(workload).limits.max_bytes {
             Some(longest) if length > longest => Err(comment::TOO_LARGE),
             _ => Ok(workload),
         }
@@ -563,12 +559,12 @@
 
     /// Gives a statement its one final answer; a later one finds it gone.
     fn answer(&mut self, stmt: u32, answer: Final) -> bool {
-        let Some((client, number)) = self.statements.release(stmt) else {
-            self.figures.late_answers_dropped += 1;
+        let Some(StatementOrigin { client, number, .. }) = self.statements.remove(stmt) else {
+            self.metrics.late_answers_dropped += 1;
             return false;
         };
-        self.clients.has_answer(client, stmt);
-        self.clients.say(client, Say::Answer(number, answer));
+        self.clients.remove_statement(client, stmt);
+        self.clients.send(client, ClientCommand::Answer(number, answer));
         true
     }
 
@@ -576,27 +572,40 @@
     fn carry_out(&mut self, now: Timestamp, results: Actions) {
         self.module_wakes = results.wake_up_at;
         for c in &results.cancellations {
-            if let Some((errand, ending)) = self.errands.cancel(now, c.statement, c.attempt) {
-                self.end(errand, now, ending, ReplicaStatus::default());
+            if let Some(UnansweredRequest {
+                request,
+                outcome: ending,
+            }) = self.member_requests.cancel(
+                now,
+                AttemptId {
+                    statement: c.statement,
+                    attempt: c.attempt,
+                },
+            ) {
+                self.end(request, now, ending, ReplicaStatus::default());
             }
         }
         for e in &results.executions {
-            if let Some((number, until)) = self.statements.execute(e.statement, e.deadline) {
-                self.figures.executions_sent += 1;
-                let kind = Kind::Execution {
-                    stmt: e.statement,
-                    number,
-                };
+            if let Some(NextAttempt {
+                number,
+                deadline: until,
+            }) = self.statements.begin_attempt(e.statement, e.deadline)
+            {
+                self.metrics.executions_sent += 1;
+                let kind = RequestKind::Execution(AttemptId {
+                    statement: e.statement,
+                    attempt: number,
+                });
                 self.shares_execution(now, e.statement, number, e.member);
-                self.start(now, Errand::new(kind, e.member, now, until));
+                self.start(now, MemberRequest::new(kind, e.member, now, until));
             }
         }
         for answer in &results.answers {
-            let (stmt, told) = endings::of_answer(answer);
-            let answered = u64::from(self.answer(stmt, told));
+            let client_answer = execution_outcomes::to_client(answer);
+            let answered = u64::from(self.answer(client_answer.statement, client_answer.answer));
             match answer {
-                Answer::Rejected { .. } => self.figures.rejected += answered,
-                Answer::Aborted { .. } => self.figures.aborted += answered,
+                Answer::Rejected { .. } => self.metrics.rejected += answered,
+                Answer::Aborted { .. } => self.metrics.aborted += answered,
             }
         }
         for member in &results.health_checks {
@@ -605,8 +614,8 @@
             }
         }
         for member in &results.removed_members {
-            self.members.let_go(*member);
-            self.errands.let_go(*member);
+            self.members.remove(*member);
+            self.member_requests.close_idle(*member);
         }
         if results.poll_endpoint_list {
             self.call(now);
@@ -614,16 +623,25 @@
     }
 
     fn probe(&mut self, now: Timestamp, member: u32) {
-        self.figures.probes_sent += 1;
+        self.metrics.probes_sent += 1;
         // As long as a connection may take to come up: the settings know no other bound for a probe.
         let until = now + self.decoding.connect_timeout;
-        self.start(now, Errand::new(Kind::Probe, member, now, until));
+        self.start(
+            now,
+            MemberRequest::new(RequestKind::HealthCheck, member, now, until),
+        );
     }
 
-    fn end(&mut self, errand: Errand, at: Timestamp, ending: ExecutionOutcome, sighting: ReplicaStatus) {
-        let took = at - errand.sent;
+    fn end(
+        &mut self,
+        request: MemberRequest,
+        at: Timestamp,
+        ending: ExecutionOutcome,
+        sighting: ReplicaStatus,
+    ) {
+        let took = at - request.started_at;
         self.ended.push_back(Ended {
-            errand,
+            request,
             ending,
             took,
             sighting,
@@ -635,25 +653,28 @@
     /// have their answer are told too, for what they say of the member.
     fn tell_ended(&mut self, now: Timestamp) {
         while let Some(end) = self.ended.pop_front() {
-            let (member, ending) = (end.errand.member, end.ending);
-            self.shares_end(now, end.errand.kind, member, (ending, end.sighting));
-            let results = match end.errand.kind {
-                Kind::Execution { stmt, number } => {
-                    endings::count(&mut self.figures, ending);
+            let (member, ending) = (end.request.member, end.ending);
+            self.shares_end(now, end.request.kind, member, (ending, end.sighting));
+            let results = match end.request.kind {
+                RequestKind::Execution(AttemptId {
+                    statement: stmt,
+                    attempt: number,
+                }) => {
+                    execution_outcomes::count(&mut self.metrics, ending);
                     let end = ExecutionEnd {
                         statement: stmt,
                         attempt: number,
                         member,
                         outcome: ending,
                         latency: end.took,
-                        is_answered: !self.statements.holds(stmt),
+                        is_answered: !self.statements.contains(stmt),
                         status: end.sighting,
                     };
                     self.module.on_execution_ended(now, &end)
                 }
-                Kind::Probe => {
+                RequestKind::HealthCheck => {
                     let ok = ending == ExecutionOutcome::Completed;
-                    self.figures.probes_answered += u64::from(ok);
+                    self.metrics.probes_answered += u64::from(ok);
                     self.module
                         .on_health_check(now, member, ok, end.took, end.sighting)
                 }
@@ -662,80 +683,89 @@
         }
     }
 
-    fn member_heard(&mut self, now: Timestamp, heard: execution::Heard) {
+    fn member_heard(&mut self, now: Timestamp, heard: MemberEvent) {
         match heard {
-            execution::Heard::Up { connection } => self.connection_up(now, connection),
-            execution::Heard::Moved { connection, stream } => {
-                let member = self.errands.moved(connection);
+            MemberEvent::Connected { connection } => self.connection_up(now, connection),
+            MemberEvent::Transferred { connection, stream } => {
+                let member = self.member_requests.on_transferred(connection);
                 self.moved_connections.extend(member.map(|m| (m, stream)));
             }
-            execution::Heard::Replied {
+            MemberEvent::Replied {
                 connection,
                 at,
                 reply,
                 sighting,
                 report,
             } => {
-                let errand = match reply {
-                    execution::Reply::Malformed => self.errands.end(connection),
-                    _ => self.errands.answered(connection, now),
+                let request = match reply {
+                    Reply::Malformed => self.member_requests.close(connection),
+                    _ => self.member_requests.on_answered(connection, now),
                 };
-                let Some(errand) = errand else { return };
-                let sighting = sighting.merge(self.reported(&errand, &reply, report));
-                let may_go = match (&reply, errand.kind) {
-                    (execution::Reply::Rows(_), Kind::Execution { stmt, number }) => {
-                        self.module.accepts_answer(stmt, number, sighting)
-                    }
+                let Some(request) = request else { return };
+                let sighting = sighting.merge(self.reported(&request, &reply, report));
+                let may_go = match (&reply, request.kind) {
+                    (
+                        Reply::Rows(_),
+                        RequestKind::Execution(AttemptId {
+                            statement: stmt,
+                            attempt: number,
+                        }),
+                    ) => self.module.accepts_answer(stmt, number, sighting),
                     _ => true,
                 };
                 // What may not go to the client has run all the same.
                 let ending = if may_go {
-                    endings::of_reply(&reply)
+                    execution_outcomes::of_reply(&reply)
                 } else {
                     ExecutionOutcome::Errored
                 };
-                self.end(errand, at, ending, sighting);
-                match (reply, errand.kind) {
-                    _ if !may_go => self.figures.answers_too_old += 1,
+                self.end(request, at, ending, sighting);
+                match (reply, request.kind) {
+                    _ if !may_go => self.metrics.answers_too_old += 1,
                     // The first whole answer goes to the client as the bytes that came.
-                    (execution::Reply::Rows(rows), Kind::Execution { stmt, .. }) => {
+                    (Reply::Rows(rows), RequestKind::Execution(AttemptId { statement: stmt, .. })) => {
                         let answered = self.answer(stmt, Final::Rows(rows));
-                        self.figures.completed += u64::from(answered);
+                        self.metrics.completed += u64::from(answered);
                     }
-                    (execution::Reply::Malformed, _) => {
-                        self.figures.members_malformed += 1;
+                    (Reply::Malformed, _) => {
+                        self.metrics.members_malformed += 1;
                         let text = format_args!("sent what is not an answer");
                         self.observer.say(now, "member", text);
                     }
                     _ => {}
                 }
             }
-            execution::Heard::Down {
+            MemberEvent::Closed {
                 connection,
                 at,
                 written,
             } => {
-                let Some(errand) = self.errands.end(connection) else {
+                let Some(request) = self.member_requests.close(connection) else {
                     return;
                 };
-                if errand.reused && !written {
+                if request.is_reused_connection && !written {
                     // It had ended while it sat idle: nothing went out, so this isn't another execution.
-                    self.figures.idle_connections_stale += 1;
-                    return self.restart(now, errand);
+                    self.metrics.idle_connections_stale += 1;
+                    return self.restart(now, request);
                 }
-                self.errands.note_age(&errand, now, written);
-                self.end(errand, at, endings::of_loss(written), ReplicaStatus::default());
+                self.member_requests.record_reuse(&request, now, written);
+                self.end(
+                    request,
+                    at,
+                    execution_outcomes::of_closed_connection(written),
+                    ReplicaStatus::default(),
+                );
             }
         }
     }
 
     /// What a report says, whether it came beside an answer or as the row that a probe asked for.
-    fn reported(&self, errand: &Errand, reply: &execution::Reply, beside: Option<String>) -> ReplicaStatus {
+    fn reported(&self, request: &MemberRequest, reply: &Reply, beside: Option<String>) -> ReplicaStatus {
         let fields = &self.decoding.report_fields;
         let name = |at: Option<usize>| at.and_then(|n| fields.get(n)).map(String::as_str);
         let (position, role) = (name(self.decoding.position_field), name(self.decoding.role_field));
-        let row = match (errand.kind, reply) {
-            (Kind::Probe, execution::Reply::Rows(rows)) => messages::row_value(rows),
+        let row = match (request.kind, reply) {
+            (RequestKind::HealthCheck, Reply::Rows(rows)) => messages::row_value(rows),
             _ => None,
         };
         let row = row.and_then(|v| std::str::from_utf8(v).ok());
@@ -745,62 +775,66 @@
     }
 
     fn call(&mut self, now: Timestamp) {
-        self.figures.discovery_calls += 1;
-        if !self.calls.call(now) {
+        self.metrics.discovery_calls += 1;
+        if !self.discovery_requests.request(now) {
             self.call_failed(now);
         }
     }
 
     fn call_failed(&mut self, now: Timestamp) {
-        if self.calls.failed(now) {
+        if self.discovery_requests.on_failed(now) {
             let results = self.module.on_poll_failed(now);
             self.carry_out(now, results);
         }
     }
 
-    fn discovery_heard(&mut self, now: Timestamp, heard: watch::Heard) {
-        match heard {
-            watch::Heard::Told(roster) => {
-                self.calls.told(now, roster.index);
+    /// Events of a request that is over change nothing.
+    fn on_discovery_message(&mut self, now: Timestamp, message: DiscoveryMessage) {
+        if !self.discovery_requests.is_current(message.request) {
+            return;
+        }
+        match message.event {
+            DiscoveryEvent::Listed(roster) => {
+                self.discovery_requests.on_list(now, roster.index);
                 self.learn_roster(now, &roster);
             }
-            watch::Heard::Older => self.calls.forget(),
-            watch::Heard::Unreadable => {
-                self.figures.rosters_unreadable += 1;
+            DiscoveryEvent::Outdated => self.discovery_requests.forget_version(),
+            DiscoveryEvent::Unreadable => {
+                self.metrics.rosters_unreadable += 1;
                 let text = format_args!("answered what can't be read");
                 self.observer.say(now, "discovery", text);
             }
-            watch::Heard::Down => self.call_failed(now),
+            DiscoveryEvent::Closed => self.call_failed(now),
         }
     }
 
     /// Begins with the list that is known from before.
-    pub fn begin_with(&mut self, now: Timestamp, known: &Roster) {
-        self.calls.knows(known.index);
+    pub fn begin_with(&mut self, now: Timestamp, known: &EndpointList) {
+        self.discovery_requests.set_known_version(known.index);
         self.learn_roster(now, known);
     }
 
     /// Takes over a list or changes to it. Entries that can't be read are left out, the others stand.
-    pub fn learn_roster(&mut self, now: Timestamp, roster: &Roster) {
-        self.figures.rosters_told += 1;
-        let read = roster.entries.iter().filter_map(|e| self.members.learn(e));
+    pub fn learn_roster(&mut self, now: Timestamp, roster: &EndpointList) {
+        self.metrics.rosters_told += 1;
+        let read = roster.entries.iter().filter_map(|e| self.members.upsert(e));
         let entries: Vec<_> = read.collect();
         let leave = entries.iter().filter(|e| e.state != MemberState::Ready);
         for e in leave {
-            self.errands.let_go(e.id);
+            self.member_requests.close_idle(e.id);
             let name = self.members.name(e.id).filter(|_| self.is_shared);
             let since_ms = e.started_at.map_or(0, |at| at.0 / 1000);
             self.drains.extend(name.map(|n| (n.to_owned(), since_ms)));
         }
         self.shares_listed(roster.index, &entries);
-        let left_out = roster.left_out + roster.entries.len() - entries.len();
+        let left_out = roster.skipped + roster.entries.len() - entries.len();
         if left_out > 0 {
-            self.figures.roster_entries_left_out += left_out as u64;
+            self.metrics.roster_entries_left_out += left_out as u64;
             let text = format_args!("{left_out} entries of the list can't be read");
             self.observer.say(now, "discovery", text);
         }
-        if roster.whole || !entries.is_empty() {
-            let results = self.module.on_endpoint_list(now, &entries, roster.whole);
+        if roster.is_complete || !entries.is_empty() {
+            let results = self.module.on_endpoint_list(now, &entries, roster.is_complete);
             self.carry_out(now, results);
         }
         self.tell_ended(now);
--- a/crates/driver/src/routing/owner/beside.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -1,21 +1,22 @@
-//! What the owner does for another process that serves beside this one: tells what was learned, hands clients and
+//! What the event loop does for another process that serves beside this one: tells what was learned, hands clients and
 //! connections over, takes them back, and holds to what binds both.
 
-use super::{Learned, Moved, Observer, Owner, ADOPTED};
-use crate::protocol::session::Say;
+use super::{EventLoop, Learned, Moved, Observer, ADOPTED};
+use crate::protocol::session::ClientCommand;
 use crate::protocol::vitals;
-use crate::routing::endings;
-use crate::routing::tables::Members;
+use crate::routing::execution_outcomes;
+use crate::routing::member_requests::AdoptedConnection;
+use crate::routing::members::MemberDirectory;
 use crate::transport::listener::AcceptEvent;
-use asterlatch::interface::{Answer, MemberUpdate, Settings};
+use asterlatch::interface::{MemberUpdate, Settings};
 use asterlatch::policy;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_handover::co_serving::Word;
-use asterlatch_handover::io_journal::{Verdict, Verdicts};
+use asterlatch_handover::co_serving::CoServingMessage;
+use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use std::collections::BTreeMap;
 use std::net::{TcpListener, TcpStream};
 
-impl<O: Observer> Owner<O> {
+impl<O: Observer> EventLoop<O> {
     /// What was learned, as another process goes on from it.
     pub fn learned(&self) -> Learned<'_> {
         (&self.module, &self.members)
@@ -26,7 +27,7 @@
         &mut self,
         now: Timestamp,
         settings: &Settings,
-        (module, members): (policy::RoutingPolicy, Members),
+        (module, members): (policy::RoutingPolicy, MemberDirectory),
     ) {
         self.module = policy::RoutingPolicy::resume(module, settings, false, now);
         self.members = members;
@@ -41,7 +42,7 @@
             // What the other one sent is in no log here.
             sharing.log.blank(now);
         }
-        self.clients.share(is_shared);
+        self.clients.set_co_serving(is_shared);
         let results = self.module.set_peer_process(now, is_shared && leaves);
         self.carry_out(now, results);
         self.tell_ended(now);
@@ -50,26 +51,33 @@
     /// Executions that are out, by member.
     pub fn out(&self) -> BTreeMap<String, u32> {
         let mut out = BTreeMap::new();
-        for name in self.errands.out().filter_map(|m| self.members.name(m)) {
+        for name in self
+            .member_requests
+            .executions()
+            .filter_map(|e| self.members.name(e.member))
+        {
             *out.entry(name.to_owned()).or_default() += 1;
         }
         out
     }
 
     /// Takes over what binds both processes. A member that is not known here gets nothing from here.
-    pub fn bind(&mut self, now: Timestamp, word: &Word) {
+    pub fn bind(&mut self, now: Timestamp, word: &CoServingMessage) {
         let results = match word {
-            Word::Open { member, count } => self.members.find(member).map(|m| {
+            CoServingMessage::InFlight { member, count } => self.members.find(member).map(|m| {
                 self.module
                     .on_member_update(now, m, MemberUpdate::InFlight(*count as usize))
             }),
-            Word::Drains { member, since_ms } => self.members.find(member).map(|m| {
-                self.errands.let_go(m);
-                self.figures.drains_from_beside += 1;
+            CoServingMessage::Draining {
+                member,
+                started_ms: since_ms,
+            } => self.members.find(member).map(|m| {
+                self.member_requests.close_idle(m);
+                self.metrics.drains_from_beside += 1;
                 self.module
                     .on_member_update(now, m, MemberUpdate::Draining(vitals::unix(*since_ms)))
             }),
-            Word::Heard => None,
+            CoServingMessage::Acknowledged => None,
         };
         if let Some(results) = results {
             self.carry_out(now, results);
@@ -91,14 +99,14 @@
     pub fn pause(&mut self, paused: bool) {
         self.listening.as_ref().inspect(|l| l.set_paused(paused));
         if !paused && !self.draining {
-            self.clients.stay();
+            self.clients.resume_serving();
         }
     }
 
     /// Has each client go to another process between two statements; those that do lie in `moved`.
     pub fn hand_clients_over(&mut self) {
-        self.clients.hand_over();
-        self.errands.hand_over_idle();
+        self.clients.begin_handover();
+        self.member_requests.hand_over_idle();
     }
 
     /// Goes on with an idle connection to a member that is still known.
@@ -107,8 +115,11 @@
             return;
         };
         let adopt = &mut self.adopt_connection;
-        if self.errands.adopt(now, (member, address), |id| adopt(id, stream)) {
-            self.figures.connections_adopted += 1;
+        if self
+            .member_requests
+            .adopt(now, AdoptedConnection { member, address }, |id| adopt(id, stream))
+        {
+            self.metrics.connections_adopted += 1;
         }
     }
 
@@ -119,13 +130,13 @@
         match (self.adopt)(id, moved.stream, moved.standing) {
             Ok(line) => {
                 // Its news lie in the queue, and come behind this.
-                if moved.verdicts != Verdicts::default() {
+                if moved.verdicts != StatementVerdicts::default() {
                     self.verdicts.insert(id, moved.verdicts);
                 }
                 self.arrived(now, AcceptEvent::Client(id, line));
-                self.figures.clients_adopted += 1;
+                self.metrics.clients_adopted += 1;
                 if moved.has_asked {
-                    self.clients.asked_before(id, now);
+                    self.clients.mark_active(id, now);
                 }
             }
             Err(e) => self.arrived(now, AcceptEvent::Failed(e)),
@@ -137,28 +148,23 @@
         let Some(verdicts) = self.verdicts.get(&client) else {
             return false;
         };
-        let verdict = verdicts.of(end);
-        if verdicts.is_over(end) {
+        let verdict = verdicts.verdict_for(end);
+        if verdicts.is_past_last(end) {
             self.verdicts.remove(&client);
         }
-        let (stmt, hold_off) = (0, TimeSpan(0));
         let (count, answer) = match verdict {
-            Verdict::Open => return false,
-            Verdict::Rejected => (
-                &mut self.figures.taken_back_rejected,
-                Answer::Rejected {
-                    statement: stmt,
-                    retry_after: hold_off,
-                },
+            StatementVerdict::Unread => return false,
+            StatementVerdict::Rejected => (
+                &mut self.metrics.taken_back_rejected,
+                execution_outcomes::rejected(TimeSpan(0)),
             ),
-            Verdict::Aborted => (
-                &mut self.figures.taken_back_aborted,
-                Answer::Aborted { statement: stmt },
+            StatementVerdict::Aborted => (
+                &mut self.metrics.taken_back_aborted,
+                execution_outcomes::aborted(),
             ),
         };
         *count += 1;
-        let (_, told) = endings::of_answer(&answer);
-        self.clients.say(client, Say::Answer(number, told));
+        self.clients.send(client, ClientCommand::Answer(number, answer));
         true
     }
 }
--- a/crates/driver/src/transport/connection/coroutine.rs
+++ b/crates/driver/src/transport/connection/coroutine.rs
@@ -143,7 +143,7 @@
         }
         self.lingering = Some(0);
         self.input = Vec::new();
-        self.reservation.try_resize(0);
+        self.reservation.resize(0);
         self.handler.on_half_closed(&mut self.out);
         self.report_events();
         Flow::Continue
@@ -193,7 +193,7 @@
         // An answer that was begun is never cut off; while many are read slowly, statements find no memory instead. Nor is
         // a connection closed that waits for an answer: no more is read ahead of that than `wants_input` allows.
         if self.out.bytes.is_empty() && self.handler.may_be_closed() {
-            return self.reservation.try_resize(buffered);
+            return self.reservation.resize(buffered);
         }
         self.reservation.force_resize(buffered);
         true
--- a/crates/driver/src/transport/io_journal.rs
+++ b/crates/driver/src/transport/io_journal.rs
@@ -3,7 +3,7 @@
 //! writer.
 
 use asterlatch_handover::codec::send;
-use asterlatch_handover::io_journal::Record;
+use asterlatch_handover::io_journal::JournalRecord;
 use std::io;
 use std::os::fd::{BorrowedFd, OwnedFd};
 use std::os::unix::net::UnixStream;
@@ -50,7 +50,7 @@
     }
 
     /// Appends a record, with a descriptor where it has one. Returns once the kernel has it, or the journal has ended.
-    pub fn append(&self, record: &Record, descriptor: Option<BorrowedFd>) {
+    pub fn append(&self, record: &JournalRecord, descriptor: Option<BorrowedFd>) {
         if !self.is_on() {
             return;
         }
--- a/crates/driver/src/transport/memory_budget.rs
+++ b/crates/driver/src/transport/memory_budget.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 struct Counters {
-    used: AtomicUsize,
-    limit: AtomicUsize,
+    reserved: AtomicUsize,
+    capacity: AtomicUsize,
 }
 
 /// Bytes that may be reserved in all; clones share them. May be used from any thread.
@@ -20,26 +20,26 @@
 
 impl MemoryBudget {
     /// A budget of so many bytes.
-    pub fn new(limit: usize) -> MemoryBudget {
+    pub fn new(capacity: usize) -> MemoryBudget {
         MemoryBudget(Arc::new(Counters {
-            used: AtomicUsize::new(0),
-            limit: AtomicUsize::new(limit),
+            reserved: AtomicUsize::new(0),
+            capacity: AtomicUsize::new(capacity),
         }))
     }
 
-    /// Changes the limit; what is reserved stays.
-    pub fn set_limit(&self, limit: usize) {
-        self.0.limit.store(limit, Ordering::Relaxed);
+    /// Changes the capacity; what is reserved stays.
+    pub fn set_capacity(&self, capacity: usize) {
+        self.0.capacity.store(capacity, Ordering::Relaxed);
     }
 
     /// Bytes that may be reserved in all.
-    pub fn limit(&self) -> usize {
-        self.0.limit.load(Ordering::Relaxed)
+    pub fn capacity(&self) -> usize {
+        self.0.capacity.load(Ordering::Relaxed)
     }
 
     /// Bytes that are reserved.
-    pub fn used(&self) -> usize {
-        self.0.used.load(Ordering::Relaxed)
+    pub fn reserved(&self) -> usize {
+        self.0.reserved.load(Ordering::Relaxed)
     }
 
     /// An empty reservation.
@@ -53,27 +53,27 @@
     /// A reservation of so many bytes; `None` if they are not left.
     pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let mut reservation = self.empty_reservation();
-        reservation.try_resize(bytes).then_some(reservation)
+        reservation.resize(bytes).then_some(reservation)
     }
 }
 
 impl MemoryReservation {
     /// Changes the size if the budget allows that, and returns whether it did. Shrinking always succeeds.
-    pub fn try_resize(&mut self, bytes: usize) -> bool {
+    pub fn resize(&mut self, bytes: usize) -> bool {
         let before = self.bytes;
         self.force_resize(bytes);
-        let fits = bytes <= before || self.budget.used() <= self.budget.limit();
+        let fits = bytes <= before || self.budget.reserved() <= self.budget.capacity();
         if !fits {
             self.force_resize(before);
         }
         fits
     }
 
-    /// Changes the size, also beyond the limit: others find less left then.
+    /// Changes the size, also beyond the capacity: others find less left then.
     pub fn force_resize(&mut self, bytes: usize) {
-        let used = &self.budget.0.used;
-        used.fetch_add(bytes, Ordering::Relaxed);
-        used.fetch_sub(self.bytes, Ordering::Relaxed);
+        let reserved = &self.budget.0.reserved;
+        reserved.fetch_add(bytes, Ordering::Relaxed);
+        reserved.fetch_sub(self.bytes, Ordering::Relaxed);
         self.bytes = bytes;
     }
 }
--- a/crates/driver/src/transport/socket_counts.rs
+++ b/crates/driver/src/transport/socket_counts.rs
@@ -1,6 +1,6 @@
 //! Bytes read from and written to a TCP socket in its whole life, by the kernel's own counts.
 
-use asterlatch_handover::io_journal::Counts;
+use asterlatch_handover::io_journal::SocketByteCounts;
 use std::ffi::c_void;
 use std::io::{self, ErrorKind};
 use std::net::TcpStream;
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 /// If the kernel refuses the counts, or they kept changing.
-pub fn counts(stream: &TcpStream) -> io::Result<Counts> {
+pub fn counts(stream: &TcpStream) -> io::Result<SocketByteCounts> {
     for _ in 0..MOST_READS {
         let before = tcp_info(stream)?;
         let unread = rustix::io::ioctl_fionread(stream)?;
@@ -77,7 +77,7 @@
         let after = tcp_info(stream)?;
         if before == after {
             let fin = u64::from(FIN_RECEIVED.contains(&after.state));
-            return Ok(Counts {
+            return Ok(SocketByteCounts {
                 read: after.received.saturating_sub(unread + fin),
                 written: after.acked + unsent,
             });
