--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -1,7 +1,7 @@
 //! What a driver is told at its start.
 
-use crate::protocol::comment::hashed;
-use crate::protocol::roster::{self, EndpointList};
+use crate::protocol::endpoint_list::{self, EndpointList};
+use crate::protocol::statement_comment::hashed;
 use crate::routing::event_loop::Given;
 use asterlatch::interface::Settings;
 use asterlatch_settings::{Decoding, Pairs};
@@ -68,7 +68,7 @@
             sockets: limit("sockets", SOCKETS),
         },
         seed: seed(value.get("seed").and_then(Value::as_str).unwrap_or_default()),
-        known: value.get("known").and_then(roster::from_value),
+        known: value.get("known").and_then(endpoint_list::from_value),
         settings,
         settings_text,
     })
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/client_session.rs
@@ -1,7 +1,7 @@
 //! A client's connection: startup, then statements, which may come in rows and are answered in their order.
 
-use super::comment::{Unreadable, NO_ROOM, TOO_LARGE};
 use super::messages::{self, Front, Opening};
+use super::statement_comment::{Unreadable, NO_ROOM, TOO_LARGE};
 use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use crate::transport::io_journal::IoJournalWriter;
 use crate::transport::memory_budget::{MemoryBudget, MemoryReservation};
--- a/crates/driver/src/protocol/watch.rs
+++ b/crates/driver/src/protocol/discovery_watch.rs
@@ -1,8 +1,8 @@
 //! The calls to discovery: the whole list first, then one watch after another, each asked for in the same turn
 //! in which the last was answered.
 
+use super::endpoint_list::{self, EndpointList};
 use super::http::{self, Answer};
-use super::roster::{self, EndpointList};
 use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use asterlatch::time::Timestamp;
 
@@ -57,7 +57,7 @@
 
     /// A whole answer; false where it can't be read, which ends the call.
     fn take(&mut self, status: u16, body: &[u8], out: &mut ConnectionOutput<DiscoveryMessage>) -> bool {
-        let Some(told) = roster::read(body).filter(|_| status == 200) else {
+        let Some(told) = endpoint_list::read(body).filter(|_| status == 200) else {
             self.fail(out);
             return false;
         };
--- a/crates/driver/src/protocol/roster.rs
+++ b/crates/driver/src/protocol/endpoint_list.rs
@@ -51,7 +51,7 @@
         status,
         weight: value.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
         since_ms: value.get("since_ms").and_then(Value::as_u64).unwrap_or(0),
-        is_primary: text("rank").and_then(super::vitals::role) == Some(true),
+        is_primary: text("rank").and_then(super::replica_status::role) == Some(true),
     })
 }
 
--- a/crates/driver/src/protocol/execution.rs
+++ b/crates/driver/src/protocol/member_connection.rs
@@ -1,7 +1,7 @@
 //! A connection to a member, which carries one execution or probe at a time.
 
 use super::messages::{self, Front};
-use super::vitals;
+use super::replica_status;
 use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::Timestamp;
@@ -148,9 +148,9 @@
         };
         let text = std::str::from_utf8(value).ok();
         match name {
-            vitals::POSITION => self.sighting.position = text.and_then(vitals::position),
-            vitals::ROLE => self.sighting.is_primary = text.and_then(vitals::role),
-            vitals::REPORT => self.report = text.map(str::to_owned),
+            replica_status::POSITION => self.sighting.position = text.and_then(replica_status::position),
+            replica_status::ROLE => self.sighting.is_primary = text.and_then(replica_status::role),
+            replica_status::REPORT => self.report = text.map(str::to_owned),
             _ => {}
         }
         true
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -1,7 +1,7 @@
 //! What the event loop makes of other drivers' word, and what it tells them.
 
 use super::{EventLoop, Observer};
-use crate::protocol::vitals;
+use crate::protocol::replica_status;
 use crate::routing::execution_outcomes;
 use crate::routing::gossip::{sightings, GossipMessage, Out, Parked, Sharing, Word};
 use crate::routing::member_requests::{AttemptId, RequestKind};
@@ -423,7 +423,7 @@
                 let results = self.module.on_member_update(
                     now,
                     member,
-                    MemberUpdate::Draining(vitals::unix(*started_ms)),
+                    MemberUpdate::Draining(replica_status::unix(*started_ms)),
                 );
                 self.carry_out(now, results);
             }
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -5,12 +5,12 @@
 mod gossip;
 mod peer_process;
 
-use crate::protocol::comment::{self, Marked, Unreadable};
-use crate::protocol::execution::{self, MemberEvent, Reply};
-use crate::protocol::roster::EndpointList;
-use crate::protocol::session::{self as client, ClientCommand, ClientEvent, Final, Text};
-use crate::protocol::watch::{DiscoveryEvent, DiscoveryMessage};
-use crate::protocol::{messages, vitals};
+use crate::protocol::client_session::{self as client, ClientCommand, ClientEvent, Final, Text};
+use crate::protocol::discovery_watch::{DiscoveryEvent, DiscoveryMessage};
+use crate::protocol::endpoint_list::EndpointList;
+use crate::protocol::member_connection::{self, MemberEvent, Reply};
+use crate::protocol::statement_comment::{self, Marked, Unreadable};
+use crate::protocol::{messages, replica_status};
 use crate::routing::clients::{Admission, Clients};
 use crate::routing::discovery_requests::{self, DiscoveryRequests};
 use crate::routing::events::{ControlEvent, Event};
@@ -102,7 +102,7 @@
 
 /// Goes on with an idle connection to a member under this number.
 pub type AdoptConnection =
-    Box<dyn FnMut(u32, TcpStream) -> io::Result<ConnectionHandle<execution::MemberCommand>>>;
+    Box<dyn FnMut(u32, TcpStream) -> io::Result<ConnectionHandle<member_connection::MemberCommand>>>;
 
 /// Numbers of clients from another process begin here.
 const ADOPTED: u32 = 1 << 31;
@@ -491,7 +491,7 @@
         text: Text,
         at: Timestamp,
     ) {
-        let marked = comment::read(&text.text);
+        let marked = statement_comment::read(&text.text);
         let length = text.text.len();
         let (workload, marked) = match marked.and_then(|m| Ok((self.routable(&m, length)?, m))) {
             Ok(marked) => marked,
@@ -532,7 +532,10 @@
             time_left: times_out - now,
             expected_work: None,
             prior_attempt: None,
-            session_write_age: marked.after.and_then(vitals::unix).map(|after| now - after),
+            session_write_age: marked
+                .after
+                .and_then(replica_status::unix)
+                .map(|after| now - after),
         };
         let taken = self.asks_others(now, (marked.id, marked.repeat), taken, times_out);
         if let Some(taken) = taken {
@@ -544,15 +547,15 @@
     /// The workload of a statement that can be routed.
     fn routable(&self, marked: &Marked, length: usize) -> Result<usize, Unreadable> {
         if self.statements.find(marked.id).is_some() {
-            return Err(comment::SAME_ID);
+            return Err(statement_comment::SAME_ID);
         }
         if !self.members.has_group(marked.group) {
-            return Err(comment::NO_GROUP);
+            return Err(statement_comment::NO_GROUP);
         }
         let known = self.workloads.find(&marked.workload);
-        let workload = known.ok_or(comment::NO_WORKLOAD)?;
+        let workload = known.ok_or(statement_comment::NO_WORKLOAD)?;
         match self.workloads.get(workload).limits.max_bytes {
-            Some(longest) if length > longest => Err(comment::TOO_LARGE),
+            Some(longest) if length > longest => Err(statement_comment::TOO_LARGE),
             _ => Ok(workload),
         }
     }
@@ -769,8 +772,11 @@
             _ => None,
         };
         let row = row.and_then(|v| std::str::from_utf8(v).ok());
-        let read =
-            |text: Option<&str>| text.map_or(ReplicaStatus::default(), |t| vitals::report(t, position, role));
+        let read = |text: Option<&str>| {
+            text.map_or(ReplicaStatus::default(), |t| {
+                replica_status::report(t, position, role)
+            })
+        };
         read(row).merge(read(beside.as_deref()))
     }
 
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -2,8 +2,8 @@
 //! connections over, takes them back, and holds to what binds both.
 
 use super::{EventLoop, Learned, Moved, Observer, ADOPTED};
-use crate::protocol::session::ClientCommand;
-use crate::protocol::vitals;
+use crate::protocol::client_session::ClientCommand;
+use crate::protocol::replica_status;
 use crate::routing::execution_outcomes;
 use crate::routing::member_requests::AdoptedConnection;
 use crate::routing::members::MemberDirectory;
@@ -75,7 +75,7 @@
                 self.member_requests.close_idle(m);
                 self.metrics.drains_from_beside += 1;
                 self.module
-                    .on_member_update(now, m, MemberUpdate::Draining(vitals::unix(*since_ms)))
+                    .on_member_update(now, m, MemberUpdate::Draining(replica_status::unix(*since_ms)))
             }),
             CoServingMessage::Acknowledged => None,
         };
--- a/crates/driver/src/routing/events.rs
+++ b/crates/driver/src/routing/events.rs
@@ -1,9 +1,9 @@
 //! Events in the queue of the event loop.
 
 use super::gossip::GossipMessage;
-use crate::protocol::execution::MemberEvent;
-use crate::protocol::session::{ClientCommand, ClientEvent};
-use crate::protocol::watch::DiscoveryMessage;
+use crate::protocol::client_session::{ClientCommand, ClientEvent};
+use crate::protocol::discovery_watch::DiscoveryMessage;
+use crate::protocol::member_connection::MemberEvent;
 use crate::transport::listener::AcceptEvent;
 
 /// What operators or other threads ask of the process. The event loop only collects these for the program.
--- a/crates/driver/src/routing/execution_outcomes.rs
+++ b/crates/driver/src/routing/execution_outcomes.rs
@@ -1,8 +1,8 @@
 //! Translates replies of members into execution outcomes, and answers of the policy into final answers for clients.
 
 use super::metrics::Metrics;
-use crate::protocol::execution::Reply;
-use crate::protocol::session::Final;
+use crate::protocol::client_session::Final;
+use crate::protocol::member_connection::Reply;
 use asterlatch::interface::{Answer, ExecutionOutcome};
 use asterlatch::time::TimeSpan;
 
--- a/crates/driver/src/routing/member_requests/mod.rs
+++ b/crates/driver/src/routing/member_requests/mod.rs
@@ -3,7 +3,7 @@
 mod request;
 
 use super::limits::Share;
-use crate::protocol::execution::MemberCommand;
+use crate::protocol::member_connection::MemberCommand;
 use crate::transport::connection::ConnectionHandle;
 use crate::transport::connection_pool::{ConnectionPool, IdleConnection};
 use crate::transport::idle_lifetime::IdleLifetimeEstimator;
--- a/crates/driver/src/routing/members.rs
+++ b/crates/driver/src/routing/members.rs
@@ -1,8 +1,8 @@
 //! The member directory: names of members, zones and workloads as the small ids that the routing policy uses.
 
-use crate::protocol::comment::hashed;
-use crate::protocol::roster::{Endpoint, Status};
-use crate::protocol::vitals;
+use crate::protocol::endpoint_list::{Endpoint, Status};
+use crate::protocol::replica_status;
+use crate::protocol::statement_comment::hashed;
 use asterlatch::interface::{MemberEntry, MemberState};
 use asterlatch_settings::word;
 use serde::{Deserialize, Serialize};
@@ -164,7 +164,7 @@
             },
             listed_as_primary: endpoint.is_primary,
             capacity: endpoint.weight,
-            started_at: vitals::unix(endpoint.since_ms),
+            started_at: replica_status::unix(endpoint.since_ms),
         })
     }
 
--- a/crates/driver/src/routing/statements.rs
+++ b/crates/driver/src/routing/statements.rs
@@ -1,8 +1,8 @@
 //! Open statements: accepted, and without a final answer yet.
 
-use crate::protocol::comment::{self, Marked};
+use crate::protocol::client_session::Text;
 use crate::protocol::messages;
-use crate::protocol::session::Text;
+use crate::protocol::statement_comment::{self, Marked};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -172,7 +172,7 @@
         let statement = self.open.get(&id)?;
         let text = statement.text.text.as_bytes();
         let time_left_ms = (deadline - now).0 / 1000;
-        let text = comment::with_left(text, &statement.time_left_range, time_left_ms);
+        let text = statement_comment::with_left(text, &statement.time_left_range, time_left_ms);
         let mut query = Vec::with_capacity(text.len() + 8);
         messages::put_query(&mut query, &text);
         Some(query)
--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -2,7 +2,7 @@
 
 mod stand;
 use asterlatch::interface::MemberState;
-use asterlatch_driver::protocol::roster::{Endpoint, Status};
+use asterlatch_driver::protocol::endpoint_list::{Endpoint, Status};
 use asterlatch_driver::routing::members::{DirectorySize, MemberDirectory, MemberIdentity};
 use asterlatch_handover::codec::{send, FrameReader, Received};
 use asterlatch_handover::message::{HandoverMessage, VERSION};
--- a/crates/driver/tests/protocol.rs
+++ b/crates/driver/tests/protocol.rs
@@ -2,13 +2,13 @@
 
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_driver::protocol::comment::{self, Marked};
-use asterlatch_driver::protocol::execution::{self, Executions, MemberCommand, Reply};
+use asterlatch_driver::protocol::client_session::{self, ClientCommand, Final, Session};
+use asterlatch_driver::protocol::endpoint_list::{self, Status};
 use asterlatch_driver::protocol::http::{self, Answer};
+use asterlatch_driver::protocol::member_connection::{self, Executions, MemberCommand, Reply};
 use asterlatch_driver::protocol::messages::{self, Front};
-use asterlatch_driver::protocol::roster::{self, Status};
-use asterlatch_driver::protocol::session::{self, ClientCommand, Final, Session};
-use asterlatch_driver::protocol::{vitals, watch};
+use asterlatch_driver::protocol::statement_comment::{self, Marked};
+use asterlatch_driver::protocol::{discovery_watch, replica_status};
 use asterlatch_driver::transport::connection::{ConnectionHandler, ConnectionOutput};
 use asterlatch_driver::transport::memory_budget::MemoryBudget;
 
@@ -51,8 +51,8 @@
     // An answer that was begun is held whatever it takes, and statements find no room meanwhile.
     let mut unwritten = room.empty_reservation();
     unwritten.force_resize(50);
-    assert!(room.reserved() == 50 && session::Text::new("SELECT 1", &room).is_none());
-    assert!(unwritten.resize(9) && session::Text::new("SELECT 1", &room).is_some());
+    assert!(room.reserved() == 50 && client_session::Text::new("SELECT 1", &room).is_none());
+    assert!(unwritten.resize(9) && client_session::Text::new("SELECT 1", &room).is_some());
 }
 
 /// What is begun and not ended: said once a message, and ended with a word; who has asked before and begun nothing goes
@@ -154,7 +154,7 @@
 fn leaves(
     session: &mut Session,
     input: &mut Vec<u8>,
-    out: &mut ConnectionOutput<session::ClientEvent>,
+    out: &mut ConnectionOutput<client_session::ClientEvent>,
 ) -> String {
     session.on_input(input, AT, out);
     assert!(
@@ -204,18 +204,18 @@
     said.join(" ")
 }
 
-fn client_news(notices: &[session::ClientEvent]) -> String {
+fn client_news(notices: &[client_session::ClientEvent]) -> String {
     let told = notices.iter();
     let words = told.map(|n| match n {
-        session::ClientEvent::Transferred { .. } => "moved".to_owned(),
-        session::ClientEvent::Statement { text, .. } => format!("stmt({})", text.text),
-        session::ClientEvent::Idle { .. } => "idle".to_owned(),
-        session::ClientEvent::PartialMessage { .. } => "writing".to_owned(),
-        session::ClientEvent::Malformed => "malformed".to_owned(),
-        session::ClientEvent::Oversized => "oversized".to_owned(),
-        session::ClientEvent::OutOfMemory => "no room".to_owned(),
-        session::ClientEvent::HalfClosed { .. } => "half closed".to_owned(),
-        session::ClientEvent::Closed { .. } => "gone".to_owned(),
+        client_session::ClientEvent::Transferred { .. } => "moved".to_owned(),
+        client_session::ClientEvent::Statement { text, .. } => format!("stmt({})", text.text),
+        client_session::ClientEvent::Idle { .. } => "idle".to_owned(),
+        client_session::ClientEvent::PartialMessage { .. } => "writing".to_owned(),
+        client_session::ClientEvent::Malformed => "malformed".to_owned(),
+        client_session::ClientEvent::Oversized => "oversized".to_owned(),
+        client_session::ClientEvent::OutOfMemory => "no room".to_owned(),
+        client_session::ClientEvent::HalfClosed { .. } => "half closed".to_owned(),
+        client_session::ClientEvent::Closed { .. } => "gone".to_owned(),
     });
     words.collect::<Vec<_>>().join(" ")
 }
@@ -342,7 +342,7 @@
     let open = out
         .events
         .iter()
-        .filter(|n| matches!(n, session::ClientEvent::Statement { .. }))
+        .filter(|n| matches!(n, client_session::ClientEvent::Statement { .. }))
         .count();
     assert!(open < 20 && !session.wants_input(20_000), "{open}");
     out.bytes.clear();
@@ -403,11 +403,11 @@
     message(b'E', format!("SERROR\0C{code}\0Mwhy\0\0").as_bytes())
 }
 
-fn member_news(notices: &[execution::MemberEvent]) -> Vec<String> {
+fn member_news(notices: &[member_connection::MemberEvent]) -> Vec<String> {
     let words = notices.iter().map(|n| match n {
-        execution::MemberEvent::Transferred { .. } => "moved".to_owned(),
-        execution::MemberEvent::Connected { .. } => "up".to_owned(),
-        execution::MemberEvent::Replied {
+        member_connection::MemberEvent::Transferred { .. } => "moved".to_owned(),
+        member_connection::MemberEvent::Connected { .. } => "up".to_owned(),
+        member_connection::MemberEvent::Replied {
             reply,
             sighting,
             report,
@@ -427,7 +427,7 @@
             let role = sighting.is_primary.map_or("", |p| if p { "!" } else { "?" });
             format!("{reply}{at}{role}{}", report.as_deref().unwrap_or_default())
         }
-        execution::MemberEvent::Closed { written, .. } => {
+        member_connection::MemberEvent::Closed { written, .. } => {
             if *written { "lost" } else { "unwritten" }.to_owned()
         }
     });
@@ -497,7 +497,7 @@
     }
     let (mut member, mut out) = greeted_member();
     hear(&mut member, &large, 1000, &mut out);
-    let Some(execution::MemberEvent::Replied {
+    let Some(member_connection::MemberEvent::Replied {
         reply: Reply::Rows(rows),
         ..
     }) = out.events.pop()
@@ -508,13 +508,13 @@
 }
 
 /// A connection whose query has gone out.
-fn greeted_member() -> (Executions, ConnectionOutput<execution::MemberEvent>) {
+fn greeted_member() -> (Executions, ConnectionOutput<member_connection::MemberEvent>) {
     let mut member = Executions::new(1, QUERY);
     let out = greet(&mut member);
     (member, out)
 }
 
-fn greet(member: &mut Executions) -> ConnectionOutput<execution::MemberEvent> {
+fn greet(member: &mut Executions) -> ConnectionOutput<member_connection::MemberEvent> {
     let mut out = ConnectionOutput::default();
     member.on_open(&mut out);
     member.on_command(MemberCommand::Query(query("q")), AT, &mut out);
@@ -604,11 +604,11 @@
         ("/* id=1,c=a,d=1,cluster=1,after=x */ SELECT 1", Err("22023")),
     ];
     for (text, expected) in cases {
-        match (comment::read(text), expected) {
+        match (statement_comment::read(text), expected) {
             (Ok(found), Ok(expected)) => {
                 let left_at = found.left_at.clone();
                 assert_eq!(text[left_at.clone()], expected.left_ms.to_string(), "{text}");
-                let passed = comment::with_left(text.as_bytes(), &left_at, 7);
+                let passed = statement_comment::with_left(text.as_bytes(), &left_at, 7);
                 let passed = String::from_utf8(passed).expect("stays text");
                 assert_eq!(
                     passed,
@@ -628,7 +628,9 @@
             (found, expected) => assert_eq!(found.map_err(|e| e.code), expected, "{text}"),
         }
     }
-    let id = |id: &str| comment::read(&format!("/* id={id},c=a,d=1,cluster=1 */ SELECT 1")).map(|m| m.id);
+    let id = |id: &str| {
+        statement_comment::read(&format!("/* id={id},c=a,d=1,cluster=1 */ SELECT 1")).map(|m| m.id)
+    };
     assert!(id("7").is_ok() && id("7") == id("7") && id("7") != id("8"));
 }
 
@@ -673,9 +675,16 @@
         ("", seen(None, None)),
     ];
     for (text, expected) in cases {
-        assert_eq!(vitals::report(text, Some("x0"), Some("x1")), expected, "{text}");
+        assert_eq!(
+            replica_status::report(text, Some("x0"), Some("x1")),
+            expected,
+            "{text}"
+        );
     }
-    assert_eq!(vitals::report("x0=5,x1=1", None, None), ReplicaStatus::default());
+    assert_eq!(
+        replica_status::report("x0=5,x1=1", None, None),
+        ReplicaStatus::default()
+    );
     for (text, expected) in [
         ("5", at(5)),
         ("0", None),
@@ -683,7 +692,7 @@
         ("18446744073709551615", None),
         ("5.5", None),
     ] {
-        assert_eq!(vitals::position(text), expected, "{text}");
+        assert_eq!(replica_status::position(text), expected, "{text}");
     }
 }
 
@@ -743,10 +752,10 @@
         ("{".to_owned(), None),
     ];
     for (text, expected) in cases {
-        let read = roster::read(text.as_bytes());
+        let read = endpoint_list::read(text.as_bytes());
         assert_eq!(read.map(|r| (r.entries.len(), r.skipped)), expected, "{text}");
     }
-    let read = roster::read(listed(good).as_bytes()).expect("is good");
+    let read = endpoint_list::read(listed(good).as_bytes()).expect("is good");
     let e = &read.entries[0];
     assert_eq!(
         (read.index, read.is_complete, e.status, e.group),
@@ -762,7 +771,7 @@
 fn a_watch_goes_on_in_the_turn_in_which_it_was_answered() {
     let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let list = |index: u32| answer(&format!(r#"{{"index":{index},"snapshot":true,"endpoints":[]}}"#));
-    let path = |out: &ConnectionOutput<watch::DiscoveryMessage>| {
+    let path = |out: &ConnectionOutput<discovery_watch::DiscoveryMessage>| {
         let text = String::from_utf8_lossy(&out.bytes).into_owned();
         text.split(' ').nth(1).unwrap_or_default().to_owned()
     };
@@ -771,7 +780,7 @@
         (Some(7), "/registry/instances?after=7&wait_ms=500"),
     ] {
         let (mut calls, mut out) = (
-            watch::Watch::new(3, "h".to_owned(), 500, known),
+            discovery_watch::Watch::new(3, "h".to_owned(), 500, known),
             ConnectionOutput::default(),
         );
         calls.on_open(&mut out);
@@ -784,7 +793,7 @@
                 format!("/registry/instances?after={index}&wait_ms=500")
             );
             assert!(
-                matches!(out.events.pop(), Some(watch::DiscoveryMessage { request: 3, event: watch::DiscoveryEvent::Listed(r) }) if r.index == u64::from(index))
+                matches!(out.events.pop(), Some(discovery_watch::DiscoveryMessage { request: 3, event: discovery_watch::DiscoveryEvent::Listed(r) }) if r.index == u64::from(index))
             );
         }
         // Discovery began anew, with changes that came after nothing known here; in the end with the whole list.
@@ -794,21 +803,21 @@
         assert_eq!(path(&out), "/registry/instances");
         assert!(matches!(
             out.events.pop(),
-            Some(watch::DiscoveryMessage {
-                event: watch::DiscoveryEvent::Outdated,
+            Some(discovery_watch::DiscoveryMessage {
+                event: discovery_watch::DiscoveryEvent::Outdated,
                 ..
             })
         ));
         hear(&mut calls, list(2).as_bytes(), 11, &mut out);
         assert!(
-            matches!(out.events.pop(), Some(watch::DiscoveryMessage { event: watch::DiscoveryEvent::Listed(r), .. }) if r.is_complete)
+            matches!(out.events.pop(), Some(discovery_watch::DiscoveryMessage { event: discovery_watch::DiscoveryEvent::Listed(r), .. }) if r.is_complete)
         );
         hear(&mut calls, answer("{}").as_bytes(), 11, &mut out);
         assert!(matches!(
             out.events.pop(),
-            Some(watch::DiscoveryMessage {
+            Some(discovery_watch::DiscoveryMessage {
                 request: 3,
-                event: watch::DiscoveryEvent::Unreadable
+                event: discovery_watch::DiscoveryEvent::Unreadable
             })
         ));
         assert!(out.close);
@@ -840,7 +849,7 @@
             "",
         ),
     ] {
-        let mut call = watch::Watch::new(3, "h".to_owned(), 500, Some(7));
+        let mut call = discovery_watch::Watch::new(3, "h".to_owned(), 500, Some(7));
         let (mut out, mut input) = (ConnectionOutput::default(), Vec::new());
         call.on_open(&mut out);
         assert!(
@@ -857,10 +866,10 @@
         }
         call.on_closed(AT, &mut out);
         let words = out.events.iter().map(|n| match &n.event {
-            watch::DiscoveryEvent::Listed(list) => list.index.to_string(),
-            watch::DiscoveryEvent::Outdated => "older".to_owned(),
-            watch::DiscoveryEvent::Unreadable => "unreadable".to_owned(),
-            watch::DiscoveryEvent::Closed => "down".to_owned(),
+            discovery_watch::DiscoveryEvent::Listed(list) => list.index.to_string(),
+            discovery_watch::DiscoveryEvent::Outdated => "older".to_owned(),
+            discovery_watch::DiscoveryEvent::Unreadable => "unreadable".to_owned(),
+            discovery_watch::DiscoveryEvent::Closed => "down".to_owned(),
         });
         let words = words.collect::<Vec<_>>().join(" ");
         assert_eq!(words, format!("{told} down").trim(), "{status}");
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -2,11 +2,11 @@
 
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_driver::protocol::execution::{MemberCommand, MemberEvent, Reply};
+use asterlatch_driver::protocol::client_session::{ClientCommand, ClientEvent, Final, Text};
+use asterlatch_driver::protocol::discovery_watch::{DiscoveryEvent, DiscoveryMessage};
+use asterlatch_driver::protocol::endpoint_list::{Endpoint, EndpointList, Status};
+use asterlatch_driver::protocol::member_connection::{MemberCommand, MemberEvent, Reply};
 use asterlatch_driver::protocol::messages;
-use asterlatch_driver::protocol::roster::{Endpoint, EndpointList, Status};
-use asterlatch_driver::protocol::session::{ClientCommand, ClientEvent, Final, Text};
-use asterlatch_driver::protocol::watch::{DiscoveryEvent, DiscoveryMessage};
 use asterlatch_driver::routing::discovery_requests::DiscoveryRequest;
 use asterlatch_driver::routing::event_loop::{EventLoop, Given, Observer, Place};
 use asterlatch_driver::routing::events::Event;
