--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -1,7 +1,7 @@
 //! What a driver is told at its start.
 
 use crate::protocol::endpoint_list::{self, EndpointList};
-use crate::protocol::statement_comment::hashed;
+use crate::protocol::statement_comment::hash_id;
 use crate::routing::event_loop::Given;
 use asterlatch::interface::Settings;
 use asterlatch_settings::{Decoding, Pairs};
@@ -25,7 +25,7 @@
 
 /// The seed is read as a hexadecimal number where it is one, and is hashed otherwise.
 fn seed(text: &str) -> u64 {
-    u64::from_str_radix(text, 16).unwrap_or_else(|_| hashed(text))
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_id(text))
 }
 
 /// Reads the file at `path`; the environment's words on name and addresses stand where the file has none.
@@ -54,7 +54,7 @@
         limit.unwrap_or(absent) as usize
     };
     let settings = value.get("settings").ok_or("no settings")?;
-    let settings_text = hashed(&settings.to_string());
+    let settings_text = hash_id(&settings.to_string());
     let settings = Pairs::from_json(settings).and_then(|pairs| asterlatch_settings::read(&pairs))?;
     if settings.0.workloads.is_empty() {
         return Err("the settings name no workload".to_owned());
--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -8,9 +8,9 @@
 use super::sharing::{self, Shares};
 use super::signals;
 use super::upgrade::{self, Takeover, Upgrades};
-use crate::protocol::client_session::Session;
-use crate::protocol::discovery_watch::Watch;
-use crate::protocol::member_connection::Executions;
+use crate::protocol::client_session::ClientSession;
+use crate::protocol::discovery_watch::DiscoveryWatch;
+use crate::protocol::member_connection::MemberConnection;
 use crate::protocol::messages;
 use crate::routing::event_loop::{EventLoop, Place};
 use crate::routing::events::{ControlEvent, Event};
@@ -44,21 +44,26 @@
     let memory = config.given.rooms(&force.limits);
     // Discovery has one connection, whose answers have a bound of their own.
     let (room, unbound) = (memory.1.clone(), MemoryBudget::new(usize::MAX));
-    let longest = messages::bound(room.capacity());
+    let longest = messages::max_message(room.capacity());
     let (adopted_room, members_room) = memory.clone();
     let witnessed = witness.clone();
     let place = Place {
         witness: witness.clone(),
         members: Box::new(move |id, address| {
-            connection::dial::<_, Event>(address, Executions::new(id, longest), &to_members, (clock, &room))
+            connection::dial::<_, Event>(
+                address,
+                MemberConnection::new(id, longest),
+                &to_members,
+                (clock, &room),
+            )
         }),
         discovery: Box::new(move |call| {
-            let watch = Watch::new(call.number, call.address.to_string(), call.wait_ms, call.after);
+            let watch = DiscoveryWatch::new(call.number, call.address.to_string(), call.wait_ms, call.after);
             connection::dial::<_, Event>(call.address, watch, &to_discovery, (clock, &unbound))
         }),
         adopt: Box::new(move |id, stream, mut standing| {
-            let session = Session::resume(id, adopted_room.clone(), &standing);
-            let session = session.witnessed(witnessed.clone());
+            let session = ClientSession::resume(id, adopted_room.clone(), &standing);
+            let session = session.with_journal(witnessed.clone());
             let input = std::mem::take(&mut standing.input);
             connection::resume_owned::<_, Event>(
                 stream,
@@ -70,7 +75,7 @@
             )
         }),
         adopt_connection: Box::new(move |id, stream| {
-            let executions = Executions::resume(id, longest);
+            let executions = MemberConnection::resume(id, longest);
             let place = (clock, &members_room);
             connection::resume_owned::<_, Event>(stream, true, executions, &to_resumed, place, Vec::new())
         }),
@@ -91,7 +96,7 @@
         event_loop.begin_with(clock.now(), known);
     }
     let (clients, room) = (memory.0.clone(), memory.0);
-    let session = move |id| Session::new(id, room.clone()).witnessed(witness.clone());
+    let session = move |id| ClientSession::new(id, room.clone()).with_journal(witness.clone());
     let inherited = takeover.as_mut().and_then(Takeover::listener);
     let bound = inherited.map_or_else(|| TcpListener::bind(config.listen), Ok);
     let listener = bound.map_err(|e| format!("{}: {e}", config.listen))?;
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -320,9 +320,9 @@
             self.handed += 1;
             let client = ClientState {
                 transfer_id: self.handed,
-                startup_complete: moved.standing.opened,
+                startup_complete: moved.standing.startup_complete,
                 has_sent_statement: moved.has_asked,
-                bytes_to_skip: moved.standing.skip as u64,
+                bytes_to_skip: moved.standing.bytes_to_skip as u64,
                 input: moved.standing.input,
             };
             self.kept.hand_over(client.clone(), &moved.stream);
--- a/crates/driver/src/protocol/client_session.rs
+++ b/crates/driver/src/protocol/client_session.rs
@@ -1,270 +1,160 @@
-//! A client's connection: startup, then statements, which may come in rows and are answered in their order.
+//! A client's connection: startup, then statements, which may be pipelined and are answered in their order.
 
-use super::messages::{self, Front, Opening};
-use super::statement_comment::{Unreadable, NO_ROOM, TOO_LARGE};
+use super::client_events::{ClientCommand, ClientEvent, ClientTransferState, FinalAnswer, StatementText};
+use super::messages::{self, NextMessage, HEADER_LENGTH};
+use super::startup::{self, Startup};
+use super::statement_comment::{OUT_OF_MEMORY, TOO_LARGE};
 use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use crate::transport::io_journal::IoJournalWriter;
-use crate::transport::memory_budget::{MemoryBudget, MemoryReservation};
+use crate::transport::memory_budget::MemoryBudget;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::JournalRecord;
 use std::collections::VecDeque;
 use std::net::TcpStream;
 use std::os::fd::AsFd;
 
-/// News of a client.
-pub enum ClientEvent {
-    /// A statement, as it came, read whole at this time.
-    Statement {
-        client: u32,
-        /// Its number on this connection, by which it is answered.
-        number: u32,
-        /// Where it ends among all that was read from this client here.
-        end: u64,
-        text: Text,
-        at: Timestamp,
-    },
-    /// Part of a message has come since then.
-    PartialMessage {
-        client: u32,
-        since: Timestamp,
-    },
-    /// The connection sits between statements since then.
-    Idle {
-        client: u32,
-        since: Timestamp,
-    },
-    Malformed,
-    Oversized,
-    /// A statement was rejected, or the connection ended, for want of memory.
-    OutOfMemory,
-    /// The connection is to go on in another process, from here.
-    Transferred {
-        client: u32,
-        stream: TcpStream,
-        standing: Standing,
-    },
-    /// Our side of the connection is shut since then, and the client's still open.
-    HalfClosed {
-        client: u32,
-    },
-    /// The connection is over.
-    Closed {
-        client: u32,
-    },
-}
-
-/// A statement's text, with the room that it takes.
-pub struct Text {
-    pub text: String,
-    _room: MemoryReservation,
-}
-
-impl Text {
-    /// None where there is no room for it.
-    pub fn new(text: &str, room: &MemoryBudget) -> Option<Text> {
-        let _room = room.reserve(text.len())?;
-        let text = text.to_owned();
-        Some(Text { text, _room })
-    }
-}
-
-/// The one final answer of a statement.
-pub enum Final {
-    /// The messages of a member's answer, as they came.
-    Rows(Vec<u8>),
-    Error {
-        code: &'static str,
-        message: &'static str,
-        hold_off_ms: Option<u64>,
-    },
-}
-
-impl From<Unreadable> for Final {
-    fn from(Unreadable { code, message }: Unreadable) -> Final {
-        Final::Error {
-            code,
-            message,
-            hold_off_ms: None,
-        }
-    }
-}
-
-impl Final {
-    /// As it goes to the client, who may ask again behind it.
-    fn into_bytes(self) -> Vec<u8> {
-        let mut bytes = match self {
-            Final::Rows(bytes) => bytes,
-            Final::Error {
-                code,
-                message,
-                hold_off_ms,
-            } => {
-                let mut bytes = Vec::new();
-                messages::put_error(&mut bytes, "ERROR", code, message, hold_off_ms);
-                bytes
-            }
-        };
-        messages::put_ready(&mut bytes);
-        bytes
-    }
-}
-
-/// Where a client stands between two statements, for whoever goes on with it.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Standing {
-    /// Its startup is over.
-    pub opened: bool,
-    /// Of an oversized query, still to be passed over.
-    pub skip: usize,
-    /// What was read and not taken.
-    pub input: Vec<u8>,
-    /// By what number the ledger knows it, where it came from another process.
-    pub handed: Option<u64>,
-}
-
-/// What a client's connection is told.
-pub enum ClientCommand {
-    /// The answer of the statement with this number.
-    Answer(u32, Final),
-    /// Closes once nothing is out.
-    Drain,
-    /// Gives the connection up once nothing is out, with what the client has sent ahead.
-    HandOver,
-    /// Ends the connection of whoever took too long to send something whole.
-    TimeOut,
-    /// Ends the connection of whoever finds no room, before any statement.
-    Reject,
-}
-
-/// Bytes that a client may have sent ahead of its answer before it isn't read any further. What is not read when it
-/// is let go is lost, so a row of usual statements fits in.
-const AHEAD: usize = 16 * 1024;
-/// Statements of one client that may be open at once; the others of a row wait.
-const ROW: usize = 16;
+/// Bytes that a client may have sent ahead of an answer before its input is no longer read. What is unread when it is
+/// closed is lost, so a pipeline of usual statements fits.
+const READ_AHEAD: usize = 16 * 1024;
+/// Open statements of one client at most; further ones of a pipeline wait.
+const MAX_PIPELINE: usize = 16;
 
 #[derive(Clone, Copy, PartialEq)]
 enum State {
-    Opening,
-    Open,
-    Over,
+    Startup,
+    Ready,
+    Closed,
 }
 
-pub struct Session {
+/// An open statement, or one whose answer waits for those before it.
+struct PipelinedStatement {
+    /// Offset of its end among all that was read.
+    end: u64,
+    answer: Option<Vec<u8>>,
+}
+
+/// The handler of a client's connection.
+pub struct ClientSession {
     client: u32,
     state: State,
-    leaving: bool,
+    is_draining: bool,
     /// It has sent a query, or another process knows whether it has.
-    has_asked: bool,
-    /// It goes to another process, and takes no further statement here.
-    moving: bool,
-    /// Part of a message lies here.
-    begun: bool,
-    /// Of an oversized query, still to be passed over.
-    skip: usize,
-    /// Statements without an answer, and answers that wait for those before them, in the order of their numbers; each
-    /// with where its message ends.
-    row: VecDeque<(u64, Option<Vec<u8>>)>,
-    /// The number of the first in the row.
-    first: u32,
-    /// For statements that have no answer yet.
-    room: MemoryBudget,
-    /// How much of all that was read is taken, and how much was there in front of the message that is read now.
-    taken: u64,
-    at: u64,
-    /// Bytes said that the ledger knows of, and how many of them are out.
-    said: u64,
-    settled: u64,
-    witness: Option<IoJournalWriter>,
-    /// By what number the ledger knows a client that came from another process.
-    handed: Option<u64>,
+    has_sent_query: bool,
+    /// It is handed over to another process, and takes no further statement here.
+    is_handing_over: bool,
+    has_partial_message: bool,
+    /// Bytes of an oversized query that are still to be skipped.
+    bytes_to_skip: usize,
+    /// In the order of the statements' numbers.
+    pipeline: VecDeque<PipelinedStatement>,
+    /// Number of the first statement in the pipeline.
+    first_number: u32,
+    budget: MemoryBudget,
+    /// Bytes consumed of all that was read.
+    consumed: u64,
+    /// Offset of the message that is being read.
+    message_start: u64,
+    /// Bytes of answers that the journal has recorded.
+    journaled_to: u64,
+    /// How many of them were written to the socket.
+    written_to: u64,
+    journal: Option<IoJournalWriter>,
+    /// Number in the journal of a client that came from another process.
+    transfer_id: Option<u64>,
 }
 
-impl Session {
-    pub fn new(client: u32, room: MemoryBudget) -> Session {
-        Session {
+type Output = ConnectionOutput<ClientEvent>;
+
+impl ClientSession {
+    /// A client that has just connected.
+    pub fn new(client: u32, budget: MemoryBudget) -> ClientSession {
+        ClientSession {
             client,
-            state: State::Opening,
-            leaving: false,
-            has_asked: false,
-            moving: false,
-            begun: false,
-            skip: 0,
-            row: VecDeque::new(),
-            first: 0,
-            room,
-            taken: 0,
-            at: 0,
-            said: 0,
-            settled: 0,
-            witness: None,
-            handed: None,
+            state: State::Startup,
+            is_draining: false,
+            has_sent_query: false,
+            is_handing_over: false,
+            has_partial_message: false,
+            bytes_to_skip: 0,
+            pipeline: VecDeque::new(),
+            first_number: 0,
+            budget,
+            consumed: 0,
+            message_start: 0,
+            journaled_to: 0,
+            written_to: 0,
+            journal: None,
+            transfer_id: None,
         }
     }
 
-    /// Goes on where another process stood with this client.
-    pub fn resume(client: u32, room: MemoryBudget, standing: &Standing) -> Session {
-        let state = if standing.opened {
-            State::Open
+    /// Continues with a client of another process.
+    pub fn resume(client: u32, budget: MemoryBudget, transfer: &ClientTransferState) -> ClientSession {
+        let state = if transfer.startup_complete {
+            State::Ready
         } else {
-            State::Opening
+            State::Startup
         };
-        let mut session = Session::new(client, room);
-        (session.state, session.skip, session.has_asked) = (state, standing.skip, standing.opened);
-        session.handed = standing.handed;
-        session
+        ClientSession {
+            state,
+            bytes_to_skip: transfer.bytes_to_skip,
+            has_sent_query: transfer.startup_complete,
+            transfer_id: transfer.transfer_id,
+            ..ClientSession::new(client, budget)
+        }
     }
 
-    /// Has all that is done be written down before. Nobody else holds a client that comes when that is over.
-    pub fn witnessed(mut self, witness: Option<IoJournalWriter>) -> Session {
-        self.witness = witness.filter(|w| w.is_on() || self.handed.is_some());
+    /// Has all that is done recorded before. No other process holds a client that connects once the journal is off.
+    pub fn with_journal(mut self, journal: Option<IoJournalWriter>) -> ClientSession {
+        self.journal = journal.filter(|j| j.is_on() || self.transfer_id.is_some());
         self
     }
 
-    fn note(&self, record: impl FnOnce() -> JournalRecord) {
-        if let Some(witness) = self.witness.as_ref().filter(|w| w.is_on()) {
-            witness.append(&record(), None);
+    fn record(&self, record: impl FnOnce() -> JournalRecord) {
+        if let Some(journal) = self.journal.as_ref().filter(|j| j.is_on()) {
+            journal.append(&record(), None);
         }
     }
 
-    /// So many bytes are to be written that answer all before `dealt`.
-    fn says(&mut self, length: usize, dealt: u64) {
-        self.said += length as u64;
-        self.note(|| JournalRecord::Write {
+    /// So many bytes are written next; they answer all input before `answered_to`.
+    fn record_write(&mut self, length: usize, answered_to: u64) {
+        self.journaled_to += length as u64;
+        self.record(|| JournalRecord::Write {
             client: self.client,
             length: length as u64,
-            written_to: self.settled,
-            answered_to: dealt,
-            startup_complete: self.state == State::Open,
-            bytes_to_skip: self.skip as u64,
+            written_to: self.written_to,
+            answered_to,
+            startup_complete: self.state == State::Ready,
+            bytes_to_skip: self.bytes_to_skip as u64,
         });
     }
 
-    fn close(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
+    fn close(&mut self, out: &mut Output) {
         out.close = true;
-        self.state = State::Over;
+        self.state = State::Closed;
     }
 
-    fn fatal(&mut self, code: &str, message: &str, out: &mut ConnectionOutput<ClientEvent>) {
+    fn close_with_error(&mut self, code: &str, message: &str, out: &mut Output) {
         messages::put_error(&mut out.bytes, "FATAL", code, message, None);
         self.close(out);
     }
 
-    fn malformed(&mut self, message: &str, out: &mut ConnectionOutput<ClientEvent>) {
+    fn reject_malformed(&mut self, message: &str, out: &mut Output) {
         out.events.push(ClientEvent::Malformed);
-        self.fatal("08P01", message, out);
+        self.close_with_error("08P01", message, out);
     }
 
-    /// Reads what comes before the first query; says how many bytes that took.
-    fn open(&mut self, input: &[u8], at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) -> usize {
-        match messages::opening(input) {
-            Opening::Partial => 0,
-            Opening::Encryption { whole } => {
+    /// Reads what comes before the first query; returns how many bytes that took.
+    fn read_startup(&mut self, input: &[u8], at: Timestamp, out: &mut Output) -> usize {
+        match startup::read_startup(input) {
+            Startup::Partial => 0,
+            Startup::Encryption { length } => {
                 out.bytes.push(b'N');
-                self.says(1, self.at + whole as u64);
-                whole
+                self.record_write(1, self.message_start + length as u64);
+                length
             }
-            Opening::Startup {
-                whole,
+            Startup::Message {
+                length,
                 minor,
                 unknown,
             } => {
@@ -273,86 +163,93 @@
                     messages::put_negotiation(&mut out.bytes, &unknown);
                 }
                 messages::put_welcome(&mut out.bytes);
-                self.rest(at, out);
-                self.says(out.bytes.len() - before, self.at + whole as u64);
-                whole
+                self.become_idle(at, out);
+                self.record_write(out.bytes.len() - before, self.message_start + length as u64);
+                length
             }
-            Opening::Cancel => {
+            Startup::Cancel => {
                 self.close(out);
                 0
             }
-            Opening::Malformed => {
-                self.malformed("unreadable startup message", out);
+            Startup::Malformed => {
+                self.reject_malformed("unreadable startup message", out);
                 0
             }
         }
     }
 
-    fn rest(&mut self, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
-        let client = self.client;
-        self.state = State::Open;
-        out.events.push(ClientEvent::Idle { client, since: at });
+    fn become_idle(&mut self, at: Timestamp, out: &mut Output) {
+        self.state = State::Ready;
+        out.events.push(ClientEvent::Idle {
+            client: self.client,
+            since: at,
+        });
     }
 
-    /// Reads one message; says how many bytes that took. Behind open statements only a further one is read.
-    fn next(&mut self, input: &[u8], at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) -> usize {
-        match messages::front(input, messages::bound(self.room.capacity())) {
-            Front::Partial => 0,
-            Front::Message {
+    /// Reads one message; returns how many bytes that took. While statements are open only a further one is read.
+    fn read_message(&mut self, input: &[u8], at: Timestamp, out: &mut Output) -> usize {
+        let max_message = messages::max_message(self.budget.capacity());
+        match messages::next_message(input, max_message) {
+            NextMessage::Partial => 0,
+            NextMessage::Complete {
                 kind: b'Q',
                 body,
-                whole,
-            } if self.row.len() < ROW => match messages::text(body) {
+                length,
+            } if self.pipeline.len() < MAX_PIPELINE => match messages::query_text(body) {
                 Some(text) => {
-                    self.query(text, self.at + whole as u64, at, out);
-                    whole
+                    self.on_query(text, self.message_start + length as u64, at, out);
+                    length
                 }
-                None if self.row.is_empty() => {
-                    self.malformed("unreadable query", out);
+                None if self.pipeline.is_empty() => {
+                    self.reject_malformed("unreadable query", out);
                     0
                 }
                 None => 0,
             },
-            _ if !self.row.is_empty() => 0,
-            Front::Malformed => {
-                self.malformed("unreadable message", out);
+            _ if !self.pipeline.is_empty() => 0,
+            NextMessage::Malformed => {
+                self.reject_malformed("unreadable message", out);
                 0
             }
-            Front::TooLong { kind: b'Q', whole } => {
+            NextMessage::TooLong { kind: b'Q', length } => {
                 out.events.push(ClientEvent::Oversized);
-                self.skip = whole;
-                let answer = Final::from(TOO_LARGE).into_bytes();
-                self.row.push_back((self.at, Some(answer)));
-                self.flush(out);
+                self.bytes_to_skip = length;
+                self.push_answered(self.message_start, FinalAnswer::from(TOO_LARGE).into_bytes());
+                self.write_answers(out);
                 0
             }
-            Front::Message {
-                kind: b'X', whole, ..
+            NextMessage::Complete {
+                kind: b'X', length, ..
             } => {
                 self.close(out);
-                whole
+                length
             }
-            Front::Message { .. } | Front::TooLong { .. } => {
-                self.malformed("only simple queries are spoken here", out);
+            NextMessage::Complete { .. } | NextMessage::TooLong { .. } => {
+                self.reject_malformed("only simple queries are spoken here", out);
                 0
             }
         }
     }
 
-    /// Gives a query its place in the row, and with it the answer of one that needs no member.
-    fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
-        self.has_asked = true;
+    fn push_answered(&mut self, end: u64, answer: Vec<u8>) {
+        let answer = Some(answer);
+        self.pipeline.push_back(PipelinedStatement { end, answer });
+    }
+
+    /// Adds a query to the pipeline, with its answer if it needs no member.
+    fn on_query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut Output) {
+        self.has_sent_query = true;
         if text.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
-            // No news: a client that sends nothing else would fill the event loop's queue.
-            let mut said = Vec::new();
-            messages::put(&mut said, b'I', &[]);
-            messages::put_ready(&mut said);
-            self.row.push_back((end, Some(said)));
-        } else if let Some(text) = Text::new(text, &self.room) {
-            let (client, number) = (self.client, self.first.wrapping_add(self.row.len() as u32));
-            self.row.push_back((end, None));
+            // No event: a client that sends nothing else would fill the event loop's queue.
+            let mut answer = Vec::new();
+            messages::put(&mut answer, b'I', &[]);
+            messages::put_ready(&mut answer);
+            self.push_answered(end, answer);
+        } else if let Some(text) = StatementText::new(text, &self.budget) {
+            let number = self.first_number.wrapping_add(self.pipeline.len() as u32);
+            self.pipeline.push_back(PipelinedStatement { end, answer: None });
             out.events.push(ClientEvent::Statement {
-                client,
+                client: self.client,
                 number,
                 end,
                 text,
@@ -360,16 +257,17 @@
             });
         } else {
             out.events.push(ClientEvent::OutOfMemory);
-            self.row.push_back((end, Some(Final::from(NO_ROOM).into_bytes())));
+            self.push_answered(end, FinalAnswer::from(OUT_OF_MEMORY).into_bytes());
         }
-        self.flush(out);
+        self.write_answers(out);
     }
 
-    /// Writes the answers that none before them keeps back.
-    fn flush(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
-        while let Some((end, Some(answer))) = self.row.pop_front_if(|(_, answer)| answer.is_some()) {
-            self.says(answer.len(), end);
-            self.first = self.first.wrapping_add(1);
+    /// Writes the answers at the front of the pipeline.
+    fn write_answers(&mut self, out: &mut Output) {
+        while let Some(first) = self.pipeline.pop_front_if(|s| s.answer.is_some()) {
+            let answer = first.answer.unwrap_or_default();
+            self.record_write(answer.len(), first.end);
+            self.first_number = self.first_number.wrapping_add(1);
             // Most often nothing waits to be written: then the bytes needn't be copied.
             if out.bytes.is_empty() {
                 out.bytes = answer;
@@ -379,153 +277,171 @@
         }
     }
 
-    fn answer(&mut self, number: u32, answer: Final, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
-        let place = number.wrapping_sub(self.first) as usize;
-        // An answer to a statement that has its own would be a second one, and is left out.
-        let open = self.row.get_mut(place).map(|(_, a)| a).filter(|a| a.is_none());
-        let Some(open) = open.filter(|_| self.state == State::Open) else {
+    fn on_answer(&mut self, number: u32, answer: FinalAnswer, at: Timestamp, out: &mut Output) {
+        let index = number.wrapping_sub(self.first_number) as usize;
+        // A second answer to a statement is dropped.
+        let open = self.pipeline.get_mut(index).filter(|s| s.answer.is_none());
+        let Some(open) = open.filter(|_| self.state == State::Ready) else {
             return;
         };
-        *open = Some(answer.into_bytes());
-        self.flush(out);
-        // Whether it ends now is for `heard` to say, which follows: a statement may lie here already.
-        if self.row.is_empty() {
-            self.rest(at, out);
+        open.answer = Some(answer.into_bytes());
+        self.write_answers(out);
+        // Whether the connection ends now is decided by `on_input`, which follows: a statement may be here already.
+        if self.pipeline.is_empty() {
+            self.become_idle(at, out);
         }
     }
 
-    /// Nothing is owed to it, and it is told to leave.
-    fn could_leave(&self) -> bool {
-        self.leaving && !self.begun && self.row.is_empty() && self.state != State::Over
+    /// Whether it drains and the client waits for nothing.
+    fn may_close(&self) -> bool {
+        let is_idle = !self.has_partial_message && self.pipeline.is_empty();
+        self.is_draining && is_idle && self.state != State::Closed
     }
 
-    fn end_if_leaving(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
-        if self.moving && self.row.is_empty() && self.state != State::Over {
+    fn close_if_draining(&mut self, out: &mut Output) {
+        if self.is_handing_over && self.pipeline.is_empty() && self.state != State::Closed {
             out.hand_over = true;
-        } else if self.could_leave() {
-            // What lies at the socket by now was sent to a connection that stood.
+        } else if self.may_close() {
+            // What the socket holds by now was sent to an open connection.
             out.read_again = true;
         }
     }
 
-    /// Who has asked knows by a plain end that nothing of it was taken, and asks elsewhere. A new connection that ends
-    /// without a word tells its client nothing.
-    fn send_off(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
-        match self.has_asked {
-            true => self.close(out),
-            false => self.fatal("57P03", "this connection takes no statement any more", out),
+    /// A client that has sent a query knows by a plain close that nothing further of it was accepted, and asks elsewhere.
+    /// To a new client a close without a message says nothing.
+    fn close_idle(&mut self, out: &mut Output) {
+        if self.has_sent_query {
+            self.close(out);
+        } else {
+            self.close_with_error("57P03", "this connection takes no statement any more", out);
+        }
+    }
+
+    fn on_timeout(&mut self, out: &mut Output) {
+        if !self.pipeline.is_empty() {
+            return;
+        }
+        if self.state == State::Ready && !self.has_partial_message {
+            // Any message but a refusal would be taken for the answer to a statement that is on its way.
+            self.close_idle(out);
+        } else if self.is_draining {
+            self.close_with_error("57P03", "the message was not ended in time", out);
+        } else {
+            self.reject_malformed("the message was not ended in time", out);
+        }
+    }
+
+    /// Reads all complete messages; returns how many bytes they took.
+    fn read_messages(&mut self, input: &[u8], at: Timestamp, out: &mut Output) -> usize {
+        let mut used = 0;
+        // What a connection that is handed over has here is for the other process to read.
+        while !self.is_handing_over {
+            let skipped = self.bytes_to_skip.min(input.len() - used);
+            used += skipped;
+            self.bytes_to_skip -= skipped;
+            self.message_start = self.consumed + used as u64;
+            if self.bytes_to_skip > 0 {
+                break;
+            }
+            let unused = &input[used..];
+            let taken = match self.state {
+                State::Startup => self.read_startup(unused, at, out),
+                State::Ready => self.read_message(unused, at, out),
+                State::Closed => unused.len(),
+            };
+            used += taken;
+            if taken == 0 && self.bytes_to_skip == 0 {
+                break;
+            }
         }
+        used
+    }
+
+    /// Reports whether part of a message is here.
+    fn update_partial_message(&mut self, unused: usize, at: Timestamp, out: &mut Output) {
+        let waits_for_message = self.state == State::Ready && self.pipeline.is_empty();
+        let is_partial = waits_for_message && (self.bytes_to_skip > 0 || unused > 0);
+        let (client, since) = (self.client, at);
+        if is_partial && !self.has_partial_message {
+            out.events.push(ClientEvent::PartialMessage { client, since });
+        } else if waits_for_message && self.has_partial_message && !is_partial {
+            out.events.push(ClientEvent::Idle { client, since });
+        }
+        self.has_partial_message = is_partial;
     }
 }
 
-impl ConnectionHandler for Session {
+impl ConnectionHandler for ClientSession {
     type Command = ClientCommand;
     type Event = ClientEvent;
 
     fn on_socket(&mut self, stream: &TcpStream) {
-        let Some(witness) = &self.witness else { return };
+        let Some(journal) = &self.journal else { return };
         let client = self.client;
-        match self.handed {
-            Some(handed) => witness.append(
-                &JournalRecord::Adopted {
-                    client,
-                    transfer_id: handed,
-                },
-                None,
-            ),
-            None => witness.append(&JournalRecord::Accepted { client }, Some(stream.as_fd())),
+        match self.transfer_id {
+            Some(transfer_id) => {
+                let record = JournalRecord::Adopted { client, transfer_id };
+                journal.append(&record, None);
+            }
+            None => journal.append(&JournalRecord::Accepted { client }, Some(stream.as_fd())),
         }
     }
 
     fn is_shared(&self) -> bool {
-        self.witness.is_some()
+        self.journal.is_some()
     }
 
     fn is_journaled(&self) -> bool {
-        self.witness.as_ref().is_some_and(IoJournalWriter::is_on)
+        self.journal.as_ref().is_some_and(IoJournalWriter::is_on)
     }
 
     fn before_read(&mut self, bytes: &[u8]) {
-        self.note(|| JournalRecord::Read {
+        self.record(|| JournalRecord::Read {
             client: self.client,
-            written_to: self.settled,
+            written_to: self.written_to,
             bytes: bytes.to_vec(),
         });
     }
 
-    fn on_written(&mut self, _out: &mut ConnectionOutput<ClientEvent>) {
-        self.settled = self.said;
+    fn on_written(&mut self, _out: &mut Output) {
+        self.written_to = self.journaled_to;
     }
 
-    fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
-        let mut used = 0;
-        loop {
-            if self.moving {
-                // What lies here is for the other process to take.
-                break;
-            }
-            let skipped = self.skip.min(input.len() - used);
-            used += skipped;
-            self.skip -= skipped;
-            self.at = self.taken + used as u64;
-            let taken = match self.state {
-                _ if self.skip > 0 => break,
-                State::Opening => self.open(&input[used..], at, out),
-                State::Open => self.next(&input[used..], at, out),
-                State::Over => input.len() - used,
-            };
-            used += taken;
-            if taken == 0 && self.skip == 0 {
-                break;
-            }
-        }
+    fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Output) {
+        let used = self.read_messages(input, at, out);
         input.drain(..used);
-        self.taken += used as u64;
-        let waits = self.state == State::Open && self.row.is_empty();
-        let begun = waits && (self.skip > 0 || !input.is_empty());
-        let (client, since) = (self.client, at);
-        if begun && !self.begun {
-            out.events.push(ClientEvent::PartialMessage { client, since });
-        } else if waits && self.begun && !begun {
-            out.events.push(ClientEvent::Idle { client, since });
-        }
-        self.begun = begun;
-        self.end_if_leaving(out);
+        self.consumed += used as u64;
+        self.update_partial_message(input.len(), at, out);
+        self.close_if_draining(out);
     }
 
-    fn on_command(&mut self, say: ClientCommand, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
-        match say {
-            ClientCommand::Answer(number, answer) => self.answer(number, answer, at, out),
+    fn on_command(&mut self, command: ClientCommand, at: Timestamp, out: &mut Output) {
+        match command {
+            ClientCommand::Answer(number, answer) => self.on_answer(number, answer, at, out),
             ClientCommand::Drain => {
-                self.leaving = true;
-                self.end_if_leaving(out);
+                self.is_draining = true;
+                self.close_if_draining(out);
             }
             ClientCommand::HandOver => {
-                self.moving = true;
-                self.end_if_leaving(out);
+                self.is_handing_over = true;
+                self.close_if_draining(out);
             }
-            // It goes to somebody who has time and room for it.
-            ClientCommand::TimeOut | ClientCommand::Reject if self.moving => {}
-            ClientCommand::TimeOut | ClientCommand::Reject if self.state == State::Over => {}
-            ClientCommand::TimeOut if !self.row.is_empty() => {}
-            // Any word but a refusal would be taken for the answer of a statement which is on its way.
-            ClientCommand::TimeOut if self.state == State::Open && !self.begun => self.send_off(out),
-            ClientCommand::TimeOut if self.leaving => {
-                self.fatal("57P03", "the message was not ended in time", out)
-            }
-            ClientCommand::TimeOut => self.malformed("the message was not ended in time", out),
-            ClientCommand::Reject => self.fatal("53300", "too many connections", out),
+            // The other process has time and memory for it.
+            ClientCommand::TimeOut | ClientCommand::Reject if self.is_handing_over => {}
+            ClientCommand::TimeOut | ClientCommand::Reject if self.state == State::Closed => {}
+            ClientCommand::TimeOut => self.on_timeout(out),
+            ClientCommand::Reject => self.close_with_error("53300", "too many connections", out),
         }
     }
 
-    fn on_memory_exhausted(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
+    fn on_memory_exhausted(&mut self, out: &mut Output) {
         out.events.push(ClientEvent::OutOfMemory);
-        self.fatal("53300", "no memory is left for the message", out);
+        self.close_with_error("53300", "no memory is left for the message", out);
     }
 
-    fn on_all_read(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
-        if self.could_leave() && !self.moving {
-            self.send_off(out);
+    fn on_all_read(&mut self, out: &mut Output) {
+        if self.may_close() && !self.is_handing_over {
+            self.close_idle(out);
         }
     }
 
@@ -533,43 +449,43 @@
         true
     }
 
-    fn on_half_closed(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
+    fn on_half_closed(&mut self, out: &mut Output) {
         out.events.push(ClientEvent::HalfClosed { client: self.client });
     }
 
     fn may_be_closed(&self) -> bool {
-        self.row.is_empty()
+        self.pipeline.is_empty()
     }
 
-    fn on_handed_over(&mut self, stream: TcpStream, input: Vec<u8>, out: &mut ConnectionOutput<ClientEvent>) {
-        let opened = self.state == State::Open;
-        self.state = State::Over;
+    fn on_handed_over(&mut self, stream: TcpStream, input: Vec<u8>, out: &mut Output) {
+        let startup_complete = self.state == State::Ready;
+        self.state = State::Closed;
         out.events.push(ClientEvent::Transferred {
             client: self.client,
             stream,
-            standing: Standing {
-                opened,
-                skip: self.skip,
+            standing: ClientTransferState {
+                startup_complete,
+                bytes_to_skip: self.bytes_to_skip,
                 input,
-                handed: None,
+                transfer_id: None,
             },
         });
     }
 
-    fn on_closed(&mut self, _at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
-        self.state = State::Over;
-        self.note(|| JournalRecord::Closed { client: self.client });
+    fn on_closed(&mut self, _at: Timestamp, out: &mut Output) {
+        self.state = State::Closed;
+        self.record(|| JournalRecord::Closed { client: self.client });
         out.events.push(ClientEvent::Closed { client: self.client });
     }
 
-    /// While statements are open no more than a row of them is read ahead: the rest stays with the kernel, not in
-    /// this process.
+    /// While statements are open no more than a pipeline of them is read ahead: the rest stays with the kernel.
     fn wants_input(&self, unused: usize) -> bool {
-        match self.state {
-            State::Over => false,
-            _ if self.moving => false,
-            _ if self.row.is_empty() => unused <= messages::bound(self.room.capacity()) + 5,
-            _ => unused <= AHEAD,
+        if self.state == State::Closed || self.is_handing_over {
+            return false;
+        }
+        if !self.pipeline.is_empty() {
+            return unused <= READ_AHEAD;
         }
+        unused <= messages::max_message(self.budget.capacity()) + HEADER_LENGTH
     }
 }
--- a/crates/driver/src/protocol/discovery_watch.rs
+++ b/crates/driver/src/protocol/discovery_watch.rs
@@ -1,92 +1,113 @@
-//! The calls to discovery: the whole list first, then one watch after another, each asked for in the same turn
-//! in which the last was answered.
+//! A request to discovery: the complete list first, then one long poll after another on the same connection.
 
 use super::endpoint_list::{self, EndpointList};
-use super::http::{self, Answer};
+use super::http::{self, Response};
 use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use asterlatch::time::Timestamp;
 
+const LIST_PATH: &str = "/registry/instances";
+const OK: u16 = 200;
+
+/// What a request yields.
 pub enum DiscoveryEvent {
+    /// A list or its changes.
     Listed(EndpointList),
-    /// Discovery has an older version than the one that is known: the whole list is asked for.
+    /// Discovery has an older version than the known one: the complete list is requested again.
     Outdated,
-    /// An answer that can't be read; the last good list stands.
+    /// A response that can't be read; the last good list stays in force.
     Unreadable,
+    /// The connection is closed.
     Closed,
 }
 
 /// An event of the discovery request with this number.
 pub struct DiscoveryMessage {
+    /// Number of the request.
     pub request: u32,
+    /// Its event.
     pub event: DiscoveryEvent,
 }
 
-pub struct Watch {
+/// The handler of one connection to discovery.
+pub struct DiscoveryWatch {
     request: u32,
     host: String,
+    /// Longest time for which discovery may hold a request, in milliseconds.
     wait_ms: u64,
-    /// The version after which news are wanted.
+    /// Version after which changes are wanted; `None` for the complete list.
     after: Option<u64>,
-    over: bool,
+    is_over: bool,
 }
 
-impl Watch {
-    pub fn new(request: u32, host: String, wait_ms: u64, after: Option<u64>) -> Watch {
-        Watch {
+impl DiscoveryWatch {
+    /// A watch that begins with the changes after a known version, or with the complete list.
+    pub fn new(request: u32, host: String, wait_ms: u64, after: Option<u64>) -> DiscoveryWatch {
+        DiscoveryWatch {
             request,
             host,
             wait_ms,
             after,
-            over: false,
+            is_over: false,
         }
     }
 
     fn message(&self, event: DiscoveryEvent) -> DiscoveryMessage {
-        let request = self.request;
-        DiscoveryMessage { request, event }
+        DiscoveryMessage {
+            request: self.request,
+            event,
+        }
     }
 
-    fn ask(&self, out: &mut ConnectionOutput<DiscoveryMessage>) {
-        const LIST: &str = "/registry/instances";
+    fn send_request(&self, out: &mut ConnectionOutput<DiscoveryMessage>) {
         let path = match self.after {
-            Some(index) => format!("{LIST}?after={index}&wait_ms={}", self.wait_ms),
-            None => LIST.to_owned(),
+            Some(index) => format!("{LIST_PATH}?after={index}&wait_ms={}", self.wait_ms),
+            None => LIST_PATH.to_owned(),
         };
         out.bytes.extend(http::get(&path, &self.host));
     }
 
-    /// A whole answer; false where it can't be read, which ends the call.
-    fn take(&mut self, status: u16, body: &[u8], out: &mut ConnectionOutput<DiscoveryMessage>) -> bool {
-        let Some(told) = endpoint_list::read(body).filter(|_| status == 200) else {
+    /// Takes a complete response; returns whether it could be read. Otherwise the watch is over.
+    fn take_response(
+        &mut self,
+        status: u16,
+        body: &[u8],
+        out: &mut ConnectionOutput<DiscoveryMessage>,
+    ) -> bool {
+        let Some(list) = endpoint_list::parse(body).filter(|_| status == OK) else {
             self.fail(out);
             return false;
         };
-        // Changes up to a version before the one that they were to come after belong to another history.
-        let strange = !told.is_complete && self.after.is_some_and(|after| told.index < after);
-        self.after = Some(told.index).filter(|_| !strange);
-        let heard = if strange {
+        // Changes up to a version before the one that they were to follow belong to another history.
+        let is_outdated = !list.is_complete && self.after.is_some_and(|after| list.index < after);
+        let event = if is_outdated {
+            self.after = None;
             DiscoveryEvent::Outdated
         } else {
-            DiscoveryEvent::Listed(told)
+            self.after = Some(list.index);
+            DiscoveryEvent::Listed(list)
         };
-        out.events.push(self.message(heard));
+        out.events.push(self.message(event));
         true
     }
 
     fn fail(&mut self, out: &mut ConnectionOutput<DiscoveryMessage>) {
         out.events.push(self.message(DiscoveryEvent::Unreadable));
-        self.over = true;
+        self.close(out);
+    }
+
+    fn close(&mut self, out: &mut ConnectionOutput<DiscoveryMessage>) {
+        self.is_over = true;
         out.close = true;
     }
 }
 
-impl ConnectionHandler for Watch {
-    /// It is only ever hung up on.
+impl ConnectionHandler for DiscoveryWatch {
+    /// The owner only ever closes it.
     type Command = std::convert::Infallible;
     type Event = DiscoveryMessage;
 
     fn on_open(&mut self, out: &mut ConnectionOutput<DiscoveryMessage>) {
-        self.ask(out);
+        self.send_request(out);
     }
 
     fn on_input(
@@ -95,38 +116,37 @@
         _at: Timestamp,
         out: &mut ConnectionOutput<DiscoveryMessage>,
     ) {
-        while !self.over && !input.is_empty() {
-            let (status, body, taken, keep) = match http::answer(input) {
-                Answer::Partial | Answer::UpToTheEnd { .. } => return,
-                Answer::Malformed => return self.fail(out),
-                Answer::Whole {
+        while !self.is_over && !input.is_empty() {
+            let (status, body, length, keep_alive) = match http::parse_response(input) {
+                Response::Partial | Response::UntilClose { .. } => return,
+                Response::Malformed => return self.fail(out),
+                Response::Complete {
                     status,
                     body,
-                    taken,
-                    keep,
-                } => (status, body, taken, keep),
+                    length,
+                    keep_alive,
+                } => (status, body, length, keep_alive),
             };
-            input.drain(..taken);
-            if !self.take(status, &body, out) {
+            input.drain(..length);
+            if !self.take_response(status, &body, out) {
                 return;
             }
-            if keep {
-                self.ask(out);
+            if keep_alive {
+                self.send_request(out);
             } else {
-                self.over = true;
-                out.close = true;
+                self.close(out);
             }
         }
     }
 
-    /// Only where the peer has ended it is an answer whole that says no length: a reset is no end.
+    /// A response without a length is complete only where the peer has closed the connection: a reset does not end it.
     fn on_peer_closed(&mut self, input: &[u8], out: &mut ConnectionOutput<DiscoveryMessage>) {
-        if self.over {
+        if self.is_over {
             return;
         }
-        if let Answer::UpToTheEnd { status, from } = http::answer(input) {
-            self.take(status, &input[from..], out);
-            self.over = true;
+        if let Response::UntilClose { status, body_start } = http::parse_response(input) {
+            self.take_response(status, &input[body_start..], out);
+            self.is_over = true;
         }
     }
 
@@ -144,6 +164,6 @@
     }
 
     fn wants_input(&self, unused: usize) -> bool {
-        !self.over && unused <= http::ANSWER * 2
+        !self.is_over && unused <= http::MAX_BODY * 2
     }
 }
--- a/crates/driver/src/protocol/endpoint_list.rs
+++ b/crates/driver/src/protocol/endpoint_list.rs
@@ -1,95 +1,121 @@
-//! Discovery's list of members.
+//! The endpoint list of discovery, in JSON.
 
+use super::replica_status;
 use serde_json::Value;
 
+/// State of an endpoint, in discovery's words.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Status {
+pub enum EndpointStatus {
+    /// `SERVING`
     Serving,
+    /// `DRAINING`
     Draining,
+    /// `DELETED`
     Deleted,
 }
 
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
+    /// Name of the member, the same at all drivers.
     pub name: String,
+    /// `host:port`; may be empty for a deleted endpoint.
     pub address: String,
+    /// Name of the zone.
     pub zone: String,
+    /// Id of the group.
     pub group: u32,
-    pub status: Status,
+    /// Its state.
+    pub status: EndpointStatus,
+    /// Capacity relative to others.
     pub weight: f64,
+    /// Unix time of the last start in milliseconds; zero if that was long ago.
     pub since_ms: u64,
+    /// The list names it as the primary.
     pub is_primary: bool,
 }
 
+/// A version of the list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointList {
+    /// Number of the version.
     pub index: u64,
-    /// The whole list, not only what changed.
+    /// The complete list, not only what changed.
     pub is_complete: bool,
+    /// Its readable entries.
     pub entries: Vec<Endpoint>,
-    /// Entries that could not be read.
+    /// Number of entries that could not be read.
     pub skipped: usize,
 }
 
-fn entry(value: &Value) -> Option<Endpoint> {
+/// Nested levels in a list at most; a valid one has three.
+const MOST_LEVELS: usize = 16;
+
+fn parse_entry(value: &Value) -> Option<Endpoint> {
     let text = |name: &str| value.get(name).and_then(Value::as_str);
-    let given = |name: &str| text(name).filter(|t| !t.is_empty()).map(str::to_owned);
+    let non_empty = |name: &str| text(name).filter(|t| !t.is_empty()).map(str::to_owned);
     let status = match text("status")? {
-        "SERVING" => Status::Serving,
-        "DRAINING" => Status::Draining,
-        "DELETED" => Status::Deleted,
+        "SERVING" => EndpointStatus::Serving,
+        "DRAINING" => EndpointStatus::Draining,
+        "DELETED" => EndpointStatus::Deleted,
         _ => return None,
     };
-    // One that is gone may come with little more than its name.
-    let address = given("address").or((status == Status::Deleted).then(String::new))?;
+    // A deleted one may come with little more than its name.
+    let is_deleted = status == EndpointStatus::Deleted;
+    let address = non_empty("address").or(is_deleted.then(String::new))?;
     let group = value.get("group").map_or(Some(0), Value::as_u64)?;
+    let role = text("rank").and_then(replica_status::parse_role);
     Some(Endpoint {
-        name: given("name")?,
+        name: non_empty("name")?,
         address,
         zone: text("zone").unwrap_or_default().to_owned(),
         group: group.try_into().ok()?,
         status,
         weight: value.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
         since_ms: value.get("since_ms").and_then(Value::as_u64).unwrap_or(0),
-        is_primary: text("rank").and_then(super::replica_status::role) == Some(true),
+        is_primary: role == Some(true),
     })
 }
 
+/// Reads a list from JSON; `None` if its frame can't be read. Unreadable entries are skipped.
 pub fn from_value(value: &Value) -> Option<EndpointList> {
     let listed = value.get("endpoints")?.as_array()?;
-    let entries: Vec<_> = listed.iter().filter_map(entry).collect();
+    let entries: Vec<_> = listed.iter().filter_map(parse_entry).collect();
+    let is_complete = value.get("snapshot").and_then(Value::as_bool);
     Some(EndpointList {
         index: value.get("index")?.as_u64()?,
-        is_complete: value.get("snapshot").and_then(Value::as_bool).unwrap_or(true),
+        is_complete: is_complete.unwrap_or(true),
         skipped: listed.len() - entries.len(),
         entries,
     })
 }
 
-/// Levels in a list at most; an honest one has three.
-const LEVELS: usize = 16;
-
-/// Whether nothing lies deeper than that. JSON is read level within level, and a coroutine's stack, at whose end
-/// the process dies, has no room for as many levels as the reader would allow.
+/// Whether nothing is nested deeper than [`MOST_LEVELS`]. The JSON parser recurses, and a coroutine's stack, whose overflow
+/// ends the process, has less space than the parser's own limit would need.
 fn is_shallow(body: &[u8]) -> bool {
-    let (mut level, mut quoted, mut escaped) = (0usize, false, false);
+    let mut level = 0usize;
+    let mut is_quoted = false;
+    let mut is_escaped = false;
     for byte in body {
         match byte {
-            _ if escaped => escaped = false,
-            b'\\' if quoted => escaped = true,
-            b'"' => quoted = !quoted,
-            b'[' | b'{' if !quoted => level += 1,
-            b']' | b'}' if !quoted => level = level.saturating_sub(1),
+            _ if is_escaped => is_escaped = false,
+            b'\\' if is_quoted => is_escaped = true,
+            b'"' => is_quoted = !is_quoted,
+            b'[' | b'{' if !is_quoted => level += 1,
+            b']' | b'}' if !is_quoted => level = level.saturating_sub(1),
             _ => {}
         }
-        if level > LEVELS {
+        if level > MOST_LEVELS {
             return false;
         }
     }
     true
 }
 
-pub fn read(body: &[u8]) -> Option<EndpointList> {
-    let shallow = Some(body).filter(|b| is_shallow(b))?;
-    from_value(&serde_json::from_slice(shallow).ok()?)
+/// Reads a list from the body of an answer; `None` if it can't be read.
+pub fn parse(body: &[u8]) -> Option<EndpointList> {
+    if !is_shallow(body) {
+        return None;
+    }
+    from_value(&serde_json::from_slice(body).ok()?)
 }
--- a/crates/driver/src/protocol/http.rs
+++ b/crates/driver/src/protocol/http.rs
@@ -1,97 +1,127 @@
-//! The little of HTTP/1.1 that is spoken with discovery.
+//! The part of HTTP/1.1 that is spoken with discovery.
 
-/// Bytes of one answer at most.
-pub const ANSWER: usize = 4 * 1024 * 1024;
-const HEAD: usize = 16 * 1024;
+/// Most bytes of a response's body.
+pub const MAX_BODY: usize = 4 * 1024 * 1024;
+/// Most bytes of a response's head.
+const MAX_HEAD: usize = 16 * 1024;
+const MAX_HEADERS: usize = 32;
 
+/// What the input holds of a response.
 #[derive(Debug, PartialEq)]
-pub enum Answer {
+pub enum Response {
+    /// More bytes are needed.
     Partial,
-    /// Whatever comes up to the connection's end belongs to it: so far this much, from here on.
-    UpToTheEnd {
+    /// The body has no length and ends with the connection.
+    UntilClose {
+        /// Status code.
         status: u16,
-        from: usize,
+        /// Offset of the body.
+        body_start: usize,
     },
-    Whole {
+    /// A complete response.
+    Complete {
+        /// Status code.
         status: u16,
+        /// The body, without chunk headers.
         body: Vec<u8>,
-        taken: usize,
-        keep: bool,
+        /// Bytes of the input that it takes.
+        length: usize,
+        /// The connection may be used again.
+        keep_alive: bool,
     },
+    /// It can't be read.
     Malformed,
 }
 
+/// A body and the bytes that it takes in the input.
+struct Body {
+    content: Vec<u8>,
+    length: usize,
+}
+
+/// A body that can't be read.
+struct MalformedBody;
+
+/// A GET request.
 pub fn get(path: &str, host: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
 }
 
-pub fn answer(input: &[u8]) -> Answer {
-    let mut headers = [httparse::EMPTY_HEADER; 32];
+/// Reads a response from the front of `input`.
+pub fn parse_response(input: &[u8]) -> Response {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let head = match response.parse(input) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if input.len() <= HEAD => return Answer::Partial,
-        _ => return Answer::Malformed,
+    let head_length = match response.parse(input) {
+        Ok(httparse::Status::Complete(length)) => length,
+        Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD => return Response::Partial,
+        _ => return Response::Malformed,
     };
-    let value = |name: &str| {
-        let found = response
-            .headers
-            .iter()
-            .find(|h| h.name.eq_ignore_ascii_case(name));
-        found
-            .and_then(|h| std::str::from_utf8(h.value).ok())
-            .map(str::trim)
+    let header = |name: &str| {
+        let mut headers = response.headers.iter();
+        let found = headers.find(|h| h.name.eq_ignore_ascii_case(name))?;
+        std::str::from_utf8(found.value).ok().map(str::trim)
     };
     let status = response.code.unwrap_or(0);
-    let keep = !value("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
-    let coding = value("transfer-encoding");
-    let body = if coding.is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
-        chunked(&input[head..])
-    } else {
-        match value("content-length").map(str::parse::<usize>) {
-            Some(Ok(length)) if length > ANSWER => Err(()),
-            Some(Ok(length)) => Ok(input.get(head..head + length).map(|b| (b.to_vec(), length))),
-            None if coding.is_none() && input.len() <= head + ANSWER => {
-                return Answer::UpToTheEnd { status, from: head }
-            }
-            _ => Err(()),
+    let keep_alive = !header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
+    let transfer_encoding = header("transfer-encoding");
+    let is_chunked = transfer_encoding.is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
+    let content_length = header("content-length").map(str::parse::<usize>);
+    let after_head = &input[head_length..];
+    let body = match content_length {
+        _ if is_chunked => parse_chunked(after_head),
+        Some(Ok(length)) => parse_sized(after_head, length),
+        None if transfer_encoding.is_none() && after_head.len() <= MAX_BODY => {
+            let body_start = head_length;
+            return Response::UntilClose { status, body_start };
         }
+        _ => Err(MalformedBody),
     };
     match body {
-        Ok(Some((body, length))) => Answer::Whole {
+        Ok(Some(body)) => Response::Complete {
             status,
-            body,
-            taken: head + length,
-            keep,
+            body: body.content,
+            length: head_length + body.length,
+            keep_alive,
         },
-        Ok(None) if input.len() <= ANSWER + HEAD => Answer::Partial,
-        _ => Answer::Malformed,
+        Ok(None) if input.len() <= MAX_BODY + MAX_HEAD => Response::Partial,
+        _ => Response::Malformed,
+    }
+}
+
+/// A body of a stated length; `None` while some of it is missing.
+fn parse_sized(input: &[u8], length: usize) -> Result<Option<Body>, MalformedBody> {
+    if length > MAX_BODY {
+        return Err(MalformedBody);
     }
+    let content = input.get(..length).map(<[u8]>::to_vec);
+    Ok(content.map(|content| Body { content, length }))
 }
 
-/// The chunks' content and the bytes they took; none while some are still to come.
-fn chunked(input: &[u8]) -> Result<Option<(Vec<u8>, usize)>, ()> {
-    let (mut body, mut at) = (Vec::new(), 0);
+/// A body in chunks; `None` while some of them are missing.
+fn parse_chunked(input: &[u8]) -> Result<Option<Body>, MalformedBody> {
+    let mut content = Vec::new();
+    let mut offset = 0;
     loop {
-        let (used, size) = match httparse::parse_chunk_size(&input[at..]) {
-            Ok(httparse::Status::Complete((used, size))) => (used, size as usize),
+        let (header, size) = match httparse::parse_chunk_size(&input[offset..]) {
+            Ok(httparse::Status::Complete((header, size))) => (header, size as usize),
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(()),
+            Err(_) => return Err(MalformedBody),
         };
-        if size > ANSWER || body.len() + size > ANSWER {
-            return Err(());
+        if size > MAX_BODY || content.len() + size > MAX_BODY {
+            return Err(MalformedBody);
         }
-        let from = at + used;
-        let Some(chunk) = input.get(from..from + size + 2) else {
+        let start = offset + header;
+        let Some(chunk) = input.get(start..start + size + 2) else {
             return Ok(None);
         };
         if !chunk.ends_with(b"\r\n") {
-            return Err(());
+            return Err(MalformedBody);
         }
-        body.extend(&chunk[..size]);
-        at = from + size + 2;
+        content.extend(&chunk[..size]);
+        offset = start + size + 2;
         if size == 0 {
-            return Ok(Some((body, at)));
+            let length = offset;
+            return Ok(Some(Body { content, length }));
         }
     }
 }
--- a/crates/driver/src/protocol/messages.rs
+++ b/crates/driver/src/protocol/messages.rs
@@ -1,70 +1,88 @@
 //! Messages of PostgreSQL's protocol, version 3.
 
-/// Any driver takes messages of this length: a value of 64 KB as hexadecimal text, and a comment.
-const LEAST: usize = 2 * 64 * 1024 + 4096;
-/// More than this isn't even passed over.
-pub const ABSURD: usize = 16 * 1024 * 1024;
-/// How many of the longest messages fit into the room for all of their kind.
-const TOGETHER: usize = 16;
-
-/// The longest message that is taken, where all have so much room together.
-pub fn bound(room: usize) -> usize {
-    (room / TOGETHER).clamp(LEAST, ABSURD)
-}
-
-/// A message that lies whole at the front, what is known of one that doesn't, or that it can't be one.
-pub enum Front<'a> {
-    Message {
+use super::startup::VERSION;
+
+/// Least size of the longest message: a value of 64 KB as hexadecimal text, and a comment.
+const LEAST_MAX_MESSAGE: usize = 2 * 64 * 1024 + 4096;
+/// Longer messages aren't even skipped.
+pub const MAX_SKIPPED_MESSAGE: usize = 16 * 1024 * 1024;
+/// How many of the longest messages fit into the memory budget.
+const MESSAGES_IN_BUDGET: usize = 16;
+/// Bytes of a message's kind and length.
+pub const HEADER_LENGTH: usize = 5;
+
+/// Length of the longest message that is accepted within a memory budget, in bytes.
+pub fn max_message(budget: usize) -> usize {
+    (budget / MESSAGES_IN_BUDGET).clamp(LEAST_MAX_MESSAGE, MAX_SKIPPED_MESSAGE)
+}
+
+/// What the front of the input holds.
+pub enum NextMessage<'a> {
+    /// A complete message.
+    Complete {
+        /// Its kind.
         kind: u8,
+        /// Its content.
         body: &'a [u8],
-        whole: usize,
+        /// Its length with its header.
+        length: usize,
     },
     /// More bytes are needed.
     Partial,
-    /// Longer than the bound: its kind and its length with its header.
+    /// A message that exceeds the longest accepted one.
     TooLong {
+        /// Its kind.
         kind: u8,
-        whole: usize,
+        /// Its length with its header.
+        length: usize,
     },
+    /// No message.
     Malformed,
 }
 
-pub fn front(input: &[u8], bound: usize) -> Front<'_> {
-    let Some(header) = input.first_chunk::<5>() else {
-        return Front::Partial;
+/// Reads the message at the front of the input, whose content has at most `max_length` bytes.
+pub fn next_message(input: &[u8], max_length: usize) -> NextMessage<'_> {
+    let Some(header) = input.first_chunk::<HEADER_LENGTH>() else {
+        return NextMessage::Partial;
     };
-    let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize;
-    let (kind, whole) = (header[0], length.saturating_add(1));
-    if length < 4 || whole > ABSURD {
-        return Front::Malformed;
+    let kind = header[0];
+    let stated = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize;
+    let length = stated.saturating_add(1);
+    if stated < 4 || length > MAX_SKIPPED_MESSAGE {
+        return NextMessage::Malformed;
     }
-    if length - 4 > bound {
-        return Front::TooLong { kind, whole };
+    if stated - 4 > max_length {
+        return NextMessage::TooLong { kind, length };
     }
-    match input.get(5..whole) {
-        Some(body) => Front::Message { kind, body, whole },
-        None => Front::Partial,
+    match input.get(HEADER_LENGTH..length) {
+        Some(body) => NextMessage::Complete { kind, body, length },
+        None => NextMessage::Partial,
     }
 }
 
+/// Appends a message of these parts.
 pub fn put(out: &mut Vec<u8>, kind: u8, parts: &[&[u8]]) {
     let length: usize = parts.iter().map(|p| p.len()).sum();
     out.push(kind);
     out.extend((length as u32 + 4).to_be_bytes());
-    parts.iter().for_each(|p| out.extend(*p));
+    for part in parts {
+        out.extend(*part);
+    }
 }
 
-/// The text of a query: its bytes up to the zero that ends them.
-pub fn text(body: &[u8]) -> Option<&str> {
+/// The text of a query, without the zero that ends it.
+pub fn query_text(body: &[u8]) -> Option<&str> {
     let (last, text) = body.split_last()?;
     let text = std::str::from_utf8(text).ok()?;
     (*last == 0 && !text.contains('\0')).then_some(text)
 }
 
+/// Appends a simple query.
 pub fn put_query(out: &mut Vec<u8>, text: &[u8]) {
     put(out, b'Q', &[text, b"\0"]);
 }
 
+/// Appends a startup message.
 pub fn put_startup(out: &mut Vec<u8>, user: &str) {
     let fields = [b"user\0", user.as_bytes(), b"\0\0"].concat();
     out.extend((fields.len() as u32 + 8).to_be_bytes());
@@ -72,11 +90,12 @@
     out.extend(fields);
 }
 
+/// Appends ReadyForQuery, outside a transaction.
 pub fn put_ready(out: &mut Vec<u8>) {
     put(out, b'Z', &[b"I"]);
 }
 
-/// What a client is told once its startup message is read.
+/// Appends what follows a client's startup message: authentication, parameters, ReadyForQuery.
 pub fn put_welcome(out: &mut Vec<u8>) {
     put(out, b'R', &[&0u32.to_be_bytes()]);
     for (name, value) in [
@@ -92,16 +111,18 @@
     put_ready(out);
 }
 
-/// Tells a client of a newer minor version that this is 3.0, and which options aren't known.
+/// Appends NegotiateProtocolVersion: this is version 3.0, and these options are unknown.
 pub fn put_negotiation(out: &mut Vec<u8>, options: &[&str]) {
     let mut body = 0u32.to_be_bytes().to_vec();
     body.extend((options.len() as u32).to_be_bytes());
-    options
-        .iter()
-        .for_each(|o| body.extend([o.as_bytes(), b"\0"].concat()));
+    for option in options {
+        body.extend(option.as_bytes());
+        body.push(0);
+    }
     put(out, b'v', &[&body]);
 }
 
+/// Appends an ErrorResponse; the detail is a retry-after time in milliseconds.
 pub fn put_error(out: &mut Vec<u8>, severity: &str, code: &str, message: &str, detail: Option<u64>) {
     let field = |kind: u8, text: &str| [&[kind], text.as_bytes(), b"\0"].concat();
     let mut body = [
@@ -119,20 +140,21 @@
 
 /// One field of an ErrorResponse.
 pub fn error_field(body: &[u8], kind: u8) -> Option<&str> {
-    let fields = body.split(|b| *b == 0).filter(|f| f.first() == Some(&kind));
-    fields.filter_map(|f| std::str::from_utf8(&f[1..]).ok()).next()
+    let mut fields = body.split(|b| *b == 0).filter(|f| f.first() == Some(&kind));
+    fields.find_map(|f| std::str::from_utf8(&f[1..]).ok())
 }
 
-/// The code of an ErrorResponse that holds together: noise must not pass for a code that proves something.
+/// The SQLSTATE of a well-formed ErrorResponse: noise must not pass for a code that proves something.
 pub fn error_code(body: &[u8]) -> Option<&str> {
     let fields = body.strip_suffix(b"\0\0")?;
-    let named = |f: &[u8]| f.first().is_some_and(u8::is_ascii_alphabetic) && std::str::from_utf8(f).is_ok();
-    let plain = |b: u8| b.is_ascii_digit() || b.is_ascii_uppercase();
-    let code = error_field(body, b'C').filter(|c| c.len() == 5 && c.bytes().all(plain));
-    code.filter(|_| fields.split(|b| *b == 0).all(named))
+    let is_field =
+        |f: &[u8]| f.first().is_some_and(u8::is_ascii_alphabetic) && std::str::from_utf8(f).is_ok();
+    let is_code_byte = |b: u8| b.is_ascii_digit() || b.is_ascii_uppercase();
+    let code = error_field(body, b'C').filter(|c| c.len() == 5 && c.bytes().all(is_code_byte));
+    code.filter(|_| fields.split(|b| *b == 0).all(is_field))
 }
 
-/// The one text of a message, up to the zero that ends it.
+/// The only text of a message, without the zero that ends it.
 pub fn only_text(body: &[u8]) -> Option<&str> {
     let text = body.strip_suffix(b"\0")?;
     std::str::from_utf8(text).ok().filter(|t| !t.contains('\0'))
@@ -145,15 +167,17 @@
     Some((std::str::from_utf8(&body[..name]).ok()?, value))
 }
 
-/// Whether a RowDescription holds one column and nothing beside it.
-pub fn one_column(body: &[u8]) -> bool {
-    const BEHIND_NAME: usize = 18;
-    let described = body.strip_prefix(&1u16.to_be_bytes()[..]);
-    let name = described.and_then(|d| Some((d.iter().position(|b| *b == 0)?, d.len())));
-    name.is_some_and(|(name, whole)| name + 1 + BEHIND_NAME == whole)
+/// Whether a RowDescription describes exactly one column.
+pub fn has_one_column(body: &[u8]) -> bool {
+    const LENGTH_AFTER_NAME: usize = 18;
+    let Some(column) = body.strip_prefix(&1u16.to_be_bytes()[..]) else {
+        return false;
+    };
+    let name_length = column.iter().position(|b| *b == 0);
+    name_length.is_some_and(|length| length + 1 + LENGTH_AFTER_NAME == column.len())
 }
 
-/// The only value of a DataRow, which may be none.
+/// The only value of a DataRow, which may be NULL (`Some(None)`); `None` if it has another form.
 pub fn only_value(body: &[u8]) -> Option<Option<&[u8]>> {
     let (count, rest) = body.split_first_chunk::<2>()?;
     let (length, value) = rest.split_first_chunk::<4>()?;
@@ -167,79 +191,19 @@
 /// The value in the messages of a row.
 pub fn row_value(rows: &[u8]) -> Option<&[u8]> {
     let mut rest = rows;
-    while let Front::Message { kind, body, whole } = front(rest, ABSURD) {
+    while let NextMessage::Complete { kind, body, length } = next_message(rest, MAX_SKIPPED_MESSAGE) {
         if kind == b'D' {
             return only_value(body).flatten();
         }
-        rest = &rest[whole..];
+        rest = &rest[length..];
     }
     None
 }
 
-/// The query of a probe: for a report where the settings promise one.
-pub fn probe(reported: bool) -> Vec<u8> {
-    let text: &[u8] = if reported { b"SHOW vitals" } else { b"SELECT 1" };
+/// The query of a health check: for a load report where the settings promise one.
+pub fn health_check(reports_load: bool) -> Vec<u8> {
+    let text: &[u8] = if reports_load { b"SHOW vitals" } else { b"SELECT 1" };
     let mut query = Vec::new();
     put_query(&mut query, text);
     query
 }
-
-pub const VERSION: u32 = 3 << 16;
-const CANCEL: u32 = 80_877_102;
-const ENCRYPTED: [u32; 2] = [80_877_103, 80_877_104];
-const STARTUP: usize = 10_000;
-
-/// What comes before the first typed message.
-pub enum Opening<'a> {
-    Partial,
-    /// A wish for encryption, which is declined with one letter.
-    Encryption {
-        whole: usize,
-    },
-    Startup {
-        whole: usize,
-        minor: u32,
-        unknown: Vec<&'a str>,
-    },
-    /// A call to cancel somebody's query, which gets no answer.
-    Cancel,
-    Malformed,
-}
-
-pub fn opening(input: &[u8]) -> Opening<'_> {
-    let Some(header) = input.first_chunk::<8>() else {
-        return match input.first_chunk::<4>().map(|l| u32::from_be_bytes(*l) as usize) {
-            Some(length) if !(8..=STARTUP).contains(&length) => Opening::Malformed,
-            _ => Opening::Partial,
-        };
-    };
-    let (length, code) = header.split_at(4);
-    let number = |b: &[u8]| b.iter().fold(0u32, |n, b| n << 8 | u32::from(*b));
-    let (whole, code) = (number(length) as usize, number(code));
-    if !(8..=STARTUP).contains(&whole) {
-        return Opening::Malformed;
-    }
-    let Some(body) = input.get(8..whole) else {
-        return Opening::Partial;
-    };
-    if ENCRYPTED.contains(&code) && body.is_empty() {
-        return Opening::Encryption { whole };
-    }
-    if code == CANCEL {
-        return Opening::Cancel;
-    }
-    let fields = body.strip_suffix(b"\0").and_then(|b| std::str::from_utf8(b).ok());
-    let Some(fields) = fields.filter(|f| code >> 16 == 3 && (f.is_empty() || f.ends_with('\0'))) else {
-        return Opening::Malformed;
-    };
-    let names: Vec<_> = fields.split_terminator('\0').collect();
-    if names.len() % 2 != 0 {
-        return Opening::Malformed;
-    }
-    let unknown = names.iter().step_by(2).filter(|n| n.starts_with("_pq_."));
-    Opening::Startup {
-        whole,
-        minor: code & 0xffff,
-        unknown: unknown.copied().collect(),
-    }
-}
--- a/crates/driver/src/protocol/mod.rs
+++ b/crates/driver/src/protocol/mod.rs
@@ -1,6 +1,9 @@
-//! What is spoken: PostgreSQL v3 with clients and members, HTTP and JSON with discovery. Functions of the
-//! bytes alone; every length and count is checked against a bound before memory is taken for it.
+//! Protocols: PostgreSQL v3 with clients and members, HTTP and JSON with discovery.
+//!
+//! Handlers are functions of bytes and commands; every length and count is checked against a bound before memory is
+//! reserved for it.
 
+pub mod client_events;
 pub mod client_session;
 pub mod discovery_watch;
 pub mod endpoint_list;
@@ -8,4 +11,5 @@
 pub mod member_connection;
 pub mod messages;
 pub mod replica_status;
+pub mod startup;
 pub mod statement_comment;
--- a/crates/driver/src/protocol/statement_comment.rs
+++ b/crates/driver/src/protocol/statement_comment.rs
@@ -4,66 +4,82 @@
 use std::hash::{Hash, Hasher};
 use std::ops::Range;
 
-/// The fields that decisions need; the statement itself stays the bytes that came.
+/// The fields of the comment; the statement itself is forwarded as it came.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Marked {
-    /// The same for the same id.
-    pub id: u64,
+pub struct StatementComment {
+    /// Hash of the statement's id (`id`).
+    pub id_hash: u64,
+    /// Name of the workload (`c`).
     pub workload: String,
+    /// Id of the group (`cluster`).
     pub group: u32,
-    pub left_ms: u64,
-    pub repeat: bool,
-    /// The position that a read must see.
-    pub after: Option<u64>,
-    /// The first quoted literal behind the comment.
+    /// Milliseconds until the client gives up (`d`).
+    pub time_left_ms: u64,
+    /// The client marks a retry (`r=1`).
+    pub is_client_retry: bool,
+    /// Log position that a read must see, in milliseconds (`after`).
+    pub required_position_ms: Option<u64>,
+    /// The first quoted literal after the comment.
     pub key: Option<String>,
-    /// Where the digits of the time left stand.
-    pub left_at: Range<usize>,
+    /// Place of the digits of the time left within the statement.
+    pub time_left_range: Range<usize>,
 }
 
-/// What a client is told of a statement that can't be routed.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Unreadable {
+/// The error that a client gets for a statement that can't be routed.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+#[error("{code}: {message}")]
+pub struct StatementError {
+    /// SQLSTATE.
     pub code: &'static str,
+    /// Text for people.
     pub message: &'static str,
 }
 
-const fn unreadable(code: &'static str, message: &'static str) -> Unreadable {
-    Unreadable { code, message }
+const fn error(code: &'static str, message: &'static str) -> StatementError {
+    StatementError { code, message }
 }
 
-pub const NO_COMMENT: Unreadable = unreadable(
+/// The statement has no comment at its head.
+pub const MISSING_COMMENT: StatementError = error(
     "42601",
     "the statement doesn't begin with a comment of its fields",
 );
-pub const BAD_FIELD: Unreadable = unreadable("22023", "a field of the statement's comment can't be read");
-pub const NO_FIELD: Unreadable = unreadable(
+/// A field has an unreadable value.
+pub const INVALID_FIELD: StatementError = error("22023", "a field of the statement's comment can't be read");
+/// A required field is missing.
+pub const MISSING_FIELD: StatementError = error(
     "22023",
     "the comment lacks one of the fields id, c, d and cluster",
 );
-pub const NO_GROUP: Unreadable = unreadable("22023", "no member of this group is known");
-pub const NO_WORKLOAD: Unreadable = unreadable("22023", "no such workload");
-pub const SAME_ID: Unreadable = unreadable("22023", "another statement with this id is open");
-pub const NO_ROOM: Unreadable = unreadable("53300", "no memory is left for the statement");
-pub const TOO_LARGE: Unreadable = unreadable("54000", "the statement or its value is too large");
+/// The group has no known member.
+pub const UNKNOWN_GROUP: StatementError = error("22023", "no member of this group is known");
+/// The settings have no such workload.
+pub const UNKNOWN_WORKLOAD: StatementError = error("22023", "no such workload");
+/// The id belongs to an open statement.
+pub const DUPLICATE_ID: StatementError = error("22023", "another statement with this id is open");
+/// The memory budget of clients is exhausted.
+pub const OUT_OF_MEMORY: StatementError = error("53300", "no memory is left for the statement");
+/// The statement exceeds the longest message.
+pub const TOO_LARGE: StatementError = error("54000", "the statement or its value is too large");
+/// A quoted literal has no closing quote.
+const UNTERMINATED_LITERAL: StatementError = error("42601", "a quoted literal doesn't end");
 
-/// The same number for the same text, in each run.
-pub fn hashed(text: &str) -> u64 {
+/// Hash of an id that is the same in each run.
+pub fn hash_id(text: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
     hasher.finish()
 }
 
-/// The first quoted literal, with doubled quotes made one; all of them must end.
-fn literal(text: &str) -> Result<Option<String>, Unreadable> {
-    let (mut first, mut rest) = (None, text);
+/// The first quoted literal, with doubled quotes made one; all literals have to end.
+fn first_literal(text: &str) -> Result<Option<String>, StatementError> {
+    let mut first = None;
+    let mut rest = text;
     while let Some(start) = rest.find('\'') {
         let mut literal = String::new();
         rest = &rest[start + 1..];
         loop {
-            let end = rest
-                .find('\'')
-                .ok_or(unreadable("42601", "a quoted literal doesn't end"))?;
+            let end = rest.find('\'').ok_or(UNTERMINATED_LITERAL)?;
             if first.is_none() {
                 literal.push_str(&rest[..end]);
             }
@@ -79,51 +95,82 @@
     Ok(first)
 }
 
-pub fn read(text: &str) -> Result<Marked, Unreadable> {
+/// Which of the required fields were found.
+#[derive(Default)]
+struct Required {
+    id: bool,
+    workload: bool,
+    time_left: bool,
+    group: bool,
+}
+
+impl Required {
+    fn is_complete(&self) -> bool {
+        self.id && self.workload && self.time_left && self.group
+    }
+}
+
+/// Parses the comment of a statement.
+///
+/// # Errors
+/// If the comment is missing or lacks a field, a field can't be read, or a literal doesn't end.
+pub fn parse(text: &str) -> Result<StatementComment, StatementError> {
     let start = text.len() - text.trim_start().len();
-    let inner = text[start..].strip_prefix("/*").ok_or(NO_COMMENT)?;
-    let end = inner.find("*/").ok_or(NO_COMMENT)?;
-    let (mut marked, mut seen) = (Marked::default(), [false; 4]);
-    let mut at = start + 2;
+    let inner = text[start..].strip_prefix("/*").ok_or(MISSING_COMMENT)?;
+    let end = inner.find("*/").ok_or(MISSING_COMMENT)?;
+    let mut comment = StatementComment::default();
+    let mut required = Required::default();
+    let mut offset = start + 2;
     for part in inner[..end].split(',') {
         let field = part.trim();
         let (name, value) = field.split_once('=').unwrap_or((field, ""));
         let (name, value) = (name.trim_end(), value.trim_start());
-        let number = || value.parse::<u64>().map_err(|_| BAD_FIELD);
-        match name {
-            "id" => {
-                marked.id = hashed(value);
-                seen[0] = !value.is_empty();
-            }
-            "c" => {
-                marked.workload = value.to_owned();
-                seen[1] = true;
-            }
-            "d" => {
-                marked.left_ms = number()?;
-                let from = at + part.trim_end().len() - value.len();
-                marked.left_at = from..from + value.len();
-                seen[2] = true;
-            }
-            "cluster" => {
-                marked.group = number()?.try_into().map_err(|_| BAD_FIELD)?;
-                seen[3] = true;
-            }
-            "r" => marked.repeat = value == "1",
-            "after" => marked.after = Some(number()?),
-            _ => {}
-        }
-        at += part.len() + 1;
+        let value_start = offset + part.trim_end().len() - value.len();
+        set_field(&mut comment, &mut required, name, value, value_start)?;
+        offset += part.len() + 1;
+    }
+    if !required.is_complete() {
+        return Err(MISSING_FIELD);
     }
-    if seen.contains(&false) {
-        return Err(NO_FIELD);
+    comment.key = first_literal(&inner[end + 2..])?;
+    Ok(comment)
+}
+
+fn set_field(
+    comment: &mut StatementComment,
+    required: &mut Required,
+    name: &str,
+    value: &str,
+    value_start: usize,
+) -> Result<(), StatementError> {
+    let number = || value.parse::<u64>().map_err(|_| INVALID_FIELD);
+    match name {
+        "id" => {
+            comment.id_hash = hash_id(value);
+            required.id = !value.is_empty();
+        }
+        "c" => {
+            comment.workload = value.to_owned();
+            required.workload = true;
+        }
+        "d" => {
+            comment.time_left_ms = number()?;
+            comment.time_left_range = value_start..value_start + value.len();
+            required.time_left = true;
+        }
+        "cluster" => {
+            comment.group = number()?.try_into().map_err(|_| INVALID_FIELD)?;
+            required.group = true;
+        }
+        "r" => comment.is_client_retry = value == "1",
+        "after" => comment.required_position_ms = Some(number()?),
+        _ => {}
     }
-    marked.key = literal(&inner[end + 2..])?;
-    Ok(marked)
+    Ok(())
 }
 
-/// The statement as it came but for the time left.
-pub fn with_left(text: &[u8], left_at: &Range<usize>, left_ms: u64) -> Vec<u8> {
-    let left = left_ms.to_string();
-    [&text[..left_at.start], left.as_bytes(), &text[left_at.end..]].concat()
+/// The statement as it came, with another time left.
+pub fn with_time_left(text: &[u8], range: &Range<usize>, time_left_ms: u64) -> Vec<u8> {
+    let digits = time_left_ms.to_string();
+    [&text[..range.start], digits.as_bytes(), &text[range.end..]].concat()
 }
--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -1,7 +1,7 @@
 //! Clients' connections: admission, eviction, and timeouts of clients without an open statement.
 
 use super::limits::Limits;
-use crate::protocol::client_session::ClientCommand;
+use crate::protocol::client_events::ClientCommand;
 use crate::transport::connection::ConnectionHandle;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -59,7 +59,7 @@
     fn send(&mut self, now: Timestamp, connection: u32, request: MemberRequest) {
         let query = match request.kind {
             RequestKind::Execution(id) => self.statements.query(id.statement, now, request.deadline),
-            RequestKind::HealthCheck => Some(messages::probe(self.decoding.reported)),
+            RequestKind::HealthCheck => Some(messages::health_check(self.decoding.reported)),
         };
         let Some(query) = query else {
             if let Some(request) = self.member_requests.withdraw(connection, now) {
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -423,7 +423,7 @@
                 let results = self.module.on_member_update(
                     now,
                     member,
-                    MemberUpdate::Draining(replica_status::unix(*started_ms)),
+                    MemberUpdate::Draining(replica_status::unix_timestamp(*started_ms)),
                 );
                 self.carry_out(now, results);
             }
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -5,11 +5,13 @@
 mod gossip;
 mod peer_process;
 
-use crate::protocol::client_session::{self as client, ClientCommand, ClientEvent, Final, Text};
+use crate::protocol::client_events::{
+    ClientCommand, ClientEvent, ClientTransferState, FinalAnswer, StatementText,
+};
 use crate::protocol::discovery_watch::{DiscoveryEvent, DiscoveryMessage};
 use crate::protocol::endpoint_list::EndpointList;
 use crate::protocol::member_connection::{self, MemberEvent, Reply};
-use crate::protocol::statement_comment::{self, Marked, Unreadable};
+use crate::protocol::statement_comment::{self, StatementComment, StatementError};
 use crate::protocol::{messages, replica_status};
 use crate::routing::clients::{Admission, Clients};
 use crate::routing::discovery_requests::{self, DiscoveryRequests};
@@ -66,7 +68,7 @@
 /// A client on its way from one process to another.
 pub struct Moved {
     pub stream: TcpStream,
-    pub standing: client::Standing,
+    pub standing: ClientTransferState,
     pub has_asked: bool,
     /// How what was read from it by a process that has died is to be answered.
     pub verdicts: StatementVerdicts,
@@ -80,11 +82,11 @@
         stream: TcpStream,
         verdicts: StatementVerdicts,
     ) -> Moved {
-        let standing = client::Standing {
-            opened: client.startup_complete,
-            skip: client.bytes_to_skip as usize,
+        let standing = ClientTransferState {
+            startup_complete: client.startup_complete,
+            bytes_to_skip: client.bytes_to_skip as usize,
             input: client.input,
-            handed,
+            transfer_id: handed,
         };
         let has_asked = client.has_sent_statement;
         Moved {
@@ -98,7 +100,7 @@
 
 /// Goes on with a client's connection under this number.
 pub type Adopt =
-    Box<dyn FnMut(u32, TcpStream, client::Standing) -> io::Result<ConnectionHandle<ClientCommand>>>;
+    Box<dyn FnMut(u32, TcpStream, ClientTransferState) -> io::Result<ConnectionHandle<ClientCommand>>>;
 
 /// Goes on with an idle connection to a member under this number.
 pub type AdoptConnection =
@@ -488,10 +490,10 @@
         &mut self,
         now: Timestamp,
         (client, number, end): (u32, u32, u64),
-        text: Text,
+        text: StatementText,
         at: Timestamp,
     ) {
-        let marked = statement_comment::read(&text.text);
+        let marked = statement_comment::parse(&text.text);
         let length = text.text.len();
         let (workload, marked) = match marked.and_then(|m| Ok((self.routable(&m, length)?, m))) {
             Ok(marked) => marked,
@@ -528,16 +530,16 @@
             tenant: 0,
             group: marked.group,
             session,
-            is_client_retry: marked.repeat,
+            is_client_retry: marked.is_client_retry,
             time_left: times_out - now,
             expected_work: None,
             prior_attempt: None,
             session_write_age: marked
-                .after
-                .and_then(replica_status::unix)
+                .required_position_ms
+                .and_then(replica_status::unix_timestamp)
                 .map(|after| now - after),
         };
-        let taken = self.asks_others(now, (marked.id, marked.repeat), taken, times_out);
+        let taken = self.asks_others(now, (marked.id_hash, marked.is_client_retry), taken, times_out);
         if let Some(taken) = taken {
             let results = self.module.on_statement(now, &taken);
             self.carry_out(now, results);
@@ -545,15 +547,15 @@
     }
 
     /// The workload of a statement that can be routed.
-    fn routable(&self, marked: &Marked, length: usize) -> Result<usize, Unreadable> {
-        if self.statements.find(marked.id).is_some() {
-            return Err(statement_comment::SAME_ID);
+    fn routable(&self, marked: &StatementComment, length: usize) -> Result<usize, StatementError> {
+        if self.statements.find(marked.id_hash).is_some() {
+            return Err(statement_comment::DUPLICATE_ID);
         }
         if !self.members.has_group(marked.group) {
-            return Err(statement_comment::NO_GROUP);
+            return Err(statement_comment::UNKNOWN_GROUP);
         }
         let known = self.workloads.find(&marked.workload);
-        let workload = known.ok_or(statement_comment::NO_WORKLOAD)?;
+        let workload = known.ok_or(statement_comment::UNKNOWN_WORKLOAD)?;
         match self.workloads.get(workload).limits.max_bytes {
             Some(longest) if length > longest => Err(statement_comment::TOO_LARGE),
             _ => Ok(workload),
@@ -561,7 +563,7 @@
     }
 
     /// Gives a statement its one final answer; a later one finds it gone.
-    fn answer(&mut self, stmt: u32, answer: Final) -> bool {
+    fn answer(&mut self, stmt: u32, answer: FinalAnswer) -> bool {
         let Some(StatementOrigin { client, number, .. }) = self.statements.remove(stmt) else {
             self.metrics.late_answers_dropped += 1;
             return false;
@@ -727,7 +729,7 @@
                     _ if !may_go => self.metrics.answers_too_old += 1,
                     // The first whole answer goes to the client as the bytes that came.
                     (Reply::Rows(rows), RequestKind::Execution(AttemptId { statement: stmt, .. })) => {
-                        let answered = self.answer(stmt, Final::Rows(rows));
+                        let answered = self.answer(stmt, FinalAnswer::Rows(rows));
                         self.metrics.completed += u64::from(answered);
                     }
                     (Reply::Malformed, _) => {
@@ -774,7 +776,7 @@
         let row = row.and_then(|v| std::str::from_utf8(v).ok());
         let read = |text: Option<&str>| {
             text.map_or(ReplicaStatus::default(), |t| {
-                replica_status::report(t, position, role)
+                replica_status::parse_load_report(t, position, role)
             })
         };
         read(row).merge(read(beside.as_deref()))
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -2,7 +2,7 @@
 //! connections over, takes them back, and holds to what binds both.
 
 use super::{EventLoop, Learned, Moved, Observer, ADOPTED};
-use crate::protocol::client_session::ClientCommand;
+use crate::protocol::client_events::ClientCommand;
 use crate::protocol::replica_status;
 use crate::routing::execution_outcomes;
 use crate::routing::member_requests::AdoptedConnection;
@@ -74,8 +74,11 @@
             } => self.members.find(member).map(|m| {
                 self.member_requests.close_idle(m);
                 self.metrics.drains_from_beside += 1;
-                self.module
-                    .on_member_update(now, m, MemberUpdate::Draining(replica_status::unix(*since_ms)))
+                self.module.on_member_update(
+                    now,
+                    m,
+                    MemberUpdate::Draining(replica_status::unix_timestamp(*since_ms)),
+                )
             }),
             CoServingMessage::Acknowledged => None,
         };
--- a/crates/driver/src/routing/events.rs
+++ b/crates/driver/src/routing/events.rs
@@ -1,7 +1,7 @@
 //! Events in the queue of the event loop.
 
 use super::gossip::GossipMessage;
-use crate::protocol::client_session::{ClientCommand, ClientEvent};
+use crate::protocol::client_events::{ClientCommand, ClientEvent};
 use crate::protocol::discovery_watch::DiscoveryMessage;
 use crate::protocol::member_connection::MemberEvent;
 use crate::transport::listener::AcceptEvent;
--- a/crates/driver/src/routing/execution_outcomes.rs
+++ b/crates/driver/src/routing/execution_outcomes.rs
@@ -1,7 +1,7 @@
 //! Translates replies of members into execution outcomes, and answers of the policy into final answers for clients.
 
 use super::metrics::Metrics;
-use crate::protocol::client_session::Final;
+use crate::protocol::client_events::FinalAnswer;
 use crate::protocol::member_connection::Reply;
 use asterlatch::interface::{Answer, ExecutionOutcome};
 use asterlatch::time::TimeSpan;
@@ -61,7 +61,7 @@
     /// Id of the statement.
     pub statement: u32,
     /// What its client receives.
-    pub answer: Final,
+    pub answer: FinalAnswer,
 }
 
 /// The final answer that a client receives for an answer of the policy.
@@ -82,19 +82,19 @@
 }
 
 /// Not executed, or harmless to execute again.
-pub fn rejected(retry_after: TimeSpan) -> Final {
-    Final::Error {
+pub fn rejected(retry_after: TimeSpan) -> FinalAnswer {
+    FinalAnswer::Error {
         code: TOO_MANY_CONNECTIONS,
         message: "not executed, or harmless to execute again",
-        hold_off_ms: Some(retry_after.0 / 1000).filter(|ms| *ms > 0),
+        retry_after_ms: Some(retry_after.0 / 1000).filter(|ms| *ms > 0),
     }
 }
 
 /// The statement may have been executed.
-pub fn aborted() -> Final {
-    Final::Error {
+pub fn aborted() -> FinalAnswer {
+    FinalAnswer::Error {
         code: COMPLETION_UNKNOWN,
         message: "the statement may have been executed",
-        hold_off_ms: None,
+        retry_after_ms: None,
     }
 }
--- a/crates/driver/src/routing/members.rs
+++ b/crates/driver/src/routing/members.rs
@@ -1,8 +1,8 @@
 //! The member directory: names of members, zones and workloads as the small ids that the routing policy uses.
 
-use crate::protocol::endpoint_list::{Endpoint, Status};
+use crate::protocol::endpoint_list::{Endpoint, EndpointStatus};
 use crate::protocol::replica_status;
-use crate::protocol::statement_comment::hashed;
+use crate::protocol::statement_comment::hash_id;
 use asterlatch::interface::{MemberEntry, MemberState};
 use asterlatch_settings::word;
 use serde::{Deserialize, Serialize};
@@ -142,7 +142,7 @@
     /// Adds or updates a member, and returns its entry for the policy; `None` if its address can't be read.
     pub fn upsert(&mut self, endpoint: &Endpoint) -> Option<MemberEntry> {
         let address = endpoint.address.parse().ok();
-        let is_deleted = endpoint.status == Status::Deleted;
+        let is_deleted = endpoint.status == EndpointStatus::Deleted;
         if address.is_none() && !is_deleted {
             return None;
         }
@@ -158,13 +158,13 @@
             zone: self.zones.intern(&word(&endpoint.zone)) as u16,
             group: endpoint.group,
             state: match endpoint.status {
-                Status::Serving => MemberState::Ready,
-                Status::Draining => MemberState::Draining,
-                Status::Deleted => MemberState::Gone,
+                EndpointStatus::Serving => MemberState::Ready,
+                EndpointStatus::Draining => MemberState::Draining,
+                EndpointStatus::Deleted => MemberState::Gone,
             },
             listed_as_primary: endpoint.is_primary,
             capacity: endpoint.weight,
-            started_at: replica_status::unix(endpoint.since_ms),
+            started_at: replica_status::unix_timestamp(endpoint.since_ms),
         })
     }
 
@@ -188,10 +188,10 @@
 
 /// Key of a driver or member by its name, the same at all drivers.
 pub fn fleet_key(name: &str) -> u64 {
-    hashed(name)
+    hash_id(name)
 }
 
 /// Key of the session with this routing key; zero stands for no session.
 pub fn session_key(routing_key: &str) -> u64 {
-    hashed(routing_key).max(1)
+    hash_id(routing_key).max(1)
 }
--- a/crates/driver/src/routing/statements.rs
+++ b/crates/driver/src/routing/statements.rs
@@ -1,8 +1,8 @@
 //! Open statements: accepted, and without a final answer yet.
 
-use crate::protocol::client_session::Text;
+use crate::protocol::client_events::StatementText;
 use crate::protocol::messages;
-use crate::protocol::statement_comment::{self, Marked};
+use crate::protocol::statement_comment::{self, StatementComment};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -23,9 +23,9 @@
     /// Where it comes from.
     pub origin: StatementOrigin,
     /// The statement as it was sent.
-    pub text: Text,
+    pub text: StatementText,
     /// Fields of its comment.
-    pub fields: &'a Marked,
+    pub fields: &'a StatementComment,
     /// When it was received.
     pub received_at: Timestamp,
     /// Upper bound for its timeout.
@@ -71,7 +71,7 @@
     origin: StatementOrigin,
     client_id: u64,
     is_client_retry_safe: bool,
-    text: Text,
+    text: StatementText,
     /// Where the digits of the time left stand in the text.
     time_left_range: Range<usize>,
     deadline: Timestamp,
@@ -108,14 +108,14 @@
     pub fn insert(&mut self, new: NewStatement) -> OpenedStatement {
         self.last_id = self.last_id.wrapping_add(1);
         let id = self.last_id;
-        let timeout = TimeSpan::millis(new.fields.left_ms).min(new.max_timeout);
+        let timeout = TimeSpan::millis(new.fields.time_left_ms).min(new.max_timeout);
         let deadline = new.received_at + timeout;
         let statement = OpenStatement {
             origin: new.origin,
-            client_id: new.fields.id,
+            client_id: new.fields.id_hash,
             is_client_retry_safe: new.is_client_retry_safe,
             text: new.text,
-            time_left_range: new.fields.left_at.clone(),
+            time_left_range: new.fields.time_left_range.clone(),
             deadline,
             attempts: 0,
             workload: new.workload,
@@ -172,7 +172,7 @@
         let statement = self.open.get(&id)?;
         let text = statement.text.text.as_bytes();
         let time_left_ms = (deadline - now).0 / 1000;
-        let text = statement_comment::with_left(text, &statement.time_left_range, time_left_ms);
+        let text = statement_comment::with_time_left(text, &statement.time_left_range, time_left_ms);
         let mut query = Vec::with_capacity(text.len() + 8);
         messages::put_query(&mut query, &text);
         Some(query)
--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -2,7 +2,7 @@
 
 mod stand;
 use asterlatch::interface::MemberState;
-use asterlatch_driver::protocol::endpoint_list::{Endpoint, Status};
+use asterlatch_driver::protocol::endpoint_list::{Endpoint, EndpointStatus};
 use asterlatch_driver::routing::members::{DirectorySize, MemberDirectory, MemberIdentity};
 use asterlatch_handover::codec::{send, FrameReader, Received};
 use asterlatch_handover::message::{HandoverMessage, VERSION};
@@ -20,7 +20,7 @@
         .collect()
 }
 
-fn entry(name: &str, group: u32, status: Status) -> Endpoint {
+fn entry(name: &str, group: u32, status: EndpointStatus) -> Endpoint {
     Endpoint {
         name: name.to_owned(),
         address: format!("10.0.0.{group}:5432"),
@@ -37,10 +37,10 @@
 fn members() -> MemberDirectory {
     let mut members = MemberDirectory::new(&["zone-1".to_owned()]);
     let entries = [
-        entry("m-1", 1, Status::Serving),
-        entry("m-gone", 1, Status::Serving),
-        entry("m-2", 2, Status::Draining),
-        entry("m-3", 1, Status::Deleted),
+        entry("m-1", 1, EndpointStatus::Serving),
+        entry("m-gone", 1, EndpointStatus::Serving),
+        entry("m-2", 2, EndpointStatus::Draining),
+        entry("m-3", 1, EndpointStatus::Deleted),
     ];
     for e in &entries {
         members.upsert(e).expect("has an address");
@@ -68,11 +68,11 @@
     assert!(read.has_group(1) && read.has_group(2) && !read.has_group(3));
     // Ids and zones go on from where they were.
     let next = read
-        .upsert(&entry("m-4", 3, Status::Serving))
+        .upsert(&entry("m-4", 3, EndpointStatus::Serving))
         .expect("is learned");
     assert_eq!((next.id, next.zone, next.state), (4, 2, MemberState::Ready));
     let known = read
-        .upsert(&entry("m-2", 2, Status::Serving))
+        .upsert(&entry("m-2", 2, EndpointStatus::Serving))
         .expect("is learned");
     assert_eq!((known.id, known.zone), (2, 1));
 }
--- a/crates/driver/tests/protocol.rs
+++ b/crates/driver/tests/protocol.rs
@@ -2,12 +2,14 @@
 
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_driver::protocol::client_session::{self, ClientCommand, Final, Session};
-use asterlatch_driver::protocol::endpoint_list::{self, Status};
-use asterlatch_driver::protocol::http::{self, Answer};
-use asterlatch_driver::protocol::member_connection::{self, Executions, MemberCommand, Reply};
-use asterlatch_driver::protocol::messages::{self, Front};
-use asterlatch_driver::protocol::statement_comment::{self, Marked};
+use asterlatch_driver::protocol::client_events::{self, ClientCommand, FinalAnswer};
+use asterlatch_driver::protocol::client_session::ClientSession;
+use asterlatch_driver::protocol::endpoint_list::{self, EndpointStatus};
+use asterlatch_driver::protocol::http::{self, Response};
+use asterlatch_driver::protocol::member_connection::{self, MemberCommand, MemberConnection, Reply};
+use asterlatch_driver::protocol::messages::{self, NextMessage};
+use asterlatch_driver::protocol::startup;
+use asterlatch_driver::protocol::statement_comment::{self, StatementComment};
 use asterlatch_driver::protocol::{discovery_watch, replica_status};
 use asterlatch_driver::transport::connection::{ConnectionHandler, ConnectionOutput};
 use asterlatch_driver::transport::memory_budget::MemoryBudget;
@@ -29,15 +31,15 @@
 }
 
 /// A client's connection, and room for so many bytes of statements.
-fn session(room: usize) -> Session {
-    Session::new(1, MemoryBudget::new(room))
+fn session(room: usize) -> ClientSession {
+    ClientSession::new(1, MemoryBudget::new(room))
 }
 
 /// Statements that wait fill no more than their part of the memory; what comes beyond is told so at once.
 #[test]
 fn statements_fill_no_more_than_their_room() {
     let (room, mut input) = (MemoryBudget::new(20), Vec::new());
-    let mut sessions = [1, 2, 3].map(|n| (Session::new(n, room.clone()), ConnectionOutput::default()));
+    let mut sessions = [1, 2, 3].map(|n| (ClientSession::new(n, room.clone()), ConnectionOutput::default()));
     for (n, (session, out)) in sessions.iter_mut().enumerate() {
         input.extend([greeted(), query("SELECT 1")].concat());
         session.on_input(&mut input, AT, out);
@@ -51,8 +53,8 @@
     // An answer that was begun is held whatever it takes, and statements find no room meanwhile.
     let mut unwritten = room.empty_reservation();
     unwritten.force_resize(50);
-    assert!(room.reserved() == 50 && client_session::Text::new("SELECT 1", &room).is_none());
-    assert!(unwritten.resize(9) && client_session::Text::new("SELECT 1", &room).is_some());
+    assert!(room.reserved() == 50 && client_events::StatementText::new("SELECT 1", &room).is_none());
+    assert!(unwritten.resize(9) && client_events::StatementText::new("SELECT 1", &room).is_some());
 }
 
 /// What is begun and not ended: said once a message, and ended with a word; who has asked before and begun nothing goes
@@ -97,11 +99,15 @@
     input.extend(&query("SELECT 1")[query("SELECT 1").len() / 2..]);
     session.on_input(&mut input, AT, &mut out);
     assert_eq!(client_news(&out.events), "idle writing stmt(SELECT 1)");
-    session.on_command(ClientCommand::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
+    session.on_command(
+        ClientCommand::Answer(0, FinalAnswer::Rows(Vec::new())),
+        AT,
+        &mut out,
+    );
     assert_eq!(leaves(&mut session, &mut input, &mut out), "", "it has asked");
     // Told to leave in the middle of one that it doesn't end.
     let (mut session, mut out) = (
-        Session::new(1, MemoryBudget::new(1 << 20)),
+        ClientSession::new(1, MemoryBudget::new(1 << 20)),
         ConnectionOutput::default(),
     );
     input.extend(after(&half(&query("SELECT 1"))));
@@ -119,7 +125,7 @@
     input.clear();
     // Told to leave with statements behind the one that is out: they have come, so all are answered.
     let (mut session, mut out) = (
-        Session::new(1, MemoryBudget::new(1 << 20)),
+        ClientSession::new(1, MemoryBudget::new(1 << 20)),
         ConnectionOutput::default(),
     );
     input.extend(after(&[query("a"), query("b"), query("c")].concat()));
@@ -127,14 +133,18 @@
     session.on_command(ClientCommand::Drain, AT, &mut out);
     for n in 0..3 {
         assert!(!out.close, "{n}");
-        session.on_command(ClientCommand::Answer(n, Final::Rows(Vec::new())), AT, &mut out);
+        session.on_command(
+            ClientCommand::Answer(n, FinalAnswer::Rows(Vec::new())),
+            AT,
+            &mut out,
+        );
         session.on_input(&mut input, AT, &mut out);
     }
     assert_eq!(leaves(&mut session, &mut input, &mut out), "");
     assert_eq!(client_news(&out.events), "idle stmt(a) stmt(b) stmt(c) idle");
     // Told to leave while a statement lies at the socket: it came to a connection that stood, and is answered.
     let (mut session, mut out) = (
-        Session::new(1, MemoryBudget::new(1 << 20)),
+        ClientSession::new(1, MemoryBudget::new(1 << 20)),
         ConnectionOutput::default(),
     );
     input.extend(greeted());
@@ -146,15 +156,19 @@
     session.on_all_read(&mut out);
     assert!(!out.close);
     assert_eq!(client_news(&out.events), "idle stmt(a)");
-    session.on_command(ClientCommand::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
+    session.on_command(
+        ClientCommand::Answer(0, FinalAnswer::Rows(Vec::new())),
+        AT,
+        &mut out,
+    );
     assert_eq!(leaves(&mut session, &mut input, &mut out), "");
 }
 
 /// It looks once more at its socket, finds nothing, and ends; says with what word.
 fn leaves(
-    session: &mut Session,
+    session: &mut ClientSession,
     input: &mut Vec<u8>,
-    out: &mut ConnectionOutput<client_session::ClientEvent>,
+    out: &mut ConnectionOutput<client_events::ClientEvent>,
 ) -> String {
     session.on_input(input, AT, out);
     assert!(
@@ -174,24 +188,26 @@
 }
 
 fn greeted() -> Vec<u8> {
-    startup(messages::VERSION, b"user\0api\0database\0ledger\0\0")
+    startup(startup::VERSION, b"user\0api\0database\0ledger\0\0")
 }
 
 /// Kinds of the messages, errors with their code and detail; a letter that is no message stands alone.
 fn spoken(mut bytes: &[u8]) -> String {
     let mut said = Vec::new();
     while !bytes.is_empty() {
-        match messages::front(bytes, QUERY) {
-            Front::Message {
+        match messages::next_message(bytes, QUERY) {
+            NextMessage::Complete {
                 kind: b'E',
                 body,
-                whole,
+                length: whole,
             } => {
                 let field = |f| messages::error_field(body, f).unwrap_or_default();
                 said.push(format!("E{}{}", field(b'C'), field(b'D')));
                 bytes = &bytes[whole..];
             }
-            Front::Message { kind, whole, .. } => {
+            NextMessage::Complete {
+                kind, length: whole, ..
+            } => {
                 said.push((kind as char).to_string());
                 bytes = &bytes[whole..];
             }
@@ -204,18 +220,18 @@
     said.join(" ")
 }
 
-fn client_news(notices: &[client_session::ClientEvent]) -> String {
+fn client_news(notices: &[client_events::ClientEvent]) -> String {
     let told = notices.iter();
     let words = told.map(|n| match n {
-        client_session::ClientEvent::Transferred { .. } => "moved".to_owned(),
-        client_session::ClientEvent::Statement { text, .. } => format!("stmt({})", text.text),
-        client_session::ClientEvent::Idle { .. } => "idle".to_owned(),
-        client_session::ClientEvent::PartialMessage { .. } => "writing".to_owned(),
-        client_session::ClientEvent::Malformed => "malformed".to_owned(),
-        client_session::ClientEvent::Oversized => "oversized".to_owned(),
-        client_session::ClientEvent::OutOfMemory => "no room".to_owned(),
-        client_session::ClientEvent::HalfClosed { .. } => "half closed".to_owned(),
-        client_session::ClientEvent::Closed { .. } => "gone".to_owned(),
+        client_events::ClientEvent::Transferred { .. } => "moved".to_owned(),
+        client_events::ClientEvent::Statement { text, .. } => format!("stmt({})", text.text),
+        client_events::ClientEvent::Idle { .. } => "idle".to_owned(),
+        client_events::ClientEvent::PartialMessage { .. } => "writing".to_owned(),
+        client_events::ClientEvent::Malformed => "malformed".to_owned(),
+        client_events::ClientEvent::Oversized => "oversized".to_owned(),
+        client_events::ClientEvent::OutOfMemory => "no room".to_owned(),
+        client_events::ClientEvent::HalfClosed { .. } => "half closed".to_owned(),
+        client_events::ClientEvent::Closed { .. } => "gone".to_owned(),
     });
     words.collect::<Vec<_>>().join(" ")
 }
@@ -245,8 +261,8 @@
     #[rustfmt::skip]
     let cases: Vec<(&str, Vec<u8>, String, &str, bool)> = vec![
         ("startup", hello.clone(), welcome(""), "idle", false),
-        ("startup without fields", startup(messages::VERSION, b"\0"), welcome(""), "idle", false),
-        ("newer minor version", startup(messages::VERSION + 2, b"user\0a\0_pq_.x\0y\0\0"), format!("v {WELCOME}"), "idle", false),
+        ("startup without fields", startup(startup::VERSION, b"\0"), welcome(""), "idle", false),
+        ("newer minor version", startup(startup::VERSION + 2, b"user\0a\0_pq_.x\0y\0\0"), format!("v {WELCOME}"), "idle", false),
         ("encryption asked for", [&startup(80_877_103, b"")[..], &hello].concat(), format!("N! {WELCOME}"), "idle", false),
         ("empty query", after(&query("")), welcome(" I Z"), "idle", false),
         ("only a semicolon", after(&query(" ;\n")), welcome(" I Z"), "idle", false),
@@ -256,7 +272,7 @@
         ("terminate", after(&message(b'X', b"")), welcome(""), "idle", true),
         ("cancel request", startup(80_877_102, &[0; 8]), String::new(), "", true),
         ("older protocol", startup(2 << 16, b"user\0a\0\0"), "E08P01".into(), "malformed", true),
-        ("field without value", startup(messages::VERSION, b"user\0\0"), "E08P01".into(), "malformed", true),
+        ("field without value", startup(startup::VERSION, b"user\0\0"), "E08P01".into(), "malformed", true),
         ("startup of no length", vec![0, 0, 0, 7, 0, 3, 0, 0], "E08P01".into(), "malformed", true),
         ("startup of absurd length", vec![0, 1, 0, 0, 0, 3, 0, 0], "E08P01".into(), "malformed", true),
         ("not the protocol at all", b"GET / HTTP/1.1\r\n\r\n".to_vec(), "E08P01".into(), "malformed", true),
@@ -289,31 +305,43 @@
     input.extend([greeted(), query("a"), query("b"), query("c")].concat());
     session.on_input(&mut input, AT, &mut out);
     out.bytes.clear();
-    let hold = Final::Error {
+    let hold = FinalAnswer::Error {
         code: "53300",
         message: "m",
-        hold_off_ms: Some(250),
+        retry_after_ms: Some(250),
     };
-    let fail = Final::Error {
+    let fail = FinalAnswer::Error {
         code: "40003",
         message: "m",
-        hold_off_ms: None,
+        retry_after_ms: None,
     };
     let rows = [message(b'T', b"t"), message(b'D', b"d"), message(b'C', b"c")].concat();
     // What is said, what goes out, and whether the connection ends.
     let steps = [
         (ClientCommand::Answer(2, fail), "", false),
         (
-            ClientCommand::Answer(0, Final::Rows(rows.clone())),
+            ClientCommand::Answer(0, FinalAnswer::Rows(rows.clone())),
             "T D C Z",
             false,
         ),
-        (ClientCommand::Answer(0, Final::Rows(rows.clone())), "", false),
+        (
+            ClientCommand::Answer(0, FinalAnswer::Rows(rows.clone())),
+            "",
+            false,
+        ),
         (ClientCommand::Drain, "", false),
-        (ClientCommand::Answer(2, Final::Rows(rows.clone())), "", false),
+        (
+            ClientCommand::Answer(2, FinalAnswer::Rows(rows.clone())),
+            "",
+            false,
+        ),
         (ClientCommand::Answer(1, hold), "E53300250 Z E40003 Z", true),
         // Whatever else comes after the end, which is there once nothing more lies at the socket.
-        (ClientCommand::Answer(1, Final::Rows(rows.clone())), "", true),
+        (
+            ClientCommand::Answer(1, FinalAnswer::Rows(rows.clone())),
+            "",
+            true,
+        ),
         (ClientCommand::Reject, "", true),
     ];
     for (n, (say, said, close)) in steps.into_iter().enumerate() {
@@ -342,18 +370,26 @@
     let open = out
         .events
         .iter()
-        .filter(|n| matches!(n, client_session::ClientEvent::Statement { .. }))
+        .filter(|n| matches!(n, client_events::ClientEvent::Statement { .. }))
         .count();
     assert!(open < 20 && !session.wants_input(20_000), "{open}");
     out.bytes.clear();
-    session.on_command(ClientCommand::Answer(2, Final::Rows(Vec::new())), AT, &mut out);
+    session.on_command(
+        ClientCommand::Answer(2, FinalAnswer::Rows(Vec::new())),
+        AT,
+        &mut out,
+    );
     assert!(out.bytes.is_empty(), "those before it have no answer");
-    session.on_command(ClientCommand::Answer(0, Final::Rows(Vec::new())), AT, &mut out);
+    session.on_command(
+        ClientCommand::Answer(0, FinalAnswer::Rows(Vec::new())),
+        AT,
+        &mut out,
+    );
     assert_eq!(spoken(&out.bytes), "Z I Z Z");
     for number in (1..600).filter(|n| *n != 2) {
         session.on_input(&mut input, AT, &mut out);
         session.on_command(
-            ClientCommand::Answer(number, Final::Rows(Vec::new())),
+            ClientCommand::Answer(number, FinalAnswer::Rows(Vec::new())),
             AT,
             &mut out,
         );
@@ -508,13 +544,13 @@
 }
 
 /// A connection whose query has gone out.
-fn greeted_member() -> (Executions, ConnectionOutput<member_connection::MemberEvent>) {
-    let mut member = Executions::new(1, QUERY);
+fn greeted_member() -> (MemberConnection, ConnectionOutput<member_connection::MemberEvent>) {
+    let mut member = MemberConnection::new(1, QUERY);
     let out = greet(&mut member);
     (member, out)
 }
 
-fn greet(member: &mut Executions) -> ConnectionOutput<member_connection::MemberEvent> {
+fn greet(member: &mut MemberConnection) -> ConnectionOutput<member_connection::MemberEvent> {
     let mut out = ConnectionOutput::default();
     member.on_open(&mut out);
     member.on_command(MemberCommand::Query(query("q")), AT, &mut out);
@@ -551,7 +587,7 @@
         ("while idle", vec![greeting.clone(), row, ready], 2, vec!["up", "rows(v)", "unwritten"]),
     ];
     for (name, came, written, told) in cases {
-        let (mut member, mut out) = (Executions::new(1, QUERY), ConnectionOutput::default());
+        let (mut member, mut out) = (MemberConnection::new(1, QUERY), ConnectionOutput::default());
         member.on_command(MemberCommand::Query(query("q")), AT, &mut out);
         member.on_open(&mut out);
         let mut left = written;
@@ -576,15 +612,15 @@
 
 #[test]
 fn the_comment_is_read_whatever_its_order() {
-    let marked = |workload: &str, group, left_ms, repeat, after, key: Option<&str>| Marked {
-        id: 0,
+    let marked = |workload: &str, group, left_ms, repeat, after, key: Option<&str>| StatementComment {
+        id_hash: 0,
         workload: workload.to_owned(),
         group,
-        left_ms,
-        repeat,
-        after,
+        time_left_ms: left_ms,
+        is_client_retry: repeat,
+        required_position_ms: after,
         key: key.map(str::to_owned),
-        left_at: 0..0,
+        time_left_range: 0..0,
     };
     #[rustfmt::skip]
     let cases = [
@@ -604,22 +640,22 @@
         ("/* id=1,c=a,d=1,cluster=1,after=x */ SELECT 1", Err("22023")),
     ];
     for (text, expected) in cases {
-        match (statement_comment::read(text), expected) {
+        match (statement_comment::parse(text), expected) {
             (Ok(found), Ok(expected)) => {
-                let left_at = found.left_at.clone();
-                assert_eq!(text[left_at.clone()], expected.left_ms.to_string(), "{text}");
-                let passed = statement_comment::with_left(text.as_bytes(), &left_at, 7);
+                let left_at = found.time_left_range.clone();
+                assert_eq!(text[left_at.clone()], expected.time_left_ms.to_string(), "{text}");
+                let passed = statement_comment::with_time_left(text.as_bytes(), &left_at, 7);
                 let passed = String::from_utf8(passed).expect("stays text");
                 assert_eq!(
                     passed,
-                    text.replacen(&format!("d={}", expected.left_ms), "d=7", 1)
+                    text.replacen(&format!("d={}", expected.time_left_ms), "d=7", 1)
                 );
-                let id = found.id;
+                let id = found.id_hash;
                 assert_eq!(
                     found,
-                    Marked {
-                        id,
-                        left_at,
+                    StatementComment {
+                        id_hash: id,
+                        time_left_range: left_at,
                         ..expected
                     },
                     "{text}"
@@ -629,7 +665,7 @@
         }
     }
     let id = |id: &str| {
-        statement_comment::read(&format!("/* id={id},c=a,d=1,cluster=1 */ SELECT 1")).map(|m| m.id)
+        statement_comment::parse(&format!("/* id={id},c=a,d=1,cluster=1 */ SELECT 1")).map(|m| m.id_hash)
     };
     assert!(id("7").is_ok() && id("7") == id("7") && id("7") != id("8"));
 }
@@ -640,7 +676,7 @@
     #[rustfmt::skip]
     let cases = [(0, 135_168), (1 << 20, 135_168), (8 << 20, 512 << 10), (48 << 20, 3 << 20), (1 << 40, 16 << 20)];
     for (room, bound) in cases {
-        assert_eq!(messages::bound(room), bound);
+        assert_eq!(messages::max_message(room), bound);
     }
     let value = vec![b'x'; 300_000];
     let answer = [
@@ -651,7 +687,7 @@
     ]
     .concat();
     for (room, news) in [(1 << 20, "malformed"), (8 << 20, "rows")] {
-        let mut member = Executions::new(1, messages::bound(room));
+        let mut member = MemberConnection::new(1, messages::max_message(room));
         let mut out = greet(&mut member);
         hear(&mut member, &answer, 10_000, &mut out);
         assert!(member_news(&out.events)[0].starts_with(news), "{room}");
@@ -676,13 +712,13 @@
     ];
     for (text, expected) in cases {
         assert_eq!(
-            replica_status::report(text, Some("x0"), Some("x1")),
+            replica_status::parse_load_report(text, Some("x0"), Some("x1")),
             expected,
             "{text}"
         );
     }
     assert_eq!(
-        replica_status::report("x0=5,x1=1", None, None),
+        replica_status::parse_load_report("x0=5,x1=1", None, None),
         ReplicaStatus::default()
     );
     for (text, expected) in [
@@ -692,39 +728,39 @@
         ("18446744073709551615", None),
         ("5.5", None),
     ] {
-        assert_eq!(replica_status::position(text), expected, "{text}");
+        assert_eq!(replica_status::parse_position(text), expected, "{text}");
     }
 }
 
 #[test]
 fn discovery_is_read_or_left_out() {
-    let whole = |status, body: &[u8], taken, keep| Answer::Whole {
+    let whole = |status, body: &[u8], taken, keep| Response::Complete {
         status,
         body: body.to_vec(),
-        taken,
-        keep,
+        length: taken,
+        keep_alive: keep,
     };
     #[rustfmt::skip]
-    let cases: Vec<(&[u8], Answer)> = vec![
+    let cases: Vec<(&[u8], Response)> = vec![
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}HT", whole(200, b"{}", 40, true)),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nConnection: close\r\n\r\n{}", whole(200, b"{}", 59, false)),
         (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", whole(503, b"", 38, true)),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n1\r\n}\r\n0\r\n\r\n", whole(200, b"{}", 64, true)),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{}", Answer::Partial),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}", Answer::Partial),
-        (b"HTTP/1.1 200 OK\r\nCont", Answer::Partial),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}x\r\n", Answer::Malformed),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", Answer::Malformed),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", Answer::Malformed),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", Answer::Malformed),
-        (b"HTTP/1.1 200 OK\r\n\r\n{}", Answer::UpToTheEnd { status: 200, from: 19 }),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n{}", Answer::Malformed),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n{}", Answer::Malformed),
-        (b"SSH-2.0-OpenSSH\r\n", Answer::Malformed),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{}", Response::Partial),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}", Response::Partial),
+        (b"HTTP/1.1 200 OK\r\nCont", Response::Partial),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}x\r\n", Response::Malformed),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", Response::Malformed),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", Response::Malformed),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", Response::Malformed),
+        (b"HTTP/1.1 200 OK\r\n\r\n{}", Response::UntilClose { status: 200, body_start: 19 }),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n{}", Response::Malformed),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n{}", Response::Malformed),
+        (b"SSH-2.0-OpenSSH\r\n", Response::Malformed),
     ];
     for (bytes, expected) in cases {
         assert_eq!(
-            http::answer(bytes),
+            http::parse_response(bytes),
             expected,
             "{}",
             String::from_utf8_lossy(bytes)
@@ -752,14 +788,14 @@
         ("{".to_owned(), None),
     ];
     for (text, expected) in cases {
-        let read = endpoint_list::read(text.as_bytes());
+        let read = endpoint_list::parse(text.as_bytes());
         assert_eq!(read.map(|r| (r.entries.len(), r.skipped)), expected, "{text}");
     }
-    let read = endpoint_list::read(listed(good).as_bytes()).expect("is good");
+    let read = endpoint_list::parse(listed(good).as_bytes()).expect("is good");
     let e = &read.entries[0];
     assert_eq!(
         (read.index, read.is_complete, e.status, e.group),
-        (4, false, Status::Draining, 3)
+        (4, false, EndpointStatus::Draining, 3)
     );
     assert_eq!(
         (e.weight, e.since_ms, e.is_primary, &e.zone[..]),
@@ -780,7 +816,7 @@
         (Some(7), "/registry/instances?after=7&wait_ms=500"),
     ] {
         let (mut calls, mut out) = (
-            discovery_watch::Watch::new(3, "h".to_owned(), 500, known),
+            discovery_watch::DiscoveryWatch::new(3, "h".to_owned(), 500, known),
             ConnectionOutput::default(),
         );
         calls.on_open(&mut out);
@@ -849,7 +885,7 @@
             "",
         ),
     ] {
-        let mut call = discovery_watch::Watch::new(3, "h".to_owned(), 500, Some(7));
+        let mut call = discovery_watch::DiscoveryWatch::new(3, "h".to_owned(), 500, Some(7));
         let (mut out, mut input) = (ConnectionOutput::default(), Vec::new());
         call.on_open(&mut out);
         assert!(
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -2,9 +2,9 @@
 
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_driver::protocol::client_session::{ClientCommand, ClientEvent, Final, Text};
+use asterlatch_driver::protocol::client_events::{ClientCommand, ClientEvent, FinalAnswer, StatementText};
 use asterlatch_driver::protocol::discovery_watch::{DiscoveryEvent, DiscoveryMessage};
-use asterlatch_driver::protocol::endpoint_list::{Endpoint, EndpointList, Status};
+use asterlatch_driver::protocol::endpoint_list::{Endpoint, EndpointList, EndpointStatus};
 use asterlatch_driver::protocol::member_connection::{MemberCommand, MemberEvent, Reply};
 use asterlatch_driver::protocol::messages;
 use asterlatch_driver::routing::discovery_requests::DiscoveryRequest;
@@ -59,7 +59,7 @@
     fault: Rc<RefCell<Option<i32>>>,
 }
 
-fn entry(name: &str, status: Status, is_primary: bool) -> Endpoint {
+fn entry(name: &str, status: EndpointStatus, is_primary: bool) -> Endpoint {
     Endpoint {
         name: name.to_owned(),
         address: format!("10.0.0.{}:5432", name.len()),
@@ -84,8 +84,8 @@
 /// Its primary stands at 10.0.0.1, its replica at 10.0.0.2.
 fn group() -> EndpointList {
     let (primary, replica) = (
-        entry("p", Status::Serving, true),
-        entry("rr", Status::Serving, false),
+        entry("p", EndpointStatus::Serving, true),
+        entry("rr", EndpointStatus::Serving, false),
     );
     list(1, vec![primary, replica])
 }
@@ -231,7 +231,7 @@
     fn asks_as(&mut self, client: u32, id: u32, fields: &str) {
         let text = format!("/* id={id},{fields} */ SELECT blob FROM rows WHERE handle = 'k'");
         let (number, at) = (0, self.now);
-        let text = Text::new(&text, &self.room).expect("has room");
+        let text = StatementText::new(&text, &self.room).expect("has room");
         let heard = ClientEvent::Statement {
             client,
             end: 0,
@@ -246,13 +246,15 @@
     fn told(&self, client: u32) -> String {
         let words = self.clients[&client].try_iter().map(|say| match say {
             ClientCommand::HandOver => "moves".to_owned(),
-            ClientCommand::Answer(_, Final::Rows(rows)) => {
+            ClientCommand::Answer(_, FinalAnswer::Rows(rows)) => {
                 format!("rows({})", String::from_utf8_lossy(&rows))
             }
             ClientCommand::Answer(
                 _,
-                Final::Error {
-                    code, hold_off_ms, ..
+                FinalAnswer::Error {
+                    code,
+                    retry_after_ms: hold_off_ms,
+                    ..
                 },
             ) => format!(
                 "{code}{}",
@@ -569,9 +571,9 @@
         s.event_loop
             .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }))
     };
-    let drains = |s: &mut Stage| s.changed(entry("p", Status::Draining, true));
+    let drains = |s: &mut Stage| s.changed(entry("p", EndpointStatus::Draining, true));
     let missing = |s: &mut Stage| {
-        let replica = entry("rr", Status::Serving, false);
+        let replica = entry("rr", EndpointStatus::Serving, false);
         s.event_loop.learn_roster(s.now, &list(3, vec![replica]));
     };
     type Comes = fn(&mut Stage);
@@ -718,13 +720,13 @@
         assert_eq!((s.told(1).as_str(), s.sent()), (code, None), "{fields}");
     }
     // An entry of one that is gone, with little more than its name, makes no group known.
-    let mut gone = entry("gone", Status::Deleted, false);
+    let mut gone = entry("gone", EndpointStatus::Deleted, false);
     (gone.group, gone.address) = (0, String::new());
     s.changed(gone);
     s.asks(1, "c=view,d=900,cluster=0");
     assert_eq!((s.told(1).as_str(), s.sent()), ("22023", None));
     let (client, number, at) = (1, 0, s.now);
-    let text = Text::new("SELECT 1", &s.room).expect("has room");
+    let text = StatementText::new("SELECT 1", &s.room).expect("has room");
     s.event_loop.take(
         s.now,
         Event::Client(ClientEvent::Statement {
@@ -800,7 +802,7 @@
     s.asks(1, POST);
     let (connection, _) = s.sent().expect("is sent at once");
     s.reply(connection, rows("v"), Some(true));
-    let mut moved = entry("p", Status::Serving, true);
+    let mut moved = entry("p", EndpointStatus::Serving, true);
     moved.address = "10.0.0.9:5432".to_owned();
     s.changed(moved);
     s.asks(1, POST);
@@ -851,7 +853,7 @@
         "{pauses:?}"
     );
     // An entry that can't be reached is left out; an empty change changes nothing.
-    let mut lost = entry("lost", Status::Serving, false);
+    let mut lost = entry("lost", EndpointStatus::Serving, false);
     lost.address = "nowhere".to_owned();
     s.changed(lost);
     assert_eq!(s.event_loop.metrics.roster_entries_left_out, 1);
@@ -872,8 +874,8 @@
                 ..entry(name, status, false)
             }
         };
-        s.changed(at(&name, Status::Serving));
-        s.changed(entry(&old, Status::Draining, false));
+        s.changed(at(&name, EndpointStatus::Serving));
+        s.changed(entry(&old, EndpointStatus::Draining, false));
         s.pass(300);
         while let Some((connection, _)) = s.sent() {
             s.reply(connection, rows("v"), Some(false));
@@ -882,7 +884,7 @@
         let (connection, _) = s.sent().expect("is sent at once");
         s.reply(connection, rows("v"), Some(false));
         used.push(connection);
-        s.changed(entry(&old, Status::Deleted, false));
+        s.changed(entry(&old, EndpointStatus::Deleted, false));
         s.pass(50);
         old = name;
     }
@@ -1117,10 +1119,10 @@
             memory,
         },
     );
-    let held = Text::new(&"x".repeat(60), &s.room).expect("has room");
-    assert!(Text::new(&"x".repeat(60), &s.room).is_none());
+    let held = StatementText::new(&"x".repeat(60), &s.room).expect("has room");
+    assert!(StatementText::new(&"x".repeat(60), &s.room).is_none());
     drop(held);
-    assert!(Text::new(&"x".repeat(60), &s.room).is_some());
+    assert!(StatementText::new(&"x".repeat(60), &s.room).is_some());
 }
 
 #[test]
@@ -1185,7 +1187,7 @@
 fn a_probe_tells_position_and_role() {
     let mut s = Stage::new(SETTINGS, 1024, 192 << 20);
     assert!(s.event_loop.metrics.probes_answered > 0);
-    let asked = messages::probe(true);
+    let asked = messages::health_check(true);
     assert!(asked.windows(11).any(|w| w == b"SHOW vitals"));
     // The replica owes an answer for long enough to be shunned, and is probed until it speaks.
     s.client(1);
