--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::comment::hashed;
 use crate::protocol::roster::{self, EndpointList};
-use crate::routing::event_loop::Given;
+use crate::routing::runtime_config::RuntimeConfig;
 use asterlatch::interface::Settings;
 use asterlatch_settings::{Decoding, Pairs};
 use serde_json::Value;
@@ -11,7 +11,7 @@
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    pub given: Given,
+    pub runtime: RuntimeConfig,
     pub seed: u64,
     pub known: Option<EndpointList>,
     pub settings: (Settings, Decoding),
@@ -62,10 +62,10 @@
     Ok(Config {
         name: text("name", "RELAY_NAME").unwrap_or_default(),
         listen: address("listen", "RELAY_LISTEN")?,
-        given: Given {
+        runtime: RuntimeConfig {
             discovery: address("discovery", "RELAY_DISCOVERY")?,
-            memory: limit("memory_mb", MEMORY_MB) * 1024 * 1024,
-            sockets: limit("sockets", SOCKETS),
+            max_memory: limit("memory_mb", MEMORY_MB) * 1024 * 1024,
+            max_descriptors: limit("sockets", SOCKETS),
         },
         seed: seed(value.get("seed").and_then(Value::as_str).unwrap_or_default()),
         known: value.get("known").and_then(roster::from_value),
--- a/crates/driver/src/program/kept.rs
+++ b/crates/driver/src/program/kept.rs
@@ -1,6 +1,6 @@
 //! Copies of the connections of clients that another process serves on probation, with the ledger of what it does.
 
-use crate::routing::event_loop::Moved;
+use crate::routing::handover::TransferredClient;
 use crate::transport::witness::{counts, has_given_up};
 use asterlatch_handover::codec::{FrameReader, Received};
 use asterlatch_handover::io_journal::{
@@ -37,7 +37,7 @@
 /// What was had back.
 #[derive(Default)]
 pub struct TakenBack {
-    pub clients: Vec<Moved>,
+    pub clients: Vec<TransferredClient>,
     /// Those to whom nothing whole could be said any more.
     pub cut: u64,
     /// Why nobody was, where the ledger was not whole.
@@ -156,7 +156,8 @@
         for (key, outcome) in ledger.recover_clients(since) {
             match (outcome, sockets.remove(&key)) {
                 (ClientRecovery::Resume(client, verdicts), Some((stream, _))) => {
-                    back.clients.push(Moved::from(client, None, stream, verdicts));
+                    back.clients
+                        .push(TransferredClient::new(client, None, stream, verdicts));
                 }
                 (_, socket) => {
                     back.cut += 1;
--- a/crates/driver/src/program/log.rs
+++ b/crates/driver/src/program/log.rs
@@ -77,7 +77,7 @@
 pub(crate) use log;
 
 impl Observer for Log {
-    fn say(&mut self, now: Timestamp, topic: &'static str, text: Arguments) {
+    fn log(&mut self, now: Timestamp, topic: &'static str, text: Arguments) {
         log!(self, now, topic, "{text}");
     }
 }
--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -148,8 +148,8 @@
 
 pub fn machine(config: &Config) -> Machine {
     Machine {
-        memory: config.given.memory as i64,
-        descriptors: config.given.sockets as i64,
+        memory: config.runtime.max_memory as i64,
+        descriptors: config.runtime.max_descriptors as i64,
     }
 }
 
@@ -463,7 +463,11 @@
 fn fill(event_loop: &EventLoop<Log>) -> [u64; WANTS.len()] {
     let clients = event_loop.open_clients() as u64;
     let connections = event_loop.metrics.open_member_connections;
-    [clients, clients + connections, event_loop.memory_taken() as u64]
+    [
+        clients,
+        clients + connections,
+        event_loop.reserved_memory() as u64,
+    ]
 }
 
 fn kept(meaning: &Meaning) -> usize {
@@ -471,7 +475,7 @@
 }
 
 pub fn take_over(event_loop: &mut EventLoop<Log>, phases: &mut Phases, force: &InForce) {
-    event_loop.limit(force.limits, &force.workloads);
+    event_loop.set_limits(force.limits, &force.workloads);
     event_loop.observer.lines_a_second = force.lines_a_second;
     phases.times = force.times;
 }
--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -12,8 +12,9 @@
 use crate::protocol::messages;
 use crate::protocol::session::Session;
 use crate::protocol::watch::Watch;
-use crate::routing::event_loop::{EventLoop, Place};
+use crate::routing::event_loop::{Connectors, EventLoop, EventLoopOptions};
 use crate::routing::events::{ControlEvent, Event};
+use crate::routing::handover::CoServing;
 use crate::transport::clock::Clock;
 use crate::transport::memory_budget::MemoryBudget;
 use crate::transport::{self, listener, stream};
@@ -41,49 +42,48 @@
     signals::forward(queue.clone()).map_err(|e| format!("signals: {e}"))?;
     let (to_members, to_discovery, to_operators) = (queue.clone(), queue.clone(), queue.clone());
     let (to_takeover, to_adopted, to_resumed) = (queue.clone(), queue.clone(), queue.clone());
-    let memory = config.given.rooms(&force.limits);
+    let memory = config.runtime.memory_budgets(&force.limits);
     // Discovery has one connection, whose answers have a bound of their own.
-    let (room, unbound) = (memory.1.clone(), MemoryBudget::new(usize::MAX));
+    let (room, unbound) = (memory.members.clone(), MemoryBudget::new(usize::MAX));
     let longest = messages::bound(room.capacity());
-    let (adopted_room, members_room) = memory.clone();
+    let (adopted_room, members_room) = (memory.clients.clone(), memory.members.clone());
     let witnessed = witness.clone();
-    let place = Place {
-        witness: witness.clone(),
-        members: Box::new(move |id, address| {
+    let connectors = Connectors {
+        dial_member: Box::new(move |id, address| {
             stream::dial::<_, Event>(address, Executions::new(id, longest), &to_members, (clock, &room))
         }),
-        discovery: Box::new(move |call| {
+        dial_discovery: Box::new(move |call| {
             let watch = Watch::new(call.number, call.address.to_string(), call.wait_ms, call.after);
             stream::dial::<_, Event>(call.address, watch, &to_discovery, (clock, &unbound))
         }),
-        adopt: Box::new(move |id, stream, mut standing| {
+        adopt_client: Box::new(move |id, stream, mut standing| {
             let session = Session::resume(id, adopted_room.clone(), &standing);
             let session = session.witnessed(witnessed.clone());
             let input = std::mem::take(&mut standing.input);
             stream::hold::<_, Event>(stream, true, session, &to_adopted, (clock, &adopted_room), input)
         }),
-        adopt_connection: Box::new(move |id, stream| {
+        adopt_member_connection: Box::new(move |id, stream| {
             let executions = Executions::resume(id, longest);
             let place = (clock, &members_room);
             stream::hold::<_, Event>(stream, true, executions, &to_resumed, place, Vec::new())
         }),
-        given: config.given,
+    };
+    let options = EventLoopOptions {
+        seed: config.seed,
+        connectors,
+        journal: witness.clone(),
+        config: config.runtime,
         limits: force.limits,
         memory: memory.clone(),
     };
-    let mut event_loop = EventLoop::new(
-        config.settings.clone(),
-        config.seed,
-        place,
-        clock.now(),
-        Log::default(),
-    );
+    let (settings, decoding) = &config.settings;
+    let mut event_loop = EventLoop::new(settings, decoding.clone(), options, clock.now(), Log::default());
     if let Some(resumed) = resumed {
         event_loop.resume(clock.now(), &config.settings.0, resumed.learned);
     } else if let Some(known) = &config.known {
-        event_loop.begin_with(clock.now(), known);
+        event_loop.start_with_list(clock.now(), known);
     }
-    let (clients, room) = (memory.0.clone(), memory.0);
+    let (clients, room) = (memory.clients.clone(), memory.clients);
     let session = move |id| Session::new(id, room.clone()).witnessed(witness.clone());
     let inherited = takeover.as_mut().and_then(Takeover::listener);
     let bound = inherited.map_or_else(|| TcpListener::bind(config.listen), Ok);
@@ -93,7 +93,7 @@
         takeover.commit()?;
         takeover.follow(to_takeover.clone())?;
         // What the former one may have sent since it wrote down what it knew is reckoned with from the first.
-        event_loop.share(clock.now(), true, false);
+        event_loop.set_co_serving(clock.now(), CoServing::WithPredecessor);
     }
     let (tell_asks, asks) = channel();
     let mut upgrades = Upgrades::new(config.settings_text, to_takeover.clone(), asks);
@@ -104,12 +104,12 @@
         let Some(shares) = &shares else { return Ok(None) };
         let (shared, line) =
             sharing::start(shares, &config, clock, to_sharing.clone(), given.state.as_deref())?;
-        event_loop.join(shared);
+        event_loop.join_gossip(shared);
         Ok(Some(line))
     };
     let mut control = control.map(|path| move |line| upgrade::control(path, to_takeover, tell_asks, line));
     if takeover.is_some() && shares.is_some() {
-        event_loop.mute();
+        event_loop.defer_gossip();
     }
     if takeover.is_none() {
         let line = begin_sharing(&mut event_loop)?;
@@ -120,7 +120,7 @@
     let listening =
         listener::listen::<_, Event>(listener, takeover.is_some(), queue, (clock, clients), session);
     let listening = listening.map_err(|e| format!("{}: {e}", config.listen))?;
-    event_loop.attach(listening);
+    event_loop.attach_listener(listening);
     let mut phases = Phases::default();
     operators::take_over(&mut event_loop, &mut phases, &force);
     for (topic, line) in &start.lines {
@@ -129,7 +129,7 @@
     let mut operators = Operators::new(given, start, force.takeover.0, to_operators)?;
     let mut told_to_leave = false;
     event_loop.run(&inputs, clock, |event_loop, now| {
-        for event in std::mem::take(&mut event_loop.control_events) {
+        for event in event_loop.take_control_events() {
             match event {
                 ControlEvent::Shutdown => {
                     upgrades.leave(event_loop, now);
@@ -181,7 +181,7 @@
         let seen = Seen {
             told_to_leave,
             listening: event_loop.is_listening(),
-            listener_closed: event_loop.listener_closed,
+            listener_closed: event_loop.is_listener_closed(),
             // Those on their way to another process are still held here.
             open_clients: event_loop.open_clients() + upgrades.pending(),
             open_statements: event_loop.open_statements(),
@@ -196,9 +196,9 @@
                 phase.name()
             );
             match phase {
-                Phase::Draining { .. } => event_loop.send_clients_away(),
+                Phase::Draining { .. } => event_loop.begin_drain(),
                 Phase::Stopped => {
-                    event_loop.leave_the_others();
+                    event_loop.leave_gossip();
                     return None;
                 }
                 _ => {}
@@ -216,12 +216,12 @@
     match newer {
         Ok(newer) => {
             event_loop.metrics.reloads += 1;
-            event_loop.give(now, newer.given);
+            event_loop.set_config(now, newer.runtime);
             let kept = match config.kept(&newer) {
                 kept if kept.is_empty() => String::new(),
                 kept => format!("; kept until the next start: {}", kept.join(", ")),
             };
-            let discovery = newer.given.discovery;
+            let discovery = newer.runtime.discovery;
             log!(
                 event_loop.observer,
                 now,
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -5,7 +5,9 @@
 use crate::program::config::Config;
 use crate::program::operators::registry;
 use crate::routing::events::Event;
-use crate::routing::gossip::{GossipMessage, Sharing, Terms, Word};
+use crate::routing::gossip::{
+    DriverIdentity, FleetPeers, Gossip, GossipCommand, GossipMessage, GossipSettings,
+};
 use crate::transport::clock::Clock;
 use crate::transport::datagrams::{Came, Datagrams, Waker};
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -33,7 +35,7 @@
     port: u16,
     others: Vec<Other>,
     settings: Settings,
-    terms: Terms,
+    terms: GossipSettings,
     /// Between two writings; zero keeps nothing.
     keep: TimeSpan,
 }
@@ -61,14 +63,14 @@
             file: u64::from_str_radix(canonical.get(..16).unwrap_or_default(), 16).unwrap_or(0),
             dialect: Dialect::Own,
         };
-        let terms = Terms {
+        let terms = GossipSettings {
             tick: span("tick"),
-            ask: span("ask"),
-            window: span("window"),
-            most: amount("ids") as usize,
+            query_timeout: span("ask"),
+            retry_window: span("window"),
+            max_recorded_statements: amount("ids") as usize,
             // The deployment's, put in at the start.
-            fall_span: TimeSpan(0),
-            fall_multiple: 0.0,
+            overload_window: TimeSpan(0),
+            overload_multiple: 0.0,
         };
         Some(Shares {
             port,
@@ -114,7 +116,7 @@
 }
 
 enum ToEngine {
-    Word(Word),
+    Word(GossipCommand),
     Show(Show),
 }
 
@@ -132,7 +134,7 @@
         self.waker.wake();
     }
 
-    fn tell(&self, word: Word) {
+    fn tell(&self, word: GossipCommand) {
         let _ = self.words.send(ToEngine::Word(word));
         self.waker.wake();
     }
@@ -148,7 +150,7 @@
     clock: Clock,
     queue: Sender<Event>,
     state: Option<&Path>,
-) -> Result<(Sharing, Line), String> {
+) -> Result<(Gossip, Line), String> {
     let address = SocketAddr::new(config.listen.ip(), shares.port);
     let addresses = shares.others.iter().map(|o| o.address).collect();
     let datagrams =
@@ -182,18 +184,23 @@
     let teller = line.clone();
     let peers = shares.others.iter().enumerate().filter(|(_, o)| o.asked);
     let rules = &config.settings.0;
-    let terms = Terms {
-        fall_span: rules.overload_window,
-        fall_multiple: rules.overload_multiple,
+    let terms = GossipSettings {
+        overload_window: rules.overload_window,
+        overload_multiple: rules.overload_multiple,
         ..shares.terms
     };
-    let sharing = Sharing::new(
+    let gossip = Gossip::new(
         now,
         terms,
-        peers.map(|(n, _)| n).collect(),
-        shares.settings.peers.clone(),
-        (config.name.clone(), life),
-        Box::new(move |word| teller.tell(word)),
+        DriverIdentity {
+            name: config.name.clone(),
+            incarnation: life,
+        },
+        FleetPeers {
+            names: shares.settings.peers.clone(),
+            queried: peers.map(|(n, _)| n).collect(),
+        },
+        Box::new(move |command| teller.tell(command)),
     );
     let keeping = folder
         .map(|f| Keeping::start(&f, shares.keep, now, &line))
@@ -213,7 +220,7 @@
     let thread = std::thread::Builder::new().name("sharing".to_owned());
     let spawned = thread.spawn(move || running.run());
     spawned.map_err(|e| format!("shared: {e}"))?;
-    Ok((sharing, line))
+    Ok((gossip, line))
 }
 
 /// What a former life of this driver has kept.
@@ -384,7 +391,7 @@
                 return;
             }
             while let Ok(word) = self.inbox.try_recv() {
-                let leaves = matches!(word, ToEngine::Word(Word::Leave));
+                let leaves = matches!(word, ToEngine::Word(GossipCommand::Leave));
                 let outputs = self.word(word);
                 if !self.carry_out(outputs) || leaves {
                     return;
--- a/crates/driver/src/program/upgrade/handover.rs
+++ b/crates/driver/src/program/upgrade/handover.rs
@@ -1,10 +1,8 @@
 //! What goes from one process to the next: what was learned, and by which clock.
 
 use crate::program::log::Log;
-use crate::routing::event_loop::EventLoop;
-use crate::routing::members::MemberDirectory;
+use crate::routing::event_loop::{EventLoop, ResumedState};
 use crate::transport::clock::Clock;
-use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::codec::monotonic_micros;
 use serde::{Deserialize, Serialize};
@@ -30,14 +28,14 @@
     now: Timestamp,
     settings: u64,
 ) -> Result<Vec<u8>, postcard::Error> {
-    let (module, members) = event_loop.learned();
+    let learned = event_loop.learned_state();
     let handover = Handover {
         form: FORM,
         now,
         machine: TimeSpan(monotonic_micros()),
         settings,
-        module: postcard::to_stdvec(module)?,
-        members: postcard::to_stdvec(members)?,
+        module: postcard::to_stdvec(learned.policy)?,
+        members: postcard::to_stdvec(learned.members)?,
     };
     postcard::to_stdvec(&handover)
 }
@@ -45,7 +43,7 @@
 /// What a new process goes on from.
 pub struct Resumed {
     pub clock: Clock,
-    pub learned: (RoutingPolicy, MemberDirectory),
+    pub learned: ResumedState,
 }
 
 pub fn read(bytes: &[u8], settings: u64) -> Result<Resumed, String> {
@@ -63,6 +61,9 @@
     let members = members.map_err(|e| format!("the members can't be read: {e}"))?;
     Ok(Resumed {
         clock: Clock::resume(handover.now, handover.machine, TimeSpan(monotonic_micros())),
-        learned: (module, members),
+        learned: ResumedState {
+            policy: module,
+            members,
+        },
     })
 }
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -24,7 +24,9 @@
     joint: &mut CoServingState,
     words: &[CoServingMessage],
 ) -> Option<HandoverMessage> {
-    words.iter().for_each(|word| event_loop.bind(now, word));
+    words
+        .iter()
+        .for_each(|word| event_loop.on_peer_process_message(now, word));
     let answer = joint.on_messages(words);
     event_loop.metrics.open_from_beside = joint.peer_in_flight();
     answer.map(|word| HandoverMessage::CoServing(vec![word]))
@@ -32,11 +34,11 @@
 
 /// What the other process is to know that binds both: drains that were heard here, and what is out.
 fn words(event_loop: &mut EventLoop<Log>, joint: &mut CoServingState) -> Option<HandoverMessage> {
-    let drains = std::mem::take(&mut event_loop.drains);
+    let drains = event_loop.take_drained_members();
     let drains = drains
         .iter()
-        .filter_map(|(m, since)| joint.drain_update(m, *since));
+        .filter_map(|member| joint.drain_update(&member.name, member.started_ms));
     let mut words: Vec<CoServingMessage> = drains.collect();
-    words.extend(joint.in_flight_updates(event_loop.out()));
+    words.extend(joint.in_flight_updates(event_loop.in_flight_by_member()));
     (!words.is_empty()).then_some(HandoverMessage::CoServing(words))
 }
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -4,8 +4,9 @@
 use super::{bind, words, VARIABLE};
 use crate::program::config::Config;
 use crate::program::log::{log, Log};
-use crate::routing::event_loop::{EventLoop, Moved};
+use crate::routing::event_loop::EventLoop;
 use crate::routing::events::{ControlEvent, Event};
+use crate::routing::handover::{CoServing, TransferredClient};
 use crate::transport::witness::Witness;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::CoServingState;
@@ -22,7 +23,7 @@
 /// What comes from the former process while this one serves.
 enum Heard {
     Word(successor::Event),
-    Moved(Moved),
+    Moved(TransferredClient),
     Member(u32, TcpStream),
 }
 
@@ -203,7 +204,7 @@
                         continue;
                     };
                     let (handed, verdicts) = (Some(client.transfer_id), StatementVerdicts::default());
-                    Heard::Moved(Moved::from(client, handed, stream.into(), verdicts))
+                    Heard::Moved(TransferredClient::new(client, handed, stream.into(), verdicts))
                 }
                 Received::Message(HandoverMessage::MemberConnection(member), descriptors) => {
                     let Some(stream) = descriptors.into_iter().next() else {
@@ -233,8 +234,8 @@
         let machine_now = self.machine_now();
         while let Some(Ok(heard)) = self.heard.as_ref().map(Receiver::try_recv) {
             match heard {
-                Heard::Moved(moved) => event_loop.adopt(now, moved),
-                Heard::Member(member, stream) => event_loop.adopt_connection(now, member, stream),
+                Heard::Moved(moved) => event_loop.adopt_client(now, moved),
+                Heard::Member(member, stream) => event_loop.adopt_member_connection(now, member, stream),
                 Heard::Word(successor::Event::Message(HandoverMessage::CoServing(words))) => {
                     let answer = bind(event_loop, now, &mut self.joint, &words);
                     answer.iter().for_each(|m| self.say(m));
@@ -246,7 +247,7 @@
                     ) {
                         self.ended = true;
                         // Nothing of the former one is out any more.
-                        event_loop.share(now, false, false);
+                        event_loop.set_co_serving(now, CoServing::Alone);
                         event_loop.metrics.open_from_beside = 0;
                         log!(event_loop.observer, now, "upgrade", "the former process has left");
                     }
@@ -269,7 +270,7 @@
         for effect in effects {
             match effect {
                 successor::Action::Send(message) => self.say(&message),
-                successor::Action::StartAccepting => event_loop.pause(false),
+                successor::Action::StartAccepting => event_loop.set_accepting(true),
                 successor::Action::Report(text) => {
                     let took = (machine_now - self.started).0 / 1000;
                     log!(
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -7,6 +7,7 @@
 use crate::program::log::{log, Log};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::{ControlEvent, Event};
+use crate::routing::handover::{CoServing, TransferredConnection};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::capacity_check;
 use asterlatch_handover::co_serving::CoServingState;
@@ -116,15 +117,15 @@
         let held = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
         let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
         let pages: u64 = pages.split(' ').nth(1).and_then(|p| p.parse().ok()).unwrap_or(0);
-        let (clients, messages) = event_loop.held();
-        let (descriptors, memory) = event_loop.most();
+        let usage = event_loop.process_usage();
+        let capacity = event_loop.process_capacity();
         capacity_check::ResourceUsage {
-            descriptor_limit: descriptors,
+            descriptor_limit: capacity.descriptors,
             open_descriptors: held,
-            client_connections: clients,
-            memory_limit: memory as u64,
+            client_connections: usage.clients,
+            memory_limit: capacity.memory as u64,
             resident_memory: pages * rustix::param::page_size() as u64,
-            message_memory: messages as u64,
+            message_memory: usage.memory as u64,
         }
     }
 
@@ -207,15 +208,15 @@
                 predecessor::Action::Send(message) => self.say(message, Vec::new()),
                 predecessor::Action::StartCoServing => {
                     self.joint = CoServingState::default();
-                    event_loop.share(now, true, true);
+                    event_loop.set_co_serving(now, CoServing::WithSuccessor);
                 }
-                predecessor::Action::StopAccepting => event_loop.pause(true),
+                predecessor::Action::StopAccepting => event_loop.set_accepting(false),
                 predecessor::Action::ResumeServingAlone => {
-                    event_loop.share(now, false, false);
+                    event_loop.set_co_serving(now, CoServing::Alone);
                     event_loop.metrics.open_from_beside = 0;
-                    event_loop.pause(false);
+                    event_loop.set_accepting(true);
                 }
-                predecessor::Action::MoveClients => event_loop.hand_clients_over(),
+                predecessor::Action::MoveClients => event_loop.begin_handover(),
                 predecessor::Action::ReclaimClients => self.take_back(event_loop, now),
                 predecessor::Action::KillSuccessor => self.kill(),
                 predecessor::Action::Drain => {
@@ -254,13 +255,15 @@
     /// Listener, ledger, and what the ledger is given up with.
     fn beside(&mut self, event_loop: &EventLoop<Log>) -> io::Result<Vec<OwnedFd>> {
         let link = self.link.as_mut().ok_or(io::ErrorKind::NotConnected)?;
-        let listener = event_loop.listener().ok_or(io::ErrorKind::NotConnected)?;
+        let listener = event_loop
+            .listener_descriptor()
+            .ok_or(io::ErrorKind::NotConnected)?;
         let (ours, theirs) = UnixStream::pair()?;
         let flags = EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK;
         let given_up = rustix::event::eventfd(0, flags)?;
         let copy = given_up.try_clone()?;
         // As much as its clients may fill here, they may fill there.
-        self.kept = Kept::new(event_loop.clients_memory());
+        self.kept = Kept::new(event_loop.client_memory_capacity());
         link.follow(self.kept.follow(ours)?);
         self.given_up = Some(given_up);
         Ok(vec![listener.into(), theirs.into(), copy])
@@ -276,7 +279,7 @@
         event_loop.metrics.clients_taken_back += count as u64;
         event_loop.metrics.clients_cut += cut;
         for moved in back.clients {
-            event_loop.adopt(now, moved);
+            event_loop.adopt_client(now, moved);
         }
         match back.fault {
             Some(why) => log!(
@@ -306,24 +309,24 @@
             predecessor::Phase::Standby | predecessor::Phase::Done
         );
         // Where nobody takes them they end: another is opened as one is needed.
-        for (member, stream) in std::mem::take(&mut event_loop.moved_connections) {
+        for TransferredConnection { member, stream } in event_loop.take_transferred_connections() {
             if takes {
                 self.pending.fetch_add(1, Ordering::AcqRel);
                 self.say(HandoverMessage::MemberConnection(member), vec![stream.into()]);
             }
         }
-        for moved in std::mem::take(&mut event_loop.moved) {
+        for moved in event_loop.take_transferred_clients() {
             if !takes {
-                event_loop.adopt(now, moved);
+                event_loop.adopt_client(now, moved);
                 continue;
             }
             self.handed += 1;
             let client = ClientState {
                 transfer_id: self.handed,
-                startup_complete: moved.standing.opened,
-                has_sent_statement: moved.has_asked,
-                bytes_to_skip: moved.standing.skip as u64,
-                input: moved.standing.input,
+                startup_complete: moved.session.opened,
+                has_sent_statement: moved.is_active,
+                bytes_to_skip: moved.session.skip as u64,
+                input: moved.session.input,
             };
             self.kept.hand_over(client.clone(), &moved.stream);
             self.pending.fetch_add(1, Ordering::AcqRel);
--- /dev/null
+++ b/crates/driver/src/routing/event_loop/actions.rs
@@ -0,0 +1,132 @@
+//! Carries out what the policy decides, and notifies it of requests that have ended.
+
+use super::{EndedRequest, EventLoop, Observer};
+use crate::routing::execution_outcomes;
+use crate::routing::member_requests::{AttemptId, MemberRequest, RequestKind, UnansweredRequest};
+use crate::routing::statements::NextAttempt;
+use asterlatch::interface::{
+    Actions, Answer, Cancellation, Execution, ExecutionEnd, ExecutionOutcome, ReplicaStatus,
+};
+use asterlatch::time::Timestamp;
+
+impl<O: Observer> EventLoop<O> {
+    /// Carries out what the policy decided, in its order.
+    pub(super) fn carry_out(&mut self, now: Timestamp, actions: Actions) {
+        self.policy_wakes_at = actions.wake_up_at;
+        for cancellation in &actions.cancellations {
+            self.cancel(now, cancellation);
+        }
+        for execution in &actions.executions {
+            self.execute(now, execution);
+        }
+        for answer in &actions.answers {
+            self.answer_by_policy(answer);
+        }
+        for member in &actions.health_checks {
+            if self.may_check_health(now, *member) {
+                self.check_health(now, *member);
+            }
+        }
+        for member in &actions.removed_members {
+            self.members.remove(*member);
+            self.member_requests.close_idle(*member);
+        }
+        if actions.poll_endpoint_list {
+            self.request_endpoint_list(now);
+        }
+    }
+
+    fn cancel(&mut self, now: Timestamp, cancellation: &Cancellation) {
+        let attempt = AttemptId {
+            statement: cancellation.statement,
+            attempt: cancellation.attempt,
+        };
+        if let Some(UnansweredRequest { request, outcome }) = self.member_requests.cancel(now, attempt) {
+            self.end_request(request, now, outcome, ReplicaStatus::default());
+        }
+    }
+
+    fn execute(&mut self, now: Timestamp, execution: &Execution) {
+        let next = self
+            .statements
+            .begin_attempt(execution.statement, execution.deadline);
+        let Some(NextAttempt { number, deadline }) = next else {
+            return;
+        };
+        self.metrics.executions_sent += 1;
+        let attempt = AttemptId {
+            statement: execution.statement,
+            attempt: number,
+        };
+        self.record_execution(now, attempt, execution.member);
+        let kind = RequestKind::Execution(attempt);
+        let request = MemberRequest::new(kind, execution.member, now, deadline);
+        self.start_request(now, request);
+    }
+
+    fn answer_by_policy(&mut self, answer: &Answer) {
+        let to_client = execution_outcomes::to_client(answer);
+        let is_answered = self.answer(to_client.statement, to_client.answer);
+        match answer {
+            Answer::Rejected { .. } => self.metrics.rejected += u64::from(is_answered),
+            Answer::Aborted { .. } => self.metrics.aborted += u64::from(is_answered),
+        }
+    }
+
+    /// Sends a health check to a member.
+    pub(super) fn check_health(&mut self, now: Timestamp, member: u32) {
+        self.metrics.probes_sent += 1;
+        // As long as a connection may take to be established: the settings have no other bound for a health check.
+        let deadline = now + self.decoding.connect_timeout;
+        let request = MemberRequest::new(RequestKind::HealthCheck, member, now, deadline);
+        self.start_request(now, request);
+    }
+
+    /// Queues the end of a request for [`EventLoop::notify_policy_of_ends`].
+    pub(super) fn end_request(
+        &mut self,
+        request: MemberRequest,
+        ended_at: Timestamp,
+        outcome: ExecutionOutcome,
+        status: ReplicaStatus,
+    ) {
+        self.ended_requests.push_back(EndedRequest {
+            latency: ended_at - request.started_at,
+            request,
+            outcome,
+            status,
+        });
+    }
+
+    /// Notifies the policy of each ended request once, and only behind the event that ended it: its reaction must not be
+    /// carried out in the middle of what it decided before. Requests whose statement has its answer count too, for what
+    /// they tell about the member.
+    pub(super) fn notify_policy_of_ends(&mut self, now: Timestamp) {
+        while let Some(end) = self.ended_requests.pop_front() {
+            self.record_end(now, &end);
+            let member = end.request.member;
+            let actions = match end.request.kind {
+                RequestKind::Execution(AttemptId { statement, attempt }) => {
+                    execution_outcomes::count(&mut self.metrics, end.outcome);
+                    let end = ExecutionEnd {
+                        statement,
+                        attempt,
+                        member,
+                        outcome: end.outcome,
+                        latency: end.latency,
+                        is_answered: !self.statements.contains(statement),
+                        status: end.status,
+                    };
+                    self.policy.on_execution_ended(now, &end)
+                }
+                RequestKind::HealthCheck => {
+                    let is_answered = end.outcome == ExecutionOutcome::Completed;
+                    self.metrics.probes_answered += u64::from(is_answered);
+                    self.policy
+                        .on_health_check(now, member, is_answered, end.latency, end.status)
+                }
+            };
+            self.carry_out(now, actions);
+        }
+    }
+}
--- /dev/null
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -0,0 +1,214 @@
+//! Arrivals and events of clients, and the final answers to their statements.
+
+use super::{EventLoop, Observer};
+use crate::protocol::comment::{self, Marked, Unreadable};
+use crate::protocol::session::{ClientCommand, ClientEvent, Final, Text};
+use crate::protocol::vitals;
+use crate::routing::clients::Admission;
+use crate::routing::execution_outcomes;
+use crate::routing::handover::TransferredClient;
+use crate::routing::members::session_key;
+use crate::routing::statements::{NewStatement, OpenedStatement, StatementOrigin};
+use crate::transport::listener::Arrival;
+use crate::transport::stream::Line;
+use asterlatch::interface::Statement;
+use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
+use std::io;
+
+impl<O: Observer> EventLoop<O> {
+    /// Accepts no more clients, and disconnects each between two statements.
+    pub fn begin_drain(&mut self) {
+        self.is_draining = true;
+        self.acceptor.close();
+        self.clients.begin_drain();
+    }
+
+    pub(super) fn on_arrival(&mut self, now: Timestamp, arrival: Arrival<ClientCommand>) {
+        match arrival {
+            Arrival::Client(id, line) => self.admit_client(now, id, line),
+            Arrival::Failed(error) => self.on_accept_failed(now, &error),
+            // Before this event a client may still arrive.
+            Arrival::Closed => self.acceptor.on_closed(),
+        }
+    }
+
+    pub(super) fn admit_client(&mut self, now: Timestamp, id: u32, line: Line<ClientCommand>) {
+        self.metrics.clients_accepted += 1;
+        match self.clients.admit(now, id, line) {
+            Admission::Admitted => {}
+            Admission::AdmittedByEviction => self.metrics.clients_closed_for_room += 1,
+            Admission::Rejected => self.metrics.clients_turned_away += 1,
+        }
+    }
+
+    pub(super) fn on_accept_failed(&mut self, now: Timestamp, error: &io::Error) {
+        self.metrics.accepts_failed += 1;
+        let text = format_args!("a client could not be accepted: {error}");
+        self.observer.log(now, "accept", text);
+        self.acceptor.on_failed(now + self.limits.accept_backoff);
+        let is_evicted = self.clients.evict_one(now);
+        self.metrics.clients_closed_for_room += u64::from(is_evicted);
+    }
+
+    pub(super) fn on_client_event(&mut self, now: Timestamp, event: ClientEvent) {
+        match event {
+            ClientEvent::Statement {
+                client,
+                number,
+                end,
+                text,
+                at,
+            } => self.on_statement(now, StatementOrigin { client, number, end }, text, at),
+            ClientEvent::Idle { client, since } => self.clients.on_idle(client, since),
+            ClientEvent::PartialMessage { client, since } => self.clients.on_partial_message(client, since),
+            ClientEvent::HalfClosed { client } => self.clients.on_half_closed(client, now),
+            ClientEvent::Malformed => {
+                self.metrics.clients_malformed += 1;
+                let text = format_args!("sent what is not the protocol");
+                self.observer.log(now, "client", text);
+            }
+            ClientEvent::OutOfMemory => self.metrics.rejected_for_memory += 1,
+            ClientEvent::Oversized => self.metrics.statements_unreadable += 1,
+            ClientEvent::Transferred {
+                client,
+                stream,
+                standing,
+            } => {
+                let is_active = self.clients.is_active(client);
+                // Between two statements nothing of it is open.
+                self.clients.remove(client);
+                self.handover.add_client(TransferredClient {
+                    stream,
+                    session: standing,
+                    is_active,
+                    verdicts: StatementVerdicts::default(),
+                });
+            }
+            ClientEvent::Closed { client } => self.on_client_closed(now, client),
+        }
+    }
+
+    fn on_client_closed(&mut self, now: Timestamp, client: u32) {
+        self.handover.on_client_closed(client);
+        for statement in self.clients.remove(client) {
+            if self.statements.remove(statement).is_none() {
+                continue;
+            }
+            self.metrics.withdrawn += 1;
+            let actions = self.policy.on_statement_withdrawn(now, statement);
+            self.carry_out(now, actions);
+        }
+    }
+
+    fn on_statement(&mut self, now: Timestamp, origin: StatementOrigin, text: Text, received_at: Timestamp) {
+        if !self.clients.on_statement(origin.client) || self.answer_by_verdict(origin) {
+            return;
+        }
+        let fields = comment::read(&text.text);
+        let length = text.text.len();
+        match fields.and_then(|fields| Ok((self.workload_of(&fields, length)?, fields))) {
+            Ok((workload, fields)) => {
+                self.accept_statement(now, origin, text, received_at, workload, &fields)
+            }
+            Err(reason) => self.refuse_statement(now, origin, reason),
+        }
+    }
+
+    /// Answers a statement that a crashed process had read. Returns false if none had.
+    fn answer_by_verdict(&mut self, origin: StatementOrigin) -> bool {
+        let answer = match self.handover.take_verdict(origin.client, origin.end) {
+            None | Some(StatementVerdict::Unread) => return false,
+            Some(StatementVerdict::Rejected) => {
+                self.metrics.taken_back_rejected += 1;
+                execution_outcomes::rejected(TimeSpan(0))
+            }
+            Some(StatementVerdict::Aborted) => {
+                self.metrics.taken_back_aborted += 1;
+                execution_outcomes::aborted()
+            }
+        };
+        let command = ClientCommand::Answer(origin.number, answer);
+        self.clients.send(origin.client, command);
+        true
+    }
+
+    /// The workload of a statement that can be routed.
+    fn workload_of(&self, fields: &Marked, length: usize) -> Result<usize, Unreadable> {
+        if self.statements.find(fields.id).is_some() {
+            return Err(comment::SAME_ID);
+        }
+        if !self.members.has_group(fields.group) {
+            return Err(comment::NO_GROUP);
+        }
+        let workload = self.workloads.find(&fields.workload);
+        let workload = workload.ok_or(comment::NO_WORKLOAD)?;
+        match self.workloads.get(workload).limits.max_bytes {
+            Some(max_bytes) if length > max_bytes => Err(comment::TOO_LARGE),
+            _ => Ok(workload),
+        }
+    }
+
+    fn refuse_statement(&mut self, now: Timestamp, origin: StatementOrigin, reason: Unreadable) {
+        self.metrics.statements_unreadable += 1;
+        let text = format_args!("not routed: {}", reason.message);
+        self.observer.log(now, "statement", text);
+        let command = ClientCommand::Answer(origin.number, reason.into());
+        self.clients.send(origin.client, command);
+    }
+
+    fn accept_statement(
+        &mut self,
+        now: Timestamp,
+        origin: StatementOrigin,
+        text: Text,
+        received_at: Timestamp,
+        workload: usize,
+        fields: &Marked,
+    ) {
+        self.metrics.statements_taken += 1;
+        let properties = self.workloads.get(workload);
+        let routing_key = fields.key.as_deref().filter(|_| properties.uses_sessions());
+        let session = routing_key.map_or(0, session_key);
+        let OpenedStatement { id, deadline } = self.statements.insert(NewStatement {
+            origin,
+            text,
+            fields,
+            received_at,
+            max_timeout: properties.max_statement_timeout(&self.limits),
+            workload,
+            session,
+            is_client_retry_safe: properties.is_client_retry_safe,
+        });
+        self.clients.add_statement(origin.client, id);
+        let last_write = fields.after.and_then(vitals::unix);
+        let statement = Statement {
+            id,
+            workload,
+            tenant: 0,
+            group: fields.group,
+            session,
+            is_client_retry: fields.repeat,
+            time_left: deadline - now,
+            expected_work: None,
+            prior_attempt: None,
+            session_write_age: last_write.map(|last_write| now - last_write),
+        };
+        if let Some(statement) = self.check_prior_attempts(now, fields.id, statement, deadline) {
+            let actions = self.policy.on_statement(now, &statement);
+            self.carry_out(now, actions);
+        }
+    }
+
+    /// Gives a statement its one final answer. Returns false if it has one already, or its client is gone.
+    pub(super) fn answer(&mut self, statement: u32, answer: Final) -> bool {
+        let Some(origin) = self.statements.remove(statement) else {
+            self.metrics.late_answers_dropped += 1;
+            return false;
+        };
+        self.clients.remove_statement(origin.client, statement);
+        let command = ClientCommand::Answer(origin.number, answer);
+        self.clients.send(origin.client, command);
+        true
+    }
+}
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -1,123 +1,118 @@
-//! Turns among drivers, and what they know of a member together.
+//! Leases and health checks by consensus: what the drivers of a fleet know about members together.
 
 use super::{EventLoop, Observer};
-use crate::routing::gossip::Word;
-use crate::routing::members;
+use crate::routing::gossip::{named_shares, NamedShare};
 use asterlatch::fleet_share;
-use asterlatch::interface::MemberUpdate;
-use asterlatch::time::{TimeSpan, Timestamp};
-use std::collections::{BTreeMap, BTreeSet};
+use asterlatch::interface::{MemberShare, MemberUpdate};
+use asterlatch::time::Timestamp;
+use std::collections::BTreeMap;
 
 impl<O: Observer> EventLoop<O> {
-    /// The drivers that are there by now, and how many count.
-    pub(super) fn count_peers(&mut self, now: Timestamp) {
-        let Some(sharing) = &mut self.sharing else { return };
-        let keys = sharing
-            .there
-            .iter()
-            .map(|p| members::fleet_key(&sharing.names[*p]));
-        let others: BTreeSet<u64> = keys.collect();
-        let count = sharing.turns.there(now, &others);
-        self.module
-            .set_fleet_drivers(members::fleet_key(&sharing.own_name), &others, count);
+    /// Tells the policy which drivers are present.
+    pub(super) fn update_fleet(&mut self, now: Timestamp) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let fleet = gossip.fleet_view(now);
+        self.policy
+            .set_fleet_drivers(fleet.own, &fleet.others, fleet.count);
     }
 
-    /// Whether this driver asks a member itself that its module wants asked, or leaves that to whose turn it is.
-    pub(super) fn may_probe(&mut self, now: Timestamp, member: u32) -> bool {
-        let Some(sharing) = &mut self.sharing else {
+    /// Whether this driver sends a health check that its policy wants, or leaves it to the lease holder.
+    pub(super) fn may_check_health(&mut self, now: Timestamp, member: u32) -> bool {
+        let Some(gossip) = &mut self.gossip else {
             return true;
         };
         let Some(name) = self.members.name(member) else {
             return true;
         };
-        let may = sharing.turns.may_probe(now, name, sharing.there.is_empty());
-        self.metrics.probes_left_to_others += u64::from(!may);
-        may
+        let may_check = gossip.may_check_health(now, name);
+        self.metrics.probes_left_to_others += u64::from(!may_check);
+        may_check
     }
 
-    /// What is due each tick: claims and renewals, asking for all, late executions, members that are silent for all.
-    pub(super) fn take_turns(&mut self, now: Timestamp) {
-        self.count_peers(now);
-        let late = self.late_here(now);
-        let Some(sharing) = &mut self.sharing else { return };
-        sharing.turns_at = Some(now + sharing.terms.tick);
-        let (module, members) = (&self.module, &self.members);
-        let wants = |name: &str| members.find(name).is_some_and(|m| module.wants_health_check(m));
-        let (mut facts, ask) = sharing.turns.reach(now, wants);
-        facts.extend(sharing.turns.is_late(now, &late));
-        let news = sharing.turns.silence.news(now).into_iter();
-        let silent: Vec<_> = news
-            .filter_map(|(name, until)| Some((members.find(&name)?, until)))
-            .collect();
-        sharing.turns.silence.age(now);
-        // In dense views each knows enough by itself, and nothing is told.
-        let sparse = module.has_few_samples();
-        let shares = module
-            .admission_shares()
-            .filter(|_| sparse)
-            .filter_map(|s| Some((members.name(s.member)?.to_owned(), s.share)));
-        let (load, drawn) = sharing.turns.loads(now, &shares.collect::<Vec<_>>());
-        facts.extend(load.map(|fact| (fact, TimeSpan(0))));
-        let drawn = drawn.into_iter();
-        let drawn: Vec<_> = drawn
-            .filter_map(|(name, share)| Some((members.find(&name)?, share)))
-            .collect();
-        if !facts.is_empty() {
-            (sharing.tell)(Word::Observed(facts));
+    /// Does what is due each tick: leases, health checks for all, overdue executions, unresponsive members, load reports.
+    pub(super) fn coordinate(&mut self, now: Timestamp) {
+        self.update_fleet(now);
+        let overdue = self.overdue_executions(now);
+        let shares = self.reportable_shares();
+        let Some(gossip) = &mut self.gossip else { return };
+        let (policy, members) = (&self.policy, &self.members);
+        let wants_health_check = |name: &str| {
+            let member = members.find(name);
+            member.is_some_and(|member| policy.wants_health_check(member))
+        };
+        let round = gossip.coordinate(now, wants_health_check, &overdue, &shares);
+        // Carrying out the first of these may remove members, so all names are resolved before.
+        let mut health_checks = Vec::new();
+        for name in &round.health_checks {
+            health_checks.extend(self.members.find(name));
+        }
+        let mut updates = Vec::new();
+        for unresponsive in &round.unresponsive {
+            let member = self.members.find(&unresponsive.member);
+            updates.extend(member.map(|member| (member, MemberUpdate::Unresponsive(unresponsive.until))));
         }
-        for member in ask
-            .iter()
-            .filter_map(|name| self.members.find(name))
-            .collect::<Vec<_>>()
-        {
+        for share in &round.shares {
+            let member = self.members.find(&share.member);
+            updates.extend(member.map(|member| (member, MemberUpdate::AdmissionShare(share.share))));
+        }
+        for member in health_checks {
             self.metrics.probes_for_all += 1;
-            self.probe(now, member);
+            self.check_health(now, member);
         }
-        for (member, until) in silent {
-            self.metrics.silent_by_word += u64::from(until > Timestamp(0));
-            let results = self
-                .module
-                .on_member_update(now, member, MemberUpdate::Unresponsive(until));
-            self.carry_out(now, results);
+        for (member, update) in updates {
+            self.count_coordinated(&update);
+            self.update_member(now, member, update);
         }
-        for (member, share) in drawn {
-            self.metrics.shares_drawn += 1;
-            let results = self
-                .module
-                .on_member_update(now, member, MemberUpdate::AdmissionShare(share));
-            self.carry_out(now, results);
+    }
+
+    fn count_coordinated(&mut self, update: &MemberUpdate) {
+        match update {
+            MemberUpdate::Unresponsive(until) => {
+                self.metrics.silent_by_word += u64::from(*until > Timestamp(0));
+            }
+            MemberUpdate::AdmissionShare(_) => self.metrics.shares_drawn += 1,
+            _ => {}
         }
     }
 
-    /// MemberDirectory at which executions of this driver are late, each with when the last such was sent.
-    fn late_here(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
-        let before = fleet_share::late_since(now, self.module.longest_typical_latency());
-        let mut late: BTreeMap<String, Timestamp> = BTreeMap::new();
-        for (member, sent) in self
-            .member_requests
-            .executions()
-            .filter(|e| e.started_at < before)
-            .map(|e| (e.member, e.started_at))
-        {
-            if let Some(name) = self.members.name(member) {
-                let last = late.entry(name.to_owned()).or_insert(sent);
-                *last = sent.max(*last);
+    /// Admission shares for the load aggregate. With many samples each driver knows enough by itself and reports none.
+    fn reportable_shares(&self) -> Vec<NamedShare> {
+        let has_few_samples = self.policy.has_few_samples();
+        let shares = self.policy.admission_shares();
+        let reportable = shares.filter(|_: &MemberShare| has_few_samples);
+        named_shares(reportable, &self.members)
+    }
+
+    /// Members at which executions of this driver are overdue, with the time at which the last of them was dispatched.
+    fn overdue_executions(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
+        let before = fleet_share::late_since(now, self.policy.longest_typical_latency());
+        let mut overdue: BTreeMap<String, Timestamp> = BTreeMap::new();
+        for execution in self.member_requests.executions() {
+            let Some(name) = self.members.name(execution.member) else {
+                continue;
+            };
+            if execution.started_at < before {
+                let last = overdue.entry(name.to_owned()).or_insert(execution.started_at);
+                *last = execution.started_at.max(*last);
             }
         }
-        late
+        overdue
     }
 
-    /// Another driver has a late execution there.
-    pub(super) fn late_elsewhere(&mut self, member: &str, driver: &str, sent: Timestamp, said: Timestamp) {
-        // One that isn't listed here is nobody's business here.
+    /// Another driver has an overdue execution at a member.
+    pub(super) fn on_peer_overdue(
+        &mut self,
+        member: &str,
+        driver: &str,
+        sent_at: Timestamp,
+        received_at: Timestamp,
+    ) {
+        // Members that are not listed here are not counted here.
         if self.members.find(member).is_none() {
             return;
         }
-        if let Some(sharing) = &mut self.sharing {
-            sharing
-                .turns
-                .silence
-                .late(member, members::fleet_key(driver), sent, said);
+        if let Some(gossip) = &mut self.gossip {
+            gossip.on_peer_overdue(member, driver, sent_at, received_at);
         }
     }
 }
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -1,82 +1,95 @@
-//! How an execution or probe gets to its member. On a connection that stands it goes at once; where one has to come up
-//! first nothing leaves before the module has looked again, for much may have come meanwhile.
+//! How a request reaches its member. On an established connection it is sent at once; if one has to be established first,
+//! the policy is asked again before anything is sent, for much may have happened meanwhile.
 
 use super::{EventLoop, Observer};
 use crate::protocol::messages;
-use crate::routing::member_requests::{Assignment, ConnectionUp, MemberRequest, RequestKind};
+use crate::routing::member_requests::{Assignment, AttemptId, ConnectionUp, MemberRequest, RequestKind};
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::JournalRecord;
 
 impl<O: Observer> EventLoop<O> {
-    /// Gives the request a connection.
-    pub(super) fn start(&mut self, now: Timestamp, request: MemberRequest) {
-        let address = self.members.address(request.member);
-        let started = match address {
+    /// Assigns a connection to the request.
+    pub(super) fn start_request(&mut self, now: Timestamp, request: MemberRequest) {
+        let assignment = match self.members.address(request.member) {
             Some(address) => self.member_requests.start(now, request, address),
             None => Err(ExecutionOutcome::NotSent),
         };
-        match (started, request.kind) {
-            (Ok(Assignment::Ready(connection)), _) => self.send(now, connection, request),
-            (Ok(Assignment::Connecting(cause)), kind) => {
-                self.metrics.opened(Some(cause));
-                if let RequestKind::Execution(id) = kind {
-                    self.module.on_connecting(id.statement, id.attempt);
+        match assignment {
+            Ok(Assignment::Ready(connection)) => self.send_request(now, connection, request),
+            Ok(Assignment::Connecting(reason)) => {
+                self.metrics.count_opened(reason);
+                if let RequestKind::Execution(AttemptId { statement, attempt }) = request.kind {
+                    self.policy.on_connecting(statement, attempt);
                 }
             }
-            (Err(ending), _) => self.end(request, now, ending, ReplicaStatus::default()),
+            Err(outcome) => self.end_request(request, now, outcome, ReplicaStatus::default()),
         }
     }
 
-    /// Its connection had ended before anything was written: it starts anew, if it still may.
-    pub(super) fn restart(&mut self, now: Timestamp, request: MemberRequest) {
-        if self.may_go(now, request.kind) {
-            self.start(now, request);
+    /// Starts a request again whose connection had closed before anything was written, if the policy still wants it.
+    pub(super) fn restart_request(&mut self, now: Timestamp, request: MemberRequest) {
+        if self.may_dispatch(now, request.kind) {
+            self.start_request(now, request);
         } else {
-            self.end(request, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
+            self.end_unsent(now, request);
         }
     }
 
-    pub(super) fn connection_up(&mut self, now: Timestamp, connection: u32) {
+    pub(super) fn on_connected(&mut self, now: Timestamp, connection: u32) {
         let ConnectionUp::Assigned(request) = self.member_requests.on_connected(connection, now) else {
             return;
         };
-        if self.may_go(now, request.kind) {
-            self.send(now, connection, request);
-        } else if let Some(request) = self.member_requests.withdraw(connection, now) {
-            self.end(request, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
+        if self.may_dispatch(now, request.kind) {
+            self.send_request(now, connection, request);
+        } else {
+            self.withdraw_request(now, connection);
         }
     }
 
-    fn may_go(&mut self, now: Timestamp, kind: RequestKind) -> bool {
+    fn may_dispatch(&mut self, now: Timestamp, kind: RequestKind) -> bool {
         match kind {
-            RequestKind::Execution(id) => self.module.may_dispatch(now, id.statement, id.attempt),
+            RequestKind::Execution(id) => self.policy.may_dispatch(now, id.statement, id.attempt),
             RequestKind::HealthCheck => true,
         }
     }
 
-    /// Hands what the request is for to its connection, and writes that down first where another process may go on.
-    fn send(&mut self, now: Timestamp, connection: u32, request: MemberRequest) {
+    fn withdraw_request(&mut self, now: Timestamp, connection: u32) {
+        if let Some(request) = self.member_requests.withdraw(connection, now) {
+            self.end_unsent(now, request);
+        }
+    }
+
+    fn end_unsent(&mut self, now: Timestamp, request: MemberRequest) {
+        self.end_request(request, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
+    }
+
+    fn send_request(&mut self, now: Timestamp, connection: u32, request: MemberRequest) {
         let query = match request.kind {
             RequestKind::Execution(id) => self.statements.query(id.statement, now, request.deadline),
             RequestKind::HealthCheck => Some(messages::probe(self.decoding.reported)),
         };
         let Some(query) = query else {
-            if let Some(request) = self.member_requests.withdraw(connection, now) {
-                self.end(request, now, ExecutionOutcome::NotSent, ReplicaStatus::default());
-            }
-            return;
+            return self.withdraw_request(now, connection);
         };
-        if let (RequestKind::Execution(id), Some(witness)) = (request.kind, &self.witness) {
-            if let Some(origin) = self.statements.origin(id.statement).filter(|_| witness.is_on()) {
-                let out = JournalRecord::Dispatched {
-                    client: origin.client,
-                    end: origin.end,
-                    is_retry_safe: self.statements.is_client_retry_safe(id.statement),
-                };
-                witness.put(&out, None);
-            }
+        if let RequestKind::Execution(id) = request.kind {
+            self.record_in_journal(id.statement);
         }
         self.member_requests.send(connection, query);
     }
+
+    /// Records that a statement is about to be sent, if another process takes over should this one crash.
+    fn record_in_journal(&self, statement: u32) {
+        let Some(journal) = self.journal.as_ref().filter(|journal| journal.is_on()) else {
+            return;
+        };
+        if let Some(origin) = self.statements.origin(statement) {
+            let dispatched = JournalRecord::Dispatched {
+                client: origin.client,
+                end: origin.end,
+                is_retry_safe: self.statements.is_client_retry_safe(statement),
+            };
+            journal.put(&dispatched, None);
+        }
+    }
 }
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -1,456 +1,183 @@
-//! What the event loop makes of other drivers' word, and what it tells them.
+//! Messages of the gossip thread, and what the event loop shares with other drivers.
 
-use super::{EventLoop, Observer};
+use super::{EndedRequest, EventLoop, Observer};
 use crate::protocol::vitals;
-use crate::routing::execution_outcomes;
-use crate::routing::gossip::{sightings, GossipMessage, Out, Parked, Sharing, Word};
-use crate::routing::member_requests::{AttemptId, RequestKind};
-use crate::routing::members::{self, MemberIdentity};
-use crate::routing::statements::StatementKeys;
-use asterlatch::interface::*;
+use crate::routing::gossip::{
+    statuses, DispatchedExecution, Gossip, GossipMessage, LoadReport, MemberStatusRecord, RequestEnd,
+};
+use crate::routing::member_requests::AttemptId;
+use asterlatch::interface::{MemberEntry, MemberUpdate};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::codec::Question;
-use asterlatch_gossip::in_doubt::{Known, Verdict, FOREVER};
-use asterlatch_gossip::membership::Presence;
+use asterlatch_gossip::membership::{Change, Presence};
 use asterlatch_gossip::node::Output;
-use asterlatch_gossip::record::{Record, Standing as Listed};
-
-/// An attempt of which neither time nor member are known.
-const UNKNOWN_ATTEMPT: PriorAttempt = PriorAttempt {
-    age: FOREVER,
-    member: 0,
-};
+use asterlatch_gossip::record::{Record, Standing};
 
-/// An attempt of this age, at a member that this driver may not know.
-fn prior_attempt(age: TimeSpan, member: Option<u32>) -> PriorAttempt {
-    member.map_or(UNKNOWN_ATTEMPT, |member| PriorAttempt { age, member })
-}
+/// Topic of log lines about the fleet.
+const FLEET: &str = "fleet";
 
 impl<O: Observer> EventLoop<O> {
-    /// From now on others are told, and listened to.
-    pub fn join(&mut self, sharing: Sharing) {
-        (self.sharing, self.is_mute) = (Some(sharing), false);
+    /// Shares with other drivers from now on, and listens to them.
+    pub fn join_gossip(&mut self, gossip: Gossip) {
+        self.gossip = Some(gossip);
+        self.is_gossip_deferred = false;
     }
 
-    /// Others can't be asked yet, for another process of this driver still speaks with them: what they may have sent is in
-    /// doubt until then.
-    pub fn mute(&mut self) {
-        self.is_mute = true;
+    /// Waits for [`EventLoop::join_gossip`]: the predecessor still gossips under this driver's name, so client retries
+    /// that other drivers would have to be asked about are in doubt until then.
+    pub fn defer_gossip(&mut self) {
+        self.is_gossip_deferred = true;
     }
 
-    pub fn leave_the_others(&mut self) {
-        if let Some(sharing) = &mut self.sharing {
-            (sharing.tell)(Word::Leave);
+    /// Leaves the fleet.
+    pub fn leave_gossip(&mut self) {
+        if let Some(gossip) = &mut self.gossip {
+            gossip.leave();
         }
     }
 
-    /// Does what is due by the clock.
-    pub(super) fn reach_sharing(&mut self, now: Timestamp) {
-        let Some(sharing) = &mut self.sharing else { return };
-        let members = &self.members;
-        sharing.reach(now, |m| members.identity(m));
-        let due = sharing.inquiries.due(now);
-        let turns = sharing.turns_at.take_if(|at| *at <= now).is_some();
-        if sharing.cold_at.take_if(|at| *at <= now).is_some() {
-            self.share_cold(now);
+    /// Does what is due by time.
+    pub(super) fn advance_gossip_to(&mut self, now: Timestamp) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let due = gossip.advance_to(now, &self.members);
+        if due.warm_up {
+            self.update_warm_up_budgets(now);
         }
-        if turns {
-            self.take_turns(now);
+        if due.coordination {
+            self.coordinate(now);
         }
-        for (name, verdict) in due {
+        for query in due.expired_queries {
             self.metrics.inquiries_unanswered += 1;
-            self.decided(now, name, verdict);
+            self.on_query_resolved(now, query.client_id, query.verdict);
         }
     }
 
-    /// Reckons what each cold member may be sent from here, and tells what was.
-    fn share_cold(&mut self, now: Timestamp) {
-        let Some(sharing) = &mut self.sharing else { return };
-        let (tick, life, own) = (sharing.terms.tick, sharing.life, sharing.own_name.clone());
-        // While none is cold a look now and then finds the next one.
-        sharing.cold_at = Some(now + tick);
-        let there: Vec<String> = sharing.there.iter().map(|p| sharing.names[*p].clone()).collect();
-        let there: Vec<&str> = there.iter().map(String::as_str).collect();
-        let view = self.module.warming_members(now).into_iter();
-        let cold: Vec<_> = view
-            .filter_map(|w| {
-                let identity = self.members.identity(w.member)?;
-                Some((w.member, identity, w.warm_up_fraction, w.carried_load))
-            })
-            .collect();
-        let names: Vec<String> = cold
-            .iter()
-            .map(|(_, identity, ..)| identity.name.clone())
-            .collect();
-        sharing.cold.keep(&names);
-        let (mut facts, mut shares) = (Vec::new(), Vec::new());
-        for (id, MemberIdentity { name, started_ms, .. }, warmth, carries) in cold {
-            let known = (name.as_str(), started_ms);
-            let (share, sum) = sharing.cold.share(now, known, (warmth, carries), &there);
-            shares.extend(share.map(|work| (id, work)));
-            let fact = Record::Cold {
-                member: name,
-                started_ms,
-                driver: own.clone(),
-                life,
-                said: sum.said,
-                work_us: sum.work_us,
-                carries_us: sum.carries_us,
-            };
-            facts.push((fact, TimeSpan(0)));
-        }
-        if !facts.is_empty() {
-            (sharing.tell)(Word::Observed(facts));
-        }
-        for (id, work) in shares {
+    fn update_warm_up_budgets(&mut self, now: Timestamp) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let warming = self.policy.warming_members(now);
+        for budget in gossip.warm_up_budgets(now, &warming, &self.members) {
             self.metrics.cold_shares += 1;
-            // It holds a little beyond the next telling.
-            let until = now + tick + tick;
-            let results = self
-                .module
-                .on_member_update(now, id, MemberUpdate::WarmUpBudget { work, until });
-            self.carry_out(now, results);
+            let update = MemberUpdate::WarmUpBudget {
+                work: budget.work,
+                until: budget.until,
+            };
+            self.update_member(now, budget.member, update);
         }
     }
 
-    /// An execution goes out; others may have to know.
-    pub(super) fn shares_execution(&mut self, now: Timestamp, stmt: u32, number: u8, member: u32) {
-        let Some(sharing) = &mut self.sharing else { return };
-        let Some(StatementKeys {
-            client_id: name,
-            workload,
-            session,
-        }) = self.statements.keys(stmt)
-        else {
-            return;
-        };
-        let work = self.module.typical_latency(workload);
-        if let Some(name) = self.members.name(member).filter(|n| sharing.cold.is_cold(n)) {
-            sharing.cold.sends(now, name, work);
-        }
-        let out = Out {
-            name,
-            session,
-            harmful: self.workloads.get(workload).needs_deduplication,
-            writes: self.workloads.get(workload).is_write(),
-        };
-        if out.harmful {
-            let member = self.members.name(member).unwrap_or_default();
-            sharing.log.sends(now, name, member);
-        }
-        if out.harmful || out.writes {
-            sharing.out.insert((stmt, number), out);
-        }
+    pub(super) fn update_member(&mut self, now: Timestamp, member: u32, update: MemberUpdate) {
+        let actions = self.policy.on_member_update(now, member, update);
+        self.carry_out(now, actions);
     }
 
-    /// It has ended.
-    pub(super) fn shares_end(
-        &mut self,
-        now: Timestamp,
-        kind: RequestKind,
-        member: u32,
-        end: (ExecutionOutcome, ReplicaStatus),
-    ) {
-        let Some(sharing) = &mut self.sharing else { return };
-        let (ending, sighting) = end;
-        sharing.saw(now, member, sighting);
-        let answered = matches!(
-            ending,
-            ExecutionOutcome::Completed
-                | ExecutionOutcome::NotEligible
-                | ExecutionOutcome::Errored
-                | ExecutionOutcome::Rejected
-        );
-        if let Some(name) = self.members.name(member).filter(|_| answered) {
-            sharing.turns.silence.heard(name, now);
-            sharing.turns.sums.answered(now, members::fleet_key(name));
-        }
-        let RequestKind::Execution(AttemptId {
-            statement: stmt,
-            attempt: number,
-        }) = kind
-        else {
+    /// Records an execution that is dispatched.
+    pub(super) fn record_execution(&mut self, now: Timestamp, attempt: AttemptId, member: u32) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let Some(keys) = self.statements.keys(attempt.statement) else {
             return;
         };
-        let Some(out) = sharing.out.remove(&(stmt, number)) else {
-            return;
+        let workload = self.workloads.get(keys.workload);
+        let execution = DispatchedExecution {
+            attempt,
+            client_id: keys.client_id,
+            session: keys.session,
+            needs_deduplication: workload.needs_deduplication,
+            is_write: workload.is_write(),
         };
-        if out.harmful && execution_outcomes::definitely_not_executed(ending) {
-            sharing.log.untouched(out.name);
-        }
-        if let (true, true, Some(position)) = (
-            out.writes,
-            ending == ExecutionOutcome::Completed,
-            sighting.position,
-        ) {
-            if self.remembers_sessions {
-                sharing.session(now, out.session, position);
-            }
-        }
-    }
-
-    /// What the list says of a member.
-    pub(super) fn shares_listed(&mut self, list: u64, entries: &[MemberEntry]) {
-        let Some(sharing) = &mut self.sharing else { return };
-        if sharing.list != list {
-            sharing.list = list;
-            (sharing.tell)(Word::List(list));
-        }
-        for e in entries {
-            let standing = match e.state {
-                MemberState::Ready => Listed::Ready,
-                MemberState::Draining => Listed::Draining,
-                MemberState::Gone => Listed::Gone,
-            };
-            let started_ms = e.started_at.map_or(0, |at| at.0 / 1000);
-            if let Some(name) = self.members.name(e.id) {
-                sharing.listed(name, started_ms, standing);
-            }
-        }
+        let expected_work = self.policy.typical_latency(keys.workload);
+        gossip.on_dispatched(now, execution, self.members.name(member), expected_work);
     }
 
-    /// A statement that is to go to the module; nothing where it waits for others' word first.
-    pub(super) fn asks_others(
-        &mut self,
-        now: Timestamp,
-        (name, repeat): (u64, bool),
-        taken: Statement,
-        times_out: Timestamp,
-    ) -> Option<Statement> {
-        let harmful = self.workloads.get(taken.workload).needs_deduplication;
-        let with_prior_attempt = |prior: PriorAttempt| {
-            Some(Statement {
-                prior_attempt: Some(prior),
-                ..taken
-            })
-        };
-        if self.sharing.is_none() && self.is_mute && harmful && repeat {
-            return with_prior_attempt(UNKNOWN_ATTEMPT);
-        }
-        let Some(sharing) = self.sharing.as_mut().filter(|_| harmful) else {
-            return Some(taken);
+    /// Records the end of a request.
+    pub(super) fn record_end(&mut self, now: Timestamp, end: &EndedRequest) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let member = end.request.member;
+        let end = RequestEnd {
+            kind: end.request.kind,
+            member,
+            member_name: self.members.name(member),
+            outcome: end.outcome,
+            status: end.status,
         };
-        if sharing.log.is_given(name) {
-            // Another driver was told that it won't be sent from here.
-            self.metrics.statements_given_away += 1;
-            return with_prior_attempt(UNKNOWN_ATTEMPT);
-        }
-        match sharing.log.known(now, name) {
-            // Also where it isn't marked: the first may be read behind its repeat.
-            Known::Sent { ago, member } => {
-                let member = self.members.find(&member);
-                return with_prior_attempt(prior_attempt(ago, member));
-            }
-            _ if !repeat => return Some(taken),
-            Known::Unknown => return with_prior_attempt(UNKNOWN_ATTEMPT),
-            Known::Untouched => {}
-        }
-        // No more of a statement's time than leaves enough of it.
-        let within = sharing.terms.ask.min(taken.time_left * 0.3);
-        let peers = sharing.asked.clone();
-        match sharing.inquiries.ask(now, name, &peers, within) {
-            Err(_) => Some(taken),
-            Ok(turn) => {
-                self.metrics.inquiries += 1;
-                sharing.parked.insert(
-                    name,
-                    Parked {
-                        turn,
-                        taken,
-                        times_out,
-                    },
-                );
-                (sharing.tell)(Word::Ask(Question { id: name, turn }));
-                None
-            }
-        }
+        gossip.on_request_ended(now, &end, self.records_sessions);
     }
 
-    /// What others know of a statement that waited for it is known now.
-    fn decided(&mut self, now: Timestamp, name: u64, verdict: Verdict) {
-        let Some(sharing) = &mut self.sharing else { return };
-        let Some(parked) = sharing.parked.remove(&name) else {
-            return;
-        };
-        (sharing.tell)(Word::Asked(Question {
-            id: name,
-            turn: parked.turn,
-        }));
-        // Its client may have gone.
-        if !self.statements.contains(parked.taken.id) {
-            return;
+    /// Shares the version of an endpoint list, and its drains.
+    pub(super) fn share_endpoint_list(&mut self, version: u64, entries: &[MemberEntry]) {
+        if let Some(gossip) = &mut self.gossip {
+            gossip.on_endpoint_list(version, entries, &self.members);
         }
-        let prior = match verdict {
-            Verdict::Untouched => None,
-            Verdict::Sent { ago, member } => {
-                self.metrics.inquiries_in_doubt += 1;
-                let member = member.and_then(|m| self.members.find(&m));
-                Some(prior_attempt(ago, member))
-            }
-        };
-        let taken = Statement {
-            prior_attempt: prior,
-            time_left: parked.times_out - now,
-            ..parked.taken
-        };
-        let results = self.module.on_statement(now, &taken);
-        self.carry_out(now, results);
-        self.tell_ended(now);
     }
 
-    /// A peer asks about a statement: whatever of it waits here is given away first.
-    fn questioned(&mut self, now: Timestamp, from: usize, question: Question) {
-        let Some(sharing) = &mut self.sharing else { return };
-        // Of what the process beside this one sends nothing is known here.
-        let known = match self.is_shared {
-            true => Known::Unknown,
-            false => sharing.log.known(now, question.id),
-        };
-        if known == Known::Untouched {
-            sharing.log.give_away(now, question.id);
-            sharing.inquiries.end(question.id);
-            sharing.parked.remove(&question.id);
+    pub(super) fn on_gossip_message(&mut self, now: Timestamp, message: GossipMessage) {
+        match message {
+            GossipMessage::Output(output) => self.on_gossip_output(now, output),
+            GossipMessage::LogLine(line) => self.observer.log(now, FLEET, format_args!("{line}")),
         }
-        (sharing.tell)(Word::Answer {
-            to: from,
-            question,
-            known: known.clone(),
-        });
-        let open = self.statements.find(question.id);
-        let Some(stmt) = open.filter(|_| known == Known::Untouched) else {
-            return;
-        };
-        self.metrics.statements_given_away += 1;
-        let results = self.module.on_statement_withdrawn(now, stmt);
-        self.carry_out(now, results);
-        let answer = execution_outcomes::rejected(TimeSpan(0));
-        self.metrics.rejected += u64::from(self.answer(stmt, answer));
     }
 
-    pub(super) fn on_gossip_message(&mut self, now: Timestamp, news: GossipMessage) {
-        let heard = match news {
-            GossipMessage::Output(heard) => heard,
-            GossipMessage::LogLine(line) => return self.observer.say(now, "fleet", format_args!("{line}")),
-        };
-        match heard {
-            Output::News(fact, told) => {
+    fn on_gossip_output(&mut self, now: Timestamp, output: Output) {
+        match output {
+            Output::News(record, received_at) => {
                 self.metrics.facts_from_others += 1;
-                self.fact(now, &fact, told);
+                self.on_record(now, &record, received_at);
             }
-            Output::Question { from, question } => self.questioned(now, from, question),
+            Output::Question { from, question } => self.on_query(now, from, question),
             Output::Answered {
                 from,
                 question,
                 known,
-            } => {
-                let Some(sharing) = &mut self.sharing else { return };
-                let (id, turn) = (question.id, question.turn);
-                if let Some(verdict) = sharing.inquiries.answered(id, turn, from, &known) {
-                    self.decided(now, id, verdict);
-                }
-            }
-            Output::Presence(change) => {
-                let Some(sharing) = &mut self.sharing else { return };
-                match change.to {
-                    Presence::There | Presence::Suspected => drop(sharing.there.insert(change.peer)),
-                    Presence::Gone | Presence::Unheard => drop(sharing.there.remove(&change.peer)),
-                }
-                self.count_peers(now);
-                let Some(sharing) = &self.sharing else { return };
-                let (to, from) = (change.to.name(), change.from.name());
-                let name = sharing.names.get(change.peer).map_or("", String::as_str);
-                if change.to == Presence::Gone {
-                    self.metrics.peers_lost += 1;
-                }
-                let text = format_args!("driver {name} is {to}, was {from}");
-                self.observer.say(now, "fleet", text);
-            }
-            Output::CaughtUp(whole) => {
-                let text = if whole { "caught up" } else { "behind: it was away" };
-                self.observer.say(now, "fleet", format_args!("{text}"));
+            } => self.on_query_answer(now, from, question, &known),
+            Output::Presence(change) => self.on_presence_change(now, &change),
+            Output::CaughtUp(is_complete) => {
+                let text = if is_complete {
+                    "caught up"
+                } else {
+                    "behind: it was away"
+                };
+                self.observer.log(now, FLEET, format_args!("{text}"));
             }
             Output::CutOff { peer, why } => {
-                let Some(sharing) = &self.sharing else { return };
-                let name = sharing.names.get(peer).map_or("", String::as_str);
+                let Some(gossip) = &self.gossip else { return };
+                let name = gossip.peer_name(peer);
                 let text = format_args!("driver {name} is not listened to: {why}");
-                self.observer.say(now, "fleet", text);
+                self.observer.log(now, FLEET, text);
             }
             Output::Send { .. } => {}
         }
     }
 
-    /// What another driver has heard. One that isn't listed here binds nothing here.
-    fn fact(&mut self, now: Timestamp, fact: &Record, told: Timestamp) {
-        match fact {
-            Record::Member {
-                name,
-                started_ms,
-                position,
-                primary_at,
-                replica_at,
-                ..
-            } => {
-                let member = self.members.find(name);
-                // Of another start of it nothing holds here.
-                let same = |m: &u32| self.members.has_started_at(*m, *started_ms);
-                let Some(member) = member.filter(same) else { return };
-                if let Some(sharing) = &mut self.sharing {
-                    sharing.turns.silence.heard(name, told);
-                }
-                // Never as new as what it says to this driver itself.
-                let ago = (now - told).max(TimeSpan(1));
-                for sighting in sightings(*position, *primary_at, *replica_at) {
-                    let results =
-                        self.module
-                            .on_member_update(now, member, MemberUpdate::Status(ago, sighting));
-                    self.carry_out(now, results);
-                }
-            }
-            Record::Drain {
-                name,
-                started_ms,
-                list,
-                standing,
-            } => {
-                let newest = self.sharing.as_ref().map_or(0, |s| s.list);
-                // An older list than this driver's own binds nothing; of its own version the worse word does.
-                let binds = *standing != Listed::Ready && *list >= newest;
-                let Some(member) = self.members.find(name).filter(|_| binds) else {
-                    return;
-                };
-                self.member_requests.close_idle(member);
-                self.metrics.drains_from_others += 1;
-                let results = self.module.on_member_update(
-                    now,
-                    member,
-                    MemberUpdate::Draining(vitals::unix(*started_ms)),
-                );
-                self.carry_out(now, results);
-            }
-            Record::Session { session, position } => {
-                if self.remembers_sessions {
-                    let position = Timestamp(0) + TimeSpan::millis(*position);
-                    self.module.on_session_position(*session, position);
-                }
-            }
-            Record::Cold {
-                member,
-                started_ms,
-                driver,
-                life,
-                work_us,
-                carries_us,
-                ..
-            } => {
+    fn on_presence_change(&mut self, now: Timestamp, change: &Change) {
+        let Some(gossip) = &mut self.gossip else { return };
+        gossip.on_presence_change(change);
+        self.update_fleet(now);
+        let Some(gossip) = &self.gossip else { return };
+        if change.to == Presence::Gone {
+            self.metrics.peers_lost += 1;
+        }
+        let (name, to, from) = (
+            gossip.peer_name(change.peer),
+            change.to.name(),
+            change.from.name(),
+        );
+        let text = format_args!("driver {name} is {to}, was {from}");
+        self.observer.log(now, FLEET, text);
+    }
+
+    /// Applies another driver's record. Members that are not listed here are not affected.
+    fn on_record(&mut self, now: Timestamp, record: &Record, received_at: Timestamp) {
+        match record {
+            Record::Member { .. } => self.on_member_record(now, record, received_at),
+            Record::Drain { .. } => self.on_drain_record(now, record),
+            Record::Session { session, position } => self.on_session_record(*session, *position),
+            Record::Cold { member, .. } => {
                 let is_known = self.members.find(member).is_some();
-                if let Some(sharing) = self.sharing.as_mut().filter(|_| is_known) {
-                    let cold = &mut sharing.cold;
-                    cold.told(told, member, *started_ms, driver, *life, *work_us, *carries_us);
+                if let Some(gossip) = self.gossip.as_mut().filter(|_| is_known) {
+                    gossip.on_warm_up_record(received_at, record);
                 }
             }
             Record::Turn { subject, claim } => {
-                if let Some(sharing) = &mut self.sharing {
-                    sharing.turns.leases.told(now, subject, *claim, now - told);
+                if let Some(gossip) = &mut self.gossip {
+                    gossip.on_lease_claim(now, subject, *claim, now - received_at);
                 }
             }
             Record::Late {
@@ -458,16 +185,85 @@
                 driver,
                 before_us,
                 ..
-            } => self.late_elsewhere(member, driver, told - TimeSpan(*before_us), told),
+            } => {
+                let sent_at = received_at - TimeSpan(*before_us);
+                self.on_peer_overdue(member, driver, sent_at, received_at);
+            }
             Record::Load {
                 driver, life, shares, ..
             } => {
-                if let Some(sharing) = &mut self.sharing {
-                    sharing.turns.load_told((driver, *life), shares, told);
+                if let Some(gossip) = &mut self.gossip {
+                    gossip.on_load_report(&LoadReport {
+                        driver,
+                        incarnation: *life,
+                        shares,
+                        received_at,
+                    });
                 }
             }
             Record::Driver { .. } => {}
         }
-        self.tell_ended(now);
+        self.notify_policy_of_ends(now);
+    }
+
+    /// A record of another instance of the member says nothing about the listed one.
+    fn on_member_record(&mut self, now: Timestamp, record: &Record, received_at: Timestamp) {
+        let Record::Member {
+            name,
+            started_ms,
+            position,
+            primary_at,
+            replica_at,
+            ..
+        } = record
+        else {
+            return;
+        };
+        let listed = self.members.find(name);
+        let Some(member) = listed.filter(|member| self.members.has_started_at(*member, *started_ms)) else {
+            return;
+        };
+        if let Some(gossip) = &mut self.gossip {
+            gossip.on_peer_answer(name, received_at);
+        }
+        // Never as new as what the member reports to this driver itself.
+        let age = (now - received_at).max(TimeSpan(1));
+        let reported = MemberStatusRecord {
+            position: *position,
+            primary_at: *primary_at,
+            replica_at: *replica_at,
+        };
+        for status in statuses(reported) {
+            self.update_member(now, member, MemberUpdate::Status(age, status));
+        }
+    }
+
+    fn on_drain_record(&mut self, now: Timestamp, record: &Record) {
+        let Record::Drain {
+            name,
+            started_ms,
+            list,
+            standing,
+        } = record
+        else {
+            return;
+        };
+        // A record by an older list than the one in force does not bind; by the same list, the worse state applies.
+        let version_in_force = self.gossip.as_ref().map_or(0, Gossip::list_version);
+        let is_binding = *standing != Standing::Ready && *list >= version_in_force;
+        let Some(member) = self.members.find(name).filter(|_| is_binding) else {
+            return;
+        };
+        self.member_requests.close_idle(member);
+        self.metrics.drains_from_others += 1;
+        let update = MemberUpdate::Draining(vitals::unix(*started_ms));
+        self.update_member(now, member, update);
+    }
+
+    fn on_session_record(&mut self, session: u64, position_ms: u64) {
+        if self.records_sessions {
+            let position = Timestamp(0) + TimeSpan::millis(position_ms);
+            self.policy.on_session_position(session, position);
+        }
     }
 }
--- /dev/null
+++ b/crates/driver/src/routing/event_loop/in_doubt.rs
@@ -0,0 +1,119 @@
+//! Statements that another driver may have sent: what is asked of other drivers, and what they ask.
+
+use super::{EventLoop, Observer};
+use crate::routing::execution_outcomes;
+use crate::routing::gossip::StatementCheck;
+use asterlatch::interface::{PriorAttempt, Statement};
+use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch_gossip::codec::Question;
+use asterlatch_gossip::in_doubt::{Known, Verdict, FOREVER};
+
+/// An attempt of which neither time nor member are known.
+const UNKNOWN_ATTEMPT: PriorAttempt = PriorAttempt {
+    age: FOREVER,
+    member: 0,
+};
+
+fn with_prior_attempt(statement: Statement, prior_attempt: PriorAttempt) -> Option<Statement> {
+    Some(Statement {
+        prior_attempt: Some(prior_attempt),
+        ..statement
+    })
+}
+
+impl<O: Observer> EventLoop<O> {
+    /// Checks whether another driver may have sent a statement. Returns it with its prior attempt, if there is one, or
+    /// nothing if it is deferred until other drivers have answered.
+    pub(super) fn check_prior_attempts(
+        &mut self,
+        now: Timestamp,
+        client_id: u64,
+        statement: Statement,
+        deadline: Timestamp,
+    ) -> Option<Statement> {
+        if !self.workloads.get(statement.workload).needs_deduplication {
+            return Some(statement);
+        }
+        let Some(gossip) = &mut self.gossip else {
+            return if self.is_gossip_deferred && statement.is_client_retry {
+                with_prior_attempt(statement, UNKNOWN_ATTEMPT)
+            } else {
+                Some(statement)
+            };
+        };
+        match gossip.check_statement(now, client_id, statement, deadline) {
+            StatementCheck::New => Some(statement),
+            StatementCheck::Ceded => {
+                self.metrics.statements_given_away += 1;
+                with_prior_attempt(statement, UNKNOWN_ATTEMPT)
+            }
+            StatementCheck::Sent { age, member } => {
+                let prior_attempt = self.prior_attempt(age, Some(&member));
+                with_prior_attempt(statement, prior_attempt)
+            }
+            StatementCheck::Unknown => with_prior_attempt(statement, UNKNOWN_ATTEMPT),
+            StatementCheck::Queried => {
+                self.metrics.inquiries += 1;
+                None
+            }
+        }
+    }
+
+    /// An attempt at a member that this driver may not know.
+    fn prior_attempt(&self, age: TimeSpan, member: Option<&str>) -> PriorAttempt {
+        let member = member.and_then(|name| self.members.find(name));
+        member.map_or(UNKNOWN_ATTEMPT, |member| PriorAttempt { age, member })
+    }
+
+    pub(super) fn on_query_answer(&mut self, now: Timestamp, from: usize, question: Question, known: &Known) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let client_id = question.id;
+        if let Some(verdict) = gossip.on_query_answer(from, question, known) {
+            self.on_query_resolved(now, client_id, verdict);
+        }
+    }
+
+    /// What other drivers know of a deferred statement is clear.
+    pub(super) fn on_query_resolved(&mut self, now: Timestamp, client_id: u64, verdict: Verdict) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let Some(deferred) = gossip.take_deferred(client_id) else {
+            return;
+        };
+        // Its client may be gone.
+        if !self.statements.contains(deferred.statement.id) {
+            return;
+        }
+        let prior_attempt = match verdict {
+            Verdict::Untouched => None,
+            Verdict::Sent { ago, member } => {
+                self.metrics.inquiries_in_doubt += 1;
+                Some(self.prior_attempt(ago, member.as_deref()))
+            }
+        };
+        let statement = Statement {
+            prior_attempt,
+            time_left: deferred.deadline - now,
+            ..deferred.statement
+        };
+        let actions = self.policy.on_statement(now, &statement);
+        self.carry_out(now, actions);
+        self.notify_policy_of_ends(now);
+    }
+
+    /// Another driver asks about a statement. If it has not been sent from here it is ceded, and rejected if it is open.
+    pub(super) fn on_query(&mut self, now: Timestamp, from: usize, question: Question) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let client_id = question.id;
+        let is_ceded = gossip.answer_query(now, from, question, self.handover.is_co_serving());
+        let open = self.statements.find(client_id);
+        let Some(statement) = open.filter(|_| is_ceded) else {
+            return;
+        };
+        self.metrics.statements_given_away += 1;
+        let actions = self.policy.on_statement_withdrawn(now, statement);
+        self.carry_out(now, actions);
+        let answer = execution_outcomes::rejected(TimeSpan(0));
+        let is_answered = self.answer(statement, answer);
+        self.metrics.rejected += u64::from(is_answered);
+    }
+}
--- /dev/null
+++ b/crates/driver/src/routing/event_loop/members.rs
@@ -0,0 +1,133 @@
+//! Events of connections to members.
+
+use super::{EventLoop, Observer};
+use crate::protocol::execution::{MemberEvent, Reply};
+use crate::protocol::session::Final;
+use crate::protocol::{messages, vitals};
+use crate::routing::execution_outcomes;
+use crate::routing::handover::TransferredConnection;
+use crate::routing::member_requests::{AttemptId, MemberRequest, RequestKind};
+use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
+use asterlatch::time::Timestamp;
+
+impl<O: Observer> EventLoop<O> {
+    pub(super) fn on_member_event(&mut self, now: Timestamp, event: MemberEvent) {
+        match event {
+            MemberEvent::Connected { connection } => self.on_connected(now, connection),
+            MemberEvent::Transferred { connection, stream } => {
+                if let Some(member) = self.member_requests.on_transferred(connection) {
+                    self.handover
+                        .add_connection(TransferredConnection { member, stream });
+                }
+            }
+            MemberEvent::Replied {
+                connection,
+                at,
+                reply,
+                sighting,
+                report,
+            } => {
+                let request = match reply {
+                    Reply::Malformed => self.member_requests.close(connection),
+                    _ => self.member_requests.on_answered(connection, now),
+                };
+                if let Some(request) = request {
+                    let status = sighting.merge(self.reported_status(&request, &reply, report));
+                    self.on_reply(now, request, at, reply, status);
+                }
+            }
+            MemberEvent::Closed {
+                connection,
+                at,
+                written,
+            } => self.on_connection_closed(now, connection, at, written),
+        }
+    }
+
+    fn on_reply(
+        &mut self,
+        now: Timestamp,
+        request: MemberRequest,
+        replied_at: Timestamp,
+        reply: Reply,
+        status: ReplicaStatus,
+    ) {
+        if !self.accepts_reply(&request, &reply, status) {
+            // The client does not receive it, but it was executed all the same.
+            self.end_request(request, replied_at, ExecutionOutcome::Errored, status);
+            self.metrics.answers_too_old += 1;
+            return;
+        }
+        let outcome = execution_outcomes::of_reply(&reply);
+        self.end_request(request, replied_at, outcome, status);
+        match (reply, request.kind) {
+            // The first complete answer goes to the client as the bytes that arrived.
+            (Reply::Rows(rows), RequestKind::Execution(id)) => {
+                let is_answered = self.answer(id.statement, Final::Rows(rows));
+                self.metrics.completed += u64::from(is_answered);
+            }
+            (Reply::Malformed, _) => {
+                self.metrics.members_malformed += 1;
+                let text = format_args!("sent what is not an answer");
+                self.observer.log(now, "member", text);
+            }
+            _ => {}
+        }
+    }
+
+    /// Whether the policy accepts the data of a reply as fresh enough for its statement.
+    fn accepts_reply(&self, request: &MemberRequest, reply: &Reply, status: ReplicaStatus) -> bool {
+        match (reply, request.kind) {
+            (Reply::Rows(_), RequestKind::Execution(AttemptId { statement, attempt })) => {
+                self.policy.accepts_answer(statement, attempt, status)
+            }
+            _ => true,
+        }
+    }
+
+    fn on_connection_closed(
+        &mut self,
+        now: Timestamp,
+        connection: u32,
+        closed_at: Timestamp,
+        is_written: bool,
+    ) {
+        let Some(request) = self.member_requests.close(connection) else {
+            return;
+        };
+        if request.is_reused_connection && !is_written {
+            // It had closed while it was idle: nothing was sent, so this is not another execution.
+            self.metrics.idle_connections_stale += 1;
+            return self.restart_request(now, request);
+        }
+        self.member_requests.record_reuse(&request, now, is_written);
+        let outcome = execution_outcomes::of_closed_connection(is_written);
+        self.end_request(request, closed_at, outcome, ReplicaStatus::default());
+    }
+
+    /// The status in a report, whether it came beside an answer or as the row that a health check asks for.
+    fn reported_status(
+        &self,
+        request: &MemberRequest,
+        reply: &Reply,
+        beside_answer: Option<String>,
+    ) -> ReplicaStatus {
+        let row = match (request.kind, reply) {
+            (RequestKind::HealthCheck, Reply::Rows(rows)) => messages::row_value(rows),
+            _ => None,
+        };
+        let row = row.and_then(|value| std::str::from_utf8(value).ok());
+        let from_row = self.parse_report(row);
+        from_row.merge(self.parse_report(beside_answer.as_deref()))
+    }
+
+    fn parse_report(&self, report: Option<&str>) -> ReplicaStatus {
+        let fields = &self.decoding.report_fields;
+        let name = |index: Option<usize>| Some(fields.get(index?)?.as_str());
+        let position = name(self.decoding.position_field);
+        let role = name(self.decoding.role_field);
+        report.map_or(ReplicaStatus::default(), |report| {
+            vitals::report(report, position, role)
+        })
+    }
+}
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -1,170 +1,165 @@
-//! What the event loop does for another process that serves beside this one: tells what was learned, hands clients and
-//! connections over, takes them back, and holds to what binds both.
+//! Another process of this service that serves beside this one, as its predecessor or successor: learned state, clients
+//! and connections move between them, and some updates bind both.
 
-use super::{EventLoop, Learned, Moved, Observer, ADOPTED};
-use crate::protocol::session::ClientCommand;
+use super::{EventLoop, Observer};
 use crate::protocol::vitals;
-use crate::routing::execution_outcomes;
+use crate::routing::handover::{CoServing, DrainedMember, TransferredClient, TransferredConnection};
 use crate::routing::member_requests::AdoptedConnection;
 use crate::routing::members::MemberDirectory;
-use crate::transport::listener::Arrival;
-use asterlatch::interface::{MemberUpdate, Settings};
-use asterlatch::policy;
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::interface::{Actions, MemberUpdate, Settings};
+use asterlatch::policy::RoutingPolicy;
+use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::CoServingMessage;
-use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use std::collections::BTreeMap;
 use std::net::{TcpListener, TcpStream};
 
+/// State that is handed over: what the policy has learned, and which members its ids stand for.
+pub struct LearnedState<'a> {
+    /// The policy.
+    pub policy: &'a RoutingPolicy,
+    /// The directory of members.
+    pub members: &'a MemberDirectory,
+}
+
+/// State that another process has handed over.
+pub struct ResumedState {
+    /// The policy.
+    pub policy: RoutingPolicy,
+    /// The directory of members.
+    pub members: MemberDirectory,
+}
+
 impl<O: Observer> EventLoop<O> {
-    /// What was learned, as another process goes on from it.
-    pub fn learned(&self) -> Learned<'_> {
-        (&self.module, &self.members)
+    /// State that another process resumes from.
+    pub fn learned_state(&self) -> LearnedState<'_> {
+        LearnedState {
+            policy: &self.policy,
+            members: &self.members,
+        }
     }
 
-    /// Goes on from what another process has learned of the same deployment.
-    pub fn resume(
-        &mut self,
-        now: Timestamp,
-        settings: &Settings,
-        (module, members): (policy::RoutingPolicy, MemberDirectory),
-    ) {
-        self.module = policy::RoutingPolicy::resume(module, settings, false, now);
-        self.members = members;
-        self.module_wakes = Some(now);
+    /// Resumes from the state of another process with the same settings.
+    pub fn resume(&mut self, now: Timestamp, settings: &Settings, state: ResumedState) {
+        self.policy = RoutingPolicy::resume(state.policy, settings, false, now);
+        self.members = state.members;
+        self.policy_wakes_at = Some(now);
     }
 
-    /// Another process begins to serve beside this one, or doesn't any more; it is the one that stays, or leaves.
-    pub fn share(&mut self, now: Timestamp, is_shared: bool, leaves: bool) {
-        let was_shared = std::mem::replace(&mut self.is_shared, is_shared);
-        self.drains = Vec::new();
-        if let Some(sharing) = self.sharing.as_mut().filter(|_| was_shared) {
-            // What the other one sent is in no log here.
-            sharing.log.blank(now);
+    /// States whether another process serves beside this one.
+    pub fn set_co_serving(&mut self, now: Timestamp, co_serving: CoServing) {
+        let did_co_serve = self.handover.set_co_serving(co_serving);
+        if let Some(gossip) = self.gossip.as_mut().filter(|_| did_co_serve) {
+            // The statements that the other process has sent are not recorded here.
+            gossip.forget_sent_statements(now);
         }
-        self.clients.set_co_serving(is_shared);
-        let results = self.module.set_peer_process(now, is_shared && leaves);
-        self.carry_out(now, results);
-        self.tell_ended(now);
+        self.clients.set_co_serving(self.handover.is_co_serving());
+        let yields = co_serving == CoServing::WithSuccessor;
+        let actions = self.policy.set_peer_process(now, yields);
+        self.carry_out(now, actions);
+        self.notify_policy_of_ends(now);
     }
 
-    /// Executions that are out, by member.
-    pub fn out(&self) -> BTreeMap<String, u32> {
-        let mut out = BTreeMap::new();
-        for name in self
-            .member_requests
-            .executions()
-            .filter_map(|e| self.members.name(e.member))
-        {
-            *out.entry(name.to_owned()).or_default() += 1;
+    /// Number of executions in flight by the name of their member.
+    pub fn in_flight_by_member(&self) -> BTreeMap<String, u32> {
+        let mut in_flight = BTreeMap::new();
+        for execution in self.member_requests.executions() {
+            if let Some(name) = self.members.name(execution.member) {
+                *in_flight.entry(name.to_owned()).or_default() += 1;
+            }
         }
-        out
+        in_flight
     }
 
-    /// Takes over what binds both processes. A member that is not known here gets nothing from here.
-    pub fn bind(&mut self, now: Timestamp, word: &CoServingMessage) {
-        let results = match word {
-            CoServingMessage::InFlight { member, count } => self.members.find(member).map(|m| {
-                self.module
-                    .on_member_update(now, m, MemberUpdate::InFlight(*count as usize))
-            }),
-            CoServingMessage::Draining {
-                member,
-                started_ms: since_ms,
-            } => self.members.find(member).map(|m| {
-                self.member_requests.close_idle(m);
-                self.metrics.drains_from_beside += 1;
-                self.module
-                    .on_member_update(now, m, MemberUpdate::Draining(vitals::unix(*since_ms)))
-            }),
+    /// Applies an update that binds both processes. Members that are not known here receive nothing from here.
+    pub fn on_peer_process_message(&mut self, now: Timestamp, message: &CoServingMessage) {
+        let actions = match message {
+            CoServingMessage::InFlight { member, count } => {
+                self.on_peer_in_flight(now, member, *count as usize)
+            }
+            CoServingMessage::Draining { member, started_ms } => self.on_peer_drain(now, member, *started_ms),
             CoServingMessage::Acknowledged => None,
         };
-        if let Some(results) = results {
-            self.carry_out(now, results);
-            self.tell_ended(now);
+        if let Some(actions) = actions {
+            self.carry_out(now, actions);
+            self.notify_policy_of_ends(now);
         }
     }
 
-    /// What is held now, for who asks whether another process has room beside this one.
-    pub fn held(&self) -> (usize, usize) {
-        (self.clients.count(), self.memory_taken())
+    fn on_peer_in_flight(&mut self, now: Timestamp, name: &str, count: usize) -> Option<Actions> {
+        let member = self.members.find(name)?;
+        let update = MemberUpdate::InFlight(count);
+        Some(self.policy.on_member_update(now, member, update))
+    }
+
+    fn on_peer_drain(&mut self, now: Timestamp, name: &str, started_ms: u64) -> Option<Actions> {
+        let member = self.members.find(name)?;
+        self.member_requests.close_idle(member);
+        self.metrics.drains_from_beside += 1;
+        let update = MemberUpdate::Draining(vitals::unix(started_ms));
+        Some(self.policy.on_member_update(now, member, update))
     }
 
-    /// A descriptor of the listener, for another process.
-    pub fn listener(&self) -> Option<TcpListener> {
-        self.listening.as_ref()?.descriptor().ok()
+    /// A descriptor of the listening socket, for another process.
+    pub fn listener_descriptor(&self) -> Option<TcpListener> {
+        self.acceptor.descriptor()
     }
 
-    /// Leaves newcomers to another process that listens at the same socket, or takes them again.
-    pub fn pause(&mut self, paused: bool) {
-        self.listening.as_ref().inspect(|l| l.pause(paused));
-        if !paused && !self.draining {
+    /// Leaves new clients to another process that listens on the same socket, or accepts them again.
+    pub fn set_accepting(&mut self, is_accepting: bool) {
+        self.acceptor.set_paused(!is_accepting);
+        if is_accepting && !self.is_draining {
             self.clients.resume_serving();
         }
     }
 
-    /// Has each client go to another process between two statements; those that do lie in `moved`.
-    pub fn hand_clients_over(&mut self) {
+    /// Hands clients over between two statements, and idle connections to members at once.
+    pub fn begin_handover(&mut self) {
         self.clients.begin_handover();
         self.member_requests.hand_over_idle();
     }
 
-    /// Goes on with an idle connection to a member that is still known.
-    pub fn adopt_connection(&mut self, now: Timestamp, member: u32, stream: TcpStream) {
+    /// Takes the clients that have left their connections to another process.
+    pub fn take_transferred_clients(&mut self) -> Vec<TransferredClient> {
+        self.handover.take_clients()
+    }
+
+    /// Takes the idle connections to members that are left to another process.
+    pub fn take_transferred_connections(&mut self) -> Vec<TransferredConnection> {
+        self.handover.take_connections()
+    }
+
+    /// Takes the members that were listed as draining or gone while another process serves.
+    pub fn take_drained_members(&mut self) -> Vec<DrainedMember> {
+        self.handover.take_drained_members()
+    }
+
+    /// Adopts an idle connection to a member, if it is still known.
+    pub fn adopt_member_connection(&mut self, now: Timestamp, member: u32, stream: TcpStream) {
         let Some(address) = self.members.address(member) else {
             return;
         };
-        let adopt = &mut self.adopt_connection;
-        if self
+        let handover = &mut self.handover;
+        let is_adopted = self
             .member_requests
-            .adopt(now, AdoptedConnection { member, address }, |id| adopt(id, stream))
-        {
-            self.metrics.connections_adopted += 1;
-        }
+            .adopt(now, AdoptedConnection { member, address }, |id| {
+                handover.adopt_member_connection(id, stream)
+            });
+        self.metrics.connections_adopted += u64::from(is_adopted);
     }
 
-    /// Goes on with a client that another process stood so with. Its number lies above those of who is accepted here.
-    pub fn adopt(&mut self, now: Timestamp, moved: Moved) {
-        self.adopted = self.adopted.wrapping_add(1) | ADOPTED;
-        let id = self.adopted;
-        match (self.adopt)(id, moved.stream, moved.standing) {
+    /// Adopts a client of another process.
+    pub fn adopt_client(&mut self, now: Timestamp, client: TransferredClient) {
+        let is_active = client.is_active;
+        let adopted = self.handover.adopt_client(client);
+        match adopted.line {
             Ok(line) => {
-                // Its news lie in the queue, and come behind this.
-                if moved.verdicts != StatementVerdicts::default() {
-                    self.verdicts.insert(id, moved.verdicts);
-                }
-                self.arrived(now, Arrival::Client(id, line));
+                self.admit_client(now, adopted.id, line);
                 self.metrics.clients_adopted += 1;
-                if moved.has_asked {
-                    self.clients.mark_active(id, now);
+                if is_active {
+                    self.clients.mark_active(adopted.id, now);
                 }
             }
-            Err(e) => self.arrived(now, Arrival::Failed(e)),
+            Err(error) => self.on_accept_failed(now, &error),
         }
     }
-
-    /// Answers a statement that a process has read which died, as far as that is known; whether it did.
-    pub(super) fn judged(&mut self, client: u32, number: u32, end: u64) -> bool {
-        let Some(verdicts) = self.verdicts.get(&client) else {
-            return false;
-        };
-        let verdict = verdicts.verdict_for(end);
-        if verdicts.is_past_last(end) {
-            self.verdicts.remove(&client);
-        }
-        let (count, answer) = match verdict {
-            StatementVerdict::Unread => return false,
-            StatementVerdict::Rejected => (
-                &mut self.metrics.taken_back_rejected,
-                execution_outcomes::rejected(TimeSpan(0)),
-            ),
-            StatementVerdict::Aborted => (
-                &mut self.metrics.taken_back_aborted,
-                execution_outcomes::aborted(),
-            ),
-        };
-        *count += 1;
-        self.clients.send(client, ClientCommand::Answer(number, answer));
-        true
-    }
 }
--- /dev/null
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -0,0 +1,299 @@
+//! Leases for health checks, failure consensus and load aggregate. Their rules stand in `asterlatch_coordination`; here
+//! they meet members' names, ticks and records.
+
+use super::DriverIdentity;
+use crate::routing::members::fleet_key;
+use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch_coordination::failure_consensus::{self, Silence};
+use asterlatch_coordination::fleet_size::Size;
+use asterlatch_coordination::lease::{Claim, End, Leases, Stand, Terms};
+use asterlatch_coordination::load_aggregate::{self, Sums};
+use asterlatch_coordination::Key;
+use asterlatch_gossip::record::{Record, MOST_SHARES};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Time between two health checks of an unresponsive member by the lease holder. Without leases, each driver checks the
+/// less often the more drivers there are.
+const HEALTH_CHECK_INTERVAL: TimeSpan = TimeSpan::millis(300);
+/// Time between two load reports.
+const LOAD_REPORT_INTERVAL: TimeSpan = TimeSpan::millis(500);
+/// Time after which a smaller fleet counts.
+const SHRINK_DELAY: TimeSpan = TimeSpan::millis(30_000);
+/// A claim may wait for a tick at each of two drivers before it arrives.
+const TICKS_PER_CLAIM: f64 = 2.5;
+/// Units of admission shares and of answers in load reports.
+const SHARE_UNITS: f64 = 200.0;
+const ANSWER_UNITS: f64 = 10.0;
+
+/// A member's admission share by its name.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NamedShare {
+    /// Name of the member.
+    pub member: String,
+    /// Admission share.
+    pub share: f64,
+}
+
+/// A member that the failure consensus considers unresponsive, or no longer does.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct UnresponsiveMember {
+    /// Name of the member.
+    pub member: String,
+    /// Until when; zero if it is responsive again.
+    pub until: Timestamp,
+}
+
+/// Another driver's report of its admission shares.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LoadReport<'a> {
+    /// Name of the driver.
+    pub driver: &'a str,
+    /// Number of its run.
+    pub incarnation: u64,
+    /// Member, share and answers, in units of the record.
+    pub shares: &'a [(u64, u8, u8)],
+    /// When it was received.
+    pub received_at: Timestamp,
+}
+
+/// The result of advancing coordination.
+pub struct CoordinationRound {
+    /// Records to be shared, with their age.
+    pub(super) records: Vec<(Record, TimeSpan)>,
+    /// Members whose health this driver checks now for all.
+    pub health_checks: Vec<String>,
+    /// Members whose responsiveness has changed.
+    pub unresponsive: Vec<UnresponsiveMember>,
+    /// Admission shares aggregated over the fleet.
+    pub shares: Vec<NamedShare>,
+}
+
+/// Coordination with the other drivers of the fleet.
+pub(super) struct Coordination {
+    leases: Leases,
+    failure_consensus: Silence,
+    fleet_size: Size,
+    load_aggregate: Sums,
+    next_load_report_at: Timestamp,
+    own: DriverIdentity,
+    /// Number of records that this run has shared, by which newer ones are known.
+    record_count: u64,
+    /// Members whose health checks the policy wants, and when this driver last sent one for all.
+    wanted: BTreeMap<String, Timestamp>,
+}
+
+/// The lease for checking the health of a member. The subject is part of gossip records.
+fn lease_subject(member: &str) -> String {
+    format!("probe {member}")
+}
+
+impl Coordination {
+    /// `fleet_size` counts the drivers that the operators' file names, this one among them.
+    pub(super) fn new(now: Timestamp, own: &DriverIdentity, tick: TimeSpan, fleet_size: u32) -> Coordination {
+        let terms = Terms {
+            step: Terms::default().step.max(tick * TICKS_PER_CLAIM),
+            ..Terms::default()
+        };
+        let key = fleet_key(&own.name);
+        Coordination {
+            leases: Leases::new(key, own.incarnation, terms),
+            failure_consensus: Silence::new(key, failure_consensus::Terms::default()),
+            fleet_size: Size::new(fleet_size, SHRINK_DELAY, now),
+            load_aggregate: Sums::new(load_aggregate::Terms::default()),
+            next_load_report_at: now,
+            own: own.clone(),
+            record_count: 0,
+            wanted: BTreeMap::new(),
+        }
+    }
+
+    /// These other drivers are present. Returns the number of drivers to count with.
+    pub(super) fn on_fleet(&mut self, now: Timestamp, others: &BTreeSet<Key>) -> u32 {
+        self.leases.there(others);
+        self.fleet_size.reach(now, others.len() as u32 + 1)
+    }
+
+    /// The policy wants a health check of a member. Returns whether this driver sends it; a driver that is alone always
+    /// does.
+    pub(super) fn may_check_health(&mut self, now: Timestamp, member: &str, is_alone: bool) -> bool {
+        if is_alone {
+            return true;
+        }
+        let subject = lease_subject(member);
+        self.leases.want(now, &subject);
+        let stand = self.leases.stand(now, &subject);
+        let may_check = matches!(stand, Stand::Mine | Stand::Done);
+        let checked_at = self.wanted.entry(member.to_owned()).or_insert(Timestamp(0));
+        // A health check that the policy of the lease holder wants serves all.
+        if may_check {
+            *checked_at = now;
+        }
+        may_check
+    }
+
+    /// A member has answered this driver.
+    pub(super) fn on_answer(&mut self, now: Timestamp, member: &str) {
+        self.failure_consensus.heard(member, now);
+        self.load_aggregate.answered(now, fleet_key(member));
+    }
+
+    /// A member has answered another driver then.
+    pub(super) fn on_peer_answer(&mut self, member: &str, answered_at: Timestamp) {
+        self.failure_consensus.heard(member, answered_at);
+    }
+
+    /// Another driver has an overdue execution at a member.
+    pub(super) fn on_peer_overdue(
+        &mut self,
+        member: &str,
+        driver: &str,
+        sent_at: Timestamp,
+        received_at: Timestamp,
+    ) {
+        let driver = fleet_key(driver);
+        self.failure_consensus.late(member, driver, sent_at, received_at);
+    }
+
+    /// Another driver's claim of a lease.
+    pub(super) fn on_lease_claim(&mut self, now: Timestamp, subject: &str, claim: Claim, age: TimeSpan) {
+        self.leases.told(now, subject, claim, age);
+    }
+
+    /// Another driver's report of its admission shares.
+    pub(super) fn on_load_report(&mut self, report: &LoadReport) {
+        let driver = (fleet_key(report.driver), report.incarnation);
+        for (member, share, answers) in report.shares {
+            let share = f64::from(*share) / SHARE_UNITS;
+            let answers = f64::from(*answers) / ANSWER_UNITS;
+            self.load_aggregate
+                .told(*member, driver, share, answers, report.received_at);
+        }
+    }
+
+    /// Advances everything. `wants_health_check` tells whether the policy still wants a member's health checked,
+    /// `overdue` when the last overdue execution at a member was sent, `shares` what this driver admits.
+    pub(super) fn advance_to(
+        &mut self,
+        now: Timestamp,
+        wants_health_check: impl Fn(&str) -> bool,
+        overdue: &BTreeMap<String, Timestamp>,
+        shares: &[NamedShare],
+    ) -> CoordinationRound {
+        let mut records = Vec::new();
+        self.release_leases(now, wants_health_check, &mut records);
+        self.advance_leases(now, &mut records);
+        let health_checks = self.due_health_checks(now);
+        self.share_overdue(now, overdue, &mut records);
+        let changes = self.failure_consensus.news(now).into_iter();
+        let unresponsive = changes
+            .map(|(member, until)| UnresponsiveMember { member, until })
+            .collect();
+        self.failure_consensus.age(now);
+        self.load_aggregate.age(now);
+        let aggregated = self.aggregated_shares(now, shares);
+        let report = self.load_report(now, shares);
+        records.extend(report.map(|record| (record, TimeSpan(0))));
+        CoordinationRound {
+            records,
+            health_checks,
+            unresponsive,
+            shares: aggregated,
+        }
+    }
+
+    /// A health check is no longer wanted because the member has answered, or is no longer listed.
+    fn release_leases(
+        &mut self,
+        now: Timestamp,
+        wants_health_check: impl Fn(&str) -> bool,
+        records: &mut Vec<(Record, TimeSpan)>,
+    ) {
+        let wanted = self.wanted.keys();
+        let unwanted: Vec<String> = wanted.filter(|m| !wants_health_check(m)).cloned().collect();
+        for member in unwanted {
+            self.wanted.remove(&member);
+            let subject = lease_subject(&member);
+            if let Some(claim) = self.leases.rest(now, &subject, End::Done) {
+                records.push((Record::Turn { subject, claim }, TimeSpan(0)));
+            }
+        }
+    }
+
+    fn advance_leases(&mut self, now: Timestamp, records: &mut Vec<(Record, TimeSpan)>) {
+        for (subject, claim) in self.leases.reach(now) {
+            records.push((Record::Turn { subject, claim }, TimeSpan(0)));
+        }
+    }
+
+    fn due_health_checks(&mut self, now: Timestamp) -> Vec<String> {
+        let mut due = Vec::new();
+        for (member, checked_at) in &mut self.wanted {
+            let is_holder = self.leases.stand(now, &lease_subject(member)) == Stand::Mine;
+            if is_holder && now - *checked_at >= HEALTH_CHECK_INTERVAL {
+                *checked_at = now;
+                due.push(member.clone());
+            }
+        }
+        due
+    }
+
+    fn share_overdue(
+        &mut self,
+        now: Timestamp,
+        overdue: &BTreeMap<String, Timestamp>,
+        records: &mut Vec<(Record, TimeSpan)>,
+    ) {
+        let own = fleet_key(&self.own.name);
+        for (member, sent_at) in overdue {
+            self.failure_consensus.late(member, own, *sent_at, now);
+            self.record_count += 1;
+            let record = Record::Late {
+                member: member.clone(),
+                driver: self.own.name.clone(),
+                life: self.own.incarnation,
+                said: self.record_count,
+                before_us: (now - *sent_at).0,
+            };
+            records.push((record, TimeSpan(0)));
+        }
+    }
+
+    fn aggregated_shares(&self, now: Timestamp, shares: &[NamedShare]) -> Vec<NamedShare> {
+        let aggregated = shares.iter().filter_map(|own| {
+            let key = fleet_key(&own.member);
+            let share = self.load_aggregate.drawn(now, key, own.share)?;
+            Some(NamedShare {
+                member: own.member.clone(),
+                share,
+            })
+        });
+        aggregated.collect()
+    }
+
+    /// This driver's shares, if a report is due and members have answered it.
+    fn load_report(&mut self, now: Timestamp, shares: &[NamedShare]) -> Option<Record> {
+        if now < self.next_load_report_at {
+            return None;
+        }
+        self.next_load_report_at = now + LOAD_REPORT_INTERVAL;
+        let by_key: BTreeMap<Key, f64> = shares
+            .iter()
+            .map(|own| (fleet_key(&own.member), own.share))
+            .collect();
+        let mut reported = Vec::new();
+        for (key, answers) in self.load_aggregate.tellable(now, MOST_SHARES) {
+            if let Some(share) = by_key.get(&key) {
+                reported.push((key, (share * SHARE_UNITS) as u8, (answers * ANSWER_UNITS) as u8));
+            }
+        }
+        self.record_count += 1;
+        let report = Record::Load {
+            driver: self.own.name.clone(),
+            life: self.own.incarnation,
+            said: self.record_count,
+            shares: reported,
+        };
+        let is_empty = matches!(&report, Record::Load { shares, .. } if shares.is_empty());
+        (!is_empty).then_some(report)
+    }
+}
--- /dev/null
+++ b/crates/driver/src/routing/gossip/prior_attempts.rs
@@ -0,0 +1,194 @@
+//! Statements that must not be executed twice: which this driver has sent, and what other drivers know of them.
+
+use super::{GossipSettings, SendCommand};
+use asterlatch::interface::Statement;
+use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch_gossip::codec::Question;
+use asterlatch_gossip::in_doubt::{Inquiries, Known, Log, Verdict};
+use asterlatch_gossip::node::Input;
+use std::collections::BTreeMap;
+
+/// Share of a statement's time that may be spent on waiting for other drivers' answers.
+const MAX_QUERY_SHARE: f64 = 0.3;
+
+/// What is known of a statement that a client has sent.
+#[derive(Clone, Debug, PartialEq)]
+pub enum StatementCheck {
+    /// It is new, as far as is known.
+    New,
+    /// This driver has promised another one not to send it.
+    Ceded,
+    /// An earlier attempt of it was sent this long ago, to the member with this name.
+    Sent {
+        /// Time since that attempt; an upper bound.
+        age: TimeSpan,
+        /// Name of the member.
+        member: String,
+    },
+    /// It may have been sent.
+    Unknown,
+    /// Other drivers have been asked; it is deferred until they answer.
+    Queried,
+}
+
+/// A query that was not answered in time.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ExpiredQuery {
+    /// Hash of the id that its client gave the statement.
+    pub client_id: u64,
+    /// What is to be assumed.
+    pub verdict: Verdict,
+}
+
+/// A statement that was deferred, once other drivers' knowledge of it is clear.
+#[derive(Clone, Copy, Debug)]
+pub struct ResolvedStatement {
+    /// The statement as it was accepted.
+    pub statement: Statement,
+    /// End of its timeout.
+    pub deadline: Timestamp,
+}
+
+/// A statement that waits for other drivers' answers.
+struct DeferredStatement {
+    query: u32,
+    resolved: ResolvedStatement,
+}
+
+/// Records and queries on statements that must not be executed twice.
+pub struct PriorAttempts {
+    sent: Log,
+    queries: Inquiries,
+    deferred: BTreeMap<u64, DeferredStatement>,
+    queried_peers: Vec<usize>,
+    query_timeout: TimeSpan,
+}
+
+impl PriorAttempts {
+    pub(super) fn new(now: Timestamp, settings: &GossipSettings, queried_peers: Vec<usize>) -> PriorAttempts {
+        PriorAttempts {
+            sent: Log::new(now, settings.retry_window, settings.max_recorded_statements, true),
+            queries: Inquiries::default(),
+            deferred: BTreeMap::new(),
+            queried_peers,
+            query_timeout: settings.query_timeout,
+        }
+    }
+
+    pub(super) fn next_at(&self) -> Option<Timestamp> {
+        self.queries.next_at()
+    }
+
+    pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<ExpiredQuery> {
+        let expired = self.queries.due(now).into_iter();
+        expired
+            .map(|(client_id, verdict)| ExpiredQuery { client_id, verdict })
+            .collect()
+    }
+
+    pub(super) fn forget_sent(&mut self, now: Timestamp) {
+        self.sent.blank(now);
+    }
+
+    pub(super) fn on_sent(&mut self, now: Timestamp, client_id: u64, member: &str) {
+        self.sent.sends(now, client_id, member);
+    }
+
+    pub(super) fn on_not_executed(&mut self, client_id: u64) {
+        self.sent.untouched(client_id);
+    }
+}
+
+impl super::Gossip {
+    /// Checks a statement that must not be executed twice. Other drivers are asked about client retries that this one
+    /// has not sent.
+    pub fn check_statement(
+        &mut self,
+        now: Timestamp,
+        client_id: u64,
+        statement: Statement,
+        deadline: Timestamp,
+    ) -> StatementCheck {
+        let prior_attempts = &mut self.prior_attempts;
+        if prior_attempts.sent.is_given(client_id) {
+            return StatementCheck::Ceded;
+        }
+        match prior_attempts.sent.known(now, client_id) {
+            // Also where it is not marked as a retry: the first attempt may arrive behind the retry.
+            Known::Sent { ago, member } => return StatementCheck::Sent { age: ago, member },
+            _ if !statement.is_client_retry => return StatementCheck::New,
+            Known::Unknown => return StatementCheck::Unknown,
+            Known::Untouched => {}
+        }
+        let resolved = ResolvedStatement { statement, deadline };
+        prior_attempts.query(now, client_id, resolved, &mut self.send)
+    }
+
+    /// Another driver's answer to a query. Returns the verdict once all answers allow one.
+    pub fn on_query_answer(&mut self, from: usize, question: Question, known: &Known) -> Option<Verdict> {
+        let queries = &mut self.prior_attempts.queries;
+        queries.answered(question.id, question.turn, from, known)
+    }
+
+    /// Ends the query on a deferred statement, and returns that.
+    pub fn take_deferred(&mut self, client_id: u64) -> Option<ResolvedStatement> {
+        let deferred = self.prior_attempts.deferred.remove(&client_id)?;
+        (self.send)(Input::Asked(Question {
+            id: client_id,
+            turn: deferred.query,
+        }));
+        Some(deferred.resolved)
+    }
+
+    /// Answers another driver's query. If this driver has not sent the statement it cedes it: true is returned, and the
+    /// statement must not be sent from here any more. What another process of this driver has sent is not known here.
+    pub fn answer_query(
+        &mut self,
+        now: Timestamp,
+        from: usize,
+        question: Question,
+        is_co_serving: bool,
+    ) -> bool {
+        let prior_attempts = &mut self.prior_attempts;
+        let known = if is_co_serving {
+            Known::Unknown
+        } else {
+            prior_attempts.sent.known(now, question.id)
+        };
+        let is_ceded = known == Known::Untouched;
+        if is_ceded {
+            prior_attempts.sent.give_away(now, question.id);
+            prior_attempts.queries.end(question.id);
+            prior_attempts.deferred.remove(&question.id);
+        }
+        (self.send)(Input::Answer {
+            to: from,
+            question,
+            known,
+        });
+        is_ceded
+    }
+}
+
+impl PriorAttempts {
+    fn query(
+        &mut self,
+        now: Timestamp,
+        client_id: u64,
+        resolved: ResolvedStatement,
+        send: &mut SendCommand,
+    ) -> StatementCheck {
+        let max_wait = resolved.statement.time_left * MAX_QUERY_SHARE;
+        let timeout = self.query_timeout.min(max_wait);
+        let Ok(query) = self.queries.ask(now, client_id, &self.queried_peers, timeout) else {
+            return StatementCheck::New;
+        };
+        self.deferred
+            .insert(client_id, DeferredStatement { query, resolved });
+        send(Input::Ask(Question {
+            id: client_id,
+            turn: query,
+        }));
+        StatementCheck::Queried
+    }
+}
--- /dev/null
+++ b/crates/driver/src/routing/gossip/status_batch.rs
@@ -0,0 +1,137 @@
+//! Statuses of members and positions of sessions, batched until the next tick.
+
+use crate::routing::members::{MemberDirectory, MemberIdentity};
+use asterlatch::interface::ReplicaStatus;
+use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch_gossip::record::Record;
+use std::collections::BTreeMap;
+
+/// Most positions of sessions in a batch. Further ones are left out; the next write of such a session is shared again.
+const MAX_SESSIONS: usize = 4096;
+
+/// Positions and roles that a member has reported, in milliseconds of Unix time; zero means none.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct MemberStatusRecord {
+    /// Newest position.
+    pub position: u64,
+    /// Newest position at which it was primary.
+    pub primary_at: u64,
+    /// Newest position at which it was a replica.
+    pub replica_at: u64,
+}
+
+#[derive(Clone, Copy, Debug, Default)]
+struct BatchedStatus {
+    reported_at: Timestamp,
+    record: MemberStatusRecord,
+}
+
+/// Observations that wait for the next tick.
+pub(super) struct StatusBatch {
+    tick: TimeSpan,
+    statuses: BTreeMap<u32, BatchedStatus>,
+    sessions: Vec<(Record, Timestamp)>,
+    due_at: Option<Timestamp>,
+}
+
+fn to_ms(at: Timestamp) -> u64 {
+    at.0 / 1000
+}
+
+impl StatusBatch {
+    pub(super) fn new(tick: TimeSpan) -> StatusBatch {
+        StatusBatch {
+            tick,
+            statuses: BTreeMap::new(),
+            sessions: Vec::new(),
+            due_at: None,
+        }
+    }
+
+    pub(super) fn next_at(&self) -> Option<Timestamp> {
+        self.due_at
+    }
+
+    fn schedule(&mut self, now: Timestamp) {
+        self.due_at = self.due_at.or(Some(now + self.tick));
+    }
+
+    /// Adds what a member has reported to this driver.
+    pub(super) fn add_status(&mut self, now: Timestamp, member: u32, status: ReplicaStatus) {
+        if status == ReplicaStatus::default() {
+            return;
+        }
+        let position = status.position.map_or(0, to_ms);
+        let batched = self.statuses.entry(member).or_default();
+        batched.reported_at = now;
+        let record = &mut batched.record;
+        record.position = record.position.max(position);
+        // A role applies from the position on at which it was reported; without a position it is not shared.
+        match status.is_primary {
+            Some(true) => record.primary_at = record.primary_at.max(position),
+            Some(false) => record.replica_at = record.replica_at.max(position),
+            None => {}
+        }
+        self.schedule(now);
+    }
+
+    /// Adds the position of a session's write.
+    pub(super) fn add_session(&mut self, now: Timestamp, session: u64, position: Timestamp) {
+        if session == 0 || self.sessions.len() >= MAX_SESSIONS {
+            return;
+        }
+        let position = to_ms(position);
+        self.sessions.push((Record::Session { session, position }, now));
+        self.schedule(now);
+    }
+
+    /// Takes the batch, if it is due, as records with their age.
+    pub(super) fn take_due(&mut self, now: Timestamp, members: &MemberDirectory) -> Vec<(Record, TimeSpan)> {
+        if self.due_at.take_if(|at| *at <= now).is_none() {
+            return Vec::new();
+        }
+        let mut records = Vec::new();
+        for (member, status) in std::mem::take(&mut self.statuses) {
+            if let Some(identity) = members.identity(member) {
+                let age = now - status.reported_at;
+                records.push((member_record(identity, status.record), age));
+            }
+        }
+        for (record, observed_at) in std::mem::take(&mut self.sessions) {
+            records.push((record, now - observed_at));
+        }
+        records
+    }
+}
+
+fn member_record(identity: MemberIdentity, status: MemberStatusRecord) -> Record {
+    Record::Member {
+        name: identity.name,
+        started_ms: identity.started_ms,
+        group: identity.group,
+        position: status.position,
+        primary_at: status.primary_at,
+        replica_at: status.replica_at,
+    }
+}
+
+/// What another driver's record of a member amounts to: its newest role with the position of that, and its newest
+/// position.
+pub fn statuses(record: MemberStatusRecord) -> Vec<ReplicaStatus> {
+    let at = |ms: u64| Some(Timestamp(0) + TimeSpan::millis(ms));
+    let role_at = record.primary_at.max(record.replica_at);
+    let mut all = Vec::new();
+    if role_at > 0 {
+        all.push(ReplicaStatus {
+            position: at(role_at),
+            is_primary: Some(record.primary_at >= record.replica_at),
+        });
+    }
+    if record.position > role_at {
+        all.push(ReplicaStatus {
+            position: at(record.position),
+            is_primary: None,
+        });
+    }
+    all
+}
--- a/crates/driver/src/routing/mod.rs
+++ b/crates/driver/src/routing/mod.rs
@@ -1,15 +1,20 @@
-//! The one event loop of the decision module: inputs come through a queue, commands go out to connections.
+//! Routes statements of clients to members: the event loop and the tables that it owns.
+//!
+//! [`event_loop`] dispatches events to the routing policy and carries out its decisions. Each other module owns one table or
+//! one kind of state; only the event loop changes them.
 
+pub mod acceptor;
 pub mod clients;
-pub mod coordination;
 pub mod discovery_requests;
 pub mod event_loop;
 pub mod events;
 pub mod execution_outcomes;
 pub mod gossip;
+pub mod handover;
 pub mod limits;
 pub mod member_requests;
 pub mod members;
 pub mod metrics;
+pub mod runtime_config;
 pub mod statements;
 pub mod workloads;
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -47,10 +47,10 @@
     let mut text = lines(&[
         ("name", config.name.clone()),
         ("listen", config.listen.to_string()),
-        ("discovery", config.given.discovery.to_string()),
+        ("discovery", config.runtime.discovery.to_string()),
         ("seed", config.seed.to_string()),
-        ("limits.memory_mb in bytes", config.given.memory.to_string()),
-        ("limits.sockets", config.given.sockets.to_string()),
+        ("limits.memory_mb in bytes", config.runtime.max_memory.to_string()),
+        ("limits.sockets", config.runtime.max_descriptors.to_string()),
         ("settings' hash", config.settings_text.to_string()),
         (
             "settings' workloads",
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -101,9 +101,9 @@
         let read = read.map(|c| {
             (
                 c.listen.port(),
-                c.given.discovery.port(),
-                c.given.memory,
-                c.given.sockets,
+                c.runtime.discovery.port(),
+                c.runtime.max_memory,
+                c.runtime.max_descriptors,
             )
         });
         assert_eq!(read, expected, "{text}");
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -8,9 +8,12 @@
 use asterlatch_driver::protocol::session::{ClientCommand, ClientEvent, Final, Text};
 use asterlatch_driver::protocol::watch::{DiscoveryEvent, DiscoveryMessage};
 use asterlatch_driver::routing::discovery_requests::DiscoveryRequest;
-use asterlatch_driver::routing::event_loop::{EventLoop, Given, Observer, Place};
+use asterlatch_driver::routing::event_loop::{
+    Connectors, EventLoop, EventLoopOptions, MemberCounts, Observer,
+};
 use asterlatch_driver::routing::events::Event;
 use asterlatch_driver::routing::limits::Limits;
+use asterlatch_driver::routing::runtime_config::RuntimeConfig;
 use asterlatch_driver::transport::ages::Ages;
 use asterlatch_driver::transport::listener::Arrival;
 use asterlatch_driver::transport::memory_budget::MemoryBudget;
@@ -37,7 +40,7 @@
 struct Quiet;
 
 impl Observer for Quiet {
-    fn say(&mut self, _now: Timestamp, _topic: &'static str, _text: Arguments) {}
+    fn log(&mut self, _now: Timestamp, _topic: &'static str, _text: Arguments) {}
 }
 
 /// Connections by number: the member's address and what it is told.
@@ -96,14 +99,14 @@
 impl Stage {
     fn new(settings: &str, sockets: usize, memory: usize) -> Stage {
         let mut stage = Stage::empty(settings, sockets, memory);
-        stage.event_loop.learn_roster(START, &group());
+        stage.event_loop.apply_endpoint_list(START, &group());
         stage.begin()
     }
 
     /// At its start, with a list from before.
     fn knowing(settings: &str, sockets: usize, memory: usize) -> Stage {
         let mut stage = Stage::empty(settings, sockets, memory);
-        stage.event_loop.begin_with(START, &group());
+        stage.event_loop.start_with_list(START, &group());
         stage.pass(0);
         stage
     }
@@ -111,16 +114,15 @@
     fn empty(settings: &str, sockets: usize, memory: usize) -> Stage {
         let (dialled, called, fault) = (Dialled::default(), Called::default(), Rc::new(RefCell::new(None)));
         let (d, c, f) = (dialled.clone(), called.clone(), fault.clone());
-        let given = Given {
+        let config = RuntimeConfig {
             discovery: "10.0.1.1:80".parse().expect("is an address"),
-            sockets,
-            memory,
+            max_descriptors: sockets,
+            max_memory: memory,
         };
         let limits = Limits::default();
-        let rooms = given.rooms(&limits);
-        let place = Place {
-            witness: None,
-            members: Box::new(move |id, address| match f.borrow_mut().take() {
+        let memory = config.memory_budgets(&limits);
+        let connectors = Connectors {
+            dial_member: Box::new(move |id, address| match f.borrow_mut().take() {
                 Some(code) => Err(io::Error::from_raw_os_error(code)),
                 None => {
                     let (sender, told) = channel();
@@ -128,28 +130,33 @@
                     Ok(Line::to(sender))
                 }
             }),
-            discovery: Box::new(move |call| {
+            dial_discovery: Box::new(move |call| {
                 let (sender, told) = channel();
                 c.borrow_mut().push((call, told));
                 Ok(Line::to(sender))
             }),
-            adopt: Box::new(|_, _, _| Err(io::Error::other("nobody comes"))),
-            adopt_connection: Box::new(|_, _| Err(io::Error::other("nobody comes"))),
-            given,
+            adopt_client: Box::new(|_, _, _| Err(io::Error::other("nobody comes"))),
+            adopt_member_connection: Box::new(|_, _| Err(io::Error::other("nobody comes"))),
+        };
+        let options = EventLoopOptions {
+            seed: 7,
+            connectors,
+            journal: None,
+            config,
             limits,
-            memory: rooms.clone(),
+            memory: memory.clone(),
         };
         let json = serde_json::from_str(settings).expect("is JSON");
-        let settings = Pairs::from_json(&json).and_then(|p| read(&p)).expect("is read");
+        let (settings, decoding) = Pairs::from_json(&json).and_then(|p| read(&p)).expect("is read");
         Stage {
-            event_loop: EventLoop::new(settings, 7, place, START, Quiet),
+            event_loop: EventLoop::new(&settings, decoding, options, START, Quiet),
             now: START,
             dialled,
             called,
             clients: BTreeMap::new(),
             up: BTreeSet::new(),
             asked: 0,
-            room: rooms.0,
+            room: memory.clients,
             fault,
         }
     }
@@ -177,16 +184,16 @@
         let end = self.now + TimeSpan::millis(ms);
         while self.event_loop.next_at() <= end {
             self.now = self.now.max(self.event_loop.next_at());
-            self.event_loop.reach(self.now);
+            self.event_loop.advance_to(self.now);
         }
         self.now = end;
-        self.event_loop.reach(self.now);
+        self.event_loop.advance_to(self.now);
     }
 
     /// A change of the list.
     fn changed(&mut self, entry: Endpoint) {
         let (is_complete, change) = (false, list(2, vec![entry]));
-        self.event_loop.learn_roster(
+        self.event_loop.apply_endpoint_list(
             self.now,
             &EndpointList {
                 is_complete,
@@ -196,7 +203,7 @@
     }
 
     fn heard(&mut self, event: MemberEvent) {
-        self.event_loop.take(self.now, Event::Member(event));
+        self.event_loop.on_event(self.now, Event::Member(event));
     }
 
     fn reply(&mut self, connection: u32, reply: Reply, is_primary: Option<bool>) {
@@ -218,7 +225,7 @@
         let (sender, told) = channel();
         self.clients.insert(id, told);
         self.event_loop
-            .take(self.now, Event::Arrival(Arrival::Client(id, Line::to(sender))));
+            .on_event(self.now, Event::Arrival(Arrival::Client(id, Line::to(sender))));
     }
 
     fn asks(&mut self, client: u32, fields: &str) {
@@ -237,7 +244,7 @@
             text,
             at,
         };
-        self.event_loop.take(self.now, Event::Client(heard));
+        self.event_loop.on_event(self.now, Event::Client(heard));
     }
 
     /// What the client was told, in short.
@@ -504,10 +511,10 @@
                     at: s.now,
                     written: true,
                 }),
-                Time => s.event_loop.reach(now),
+                Time => s.event_loop.advance_to(now),
                 Gone => s
                     .event_loop
-                    .take(s.now, Event::Client(ClientEvent::Closed { client: 1 })),
+                    .on_event(s.now, Event::Client(ClientEvent::Closed { client: 1 })),
             }
             words.extend(Some(s.told(1)).filter(|w| !w.is_empty()));
         }
@@ -545,7 +552,7 @@
         assert!(!out.is_empty() && out.len() < 300, "{}", out.len());
         (1..=200).for_each(|id| {
             s.event_loop
-                .take(s.now, Event::Client(ClientEvent::Closed { client: id }))
+                .on_event(s.now, Event::Client(ClientEvent::Closed { client: id }))
         });
         out.iter()
             .for_each(|(connection, _)| s.reply(*connection, rows("v"), Some(true)));
@@ -565,12 +572,12 @@
     let uncalled = SETTINGS.replace(r#""cancel":true"#, r#""cancel":false"#);
     let gone = |s: &mut Stage| {
         s.event_loop
-            .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }))
+            .on_event(s.now, Event::Client(ClientEvent::Closed { client: 1 }))
     };
     let drains = |s: &mut Stage| s.changed(entry("p", Status::Draining, true));
     let missing = |s: &mut Stage| {
         let replica = entry("rr", Status::Serving, false);
-        s.event_loop.learn_roster(s.now, &list(3, vec![replica]));
+        s.event_loop.apply_endpoint_list(s.now, &list(3, vec![replica]));
     };
     type Comes = fn(&mut Stage);
     // What comes between, whether the statement goes out behind it, and what its client is told at its time: without a
@@ -624,7 +631,7 @@
     s.asks(1, POST);
     let (connection, _) = s.opened();
     s.event_loop
-        .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
+        .on_event(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
     s.pass(240);
     assert!(s.is_open(connection));
     s.pass(20);
@@ -645,7 +652,7 @@
     s.asks(1, VIEW);
     let (third, _) = s.sent().expect("is sent at once");
     s.event_loop
-        .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
+        .on_event(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
     assert!(!s.is_open(first) && !s.is_open(third));
     assert_eq!(
         (s.event_loop.open_statements(), s.event_loop.metrics.withdrawn),
@@ -662,7 +669,7 @@
         let (connection, _) = s.sent().expect("is sent at once");
         if leaves {
             s.event_loop
-                .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
+                .on_event(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
         } else {
             s.pass(900);
             assert_eq!(
@@ -695,7 +702,7 @@
     s.client(2);
     s.asks(2, "c=view,d=5000,cluster=1");
     s.event_loop
-        .take(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
+        .on_event(s.now, Event::Client(ClientEvent::Closed { client: 1 }));
     assert!(s.is_open(connection));
     let before = s.event_loop.metrics.ended_completed;
     s.reply(connection, rows("late"), Some(false));
@@ -723,7 +730,7 @@
     assert_eq!((s.told(1).as_str(), s.sent()), ("22023", None));
     let (client, number, at) = (1, 0, s.now);
     let text = Text::new("SELECT 1", &s.room).expect("has room");
-    s.event_loop.take(
+    s.event_loop.on_event(
         s.now,
         Event::Client(ClientEvent::Statement {
             client,
@@ -810,7 +817,7 @@
     let mut s = stage();
     let hear = |s: &mut Stage, request, event| {
         s.event_loop
-            .take(s.now, Event::from(DiscoveryMessage { request, event }))
+            .on_event(s.now, Event::from(DiscoveryMessage { request, event }))
     };
     assert_eq!(
         (s.called.borrow().len(), s.called.borrow()[0].0.after),
@@ -884,7 +891,7 @@
         s.pass(50);
         old = name;
     }
-    let (names, ids, idle) = s.event_loop.members();
+    let MemberCounts { names, ids, idle } = s.event_loop.member_counts();
     assert!(names <= 3 && ids <= 3 && idle <= 3, "{names} {ids} {idle}");
     let open = used.iter().filter(|c| s.is_open(**c)).count();
     assert!(open <= 2, "{open} connections to members that are gone");
@@ -923,8 +930,8 @@
             match *does {
                 "idle" => s
                     .event_loop
-                    .take(s.now, Event::Client(ClientEvent::Idle { client, since })),
-                "writes" => s.event_loop.take(
+                    .on_event(s.now, Event::Client(ClientEvent::Idle { client, since })),
+                "writes" => s.event_loop.on_event(
                     s.now,
                     Event::Client(ClientEvent::PartialMessage { client, since }),
                 ),
@@ -950,7 +957,7 @@
         s.asks(id, VIEW);
         let (connection, _) = s.sent().expect("is sent at once");
         s.reply(connection, rows("v"), Some(false));
-        s.event_loop.take(
+        s.event_loop.on_event(
             s.now,
             Event::Client(ClientEvent::Idle {
                 client: id,
@@ -1039,21 +1046,21 @@
         let mut s = Stage::new(settings, 1024, 192 << 20);
         let hear = |s: &mut Stage, request, event| {
             s.event_loop
-                .take(s.now, Event::from(DiscoveryMessage { request, event }))
+                .on_event(s.now, Event::from(DiscoveryMessage { request, event }))
         };
         hear(&mut s, 1, DiscoveryEvent::Listed(group()));
-        let mut given = Given {
+        let mut given = RuntimeConfig {
             discovery: s.called.borrow()[0].0.address,
-            sockets: 1024,
-            memory: 192 << 20,
+            max_descriptors: 1024,
+            max_memory: 192 << 20,
         };
-        s.event_loop.give(s.now, given);
+        s.event_loop.set_config(s.now, given);
         s.pass(0);
         assert_eq!(s.called.borrow().len(), 1, "the same address: the watch stands");
         given.discovery = "10.0.1.2:80".parse().expect("is an address");
         // Twice in a row must not call twice.
-        s.event_loop.give(s.now, given);
-        s.event_loop.give(s.now, given);
+        s.event_loop.set_config(s.now, given);
+        s.event_loop.set_config(s.now, given);
         s.pass(0);
         let calls: Vec<_> = s
             .called
@@ -1089,12 +1096,12 @@
     let (connection, _) = s.sent().expect("is sent at once");
     let discovery = s.called.borrow()[0].0.address;
     let (sockets, memory) = (50, 192 << 20);
-    s.event_loop.give(
+    s.event_loop.set_config(
         s.now,
-        Given {
+        RuntimeConfig {
             discovery,
-            sockets,
-            memory,
+            max_descriptors: sockets,
+            max_memory: memory,
         },
     );
     s.client(2);
@@ -1104,12 +1111,12 @@
     // A quarter of the memory is for what clients send, and what they have sent is given back with its answer.
     assert_eq!(s.room.reserved(), 0);
     let memory = 400;
-    s.event_loop.give(
+    s.event_loop.set_config(
         s.now,
-        Given {
+        RuntimeConfig {
             discovery,
-            sockets,
-            memory,
+            max_descriptors: sockets,
+            max_memory: memory,
         },
     );
     let held = Text::new(&"x".repeat(60), &s.room).expect("has room");
@@ -1127,7 +1134,7 @@
     );
     let mut s = Stage::new(&asks, 1024, 192 << 20);
     assert_eq!(s.called.borrow().len(), 1, "at the start");
-    s.event_loop.take(
+    s.event_loop.on_event(
         s.now,
         Event::from(DiscoveryMessage {
             request: 1,
@@ -1157,14 +1164,14 @@
         let mut s = Stage::knowing(settings, 1024, 192 << 20);
         let after = |s: &Stage| s.called.borrow().last().map(|(call, _)| call.after);
         assert_eq!(after(&s), Some(first));
-        s.event_loop.take(
+        s.event_loop.on_event(
             s.now,
             Event::from(DiscoveryMessage {
                 request: 1,
                 event: DiscoveryEvent::Outdated,
             }),
         );
-        s.event_loop.take(
+        s.event_loop.on_event(
             s.now,
             Event::from(DiscoveryMessage {
                 request: 1,
@@ -1195,7 +1202,7 @@
 fn clients_are_sent_away_and_those_that_still_come() {
     let mut s = stage();
     s.asks(1, VIEW);
-    s.event_loop.send_clients_away();
+    s.event_loop.begin_drain();
     s.client(2);
     assert_eq!((s.told(1).as_str(), s.told(2).as_str()), ("leave", "leave"));
     let (connection, _) = s.sent().expect("what was taken goes on");
@@ -1214,14 +1221,14 @@
     let mut stage = stage();
     stage
         .event_loop
-        .take(stage.now, Event::Client(ClientEvent::HalfClosed { client: 1 }));
+        .on_event(stage.now, Event::Client(ClientEvent::HalfClosed { client: 1 }));
     stage.pass(299);
     assert!(!ended(&stage, 1));
     stage.pass(1);
     assert!(ended(&stage, 1));
     stage
         .event_loop
-        .take(stage.now, Event::Client(ClientEvent::Closed { client: 1 }));
+        .on_event(stage.now, Event::Client(ClientEvent::Closed { client: 1 }));
     assert_eq!(stage.event_loop.open_clients(), 0);
     // Six descriptors beyond the reserve: four clients.
     let mut stage = Stage::new(SETTINGS, 48 + 6, 192 << 20);
@@ -1229,7 +1236,7 @@
     stage.pass(1);
     stage
         .event_loop
-        .take(stage.now, Event::Client(ClientEvent::HalfClosed { client: 2 }));
+        .on_event(stage.now, Event::Client(ClientEvent::HalfClosed { client: 2 }));
     stage.client(5);
     assert!(ended(&stage, 2), "it goes first");
     assert_eq!(
@@ -1246,11 +1253,11 @@
     stage.asks(1, "c=view,d=900,cluster=9");
     assert_eq!(stage.told(1), "22023", "answered, so it rests now");
     let since = stage.now;
-    stage.event_loop.take(
+    stage.event_loop.on_event(
         since,
         Event::Client(ClientEvent::PartialMessage { client: 1, since }),
     );
-    stage.event_loop.send_clients_away();
+    stage.event_loop.begin_drain();
     stage.pass(499);
     assert_eq!(stage.told(1), "leave");
     stage.pass(1);
