--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -4,6 +4,7 @@
 
 mod coordination;
 mod prior_attempts;
+mod slow_start;
 mod status_batch;
 
 use super::handover::DrainedMember;
@@ -17,10 +18,11 @@
 use asterlatch_gossip::membership::{Change, Presence};
 use asterlatch_gossip::node::{Input, Output};
 use asterlatch_gossip::record::{Record, Standing};
-use asterlatch_gossip::slow_start::{self, Cold};
 use coordination::Coordination;
 pub use coordination::{CoordinationRound, LoadReport, NamedShare, UnresponsiveMember};
 pub use prior_attempts::{ExpiredQuery, PriorAttempts, ResolvedStatement, StatementCheck};
+use slow_start::SlowStart;
+pub use slow_start::WarmUpBudget;
 use status_batch::StatusBatch;
 pub use status_batch::{statuses, MemberStatusRecord};
 use std::collections::{BTreeMap, BTreeSet};
@@ -115,17 +117,6 @@
     pub status: ReplicaStatus,
 }
 
-/// Work that this driver may send to a warming member.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WarmUpBudget {
-    /// Id of the member.
-    pub member: u32,
-    /// Remaining budget, as execution time.
-    pub work: TimeSpan,
-    /// End of its validity.
-    pub until: Timestamp,
-}
-
 /// What is due by time.
 pub struct DueGossip {
     /// Statements whose query was not answered in time.
@@ -153,8 +144,7 @@
     list_version: u64,
     /// Members that this driver has announced as draining.
     announced_drains: BTreeSet<String>,
-    slow_start: Cold,
-    slow_start_at: Option<Timestamp>,
+    slow_start: SlowStart,
     coordination: Coordination,
     coordination_at: Option<Timestamp>,
 }
@@ -172,6 +162,7 @@
         Gossip {
             send,
             tick: settings.tick,
+            slow_start: SlowStart::new(now, &own, &settings),
             coordination: Coordination::new(now, &own, settings.tick, fleet_size),
             coordination_at: Some(now),
             own,
@@ -182,12 +173,6 @@
             in_flight: BTreeMap::new(),
             list_version: 0,
             announced_drains: BTreeSet::new(),
-            slow_start: Cold::new(slow_start::Terms {
-                span: settings.overload_window,
-                multiple: settings.overload_multiple,
-                tick: settings.tick,
-            }),
-            slow_start_at: Some(now),
         }
     }
 
@@ -196,7 +181,7 @@
         let times = [
             self.statuses.next_at(),
             self.prior_attempts.next_at(),
-            self.slow_start_at,
+            self.slow_start.next_at(),
             self.coordination_at,
         ];
         times.into_iter().flatten().min()
@@ -209,7 +194,7 @@
         DueGossip {
             expired_queries: self.prior_attempts.take_expired(now),
             coordination: self.coordination_at.take_if(|at| *at <= now).is_some(),
-            warm_up: self.slow_start_at.take_if(|at| *at <= now).is_some(),
+            warm_up: self.slow_start.take_due(now),
         }
     }
 
@@ -265,8 +250,8 @@
         member: Option<&str>,
         expected_work: TimeSpan,
     ) {
-        if let Some(member) = member.filter(|member| self.slow_start.is_cold(member)) {
-            self.slow_start.sends(now, member, expected_work);
+        if let Some(member) = member {
+            self.slow_start.on_dispatched(now, member, expected_work);
         }
         if execution.needs_deduplication {
             let member = member.unwrap_or_default();
@@ -356,72 +341,16 @@
         warming: &[WarmingMember],
         members: &MemberDirectory,
     ) -> Vec<WarmUpBudget> {
-        // While no member is warming up, looking from time to time finds the next one.
-        self.slow_start_at = Some(now + self.tick);
-        let present: Vec<&str> = self
-            .present
-            .iter()
-            .map(|peer| self.peer_names[*peer].as_str())
-            .collect();
-        let mut known = Vec::new();
-        for warming in warming {
-            known.extend(
-                members
-                    .identity(warming.member)
-                    .map(|identity| (warming, identity)),
-            );
-        }
-        let names: Vec<String> = known.iter().map(|(_, identity)| identity.name.clone()).collect();
-        self.slow_start.keep(&names);
-        let mut records = Vec::new();
-        let mut budgets = Vec::new();
-        for (warming, identity) in known {
-            let instance = (identity.name.as_str(), identity.started_ms);
-            let load = (warming.warm_up_fraction, warming.carried_load);
-            let (budget, sum) = self.slow_start.share(now, instance, load, &present);
-            budgets.extend(budget.map(|work| WarmUpBudget {
-                member: warming.member,
-                work,
-                // A little longer than until the next computation.
-                until: now + self.tick + self.tick,
-            }));
-            let record = Record::Cold {
-                member: identity.name,
-                started_ms: identity.started_ms,
-                driver: self.own.name.clone(),
-                life: self.own.incarnation,
-                said: sum.said,
-                work_us: sum.work_us,
-                carries_us: sum.carries_us,
-            };
-            records.push((record, TimeSpan(0)));
-        }
-        self.send_observed(records);
-        budgets
+        let present = self.present.iter().map(|peer| self.peer_names[*peer].as_str());
+        let present: Vec<&str> = present.collect();
+        let round = self.slow_start.compute_budgets(now, warming, members, &present);
+        self.send_observed(round.records);
+        round.budgets
     }
 
     /// Another driver's record of what it sends to a warming member.
     pub fn on_warm_up_record(&mut self, received_at: Timestamp, record: &Record) {
-        if let Record::Cold {
-            member,
-            started_ms,
-            driver,
-            life,
-            work_us,
-            carries_us,
-            ..
-        } = record
-        {
-            self.slow_start.told(
-                received_at,
-                member,
-                *started_ms,
-                driver,
-                *life,
-                *work_us,
-                *carries_us,
-            );
-        }
+        self.slow_start.on_record(received_at, record);
     }
 
     /// Whether this driver checks a member's health itself, or leaves that to the lease holder.
--- /dev/null
+++ b/crates/driver/src/routing/gossip/slow_start.rs
@@ -0,0 +1,144 @@
+//! Budgets of members that are warming up: what all drivers together send them must not exceed their capacity.
+
+use super::{DriverIdentity, GossipSettings};
+use crate::routing::members::{MemberDirectory, MemberIdentity};
+use asterlatch::interface::WarmingMember;
+use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch_gossip::record::Record;
+use asterlatch_gossip::slow_start::{self, Cold};
+
+/// Work that this driver may send to a warming member.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WarmUpBudget {
+    /// Id of the member.
+    pub member: u32,
+    /// Remaining budget, as execution time.
+    pub work: TimeSpan,
+    /// End of its validity.
+    pub until: Timestamp,
+}
+
+/// Budgets, and records of what this driver has sent, with their age.
+pub(super) struct WarmUpRound {
+    pub(super) budgets: Vec<WarmUpBudget>,
+    pub(super) records: Vec<(Record, TimeSpan)>,
+}
+
+/// Work that all drivers send to warming members.
+pub(super) struct SlowStart {
+    own: DriverIdentity,
+    tick: TimeSpan,
+    sent: Cold,
+    due_at: Option<Timestamp>,
+}
+
+impl SlowStart {
+    pub(super) fn new(now: Timestamp, own: &DriverIdentity, settings: &GossipSettings) -> SlowStart {
+        SlowStart {
+            own: own.clone(),
+            tick: settings.tick,
+            sent: Cold::new(slow_start::Terms {
+                span: settings.overload_window,
+                multiple: settings.overload_multiple,
+                tick: settings.tick,
+            }),
+            due_at: Some(now),
+        }
+    }
+
+    pub(super) fn next_at(&self) -> Option<Timestamp> {
+        self.due_at
+    }
+
+    /// Whether budgets are to be computed; true only once for each [`SlowStart::compute_budgets`].
+    pub(super) fn take_due(&mut self, now: Timestamp) -> bool {
+        self.due_at.take_if(|at| *at <= now).is_some()
+    }
+
+    /// An execution is dispatched to a member, which is expected to take so long.
+    pub(super) fn on_dispatched(&mut self, now: Timestamp, member: &str, expected_work: TimeSpan) {
+        if self.sent.is_cold(member) {
+            self.sent.sends(now, member, expected_work);
+        }
+    }
+
+    /// Another driver's record of what it has sent to a warming member.
+    pub(super) fn on_record(&mut self, received_at: Timestamp, record: &Record) {
+        if let Record::Cold {
+            member,
+            started_ms,
+            driver,
+            life,
+            work_us,
+            carries_us,
+            ..
+        } = record
+        {
+            self.sent.told(
+                received_at,
+                member,
+                *started_ms,
+                driver,
+                *life,
+                *work_us,
+                *carries_us,
+            );
+        }
+    }
+
+    /// Computes what each warming member may receive from here, given the drivers that are present.
+    pub(super) fn compute_budgets(
+        &mut self,
+        now: Timestamp,
+        warming: &[WarmingMember],
+        members: &MemberDirectory,
+        present_drivers: &[&str],
+    ) -> WarmUpRound {
+        // While no member is warming up, looking from time to time finds the next one.
+        self.due_at = Some(now + self.tick);
+        let mut known = Vec::new();
+        for warming in warming {
+            let identity = members.identity(warming.member);
+            known.extend(identity.map(|identity| (warming, identity)));
+        }
+        let names: Vec<String> = known.iter().map(|(_, identity)| identity.name.clone()).collect();
+        self.sent.keep(&names);
+        let mut round = WarmUpRound {
+            budgets: Vec::new(),
+            records: Vec::new(),
+        };
+        for (warming, identity) in known {
+            self.compute_budget(now, warming, identity, present_drivers, &mut round);
+        }
+        round
+    }
+
+    fn compute_budget(
+        &mut self,
+        now: Timestamp,
+        warming: &WarmingMember,
+        identity: MemberIdentity,
+        present_drivers: &[&str],
+        round: &mut WarmUpRound,
+    ) {
+        let instance = (identity.name.as_str(), identity.started_ms);
+        let load = (warming.warm_up_fraction, warming.carried_load);
+        let (budget, sum) = self.sent.share(now, instance, load, present_drivers);
+        round.budgets.extend(budget.map(|work| WarmUpBudget {
+            member: warming.member,
+            work,
+            // A little longer than until the next computation.
+            until: now + self.tick + self.tick,
+        }));
+        let record = Record::Cold {
+            member: identity.name,
+            started_ms: identity.started_ms,
+            driver: self.own.name.clone(),
+            life: self.own.incarnation,
+            said: sum.said,
+            work_us: sum.work_us,
+            carries_us: sum.carries_us,
+        };
+        round.records.push((record, TimeSpan(0)));
+    }
+}
