--- a/crates/driver/src/program/kept.rs
+++ b/crates/driver/src/program/kept.rs
@@ -4,7 +4,8 @@
 use crate::transport::witness::{counts, has_given_up};
 use asterlatch_handover::codec::{FrameReader, Received};
 use asterlatch_handover::io_journal::{
-    ClientRecovery, ConnectionKey, JournalRecord, JournalReplay, ReplayError, SocketByteCounts,
+    ClientRecovery, ConnectionKey, JournalRecord, JournalReplay, RecoveredClient, ReplayError,
+    SocketByteCounts,
 };
 use asterlatch_handover::message::ClientState;
 use std::collections::BTreeMap;
@@ -153,9 +154,9 @@
                 written: all.written.checked_sub(base.written)?,
             })
         };
-        for (key, outcome) in ledger.recover_clients(since) {
-            match (outcome, sockets.remove(&key)) {
-                (ClientRecovery::Resume(client, verdicts), Some((stream, _))) => {
+        for RecoveredClient { key, recovery } in ledger.recover_clients(since) {
+            match (recovery, sockets.remove(&key)) {
+                (ClientRecovery::Resume { client, verdicts }, Some((stream, _))) => {
                     back.clients.push(Moved::from(client, None, stream, verdicts));
                 }
                 (_, socket) => {
