--- a/crates/coordination/src/fleet_size.rs
+++ b/crates/coordination/src/fleet_size.rs
@@ -6,33 +6,38 @@
 use std::collections::VecDeque;
 
 #[derive(Clone, Debug)]
-pub struct Size {
+pub struct FleetSize {
     /// A fleet that is smaller for so long is smaller.
-    lasts: TimeSpan,
+    shrink_delay: TimeSpan,
     /// Falling counts with the time each was last true, as far back as `lasts`; the first is what counts.
-    seen: VecDeque<(u32, Timestamp)>,
+    samples: VecDeque<(u32, Timestamp)>,
 }
 
-impl Size {
+impl FleetSize {
     /// `first` is what is assumed before anybody was seen: as many as the operators' file names.
-    pub fn new(first: u32, lasts: TimeSpan, now: Timestamp) -> Size {
-        Size {
-            lasts,
-            seen: VecDeque::from([(first.max(1), now)]),
+    pub fn new(initial: u32, shrink_delay: TimeSpan, now: Timestamp) -> FleetSize {
+        FleetSize {
+            shrink_delay,
+            samples: VecDeque::from([(initial.max(1), now)]),
         }
     }
 
     /// So many are there now, this one among them; how many count.
-    pub fn reach(&mut self, now: Timestamp, there: u32) -> u32 {
-        let there = there.max(1);
+    pub fn update(&mut self, now: Timestamp, present: u32) -> u32 {
+        let present = present.max(1);
         // What is no more than now is covered by now.
-        while self.seen.back().is_some_and(|(n, _)| *n <= there) {
-            self.seen.pop_back();
+        while self.samples.back().is_some_and(|(n, _)| *n <= present) {
+            self.samples.pop_back();
         }
-        self.seen.push_back((there, now));
-        while self.seen.len() > 1 && self.seen.front().is_some_and(|(_, at)| now - *at >= self.lasts) {
-            self.seen.pop_front();
+        self.samples.push_back((present, now));
+        while self.samples.len() > 1
+            && self
+                .samples
+                .front()
+                .is_some_and(|(_, at)| now - *at >= self.shrink_delay)
+        {
+            self.samples.pop_front();
         }
-        self.seen.front().map_or(there, |(n, _)| *n)
+        self.samples.front().map_or(present, |(n, _)| *n)
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -8,4 +8,4 @@
 pub mod load_aggregate;
 
 /// A driver, as all know it alike: its name's hash.
-pub type Key = u64;
+pub type NameHash = u64;
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -1,7 +1,7 @@
 //! Turns: who has one, how it goes on when its holder dies, is stopped or cut off; and every order of steps for three drivers.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::lease::{Claim, End, Leases, Stand, Terms};
+use asterlatch_coordination::lease::{Lease, LeaseState, LeaseStatus, LeaseTable, LeaseTimings};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -9,41 +9,41 @@
     TimeSpan::millis(n)
 }
 
-fn claim(term: u64, holder: u64, said: u64, end: End) -> Claim {
-    Claim {
+fn claim(term: u64, holder: u64, said: u64, end: LeaseState) -> Lease {
+    Lease {
         term,
         holder,
-        life: 1,
-        said,
-        end,
+        incarnation: 1,
+        renewals: said,
+        state: end,
     }
 }
 
 #[test]
 fn which_of_two_claims_stands() {
-    use End::*;
+    use LeaseState::*;
     // The one that stands first.
     for (one, other) in [
-        (claim(2, 9, 0, Holds), claim(1, 3, 7, Done)),
-        (claim(2, 3, 0, Holds), claim(2, 9, 7, Holds)),
-        (claim(2, 3, 5, Holds), claim(2, 3, 4, Vain)),
-        (claim(2, 3, 5, Done), claim(2, 3, 5, Holds)),
-        (claim(2, 3, 5, Vain), claim(2, 3, 5, Holds)),
+        (claim(2, 9, 0, Held), claim(1, 3, 7, Completed)),
+        (claim(2, 3, 0, Held), claim(2, 9, 7, Held)),
+        (claim(2, 3, 5, Held), claim(2, 3, 4, Abandoned)),
+        (claim(2, 3, 5, Completed), claim(2, 3, 5, Held)),
+        (claim(2, 3, 5, Abandoned), claim(2, 3, 5, Held)),
     ] {
-        assert_eq!((one.joined(other), other.joined(one)), (one, one));
-        assert_eq!(one.joined(one), one);
+        assert_eq!((one.merge(other), other.merge(one)), (one, one));
+        assert_eq!(one.merge(one), one);
     }
 }
 
 struct Fleet {
     now: Timestamp,
-    all: Vec<Leases>,
+    all: Vec<LeaseTable>,
     up: Vec<bool>,
     /// Who hears whom.
     cut: BTreeSet<(usize, usize)>,
     lost: u32,
     chance: fastrand::Rng,
-    flying: Vec<(Timestamp, usize, String, Claim, Timestamp)>,
+    flying: Vec<(Timestamp, usize, String, Lease, Timestamp)>,
     /// Longest time for which two acted at once, and how many acts in all.
     two: TimeSpan,
     acts: u64,
@@ -53,8 +53,8 @@
     fn new(count: u64, lost: u32) -> Fleet {
         let keys: BTreeSet<u64> = (1..=count).collect();
         let all = keys.iter().map(|k| {
-            let mut l = Leases::new(*k, 1, Terms::default());
-            l.there(&keys);
+            let mut l = LeaseTable::new(*k, 1, LeaseTimings::default());
+            l.set_peers(&keys);
             l
         });
         Fleet {
@@ -70,7 +70,7 @@
         }
     }
 
-    fn say(&mut self, from: usize, told: Vec<(String, Claim)>) {
+    fn say(&mut self, from: usize, told: Vec<(String, Lease)>) {
         for (subject, claim) in told {
             for to in (0..self.all.len()).filter(|to| *to != from) {
                 if !self.cut.contains(&(from, to)) && self.chance.u32(0..1000) >= self.lost {
@@ -93,11 +93,11 @@
             self.flying = flying;
             for (_, to, subject, claim, sent) in due {
                 if self.up[to] {
-                    self.all[to].told(now, &subject, claim, now - sent);
+                    self.all[to].on_lease(now, &subject, claim, now - sent);
                 }
             }
             for n in (0..self.all.len()).filter(|n| self.up[*n]).collect::<Vec<_>>() {
-                let told = self.all[n].reach(now);
+                let told = self.all[n].advance_to(now);
                 self.say(n, told);
             }
             let acting = self.holders().len();
@@ -110,13 +110,13 @@
     }
 
     fn holders(&self) -> Vec<usize> {
-        let acts = |n: &usize| self.up[*n] && self.all[*n].stand(self.now, "m") == Stand::Mine;
+        let acts = |n: &usize| self.up[*n] && self.all[*n].status(self.now, "m") == LeaseStatus::HeldHere;
         (0..self.all.len()).filter(acts).collect()
     }
 
     fn all_want(&mut self) {
         let now = self.now;
-        self.all.iter_mut().for_each(|l| l.want(now, "m"));
+        self.all.iter_mut().for_each(|l| l.request(now, "m"));
     }
 }
 
@@ -152,7 +152,7 @@
             // It goes on, and what it held before is over, whatever it has heard since.
             f.up[holder] = true;
             let now = f.now;
-            assert_ne!(f.all[holder].stand(now, "m"), Stand::Mine);
+            assert_ne!(f.all[holder].status(now, "m"), LeaseStatus::HeldHere);
             f.run(ms(3000));
             assert_eq!(f.holders().len(), 1);
             assert!(f.two <= ms(250), "two at once for {:?}", f.two);
@@ -191,26 +191,29 @@
 
 #[test]
 fn what_ends_a_turn_is_known_to_all() {
-    for (end, stand) in [(End::Done, Stand::Done), (End::Vain, Stand::Theirs)] {
+    for (end, stand) in [
+        (LeaseState::Completed, LeaseStatus::Completed),
+        (LeaseState::Abandoned, LeaseStatus::HeldElsewhere),
+    ] {
         let mut f = Fleet::new(4, 0);
         f.all_want();
         f.run(ms(3000));
         let holder = f.holders()[0];
         let now = f.now;
-        let told = f.all[holder].rest(now, "m", end).expect("it held it");
+        let told = f.all[holder].release(now, "m", end).expect("it held it");
         f.say(holder, vec![("m".to_owned(), told)]);
         f.run(ms(1500));
-        let others: BTreeSet<Stand> = (0..4)
+        let others: BTreeSet<LeaseStatus> = (0..4)
             .filter(|n| *n != holder)
-            .map(|n| f.all[n].stand(f.now, "m"))
-            .filter(|s| *s != Stand::Mine)
+            .map(|n| f.all[n].status(f.now, "m"))
+            .filter(|s| *s != LeaseStatus::HeldHere)
             .collect();
         assert_eq!(
             others,
             BTreeSet::from([stand]),
             "{end:?}: in vain, another one tries"
         );
-        let idle = f.all[holder].rest(now, "m", end);
+        let idle = f.all[holder].release(now, "m", end);
         assert_eq!(idle, None, "it holds nothing any more");
     }
 }
@@ -218,37 +221,37 @@
 /// A claim of the last term there is, from a driver that tells nonsense: nobody ends for it, and it ends with its lease.
 #[test]
 fn the_last_term_there_is_harms_nobody() {
-    let mut l = Leases::new(1, 1, Terms::default());
-    l.want(Timestamp(0), "m");
-    l.told(
+    let mut l = LeaseTable::new(1, 1, LeaseTimings::default());
+    l.request(Timestamp(0), "m");
+    l.on_lease(
         Timestamp(0),
         "m",
-        claim(u64::MAX, 9, u64::MAX, End::Holds),
+        claim(u64::MAX, 9, u64::MAX, LeaseState::Held),
         TimeSpan(0),
     );
-    assert_eq!(l.stand(Timestamp(0), "m"), Stand::Theirs);
+    assert_eq!(l.status(Timestamp(0), "m"), LeaseStatus::HeldElsewhere);
     let later = Timestamp(0) + ms(2000);
-    let told = l.reach(later);
-    assert_eq!((told.len(), l.stand(later, "m")), (1, Stand::Mine));
-    assert!(l.rest(later, "m", End::Done).is_some());
+    let told = l.advance_to(later);
+    assert_eq!((told.len(), l.status(later, "m")), (1, LeaseStatus::HeldHere));
+    assert!(l.release(later, "m", LeaseState::Completed).is_some());
 }
 
 #[test]
 fn subjects_are_bounded_and_let_go() {
-    let mut l = Leases::new(1, 1, Terms::default());
+    let mut l = LeaseTable::new(1, 1, LeaseTimings::default());
     for n in 0..5000 {
-        l.told(
+        l.on_lease(
             Timestamp(n),
             &format!("s{n}"),
-            claim(1, 2, 0, End::Holds),
+            claim(1, 2, 0, LeaseState::Held),
             TimeSpan(0),
         );
     }
-    assert_eq!(l.all(Timestamp(5000)).count(), 4096);
-    l.want(Timestamp(6000), "mine");
-    assert_eq!(l.wanted(Timestamp(6000)).count(), 1, "what is wanted stays");
-    l.reach(Timestamp(6000) + ms(60_000));
-    assert_eq!(l.all(Timestamp(0)).count(), 1, "only the own claim is left");
+    assert_eq!(l.known(Timestamp(5000)).count(), 4096);
+    l.request(Timestamp(6000), "mine");
+    assert_eq!(l.requested(Timestamp(6000)).count(), 1, "what is wanted stays");
+    l.advance_to(Timestamp(6000) + ms(60_000));
+    assert_eq!(l.known(Timestamp(0)).count(), 1, "only the own claim is left");
 }
 
 /// Every order of steps of three drivers, words that fly for up to one unit, and one of them stopped at will.
@@ -259,7 +262,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: u64,
-    all: Vec<Leases>,
+    all: Vec<LeaseTable>,
     stopped: Option<usize>,
     stops: u8,
     flying: BTreeSet<(u64, usize, u64, [u64; 5])>,
@@ -279,18 +282,18 @@
 const UNIT: u64 = 1_000_000;
 const LONGEST: u64 = 6;
 
-fn packed(c: &Claim) -> [u64; 5] {
-    [c.term, c.holder, c.life, c.said, c.end as u64]
+fn packed(c: &Lease) -> [u64; 5] {
+    [c.term, c.holder, c.incarnation, c.renewals, c.state as u64]
 }
 
-fn unpacked(p: &[u64; 5]) -> Claim {
-    let end = [End::Holds, End::Vain, End::Done][p[4] as usize];
-    Claim {
+fn unpacked(p: &[u64; 5]) -> Lease {
+    let end = [LeaseState::Held, LeaseState::Abandoned, LeaseState::Completed][p[4] as usize];
+    Lease {
         term: p[0],
         holder: p[1],
-        life: p[2],
-        said: p[3],
-        end,
+        incarnation: p[2],
+        renewals: p[3],
+        state: end,
     }
 }
 
@@ -300,7 +303,7 @@
     }
 
     fn acts(&self, n: usize) -> bool {
-        self.stopped != Some(n) && self.all[n].stand(self.at(), "m") == Stand::Mine
+        self.stopped != Some(n) && self.all[n].status(self.at(), "m") == LeaseStatus::HeldHere
     }
 
     fn acting(&self) -> usize {
@@ -313,16 +316,16 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let terms = Terms {
-            lease: TimeSpan(4 * UNIT),
-            acts: TimeSpan(self.acts * UNIT),
-            step: TimeSpan(2 * UNIT),
+        let terms = LeaseTimings {
+            duration: TimeSpan(4 * UNIT),
+            holder_duration: TimeSpan(self.acts * UNIT),
+            acquire_delay: TimeSpan(2 * UNIT),
         };
         let keys: BTreeSet<u64> = (1..=3).collect();
         let all = keys.iter().map(|k| {
-            let mut l = Leases::new(*k, 1, terms);
-            l.there(&keys);
-            l.want(Timestamp(100 * UNIT), "m");
+            let mut l = LeaseTable::new(*k, 1, terms);
+            l.set_peers(&keys);
+            l.request(Timestamp(100 * UNIT), "m");
             l
         });
         vec![World {
@@ -361,7 +364,7 @@
         let at = w.at();
         match step {
             Step::Reach(n) => {
-                for (_, claim) in w.all[n].reach(at) {
+                for (_, claim) in w.all[n].advance_to(at) {
                     for to in (0..w.all.len()).filter(|to| *to != n) {
                         w.flying.insert((w.now, to, w.now, packed(&claim)));
                     }
@@ -370,7 +373,7 @@
             Step::Arrive(word) => {
                 w.flying.remove(&word);
                 let (_, to, sent, claim) = word;
-                w.all[to].told(at, "m", unpacked(&claim), TimeSpan((w.now - sent) * UNIT));
+                w.all[to].on_lease(at, "m", unpacked(&claim), TimeSpan((w.now - sent) * UNIT));
             }
             Step::Stop(n) => (w.stopped, w.stops) = (Some(n), w.stops + 1),
             Step::GoOn => w.stopped = None,
--- a/crates/coordination/tests/sums.rs
+++ b/crates/coordination/tests/sums.rs
@@ -1,9 +1,9 @@
 //! What many drivers know together: silent members, and how many drivers there are.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::failure_consensus::{Silence, Terms};
-use asterlatch_coordination::fleet_size::Size;
-use asterlatch_coordination::load_aggregate::{self, Sums};
+use asterlatch_coordination::failure_consensus::{ConsensusSettings, FailureConsensus};
+use asterlatch_coordination::fleet_size::FleetSize;
+use asterlatch_coordination::load_aggregate::{self, LoadAggregate};
 
 fn at(ms: u64) -> Timestamp {
     Timestamp(10_000_000 + ms * 1000)
@@ -33,68 +33,76 @@
         ),
     ];
     for (heard, late, silent) in table {
-        let mut s = Silence::new(1, Terms::default());
+        let mut s = FailureConsensus::new(1, ConsensusSettings::default());
         for at_ms in heard {
-            s.heard("m", at(*at_ms));
+            s.on_response("m", at(*at_ms));
         }
         for (driver, sent, said) in late {
-            s.late("m", *driver, at(*sent), at(*said));
+            s.on_late_report("m", *driver, at(*sent), at(*said));
         }
-        assert_eq!(s.until(at(1000), "m").is_some(), silent, "{heard:?} {late:?}");
-        assert_eq!(s.until(at(1000), "other"), None);
+        assert_eq!(
+            s.unresponsive_until(at(1000), "m").is_some(),
+            silent,
+            "{heard:?} {late:?}"
+        );
+        assert_eq!(s.unresponsive_until(at(1000), "other"), None);
     }
 }
 
 #[test]
 fn a_verdict_ends_by_itself_and_by_a_word_of_the_member() {
     let told = || {
-        let mut s = Silence::new(1, Terms::default());
-        s.late("m", 1, at(500), at(900));
-        s.late("m", 2, at(600), at(900));
+        let mut s = FailureConsensus::new(1, ConsensusSettings::default());
+        s.on_late_report("m", 1, at(500), at(900));
+        s.on_late_report("m", 2, at(600), at(900));
         s
     };
     let mut s = told();
-    let until = s.until(at(1000), "m").expect("is silent");
+    let until = s.unresponsive_until(at(1000), "m").expect("is silent");
     assert!((at(2000)..=at(3000)).contains(&until), "{until:?}");
-    assert_eq!(s.until(at(1500), "m"), Some(until), "one verdict");
-    assert_eq!(s.until(until, "m"), None, "the same words prove nothing again");
+    assert_eq!(s.unresponsive_until(at(1500), "m"), Some(until), "one verdict");
+    assert_eq!(
+        s.unresponsive_until(until, "m"),
+        None,
+        "the same words prove nothing again"
+    );
     let mut s = told();
-    s.until(at(1000), "m");
-    s.heard("m", at(1100));
-    assert_eq!(s.until(at(1100), "m"), None);
+    s.unresponsive_until(at(1000), "m");
+    s.on_response("m", at(1100));
+    assert_eq!(s.unresponsive_until(at(1100), "m"), None);
     // An older word of it ends nothing, and of those that would count again none is left.
     let mut s = told();
-    s.heard("m", at(100));
-    assert!(s.until(at(1000), "m").is_some());
+    s.on_response("m", at(100));
+    assert!(s.unresponsive_until(at(1000), "m").is_some());
     // What is said of it is said once, and so is its end, by a word or by time.
     for heard in [true, false] {
         let mut s = told();
-        let news = s.news(at(1000));
-        assert_eq!((news.len(), s.news(at(1050)).len()), (1, 0), "{news:?}");
+        let news = s.take_changes(at(1000));
+        assert_eq!((news.len(), s.take_changes(at(1050)).len()), (1, 0), "{news:?}");
         if heard {
-            s.heard("m", at(1100));
+            s.on_response("m", at(1100));
         }
         let later = if heard { 1100 } else { 5000 };
-        assert_eq!(s.news(at(later)), [("m".to_owned(), Timestamp(0))]);
-        assert!(s.news(at(later)).is_empty());
-        s.age(at(60_000));
-        assert!(s.news(at(60_000)).is_empty());
+        assert_eq!(s.take_changes(at(later)), [("m".to_owned(), Timestamp(0))]);
+        assert!(s.take_changes(at(later)).is_empty());
+        s.expire(at(60_000));
+        assert!(s.take_changes(at(60_000)).is_empty());
     }
 }
 
 /// A driver that tells nonsense moves nothing alone; it may be the second of two, where one owes truly.
 #[test]
 fn one_that_tells_nonsense_is_one_of_two() {
-    let mut s = Silence::new(1, Terms::default());
+    let mut s = FailureConsensus::new(1, ConsensusSettings::default());
     for n in 0..500 {
-        s.late("m", 9, at(n), at(n));
-        assert_eq!(s.until(at(n), "m"), None);
+        s.on_late_report("m", 9, at(n), at(n));
+        assert_eq!(s.unresponsive_until(at(n), "m"), None);
     }
     // And what it says fills nothing up.
     for n in 0..10_000 {
-        s.late(&format!("m{n}"), 9, at(n), at(n));
+        s.on_late_report(&format!("m{n}"), 9, at(n), at(n));
     }
-    assert!(s.news(at(20_000)).is_empty());
+    assert!(s.take_changes(at(20_000)).is_empty());
 }
 
 /// Three hundred drivers try again one after the other.
@@ -102,10 +110,10 @@
 fn trials_are_spread() {
     let mut ends: Vec<Timestamp> = (0..300)
         .map(|own| {
-            let mut s = Silence::new(own, Terms::default());
-            s.late("m", 1, at(500), at(900));
-            s.late("m", 2, at(600), at(900));
-            s.until(at(1000), "m").expect("is silent")
+            let mut s = FailureConsensus::new(own, ConsensusSettings::default());
+            s.on_late_report("m", 1, at(500), at(900));
+            s.on_late_report("m", 2, at(600), at(900));
+            s.unresponsive_until(at(1000), "m").expect("is silent")
         })
         .collect();
     ends.sort();
@@ -122,7 +130,7 @@
 
 #[test]
 fn a_fleet_grows_at_once_and_shrinks_when_that_has_lasted() {
-    let mut size = Size::new(100, TimeSpan::millis(30_000), at(0));
+    let mut size = FleetSize::new(100, TimeSpan::millis(30_000), at(0));
     // When, how many are there, how many count.
     for (ms, there, counts) in [
         (0, 1, 100),
@@ -142,17 +150,17 @@
         (72_000, 0, 300),
         (102_500, 0, 1),
     ] {
-        assert_eq!(size.reach(at(ms), there), counts, "at {ms}");
+        assert_eq!(size.update(at(ms), there), counts, "at {ms}");
     }
 }
 
 #[test]
 fn shares_are_drawn_together_by_answers_and_age() {
-    let terms = load_aggregate::Terms {
-        halves: TimeSpan::millis(1000),
+    let terms = load_aggregate::AggregateSettings {
+        half_life: TimeSpan::millis(1000),
         gain: 0.3,
-        most: 8.0,
-        least: 2.0,
+        max_answers: 8.0,
+        min_peer_answers: 2.0,
     };
     // Others' words: driver, share, answers, how long ago; own answers; what becomes of an own share of 1.
     type Words<'a> = &'a [(u64, f64, f64, u64)];
@@ -175,12 +183,12 @@
         (&[(2, 0.0, 1000.0, 0), (3, 1.0, 8.0, 0)], 0, Some(1.0 - 0.3 * 0.5)),
     ];
     for (words, own, expected) in table {
-        let mut s = Sums::new(terms);
-        (0..own).for_each(|_| s.answered(at(20_000), 7));
+        let mut s = LoadAggregate::new(terms);
+        (0..own).for_each(|_| s.on_answer(at(20_000), 7));
         for (driver, share, answers, ago) in words {
-            s.told(7, (*driver, 1), *share, *answers, at(20_000 - ago));
+            s.on_report(7, (*driver, 1), *share, *answers, at(20_000 - ago));
         }
-        let drawn = s.drawn(at(20_000), 7, 1.0);
+        let drawn = s.blended_share(at(20_000), 7, 1.0);
         let close = |(a, b): (f64, f64)| (a - b).abs() < 0.01;
         assert!(
             drawn.is_some() == expected.is_some() && drawn.zip(expected).is_none_or(close),
@@ -188,16 +196,16 @@
         );
     }
     // An older word, one of a former life, and what is no number change nothing; all is let go in time.
-    let mut s = Sums::new(terms);
-    s.told(7, (2, 5), 0.5, 8.0, at(1000));
+    let mut s = LoadAggregate::new(terms);
+    s.on_report(7, (2, 5), 0.5, 8.0, at(1000));
     for (life, share, said) in [(5, 0.9, 900), (4, 0.9, 1100), (5, f64::NAN, 1200)] {
-        s.told(7, (2, life), share, 8.0, at(said));
+        s.on_report(7, (2, life), share, 8.0, at(said));
     }
-    assert!((s.drawn(at(1000), 7, 1.0).expect("is drawn") - 0.85).abs() < 0.01);
-    s.answered(at(1000), 8);
-    assert_eq!(s.tellable(at(1000), 5).len(), 1);
-    s.age(at(20_000));
-    assert!(s.tellable(at(20_000), 5).is_empty() && s.drawn(at(20_000), 7, 1.0).is_none());
+    assert!((s.blended_share(at(1000), 7, 1.0).expect("is drawn") - 0.85).abs() < 0.01);
+    s.on_answer(at(1000), 8);
+    assert_eq!(s.reportable(at(1000), 5).len(), 1);
+    s.expire(at(20_000));
+    assert!(s.reportable(at(20_000), 5).is_empty() && s.blended_share(at(20_000), 7, 1.0).is_none());
 }
 
 /// A member whose capacity falls and comes back, and drivers that each send it little: what is answered in time over a
@@ -205,8 +213,8 @@
 fn minute(drivers: u64, stale: Option<u64>, nonsense: u64, seed: u64) -> [f64; 3] {
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut shares = vec![1.0_f64; drivers as usize];
-    let mut all: Vec<Sums> = (0..drivers)
-        .map(|_| Sums::new(load_aggregate::Terms::default()))
+    let mut all: Vec<LoadAggregate> = (0..drivers)
+        .map(|_| LoadAggregate::new(load_aggregate::AggregateSettings::default()))
         .collect();
     let (mut good, mut sent_last, mut strays, mut spread) = (0.0, None, 0.0, 0.0);
     // Work that waits at the member, in statements; one takes it a hundredth of a second at full capacity.
@@ -231,12 +239,12 @@
             good += f64::from(u8::from(waiting / capacity < 0.5));
             let share = &mut shares[d as usize];
             *share = (*share * (0.6 * (0.4 - took)).exp()).clamp(0.05, 1.0);
-            all[d as usize].answered(at(now), 7);
+            all[d as usize].on_answer(at(now), 7);
         }
         waiting = (waiting - capacity * 0.05).max(0.0);
         if let Some(stale) = stale.filter(|_| tick % 10 == 0) {
             for d in 0..drivers {
-                let own = all[d as usize].own(at(now), 7);
+                let own = all[d as usize].own_answers(at(now), 7);
                 let says = if d < nonsense {
                     (0.0, 8.0)
                 } else {
@@ -248,11 +256,14 @@
             }
             while let Some((_, d, share, answers)) = words.pop_front_if(|w| w.0 <= now) {
                 for (_, sums) in all.iter_mut().enumerate().filter(|(n, _)| *n as u64 != d) {
-                    sums.told(7, (d, 1), share, answers, at(now.saturating_sub(stale)));
+                    sums.on_report(7, (d, 1), share, answers, at(now.saturating_sub(stale)));
                 }
             }
             for (share, sums) in shares.iter_mut().zip(&all) {
-                *share = sums.drawn(at(now), 7, *share).unwrap_or(*share).clamp(0.05, 1.0);
+                *share = sums
+                    .blended_share(at(now), 7, *share)
+                    .unwrap_or(*share)
+                    .clamp(0.05, 1.0);
             }
         }
         if tick % 20 == 19 {
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -11,7 +11,7 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::host::{drivers, Other};
 use asterlatch_config::meaning::{hash, Meaning};
-use asterlatch_coordination::lease::Claim;
+use asterlatch_coordination::lease::Lease;
 use asterlatch_gossip::codec::Dialect;
 use asterlatch_gossip::membership::Times;
 use asterlatch_gossip::node::{shown, Engine, Input, Output, Settings};
@@ -519,7 +519,7 @@
         } => format!("{work_us} us of work, carries {carries_us} us a second"),
         Record::Session { position, .. } => format!("written at {position}"),
         Record::Turn { claim, .. } => {
-            let Claim { term, holder, said, end, .. } = claim;
+            let Lease { term, holder, renewals: said, state: end, .. } = claim;
             format!("{end:?} by {holder:016x}, term {term}, said {said} times")
         }
         Record::Load { shares, .. } => format!("shares of {} members", shares.len()),
--- a/crates/driver/src/routing/owner/sharing.rs
+++ b/crates/driver/src/routing/owner/sharing.rs
@@ -153,8 +153,8 @@
                 | ExecutionOutcome::Rejected
         );
         if let Some(name) = self.members.name(member).filter(|_| answered) {
-            sharing.turns.silence.heard(name, now);
-            sharing.turns.sums.answered(now, tables::key(name));
+            sharing.turns.silence.on_response(name, now);
+            sharing.turns.sums.on_answer(now, tables::key(name));
         }
         let Kind::Execution { stmt, number } = kind else {
             return;
@@ -390,7 +390,7 @@
                 };
                 let Some(member) = member.filter(same) else { return };
                 if let Some(sharing) = &mut self.sharing {
-                    sharing.turns.silence.heard(name, told);
+                    sharing.turns.silence.on_response(name, told);
                 }
                 // Never as new as what it says to this driver itself.
                 let ago = (now - told).max(TimeSpan(1));
@@ -445,7 +445,7 @@
             }
             Record::Turn { subject, claim } => {
                 if let Some(sharing) = &mut self.sharing {
-                    sharing.turns.leases.told(now, subject, *claim, now - told);
+                    sharing.turns.leases.on_lease(now, subject, *claim, now - told);
                 }
             }
             Record::Late {
--- a/crates/driver/src/routing/owner/turns.rs
+++ b/crates/driver/src/routing/owner/turns.rs
@@ -42,11 +42,11 @@
         let wants = |name: &str| members.find(name).is_some_and(|m| module.wants_health_check(m));
         let (mut facts, ask) = sharing.turns.reach(now, wants);
         facts.extend(sharing.turns.is_late(now, &late));
-        let news = sharing.turns.silence.news(now).into_iter();
+        let news = sharing.turns.silence.take_changes(now).into_iter();
         let silent: Vec<_> = news
             .filter_map(|(name, until)| Some((members.find(&name)?, until)))
             .collect();
-        sharing.turns.silence.age(now);
+        sharing.turns.silence.expire(now);
         // In dense views each knows enough by itself, and nothing is told.
         let sparse = module.has_few_samples();
         let shares = module
@@ -109,7 +109,7 @@
             sharing
                 .turns
                 .silence
-                .late(member, tables::key(driver), sent, said);
+                .on_late_report(member, tables::key(driver), sent, said);
         }
     }
 }
--- a/crates/driver/src/routing/turns.rs
+++ b/crates/driver/src/routing/turns.rs
@@ -3,11 +3,11 @@
 
 use super::tables;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::failure_consensus::{self, Silence};
-use asterlatch_coordination::fleet_size::Size;
-use asterlatch_coordination::lease::{End, Leases, Stand, Terms};
-use asterlatch_coordination::load_aggregate::{self, Sums};
-use asterlatch_coordination::Key;
+use asterlatch_coordination::failure_consensus::{ConsensusSettings, FailureConsensus};
+use asterlatch_coordination::fleet_size::FleetSize;
+use asterlatch_coordination::lease::{LeaseState, LeaseStatus, LeaseTable, LeaseTimings};
+use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate};
+use asterlatch_coordination::NameHash;
 use asterlatch_gossip::record::{Record, MOST_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,13 +19,13 @@
 const SHRINKS: TimeSpan = TimeSpan::millis(30_000);
 
 pub struct Turns {
-    pub leases: Leases,
-    pub silence: Silence,
-    pub size: Size,
-    pub sums: Sums,
+    pub leases: LeaseTable,
+    pub silence: FailureConsensus,
+    pub size: FleetSize,
+    pub sums: LoadAggregate,
     /// When this driver tells of loads next.
     tell_at: Timestamp,
-    own: Key,
+    own: NameHash,
     name: String,
     life: u64,
     said: u64,
@@ -40,17 +40,22 @@
 
 impl Turns {
     /// `all` are the drivers that the operators' file names, this one among them.
-    pub fn new(now: Timestamp, (own, name, life): (Key, String, u64), tick: TimeSpan, all: u32) -> Turns {
-        let terms = Terms {
+    pub fn new(
+        now: Timestamp,
+        (own, name, life): (NameHash, String, u64),
+        tick: TimeSpan,
+        all: u32,
+    ) -> Turns {
+        let terms = LeaseTimings {
             // A word may wait for a tick at each of two drivers before it is here.
-            step: Terms::default().step.max(tick * 2.5),
-            ..Terms::default()
+            acquire_delay: LeaseTimings::default().acquire_delay.max(tick * 2.5),
+            ..LeaseTimings::default()
         };
         Turns {
-            leases: Leases::new(own, life, terms),
-            silence: Silence::new(own, failure_consensus::Terms::default()),
-            size: Size::new(all, SHRINKS, now),
-            sums: Sums::new(load_aggregate::Terms::default()),
+            leases: LeaseTable::new(own, life, terms),
+            silence: FailureConsensus::new(own, ConsensusSettings::default()),
+            size: FleetSize::new(all, SHRINKS, now),
+            sums: LoadAggregate::new(AggregateSettings::default()),
             tell_at: now,
             own,
             name,
@@ -61,9 +66,9 @@
     }
 
     /// Others that are there; how many count by now.
-    pub fn there(&mut self, now: Timestamp, others: &BTreeSet<Key>) -> u32 {
-        self.leases.there(others);
-        self.size.reach(now, others.len() as u32 + 1)
+    pub fn there(&mut self, now: Timestamp, others: &BTreeSet<NameHash>) -> u32 {
+        self.leases.set_peers(others);
+        self.size.update(now, others.len() as u32 + 1)
     }
 
     /// The module wants a member probed. Whether this driver may: who has nobody beside it always may.
@@ -72,8 +77,11 @@
             return true;
         }
         let subject = subject(member);
-        self.leases.want(now, &subject);
-        let may = matches!(self.leases.stand(now, &subject), Stand::Mine | Stand::Done);
+        self.leases.request(now, &subject);
+        let may = matches!(
+            self.leases.status(now, &subject),
+            LeaseStatus::HeldHere | LeaseStatus::Completed
+        );
         let asked = self.wanted.entry(member.to_owned()).or_insert(Timestamp(0));
         // What its module asks the holder asks for all.
         *asked = if may { now } else { *asked };
@@ -93,17 +101,17 @@
         for member in over {
             self.wanted.remove(&member);
             // It is wanted no more because it has answered, or is listed no more.
-            let told = self.leases.rest(now, &subject(&member), End::Done);
+            let told = self.leases.release(now, &subject(&member), LeaseState::Completed);
             facts.extend(told.map(|claim| turn(subject(&member), claim)));
         }
         facts.extend(
             self.leases
-                .reach(now)
+                .advance_to(now)
                 .into_iter()
                 .map(|(s, claim)| turn(s, claim)),
         );
         for (member, asked) in &mut self.wanted {
-            let holds = self.leases.stand(now, &subject(member)) == Stand::Mine;
+            let holds = self.leases.status(now, &subject(member)) == LeaseStatus::HeldHere;
             if holds && now - *asked >= ASKS {
                 *asked = now;
                 ask.push(member.clone());
@@ -116,7 +124,7 @@
     pub fn is_late(&mut self, now: Timestamp, late: &BTreeMap<String, Timestamp>) -> Vec<(Record, TimeSpan)> {
         let mut facts = Vec::new();
         for (member, sent) in late {
-            self.silence.late(member, self.own, *sent, now);
+            self.silence.on_late_report(member, self.own, *sent, now);
             self.said += 1;
             let fact = Record::Late {
                 member: member.clone(),
@@ -137,9 +145,9 @@
         now: Timestamp,
         shares: &[(String, f64)],
     ) -> (Option<Record>, Vec<(String, f64)>) {
-        self.sums.age(now);
+        self.sums.expire(now);
         let drawn = shares.iter().filter_map(|(name, own)| {
-            let share = self.sums.drawn(now, tables::key(name), *own)?;
+            let share = self.sums.blended_share(now, tables::key(name), *own)?;
             Some((name.clone(), share))
         });
         let drawn: Vec<_> = drawn.collect();
@@ -147,8 +155,8 @@
             return (None, drawn);
         }
         self.tell_at = now + LOADS;
-        let of: BTreeMap<Key, f64> = shares.iter().map(|(name, s)| (tables::key(name), *s)).collect();
-        let told = self.sums.tellable(now, MOST_SHARES).into_iter();
+        let of: BTreeMap<NameHash, f64> = shares.iter().map(|(name, s)| (tables::key(name), *s)).collect();
+        let told = self.sums.reportable(now, MOST_SHARES).into_iter();
         let told: Vec<_> = told
             .filter_map(|(key, answers)| Some((key, (of.get(&key)? * 200.0) as u8, (answers * 10.0) as u8)))
             .collect();
@@ -168,7 +176,7 @@
         let driver = (tables::key(driver), life);
         for (member, share, answers) in shares {
             let (share, answers) = (f64::from(*share) / 200.0, f64::from(*answers) / 10.0);
-            self.sums.told(*member, driver, share, answers, said);
+            self.sums.on_report(*member, driver, share, answers, said);
         }
     }
 }
--- a/crates/gossip/src/record.rs
+++ b/crates/gossip/src/record.rs
@@ -3,7 +3,7 @@
 //! stands, and `quarrel` keeps both.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::lease::Claim;
+use asterlatch_coordination::lease::Lease;
 use serde::{Deserialize, Serialize};
 
 /// How the list calls a member.
@@ -63,7 +63,7 @@
         caught_up: bool,
     },
     /// Who does something for all. Its owner is the claim's holder; `asterlatch_coordination::lease` says which stands.
-    Turn { subject: String, claim: Claim },
+    Turn { subject: String, claim: Lease },
     /// A driver has an execution out at a member that is late: it was sent so long before this was said. Its owner is that
     /// driver; the `said`th telling counts. With another driver's it may have reads go elsewhere for a moment, and alone
     /// nothing.
@@ -342,7 +342,7 @@
                 (life, said, !caught_up, list, file) >= (li, sa, !c, l, f),
             ),
             (Record::Turn { claim, .. }, Record::Turn { claim: c, .. }) => {
-                larger(self, other, claim.joined(*c) == *claim)
+                larger(self, other, claim.merge(*c) == *claim)
             }
             (
                 Record::Late {
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -1,7 +1,7 @@
 //! What is trusted of what was kept: every kind, by how long ago it was and whether the clock can be believed.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::lease::{Claim, End};
+use asterlatch_coordination::lease::{Lease, LeaseState};
 use asterlatch_gossip::record::{Record, Standing, KINDS};
 use asterlatch_recovery::report::sort;
 use asterlatch_recovery::trust::{trust, Use};
@@ -51,12 +51,12 @@
         },
         Record::Turn {
             subject: "probe m".to_owned(),
-            claim: Claim {
+            claim: Lease {
                 term: 1,
                 holder: 2,
-                life: 3,
-                said: 4,
-                end: End::Holds,
+                incarnation: 3,
+                renewals: 4,
+                state: LeaseState::Held,
             },
         },
         Record::Late {
