--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,52 +1,66 @@
-//! Turns by lease: of all drivers that want something done, one does it, and the others hear that it does. What it is for
-//! is the subject, a text that all know alike.
+//! Leases: of all drivers that want something done, one does it, and the others learn that it does. What it is for is the
+//! subject, a text that all know alike.
 //!
-//! A claim has a term; the later term wins, within one term the smaller holder, so two that claim at once settle as soon as
-//! one's word has come to the other. A holder renews its claim, and acts on it for half a lease from its last renewal
-//! by its own clock; others believe in it for a whole lease from when that was told. So nobody else begins while it still
-//! acts, however late word comes, and one that was stopped and goes on finds its claim over. No answer is needed for
-//! either, and clocks need only run alike, not stand alike.
+//! A lease has a term. The later term wins, and within one term the smaller holder, so two drivers that acquire a lease at
+//! once agree as soon as a message of one reaches the other. A holder renews its lease, and acts on it for
+//! [`LeaseTimings::holder_duration`] from its last renewal by its own clock; others believe in it for
+//! [`LeaseTimings::duration`] from when that renewal was sent. So nobody else begins while the holder still acts, however
+//! late messages arrive, and a holder that was stopped and goes on finds its lease expired. No acknowledgement is needed,
+//! and clocks need to run alike but not to show the same time.
 //!
-//! Who claims first is drawn by hash from those that are there; the next ones wait a step longer each. Two sides of a split
-//! each have a holder, for no word goes between them; when it heals one yields.
+//! Who acquires first is drawn by hash from the drivers that are present; each of the next ones waits longer. Two sides of
+//! a network partition have a holder each, for no message passes between them; when it heals one of them yields.
 
 use crate::NameHash;
 use asterlatch::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Ordered by which wins.
+/// A lease as its holder sends it. Its bytes are positional.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
+    /// Number of this lease among all on its subject.
     pub term: u64,
+    /// The driver that holds it.
     pub holder: NameHash,
-    /// Of the holder: a restart is somebody else.
+    /// The holder's incarnation: a driver that restarted is another holder.
     pub incarnation: u64,
-    /// Grows with each renewal.
+    /// How often the holder has renewed it.
     pub renewals: u64,
+    /// Whether the holder still holds it.
     pub state: LeaseState,
 }
 
-/// Whether the holder has given its turn up, and with what.
+/// Whether a holder still holds its lease, and with what it released it. Ordered by which wins among equal renewals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseState {
+    /// The holder acts on it.
     Held,
-    /// It wants it no more, and nothing came of it.
+    /// The holder wants it no more, and its work is not done.
     Abandoned,
-    /// It is done: nobody needs to do it for all any more, and each may for itself.
+    /// The work is done: nobody needs to do it for all any more, and each driver may for itself.
     Completed,
 }
 
 impl Lease {
-    fn order(&self) -> impl Ord {
-        let smaller = std::cmp::Reverse(self.holder);
-        (self.term, smaller, self.incarnation, self.renewals, self.state)
+    /// The order by which one lease wins over another.
+    fn precedence(&self) -> impl Ord {
+        let smaller_holder = Reverse(self.holder);
+        (
+            self.term,
+            smaller_holder,
+            self.incarnation,
+            self.renewals,
+            self.state,
+        )
     }
 
-    /// Which of two tellings stands. Commutative, associative and idempotent, for it is the larger one.
+    /// The one of two leases that wins. Commutative, associative and idempotent, for it is the larger one.
+    #[must_use]
     pub fn merge(self, other: Lease) -> Lease {
-        if self.order() >= other.order() {
+        if self.precedence() >= other.precedence() {
             self
         } else {
             other
@@ -54,14 +68,15 @@
     }
 }
 
+/// Durations of all leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimings {
-    /// How long others believe in a claim.
+    /// How long others believe in a lease since its last renewal.
     pub duration: TimeSpan,
-    /// How long its holder acts on it without having renewed it; less than the lease.
+    /// How long its holder acts on it since its last renewal; less than `duration`.
     pub holder_duration: TimeSpan,
-    /// How much longer each next one waits before it claims what nobody holds: a word's flight, and the time between two
-    /// tellings.
+    /// How much longer each next driver waits before it acquires what nobody holds: a message's flight and the time
+    /// between two of them.
     pub acquire_delay: TimeSpan,
 }
 
@@ -75,39 +90,91 @@
     }
 }
 
-/// Part of the time that a holder acts after which it renews.
+/// Part of [`LeaseTimings::holder_duration`] after which a holder renews its lease.
 const RENEWAL_FRACTION: f64 = 0.4;
-/// From this rank on all wait alike: those before them may not want it at all, and if several claim, one word settles it.
+/// From this rank on all drivers wait alike: those before them may not want the lease at all, and if several acquire it
+/// one message settles that.
 const MAX_RANK: usize = 4;
-/// Subjects that are kept at most; the one heard of longest ago goes.
+/// Subjects that are known at most. The one heard of longest ago goes.
 const MAX_SUBJECTS: usize = 4096;
-/// A subject that nobody speaks of any more is let go after so many leases: longer than any claim of a former term travels.
+/// A subject of which nothing is heard is forgotten after this many lease durations: longer than any lease of a former
+/// term is on its way.
 const RETENTION_DURATIONS: f64 = 10.0;
 
+/// What a driver knows of a lease at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeaseStatus {
-    /// This driver does it now.
+    /// This driver holds it and may act.
     HeldHere,
-    /// Somebody else does, or did a moment ago.
+    /// Another driver holds it, or did a moment ago.
     HeldElsewhere,
-    /// It was done a moment ago: each may do it for itself.
+    /// The work was done a moment ago: each driver may do it for itself.
     Completed,
-    /// Nobody does, yet.
+    /// Nobody holds it.
     Available,
 }
 
+/// A lease that other drivers must be told of.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LeaseUpdate {
+    /// What the lease is for.
+    pub subject: String,
+    /// The lease, acquired or renewed just now.
+    pub lease: Lease,
+}
+
+/// A subject that this driver wants a lease on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RequestedLease<'a> {
+    /// What the lease is for.
+    pub subject: &'a str,
+    /// Whether somebody holds it.
+    pub status: LeaseStatus,
+}
+
+/// A lease that this driver knows of.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KnownLease<'a> {
+    /// What the lease is for.
+    pub subject: &'a str,
+    /// The lease.
+    pub lease: Lease,
+    /// Time since its last renewal.
+    pub age: TimeSpan,
+}
+
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Entry {
     lease: Option<Lease>,
-    /// When the claim was last said, by this clock: the holder's own renewal, or as others told it.
+    /// When the lease was renewed last, by this driver's clock.
     renewed_at: Timestamp,
-    /// Since when this driver wants it done.
+    /// Since when this driver wants the lease.
     requested_since: Option<Timestamp>,
     /// Since when nobody holds it.
     available_since: Option<Timestamp>,
 }
 
-/// One driver's side of all turns.
+impl Entry {
+    fn status(&self, now: Timestamp, table: &LeaseTable) -> LeaseStatus {
+        let Some(lease) = &self.lease else {
+            return LeaseStatus::Available;
+        };
+        let age = now - self.renewed_at;
+        if age >= table.timings.duration {
+            return LeaseStatus::Available;
+        }
+        match lease.state {
+            LeaseState::Completed => LeaseStatus::Completed,
+            LeaseState::Abandoned => LeaseStatus::Available,
+            LeaseState::Held if !table.is_own(lease) => LeaseStatus::HeldElsewhere,
+            LeaseState::Held if age < table.timings.holder_duration => LeaseStatus::HeldHere,
+            // Others may believe in it still, but this driver was away for too long to act.
+            LeaseState::Held => LeaseStatus::HeldElsewhere,
+        }
+    }
+}
+
+/// One driver's side of all leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTable {
     own_id: NameHash,
@@ -118,6 +185,7 @@
 }
 
 impl LeaseTable {
+    /// The table of the driver `own_id` in this incarnation; it knows no peer and no lease.
     pub fn new(own_id: NameHash, incarnation: u64, timings: LeaseTimings) -> LeaseTable {
         LeaseTable {
             own_id,
@@ -128,165 +196,170 @@
         }
     }
 
-    /// Those that are there beside this one.
-    pub fn set_peers(&mut self, others: &BTreeSet<NameHash>) {
-        self.peers.clone_from(others);
+    /// Replaces the set of drivers that are present beside this one.
+    pub fn set_peers(&mut self, peers: &BTreeSet<NameHash>) {
+        self.peers.clone_from(peers);
     }
 
+    /// This driver wants the lease on `subject` from now on.
     pub fn request(&mut self, now: Timestamp, subject: &str) {
         self.entry_mut(subject).requested_since.get_or_insert(now);
     }
 
-    fn entry_mut(&mut self, name: &str) -> &mut Entry {
-        if !self.entries.contains_key(name) {
+    fn entry_mut(&mut self, subject: &str) -> &mut Entry {
+        if !self.entries.contains_key(subject) {
             self.evict_for_one_more();
         }
-        self.entries.entry(name.to_owned()).or_default()
+        self.entries.entry(subject.to_owned()).or_default()
     }
 
-    /// It isn't wanted any more; what that ends is to be told.
-    pub fn release(&mut self, now: Timestamp, subject: &str, state: LeaseState) -> Option<Lease> {
-        let acts = self.status(now, subject) == LeaseStatus::HeldHere;
-        let s = self.entries.get_mut(subject)?;
-        s.requested_since = None;
-        let lease = s.lease.as_mut().filter(|_| acts)?;
-        (lease.renewals, lease.state, s.renewed_at) = (lease.renewals.saturating_add(1), state, now);
-        Some(*lease)
+    /// Forgets the subject heard of longest ago, unrequested ones first, where the table is full.
+    fn evict_for_one_more(&mut self) {
+        if self.entries.len() < MAX_SUBJECTS {
+            return;
+        }
+        let priority = |entry: &Entry| (entry.requested_since.is_some(), entry.renewed_at);
+        let oldest = self.entries.iter().min_by_key(|(_, entry)| priority(entry));
+        if let Some(subject) = oldest.map(|(subject, _)| subject.clone()) {
+            self.entries.remove(&subject);
+        }
     }
 
-    /// What others said of a turn, so long ago.
-    pub fn on_lease(&mut self, now: Timestamp, subject: &str, lease: Lease, ago: TimeSpan) {
-        let is_own = lease.holder == self.own_id && lease.incarnation == self.incarnation;
-        let s = self.entry_mut(subject);
-        let stands = s.lease.map_or(lease, |here| here.merge(lease));
-        let at = now - ago;
-        if s.lease == Some(stands) {
-            // What this driver holds is as old as its own renewal, whoever repeats it.
-            s.renewed_at = if is_own {
-                s.renewed_at
-            } else {
-                s.renewed_at.max(at)
-            };
-        } else {
-            (s.lease, s.renewed_at) = (Some(stands), at);
-        }
-        s.available_since = None;
+    /// This driver no longer wants the lease on `subject`, and releases it with `state` if it holds it. Returns the
+    /// released lease, which others must be told of.
+    pub fn release(&mut self, now: Timestamp, subject: &str, state: LeaseState) -> Option<Lease> {
+        let is_held = self.status(now, subject) == LeaseStatus::HeldHere;
+        let entry = self.entries.get_mut(subject)?;
+        entry.requested_since = None;
+        let lease = entry.lease.as_mut().filter(|_| is_held)?;
+        lease.renewals = lease.renewals.saturating_add(1);
+        lease.state = state;
+        entry.renewed_at = now;
+        Some(*lease)
     }
 
-    /// For one more.
-    fn evict_for_one_more(&mut self) {
-        if self.entries.len() < MAX_SUBJECTS {
-            return;
+    /// Another driver sent this lease, `age` ago.
+    pub fn on_lease(&mut self, now: Timestamp, subject: &str, lease: Lease, age: TimeSpan) {
+        let is_own = self.is_own(&lease);
+        let entry = self.entry_mut(subject);
+        let winner = entry.lease.map_or(lease, |known| known.merge(lease));
+        let sent_at = now - age;
+        if entry.lease != Some(winner) {
+            entry.lease = Some(winner);
+            entry.renewed_at = sent_at;
+        } else if !is_own {
+            // This driver's own lease is as old as its own renewal, whoever repeats it.
+            entry.renewed_at = entry.renewed_at.max(sent_at);
         }
-        let oldest = self
-            .entries
-            .iter()
-            .min_by_key(|(_, s)| (s.requested_since.is_some(), s.renewed_at));
-        let oldest = oldest.map(|(name, _)| name.clone());
-        oldest.map(|name| self.entries.remove(&name));
+        entry.available_since = None;
     }
 
     fn is_own(&self, lease: &Lease) -> bool {
         lease.holder == self.own_id && lease.incarnation == self.incarnation
     }
 
-    fn status_of(&self, now: Timestamp, s: &Entry) -> LeaseStatus {
-        let Some(lease) = &s.lease else {
-            return LeaseStatus::Available;
-        };
-        let age = now - s.renewed_at;
-        match lease.state {
-            _ if age >= self.timings.duration => LeaseStatus::Available,
-            LeaseState::Completed => LeaseStatus::Completed,
-            LeaseState::Abandoned => LeaseStatus::Available,
-            LeaseState::Held if !self.is_own(lease) => LeaseStatus::HeldElsewhere,
-            LeaseState::Held if age < self.timings.holder_duration => LeaseStatus::HeldHere,
-            // Others may believe in it still, but it was too long away to act.
-            LeaseState::Held => LeaseStatus::HeldElsewhere,
+    /// Whether somebody holds the lease on `subject` now.
+    pub fn status(&self, now: Timestamp, subject: &str) -> LeaseStatus {
+        match self.entries.get(subject) {
+            Some(entry) => entry.status(now, self),
+            None => LeaseStatus::Available,
         }
     }
 
-    pub fn status(&self, now: Timestamp, subject: &str) -> LeaseStatus {
-        self.entries
-            .get(subject)
-            .map_or(LeaseStatus::Available, |s| self.status_of(now, s))
+    /// How many of the present drivers come before this one, [`MAX_RANK`] at most.
+    fn rank(&self, subject: &str) -> usize {
+        let draw = |driver: NameHash| (xxh3_64_with_seed(subject.as_bytes(), driver), driver);
+        let own_draw = draw(self.own_id);
+        let is_before = |peer: &&NameHash| **peer != self.own_id && draw(**peer) < own_draw;
+        self.peers.iter().filter(is_before).take(MAX_RANK).count()
     }
 
-    /// How many of those that are there come before this driver, as far as that is waited for.
-    fn rank(&self, subject: &str) -> usize {
-        let of = |key: NameHash| (xxh3_64_with_seed(subject.as_bytes(), key), key);
-        let own_id = of(self.own_id);
-        let before = self
-            .peers
-            .iter()
-            .filter(|k| **k != self.own_id && of(**k) < own_id);
-        before.take(MAX_RANK).count()
+    /// Acquires and renews what is due at `now`, and returns what others must be told of.
+    pub fn advance_to(&mut self, now: Timestamp) -> Vec<LeaseUpdate> {
+        self.forget_unheard(now);
+        let subjects: Vec<String> = self.entries.keys().cloned().collect();
+        let updates = subjects.into_iter().filter_map(|subject| {
+            let lease = self.advance_subject(now, &subject)?;
+            Some(LeaseUpdate { subject, lease })
+        });
+        updates.collect()
+    }
+
+    fn forget_unheard(&mut self, now: Timestamp) {
+        let retention = self.timings.duration * RETENTION_DURATIONS;
+        self.entries.retain(|_, entry| {
+            let is_recent = now - entry.renewed_at < retention;
+            entry.requested_since.is_some() || is_recent
+        });
+    }
+
+    /// Acquires or renews the lease on one subject where that is due.
+    fn advance_subject(&mut self, now: Timestamp, subject: &str) -> Option<Lease> {
+        let status = self.status(now, subject);
+        let entry = self.entries.get_mut(subject)?;
+        if status != LeaseStatus::Available {
+            entry.available_since = None;
+        }
+        entry.requested_since?;
+        match status {
+            LeaseStatus::HeldHere => self.renew(now, subject),
+            LeaseStatus::Available => self.acquire(now, subject),
+            LeaseStatus::HeldElsewhere | LeaseStatus::Completed => None,
+        }
     }
 
-    /// Does what is due: claims and renewals to be told.
-    pub fn advance_to(&mut self, now: Timestamp) -> Vec<(String, Lease)> {
-        let mut told = Vec::new();
-        let forget = self.timings.duration * RETENTION_DURATIONS;
-        self.entries
-            .retain(|_, s| s.requested_since.is_some() || now - s.renewed_at < forget);
-        for name in self.entries.keys().cloned().collect::<Vec<_>>() {
-            let rank = self.rank(&name);
-            let Some(s) = self.entries.get(&name) else {
-                continue;
-            };
-            let status = self.status_of(now, s);
-            let (own_id, incarnation, timings) = (self.own_id, self.incarnation, self.timings);
-            let Some(s) = self.entries.get_mut(&name) else {
-                continue;
-            };
-            if status != LeaseStatus::Available {
-                s.available_since = None;
-            }
-            let renewals = match (status, s.requested_since, &mut s.lease) {
-                (LeaseStatus::HeldHere, Some(_), Some(lease))
-                    if now - s.renewed_at >= timings.holder_duration * RENEWAL_FRACTION =>
-                {
-                    lease.renewals += 1;
-                    Some(*lease)
-                }
-                (LeaseStatus::Available, Some(_), lease) => {
-                    let available_since = *s.available_since.get_or_insert(now);
-                    let may = now - available_since >= timings.acquire_delay * rank as f64;
-                    may.then(|| {
-                        let term = lease.map_or(0, |c| c.term).saturating_add(1);
-                        let new = Lease {
-                            term,
-                            holder: own_id,
-                            incarnation,
-                            renewals: 0,
-                            state: LeaseState::Held,
-                        };
-                        *lease = Some(new);
-                        new
-                    })
-                }
-                _ => None,
-            };
-            if let Some(lease) = renewals {
-                s.renewed_at = now;
-                told.push((name, lease));
-            }
+    fn renew(&mut self, now: Timestamp, subject: &str) -> Option<Lease> {
+        let interval = self.timings.holder_duration * RENEWAL_FRACTION;
+        let entry = self.entries.get_mut(subject)?;
+        if now - entry.renewed_at < interval {
+            return None;
         }
-        told
+        entry.renewed_at = now;
+        let lease = entry.lease.as_mut()?;
+        lease.renewals += 1;
+        Some(*lease)
+    }
+
+    fn acquire(&mut self, now: Timestamp, subject: &str) -> Option<Lease> {
+        let delay = self.timings.acquire_delay * self.rank(subject) as f64;
+        let holder = self.own_id;
+        let incarnation = self.incarnation;
+        let entry = self.entries.get_mut(subject)?;
+        let available_since = *entry.available_since.get_or_insert(now);
+        if now - available_since < delay {
+            return None;
+        }
+        let last_term = entry.lease.map_or(0, |lease| lease.term);
+        let lease = Lease {
+            term: last_term.saturating_add(1),
+            holder,
+            incarnation,
+            renewals: 0,
+            state: LeaseState::Held,
+        };
+        entry.lease = Some(lease);
+        entry.renewed_at = now;
+        Some(lease)
     }
 
-    /// What this driver wants done, and how that stands.
-    pub fn requested(&self, now: Timestamp) -> impl Iterator<Item = (&str, LeaseStatus)> {
-        let requested_since = self.entries.iter().filter(|(_, s)| s.requested_since.is_some());
-        requested_since.map(move |(name, s)| (name.as_str(), self.status_of(now, s)))
+    /// The leases that this driver wants.
+    pub fn requested(&self, now: Timestamp) -> impl Iterator<Item = RequestedLease<'_>> {
+        let entries = self.entries.iter();
+        let requested = entries.filter(|(_, entry)| entry.requested_since.is_some());
+        requested.map(move |(subject, entry)| RequestedLease {
+            subject,
+            status: entry.status(now, self),
+        })
     }
 
-    /// All that is known, for operators: subject, claim, how long ago it was said.
-    pub fn known(&self, now: Timestamp) -> impl Iterator<Item = (&str, Lease, TimeSpan)> {
-        let told = self
-            .entries
-            .iter()
-            .filter_map(|(name, s)| Some((name, s.lease?, s.renewed_at)));
-        told.map(move |(name, lease, renewals)| (name.as_str(), lease, now - renewals))
+    /// All leases that this driver knows of, for operators.
+    pub fn known(&self, now: Timestamp) -> impl Iterator<Item = KnownLease<'_>> {
+        self.entries.iter().filter_map(move |(subject, entry)| {
+            Some(KnownLease {
+                subject,
+                lease: entry.lease?,
+                age: now - entry.renewed_at,
+            })
+        })
     }
 }
--- a/crates/driver/src/routing/turns.rs
+++ b/crates/driver/src/routing/turns.rs
@@ -108,7 +108,7 @@
             self.leases
                 .advance_to(now)
                 .into_iter()
-                .map(|(s, claim)| turn(s, claim)),
+                .map(|update| turn(update.subject, update.lease)),
         );
         for (member, asked) in &mut self.wanted {
             let holds = self.leases.status(now, &subject(member)) == LeaseStatus::HeldHere;
