--- a/crates/driver/src/program/kept.rs
+++ b/crates/driver/src/program/kept.rs
@@ -1,10 +1,12 @@
 //! Copies of the connections of clients that another process serves on probation, with the ledger of what it does.
 
 use crate::routing::handover::TransferredClient;
-use crate::transport::witness::{counts, has_given_up};
+use crate::transport::io_journal::is_abandoned;
+use crate::transport::socket_counts::counts;
 use asterlatch_handover::codec::{FrameReader, Received};
 use asterlatch_handover::io_journal::{
-    ClientRecovery, ConnectionKey, JournalRecord, JournalReplay, ReplayError, SocketByteCounts,
+    ClientRecovery, ConnectionKey, JournalRecord, JournalReplay, RecoveredClient, ReplayError,
+    SocketByteCounts,
 };
 use asterlatch_handover::message::ClientState;
 use std::collections::BTreeMap;
@@ -140,7 +142,7 @@
             ..TakenBack::default()
         };
         let Some(ledger) = ledger else { return back };
-        if has_given_up(given_up) {
+        if is_abandoned(given_up) {
             back.fault = Some("the new process couldn't write it on".to_owned());
             back.cut = sockets.len() as u64;
             return back;
@@ -153,9 +155,9 @@
                 written: all.written.checked_sub(base.written)?,
             })
         };
-        for (key, outcome) in ledger.recover_clients(since) {
-            match (outcome, sockets.remove(&key)) {
-                (ClientRecovery::Resume(client, verdicts), Some((stream, _))) => {
+        for RecoveredClient { key, recovery } in ledger.recover_clients(since) {
+            match (recovery, sockets.remove(&key)) {
+                (ClientRecovery::Resume { client, verdicts }, Some((stream, _))) => {
                     back.clients
                         .push(TransferredClient::new(client, None, stream, verdicts));
                 }
--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -17,7 +17,7 @@
 use crate::routing::handover::CoServing;
 use crate::transport::clock::Clock;
 use crate::transport::memory_budget::MemoryBudget;
-use crate::transport::{self, listener, stream};
+use crate::transport::{self, connection, listener};
 use asterlatch::time::Timestamp;
 use std::net::TcpListener;
 use std::path::Path;
@@ -34,7 +34,7 @@
     let start = operators::start(given, machine)?;
     let force = InForce::of(&start.meaning);
     let mut takeover = upgrade::inherited(force.takeover.1)?;
-    transport::start(force.stacks);
+    transport::coroutines::start(force.stacks);
     let resumed = takeover.as_mut().map(|t| t.load(&config)).transpose()?;
     let clock = resumed.as_ref().map_or_else(Clock::start, |r| r.clock);
     let witness = takeover.as_mut().map(Takeover::witness).transpose()?.flatten();
@@ -50,22 +50,29 @@
     let witnessed = witness.clone();
     let connectors = Connectors {
         dial_member: Box::new(move |id, address| {
-            stream::dial::<_, Event>(address, Executions::new(id, longest), &to_members, (clock, &room))
+            connection::dial::<_, Event>(address, Executions::new(id, longest), &to_members, (clock, &room))
         }),
         dial_discovery: Box::new(move |call| {
             let watch = Watch::new(call.number, call.address.to_string(), call.wait_ms, call.after);
-            stream::dial::<_, Event>(call.address, watch, &to_discovery, (clock, &unbound))
+            connection::dial::<_, Event>(call.address, watch, &to_discovery, (clock, &unbound))
         }),
         adopt_client: Box::new(move |id, stream, mut standing| {
             let session = Session::resume(id, adopted_room.clone(), &standing);
             let session = session.witnessed(witnessed.clone());
             let input = std::mem::take(&mut standing.input);
-            stream::hold::<_, Event>(stream, true, session, &to_adopted, (clock, &adopted_room), input)
+            connection::resume_owned::<_, Event>(
+                stream,
+                true,
+                session,
+                &to_adopted,
+                (clock, &adopted_room),
+                input,
+            )
         }),
         adopt_member_connection: Box::new(move |id, stream| {
             let executions = Executions::resume(id, longest);
             let place = (clock, &members_room);
-            stream::hold::<_, Event>(stream, true, executions, &to_resumed, place, Vec::new())
+            connection::resume_owned::<_, Event>(stream, true, executions, &to_resumed, place, Vec::new())
         }),
     };
     let options = EventLoopOptions {
--- a/crates/driver/src/protocol/session.rs
+++ b/crates/driver/src/protocol/session.rs
@@ -2,9 +2,9 @@
 
 use super::comment::{Unreadable, NO_ROOM, TOO_LARGE};
 use super::messages::{self, Front, Opening};
+use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
+use crate::transport::io_journal::IoJournalWriter;
 use crate::transport::memory_budget::{MemoryBudget, MemoryReservation};
-use crate::transport::stream::{Dialogue, Outbox};
-use crate::transport::witness::Witness;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::JournalRecord;
 use std::collections::VecDeque;
@@ -174,7 +174,7 @@
     /// Bytes said that the ledger knows of, and how many of them are out.
     said: u64,
     settled: u64,
-    witness: Option<Witness>,
+    witness: Option<IoJournalWriter>,
     /// By what number the ledger knows a client that came from another process.
     handed: Option<u64>,
 }
@@ -215,14 +215,14 @@
     }
 
     /// Has all that is done be written down before. Nobody else holds a client that comes when that is over.
-    pub fn witnessed(mut self, witness: Option<Witness>) -> Session {
+    pub fn witnessed(mut self, witness: Option<IoJournalWriter>) -> Session {
         self.witness = witness.filter(|w| w.is_on() || self.handed.is_some());
         self
     }
 
     fn note(&self, record: impl FnOnce() -> JournalRecord) {
         if let Some(witness) = self.witness.as_ref().filter(|w| w.is_on()) {
-            witness.put(&record(), None);
+            witness.append(&record(), None);
         }
     }
 
@@ -239,23 +239,23 @@
         });
     }
 
-    fn close(&mut self, out: &mut Outbox<ClientEvent>) {
+    fn close(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
         out.close = true;
         self.state = State::Over;
     }
 
-    fn fatal(&mut self, code: &str, message: &str, out: &mut Outbox<ClientEvent>) {
+    fn fatal(&mut self, code: &str, message: &str, out: &mut ConnectionOutput<ClientEvent>) {
         messages::put_error(&mut out.bytes, "FATAL", code, message, None);
         self.close(out);
     }
 
-    fn malformed(&mut self, message: &str, out: &mut Outbox<ClientEvent>) {
-        out.notices.push(ClientEvent::Malformed);
+    fn malformed(&mut self, message: &str, out: &mut ConnectionOutput<ClientEvent>) {
+        out.events.push(ClientEvent::Malformed);
         self.fatal("08P01", message, out);
     }
 
     /// Reads what comes before the first query; says how many bytes that took.
-    fn open(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<ClientEvent>) -> usize {
+    fn open(&mut self, input: &[u8], at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) -> usize {
         match messages::opening(input) {
             Opening::Partial => 0,
             Opening::Encryption { whole } => {
@@ -288,14 +288,14 @@
         }
     }
 
-    fn rest(&mut self, at: Timestamp, out: &mut Outbox<ClientEvent>) {
+    fn rest(&mut self, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         let client = self.client;
         self.state = State::Open;
-        out.notices.push(ClientEvent::Idle { client, since: at });
+        out.events.push(ClientEvent::Idle { client, since: at });
     }
 
     /// Reads one message; says how many bytes that took. Behind open statements only a further one is read.
-    fn next(&mut self, input: &[u8], at: Timestamp, out: &mut Outbox<ClientEvent>) -> usize {
+    fn next(&mut self, input: &[u8], at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) -> usize {
         match messages::front(input, messages::bound(self.room.capacity())) {
             Front::Partial => 0,
             Front::Message {
@@ -319,7 +319,7 @@
                 0
             }
             Front::TooLong { kind: b'Q', whole } => {
-                out.notices.push(ClientEvent::Oversized);
+                out.events.push(ClientEvent::Oversized);
                 self.skip = whole;
                 let answer = Final::from(TOO_LARGE).into_bytes();
                 self.row.push_back((self.at, Some(answer)));
@@ -340,7 +340,7 @@
     }
 
     /// Gives a query its place in the row, and with it the answer of one that needs no member.
-    fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut Outbox<ClientEvent>) {
+    fn query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         self.has_asked = true;
         if text.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
             // No news: a client that sends nothing else would fill the event loop's queue.
@@ -351,7 +351,7 @@
         } else if let Some(text) = Text::new(text, &self.room) {
             let (client, number) = (self.client, self.first.wrapping_add(self.row.len() as u32));
             self.row.push_back((end, None));
-            out.notices.push(ClientEvent::Statement {
+            out.events.push(ClientEvent::Statement {
                 client,
                 number,
                 end,
@@ -359,14 +359,14 @@
                 at,
             });
         } else {
-            out.notices.push(ClientEvent::OutOfMemory);
+            out.events.push(ClientEvent::OutOfMemory);
             self.row.push_back((end, Some(Final::from(NO_ROOM).into_bytes())));
         }
         self.flush(out);
     }
 
     /// Writes the answers that none before them keeps back.
-    fn flush(&mut self, out: &mut Outbox<ClientEvent>) {
+    fn flush(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
         while let Some((end, Some(answer))) = self.row.pop_front_if(|(_, answer)| answer.is_some()) {
             self.says(answer.len(), end);
             self.first = self.first.wrapping_add(1);
@@ -379,7 +379,7 @@
         }
     }
 
-    fn answer(&mut self, number: u32, answer: Final, at: Timestamp, out: &mut Outbox<ClientEvent>) {
+    fn answer(&mut self, number: u32, answer: Final, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         let place = number.wrapping_sub(self.first) as usize;
         // An answer to a statement that has its own would be a second one, and is left out.
         let open = self.row.get_mut(place).map(|(_, a)| a).filter(|a| a.is_none());
@@ -399,18 +399,18 @@
         self.leaving && !self.begun && self.row.is_empty() && self.state != State::Over
     }
 
-    fn end_if_leaving(&mut self, out: &mut Outbox<ClientEvent>) {
+    fn end_if_leaving(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
         if self.moving && self.row.is_empty() && self.state != State::Over {
-            out.surrender = true;
+            out.hand_over = true;
         } else if self.could_leave() {
             // What lies at the socket by now was sent to a connection that stood.
-            out.look = true;
+            out.read_again = true;
         }
     }
 
     /// Who has asked knows by a plain end that nothing of it was taken, and asks elsewhere. A new connection that ends
     /// without a word tells its client nothing.
-    fn send_off(&mut self, out: &mut Outbox<ClientEvent>) {
+    fn send_off(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
         match self.has_asked {
             true => self.close(out),
             false => self.fatal("57P03", "this connection takes no statement any more", out),
@@ -418,22 +418,22 @@
     }
 }
 
-impl Dialogue for Session {
+impl ConnectionHandler for Session {
     type Command = ClientCommand;
-    type Notice = ClientEvent;
+    type Event = ClientEvent;
 
-    fn stands(&mut self, stream: &TcpStream) {
+    fn on_socket(&mut self, stream: &TcpStream) {
         let Some(witness) = &self.witness else { return };
         let client = self.client;
         match self.handed {
-            Some(handed) => witness.put(
+            Some(handed) => witness.append(
                 &JournalRecord::Adopted {
                     client,
                     transfer_id: handed,
                 },
                 None,
             ),
-            None => witness.put(&JournalRecord::Accepted { client }, Some(stream.as_fd())),
+            None => witness.append(&JournalRecord::Accepted { client }, Some(stream.as_fd())),
         }
     }
 
@@ -441,11 +441,11 @@
         self.witness.is_some()
     }
 
-    fn is_watched(&self) -> bool {
-        self.witness.as_ref().is_some_and(Witness::is_on)
+    fn is_journaled(&self) -> bool {
+        self.witness.as_ref().is_some_and(IoJournalWriter::is_on)
     }
 
-    fn reads(&mut self, bytes: &[u8]) {
+    fn before_read(&mut self, bytes: &[u8]) {
         self.note(|| JournalRecord::Read {
             client: self.client,
             written_to: self.settled,
@@ -453,11 +453,11 @@
         });
     }
 
-    fn written(&mut self, _out: &mut Outbox<ClientEvent>) {
+    fn on_written(&mut self, _out: &mut ConnectionOutput<ClientEvent>) {
         self.settled = self.said;
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Outbox<ClientEvent>) {
+    fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         let mut used = 0;
         loop {
             if self.moving {
@@ -485,15 +485,15 @@
         let begun = waits && (self.skip > 0 || !input.is_empty());
         let (client, since) = (self.client, at);
         if begun && !self.begun {
-            out.notices.push(ClientEvent::PartialMessage { client, since });
+            out.events.push(ClientEvent::PartialMessage { client, since });
         } else if waits && self.begun && !begun {
-            out.notices.push(ClientEvent::Idle { client, since });
+            out.events.push(ClientEvent::Idle { client, since });
         }
         self.begun = begun;
         self.end_if_leaving(out);
     }
 
-    fn told(&mut self, say: ClientCommand, at: Timestamp, out: &mut Outbox<ClientEvent>) {
+    fn on_command(&mut self, say: ClientCommand, at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         match say {
             ClientCommand::Answer(number, answer) => self.answer(number, answer, at, out),
             ClientCommand::Drain => {
@@ -518,33 +518,33 @@
         }
     }
 
-    fn crowded(&mut self, out: &mut Outbox<ClientEvent>) {
-        out.notices.push(ClientEvent::OutOfMemory);
+    fn on_memory_exhausted(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
+        out.events.push(ClientEvent::OutOfMemory);
         self.fatal("53300", "no memory is left for the message", out);
     }
 
-    fn caught_up(&mut self, out: &mut Outbox<ClientEvent>) {
+    fn on_all_read(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
         if self.could_leave() && !self.moving {
             self.send_off(out);
         }
     }
 
-    fn is_asked(&self) -> bool {
+    fn is_server(&self) -> bool {
         true
     }
 
-    fn half_closed(&mut self, out: &mut Outbox<ClientEvent>) {
-        out.notices.push(ClientEvent::HalfClosed { client: self.client });
+    fn on_half_closed(&mut self, out: &mut ConnectionOutput<ClientEvent>) {
+        out.events.push(ClientEvent::HalfClosed { client: self.client });
     }
 
-    fn may_end(&self) -> bool {
+    fn may_be_closed(&self) -> bool {
         self.row.is_empty()
     }
 
-    fn surrendered(&mut self, stream: TcpStream, input: Vec<u8>, out: &mut Outbox<ClientEvent>) {
+    fn on_handed_over(&mut self, stream: TcpStream, input: Vec<u8>, out: &mut ConnectionOutput<ClientEvent>) {
         let opened = self.state == State::Open;
         self.state = State::Over;
-        out.notices.push(ClientEvent::Transferred {
+        out.events.push(ClientEvent::Transferred {
             client: self.client,
             stream,
             standing: Standing {
@@ -556,15 +556,15 @@
         });
     }
 
-    fn ended(&mut self, _at: Timestamp, out: &mut Outbox<ClientEvent>) {
+    fn on_closed(&mut self, _at: Timestamp, out: &mut ConnectionOutput<ClientEvent>) {
         self.state = State::Over;
         self.note(|| JournalRecord::Closed { client: self.client });
-        out.notices.push(ClientEvent::Closed { client: self.client });
+        out.events.push(ClientEvent::Closed { client: self.client });
     }
 
     /// While statements are open no more than a row of them is read ahead: the rest stays with the kernel, not in
     /// this process.
-    fn hungry(&self, unused: usize) -> bool {
+    fn wants_input(&self, unused: usize) -> bool {
         match self.state {
             State::Over => false,
             _ if self.moving => false,
--- a/crates/driver/src/protocol/watch.rs
+++ b/crates/driver/src/protocol/watch.rs
@@ -3,7 +3,7 @@
 
 use super::http::{self, Answer};
 use super::roster::{self, EndpointList};
-use crate::transport::stream::{Dialogue, Outbox};
+use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use asterlatch::time::Timestamp;
 
 pub enum DiscoveryEvent {
@@ -46,7 +46,7 @@
         DiscoveryMessage { request, event }
     }
 
-    fn ask(&self, out: &mut Outbox<DiscoveryMessage>) {
+    fn ask(&self, out: &mut ConnectionOutput<DiscoveryMessage>) {
         const LIST: &str = "/registry/instances";
         let path = match self.after {
             Some(index) => format!("{LIST}?after={index}&wait_ms={}", self.wait_ms),
@@ -56,7 +56,7 @@
     }
 
     /// A whole answer; false where it can't be read, which ends the call.
-    fn take(&mut self, status: u16, body: &[u8], out: &mut Outbox<DiscoveryMessage>) -> bool {
+    fn take(&mut self, status: u16, body: &[u8], out: &mut ConnectionOutput<DiscoveryMessage>) -> bool {
         let Some(told) = roster::read(body).filter(|_| status == 200) else {
             self.fail(out);
             return false;
@@ -69,27 +69,32 @@
         } else {
             DiscoveryEvent::Listed(told)
         };
-        out.notices.push(self.message(heard));
+        out.events.push(self.message(heard));
         true
     }
 
-    fn fail(&mut self, out: &mut Outbox<DiscoveryMessage>) {
-        out.notices.push(self.message(DiscoveryEvent::Unreadable));
+    fn fail(&mut self, out: &mut ConnectionOutput<DiscoveryMessage>) {
+        out.events.push(self.message(DiscoveryEvent::Unreadable));
         self.over = true;
         out.close = true;
     }
 }
 
-impl Dialogue for Watch {
+impl ConnectionHandler for Watch {
     /// It is only ever hung up on.
     type Command = std::convert::Infallible;
-    type Notice = DiscoveryMessage;
+    type Event = DiscoveryMessage;
 
-    fn opened(&mut self, out: &mut Outbox<DiscoveryMessage>) {
+    fn on_open(&mut self, out: &mut ConnectionOutput<DiscoveryMessage>) {
         self.ask(out);
     }
 
-    fn heard(&mut self, input: &mut Vec<u8>, _at: Timestamp, out: &mut Outbox<DiscoveryMessage>) {
+    fn on_input(
+        &mut self,
+        input: &mut Vec<u8>,
+        _at: Timestamp,
+        out: &mut ConnectionOutput<DiscoveryMessage>,
+    ) {
         while !self.over && !input.is_empty() {
             let (status, body, taken, keep) = match http::answer(input) {
                 Answer::Partial | Answer::UpToTheEnd { .. } => return,
@@ -115,7 +120,7 @@
     }
 
     /// Only where the peer has ended it is an answer whole that says no length: a reset is no end.
-    fn peer_ended(&mut self, input: &[u8], out: &mut Outbox<DiscoveryMessage>) {
+    fn on_peer_closed(&mut self, input: &[u8], out: &mut ConnectionOutput<DiscoveryMessage>) {
         if self.over {
             return;
         }
@@ -125,15 +130,20 @@
         }
     }
 
-    fn told(&mut self, command: Self::Command, _at: Timestamp, _out: &mut Outbox<DiscoveryMessage>) {
+    fn on_command(
+        &mut self,
+        command: Self::Command,
+        _at: Timestamp,
+        _out: &mut ConnectionOutput<DiscoveryMessage>,
+    ) {
         match command {}
     }
 
-    fn ended(&mut self, _at: Timestamp, out: &mut Outbox<DiscoveryMessage>) {
-        out.notices.push(self.message(DiscoveryEvent::Closed));
+    fn on_closed(&mut self, _at: Timestamp, out: &mut ConnectionOutput<DiscoveryMessage>) {
+        out.events.push(self.message(DiscoveryEvent::Closed));
     }
 
-    fn hungry(&self, unused: usize) -> bool {
+    fn wants_input(&self, unused: usize) -> bool {
         !self.over && unused <= http::ANSWER * 2
     }
 }
--- a/crates/driver/src/routing/acceptor.rs
+++ b/crates/driver/src/routing/acceptor.rs
@@ -1,20 +1,20 @@
 //! The listener as the event loop controls it: pause, retry after failures, close.
 
-use crate::transport::listener::Listening;
+use crate::transport::listener::ListenerHandle;
 use asterlatch::time::Timestamp;
 use std::net::TcpListener;
 
 /// The listener, from its start until it is closed. Only the event loop uses it.
 #[derive(Default)]
 pub struct Acceptor {
-    listening: Option<Listening>,
+    listening: Option<ListenerHandle>,
     retry_at: Option<Timestamp>,
     is_closed: bool,
 }
 
 impl Acceptor {
     /// Controls this listener from now on.
-    pub fn attach(&mut self, listening: Listening) {
+    pub fn attach(&mut self, listening: ListenerHandle) {
         self.listening = Some(listening);
     }
 
@@ -31,7 +31,7 @@
     /// Stops accepting clients, which another process accepts from the same socket, or starts again.
     pub fn set_paused(&self, is_paused: bool) {
         if let Some(listening) = &self.listening {
-            listening.pause(is_paused);
+            listening.set_paused(is_paused);
         }
     }
 
--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -2,7 +2,7 @@
 
 use super::limits::Limits;
 use crate::protocol::session::ClientCommand;
-use crate::transport::stream::Line;
+use crate::transport::connection::ConnectionHandle;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,7 +30,7 @@
 const DRAIN_MESSAGE_TIMEOUT: TimeSpan = TimeSpan::millis(500);
 
 struct Client {
-    line: Line<ClientCommand>,
+    line: ConnectionHandle<ClientCommand>,
     open_statements: Vec<u32>,
     /// What it is waited for, and since when; `None` while it has an open statement.
     wait: Option<(Wait, Timestamp)>,
@@ -115,18 +115,18 @@
 
     /// Adds a client that the kernel has accepted. If all places are taken by clients with open statements it is
     /// rejected before it can send anything: later, the rejection could be taken for one of a statement that runs.
-    pub fn admit(&mut self, now: Timestamp, id: u32, line: Line<ClientCommand>) -> Admission {
+    pub fn admit(&mut self, now: Timestamp, id: u32, line: ConnectionHandle<ClientCommand>) -> Admission {
         match self.mode {
             Mode::Serving => {}
-            Mode::HandingOver => line.tell(ClientCommand::HandOver),
-            Mode::Draining => line.tell(ClientCommand::Drain),
+            Mode::HandingOver => line.send(ClientCommand::HandOver),
+            Mode::Draining => line.send(ClientCommand::Drain),
         }
         let admission = if self.open.len() < self.capacity() {
             Admission::Admitted
         } else if self.evict_one(now) {
             Admission::AdmittedByEviction
         } else {
-            line.tell(ClientCommand::Reject);
+            line.send(ClientCommand::Reject);
             Admission::Rejected
         };
         let client = Client {
@@ -189,7 +189,7 @@
         };
         self.set_wait(id, None);
         if let Some(client) = self.open.get_mut(&id) {
-            client.line.hang_up();
+            client.line.close();
         }
         true
     }
@@ -320,7 +320,7 @@
     /// Sends a command to the client's connection, if there is one.
     pub fn send(&self, id: u32, command: ClientCommand) {
         if let Some(client) = self.open.get(&id) {
-            client.line.tell(command);
+            client.line.send(command);
         }
     }
 
@@ -358,7 +358,7 @@
 
     fn send_to_all(&self, command: impl Fn() -> ClientCommand) {
         for client in self.open.values() {
-            client.line.tell(command());
+            client.line.send(command());
         }
     }
 }
--- a/crates/driver/src/routing/discovery_requests.rs
+++ b/crates/driver/src/routing/discovery_requests.rs
@@ -1,7 +1,7 @@
 //! Requests to discovery for the endpoint list: one watch at a time, with backoff after failures.
 
 use super::limits::Limits;
-use crate::transport::stream::Line;
+use crate::transport::connection::ConnectionHandle;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::convert::Infallible;
 use std::io;
@@ -20,13 +20,13 @@
 }
 
 /// Opens a connection to discovery for a request.
-pub type DialDiscovery = Box<dyn FnMut(DiscoveryRequest) -> io::Result<Line<Infallible>>>;
+pub type DialDiscovery = Box<dyn FnMut(DiscoveryRequest) -> io::Result<ConnectionHandle<Infallible>>>;
 
 /// The current request to discovery, and when the next one is due. Only the event loop uses it.
 pub struct DiscoveryRequests {
     dial: DialDiscovery,
     address: SocketAddr,
-    line: Option<Line<Infallible>>,
+    line: Option<ConnectionHandle<Infallible>>,
     /// Number of the last request; events of earlier ones are stale.
     number: u32,
     /// When an answer to the current request is overdue.
--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -9,8 +9,8 @@
 use crate::routing::handover::TransferredClient;
 use crate::routing::members::session_key;
 use crate::routing::statements::{NewStatement, OpenedStatement, StatementOrigin};
-use crate::transport::listener::Arrival;
-use crate::transport::stream::Line;
+use crate::transport::connection::ConnectionHandle;
+use crate::transport::listener::AcceptEvent;
 use asterlatch::interface::Statement;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
@@ -24,16 +24,16 @@
         self.clients.begin_drain();
     }
 
-    pub(super) fn on_arrival(&mut self, now: Timestamp, arrival: Arrival<ClientCommand>) {
+    pub(super) fn on_arrival(&mut self, now: Timestamp, arrival: AcceptEvent<ClientCommand>) {
         match arrival {
-            Arrival::Client(id, line) => self.admit_client(now, id, line),
-            Arrival::Failed(error) => self.on_accept_failed(now, &error),
+            AcceptEvent::Client(id, line) => self.admit_client(now, id, line),
+            AcceptEvent::Failed(error) => self.on_accept_failed(now, &error),
             // Before this event a client may still arrive.
-            Arrival::Closed => self.acceptor.on_closed(),
+            AcceptEvent::Closed => self.acceptor.on_closed(),
         }
     }
 
-    pub(super) fn admit_client(&mut self, now: Timestamp, id: u32, line: Line<ClientCommand>) {
+    pub(super) fn admit_client(&mut self, now: Timestamp, id: u32, line: ConnectionHandle<ClientCommand>) {
         self.metrics.clients_accepted += 1;
         match self.clients.admit(now, id, line) {
             Admission::Admitted => {}
--- a/crates/driver/src/routing/event_loop/configuration.rs
+++ b/crates/driver/src/routing/event_loop/configuration.rs
@@ -3,7 +3,7 @@
 use super::{EventLoop, Observer};
 use crate::routing::limits::{Limits, WorkloadLimits};
 use crate::routing::runtime_config::RuntimeConfig;
-use crate::transport::listener::Listening;
+use crate::transport::listener::ListenerHandle;
 use asterlatch::time::Timestamp;
 use std::collections::BTreeMap;
 
@@ -89,7 +89,7 @@
     }
 
     /// Accepts clients from this listener.
-    pub fn attach_listener(&mut self, listening: Listening) {
+    pub fn attach_listener(&mut self, listening: ListenerHandle) {
         self.acceptor.attach(listening);
     }
 
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -2,9 +2,9 @@
 
 use super::{EventLoop, Observer};
 use crate::routing::gossip::{named_shares, NamedShare};
-use asterlatch::fleet_share;
 use asterlatch::interface::{MemberShare, MemberUpdate};
 use asterlatch::time::Timestamp;
+use asterlatch::zone_health;
 use std::collections::BTreeMap;
 
 impl<O: Observer> EventLoop<O> {
@@ -85,7 +85,7 @@
 
     /// Members at which executions of this driver are overdue, with the time at which the last of them was dispatched.
     fn overdue_executions(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
-        let before = fleet_share::late_since(now, self.policy.longest_typical_latency());
+        let before = zone_health::overdue_before(now, self.policy.longest_typical_latency());
         let mut overdue: BTreeMap<String, Timestamp> = BTreeMap::new();
         for execution in self.member_requests.executions() {
             let Some(name) = self.members.name(execution.member) else {
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -89,7 +89,7 @@
                 end: origin.end,
                 is_retry_safe: self.statements.is_client_retry_safe(statement),
             };
-            journal.put(&dispatched, None);
+            journal.append(&dispatched, None);
         }
     }
 }
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -177,7 +177,7 @@
             }
             Record::Turn { subject, claim } => {
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.on_lease_claim(now, subject, *claim, now - received_at);
+                    gossip.on_lease(now, subject, *claim, now - received_at);
                 }
             }
             Record::Late {
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -31,7 +31,7 @@
 use crate::routing::statements::Statements;
 use crate::routing::workloads::Workloads;
 use crate::transport::clock::Clock;
-use crate::transport::witness::Witness;
+use crate::transport::io_journal::IoJournalWriter;
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus, Settings};
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -68,7 +68,7 @@
     /// How connections are opened and resumed.
     pub connectors: Connectors,
     /// Records dispatched statements, if another process takes over should this one crash.
-    pub journal: Option<Witness>,
+    pub journal: Option<IoJournalWriter>,
     /// Configuration that may change.
     pub config: RuntimeConfig,
     /// Limits that operators may change.
@@ -108,7 +108,7 @@
     control_events: Vec<ControlEvent>,
     is_draining: bool,
     handover: Handover,
-    journal: Option<Witness>,
+    journal: Option<IoJournalWriter>,
     gossip: Option<Gossip>,
     /// The predecessor still gossips under this driver's name, so peers can't be asked yet.
     is_gossip_deferred: bool,
--- a/crates/driver/src/routing/events.rs
+++ b/crates/driver/src/routing/events.rs
@@ -4,7 +4,7 @@
 use crate::protocol::execution::MemberEvent;
 use crate::protocol::session::{ClientCommand, ClientEvent};
 use crate::protocol::watch::DiscoveryMessage;
-use crate::transport::listener::Arrival;
+use crate::transport::listener::AcceptEvent;
 
 /// What operators or other threads ask of the process. The event loop only collects these for the program.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -24,7 +24,7 @@
 /// An event of any source.
 pub enum Event {
     /// The listener accepted a client, failed to, or closed.
-    Arrival(Arrival<ClientCommand>),
+    Arrival(AcceptEvent<ClientCommand>),
     /// From a client's connection.
     Client(ClientEvent),
     /// From a member's connection.
@@ -47,7 +47,7 @@
     };
 }
 event_from! {
-    Arrival<ClientCommand> => Arrival,
+    AcceptEvent<ClientCommand> => Arrival,
     ClientEvent => Client,
     MemberEvent => Member,
     DiscoveryMessage => Discovery,
--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -4,11 +4,11 @@
 use super::DriverIdentity;
 use crate::routing::members::fleet_key;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::failure_consensus::{self, Silence};
-use asterlatch_coordination::fleet_size::Size;
-use asterlatch_coordination::lease::{Claim, End, Leases, Stand, Terms};
-use asterlatch_coordination::load_aggregate::{self, Sums};
-use asterlatch_coordination::Key;
+use asterlatch_coordination::failure_consensus::{ConsensusSettings, FailureConsensus};
+use asterlatch_coordination::fleet_size::FleetSize;
+use asterlatch_coordination::lease::{Lease, LeaseState, LeaseStatus, LeaseTable, LeaseTimings};
+use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate};
+use asterlatch_coordination::NameHash;
 use asterlatch_gossip::record::{Record, MOST_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,8 +19,8 @@
 const LOAD_REPORT_INTERVAL: TimeSpan = TimeSpan::millis(500);
 /// Time after which a smaller fleet counts.
 const SHRINK_DELAY: TimeSpan = TimeSpan::millis(30_000);
-/// A claim may wait for a tick at each of two drivers before it arrives.
-const TICKS_PER_CLAIM: f64 = 2.5;
+/// A lease update may wait for a tick at each of two drivers before it arrives.
+const TICKS_PER_LEASE_UPDATE: f64 = 2.5;
 /// Units of admission shares and of answers in load reports.
 const SHARE_UNITS: f64 = 200.0;
 const ANSWER_UNITS: f64 = 10.0;
@@ -70,10 +70,10 @@
 
 /// Coordination with the other drivers of the fleet.
 pub(super) struct Coordination {
-    leases: Leases,
-    failure_consensus: Silence,
-    fleet_size: Size,
-    load_aggregate: Sums,
+    leases: LeaseTable,
+    failure_consensus: FailureConsensus,
+    fleet_size: FleetSize,
+    load_aggregate: LoadAggregate,
     next_load_report_at: Timestamp,
     own: DriverIdentity,
     /// Number of records that this run has shared, by which newer ones are known.
@@ -90,16 +90,17 @@
 impl Coordination {
     /// `fleet_size` counts the drivers that the operators' file names, this one among them.
     pub(super) fn new(now: Timestamp, own: &DriverIdentity, tick: TimeSpan, fleet_size: u32) -> Coordination {
-        let terms = Terms {
-            step: Terms::default().step.max(tick * TICKS_PER_CLAIM),
-            ..Terms::default()
+        let defaults = LeaseTimings::default();
+        let timings = LeaseTimings {
+            acquire_delay: defaults.acquire_delay.max(tick * TICKS_PER_LEASE_UPDATE),
+            ..defaults
         };
         let key = fleet_key(&own.name);
         Coordination {
-            leases: Leases::new(key, own.incarnation, terms),
-            failure_consensus: Silence::new(key, failure_consensus::Terms::default()),
-            fleet_size: Size::new(fleet_size, SHRINK_DELAY, now),
-            load_aggregate: Sums::new(load_aggregate::Terms::default()),
+            leases: LeaseTable::new(key, own.incarnation, timings),
+            failure_consensus: FailureConsensus::new(key, ConsensusSettings::default()),
+            fleet_size: FleetSize::new(fleet_size, SHRINK_DELAY, now),
+            load_aggregate: LoadAggregate::new(AggregateSettings::default()),
             next_load_report_at: now,
             own: own.clone(),
             record_count: 0,
@@ -108,9 +109,9 @@
     }
 
     /// These other drivers are present. Returns the number of drivers to count with.
-    pub(super) fn on_fleet(&mut self, now: Timestamp, others: &BTreeSet<Key>) -> u32 {
-        self.leases.there(others);
-        self.fleet_size.reach(now, others.len() as u32 + 1)
+    pub(super) fn on_fleet(&mut self, now: Timestamp, others: &BTreeSet<NameHash>) -> u32 {
+        self.leases.set_peers(others);
+        self.fleet_size.update(now, others.len() as u32 + 1)
     }
 
     /// The policy wants a health check of a member. Returns whether this driver sends it; a driver that is alone always
@@ -120,9 +121,9 @@
             return true;
         }
         let subject = lease_subject(member);
-        self.leases.want(now, &subject);
-        let stand = self.leases.stand(now, &subject);
-        let may_check = matches!(stand, Stand::Mine | Stand::Done);
+        self.leases.request(now, &subject);
+        let status = self.leases.status(now, &subject);
+        let may_check = matches!(status, LeaseStatus::HeldHere | LeaseStatus::Completed);
         let checked_at = self.wanted.entry(member.to_owned()).or_insert(Timestamp(0));
         // A health check that the policy of the lease holder wants serves all.
         if may_check {
@@ -133,13 +134,13 @@
 
     /// A member has answered this driver.
     pub(super) fn on_answer(&mut self, now: Timestamp, member: &str) {
-        self.failure_consensus.heard(member, now);
-        self.load_aggregate.answered(now, fleet_key(member));
+        self.failure_consensus.on_response(member, now);
+        self.load_aggregate.on_answer(now, fleet_key(member));
     }
 
     /// A member has answered another driver then.
     pub(super) fn on_peer_answer(&mut self, member: &str, answered_at: Timestamp) {
-        self.failure_consensus.heard(member, answered_at);
+        self.failure_consensus.on_response(member, answered_at);
     }
 
     /// Another driver has an overdue execution at a member.
@@ -151,12 +152,13 @@
         received_at: Timestamp,
     ) {
         let driver = fleet_key(driver);
-        self.failure_consensus.late(member, driver, sent_at, received_at);
+        self.failure_consensus
+            .on_late_report(member, driver, sent_at, received_at);
     }
 
-    /// Another driver's claim of a lease.
-    pub(super) fn on_lease_claim(&mut self, now: Timestamp, subject: &str, claim: Claim, age: TimeSpan) {
-        self.leases.told(now, subject, claim, age);
+    /// A lease as another driver knows it.
+    pub(super) fn on_lease(&mut self, now: Timestamp, subject: &str, lease: Lease, age: TimeSpan) {
+        self.leases.on_lease(now, subject, lease, age);
     }
 
     /// Another driver's report of its admission shares.
@@ -166,7 +168,7 @@
             let share = f64::from(*share) / SHARE_UNITS;
             let answers = f64::from(*answers) / ANSWER_UNITS;
             self.load_aggregate
-                .told(*member, driver, share, answers, report.received_at);
+                .on_report(*member, driver, share, answers, report.received_at);
         }
     }
 
@@ -184,12 +186,12 @@
         self.advance_leases(now, &mut records);
         let health_checks = self.due_health_checks(now);
         self.share_overdue(now, overdue, &mut records);
-        let changes = self.failure_consensus.news(now).into_iter();
+        let changes = self.failure_consensus.take_changes(now).into_iter();
         let unresponsive = changes
             .map(|(member, until)| UnresponsiveMember { member, until })
             .collect();
-        self.failure_consensus.age(now);
-        self.load_aggregate.age(now);
+        self.failure_consensus.expire(now);
+        self.load_aggregate.expire(now);
         let aggregated = self.aggregated_shares(now, shares);
         let report = self.load_report(now, shares);
         records.extend(report.map(|record| (record, TimeSpan(0))));
@@ -213,22 +215,26 @@
         for member in unwanted {
             self.wanted.remove(&member);
             let subject = lease_subject(&member);
-            if let Some(claim) = self.leases.rest(now, &subject, End::Done) {
+            if let Some(claim) = self.leases.release(now, &subject, LeaseState::Completed) {
                 records.push((Record::Turn { subject, claim }, TimeSpan(0)));
             }
         }
     }
 
     fn advance_leases(&mut self, now: Timestamp, records: &mut Vec<(Record, TimeSpan)>) {
-        for (subject, claim) in self.leases.reach(now) {
-            records.push((Record::Turn { subject, claim }, TimeSpan(0)));
+        for update in self.leases.advance_to(now) {
+            let record = Record::Turn {
+                subject: update.subject,
+                claim: update.lease,
+            };
+            records.push((record, TimeSpan(0)));
         }
     }
 
     fn due_health_checks(&mut self, now: Timestamp) -> Vec<String> {
         let mut due = Vec::new();
         for (member, checked_at) in &mut self.wanted {
-            let is_holder = self.leases.stand(now, &lease_subject(member)) == Stand::Mine;
+            let is_holder = self.leases.status(now, &lease_subject(member)) == LeaseStatus::HeldHere;
             if is_holder && now - *checked_at >= HEALTH_CHECK_INTERVAL {
                 *checked_at = now;
                 due.push(member.clone());
@@ -245,7 +251,7 @@
     ) {
         let own = fleet_key(&self.own.name);
         for (member, sent_at) in overdue {
-            self.failure_consensus.late(member, own, *sent_at, now);
+            self.failure_consensus.on_late_report(member, own, *sent_at, now);
             self.record_count += 1;
             let record = Record::Late {
                 member: member.clone(),
@@ -261,7 +267,7 @@
     fn aggregated_shares(&self, now: Timestamp, shares: &[NamedShare]) -> Vec<NamedShare> {
         let aggregated = shares.iter().filter_map(|own| {
             let key = fleet_key(&own.member);
-            let share = self.load_aggregate.drawn(now, key, own.share)?;
+            let share = self.load_aggregate.blended_share(now, key, own.share)?;
             Some(NamedShare {
                 member: own.member.clone(),
                 share,
@@ -276,12 +282,12 @@
             return None;
         }
         self.next_load_report_at = now + LOAD_REPORT_INTERVAL;
-        let by_key: BTreeMap<Key, f64> = shares
+        let by_key: BTreeMap<NameHash, f64> = shares
             .iter()
             .map(|own| (fleet_key(&own.member), own.share))
             .collect();
         let mut reported = Vec::new();
-        for (key, answers) in self.load_aggregate.tellable(now, MOST_SHARES) {
+        for (key, answers) in self.load_aggregate.reportable(now, MOST_SHARES) {
             if let Some(share) = by_key.get(&key) {
                 reported.push((key, (share * SHARE_UNITS) as u8, (answers * ANSWER_UNITS) as u8));
             }
--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -14,7 +14,7 @@
     ExecutionOutcome, MemberEntry, MemberShare, MemberState, ReplicaStatus, WarmingMember,
 };
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::lease::Claim;
+use asterlatch_coordination::lease::Lease;
 use asterlatch_gossip::membership::{Change, Presence};
 use asterlatch_gossip::node::{Input, Output};
 use asterlatch_gossip::record::{Record, Standing};
@@ -375,9 +375,9 @@
         round
     }
 
-    /// Another driver's claim of a lease.
-    pub fn on_lease_claim(&mut self, now: Timestamp, subject: &str, claim: Claim, age: TimeSpan) {
-        self.coordination.on_lease_claim(now, subject, claim, age);
+    /// A lease as another driver knows it.
+    pub fn on_lease(&mut self, now: Timestamp, subject: &str, lease: Lease, age: TimeSpan) {
+        self.coordination.on_lease(now, subject, lease, age);
     }
 
     /// Another driver has received an answer of a member then.
--- a/crates/driver/src/routing/handover.rs
+++ b/crates/driver/src/routing/handover.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::execution::MemberCommand;
 use crate::protocol::session::{ClientCommand, Standing};
-use crate::transport::stream::Line;
+use crate::transport::connection::ConnectionHandle;
 use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use asterlatch_handover::message::ClientState;
 use std::collections::BTreeMap;
@@ -73,10 +73,12 @@
 }
 
 /// Resumes a client's connection under this number.
-pub type AdoptClient = Box<dyn FnMut(u32, TcpStream, Standing) -> io::Result<Line<ClientCommand>>>;
+pub type AdoptClient =
+    Box<dyn FnMut(u32, TcpStream, Standing) -> io::Result<ConnectionHandle<ClientCommand>>>;
 
 /// Resumes an idle connection to a member under this number.
-pub type AdoptMemberConnection = Box<dyn FnMut(u32, TcpStream) -> io::Result<Line<MemberCommand>>>;
+pub type AdoptMemberConnection =
+    Box<dyn FnMut(u32, TcpStream) -> io::Result<ConnectionHandle<MemberCommand>>>;
 
 /// Numbers of adopted clients begin here, above those of accepted ones.
 const FIRST_ADOPTED_CLIENT: u32 = 1 << 31;
@@ -86,7 +88,7 @@
     /// Number of its connection.
     pub id: u32,
     /// The connection, unless it could not be resumed.
-    pub line: io::Result<Line<ClientCommand>>,
+    pub line: io::Result<ConnectionHandle<ClientCommand>>,
 }
 
 /// What is handed over to another process or adopted from one. Only the event loop uses it.
@@ -180,7 +182,11 @@
     ///
     /// # Errors
     /// If the connection can't be registered.
-    pub fn adopt_member_connection(&mut self, id: u32, stream: TcpStream) -> io::Result<Line<MemberCommand>> {
+    pub fn adopt_member_connection(
+        &mut self,
+        id: u32,
+        stream: TcpStream,
+    ) -> io::Result<ConnectionHandle<MemberCommand>> {
         (self.adopt_member_connection)(id, stream)
     }
 
--- a/crates/driver/src/routing/member_requests/mod.rs
+++ b/crates/driver/src/routing/member_requests/mod.rs
@@ -4,9 +4,9 @@
 
 use super::limits::Share;
 use crate::protocol::execution::MemberCommand;
-use crate::transport::ages::Ages;
-use crate::transport::pool::Pool;
-use crate::transport::stream::Line;
+use crate::transport::connection::ConnectionHandle;
+use crate::transport::connection_pool::{ConnectionPool, IdleConnection};
+use crate::transport::idle_lifetime::IdleLifetimeEstimator;
 use asterlatch::interface::ExecutionOutcome;
 use asterlatch::time::{TimeSpan, Timestamp};
 pub use request::{
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 
 /// Opens a connection to a member at this address under this number.
-pub type DialMember = Box<dyn FnMut(u32, SocketAddr) -> io::Result<Line<MemberCommand>>>;
+pub type DialMember = Box<dyn FnMut(u32, SocketAddr) -> io::Result<ConnectionHandle<MemberCommand>>>;
 
 /// Limits of the connections to members.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -50,7 +50,7 @@
 
 /// The table of requests in flight, with the connections that serve them. Only the event loop uses it.
 pub struct MemberRequests {
-    pool: Pool<MemberCommand>,
+    pool: ConnectionPool<MemberCommand>,
     dial: DialMember,
     /// Requests by their connection.
     in_flight: BTreeMap<u32, MemberRequest>,
@@ -59,7 +59,7 @@
     timeouts: BTreeSet<(Timestamp, u32)>,
     /// Connections being established without a request, with the end of the time that they may take.
     unassigned: BTreeMap<u32, Timestamp>,
-    idle_lifetimes: Ages,
+    idle_lifetimes: IdleLifetimeEstimator,
     /// Members with a connection now or earlier, and whether the last one was evicted.
     evicted: BTreeMap<u32, bool>,
     limits: ConnectionLimits,
@@ -72,13 +72,13 @@
     /// A table without connections.
     pub fn new(dial: DialMember, limits: ConnectionLimits) -> MemberRequests {
         MemberRequests {
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             dial,
             in_flight: BTreeMap::new(),
             connections: BTreeMap::new(),
             timeouts: BTreeSet::new(),
             unassigned: BTreeMap::new(),
-            idle_lifetimes: Ages::default(),
+            idle_lifetimes: IdleLifetimeEstimator::default(),
             evicted: BTreeMap::new(),
             limits,
         }
@@ -112,7 +112,11 @@
     ) -> Result<Assignment, ExecutionOutcome> {
         let max_idle = self.limits.max_idle();
         let idle_limit = self.idle_lifetimes.limit().unwrap_or(max_idle).min(max_idle);
-        if let Some((connection, idle_since)) = self.pool.take(request.member, address, now - idle_limit) {
+        if let Some(IdleConnection {
+            since: idle_since,
+            id: connection,
+        }) = self.pool.take_idle(request.member, address, now - idle_limit)
+        {
             let idle_time = now - idle_since;
             self.assign(connection, MemberRequest { idle_time, ..request });
             return Ok(Assignment::Ready(connection));
@@ -139,11 +143,14 @@
 
     /// Sends the query of the request that this connection is assigned to.
     pub fn send(&mut self, connection: u32, query: Vec<u8>) {
-        self.pool.tell(connection, MemberCommand::Query(query));
+        self.pool.send(connection, MemberCommand::Query(query));
     }
 
     fn open_reason(&mut self, member: u32) -> OpenReason {
-        match (self.evicted.insert(member, false), self.pool.stands(member)) {
+        match (
+            self.evicted.insert(member, false),
+            self.pool.has_connection(member),
+        ) {
             (_, true) => OpenReason::AllBusy,
             (None, _) => OpenReason::First,
             (Some(true), _) => OpenReason::Evicted,
@@ -165,7 +172,7 @@
     }
 
     fn evict_oldest_idle(&mut self) -> Result<(), ExecutionOutcome> {
-        let (_, oldest) = self.pool.oldest_idle().ok_or(ExecutionOutcome::NotSent)?;
+        let oldest = self.pool.oldest_idle().ok_or(ExecutionOutcome::NotSent)?.id;
         let member = self.pool.member(oldest);
         if let Some(is_evicted) = member.and_then(|member| self.evicted.get_mut(&member)) {
             *is_evicted = true;
@@ -178,7 +185,7 @@
     pub fn on_connected(&mut self, connection: u32, now: Timestamp) -> ConnectionUp {
         if let Some(times_out_at) = self.unassigned.remove(&connection) {
             self.timeouts.remove(&(times_out_at, connection));
-            self.pool.give_back(connection, now);
+            self.pool.release(connection, now);
             return ConnectionUp::Idle;
         }
         let Some(request) = self.in_flight.get_mut(&connection) else {
@@ -196,7 +203,7 @@
     pub fn withdraw(&mut self, connection: u32, now: Timestamp) -> Option<MemberRequest> {
         let request = self.take(connection)?;
         if request.is_connected {
-            self.pool.give_back(connection, now);
+            self.pool.release(connection, now);
         } else {
             self.timeouts.insert((request.times_out_at, connection));
             self.unassigned.insert(connection, request.times_out_at);
@@ -218,14 +225,14 @@
     pub fn on_answered(&mut self, connection: u32, now: Timestamp) -> Option<MemberRequest> {
         let request = self.take(connection)?;
         self.record_reuse(&request, now, false);
-        self.pool.give_back(connection, now);
+        self.pool.release(connection, now);
         Some(request)
     }
 
     /// Records whether a connection that had been idle broke at its next use.
     pub fn record_reuse(&mut self, request: &MemberRequest, now: Timestamp, broke: bool) {
         if request.is_reused_connection {
-            self.idle_lifetimes.note(now, request.idle_time, broke);
+            self.idle_lifetimes.record(now, request.idle_time, broke);
         }
     }
 
@@ -275,7 +282,7 @@
     /// Closes idle connections to a member that receives nothing more.
     pub fn close_idle(&mut self, member: u32) {
         self.evicted.remove(&member);
-        self.pool.let_go(member);
+        self.pool.close_idle(member);
     }
 
     /// Executions in flight, or waiting for their connection.
@@ -291,7 +298,7 @@
     /// Hands all idle connections over to another process.
     pub fn hand_over_idle(&mut self) {
         for connection in self.pool.retire_idle() {
-            self.pool.tell(connection, MemberCommand::HandOver);
+            self.pool.send(connection, MemberCommand::HandOver);
         }
     }
 
@@ -307,7 +314,7 @@
         &mut self,
         now: Timestamp,
         adopted: AdoptedConnection,
-        resume: impl FnOnce(u32) -> io::Result<Line<MemberCommand>>,
+        resume: impl FnOnce(u32) -> io::Result<ConnectionHandle<MemberCommand>>,
     ) -> bool {
         if self.pool.count() >= self.limits.max_connections {
             return false;
@@ -317,20 +324,20 @@
             return false;
         };
         self.pool.add(connection, adopted.member, adopted.address, line);
-        self.pool.give_back(connection, now);
+        self.pool.release(connection, now);
         true
     }
 
     /// Closes connections that have been idle for too long.
     pub fn close_expired_idle(&mut self, now: Timestamp) {
-        self.pool.end_idle_before(now, self.limits.max_idle());
+        self.pool.close_idle_since(now, self.limits.max_idle());
     }
 
     /// When the next request times out or the next idle connection expires.
     pub fn next_at(&self) -> Option<Timestamp> {
         let timeout = self.timeouts.first().map(|(at, _)| *at);
         let oldest_idle = self.pool.oldest_idle();
-        let idle_expiry = oldest_idle.map(|(since, _)| since + self.limits.max_idle());
+        let idle_expiry = oldest_idle.map(|oldest| oldest.since + self.limits.max_idle());
         timeout.into_iter().chain(idle_expiry).min()
     }
 }
--- a/crates/driver/src/transport/memory_budget.rs
+++ b/crates/driver/src/transport/memory_budget.rs
@@ -1,41 +1,48 @@
-//! Memory that many connections share: how much of it is reserved, and how much there may be.
+//! A memory budget that many connections share. It counts bytes and allocates none.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-struct Shared {
+struct Counters {
     reserved: AtomicUsize,
     capacity: AtomicUsize,
 }
 
+/// Bytes that may be reserved in all; clones share them. May be used from any thread.
 #[derive(Clone)]
-pub struct MemoryBudget(Arc<Shared>);
+pub struct MemoryBudget(Arc<Counters>);
 
-/// A part of it, given back when dropped.
+/// A part of the budget, returned when dropped.
 pub struct MemoryReservation {
     budget: MemoryBudget,
     bytes: usize,
 }
 
 impl MemoryBudget {
+    /// A budget of so many bytes.
     pub fn new(capacity: usize) -> MemoryBudget {
-        let (reserved, capacity) = (AtomicUsize::new(0), AtomicUsize::new(capacity));
-        MemoryBudget(Arc::new(Shared { reserved, capacity }))
+        MemoryBudget(Arc::new(Counters {
+            reserved: AtomicUsize::new(0),
+            capacity: AtomicUsize::new(capacity),
+        }))
     }
 
+    /// Changes the capacity; what is reserved stays.
     pub fn set_capacity(&self, capacity: usize) {
         self.0.capacity.store(capacity, Ordering::Relaxed);
     }
 
+    /// Bytes that may be reserved in all.
     pub fn capacity(&self) -> usize {
         self.0.capacity.load(Ordering::Relaxed)
     }
 
+    /// Bytes that are reserved.
     pub fn reserved(&self) -> usize {
         self.0.reserved.load(Ordering::Relaxed)
     }
 
-    /// No part yet.
+    /// An empty reservation.
     pub fn empty_reservation(&self) -> MemoryReservation {
         MemoryReservation {
             budget: self.clone(),
@@ -43,6 +50,7 @@
         }
     }
 
+    /// A reservation of so many bytes; `None` if they are not left.
     pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let mut reservation = self.empty_reservation();
         reservation.resize(bytes).then_some(reservation)
@@ -50,7 +58,7 @@
 }
 
 impl MemoryReservation {
-    /// Makes the part this large. What is too much is not reserved; less is always possible.
+    /// Changes the size if the budget allows that, and returns whether it did. Shrinking always succeeds.
     pub fn resize(&mut self, bytes: usize) -> bool {
         let before = self.bytes;
         self.force_resize(bytes);
@@ -61,7 +69,7 @@
         fits
     }
 
-    /// Makes the part this large, also beyond what there may be: others find less then.
+    /// Changes the size, also beyond the capacity: others find less left then.
     pub fn force_resize(&mut self, bytes: usize) {
         let reserved = &self.budget.0.reserved;
         reserved.fetch_add(bytes, Ordering::Relaxed);
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -14,11 +14,11 @@
 use asterlatch_driver::routing::events::Event;
 use asterlatch_driver::routing::limits::Limits;
 use asterlatch_driver::routing::runtime_config::RuntimeConfig;
-use asterlatch_driver::transport::ages::Ages;
-use asterlatch_driver::transport::listener::Arrival;
+use asterlatch_driver::transport::connection::ConnectionHandle;
+use asterlatch_driver::transport::connection_pool::{ConnectionPool, IdleConnection};
+use asterlatch_driver::transport::idle_lifetime::IdleLifetimeEstimator;
+use asterlatch_driver::transport::listener::AcceptEvent;
 use asterlatch_driver::transport::memory_budget::MemoryBudget;
-use asterlatch_driver::transport::pool::Pool;
-use asterlatch_driver::transport::stream::Line;
 use asterlatch_settings::{read, Pairs};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -127,13 +127,13 @@
                 None => {
                     let (sender, told) = channel();
                     d.borrow_mut().insert(id, (address.to_string(), told));
-                    Ok(Line::to(sender))
+                    Ok(ConnectionHandle::to_channel(sender))
                 }
             }),
             dial_discovery: Box::new(move |call| {
                 let (sender, told) = channel();
                 c.borrow_mut().push((call, told));
-                Ok(Line::to(sender))
+                Ok(ConnectionHandle::to_channel(sender))
             }),
             adopt_client: Box::new(|_, _, _| Err(io::Error::other("nobody comes"))),
             adopt_member_connection: Box::new(|_, _| Err(io::Error::other("nobody comes"))),
@@ -224,8 +224,10 @@
     fn client(&mut self, id: u32) {
         let (sender, told) = channel();
         self.clients.insert(id, told);
-        self.event_loop
-            .on_event(self.now, Event::Arrival(Arrival::Client(id, Line::to(sender))));
+        self.event_loop.on_event(
+            self.now,
+            Event::Arrival(AcceptEvent::Client(id, ConnectionHandle::to_channel(sender))),
+        );
     }
 
     fn asks(&mut self, client: u32, fields: &str) {
@@ -1001,10 +1003,10 @@
         (30, 40, false),
         (40, 0, false),
     ] {
-        let mut ages = Ages::default();
+        let mut ages = IdleLifetimeEstimator::default();
         for n in 0..100 {
-            ages.note(START, hardly, n < young);
-            ages.note(START, long, n < old);
+            ages.record(START, hardly, n < young);
+            ages.record(START, long, n < old);
         }
         let limit = ages.limit();
         assert_eq!(
@@ -1013,25 +1015,28 @@
             "{young} {old}"
         );
         // Not for ever: it is tried again when what was seen is old.
-        ages.note(START + TimeSpan::millis(30_000), hardly, false);
+        ages.record(START + TimeSpan::millis(30_000), hardly, false);
         assert_eq!(ages.limit(), None);
     }
-    let mut pool = Pool::default();
+    let mut pool = ConnectionPool::default();
     let (address, line) = (PRIMARY.parse().expect("is an address"), || {
-        Line::to(channel::<MemberCommand>().0)
+        ConnectionHandle::to_channel(channel::<MemberCommand>().0)
     });
     for (id, since) in [(1, 0), (2, 100), (3, 200)] {
         pool.add(id, 7, address, line());
-        pool.give_back(id, START + TimeSpan::millis(since));
+        pool.release(id, START + TimeSpan::millis(since));
     }
     let at = |ms| START + TimeSpan::millis(ms);
     assert_eq!(
-        pool.take(7, address, at(150)),
-        Some((3, at(200))),
+        pool.take_idle(7, address, at(150)),
+        Some(IdleConnection {
+            since: at(200),
+            id: 3
+        }),
         "the one used last"
     );
     assert_eq!(
-        (pool.take(7, address, at(150)), pool.count()),
+        (pool.take_idle(7, address, at(150)), pool.count()),
         (None, 1),
         "older ones are let go"
     );
--- a/tests/subset.rs
+++ b/tests/replica_preference.rs
@@ -29,8 +29,8 @@
         while next < members {
             let size = 2 + u64::from(groups.len() % 4 == 3);
             let replica = |n| Replica {
-                key: key(1_000_000 + n),
-                size: 1.0,
+                fleet_key: key(1_000_000 + n),
+                capacity: 1.0,
             };
             groups.push((next..next + size).map(replica).collect());
             next += size + 1;
@@ -44,11 +44,11 @@
     }
 
     fn firsts(&self, driver: u64) -> ReplicaPreference {
-        let mut firsts = ReplicaPreference::alone(driver);
+        let mut firsts = ReplicaPreference::new(driver);
         if self.known {
             let mut others = self.drivers.clone();
             others.remove(&driver);
-            firsts.among(driver, &others);
+            firsts.set_drivers(driver, &others);
         }
         firsts
     }
@@ -59,7 +59,7 @@
         for driver in &self.drivers {
             let firsts = self.firsts(*driver);
             for (g, group) in self.groups.iter().enumerate() {
-                all.insert((*driver, g), group[firsts.order(group)[0]].key);
+                all.insert((*driver, g), group[firsts.rank(group)[0]].fleet_key);
             }
         }
         all
@@ -87,14 +87,16 @@
     let whole: f64 = world.drivers.iter().map(|d| traffic(*d)).sum();
     let over = |group: &Vec<Replica>| {
         let mean = whole / group.len() as f64;
-        let most = group.iter().map(|r| load.get(&r.key).copied().unwrap_or(0.0));
+        let most = group
+            .iter()
+            .map(|r| load.get(&r.fleet_key).copied().unwrap_or(0.0));
         most.fold(0.0, f64::max) / mean
     };
     world.groups.iter().map(over).fold(0.0, f64::max)
 }
 
 #[test]
-fn the_busiest_replica_is_little_above_the_mean() {
+fn busiest_replica_is_close_to_the_mean() {
     // Drivers, whether they know each other, the bound with even traffic.
     for (drivers, known, most) in [
         // Alone: the root of half of the drivers over half of them, three times, for the worst of 109 members.
@@ -113,7 +115,7 @@
 
 /// Traffic from a tenth of the mean to ten times: what evens that out is that members' shares are heeded, not this order.
 #[test]
-fn uneven_traffic_is_no_worse_where_drivers_know_each_other() {
+fn known_drivers_do_not_worsen_uneven_traffic() {
     let traffic = |d: u64| [0.1, 0.5, 1.0, 1.0, 1.0, 3.0, 10.0][(d % 7) as usize];
     let (alone, known) = (World::new(300, 109, false), World::new(300, 109, true));
     let (alone, known) = (alone.worst(traffic), known.worst(traffic));
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn little_changes_when_one_comes_or_goes() {
+fn change_of_one_replica_moves_few_drivers() {
     for known in [false, true] {
         let before = World::new(100, 40, known);
         let mut less = before.clone();
@@ -133,7 +135,7 @@
 
         // A replica goes: those who had it first change, and where parts are kept even a few others.
         let mut less = before.clone();
-        let gone = less.groups[3].remove(1).key;
+        let gone = less.groups[3].remove(1).fleet_key;
         let had: Vec<_> = before.all().into_iter().filter(|(_, r)| *r == gone).collect();
         let all = less.all();
         let left = before
@@ -148,10 +150,19 @@
 }
 
 #[test]
-fn a_larger_replica_is_first_of_more() {
+fn larger_replica_is_first_of_more_drivers() {
     for (known, slack) in [(false, 0.2), (true, 0.02)] {
         let mut world = World::new(300, 3, known);
-        world.groups = vec![vec![Replica { key: 1, size: 1.0 }, Replica { key: 2, size: 3.0 }]];
+        world.groups = vec![vec![
+            Replica {
+                fleet_key: 1,
+                capacity: 1.0,
+            },
+            Replica {
+                fleet_key: 2,
+                capacity: 3.0,
+            },
+        ]];
         let large = world.all().values().filter(|r| **r == 2).count() as f64 / 300.0;
         assert!((large - 0.75).abs() < slack * 0.75, "known {known}: {large}");
     }
@@ -160,7 +171,7 @@
 /// Two that differ on who is there for a while: each still has one first in each group, and the sum strays by no more than
 /// those few.
 #[test]
-fn drivers_that_differ_on_who_is_there_do_no_harm() {
+fn differing_driver_sets_stay_balanced() {
     let world = World::new(60, 40, true);
     let mut late = world.clone();
     for n in 0..6 {
@@ -176,24 +187,24 @@
     for group in &world.groups {
         let even = 60 / group.len();
         for r in group {
-            let has = load.get(&r.key).copied().unwrap_or(0);
+            let has = load.get(&r.fleet_key).copied().unwrap_or(0);
             assert!(has.abs_diff(even) <= 6, "{has} against {even}");
         }
     }
 }
 
 #[test]
-fn an_order_names_each_replica_once_and_the_first_by_turns() {
+fn rank_lists_each_replica_once() {
     let world = World::new(24, 20, true);
     for driver in &world.drivers {
         for group in &world.groups {
-            let mut order = world.firsts(*driver).order(group);
+            let mut order = world.firsts(*driver).rank(group);
             order.sort_unstable();
             assert_eq!(order, (0..group.len()).collect::<Vec<_>>());
         }
     }
     assert!(
-        ReplicaPreference::alone(3).order(&[]).is_empty(),
+        ReplicaPreference::new(3).rank(&[]).is_empty(),
         "a group may be a primary alone"
     );
 }
@@ -201,7 +212,7 @@
 /// The module: of a large fleet each driver keeps to its own replica; positions go first all the same, and so does a
 /// replica that others let in more than this one. Smaller fleets go by turns.
 #[test]
-fn a_driver_of_a_large_fleet_keeps_to_its_own_replica() {
+fn large_fleet_driver_stays_with_its_own_replica() {
     let mut firsts = BTreeSet::new();
     for seed in 0..8 {
         let settings = with(|s| {
@@ -257,7 +268,7 @@
 
 /// What others tell of who is there changes the order at once, and only where it says something new.
 #[test]
-fn who_is_there_is_news_once() {
+fn unchanged_driver_set_reports_no_change() {
     let mut driver = RoutingPolicy::new(&settings(), 1, at(0));
     let others = BTreeSet::from([key(1), key(2)]);
     let news: Vec<bool> = [&others, &others, &BTreeSet::new()]
@@ -273,7 +284,7 @@
     let rounds = |w: &World| -> BTreeMap<(u64, usize), u64> {
         let drivers = w.drivers.iter().enumerate();
         let pairs = drivers.flat_map(|(n, d)| {
-            let of = |(g, group): (usize, &Vec<Replica>)| ((*d, g), group[(n + g) % group.len()].key);
+            let of = |(g, group): (usize, &Vec<Replica>)| ((*d, g), group[(n + g) % group.len()].fleet_key);
             w.groups.iter().enumerate().map(of).collect::<Vec<_>>()
         });
         pairs.collect()
