--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -1,9 +1,9 @@
 //! Arrivals and events of clients, and the final answers to their statements.
 
 use super::{EventLoop, Observer};
-use crate::protocol::comment::{self, Marked, Unreadable};
-use crate::protocol::session::{ClientCommand, ClientEvent, Final, Text};
-use crate::protocol::vitals;
+use crate::protocol::client_session::{ClientCommand, ClientEvent, Final, Text};
+use crate::protocol::replica_status;
+use crate::protocol::statement_comment::{self, Marked, Unreadable};
 use crate::routing::clients::Admission;
 use crate::routing::execution_outcomes;
 use crate::routing::handover::TransferredClient;
@@ -105,7 +105,7 @@
         if !self.clients.on_statement(origin.client) || self.answer_by_verdict(origin) {
             return;
         }
-        let fields = comment::read(&text.text);
+        let fields = statement_comment::read(&text.text);
         let length = text.text.len();
         match fields.and_then(|fields| Ok((self.workload_of(&fields, length)?, fields))) {
             Ok((workload, fields)) => {
@@ -136,15 +136,15 @@
     /// The workload of a statement that can be routed.
     fn workload_of(&self, fields: &Marked, length: usize) -> Result<usize, Unreadable> {
         if self.statements.find(fields.id).is_some() {
-            return Err(comment::SAME_ID);
+            return Err(statement_comment::SAME_ID);
         }
         if !self.members.has_group(fields.group) {
-            return Err(comment::NO_GROUP);
+            return Err(statement_comment::NO_GROUP);
         }
         let workload = self.workloads.find(&fields.workload);
-        let workload = workload.ok_or(comment::NO_WORKLOAD)?;
+        let workload = workload.ok_or(statement_comment::NO_WORKLOAD)?;
         match self.workloads.get(workload).limits.max_bytes {
-            Some(max_bytes) if length > max_bytes => Err(comment::TOO_LARGE),
+            Some(max_bytes) if length > max_bytes => Err(statement_comment::TOO_LARGE),
             _ => Ok(workload),
         }
     }
@@ -181,7 +181,7 @@
             is_client_retry_safe: properties.is_client_retry_safe,
         });
         self.clients.add_statement(origin.client, id);
-        let last_write = fields.after.and_then(vitals::unix);
+        let last_write = fields.after.and_then(replica_status::unix);
         let statement = Statement {
             id,
             workload,
--- a/crates/driver/src/routing/event_loop/discovery.rs
+++ b/crates/driver/src/routing/event_loop/discovery.rs
@@ -1,8 +1,8 @@
 //! Requests to discovery and the endpoint lists that it answers.
 
 use super::{EventLoop, Observer};
-use crate::protocol::roster::EndpointList;
-use crate::protocol::watch::{DiscoveryEvent, DiscoveryMessage};
+use crate::protocol::discovery_watch::{DiscoveryEvent, DiscoveryMessage};
+use crate::protocol::endpoint_list::EndpointList;
 use asterlatch::interface::{MemberEntry, MemberState};
 use asterlatch::time::Timestamp;
 
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -1,7 +1,7 @@
 //! Messages of the gossip thread, and what the event loop shares with other drivers.
 
 use super::{EndedRequest, EventLoop, Observer};
-use crate::protocol::vitals;
+use crate::protocol::replica_status;
 use crate::routing::gossip::{
     statuses, DispatchedExecution, Gossip, GossipMessage, LoadReport, MemberStatusRecord, RequestEnd,
 };
@@ -256,7 +256,7 @@
         };
         self.member_requests.close_idle(member);
         self.metrics.drains_from_others += 1;
-        let update = MemberUpdate::Draining(vitals::unix(*started_ms));
+        let update = MemberUpdate::Draining(replica_status::unix(*started_ms));
         self.update_member(now, member, update);
     }
 
--- a/crates/driver/src/routing/event_loop/members.rs
+++ b/crates/driver/src/routing/event_loop/members.rs
@@ -1,9 +1,9 @@
 //! Events of connections to members.
 
 use super::{EventLoop, Observer};
-use crate::protocol::execution::{MemberEvent, Reply};
-use crate::protocol::session::Final;
-use crate::protocol::{messages, vitals};
+use crate::protocol::client_session::Final;
+use crate::protocol::member_connection::{MemberEvent, Reply};
+use crate::protocol::{messages, replica_status};
 use crate::routing::execution_outcomes;
 use crate::routing::handover::TransferredConnection;
 use crate::routing::member_requests::{AttemptId, MemberRequest, RequestKind};
@@ -127,7 +127,7 @@
         let position = name(self.decoding.position_field);
         let role = name(self.decoding.role_field);
         report.map_or(ReplicaStatus::default(), |report| {
-            vitals::report(report, position, role)
+            replica_status::report(report, position, role)
         })
     }
 }
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -2,7 +2,7 @@
 //! and connections move between them, and some updates bind both.
 
 use super::{EventLoop, Observer};
-use crate::protocol::vitals;
+use crate::protocol::replica_status;
 use crate::routing::handover::{CoServing, DrainedMember, TransferredClient, TransferredConnection};
 use crate::routing::member_requests::AdoptedConnection;
 use crate::routing::members::MemberDirectory;
@@ -95,7 +95,7 @@
         let member = self.members.find(name)?;
         self.member_requests.close_idle(member);
         self.metrics.drains_from_beside += 1;
-        let update = MemberUpdate::Draining(vitals::unix(started_ms));
+        let update = MemberUpdate::Draining(replica_status::unix(started_ms));
         Some(self.policy.on_member_update(now, member, update))
     }
 
--- a/crates/driver/src/routing/handover.rs
+++ b/crates/driver/src/routing/handover.rs
@@ -1,7 +1,7 @@
 //! Clients and connections on their way from or to another process of this service.
 
-use crate::protocol::execution::MemberCommand;
-use crate::protocol::session::{ClientCommand, Standing};
+use crate::protocol::client_session::{ClientCommand, Standing};
+use crate::protocol::member_connection::MemberCommand;
 use crate::transport::connection::ConnectionHandle;
 use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use asterlatch_handover::message::ClientState;
