--- a/crates/coordination/src/failure_consensus.rs
+++ b/crates/coordination/src/failure_consensus.rs
@@ -1,24 +1,25 @@
-//! Members from which nothing comes, by what all drivers together owe and hear. One driver of many meets a member once in
-//! seconds, and pays with a statement's whole time for each that it finds out alone.
+//! Members that are unresponsive by what all drivers together report. One driver of many meets a member once in seconds,
+//! and pays with a statement's whole time for each failure that it finds out alone.
 //!
-//! A driver tells of an execution that is late at a member, and when that was sent. A member counts as silent when two
-//! drivers have late ones there that were sent after anything was heard from it by anybody. So a driver that tells
-//! nonsense is one of two, and moves nothing alone; a member that is only slow answers somebody, and counts as heard. What
-//! follows is mild: reads go to others first for a while, those that are late there may be called off, and after that one
-//! tries again. Fewer go there meanwhile, so what all do doesn't swing: the trial is drawn for each driver by itself.
+//! A driver reports an execution that is late at a member, and when that was sent. A member counts as unresponsive when a
+//! quorum of drivers have late executions there that were sent after the last response of it to anybody. So a driver that
+//! reports nonsense moves nothing alone, and a member that is only slow responds to somebody. The consequence is mild:
+//! reads go to other members for a while, late executions there may be cancelled, and after that one driver tries again.
+//! Meanwhile less is sent there, so what all drivers do doesn't oscillate: each draws the time of its retry by itself.
 
 use crate::NameHash;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+/// When a member counts as unresponsive, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConsensusSettings {
-    /// A word of a late execution counts for so long.
+    /// How long a report counts.
     pub report_lifetime: TimeSpan,
-    /// So many drivers must say so.
+    /// How many drivers must report late executions.
     pub quorum: usize,
-    /// A silent member is tried again after this, and up to twice that, as each driver draws.
+    /// An unresponsive member is tried again after this, up to twice that, as each driver draws.
     pub retry_after: TimeSpan,
 }
 
@@ -32,20 +33,67 @@
     }
 }
 
-/// Of each member so many drivers' words are kept: more prove no more.
+/// Reports that are stored of each member: more prove no more.
 const MAX_REPORTS: usize = 8;
+/// Members of which something is stored.
 const MAX_MEMBERS: usize = 4096;
+/// Report lifetimes for which the last response of a member is remembered.
+const RESPONSE_LIFETIMES: f64 = 10.0;
+/// Each driver draws the time of its retry anew after so many microseconds.
+const DRAW_PERIOD_US: u64 = 1_000_000;
+
+/// A driver's late execution at a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LateReport {
+    /// When the execution was sent.
+    pub sent_at: Timestamp,
+    /// When the driver reported it.
+    pub reported_at: Timestamp,
+}
+
+/// A member that has become unresponsive or responsive again.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ResponsivenessChange {
+    /// The member's name.
+    pub member: String,
+    /// Until when it is unresponsive; zero if it no longer is.
+    pub unresponsive_until: Timestamp,
+}
 
 #[derive(Clone, Debug, Default)]
 struct MemberEntry {
     last_response: Timestamp,
-    /// By driver: when its late execution was sent, and when it said so.
-    late_reports: BTreeMap<NameHash, (Timestamp, Timestamp)>,
-    /// Until when it was last taken for silent, and what was last said of that.
+    /// By driver.
+    late_reports: BTreeMap<NameHash, LateReport>,
+    /// Until when it was last found unresponsive.
     unresponsive_until: Timestamp,
+    /// What [`FailureConsensus::take_changes`] last said of that.
     notified_until: Timestamp,
 }
 
+impl MemberEntry {
+    fn drop_expired_reports(&mut self, now: Timestamp, lifetime: TimeSpan) {
+        self.late_reports
+            .retain(|_, report| now - report.reported_at < lifetime);
+    }
+
+    fn drop_oldest_report(&mut self) {
+        let reports = self.late_reports.iter();
+        let oldest = reports.min_by_key(|(_, report)| report.reported_at);
+        if let Some(driver) = oldest.map(|(driver, _)| *driver) {
+            self.late_reports.remove(&driver);
+        }
+    }
+
+    /// When something was last heard of the member.
+    fn last_heard(&self) -> Timestamp {
+        let reports = self.late_reports.values();
+        let last_report = reports.map(|report| report.reported_at).max();
+        last_report.unwrap_or_default().max(self.last_response)
+    }
+}
+
+/// One driver's view of which members are unresponsive.
 #[derive(Clone, Debug)]
 pub struct FailureConsensus {
     own_id: NameHash,
@@ -54,6 +102,7 @@
 }
 
 impl FailureConsensus {
+    /// The view of the driver `own_id`, which knows of no member.
     pub fn new(own_id: NameHash, settings: ConsensusSettings) -> FailureConsensus {
         FailureConsensus {
             own_id,
@@ -62,118 +111,114 @@
         }
     }
 
-    fn entry(&mut self, member: &str) -> &mut MemberEntry {
-        // Every answer comes by here: a name is copied for a new member alone.
+    fn entry_mut(&mut self, member: &str) -> &mut MemberEntry {
+        // Every response comes by here, so the name is copied for a new member alone.
         if !self.members.contains_key(member) {
             self.evict_for_one_more();
             self.members.insert(member.to_owned(), MemberEntry::default());
         }
-        self.members.get_mut(member).expect("is there, or was put there")
+        self.members
+            .get_mut(member)
+            .expect("the member is there or was inserted")
     }
 
-    /// For one more.
+    /// Forgets the member heard of longest ago where the table is full.
     fn evict_for_one_more(&mut self) {
         if self.members.len() < MAX_MEMBERS {
             return;
         }
-        let said = |k: &MemberEntry| {
-            k.late_reports
-                .values()
-                .map(|(_, said)| *said)
-                .max()
-                .unwrap_or_default()
-        };
-        let oldest = self
-            .members
-            .iter()
-            .min_by_key(|(_, k)| said(k).max(k.last_response));
-        let oldest = oldest.map(|(name, _)| name.clone());
-        oldest.map(|name| self.members.remove(&name));
+        let oldest = self.members.iter().min_by_key(|(_, entry)| entry.last_heard());
+        if let Some(member) = oldest.map(|(member, _)| member.clone()) {
+            self.members.remove(&member);
+        }
     }
 
-    /// Something came from it to some driver, at that time.
+    /// A member responded to some driver at that time. Reports on what was sent before count no more.
     pub fn on_response(&mut self, member: &str, at: Timestamp) {
-        let entry = self.entry(member);
+        let entry = self.entry_mut(member);
         entry.last_response = entry.last_response.max(at);
-        let heard = entry.last_response;
-        entry.late_reports.retain(|_, (sent, _)| *sent > heard);
+        let last_response = entry.last_response;
+        entry
+            .late_reports
+            .retain(|_, report| report.sent_at > last_response);
         if entry.late_reports.is_empty() {
             entry.unresponsive_until = Timestamp(0);
         }
     }
 
-    /// A driver has a late execution there that was sent then, and said so at that time.
-    pub fn on_late_report(&mut self, member: &str, driver: NameHash, sent: Timestamp, said: Timestamp) {
-        let entry = self.entry(member);
-        // Of several tellings the last counts; none is sent after it was told.
-        let sent = sent.min(said);
-        if sent <= entry.last_response || entry.late_reports.get(&driver).is_some_and(|(_, at)| *at > said) {
+    /// A driver, which may be this one, reports a late execution at a member. Its latest report counts.
+    pub fn on_late_report(&mut self, member: &str, driver: NameHash, report: LateReport) {
+        let entry = self.entry_mut(member);
+        // Nothing is sent after it was reported.
+        let sent_at = report.sent_at.min(report.reported_at);
+        let known = entry.late_reports.get(&driver);
+        let is_outdated = known.is_some_and(|known| known.reported_at > report.reported_at);
+        if sent_at <= entry.last_response || is_outdated {
             return;
         }
-        entry.late_reports.insert(driver, (sent, said));
+        entry
+            .late_reports
+            .insert(driver, LateReport { sent_at, ..report });
         if entry.late_reports.len() > MAX_REPORTS {
-            let oldest = entry
-                .late_reports
-                .iter()
-                .min_by_key(|(_, (_, said))| *said)
-                .map(|(k, _)| *k);
-            oldest.map(|k| entry.late_reports.remove(&k));
+            entry.drop_oldest_report();
         }
     }
 
-    /// Until when a member is taken for silent; nothing where it isn't. A verdict lasts for the trial time, and is another
-    /// one only by words that were sent behind it.
+    /// Until when a member is unresponsive; nothing where it isn't. A finding lasts for the retry time; the next one takes
+    /// new reports.
     pub fn unresponsive_until(&mut self, now: Timestamp, member: &str) -> Option<Timestamp> {
-        let (own_id, settings) = (self.own_id, self.settings);
+        let own_id = self.own_id;
+        let settings = self.settings;
         let entry = self.members.get_mut(member)?;
         if entry.unresponsive_until > now {
             return Some(entry.unresponsive_until);
         }
-        entry
-            .late_reports
-            .retain(|_, (_, said)| now - *said < settings.report_lifetime);
+        entry.drop_expired_reports(now, settings.report_lifetime);
         if entry.late_reports.len() < settings.quorum {
             return None;
         }
-        // Each driver's own part of the trial time, by hash: they come back one after the other.
-        let draw = xxh3_64_with_seed(member.as_bytes(), own_id ^ (now.0 / 1_000_000)) >> 11;
-        let part = draw as f64 / (1u64 << 53) as f64;
-        entry.unresponsive_until = now + settings.retry_after * (1.0 + part);
-        // The same words prove nothing a second time.
+        let delay = settings.retry_after * (1.0 + retry_draw(own_id, member, now));
+        entry.unresponsive_until = now + delay;
+        // The same reports prove nothing a second time.
         entry.late_reports.clear();
         Some(entry.unresponsive_until)
     }
 
-    /// Members of which something else holds than was last said here: until when they are silent, zero where they no longer
-    /// are.
-    pub fn take_changes(&mut self, now: Timestamp) -> Vec<(String, Timestamp)> {
-        let doubted = self
-            .members
-            .iter()
-            .filter(|(_, k)| !k.late_reports.is_empty() || k.notified_until > Timestamp(0));
-        let names: Vec<String> = doubted.map(|(name, _)| name.clone()).collect();
-        let mut news = Vec::new();
-        for name in names {
-            let until = self.unresponsive_until(now, &name).unwrap_or(Timestamp(0));
-            let Some(entry) = self.members.get_mut(&name) else {
-                continue;
-            };
-            if std::mem::replace(&mut entry.notified_until, until) != until {
-                news.push((name, until));
+    /// Members whose responsiveness changed since the last call.
+    pub fn take_changes(&mut self, now: Timestamp) -> Vec<ResponsivenessChange> {
+        let has_news =
+            |entry: &MemberEntry| !entry.late_reports.is_empty() || entry.notified_until > Timestamp(0);
+        let members = self.members.iter().filter(|(_, entry)| has_news(entry));
+        let members: Vec<String> = members.map(|(member, _)| member.clone()).collect();
+        let changes = members.into_iter().filter_map(|member| {
+            let unresponsive_until = self.unresponsive_until(now, &member).unwrap_or(Timestamp(0));
+            let entry = self.members.get_mut(&member)?;
+            if entry.notified_until == unresponsive_until {
+                return None;
             }
-        }
-        news
+            entry.notified_until = unresponsive_until;
+            Some(ResponsivenessChange {
+                member,
+                unresponsive_until,
+            })
+        });
+        changes.collect()
     }
 
-    /// Lets go what is known of members that nothing is owed by.
+    /// Forgets members with no recent reports or responses.
     pub fn expire(&mut self, now: Timestamp) {
-        let settings = self.settings;
-        self.members.retain(|_, k| {
-            k.late_reports
-                .retain(|_, (_, said)| now - *said < settings.report_lifetime);
-            !k.late_reports.is_empty()
-                || k.notified_until > Timestamp(0)
-                || now - k.last_response < settings.report_lifetime * 10.0
+        let lifetime = self.settings.report_lifetime;
+        self.members.retain(|_, entry| {
+            entry.drop_expired_reports(now, lifetime);
+            let is_reported = !entry.late_reports.is_empty() || entry.notified_until > Timestamp(0);
+            is_reported || now - entry.last_response < lifetime * RESPONSE_LIFETIMES
         });
     }
 }
+
+/// A driver's own part of the retry time, from 0 to 1 by hash, so that drivers come back one after another.
+fn retry_draw(own_id: NameHash, member: &str, now: Timestamp) -> f64 {
+    let seed = own_id ^ (now.0 / DRAW_PERIOD_US);
+    let draw = xxh3_64_with_seed(member.as_bytes(), seed) >> 11;
+    draw as f64 / (1u64 << 53) as f64
+}
--- a/crates/coordination/src/fleet_size.rs
+++ b/crates/coordination/src/fleet_size.rs
@@ -1,43 +1,60 @@
-//! How many drivers there are, where each has its part of what all may do. Too few and the sum of all parts is too much; too
-//! many and it is too little, which harms less. So growth counts at once, and a smaller fleet only when it has been so for a
-//! while: whoever is only out of sight, behind a cut or stopped, takes its part all the same.
+//! How many drivers there are, where each has its part of what all may do.
+//!
+//! With too few counted the sum of all parts is too much; with too many it is too little, which harms less. So a growing
+//! fleet counts at once, and a smaller one only after it has been so for a while: a driver that is only out of sight, cut
+//! off or stopped, takes its part all the same.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
+#[derive(Clone, Copy, Debug)]
+struct Sample {
+    count: u32,
+    /// When so many were last present.
+    last_seen: Timestamp,
+}
+
+/// The number of drivers that counts, by the numbers that were present.
 #[derive(Clone, Debug)]
 pub struct FleetSize {
-    /// A fleet that is smaller for so long is smaller.
+    /// How long a fleet must be smaller to count as smaller.
     shrink_delay: TimeSpan,
-    /// Falling counts with the time each was last true, as far back as `lasts`; the first is what counts.
-    samples: VecDeque<(u32, Timestamp)>,
+    /// Falling counts, as far back as `shrink_delay`; the first is what counts.
+    samples: VecDeque<Sample>,
 }
 
 impl FleetSize {
-    /// `first` is what is assumed before anybody was seen: as many as the operators' file names.
+    /// `initial` drivers are assumed before any was seen: as many as the operators' file names.
     pub fn new(initial: u32, shrink_delay: TimeSpan, now: Timestamp) -> FleetSize {
+        let sample = Sample {
+            count: initial.max(1),
+            last_seen: now,
+        };
         FleetSize {
             shrink_delay,
-            samples: VecDeque::from([(initial.max(1), now)]),
+            samples: VecDeque::from([sample]),
         }
     }
 
-    /// So many are there now, this one among them; how many count.
+    /// `present` drivers are present now, this one among them. Returns how many count.
     pub fn update(&mut self, now: Timestamp, present: u32) -> u32 {
         let present = present.max(1);
-        // What is no more than now is covered by now.
-        while self.samples.back().is_some_and(|(n, _)| *n <= present) {
+        // Samples no larger than the present count add nothing to it.
+        while self.samples.back().is_some_and(|last| last.count <= present) {
             self.samples.pop_back();
         }
-        self.samples.push_back((present, now));
-        while self.samples.len() > 1
-            && self
-                .samples
-                .front()
-                .is_some_and(|(_, at)| now - *at >= self.shrink_delay)
-        {
+        self.samples.push_back(Sample {
+            count: present,
+            last_seen: now,
+        });
+        while self.samples.len() > 1 && self.has_expired_sample(now) {
             self.samples.pop_front();
         }
-        self.samples.front().map_or(present, |(n, _)| *n)
+        self.samples.front().map_or(present, |first| first.count)
+    }
+
+    fn has_expired_sample(&self, now: Timestamp) -> bool {
+        let first = self.samples.front();
+        first.is_some_and(|first| now - first.last_seen >= self.shrink_delay)
     }
 }
--- a/crates/coordination/src/load_aggregate.rs
+++ b/crates/coordination/src/load_aggregate.rs
@@ -1,24 +1,28 @@
-//! What members bear, by all drivers' answers together. In sparse views a driver moves the share of statements that it lets
-//! in at a member by answers that come seconds apart; here the shares of all that were answered lately are drawn together, each
-//! weighed by how old its word is, and no further by its answers: who lets in more has more of them.
+//! What members can take, by all drivers' answers together.
 //!
-//! Drawing together keeps the mean: what all drivers let in at a member moves by answers alone, as it did before, so
-//! however many act on the same word at once they don't swing. A word counts half after `halves`, so what is ten seconds
-//! old moves next to nothing and a driver that hears nobody acts alone. And no driver's word weighs more than another's
-//! best: one among `n` that tells nonsense moves a share by an `n`th of its distance at most.
+//! With few samples a driver moves its admission share of a member by answers that come seconds apart. Here the shares of
+//! all drivers that were answered lately are blended, each weighted by its answers and how old its report is, and no
+//! further than that: a driver that admits more has more answers.
+//!
+//! Blending keeps the mean: what all drivers admit to a member moves by answers alone, so however many act on the same
+//! report at once they don't oscillate. A report counts half after [`AggregateSettings::half_life`], so one of ten seconds
+//! ago moves next to nothing, and a driver that hears nobody acts alone. No driver's report weighs more than another's best
+//! one: one driver among `n` that reports nonsense moves a share by an `n`th of its distance at most.
 
 use crate::NameHash;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 
+/// How far and how fast shares are blended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AggregateSettings {
+    /// After this a report or an answer counts half.
     pub half_life: TimeSpan,
-    /// How far a share goes to the mean of all at each look, where all others' answers outweigh the own.
+    /// How far a share goes to the mean of all in one step, where the peers' answers outweigh this driver's own.
     pub gain: f64,
-    /// Answers that a share can have behind it at most.
+    /// The most answers that count behind a share.
     pub max_answers: f64,
-    /// Others' answers under which nothing is drawn from them.
+    /// Answers of peers below which nothing is blended.
     pub min_peer_answers: f64,
 }
 
@@ -33,31 +37,77 @@
     }
 }
 
-/// Drivers whose words on a member are kept: the oldest goes. More of them would move the mean by little.
+impl AggregateSettings {
+    /// What is left after `age` of something that counted 1.
+    fn decay(&self, age: TimeSpan) -> f64 {
+        0.5f64.powf(age.ratio(self.half_life))
+    }
+}
+
+/// Drivers whose reports on a member are stored. The oldest goes; more would move the mean by little.
 const MAX_REPORTS: usize = 32;
-/// Members of which words are kept.
+/// Members of which reports are stored.
 const MAX_MEMBERS: usize = 4096;
-/// A word that weighs less than this part of what it did is let go.
+/// What counts less than this part of what it did is forgotten.
 const MIN_DECAY: f64 = 0.01;
-/// Differences under this are not worth an input.
+/// Smaller differences of a share are not worth an update.
 const MIN_CHANGE: f64 = 0.005;
+/// Answers of its own that a driver must have to report a share.
+const MIN_OWN_ANSWERS: f64 = 0.5;
 
-#[derive(Clone, Copy, Debug)]
-struct ShareReport {
-    share: f64,
-    answers: f64,
-    incarnation: u64,
-    reported_at: Timestamp,
+/// A driver's report on what it admits to a member.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShareReport {
+    /// The driver's incarnation.
+    pub incarnation: u64,
+    /// Share of statements that it admits, from 0 to 1.
+    pub share: f64,
+    /// Its own answers behind that.
+    pub answers: f64,
+    /// When it reported that.
+    pub reported_at: Timestamp,
+}
+
+/// How many answers of its own a driver has of a member.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MemberAnswers {
+    /// The member.
+    pub member: NameHash,
+    /// Its answers, as they count now.
+    pub answers: f64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct MemberEntry {
+    /// By driver.
     reports: BTreeMap<NameHash, ShareReport>,
-    /// This driver's own answers, as they count at `at`.
-    answers: f64,
-    at: Timestamp,
+    /// This driver's own answers, as they counted at `answered_at`.
+    own_answers: f64,
+    answered_at: Timestamp,
 }
 
+impl MemberEntry {
+    fn drop_oldest_report(&mut self) {
+        let reports = self.reports.iter();
+        let oldest = reports.min_by_key(|(_, report)| report.reported_at);
+        if let Some(driver) = oldest.map(|(driver, _)| *driver) {
+            self.reports.remove(&driver);
+        }
+    }
+}
+
+/// The peers' reports on one member together.
+#[derive(Default)]
+struct PeerTotals {
+    /// Answers as they count now.
+    weight: f64,
+    /// Shares times their weights.
+    weighted_shares: f64,
+    /// Answers as they counted when they were reported.
+    reported_answers: f64,
+}
+
+/// One driver's view of what all drivers admit to members.
 #[derive(Clone, Debug)]
 pub struct LoadAggregate {
     settings: AggregateSettings,
@@ -65,6 +115,7 @@
 }
 
 impl LoadAggregate {
+    /// A view without any answer or report.
     pub fn new(settings: AggregateSettings) -> LoadAggregate {
         LoadAggregate {
             settings,
@@ -72,11 +123,8 @@
         }
     }
 
-    fn decay(&self, age: TimeSpan) -> f64 {
-        0.5f64.powf(age.ratio(self.settings.half_life))
-    }
-
-    fn entry(&mut self, member: NameHash) -> Option<&mut MemberEntry> {
+    /// The entry of a member; nothing where the table is full.
+    fn entry_mut(&mut self, member: NameHash) -> Option<&mut MemberEntry> {
         if self.members.len() >= MAX_MEMBERS && !self.members.contains_key(&member) {
             return None;
         }
@@ -85,92 +133,97 @@
 
     /// A member has answered this driver.
     pub fn on_answer(&mut self, now: Timestamp, member: NameHash) {
-        let max_answers = self.settings.max_answers;
-        let before = self.members.get(&member).map_or(TimeSpan(0), |k| now - k.at);
-        let decay = self.decay(before);
-        if let Some(entry) = self.entry(member) {
-            (entry.answers, entry.at) = ((entry.answers * decay + 1.0).min(max_answers), now);
-        }
+        let settings = self.settings;
+        let Some(entry) = self.entry_mut(member) else {
+            return;
+        };
+        let earlier = entry.own_answers * settings.decay(now - entry.answered_at);
+        entry.own_answers = (earlier + 1.0).min(settings.max_answers);
+        entry.answered_at = now;
     }
 
-    /// Answers of this driver, as they count now.
+    /// Answers of a member to this driver, as they count now.
     pub fn own_answers(&self, now: Timestamp, member: NameHash) -> f64 {
-        let entry = self.members.get(&member);
-        entry.map_or(0.0, |k| k.answers * self.decay(now - k.at))
+        let Some(entry) = self.members.get(&member) else {
+            return 0.0;
+        };
+        entry.own_answers * self.settings.decay(now - entry.answered_at)
     }
 
-    /// What another driver lets in there, said then, with so many answers behind it. An older word, or one of a former
-    /// life, changes nothing.
-    pub fn on_report(
-        &mut self,
-        member: NameHash,
-        driver: (NameHash, u64),
-        share: f64,
-        answers: f64,
-        reported_at: Timestamp,
-    ) {
+    /// Another driver reports what it admits to a member. An older report, one of an earlier incarnation, and one that is
+    /// no number change nothing.
+    pub fn on_report(&mut self, member: NameHash, driver: NameHash, report: ShareReport) {
         let max_answers = self.settings.max_answers;
-        let Some(entry) = self.entry(member) else { return };
-        let (driver, incarnation) = driver;
-        if entry
-            .reports
-            .get(&driver)
-            .is_some_and(|w| (w.incarnation, w.reported_at) > (incarnation, reported_at))
-            || !share.is_finite()
-        {
+        let Some(entry) = self.entry_mut(member) else {
+            return;
+        };
+        let age_order = |report: &ShareReport| (report.incarnation, report.reported_at);
+        let known = entry.reports.get(&driver);
+        let is_outdated = known.is_some_and(|known| age_order(known) > age_order(&report));
+        if is_outdated || !report.share.is_finite() {
             return;
         }
-        let word = ShareReport {
-            share: share.clamp(0.0, 1.0),
-            answers: answers.clamp(0.0, max_answers),
-            incarnation,
-            reported_at,
+        let bounded = ShareReport {
+            share: report.share.clamp(0.0, 1.0),
+            answers: report.answers.clamp(0.0, max_answers),
+            ..report
         };
-        entry.reports.insert(driver, word);
+        entry.reports.insert(driver, bounded);
         if entry.reports.len() > MAX_REPORTS {
-            let oldest = entry
-                .reports
-                .iter()
-                .min_by_key(|(_, w)| w.reported_at)
-                .map(|(d, _)| *d);
-            oldest.map(|d| entry.reports.remove(&d));
+            entry.drop_oldest_report();
         }
     }
 
-    /// What this driver is to let in at a member where it lets in `own` now; nothing where others say too little, or no more
-    /// than that.
-    pub fn blended_share(&self, now: Timestamp, member: NameHash, own: f64) -> Option<f64> {
-        let entry = self.members.get(&member)?;
-        let (mut sum, mut whole, mut weight) = (0.0, 0.0, 0.0);
-        for w in entry.reports.values() {
-            let counts = w.answers * self.decay(now - w.reported_at);
-            (sum, whole, weight) = (sum + w.share * counts, whole + w.answers, weight + counts);
-        }
-        if weight < self.settings.min_peer_answers {
+    /// The share that this driver is to admit to a member where it admits `own_share` now; nothing where peers report too
+    /// little, or no other share.
+    pub fn blended_share(&self, now: Timestamp, member: NameHash, own_share: f64) -> Option<f64> {
+        let peers = self.peer_totals(now, member)?;
+        if peers.weight < self.settings.min_peer_answers {
             return None;
         }
-        // However many they are, old words move it the less.
-        let part = weight / (whole + self.own_answers(now, member));
-        let drawn = own + self.settings.gain * part * (sum / weight - own);
-        ((drawn - own).abs() > MIN_CHANGE).then_some(drawn)
+        // However many reports there are, old ones move the share the less.
+        let part = peers.weight / (peers.reported_answers + self.own_answers(now, member));
+        let mean = peers.weighted_shares / peers.weight;
+        let blended = own_share + self.settings.gain * part * (mean - own_share);
+        ((blended - own_share).abs() > MIN_CHANGE).then_some(blended)
     }
 
-    /// Members that this driver has answers of, those with the most behind them first: what it tells.
-    pub fn reportable(&self, now: Timestamp, max_answers: usize) -> Vec<(NameHash, f64)> {
-        let all = self.members.keys().map(|m| (*m, self.own_answers(now, *m)));
-        let mut all: Vec<_> = all.filter(|(_, answers)| *answers >= 0.5).collect();
-        all.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        all.truncate(max_answers);
-        all
+    fn peer_totals(&self, now: Timestamp, member: NameHash) -> Option<PeerTotals> {
+        let entry = self.members.get(&member)?;
+        let mut totals = PeerTotals::default();
+        for report in entry.reports.values() {
+            let weight = report.answers * self.settings.decay(now - report.reported_at);
+            totals.weight += weight;
+            totals.weighted_shares += report.share * weight;
+            totals.reported_answers += report.answers;
+        }
+        Some(totals)
     }
 
-    /// Lets go what counts no more.
+    /// Members of which this driver has enough answers to report its share, those with the most first.
+    pub fn reportable(&self, now: Timestamp, limit: usize) -> Vec<MemberAnswers> {
+        let members = self.members.keys().map(|member| MemberAnswers {
+            member: *member,
+            answers: self.own_answers(now, *member),
+        });
+        let mut reportable: Vec<_> = members.filter(|entry| entry.answers >= MIN_OWN_ANSWERS).collect();
+        reportable.sort_by(|one, other| {
+            let by_answers = other.answers.total_cmp(&one.answers);
+            by_answers.then(one.member.cmp(&other.member))
+        });
+        reportable.truncate(limit);
+        reportable
+    }
+
+    /// Forgets what counts no more.
     pub fn expire(&mut self, now: Timestamp) {
         let settings = self.settings;
-        let decay = |age: TimeSpan| 0.5f64.powf(age.ratio(settings.half_life));
-        self.members.retain(|_, k| {
-            k.reports.retain(|_, w| decay(now - w.reported_at) >= MIN_DECAY);
-            !k.reports.is_empty() || decay(now - k.at) * k.answers >= MIN_DECAY
+        self.members.retain(|_, entry| {
+            entry
+                .reports
+                .retain(|_, report| settings.decay(now - report.reported_at) >= MIN_DECAY);
+            let own_answers = entry.own_answers * settings.decay(now - entry.answered_at);
+            !entry.reports.is_empty() || own_answers >= MIN_DECAY
         });
     }
 }
--- a/crates/driver/src/routing/owner/turns.rs
+++ b/crates/driver/src/routing/owner/turns.rs
@@ -6,6 +6,7 @@
 use asterlatch::fleet_share;
 use asterlatch::interface::MemberUpdate;
 use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch_coordination::failure_consensus::LateReport;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<O: Observer> Owner<O> {
@@ -44,7 +45,7 @@
         facts.extend(sharing.turns.is_late(now, &late));
         let news = sharing.turns.silence.take_changes(now).into_iter();
         let silent: Vec<_> = news
-            .filter_map(|(name, until)| Some((members.find(&name)?, until)))
+            .filter_map(|change| Some((members.find(&change.member)?, change.unresponsive_until)))
             .collect();
         sharing.turns.silence.expire(now);
         // In dense views each knows enough by itself, and nothing is told.
@@ -106,10 +107,12 @@
             return;
         }
         if let Some(sharing) = &mut self.sharing {
-            sharing
-                .turns
-                .silence
-                .on_late_report(member, tables::key(driver), sent, said);
+            let report = LateReport {
+                sent_at: sent,
+                reported_at: said,
+            };
+            let driver = tables::key(driver);
+            sharing.turns.silence.on_late_report(member, driver, report);
         }
     }
 }
--- a/crates/driver/src/routing/turns.rs
+++ b/crates/driver/src/routing/turns.rs
@@ -3,10 +3,10 @@
 
 use super::tables;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::failure_consensus::{ConsensusSettings, FailureConsensus};
+use asterlatch_coordination::failure_consensus::{ConsensusSettings, FailureConsensus, LateReport};
 use asterlatch_coordination::fleet_size::FleetSize;
 use asterlatch_coordination::lease::{LeaseState, LeaseStatus, LeaseTable, LeaseTimings};
-use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate};
+use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate, ShareReport};
 use asterlatch_coordination::NameHash;
 use asterlatch_gossip::record::{Record, MOST_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
@@ -124,7 +124,11 @@
     pub fn is_late(&mut self, now: Timestamp, late: &BTreeMap<String, Timestamp>) -> Vec<(Record, TimeSpan)> {
         let mut facts = Vec::new();
         for (member, sent) in late {
-            self.silence.on_late_report(member, self.own, *sent, now);
+            let report = LateReport {
+                sent_at: *sent,
+                reported_at: now,
+            };
+            self.silence.on_late_report(member, self.own, report);
             self.said += 1;
             let fact = Record::Late {
                 member: member.clone(),
@@ -158,7 +162,10 @@
         let of: BTreeMap<NameHash, f64> = shares.iter().map(|(name, s)| (tables::key(name), *s)).collect();
         let told = self.sums.reportable(now, MOST_SHARES).into_iter();
         let told: Vec<_> = told
-            .filter_map(|(key, answers)| Some((key, (of.get(&key)? * 200.0) as u8, (answers * 10.0) as u8)))
+            .filter_map(|told| {
+                let share = of.get(&told.member)? * 200.0;
+                Some((told.member, share as u8, (told.answers * 10.0) as u8))
+            })
             .collect();
         self.said += 1;
         let fact = Record::Load {
@@ -173,10 +180,15 @@
 
     /// Another driver's word on loads.
     pub fn load_told(&mut self, (driver, life): (&str, u64), shares: &[(u64, u8, u8)], said: Timestamp) {
-        let driver = (tables::key(driver), life);
+        let driver = tables::key(driver);
         for (member, share, answers) in shares {
-            let (share, answers) = (f64::from(*share) / 200.0, f64::from(*answers) / 10.0);
-            self.sums.on_report(*member, driver, share, answers, said);
+            let report = ShareReport {
+                incarnation: life,
+                share: f64::from(*share) / 200.0,
+                answers: f64::from(*answers) / 10.0,
+                reported_at: said,
+            };
+            self.sums.on_report(*member, driver, report);
         }
     }
 }
