--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -5,12 +5,12 @@
 use super::sharing::written;
 use crate::transport::clock::Clock;
 use asterlatch_gossip::snapshot::{self, Fault};
-use asterlatch_recovery::report::{self, Report};
+use asterlatch_recovery::report::{self, RecoveryReport};
 use serde_json::{json, Value};
 use std::path::Path;
 
 /// What a start on this folder would make of it, for the driver of this name, or for whoever the copy says it is.
-fn look(folder: &Path, name: Option<&str>, clock: &Clock) -> Result<(Value, Report), String> {
+fn look(folder: &Path, name: Option<&str>, clock: &Clock) -> Result<(Value, RecoveryReport), String> {
     let bytes =
         keeping::read(folder)?.ok_or_else(|| format!("{}: nothing was ever kept there", folder.display()))?;
     let whose = snapshot::whose(&bytes);
@@ -20,11 +20,11 @@
         read.fault,
         None | Some(Fault::Torn { .. } | Fault::Flipped { .. })
     );
-    let (_, report) = report::sort(read.facts, clock.now());
+    let (_, report) = report::classify(read.facts, clock.now());
     let copy = json!({
         "of": whose.map(|(_, name, _)| name), "life": life, "bytes": bytes.len(),
-        "fault": read.fault.map(|f| f.says()), "facts": report.facts, "of_use": report.used,
-        "nothing_used": nothing_used, "from_the_future": report.from_the_future,
+        "fault": read.fault.map(|f| f.says()), "facts": report.records, "of_use": report.usable,
+        "nothing_used": nothing_used, "from_the_future": report.from_future,
     });
     Ok((copy, report))
 }
@@ -36,7 +36,7 @@
     let all = json!({ "copy": [copy], "kept": rows });
     print!("{}", written(&all, as_json));
     if !as_json {
-        println!("{}", report.line());
+        println!("{}", report.summary());
     }
     Ok(())
 }
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -244,10 +244,10 @@
 
 /// Begins with what was kept, as far as it is of use still; what is to be told of that.
 fn take_over(engine: &mut Engine, former: Former, now: Timestamp, keeps: bool) -> Vec<String> {
-    let (used, report) = report::sort(former.facts, now);
+    let (used, report) = report::classify(former.facts, now);
     let mut lines: Vec<String> = former.fault.into_iter().collect();
     if keeps {
-        lines.push(report.line());
+        lines.push(report.summary());
     }
     // Nobody is there to be told of it yet: what comes out is for the owner alone, which hears it with the first news.
     for (fact, age) in used {
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -6,129 +6,133 @@
 
 /// What may be done with a kept fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Use {
+pub enum Usability {
     /// As if it were heard now.
-    AtOnce,
+    Immediate,
     /// It binds from below: no read that it speaks of may be older.
-    Bound,
+    LowerBound,
     /// For what is expected of a member, once that has spoken for itself.
-    AfterMember,
+    AfterMemberReport,
     /// Not at all.
     Never,
 }
 
-impl Use {
+impl Usability {
     pub fn name(self) -> &'static str {
         match self {
-            Use::AtOnce => "at once",
-            Use::Bound => "as a bound",
-            Use::AfterMember => "after the member's own word",
-            Use::Never => "never",
+            Usability::Immediate => "at once",
+            Usability::LowerBound => "as a bound",
+            Usability::AfterMemberReport => "after the member's own word",
+            Usability::Never => "never",
         }
     }
 }
 
 /// The wall clock of now against the time that a fact was written at, or the latest one of the whole copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Clock {
+pub enum WallClock {
     /// It went on: so much has passed, as far as it can be believed.
-    Passed(TimeSpan),
+    Advanced(TimeSpan),
     /// It stands before what was written, as after a battery that died: how long it was nobody knows.
     WentBack,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
-    pub used: Use,
+pub struct Assessment {
+    pub usability: Usability,
     /// How old it counts as; nothing where it isn't used.
     pub age: Option<TimeSpan>,
     /// The rule that said so.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// What is looked at.
-struct Case<'a> {
-    fact: &'a Record,
-    clock: Clock,
+struct Candidate<'a> {
+    record: &'a Record,
+    clock: WallClock,
 }
 
-impl Case<'_> {
+impl Candidate<'_> {
     fn kind(&self) -> Kind {
-        self.fact.kind()
+        self.record.kind()
     }
 
     /// Older than this kind is kept for, where that is known.
-    fn is_over(&self) -> bool {
-        matches!(self.clock, Clock::Passed(span) if span >= self.kind().kept())
+    fn is_expired(&self) -> bool {
+        matches!(self.clock, WallClock::Advanced(span) if span >= self.kind().kept())
     }
 }
 
-type Rule = (&'static str, fn(&Case) -> bool, Use);
+type Rule = (&'static str, fn(&Candidate) -> bool, Usability);
 
 /// In order; the last one fires for whatever is left.
 const RULES: [Rule; 10] = [
     (
         "turns, late executions and shares ended with the life that said so",
         |c| !c.kind().outlives(),
-        Use::Never,
+        Usability::Never,
     ),
     (
         "what a driver said of itself is for operators, and it says it anew",
         |c| c.kind() == Kind::Driver,
-        Use::Never,
+        Usability::Never,
     ),
-    ("told longer ago than it is kept for", |c| c.is_over(), Use::Never),
+    ("told longer ago than it is kept for", |c| c.is_expired(), Usability::Never),
     (
         "a member that was told ready binds nothing, the list says it anew",
-        |c| matches!(c.fact, Record::Drain { standing: Standing::Ready, .. }),
-        Use::Never,
+        |c| matches!(c.record, Record::Drain { standing: Standing::Ready, .. }),
+        Usability::Never,
     ),
     (
         "a drain binds until a newer list ends it, however long that is",
         |c| c.kind() == Kind::Drain,
-        Use::AtOnce,
+        Usability::Immediate,
     ),
     (
         "a session's write must be seen: its reads wait or go to the primary, and are refused rather than older",
         |c| c.kind() == Kind::Session,
-        Use::Bound,
+        Usability::LowerBound,
     ),
     (
         "what a cold member bore counts, and whoever was dark is cold as well",
         |c| c.kind() == Kind::Cold,
-        Use::AtOnce,
+        Usability::Immediate,
     ),
     (
         "how far a member was an unknown time ago proves nothing",
-        |c| c.kind() == Kind::Member && c.clock == Clock::WentBack,
-        Use::Never,
+        |c| c.kind() == Kind::Member && c.clock == WallClock::WentBack,
+        Usability::Never,
     ),
     (
         "a position is a bound, and a role is nobody's until the member has spoken: it may have lost its last log",
         |c| c.kind() == Kind::Member,
-        Use::AfterMember,
+        Usability::AfterMemberReport,
     ),
-    ("nothing is known of this kind", |_| true, Use::Never),
+    ("nothing is known of this kind", |_| true, Usability::Never),
 ];
 
 /// What becomes of a fact that was known at `wall`, by the wall clock, where that shows `now`.
-pub fn trust(fact: &Record, wall: Timestamp, now: Timestamp) -> Verdict {
-    let clock = if wall <= now {
-        Clock::Passed(now - wall)
+pub fn assess(record: &Record, written_at: Timestamp, now: Timestamp) -> Assessment {
+    let clock = if written_at <= now {
+        WallClock::Advanced(now - written_at)
     } else {
-        Clock::WentBack
+        WallClock::WentBack
     };
-    let case = Case { fact, clock };
-    let (why, _, used) = RULES
+    let case = Candidate { record, clock };
+    let (reason, _, usability) = RULES
         .iter()
         .find(|(_, fires, _)| fires(&case))
         .copied()
         .unwrap_or(RULES[RULES.len() - 1]);
     let age = match clock {
-        _ if used == Use::Never => None,
-        Clock::Passed(span) => Some(span),
+        _ if usability == Usability::Never => None,
+        WallClock::Advanced(span) => Some(span),
         // As if it were told just now: so it binds for as long as it can.
-        Clock::WentBack => Some(TimeSpan(0)),
+        WallClock::WentBack => Some(TimeSpan(0)),
     };
-    Verdict { used, age, why }
+    Assessment {
+        usability,
+        age,
+        reason,
+    }
 }
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -3,8 +3,8 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::{Lease, LeaseState};
 use asterlatch_gossip::record::{Record, Standing, KINDS};
-use asterlatch_recovery::report::sort;
-use asterlatch_recovery::trust::{trust, Use};
+use asterlatch_recovery::report::classify;
+use asterlatch_recovery::trust::{assess, Usability};
 
 const NOW: Timestamp = Timestamp(1_700_000_000_000_000);
 
@@ -77,15 +77,15 @@
 
 #[test]
 fn each_kind_by_how_long_ago_it_was() {
-    use Use::*;
+    use Usability::*;
     // By fact as above: a second ago, ten minutes ago, a month ago, and with a clock that went back.
-    let table: [[Use; 4]; 10] = [
-        [AtOnce, Never, Never, AtOnce],
-        [AtOnce, Never, Never, AtOnce],
+    let table: [[Usability; 4]; 10] = [
+        [Immediate, Never, Never, Immediate],
+        [Immediate, Never, Never, Immediate],
         [Never; 4],
-        [Bound, Never, Never, Bound],
-        [AtOnce, Never, Never, AtOnce],
-        [AfterMember, Never, Never, Never],
+        [LowerBound, Never, Never, LowerBound],
+        [Immediate, Never, Never, Immediate],
+        [AfterMemberReport, Never, Never, Never],
         [Never; 4],
         [Never; 4],
         [Never; 4],
@@ -104,8 +104,8 @@
             NOW + TimeSpan::millis(1),
         ];
         for (wall, used) in times.into_iter().zip(row) {
-            let verdict = trust(fact, wall, NOW);
-            assert_eq!(verdict.used, used, "{fact:?} {wall:?}: {}", verdict.why);
+            let verdict = assess(fact, wall, NOW);
+            assert_eq!(verdict.usability, used, "{fact:?} {wall:?}: {}", verdict.reason);
             assert_eq!(verdict.age.is_some(), used != Never, "{fact:?}");
         }
     }
@@ -121,17 +121,19 @@
         Timestamp(86_400_000_000),
     ] {
         for fact in facts() {
-            let verdict = trust(&fact, NOW, now);
+            let verdict = assess(&fact, NOW, now);
             assert!(
                 matches!(verdict.age, None | Some(TimeSpan(0))),
                 "{fact:?} {verdict:?}"
             );
-            assert_ne!(verdict.used, Use::AfterMember, "{fact:?}");
+            assert_ne!(verdict.usability, Usability::AfterMemberReport, "{fact:?}");
         }
     }
     // A day ahead: all that ages is over, and no rule is broken by it but drains that discovery tells again.
     let ahead = NOW + TimeSpan::millis(86_400_000);
-    assert!(facts().iter().all(|f| trust(f, NOW, ahead).used == Use::Never));
+    assert!(facts()
+        .iter()
+        .all(|f| assess(f, NOW, ahead).usability == Usability::Never));
 }
 
 /// (fact, written so long before now; how old it counts)
@@ -156,7 +158,7 @@
         (s, now + month, Some(TimeSpan(0))),
     ];
     for (fact, wall, counts) in table {
-        assert_eq!(trust(fact, wall, now).age, counts, "{fact:?} {wall:?}");
+        assert_eq!(assess(fact, wall, now).age, counts, "{fact:?} {wall:?}");
     }
 }
 
@@ -169,22 +171,26 @@
         NOW + TimeSpan::millis(5),
     ];
     let kept: Vec<_> = all.iter().flat_map(|f| walls.map(|w| (f.clone(), w))).collect();
-    let (usable, report) = sort(kept.clone(), NOW);
-    assert_eq!((report.facts, report.from_the_future), (kept.len(), all.len()));
-    assert_eq!(report.rows.iter().map(|r| r.facts).sum::<usize>(), kept.len());
-    assert_eq!(usable.len(), report.used);
+    let (usable, report) = classify(kept.clone(), NOW);
+    assert_eq!((report.records, report.from_future), (kept.len(), all.len()));
+    assert_eq!(report.rows.iter().map(|r| r.records).sum::<usize>(), kept.len());
+    assert_eq!(usable.len(), report.usable);
     let drains = report
         .rows
         .iter()
-        .find(|r| r.kind == "drain" && r.used == "at once")
+        .find(|r| r.kind == "drain" && r.usability == "at once")
         .expect("is there");
     assert_eq!(
-        (drains.facts, drains.youngest_ms, drains.oldest_ms),
+        (drains.records, drains.youngest_ms, drains.oldest_ms),
         (6, Some(1000), Some(3000))
     );
-    assert!(report.line().ends_with("the clock was set"), "{}", report.line());
+    assert!(
+        report.summary().ends_with("the clock was set"),
+        "{}",
+        report.summary()
+    );
     assert_eq!(
-        sort(Vec::new(), NOW).1.line(),
+        classify(Vec::new(), NOW).1.summary(),
         "0 of 0 kept facts are of use still"
     );
 }
