--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -5,7 +5,7 @@
 use super::sharing::written;
 use crate::transport::clock::Clock;
 use asterlatch_gossip::snapshot::{self, Fault};
-use asterlatch_recovery::report::{self, RecoveryReport};
+use asterlatch_recovery::report::{self, RecoveryReport, StoredRecord};
 use serde_json::{json, Value};
 use std::path::Path;
 
@@ -20,7 +20,8 @@
         read.fault,
         None | Some(Fault::Torn { .. } | Fault::Flipped { .. })
     );
-    let (_, report) = report::classify(read.facts, clock.now());
+    let found = read.facts.into_iter().map(StoredRecord::from);
+    let report = report::classify(found, clock.now()).report;
     let copy = json!({
         "of": whose.map(|(_, name, _)| name), "life": life, "bytes": bytes.len(),
         "fault": read.fault.map(|f| f.says()), "facts": report.records, "of_use": report.usable,
@@ -36,7 +37,7 @@
     let all = json!({ "copy": [copy], "kept": rows });
     print!("{}", written(&all, as_json));
     if !as_json {
-        println!("{}", report.summary());
+        println!("{}", report);
     }
     Ok(())
 }
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -18,7 +18,7 @@
 use asterlatch_gossip::record::Record;
 use asterlatch_gossip::snapshot::{self, Keeper, Told, Wish};
 use asterlatch_gossip::state::Book;
-use asterlatch_recovery::report;
+use asterlatch_recovery::report::{self, Classified, StoredRecord, UsableRecord};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -244,14 +244,15 @@
 
 /// Begins with what was kept, as far as it is of use still; what is to be told of that.
 fn take_over(engine: &mut Engine, former: Former, now: Timestamp, keeps: bool) -> Vec<String> {
-    let (used, report) = report::classify(former.facts, now);
+    let found = former.facts.into_iter().map(StoredRecord::from);
+    let Classified { usable, report } = report::classify(found, now);
     let mut lines: Vec<String> = former.fault.into_iter().collect();
     if keeps {
-        lines.push(report.summary());
+        lines.push(report.to_string());
     }
     // Nobody is there to be told of it yet: what comes out is for the owner alone, which hears it with the first news.
-    for (fact, age) in used {
-        engine.restore(now, fact, age);
+    for UsableRecord { record, age } in usable {
+        engine.restore(now, record, age);
     }
     lines
 }
--- a/crates/driver/tests/kept.rs
+++ b/crates/driver/tests/kept.rs
@@ -111,13 +111,15 @@
 #[test]
 fn what_was_known_is_known_again_after_a_kill() {
     let stage = Stage::new("kill", None);
-    stage.operated.told("fleet: 0 of 0 kept facts are of use still");
+    stage
+        .operated
+        .told("fleet: 0 of 0 stored records are of use still");
     assert_eq!(stage.ask(1), "T D C Z");
     // The member's word and its own.
     stage.await_kept(2);
     let life = stage.status()["drivers"][0]["life"].as_u64();
     let stage = stage.again("kill-2", |_| ());
-    let told = stage.operated.told("kept facts are of use still");
+    let told = stage.operated.told("stored records are of use still");
     assert!(!told.contains(" 0 of"), "{told}");
     assert!(stage.status()["drivers"][0]["life"].as_u64() > life, "a new life");
     assert_eq!(stage.ask(2), "T D C Z");
@@ -177,12 +179,16 @@
     let (old, foreign) = (written("t", wall() - month), written("u", wall()));
     let ahead = written("t", wall() + month);
     let stage = stage.again("old-2", |b| *b = old);
-    stage.operated.told("fleet: 0 of 3 kept facts are of use still");
+    stage
+        .operated
+        .told("fleet: 0 of 3 stored records are of use still");
     let stage = stage.again("old-3", |b| *b = foreign);
     stage.operated.told("the kept copy is u's: nothing of it is used");
     // Of a clock that was set back since drains bind all the same.
     let stage = stage.again("old-4", |b| *b = ahead);
-    stage.operated.told("fleet: 3 of 3 kept facts are of use still");
+    stage
+        .operated
+        .told("fleet: 3 of 3 stored records are of use still");
     assert_eq!(stage.ask(2), "T D C Z");
 }
 
@@ -283,7 +289,7 @@
         std::fs::create_dir_all(format!("{state}-copy")).expect("is made");
         std::fs::write(format!("{state}-copy/shared.log"), &bytes).expect("is written");
     });
-    let line = stage.operated.told("kept facts are of use still");
+    let line = stage.operated.told("stored records are of use still");
     let copy = format!("{state}-copy");
     let (fine, output) = recover(&copy, &[]);
     let said: serde_json::Value = serde_json::from_slice(&output.stdout).expect("is JSON");
@@ -295,7 +301,7 @@
             .is_some_and(|f| f.contains("ends in the middle")),
         "{said}"
     );
-    let counts = format!("{} of {} kept facts", one["of_use"], one["facts"]);
+    let counts = format!("{} of {} stored records", one["of_use"], one["facts"]);
     assert!(line.contains(&counts), "{line}: {counts}");
     let rows = said["kept"].as_array().expect("has rows");
     assert!(
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -1,92 +1,154 @@
-//! What a start found and made of it, summed up by rule.
+//! What a start made of the records it found, summed up by rule.
 
-use crate::trust::{assess, Assessment, Usability};
+use crate::trust::{assess, Usability};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::record::{Kind, Record};
 use serde::Serialize;
 use std::collections::BTreeMap;
+use std::fmt;
 
-/// Facts of one kind that one rule decided.
+/// A record as it was found.
+#[derive(Clone, Debug, PartialEq)]
+pub struct StoredRecord {
+    /// The record.
+    pub record: Record,
+    /// When it was written, by the wall clock.
+    pub written_at: Timestamp,
+}
+
+impl From<(Record, Timestamp)> for StoredRecord {
+    fn from((record, written_at): (Record, Timestamp)) -> StoredRecord {
+        StoredRecord { record, written_at }
+    }
+}
+
+/// A stored record that is of use.
+#[derive(Clone, Debug, PartialEq)]
+pub struct UsableRecord {
+    /// The record.
+    pub record: Record,
+    /// How old it counts as.
+    pub age: TimeSpan,
+}
+
+/// The records of one kind that one rule decided on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RuleSummary {
+    /// Name of the kind.
     pub kind: &'static str,
+    /// What the records may be used for.
     #[serde(rename = "used")]
     pub usability: &'static str,
+    /// How many there are.
     #[serde(rename = "facts")]
     pub records: usize,
-    /// Of those, by the wall clock; nothing where that went back.
+    /// Age of the youngest in milliseconds, by the wall clock; nothing where all are from the future.
     pub youngest_ms: Option<u64>,
+    /// Age of the oldest in milliseconds.
     pub oldest_ms: Option<u64>,
+    /// The rule.
     #[serde(rename = "why")]
     pub reason: &'static str,
 }
 
+/// What a start made of all records it found. Displays as one line for the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RecoveryReport {
+    /// By kind, usability and rule.
     pub rows: Vec<RuleSummary>,
+    /// How many records were found.
     #[serde(rename = "facts")]
     pub records: usize,
+    /// How many of them are of use.
     #[serde(rename = "used")]
     pub usable: usize,
-    /// Written in a time that is still to come.
+    /// How many of them were written at a time that is still to come.
     #[serde(rename = "from_the_future")]
     pub from_future: usize,
 }
 
-impl RecoveryReport {
-    pub fn summary(&self) -> String {
-        let mut line = format!("{} of {} kept facts are of use still", self.usable, self.records);
+impl fmt::Display for RecoveryReport {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let RecoveryReport { usable, records, .. } = self;
+        write!(f, "{usable} of {records} stored records are of use still")?;
         if self.from_future > 0 {
-            line += &format!(
-                ", {} were written in a time that is still to come: the clock was set",
-                self.from_future
-            );
+            let count = self.from_future;
+            write!(
+                f,
+                ", {count} were written in a time that is still to come: the clock was set"
+            )?;
         }
-        line
+        Ok(())
     }
 }
 
-/// Which rule decided what of which kind; how many, and the youngest and oldest.
-type ByRule = (Kind, Usability, &'static str);
-type Ages = (usize, Option<TimeSpan>, Option<TimeSpan>);
+/// What [`classify`] makes of stored records.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Classified {
+    /// Those that are of use, in the order in which they were found.
+    pub usable: Vec<UsableRecord>,
+    /// What was made of all.
+    pub report: RecoveryReport,
+}
+
+/// Rows are ordered and told apart by this.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct RowKey {
+    kind: Kind,
+    usability: Usability,
+    reason: &'static str,
+}
+
+/// What is counted of a row's records.
+#[derive(Default)]
+struct RowTotals {
+    records: usize,
+    youngest: Option<TimeSpan>,
+    oldest: Option<TimeSpan>,
+}
+
+impl RowTotals {
+    /// Counts a record of this age by the wall clock; nothing where it is from the future.
+    fn add(&mut self, age: Option<TimeSpan>) {
+        self.records += 1;
+        self.youngest = self.youngest.into_iter().chain(age).min();
+        self.oldest = self.oldest.into_iter().chain(age).max();
+    }
+
+    fn summary(&self, key: RowKey) -> RuleSummary {
+        let milliseconds = |span: TimeSpan| span.0 / 1000;
+        RuleSummary {
+            kind: key.kind.name(),
+            usability: key.usability.name(),
+            records: self.records,
+            youngest_ms: self.youngest.map(milliseconds),
+            oldest_ms: self.oldest.map(milliseconds),
+            reason: key.reason,
+        }
+    }
+}
 
-/// Looks at all kept facts; those of use, each with how old it counts as.
-pub fn classify(
-    records: Vec<(Record, Timestamp)>,
-    now: Timestamp,
-) -> (Vec<(Record, TimeSpan)>, RecoveryReport) {
-    let mut by_rule: BTreeMap<ByRule, Ages> = BTreeMap::new();
-    let (mut usable, mut report) = (Vec::new(), RecoveryReport::default());
-    for (record, written_at) in records {
-        let Assessment {
-            usability,
-            age,
-            reason,
-        } = assess(&record, written_at, now);
-        let passed = (written_at <= now).then(|| now - written_at);
-        let row = by_rule.entry((record.kind(), usability, reason)).or_default();
-        row.0 += 1;
-        row.1 = row.1.into_iter().chain(passed).min();
-        row.2 = row.2.into_iter().chain(passed).max();
+/// Assesses all stored records when the wall clock shows `now`.
+pub fn classify(records: impl IntoIterator<Item = StoredRecord>, now: Timestamp) -> Classified {
+    let mut rows: BTreeMap<RowKey, RowTotals> = BTreeMap::new();
+    let mut classified = Classified::default();
+    let report = &mut classified.report;
+    for StoredRecord { record, written_at } in records {
+        let assessment = assess(&record, written_at, now);
+        let key = RowKey {
+            kind: record.kind(),
+            usability: assessment.usability,
+            reason: assessment.reason,
+        };
+        let clock_age = (written_at <= now).then(|| now - written_at);
+        rows.entry(key).or_default().add(clock_age);
         report.records += 1;
-        report.from_future += usize::from(passed.is_none());
-        if let Some(age) = age {
+        report.from_future += usize::from(clock_age.is_none());
+        if let Some(age) = assessment.age {
             report.usable += 1;
-            usable.push((record, age));
+            classified.usable.push(UsableRecord { record, age });
         }
     }
-    let ms = |span: Option<TimeSpan>| span.map(|s| s.0 / 1000);
-    let rows =
-        by_rule.into_iter().map(
-            |((kind, usability, reason), (records, youngest, oldest))| RuleSummary {
-                kind: kind.name(),
-                usability: usability.name(),
-                records,
-                youngest_ms: ms(youngest),
-                oldest_ms: ms(oldest),
-                reason,
-            },
-        );
-    report.rows = rows.collect();
-    (usable, report)
+    report.rows = rows.iter().map(|(key, totals)| totals.summary(*key)).collect();
+    classified
 }
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -1,23 +1,26 @@
-//! How far a kept fact is to be trusted. An ordered list of rules, the first that fires decides; each errs to the side that
-//! is worse for the rule it may break, for how long a machine was dark nobody else may know.
+//! How far a stored record is trusted.
+//!
+//! An ordered list of rules; the first that applies decides. Each errs to the side that is worse for what it may break, for
+//! nobody else may know how long a machine was down.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::record::{Kind, Record, Standing};
 
-/// What may be done with a kept fact.
+/// What a stored record may be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Usability {
-    /// As if it were heard now.
+    /// As if it were received now.
     Immediate,
-    /// It binds from below: no read that it speaks of may be older.
+    /// As a lower bound: no read that it concerns may be older.
     LowerBound,
-    /// For what is expected of a member, once that has spoken for itself.
+    /// For what is expected of a member, once that has reported itself.
     AfterMemberReport,
-    /// Not at all.
+    /// For nothing.
     Never,
 }
 
 impl Usability {
+    /// The name shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             Usability::Immediate => "at once",
@@ -28,111 +31,139 @@
     }
 }
 
-/// The wall clock of now against the time that a fact was written at, or the latest one of the whole copy.
+/// The wall clock now, compared with the time at which a record was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WallClock {
-    /// It went on: so much has passed, as far as it can be believed.
+enum WallClock {
+    /// It advanced by this, as far as it can be believed.
     Advanced(TimeSpan),
-    /// It stands before what was written, as after a battery that died: how long it was nobody knows.
+    /// It shows an earlier time, as after a battery failure: how much time passed is unknown.
     WentBack,
 }
 
+impl WallClock {
+    fn compare(written_at: Timestamp, now: Timestamp) -> WallClock {
+        if written_at <= now {
+            WallClock::Advanced(now - written_at)
+        } else {
+            WallClock::WentBack
+        }
+    }
+}
+
+/// What a rule says of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assessment {
+    /// What the record may be used for.
     pub usability: Usability,
     /// How old it counts as; nothing where it isn't used.
     pub age: Option<TimeSpan>,
-    /// The rule that said so.
+    /// The rule that decided, in words for operators.
     pub reason: &'static str,
 }
 
-/// What is looked at.
+/// A record that the rules look at.
 struct Candidate<'a> {
     record: &'a Record,
     clock: WallClock,
 }
 
 impl Candidate<'_> {
-    fn kind(&self) -> Kind {
-        self.record.kind()
+    fn has_kind(&self, kind: Kind) -> bool {
+        self.record.kind() == kind
     }
 
-    /// Older than this kind is kept for, where that is known.
+    /// Whether it is known to be older than records of its kind are stored for.
     fn is_expired(&self) -> bool {
-        matches!(self.clock, WallClock::Advanced(span) if span >= self.kind().kept())
+        let lifetime = self.record.kind().kept();
+        matches!(self.clock, WallClock::Advanced(age) if age >= lifetime)
+    }
+
+    fn is_listed_ready(&self) -> bool {
+        let Record::Drain { standing, .. } = self.record else {
+            return false;
+        };
+        *standing == Standing::Ready
     }
 }
 
-type Rule = (&'static str, fn(&Candidate) -> bool, Usability);
+/// A condition, and what a record that fulfils it may be used for.
+struct Rule {
+    reason: &'static str,
+    applies: fn(&Candidate) -> bool,
+    usability: Usability,
+}
 
-/// In order; the last one fires for whatever is left.
+/// In this order; the last one applies to whatever is left.
 const RULES: [Rule; 10] = [
-    (
-        "turns, late executions and shares ended with the life that said so",
-        |c| !c.kind().outlives(),
-        Usability::Never,
-    ),
-    (
-        "what a driver said of itself is for operators, and it says it anew",
-        |c| c.kind() == Kind::Driver,
-        Usability::Never,
-    ),
-    ("told longer ago than it is kept for", |c| c.is_expired(), Usability::Never),
-    (
-        "a member that was told ready binds nothing, the list says it anew",
-        |c| matches!(c.record, Record::Drain { standing: Standing::Ready, .. }),
-        Usability::Never,
-    ),
-    (
-        "a drain binds until a newer list ends it, however long that is",
-        |c| c.kind() == Kind::Drain,
-        Usability::Immediate,
-    ),
-    (
-        "a session's write must be seen: its reads wait or go to the primary, and are refused rather than older",
-        |c| c.kind() == Kind::Session,
-        Usability::LowerBound,
-    ),
-    (
-        "what a cold member bore counts, and whoever was dark is cold as well",
-        |c| c.kind() == Kind::Cold,
-        Usability::Immediate,
-    ),
-    (
-        "how far a member was an unknown time ago proves nothing",
-        |c| c.kind() == Kind::Member && c.clock == WallClock::WentBack,
-        Usability::Never,
-    ),
-    (
-        "a position is a bound, and a role is nobody's until the member has spoken: it may have lost its last log",
-        |c| c.kind() == Kind::Member,
-        Usability::AfterMemberReport,
-    ),
-    ("nothing is known of this kind", |_| true, Usability::Never),
+    Rule {
+        reason: "leases, late executions and shares ended with the incarnation that sent them",
+        applies: |candidate| !candidate.record.kind().outlives(),
+        usability: Usability::Never,
+    },
+    Rule {
+        reason: "a driver's report of itself is for operators, and it reports anew",
+        applies: |candidate| candidate.has_kind(Kind::Driver),
+        usability: Usability::Never,
+    },
+    Rule {
+        reason: "older than records of its kind are stored for",
+        applies: |candidate| candidate.is_expired(),
+        usability: Usability::Never,
+    },
+    Rule {
+        reason: "a member listed as ready binds nothing, the endpoint list says it anew",
+        applies: |candidate| candidate.is_listed_ready(),
+        usability: Usability::Never,
+    },
+    Rule {
+        reason: "a drain binds until a newer list ends it, however long that is",
+        applies: |candidate| candidate.has_kind(Kind::Drain),
+        usability: Usability::Immediate,
+    },
+    Rule {
+        reason: "a session's write must be seen: its reads wait or go to the primary, and are rejected rather than older",
+        applies: |candidate| candidate.has_kind(Kind::Session),
+        usability: Usability::LowerBound,
+    },
+    Rule {
+        reason: "work sent to a member that warms up counts, and a member that was down warms up as well",
+        applies: |candidate| candidate.has_kind(Kind::Cold),
+        usability: Usability::Immediate,
+    },
+    Rule {
+        reason: "a member's position an unknown time ago proves nothing",
+        applies: |candidate| candidate.has_kind(Kind::Member) && candidate.clock == WallClock::WentBack,
+        usability: Usability::Never,
+    },
+    Rule {
+        reason: "a position is a bound, and a role is nobody's until the member has reported: it may have lost its last log",
+        applies: |candidate| candidate.has_kind(Kind::Member),
+        usability: Usability::AfterMemberReport,
+    },
+    UNKNOWN_KIND,
 ];
 
-/// What becomes of a fact that was known at `wall`, by the wall clock, where that shows `now`.
+const UNKNOWN_KIND: Rule = Rule {
+    reason: "nothing is known of this kind",
+    applies: |_| true,
+    usability: Usability::Never,
+};
+
+/// What a record that was written at `written_at` by the wall clock may be used for when that clock shows `now`.
 pub fn assess(record: &Record, written_at: Timestamp, now: Timestamp) -> Assessment {
-    let clock = if written_at <= now {
-        WallClock::Advanced(now - written_at)
-    } else {
-        WallClock::WentBack
-    };
-    let case = Candidate { record, clock };
-    let (reason, _, usability) = RULES
-        .iter()
-        .find(|(_, fires, _)| fires(&case))
-        .copied()
-        .unwrap_or(RULES[RULES.len() - 1]);
+    let clock = WallClock::compare(written_at, now);
+    let candidate = Candidate { record, clock };
+    let rule = RULES.iter().find(|rule| (rule.applies)(&candidate));
+    let rule = rule.unwrap_or(&UNKNOWN_KIND);
     let age = match clock {
-        _ if usability == Usability::Never => None,
-        WallClock::Advanced(span) => Some(span),
-        // As if it were told just now: so it binds for as long as it can.
+        _ if rule.usability == Usability::Never => None,
+        WallClock::Advanced(age) => Some(age),
+        // As if it were received just now, so that it binds for as long as it can.
         WallClock::WentBack => Some(TimeSpan(0)),
     };
     Assessment {
-        usability,
+        usability: rule.usability,
         age,
-        reason,
+        reason: rule.reason,
     }
 }
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -1,85 +1,24 @@
-//! What is trusted of what was kept: every kind, by how long ago it was and whether the clock can be believed.
+//! What stored records may be used for: every kind, by how long ago it was written and whether the clock can be believed.
+
+mod common;
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::lease::{Lease, LeaseState};
-use asterlatch_gossip::record::{Record, Standing, KINDS};
-use asterlatch_recovery::report::classify;
+use asterlatch_gossip::record::KINDS;
 use asterlatch_recovery::trust::{assess, Usability};
+use common::{records, DRAIN, MEMBER, NOW, SESSION};
 
-const NOW: Timestamp = Timestamp(1_700_000_000_000_000);
-
-fn facts() -> Vec<Record> {
-    let name = || "m".to_owned();
-    let drain = |standing| Record::Drain {
-        name: name(),
-        started_ms: 5,
-        list: 3,
-        standing,
-    };
-    vec![
-        drain(Standing::Draining),
-        drain(Standing::Gone),
-        drain(Standing::Ready),
-        Record::Session {
-            session: 4,
-            position: 9,
-        },
-        Record::Cold {
-            member: name(),
-            started_ms: 5,
-            driver: "d".to_owned(),
-            life: 1,
-            said: 1,
-            work_us: 1,
-            carries_us: 1,
-        },
-        Record::Member {
-            name: name(),
-            started_ms: 5,
-            group: 1,
-            position: 7,
-            primary_at: 7,
-            replica_at: 0,
-        },
-        Record::Driver {
-            name: name(),
-            life: 1,
-            said: 1,
-            list: 1,
-            file: 1,
-            caught_up: true,
-        },
-        Record::Turn {
-            subject: "probe m".to_owned(),
-            claim: Lease {
-                term: 1,
-                holder: 2,
-                incarnation: 3,
-                renewals: 4,
-                state: LeaseState::Held,
-            },
-        },
-        Record::Late {
-            member: name(),
-            driver: "d".to_owned(),
-            life: 1,
-            said: 1,
-            before_us: 1,
-        },
-        Record::Load {
-            driver: "d".to_owned(),
-            life: 1,
-            said: 1,
-            shares: vec![(1, 2, 3)],
-        },
-    ]
-}
+const SECOND: TimeSpan = TimeSpan::millis(1000);
+const MINUTE: TimeSpan = TimeSpan::millis(60_000);
+const TEN_MINUTES: TimeSpan = TimeSpan::millis(600_000);
+const HOUR: TimeSpan = TimeSpan::millis(3_600_000);
+const DAY: TimeSpan = TimeSpan::millis(86_400_000);
+const MONTH: TimeSpan = TimeSpan::millis(30 * 86_400_000);
 
 #[test]
-fn each_kind_by_how_long_ago_it_was() {
+fn assess_each_kind_by_its_age() {
     use Usability::*;
-    // By fact as above: a second ago, ten minutes ago, a month ago, and with a clock that went back.
-    let table: [[Usability; 4]; 10] = [
+    // By record: a second ago, ten minutes ago, a month ago, and with a clock that went back.
+    let expected: [[Usability; 4]; 10] = [
         [Immediate, Never, Never, Immediate],
         [Immediate, Never, Never, Immediate],
         [Never; 4],
@@ -91,106 +30,78 @@
         [Never; 4],
         [Never; 4],
     ];
-    let all = facts();
+    let times = [
+        NOW - SECOND,
+        NOW - TEN_MINUTES,
+        NOW - MONTH,
+        NOW + TimeSpan::millis(1),
+    ];
+    let records = records();
+    let has_kind = |kind| records.iter().any(|record| record.kind() == kind);
     assert!(
-        KINDS.iter().all(|k| all.iter().any(|f| f.kind() == *k)),
+        KINDS.iter().all(|kind| has_kind(*kind)),
         "every kind has its rows"
     );
-    for (fact, row) in all.iter().zip(table) {
-        let times = [
-            NOW - TimeSpan::millis(1000),
-            NOW - TimeSpan::millis(600_000),
-            NOW - TimeSpan::millis(30 * 86_400_000),
-            NOW + TimeSpan::millis(1),
-        ];
-        for (wall, used) in times.into_iter().zip(row) {
-            let verdict = assess(fact, wall, NOW);
-            assert_eq!(verdict.usability, used, "{fact:?} {wall:?}: {}", verdict.reason);
-            assert_eq!(verdict.age.is_some(), used != Never, "{fact:?}");
+    for (record, row) in records.iter().zip(expected) {
+        for (written_at, usability) in times.into_iter().zip(row) {
+            let assessment = assess(record, written_at, NOW);
+            let reason = assessment.reason;
+            assert_eq!(
+                assessment.usability, usability,
+                "{record:?} {written_at:?}: {reason}"
+            );
+            assert_eq!(assessment.age.is_some(), usability != Never, "{record:?}");
         }
     }
 }
 
-/// A clock that went back makes nothing young that was not, but what binds counts as told just now; one in 1970 is one
-/// that went back.
+/// A clock that went back makes nothing young that was not, but what binds counts as received just now. A clock that shows
+/// 1970 is one that went back.
 #[test]
-fn a_clock_that_went_back_is_the_worse_case() {
-    for now in [
-        NOW - TimeSpan::millis(60_000),
-        Timestamp(0),
-        Timestamp(86_400_000_000),
-    ] {
-        for fact in facts() {
-            let verdict = assess(&fact, NOW, now);
+fn assess_clock_went_back_uses_no_member_report() {
+    for now in [NOW - MINUTE, Timestamp(0), Timestamp(0) + DAY] {
+        for record in records() {
+            let assessment = assess(&record, NOW, now);
             assert!(
-                matches!(verdict.age, None | Some(TimeSpan(0))),
-                "{fact:?} {verdict:?}"
+                matches!(assessment.age, None | Some(TimeSpan(0))),
+                "{record:?} {assessment:?}"
             );
-            assert_ne!(verdict.usability, Usability::AfterMemberReport, "{fact:?}");
+            assert_ne!(assessment.usability, Usability::AfterMemberReport, "{record:?}");
         }
     }
-    // A day ahead: all that ages is over, and no rule is broken by it but drains that discovery tells again.
-    let ahead = NOW + TimeSpan::millis(86_400_000);
-    assert!(facts()
-        .iter()
-        .all(|f| assess(f, NOW, ahead).usability == Usability::Never));
 }
 
-/// (fact, written so long before now; how old it counts)
+/// All that ages has expired, and that breaks no rule but drains, which discovery lists again.
 #[test]
-fn time_that_passed_unknown_counts_as_is_worse() {
-    let month = TimeSpan::millis(30 * 24 * 3600 * 1000);
-    let hour = TimeSpan::millis(3600 * 1000);
-    let second = TimeSpan::millis(1000);
-    let now = NOW;
-    let all = facts();
-    let (m, d, s) = (&all[5], &all[0], &all[3]);
-    #[rustfmt::skip]
-    let table = [
-        (m, now - second, Some(second)),
-        (m, now - hour, None),
-        (d, now - hour, None),
-        (s, now - second, Some(second)),
-        (s, now - month, None),
-        // The clock was set back since: nobody knows how long ago that was.
-        (m, now + hour, None),
-        (d, now + hour, Some(TimeSpan(0))),
-        (s, now + month, Some(TimeSpan(0))),
-    ];
-    for (fact, wall, counts) in table {
-        assert_eq!(assess(fact, wall, now).age, counts, "{fact:?} {wall:?}");
-    }
+fn assess_clock_a_day_ahead_uses_nothing() {
+    let usability = |record| assess(record, NOW, NOW + DAY).usability;
+    let records = records();
+    assert!(records.iter().all(|record| usability(record) == Usability::Never));
 }
 
 #[test]
-fn the_report_counts_every_fact_once() {
-    let all = facts();
-    let walls = [
-        NOW - TimeSpan::millis(1000),
-        NOW - TimeSpan::millis(3000),
-        NOW + TimeSpan::millis(5),
+fn assess_unknown_time_counts_as_the_worse_age() {
+    let records = records();
+    let member = &records[MEMBER];
+    let drain = &records[DRAIN];
+    let session = &records[SESSION];
+    // The record, when it was written, how old it counts as.
+    let cases = [
+        (member, NOW - SECOND, Some(SECOND)),
+        (member, NOW - HOUR, None),
+        (drain, NOW - HOUR, None),
+        (session, NOW - SECOND, Some(SECOND)),
+        (session, NOW - MONTH, None),
+        // The clock was set back since: nobody knows how long ago that was.
+        (member, NOW + HOUR, None),
+        (drain, NOW + HOUR, Some(TimeSpan(0))),
+        (session, NOW + MONTH, Some(TimeSpan(0))),
     ];
-    let kept: Vec<_> = all.iter().flat_map(|f| walls.map(|w| (f.clone(), w))).collect();
-    let (usable, report) = classify(kept.clone(), NOW);
-    assert_eq!((report.records, report.from_future), (kept.len(), all.len()));
-    assert_eq!(report.rows.iter().map(|r| r.records).sum::<usize>(), kept.len());
-    assert_eq!(usable.len(), report.usable);
-    let drains = report
-        .rows
-        .iter()
-        .find(|r| r.kind == "drain" && r.usability == "at once")
-        .expect("is there");
-    assert_eq!(
-        (drains.records, drains.youngest_ms, drains.oldest_ms),
-        (6, Some(1000), Some(3000))
-    );
-    assert!(
-        report.summary().ends_with("the clock was set"),
-        "{}",
-        report.summary()
-    );
-    assert_eq!(
-        classify(Vec::new(), NOW).1.summary(),
-        "0 of 0 kept facts are of use still"
-    );
+    for (record, written_at, age) in cases {
+        assert_eq!(
+            assess(record, written_at, NOW).age,
+            age,
+            "{record:?} {written_at:?}"
+        );
+    }
 }
