--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -1,8 +1,8 @@
 //! What a driver is told at its start.
 
-use crate::protocol::comment::hashed;
-use crate::protocol::roster::{self, Roster};
-use crate::routing::owner::Given;
+use crate::protocol::endpoint_list::{self, EndpointList};
+use crate::protocol::statement_comment::hashed;
+use crate::routing::event_loop::Given;
 use asterlatch::interface::Settings;
 use asterlatch_settings::{Decoding, Pairs};
 use serde_json::Value;
@@ -13,7 +13,7 @@
     pub listen: SocketAddr,
     pub given: Given,
     pub seed: u64,
-    pub known: Option<Roster>,
+    pub known: Option<EndpointList>,
     pub settings: (Settings, Decoding),
     /// The same for the same text of the settings.
     pub settings_text: u64,
@@ -68,7 +68,7 @@
             sockets: limit("sockets", SOCKETS),
         },
         seed: seed(value.get("seed").and_then(Value::as_str).unwrap_or_default()),
-        known: value.get("known").and_then(roster::from_value),
+        known: value.get("known").and_then(endpoint_list::from_value),
         settings,
         settings_text,
     })
--- a/crates/driver/src/program/upgrade/handover.rs
+++ b/crates/driver/src/program/upgrade/handover.rs
@@ -1,8 +1,8 @@
 //! What goes from one process to the next: what was learned, and by which clock.
 
 use crate::program::log::Log;
-use crate::routing::owner::Owner;
-use crate::routing::tables::Members;
+use crate::routing::event_loop::EventLoop;
+use crate::routing::members::MemberDirectory;
 use crate::transport::clock::Clock;
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -25,8 +25,12 @@
     members: Vec<u8>,
 }
 
-pub fn written(owner: &Owner<Log>, now: Timestamp, settings: u64) -> Result<Vec<u8>, postcard::Error> {
-    let (module, members) = owner.learned();
+pub fn written(
+    event_loop: &EventLoop<Log>,
+    now: Timestamp,
+    settings: u64,
+) -> Result<Vec<u8>, postcard::Error> {
+    let (module, members) = event_loop.learned();
     let handover = Handover {
         form: FORM,
         now,
@@ -41,7 +45,7 @@
 /// What a new process goes on from.
 pub struct Resumed {
     pub clock: Clock,
-    pub learned: (RoutingPolicy, Members),
+    pub learned: (RoutingPolicy, MemberDirectory),
 }
 
 pub fn read(bytes: &[u8], settings: u64) -> Result<Resumed, String> {
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -1,4 +1,4 @@
-//! Carries out what the two sides of a takeover decide. All waiting is done on threads beside the owner's.
+//! Carries out what the two sides of a takeover decide. All waiting is done on threads beside the event loop's.
 
 pub mod control;
 mod handover;
@@ -6,7 +6,7 @@
 pub mod old;
 
 use super::log::Log;
-use crate::routing::owner::Owner;
+use crate::routing::event_loop::EventLoop;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::{CoServingMessage, CoServingState};
 use asterlatch_handover::message::HandoverMessage;
@@ -19,24 +19,24 @@
 
 /// Takes over what the other process tells that binds both; what it is to be answered.
 fn bind(
-    owner: &mut Owner<Log>,
+    event_loop: &mut EventLoop<Log>,
     now: Timestamp,
     joint: &mut CoServingState,
     words: &[CoServingMessage],
 ) -> Option<HandoverMessage> {
-    words.iter().for_each(|word| owner.bind(now, word));
+    words.iter().for_each(|word| event_loop.bind(now, word));
     let answer = joint.on_messages(words);
-    owner.figures.open_from_beside = joint.peer_in_flight();
+    event_loop.metrics.open_from_beside = joint.peer_in_flight();
     answer.map(|word| HandoverMessage::CoServing(vec![word]))
 }
 
 /// What the other process is to know that binds both: drains that were heard here, and what is out.
-fn words(owner: &mut Owner<Log>, joint: &mut CoServingState) -> Option<HandoverMessage> {
-    let drains = std::mem::take(&mut owner.drains);
+fn words(event_loop: &mut EventLoop<Log>, joint: &mut CoServingState) -> Option<HandoverMessage> {
+    let drains = std::mem::take(&mut event_loop.drains);
     let drains = drains
         .iter()
         .filter_map(|(m, since)| joint.drain_update(m, *since));
     let mut words: Vec<CoServingMessage> = drains.collect();
-    words.extend(joint.in_flight_updates(owner.out()));
+    words.extend(joint.in_flight_updates(event_loop.out()));
     (!words.is_empty()).then_some(HandoverMessage::CoServing(words))
 }
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -4,9 +4,9 @@
 use super::{bind, words, VARIABLE};
 use crate::program::config::Config;
 use crate::program::log::{log, Log};
-use crate::routing::owner::{Moved, Owner};
-use crate::routing::queue::{Input, Notice};
-use crate::transport::witness::Witness;
+use crate::routing::event_loop::{EventLoop, Moved};
+use crate::routing::events::{ControlEvent, Event};
+use crate::transport::io_journal::IoJournalWriter;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::CoServingState;
 use asterlatch_handover::codec::{monotonic_micros, send, FrameReader, Received};
@@ -37,7 +37,7 @@
     listener: Option<TcpListener>,
     /// To write the ledger into, and to give it up with.
     ledger: Option<(UnixStream, OwnedFd)>,
-    witness: Option<Witness>,
+    witness: Option<IoJournalWriter>,
     joint: CoServingState,
     started: Timestamp,
 }
@@ -123,8 +123,11 @@
     }
 
     /// Writes down what is done here, for as long as the former process may have to go on with it.
-    pub fn witness(&mut self) -> Result<Option<Witness>, String> {
-        let made = self.ledger.take().map(|(socket, end)| Witness::new(socket, end));
+    pub fn witness(&mut self) -> Result<Option<IoJournalWriter>, String> {
+        let made = self
+            .ledger
+            .take()
+            .map(|(socket, end)| IoJournalWriter::new(socket, end));
         self.witness = made.transpose().map_err(|e| format!("ledger: {e}"))?;
         Ok(self.witness.clone())
     }
@@ -182,7 +185,7 @@
     }
 
     /// From now on the former process is listened to on a thread of its own.
-    pub fn follow(&mut self, queue: Sender<Input>) -> Result<(), String> {
+    pub fn follow(&mut self, queue: Sender<Event>) -> Result<(), String> {
         let _ = self.socket.set_read_timeout(None);
         let (tell, heard) = channel();
         self.heard = Some(heard);
@@ -219,7 +222,8 @@
                 heard,
                 Heard::Word(successor::Event::InvalidFrame | successor::Event::PredecessorExited)
             );
-            if tell.send(heard).is_err() || queue.send(Input::Notice(Notice::Done)).is_err() || last {
+            if tell.send(heard).is_err() || queue.send(Event::Control(ControlEvent::WakeUp)).is_err() || last
+            {
                 return;
             }
         };
@@ -227,15 +231,15 @@
         thread.spawn(hear).map(drop).map_err(|e| format!("takeover: {e}"))
     }
 
-    pub fn steer(&mut self, owner: &mut Owner<Log>, now: Timestamp) {
+    pub fn steer(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let mut effects = Vec::new();
         let machine_now = self.machine_now();
         while let Some(Ok(heard)) = self.heard.as_ref().map(Receiver::try_recv) {
             match heard {
-                Heard::Moved(moved) => owner.adopt(now, moved),
-                Heard::Member(member, stream) => owner.adopt_connection(now, member, stream),
+                Heard::Moved(moved) => event_loop.adopt(now, moved),
+                Heard::Member(member, stream) => event_loop.adopt_connection(now, member, stream),
                 Heard::Word(successor::Event::Message(HandoverMessage::CoServing(words))) => {
-                    let answer = bind(owner, now, &mut self.joint, &words);
+                    let answer = bind(event_loop, now, &mut self.joint, &words);
                     answer.iter().for_each(|m| self.say(m));
                 }
                 Heard::Word(input) => {
@@ -245,9 +249,9 @@
                     ) {
                         self.ended = true;
                         // Nothing of the former one is out any more.
-                        owner.share(now, false, false);
-                        owner.figures.open_from_beside = 0;
-                        log!(owner.observer, now, "upgrade", "the former process has left");
+                        event_loop.share(now, false, false);
+                        event_loop.metrics.open_from_beside = 0;
+                        log!(event_loop.observer, now, "upgrade", "the former process has left");
                     }
                     effects.extend(self.machine.on_event(machine_now, input));
                 }
@@ -259,7 +263,7 @@
         let given_up = self.witness.take_if(|w| !w.is_on());
         if given_up.is_some() {
             log!(
-                owner.observer,
+                event_loop.observer,
                 now,
                 "upgrade",
                 "the ledger is given up: the former process doesn't read it"
@@ -268,11 +272,11 @@
         for effect in effects {
             match effect {
                 successor::Action::Send(message) => self.say(&message),
-                successor::Action::StartAccepting => owner.pause(false),
+                successor::Action::StartAccepting => event_loop.pause(false),
                 successor::Action::Report(text) => {
                     let took = (machine_now - self.started).0 / 1000;
                     log!(
-                        owner.observer,
+                        event_loop.observer,
                         now,
                         "upgrade",
                         "{text}, {took} ms after this process began"
@@ -282,12 +286,12 @@
             }
         }
         if !self.ended {
-            let told = words(owner, &mut self.joint);
+            let told = words(event_loop, &mut self.joint);
             told.iter().for_each(|m| self.say(m));
         }
         // Whoever is proven, or alone, answers for its clients itself; not before the former one was told so.
         if self.machine.phase == successor::Phase::Serving {
-            self.witness.take().inspect(Witness::stop);
+            self.witness.take().inspect(IoJournalWriter::stop);
         }
     }
 
--- a/crates/driver/src/routing/turns.rs
+++ b/crates/driver/src/routing/coordination.rs
@@ -1,7 +1,7 @@
-//! What the owner keeps for turns among drivers and for what they know of members together: the rules stand in
+//! What the event loop keeps for turns among drivers and for what they know of members together: the rules stand in
 //! `asterlatch_coordination`, here they meet members' names, ticks and facts.
 
-use super::tables;
+use super::members;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::failure_consensus::{ConsensusSettings, FailureConsensus, LateReport};
 use asterlatch_coordination::fleet_size::FleetSize;
@@ -29,7 +29,7 @@
     name: String,
     life: u64,
     said: u64,
-    /// Members whose probes the module wants, by name, and when this driver last asked each for all.
+    /// MemberDirectory whose probes the module wants, by name, and when this driver last asked each for all.
     wanted: BTreeMap<String, Timestamp>,
 }
 
@@ -151,7 +151,7 @@
     ) -> (Option<Record>, Vec<(String, f64)>) {
         self.sums.expire(now);
         let drawn = shares.iter().filter_map(|(name, own)| {
-            let share = self.sums.blended_share(now, tables::key(name), *own)?;
+            let share = self.sums.blended_share(now, members::fleet_key(name), *own)?;
             Some((name.clone(), share))
         });
         let drawn: Vec<_> = drawn.collect();
@@ -159,7 +159,10 @@
             return (None, drawn);
         }
         self.tell_at = now + LOADS;
-        let of: BTreeMap<NameHash, f64> = shares.iter().map(|(name, s)| (tables::key(name), *s)).collect();
+        let of: BTreeMap<NameHash, f64> = shares
+            .iter()
+            .map(|(name, s)| (members::fleet_key(name), *s))
+            .collect();
         let told = self.sums.reportable(now, MOST_SHARES).into_iter();
         let told: Vec<_> = told
             .filter_map(|told| {
@@ -180,7 +183,7 @@
 
     /// Another driver's word on loads.
     pub fn load_told(&mut self, (driver, life): (&str, u64), shares: &[(u64, u8, u8)], said: Timestamp) {
-        let driver = tables::key(driver);
+        let driver = members::fleet_key(driver);
         for (member, share, answers) in shares {
             let report = ShareReport {
                 incarnation: life,
