--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -1,8 +1,8 @@
 //! What a driver is told at its start.
 
 use crate::protocol::endpoint_list::{self, EndpointList};
-use crate::protocol::statement_comment::hashed;
-use crate::routing::event_loop::Given;
+use crate::protocol::statement_comment::hash_id;
+use crate::routing::runtime_config::RuntimeConfig;
 use asterlatch::interface::Settings;
 use asterlatch_settings::{Decoding, Pairs};
 use serde_json::Value;
@@ -11,7 +11,7 @@
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    pub given: Given,
+    pub runtime: RuntimeConfig,
     pub seed: u64,
     pub known: Option<EndpointList>,
     pub settings: (Settings, Decoding),
@@ -25,7 +25,7 @@
 
 /// The seed is read as a hexadecimal number where it is one, and is hashed otherwise.
 fn seed(text: &str) -> u64 {
-    u64::from_str_radix(text, 16).unwrap_or_else(|_| hashed(text))
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_id(text))
 }
 
 /// Reads the file at `path`; the environment's words on name and addresses stand where the file has none.
@@ -54,7 +54,7 @@
         limit.unwrap_or(absent) as usize
     };
     let settings = value.get("settings").ok_or("no settings")?;
-    let settings_text = hashed(&settings.to_string());
+    let settings_text = hash_id(&settings.to_string());
     let settings = Pairs::from_json(settings).and_then(|pairs| asterlatch_settings::read(&pairs))?;
     if settings.0.workloads.is_empty() {
         return Err("the settings name no workload".to_owned());
@@ -62,10 +62,10 @@
     Ok(Config {
         name: text("name", "RELAY_NAME").unwrap_or_default(),
         listen: address("listen", "RELAY_LISTEN")?,
-        given: Given {
+        runtime: RuntimeConfig {
             discovery: address("discovery", "RELAY_DISCOVERY")?,
-            memory: limit("memory_mb", MEMORY_MB) * 1024 * 1024,
-            sockets: limit("sockets", SOCKETS),
+            max_memory: limit("memory_mb", MEMORY_MB) * 1024 * 1024,
+            max_descriptors: limit("sockets", SOCKETS),
         },
         seed: seed(value.get("seed").and_then(Value::as_str).unwrap_or_default()),
         known: value.get("known").and_then(endpoint_list::from_value),
