--- a/crates/driver/src/program/keeping.rs
+++ b/crates/driver/src/program/keeping.rs
@@ -1,7 +1,7 @@
 //! Writes the copy of what is shared to a disk, on a thread of its own: however slow that is, nobody waits for it but the
 //! next group of writes.
 
-use asterlatch_gossip::snapshot::Wish;
+use asterlatch_gossip::snapshot::WriteRequest;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::os::unix::fs::MetadataExt;
@@ -9,12 +9,12 @@
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 
 pub struct Job {
-    pub wish: Wish,
+    pub wish: WriteRequest,
     pub bytes: Vec<u8>,
     pub records: usize,
 }
 
-pub type Done = (Wish, usize, Result<(), String>);
+pub type Done = (WriteRequest, usize, Result<(), String>);
 
 /// The copy's file, and the one that is to take its place.
 const NAME: &str = "shared.log";
@@ -57,7 +57,7 @@
 
 fn carry_out(folder: &PathBuf, file: &mut Option<File>, job: &Job) -> io::Result<()> {
     match job.wish {
-        Wish::Append => {
+        WriteRequest::Append => {
             let file = file.as_mut().ok_or(io::ErrorKind::NotFound)?;
             if file.metadata()?.nlink() == 0 {
                 return Err(io::Error::other("the file was taken away"));
@@ -65,7 +65,7 @@
             file.write_all(&job.bytes)?;
             file.sync_data()
         }
-        Wish::Whole => {
+        WriteRequest::Rewrite => {
             *file = None;
             std::fs::create_dir_all(folder)?;
             let beside = folder.join(NEW);
--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -4,7 +4,7 @@
 use super::keeping;
 use super::sharing::written;
 use crate::transport::clock::Clock;
-use asterlatch_gossip::snapshot::{self, Fault};
+use asterlatch_gossip::snapshot::{self, SnapshotError};
 use asterlatch_recovery::report::{self, Report};
 use serde_json::{json, Value};
 use std::path::Path;
@@ -13,17 +13,17 @@
 fn look(folder: &Path, name: Option<&str>, clock: &Clock) -> Result<(Value, Report), String> {
     let bytes =
         keeping::read(folder)?.ok_or_else(|| format!("{}: nothing was ever kept there", folder.display()))?;
-    let whose = snapshot::whose(&bytes);
+    let whose = snapshot::read_owner(&bytes);
     let (fleet, own, life) = whose.clone().unwrap_or_default();
     let read = snapshot::read(&bytes, &fleet, name.unwrap_or(&own));
     let nothing_used = !matches!(
-        read.fault,
-        None | Some(Fault::Torn { .. } | Fault::Flipped { .. })
+        read.error,
+        None | Some(SnapshotError::Truncated { .. } | SnapshotError::Corrupted { .. })
     );
-    let (_, report) = report::sort(read.facts, clock.now());
+    let (_, report) = report::sort(read.records, clock.now());
     let copy = json!({
         "of": whose.map(|(_, name, _)| name), "life": life, "bytes": bytes.len(),
-        "fault": read.fault.map(|f| f.says()), "facts": report.facts, "of_use": report.used,
+        "fault": read.error.map(|f| f.says()), "facts": report.facts, "of_use": report.used,
         "nothing_used": nothing_used, "from_the_future": report.from_the_future,
     });
     Ok((copy, report))
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -13,11 +13,11 @@
 use asterlatch_config::meaning::{hash, Meaning};
 use asterlatch_coordination::lease::Claim;
 use asterlatch_gossip::codec::Dialect;
-use asterlatch_gossip::membership::Times;
-use asterlatch_gossip::node::{shown, Engine, Input, Output, Settings};
+use asterlatch_gossip::membership::MembershipTiming;
+use asterlatch_gossip::node::{shown, GossipNode, GossipSettings, NodeInput, NodeOutput};
 use asterlatch_gossip::record::Record;
-use asterlatch_gossip::snapshot::{self, Keeper, Told, Wish};
-use asterlatch_gossip::state::Book;
+use asterlatch_gossip::snapshot::{self, SnapshotSchedule, WriteRequest, WriteStatusChange};
+use asterlatch_gossip::state::ReplicatedState;
 use asterlatch_recovery::report;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -32,7 +32,7 @@
 pub struct Shares {
     port: u16,
     others: Vec<Other>,
-    settings: Settings,
+    settings: GossipSettings,
     terms: Terms,
     /// Between two writings; zero keeps nothing.
     keep: TimeSpan,
@@ -45,21 +45,21 @@
         let port = u16::try_from(amount("port")).ok().filter(|p| *p > 0)?;
         let others = drivers(registry(), meaning);
         let canonical = hash(&meaning.canonical(registry()));
-        let settings = Settings {
+        let settings = GossipSettings {
             fleet: String::new(),
             name: String::new(),
             peers: others.iter().map(|o| o.name.clone()).collect(),
-            tick: span("tick"),
+            gossip_interval: span("tick"),
             fanout: amount("fanout") as usize,
-            compare: span("compare"),
-            rate: amount("rate") as u64,
-            times: Times {
-                probe: span("probe"),
-                suspicion: span("suspicion"),
+            anti_entropy_interval: span("compare"),
+            bytes_per_second: amount("rate") as u64,
+            membership: MembershipTiming {
+                probe_interval: span("probe"),
+                suspicion_timeout: span("suspicion"),
             },
-            ask: span("ask"),
-            file: u64::from_str_radix(canonical.get(..16).unwrap_or_default(), 16).unwrap_or(0),
-            dialect: Dialect::Own,
+            inquiry_timeout: span("ask"),
+            operators_file: u64::from_str_radix(canonical.get(..16).unwrap_or_default(), 16).unwrap_or(0),
+            dialect: Dialect::Current,
         };
         let terms = Terms {
             tick: span("tick"),
@@ -153,13 +153,13 @@
     let addresses = shares.others.iter().map(|o| o.address).collect();
     let datagrams =
         Datagrams::bind(address, addresses).map_err(|e| format!("shared.port: {address}: {e}"))?;
-    let settings = Settings {
+    let settings = GossipSettings {
         // Drivers of other deployments, or with other settings, have nothing to tell this one.
         fleet: format!("{:016x}", config.settings_text),
         name: config.name.clone(),
         dialect: match std::env::var_os(LATER_WIRE) {
             Some(_) => Dialect::Later,
-            None => Dialect::Own,
+            None => Dialect::Current,
         },
         ..shares.settings.clone()
     };
@@ -172,7 +172,7 @@
     };
     let kept = folder.as_ref().map(|f| former(f, &settings)).unwrap_or_default();
     let life = now.0.max(kept.life.saturating_add(1));
-    let mut engine = Engine::new(settings, life, config.seed ^ now.0, now);
+    let mut engine = GossipNode::new(settings, life, config.seed ^ now.0, now);
     let lines = take_over(&mut engine, kept, now, folder.is_some());
     let (words, inbox) = channel();
     let line = Line {
@@ -217,15 +217,15 @@
 }
 
 /// What a former life of this driver has kept.
-fn former(folder: &Path, settings: &Settings) -> Former {
+fn former(folder: &Path, settings: &GossipSettings) -> Former {
     match keeping::read(folder) {
         Ok(None) => Former::default(),
         Ok(Some(bytes)) => {
             let read = snapshot::read(&bytes, &settings.fleet, &settings.name);
             Former {
-                facts: read.facts,
-                life: read.life,
-                fault: read.fault.map(|f| f.says()),
+                facts: read.records,
+                life: read.incarnation,
+                fault: read.error.map(|f| f.says()),
             }
         }
         Err(fault) => Former {
@@ -243,7 +243,7 @@
 }
 
 /// Begins with what was kept, as far as it is of use still; what is to be told of that.
-fn take_over(engine: &mut Engine, former: Former, now: Timestamp, keeps: bool) -> Vec<String> {
+fn take_over(engine: &mut GossipNode, former: Former, now: Timestamp, keeps: bool) -> Vec<String> {
     let (used, report) = report::sort(former.facts, now);
     let mut lines: Vec<String> = former.fault.into_iter().collect();
     if keeps {
@@ -258,10 +258,10 @@
 
 /// What keeps the copy.
 struct Keeping {
-    keeper: Keeper,
+    keeper: SnapshotSchedule,
     jobs: SyncSender<Job>,
     done: Receiver<keeping::Done>,
-    writer: Option<snapshot::Writer>,
+    writer: Option<snapshot::SnapshotEncoder>,
 }
 
 impl Keeping {
@@ -274,7 +274,7 @@
             sent
         };
         Ok(Keeping {
-            keeper: Keeper::new(now, every),
+            keeper: SnapshotSchedule::new(now, every),
             jobs: keeping::start(folder, told)?,
             done,
             writer: None,
@@ -282,37 +282,40 @@
     }
 
     /// Writes what is due, and says what became of what was.
-    fn steer(&mut self, engine: &mut Engine, now: Timestamp) -> Vec<String> {
+    fn steer(&mut self, engine: &mut GossipNode, now: Timestamp) -> Vec<String> {
         let mut lines = Vec::new();
         while let Ok((wish, records, result)) = self.done.try_recv() {
             if result.is_err() {
                 self.writer = None;
             }
-            match self.keeper.done(now, wish, records, result) {
-                Some(Told::Failing(why)) => {
+            match self.keeper.on_written(now, wish, records, result) {
+                Some(WriteStatusChange::Failing(why)) => {
                     lines.push(format!("nothing is kept until that is mended: {why}"))
                 }
-                Some(Told::Healed) => lines.push("the copy is kept again".to_owned()),
+                Some(WriteStatusChange::Recovered) => lines.push("the copy is kept again".to_owned()),
                 None => {}
             }
         }
         if engine.has_changed() {
-            self.keeper.changed();
+            self.keeper.mark_changed();
         }
-        let Some(wish) = self.keeper.wish(now) else {
+        let Some(wish) = self.keeper.next_request(now) else {
             return lines;
         };
         let changed = engine.take_changed();
         let (wish, mut bytes, facts) = match (wish, changed, &self.writer) {
-            (Wish::Append, Some(changed), Some(_)) => (Wish::Append, Vec::new(), changed),
+            (WriteRequest::Append, Some(changed), Some(_)) => (WriteRequest::Append, Vec::new(), changed),
             _ => {
                 let settings = engine.settings();
-                let (head, writer) =
-                    snapshot::Writer::begin(&settings.fleet, &settings.name, engine.peers.own().life);
+                let (head, writer) = snapshot::SnapshotEncoder::begin(
+                    &settings.fleet,
+                    &settings.name,
+                    engine.peers.own().incarnation,
+                );
                 self.writer = Some(writer);
-                let all = engine.book.all().filter(|e| e.fact.kind().outlives());
-                let all = all.map(|e| (e.fact.clone(), e.told));
-                (Wish::Whole, head, all.collect())
+                let all = engine.state.entries().filter(|e| e.record.kind().is_persistent());
+                let all = all.map(|e| (e.record.clone(), e.observed_at));
+                (WriteRequest::Rewrite, head, all.collect())
             }
         };
         if let Some(writer) = &mut self.writer {
@@ -331,7 +334,7 @@
     keeping: Option<Keeping>,
     /// What the owner is to say.
     lines: Vec<String>,
-    engine: Engine,
+    engine: GossipNode,
     datagrams: Datagrams,
     inbox: Receiver<ToEngine>,
     queue: Sender<OwnersInput>,
@@ -365,14 +368,14 @@
             let outputs = match self.datagrams.next(wait) {
                 Ok(Came::From(from, bytes)) => {
                     let now = self.clock.now();
-                    self.engine.take(now, Input::Datagram { from, bytes })
+                    self.engine.handle(now, NodeInput::Datagram { from, bytes })
                 }
                 Ok(Came::Foreign(_)) => {
                     self.foreign += 1;
                     Vec::new()
                 }
                 Ok(Came::Woken) => Vec::new(),
-                Ok(Came::Nothing) => self.engine.take(self.clock.now(), Input::Time),
+                Ok(Came::Nothing) => self.engine.handle(self.clock.now(), NodeInput::Tick),
                 // Without a socket nothing more comes; what the owner does goes on.
                 Err(_) => return,
             };
@@ -389,22 +392,22 @@
         }
     }
 
-    fn word(&mut self, word: ToEngine) -> Vec<Output> {
+    fn word(&mut self, word: ToEngine) -> Vec<NodeOutput> {
         let now = self.clock.now();
         match word {
             ToEngine::Show(show) => {
                 self.show(now, show);
                 Vec::new()
             }
-            ToEngine::Word(word) => self.engine.take(now, word),
+            ToEngine::Word(word) => self.engine.handle(now, word),
         }
     }
 
     /// Whether the owner is still there.
-    fn carry_out(&mut self, outputs: Vec<Output>) -> bool {
+    fn carry_out(&mut self, outputs: Vec<NodeOutput>) -> bool {
         for output in outputs {
             match output {
-                Output::Send { to, bytes } => self.failed += u64::from(!self.datagrams.send(to, &bytes)),
+                NodeOutput::Send { to, bytes } => self.failed += u64::from(!self.datagrams.send(to, &bytes)),
                 news => {
                     if self.queue.send(OwnersInput::Peers(News::Heard(news))).is_err() {
                         return false;
@@ -431,10 +434,13 @@
     fn status(&self, now: Timestamp) -> Value {
         let own = self.engine.peers.own();
         let told = |name: &str| {
-            let of = self.engine.book.all().map(|e| &e.fact);
+            let of = self.engine.state.entries().map(|e| &e.record);
             of.filter_map(|f| match f {
                 Record::Driver {
-                    name: n, list, file, ..
+                    name: n,
+                    list_version: list,
+                    operators_file: file,
+                    ..
                 } if n == name => Some((*list, format!("{file:016x}"))),
                 _ => None,
             })
@@ -452,46 +458,53 @@
                 "late_ms": late.0 / 1000, "caught_up": whole, "list": list, "file": file,
             })
         };
-        let is_whole = !self.engine.catchup.is_behind();
-        let mut rows = vec![row(&own.name, "this one", own.life, None, TimeSpan(0), is_whole)];
-        for p in self.engine.peers.all() {
-            let heard = p.heard.map(|at| now - at);
+        let is_whole = !self.engine.anti_entropy.is_behind();
+        let mut rows = vec![row(
+            &own.name,
+            "this one",
+            own.incarnation,
+            None,
+            TimeSpan(0),
+            is_whole,
+        )];
+        for p in self.engine.peers.peers() {
+            let heard = p.last_heard.map(|at| now - at);
             rows.push(row(
                 &p.name,
-                p.presence.name(),
-                p.life,
+                p.state.name(),
+                p.incarnation,
                 heard,
-                p.late,
+                p.delay,
                 p.caught_up,
             ));
         }
-        let c = &self.engine.counts;
+        let c = &self.engine.metrics;
         json!({
             "fleet": [{ "settings": self.engine.settings().fleet }],
             "drivers": rows,
             "counts": [{
                 "keeps": self.keeping.as_ref().map_or("nothing", |k| if k.keeper.is_failing() { "fails" } else { "well" }),
-                "facts": self.engine.book.len(), "datagrams_sent": c.datagrams_sent, "bytes_sent": c.bytes_sent,
-                "datagrams_heard": c.datagrams_heard, "bytes_heard": c.bytes_heard, "garbled": c.garbled,
-                "unknown_version": c.unknown_version, "passed_over": c.passed_over, "foreign": self.foreign,
-                "not_sent": self.failed, "facts_told": c.facts_told, "facts_heard": c.facts_heard,
-                "facts_new": c.facts_new, "facts_refused": c.facts_refused, "rounds": c.rounds,
+                "facts": self.engine.state.len(), "datagrams_sent": c.datagrams_sent, "bytes_sent": c.bytes_sent,
+                "datagrams_heard": c.datagrams_received, "bytes_heard": c.bytes_received, "garbled": c.malformed,
+                "unknown_version": c.unknown_version, "passed_over": c.ignored, "foreign": self.foreign,
+                "not_sent": self.failed, "facts_told": c.records_sent, "facts_heard": c.records_received,
+                "facts_new": c.records_new, "facts_refused": c.records_rejected, "rounds": c.rounds,
             }],
         })
     }
 
     fn facts(&self, now: Timestamp) -> Value {
-        let all = shown(&self.engine.book, now);
+        let all = shown(&self.engine.state, now);
         let rows = all.into_iter().map(|(key, fact, age)| {
             json!({ "kind": key.0.name(), "of": key.1, "told_ms_ago": age.0 / 1000, "says": says(&fact) })
         });
-        let digests = Book::digests(&self.engine.book);
+        let digests = ReplicatedState::digests(&self.engine.state);
         let mark = digests.iter().fold(0u64, |all, d| all.rotate_left(7) ^ d);
         json!({ "facts": rows.collect::<Vec<_>>(), "copy": [{ "mark": format!("{mark:016x}") }] })
     }
 
     fn differences(&self, now: Timestamp) -> Value {
-        let all = self.engine.book.quarrels.all();
+        let all = self.engine.state.conflicts.all();
         let rows = all.map(|q| {
             json!({
                 "what": q.kind.name(), "about": q.about, "one": q.sides.0, "other": q.sides.1,
@@ -513,18 +526,18 @@
             replica_at,
             ..
         } => format!("group {group}, at {position}, primary at {primary_at}, replica at {replica_at}, started {started_ms}"),
-        Record::Drain { list, standing, .. } => format!("{standing:?} by list {list}"),
-        Record::Cold {
-            work_us, carries_us, ..
+        Record::Drain { list_version: list, state: standing, .. } => format!("{standing:?} by list {list}"),
+        Record::WarmUp {
+            work_us, carried_us: carries_us, ..
         } => format!("{work_us} us of work, carries {carries_us} us a second"),
         Record::Session { position, .. } => format!("written at {position}"),
-        Record::Turn { claim, .. } => {
+        Record::Lease { claim, .. } => {
             let Claim { term, holder, said, end, .. } = claim;
             format!("{end:?} by {holder:016x}, term {term}, said {said} times")
         }
         Record::Load { shares, .. } => format!("shares of {} members", shares.len()),
-        Record::Late { before_us, .. } => format!("sent {} ms before", before_us / 1000),
-        Record::Driver { life, list, file, caught_up, .. } => {
+        Record::Unanswered { outstanding_us: before_us, .. } => format!("sent {} ms before", before_us / 1000),
+        Record::Driver { incarnation: life, list_version: list, operators_file: file, caught_up, .. } => {
             format!("life {life}, list {list}, file {file:016x}, caught up {caught_up}")
         }
     }
--- a/crates/driver/src/routing/owner/beside.rs
+++ b/crates/driver/src/routing/owner/beside.rs
@@ -39,7 +39,7 @@
         self.drains = Vec::new();
         if let Some(sharing) = self.sharing.as_mut().filter(|_| was_shared) {
             // What the other one sent is in no log here.
-            sharing.log.blank(now);
+            sharing.log.forget_past(now);
         }
         self.clients.share(is_shared);
         let results = self.module.set_peer_process(now, is_shared && leaves);
--- a/crates/driver/src/routing/owner/sharing.rs
+++ b/crates/driver/src/routing/owner/sharing.rs
@@ -8,15 +8,15 @@
 use crate::routing::tables;
 use asterlatch::interface::*;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::codec::Question;
-use asterlatch_gossip::in_doubt::{Known, Verdict, FOREVER};
-use asterlatch_gossip::membership::Presence;
-use asterlatch_gossip::node::Output;
-use asterlatch_gossip::record::{Record, Standing as Listed};
+use asterlatch_gossip::codec::InquiryId;
+use asterlatch_gossip::in_doubt::{DispatchStatus, InquiryOutcome, UNBOUNDED_AGE};
+use asterlatch_gossip::membership::PeerState;
+use asterlatch_gossip::node::NodeOutput;
+use asterlatch_gossip::record::{ListedState as Listed, Record};
 
 /// An attempt of which neither time nor member are known.
 const UNKNOWN_ATTEMPT: PriorAttempt = PriorAttempt {
-    age: FOREVER,
+    age: UNBOUNDED_AGE,
     member: 0,
 };
 
@@ -48,7 +48,7 @@
         let Some(sharing) = &mut self.sharing else { return };
         let members = &self.members;
         sharing.reach(now, |m| members.told_as(m));
-        let due = sharing.inquiries.due(now);
+        let due = sharing.inquiries.take_timed_out(now);
         let turns = sharing.turns_at.take_if(|at| *at <= now).is_some();
         if sharing.cold_at.take_if(|at| *at <= now).is_some() {
             self.share_cold(now);
@@ -78,20 +78,20 @@
             })
             .collect();
         let names: Vec<String> = cold.iter().map(|(_, (name, ..), ..)| name.clone()).collect();
-        sharing.cold.keep(&names);
+        sharing.cold.retain(&names);
         let (mut facts, mut shares) = (Vec::new(), Vec::new());
         for (id, (name, started_ms, _), warmth, carries) in cold {
             let known = (name.as_str(), started_ms);
-            let (share, sum) = sharing.cold.share(now, known, (warmth, carries), &there);
+            let (share, sum) = sharing.cold.budget(now, known, (warmth, carries), &there);
             shares.extend(share.map(|work| (id, work)));
-            let fact = Record::Cold {
+            let fact = Record::WarmUp {
                 member: name,
                 started_ms,
                 driver: own.clone(),
-                life,
-                said: sum.said,
+                incarnation: life,
+                sequence: sum.sequence,
                 work_us: sum.work_us,
-                carries_us: sum.carries_us,
+                carried_us: sum.carried_us,
             };
             facts.push((fact, TimeSpan(0)));
         }
@@ -116,8 +116,12 @@
             return;
         };
         let work = self.module.typical_latency(workload);
-        if let Some(name) = self.members.name(member).filter(|n| sharing.cold.is_cold(n)) {
-            sharing.cold.sends(now, name, work);
+        if let Some(name) = self
+            .members
+            .name(member)
+            .filter(|n| sharing.cold.is_warming_up(n))
+        {
+            sharing.cold.on_dispatch(now, name, work);
         }
         let out = Out {
             name,
@@ -127,7 +131,7 @@
         };
         if out.harmful {
             let member = self.members.name(member).unwrap_or_default();
-            sharing.log.sends(now, name, member);
+            sharing.log.on_dispatch(now, name, member);
         }
         if out.harmful || out.writes {
             sharing.out.insert((stmt, number), out);
@@ -163,7 +167,7 @@
             return;
         };
         if out.harmful && endings::never_ran(ending) {
-            sharing.log.untouched(out.name);
+            sharing.log.on_not_executed(out.name);
         }
         if let (true, true, Some(position)) = (
             out.writes,
@@ -181,7 +185,7 @@
         let Some(sharing) = &mut self.sharing else { return };
         if sharing.list != list {
             sharing.list = list;
-            (sharing.tell)(Word::List(list));
+            (sharing.tell)(Word::ListVersion(list));
         }
         for e in entries {
             let standing = match e.state {
@@ -217,20 +221,20 @@
         let Some(sharing) = self.sharing.as_mut().filter(|_| harmful) else {
             return Some(taken);
         };
-        if sharing.log.is_given(name) {
+        if sharing.log.is_given_up(name) {
             // Another driver was told that it won't be sent from here.
             self.figures.statements_given_away += 1;
             return with_prior_attempt(UNKNOWN_ATTEMPT);
         }
-        match sharing.log.known(now, name) {
+        match sharing.log.status(now, name) {
             // Also where it isn't marked: the first may be read behind its repeat.
-            Known::Sent { ago, member } => {
+            DispatchStatus::Dispatched { ago, member } => {
                 let member = self.members.find(&member);
                 return with_prior_attempt(prior_attempt(ago, member));
             }
             _ if !repeat => return Some(taken),
-            Known::Unknown => return with_prior_attempt(UNKNOWN_ATTEMPT),
-            Known::Untouched => {}
+            DispatchStatus::Unknown => return with_prior_attempt(UNKNOWN_ATTEMPT),
+            DispatchStatus::NotExecuted => {}
         }
         // No more of a statement's time than leaves enough of it.
         let within = sharing.terms.ask.min(taken.time_left * 0.3);
@@ -247,29 +251,32 @@
                         times_out,
                     },
                 );
-                (sharing.tell)(Word::Ask(Question { id: name, turn }));
+                (sharing.tell)(Word::StartInquiry(InquiryId {
+                    id: name,
+                    sequence: turn,
+                }));
                 None
             }
         }
     }
 
     /// What others know of a statement that waited for it is known now.
-    fn decided(&mut self, now: Timestamp, name: u64, verdict: Verdict) {
+    fn decided(&mut self, now: Timestamp, name: u64, verdict: InquiryOutcome) {
         let Some(sharing) = &mut self.sharing else { return };
         let Some(parked) = sharing.parked.remove(&name) else {
             return;
         };
-        (sharing.tell)(Word::Asked(Question {
+        (sharing.tell)(Word::EndInquiry(InquiryId {
             id: name,
-            turn: parked.turn,
+            sequence: parked.turn,
         }));
         // Its client may have gone.
         if !self.statements.holds(parked.taken.id) {
             return;
         }
         let prior = match verdict {
-            Verdict::Untouched => None,
-            Verdict::Sent { ago, member } => {
+            InquiryOutcome::NotExecuted => None,
+            InquiryOutcome::MayHaveExecuted { ago, member } => {
                 self.figures.inquiries_in_doubt += 1;
                 let member = member.and_then(|m| self.members.find(&m));
                 Some(prior_attempt(ago, member))
@@ -286,25 +293,25 @@
     }
 
     /// A peer asks about a statement: whatever of it waits here is given away first.
-    fn questioned(&mut self, now: Timestamp, from: usize, question: Question) {
+    fn questioned(&mut self, now: Timestamp, from: usize, question: InquiryId) {
         let Some(sharing) = &mut self.sharing else { return };
         // Of what the process beside this one sends nothing is known here.
         let known = match self.is_shared {
-            true => Known::Unknown,
-            false => sharing.log.known(now, question.id),
+            true => DispatchStatus::Unknown,
+            false => sharing.log.status(now, question.id),
         };
-        if known == Known::Untouched {
-            sharing.log.give_away(now, question.id);
-            sharing.inquiries.end(question.id);
+        if known == DispatchStatus::NotExecuted {
+            sharing.log.give_up(now, question.id);
+            sharing.inquiries.cancel(question.id);
             sharing.parked.remove(&question.id);
         }
-        (sharing.tell)(Word::Answer {
+        (sharing.tell)(Word::ReplyToInquiry {
             to: from,
-            question,
-            known: known.clone(),
+            inquiry: question,
+            status: known.clone(),
         });
         let open = self.statements.named(question.id);
-        let Some(stmt) = open.filter(|_| known == Known::Untouched) else {
+        let Some(stmt) = open.filter(|_| known == DispatchStatus::NotExecuted) else {
             return;
         };
         self.figures.statements_given_away += 1;
@@ -324,49 +331,52 @@
             News::Line(line) => return self.observer.say(now, "fleet", format_args!("{line}")),
         };
         match heard {
-            Output::News(fact, told) => {
+            NodeOutput::RecordLearned(fact, told) => {
                 self.figures.facts_from_others += 1;
                 self.fact(now, &fact, told);
             }
-            Output::Question { from, question } => self.questioned(now, from, question),
-            Output::Answered {
+            NodeOutput::InquiryReceived {
                 from,
-                question,
-                known,
+                inquiry: question,
+            } => self.questioned(now, from, question),
+            NodeOutput::InquiryReplied {
+                from,
+                inquiry: question,
+                status: known,
             } => {
                 let Some(sharing) = &mut self.sharing else { return };
-                let (id, turn) = (question.id, question.turn);
-                if let Some(verdict) = sharing.inquiries.answered(id, turn, from, &known) {
+                let (id, turn) = (question.id, question.sequence);
+                if let Some(verdict) = sharing.inquiries.on_reply(id, turn, from, &known) {
                     self.decided(now, id, verdict);
                 }
             }
-            Output::Presence(change) => {
+            NodeOutput::PeerStateChanged(change) => {
                 let Some(sharing) = &mut self.sharing else { return };
                 match change.to {
-                    Presence::There | Presence::Suspected => drop(sharing.there.insert(change.peer)),
-                    Presence::Gone | Presence::Unheard => drop(sharing.there.remove(&change.peer)),
+                    PeerState::Alive | PeerState::Suspect => drop(sharing.there.insert(change.peer)),
+                    PeerState::Down | PeerState::NeverHeard => drop(sharing.there.remove(&change.peer)),
                 }
                 self.count_peers(now);
                 let Some(sharing) = &self.sharing else { return };
                 let (to, from) = (change.to.name(), change.from.name());
                 let name = sharing.names.get(change.peer).map_or("", String::as_str);
-                if change.to == Presence::Gone {
+                if change.to == PeerState::Down {
                     self.figures.peers_lost += 1;
                 }
                 let text = format_args!("driver {name} is {to}, was {from}");
                 self.observer.say(now, "fleet", text);
             }
-            Output::CaughtUp(whole) => {
+            NodeOutput::CaughtUp(whole) => {
                 let text = if whole { "caught up" } else { "behind: it was away" };
                 self.observer.say(now, "fleet", format_args!("{text}"));
             }
-            Output::CutOff { peer, why } => {
+            NodeOutput::PeerIgnored { peer, reason: why } => {
                 let Some(sharing) = &self.sharing else { return };
                 let name = sharing.names.get(peer).map_or("", String::as_str);
                 let text = format_args!("driver {name} is not listened to: {why}");
                 self.observer.say(now, "fleet", text);
             }
-            Output::Send { .. } => {}
+            NodeOutput::Send { .. } => {}
         }
     }
 
@@ -404,8 +414,8 @@
             Record::Drain {
                 name,
                 started_ms,
-                list,
-                standing,
+                list_version: list,
+                state: standing,
             } => {
                 let newest = self.sharing.as_ref().map_or(0, |s| s.list);
                 // An older list than this driver's own binds nothing; of its own version the worse word does.
@@ -428,34 +438,37 @@
                     self.module.on_session_position(*session, position);
                 }
             }
-            Record::Cold {
+            Record::WarmUp {
                 member,
                 started_ms,
                 driver,
-                life,
+                incarnation: life,
                 work_us,
-                carries_us,
+                carried_us: carries_us,
                 ..
             } => {
                 let is_known = self.members.find(member).is_some();
                 if let Some(sharing) = self.sharing.as_mut().filter(|_| is_known) {
                     let cold = &mut sharing.cold;
-                    cold.told(told, member, *started_ms, driver, *life, *work_us, *carries_us);
+                    cold.on_peer_report(told, member, *started_ms, driver, *life, *work_us, *carries_us);
                 }
             }
-            Record::Turn { subject, claim } => {
+            Record::Lease { subject, claim } => {
                 if let Some(sharing) = &mut self.sharing {
                     sharing.turns.leases.told(now, subject, *claim, now - told);
                 }
             }
-            Record::Late {
+            Record::Unanswered {
                 member,
                 driver,
-                before_us,
+                outstanding_us: before_us,
                 ..
             } => self.late_elsewhere(member, driver, told - TimeSpan(*before_us), told),
             Record::Load {
-                driver, life, shares, ..
+                driver,
+                incarnation: life,
+                shares,
+                ..
             } => {
                 if let Some(sharing) = &mut self.sharing {
                     sharing.turns.load_told((driver, *life), shares, told);
--- a/crates/driver/src/routing/sharing.rs
+++ b/crates/driver/src/routing/sharing.rs
@@ -5,18 +5,18 @@
 use super::turns::Turns;
 use asterlatch::interface::{ReplicaStatus, Statement};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::in_doubt::{Inquiries, Log};
-use asterlatch_gossip::node::{Input, Output};
-use asterlatch_gossip::record::{Record, Standing};
-use asterlatch_gossip::slow_start::{self, Cold};
+use asterlatch_gossip::in_doubt::{DispatchLog, Inquiries};
+use asterlatch_gossip::node::{NodeInput, NodeOutput};
+use asterlatch_gossip::record::{ListedState, Record};
+use asterlatch_gossip::slow_start::{self, WarmUpBudgets};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// To the engine: what it takes, as far as the owner says it.
-pub type Word = Input<'static>;
+pub type Word = NodeInput<'static>;
 
 /// From the engine.
 pub enum News {
-    Heard(Output),
+    Heard(NodeOutput),
     /// For the log.
     Line(String),
 }
@@ -69,7 +69,7 @@
     /// Who is to be asked about statements, and what all are called.
     pub asked: Vec<usize>,
     pub names: Vec<String>,
-    pub log: Log,
+    pub log: DispatchLog,
     pub inquiries: Inquiries,
     pub parked: BTreeMap<u64, Parked>,
     /// Executions that are out, by statement and number.
@@ -77,7 +77,7 @@
     /// The version of the list in force.
     pub list: u64,
     /// What all send to cold members, and when their shares are reckoned next.
-    pub cold: Cold,
+    pub cold: WarmUpBudgets,
     pub cold_at: Option<Timestamp>,
     /// Drivers that are there, by number.
     pub there: BTreeSet<usize>,
@@ -117,15 +117,15 @@
             terms,
             asked,
             names,
-            log: Log::new(now, terms.window, terms.most, true),
+            log: DispatchLog::new(now, terms.window, terms.most, true),
             inquiries: Inquiries::default(),
             parked: BTreeMap::new(),
             out: BTreeMap::new(),
             list: 0,
-            cold: Cold::new(slow_start::Terms {
-                span: terms.fall_span,
-                multiple: terms.fall_multiple,
-                tick: terms.tick,
+            cold: WarmUpBudgets::new(slow_start::WarmUpRules {
+                window: terms.fall_span,
+                overload_multiple: terms.fall_multiple,
+                report_interval: terms.tick,
             }),
             cold_at: Some(now),
             there: BTreeSet::new(),
@@ -179,9 +179,9 @@
     }
 
     /// How the list calls a member. One that is ready is told of only where others may hold it for draining.
-    pub fn listed(&mut self, name: &str, started_ms: u64, standing: Standing) {
+    pub fn listed(&mut self, name: &str, started_ms: u64, standing: ListedState) {
         let was_drained = match standing {
-            Standing::Ready => self.drained.remove(name),
+            ListedState::Ready => self.drained.remove(name),
             _ => {
                 self.drained.insert(name.to_owned());
                 true
@@ -193,8 +193,8 @@
         let fact = Record::Drain {
             name: name.to_owned(),
             started_ms,
-            list: self.list,
-            standing,
+            list_version: self.list,
+            state: standing,
         };
         // Drains wait for nothing.
         (self.tell)(Word::Observed(vec![(fact, TimeSpan(0))]));
--- a/crates/driver/src/routing/turns.rs
+++ b/crates/driver/src/routing/turns.rs
@@ -8,7 +8,7 @@
 use asterlatch_coordination::lease::{End, Leases, Stand, Terms};
 use asterlatch_coordination::load_aggregate::{self, Sums};
 use asterlatch_coordination::Key;
-use asterlatch_gossip::record::{Record, MOST_SHARES};
+use asterlatch_gossip::record::{Record, MAX_LOAD_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The holder of a turn asks a lost member this often; alone each driver asks it the more rarely the more there are.
@@ -88,7 +88,7 @@
         wants: impl Fn(&str) -> bool,
     ) -> (Vec<(Record, TimeSpan)>, Vec<String>) {
         let (mut facts, mut ask) = (Vec::new(), Vec::new());
-        let turn = |subject, claim| (Record::Turn { subject, claim }, TimeSpan(0));
+        let turn = |subject, claim| (Record::Lease { subject, claim }, TimeSpan(0));
         let over: Vec<String> = self.wanted.keys().filter(|m| !wants(m)).cloned().collect();
         for member in over {
             self.wanted.remove(&member);
@@ -118,12 +118,12 @@
         for (member, sent) in late {
             self.silence.late(member, self.own, *sent, now);
             self.said += 1;
-            let fact = Record::Late {
+            let fact = Record::Unanswered {
                 member: member.clone(),
                 driver: self.name.clone(),
-                life: self.life,
-                said: self.said,
-                before_us: (now - *sent).0,
+                incarnation: self.life,
+                sequence: self.said,
+                outstanding_us: (now - *sent).0,
             };
             facts.push((fact, TimeSpan(0)));
         }
@@ -148,15 +148,15 @@
         }
         self.tell_at = now + LOADS;
         let of: BTreeMap<Key, f64> = shares.iter().map(|(name, s)| (tables::key(name), *s)).collect();
-        let told = self.sums.tellable(now, MOST_SHARES).into_iter();
+        let told = self.sums.tellable(now, MAX_LOAD_SHARES).into_iter();
         let told: Vec<_> = told
             .filter_map(|(key, answers)| Some((key, (of.get(&key)? * 200.0) as u8, (answers * 10.0) as u8)))
             .collect();
         self.said += 1;
         let fact = Record::Load {
             driver: self.name.clone(),
-            life: self.life,
-            said: self.said,
+            incarnation: self.life,
+            sequence: self.said,
             shares: told,
         };
         let tells = matches!(&fact, Record::Load { shares, .. } if !shares.is_empty());
--- a/crates/driver/tests/kept.rs
+++ b/crates/driver/tests/kept.rs
@@ -2,8 +2,8 @@
 
 mod stand;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Record, Standing};
-use asterlatch_gossip::snapshot::Writer;
+use asterlatch_gossip::record::{ListedState, Record};
+use asterlatch_gossip::snapshot::SnapshotEncoder;
 use rustix::process::{Pid, Resource, Rlimit};
 use stand::*;
 use std::net::UdpSocket;
@@ -86,7 +86,7 @@
 
     fn facts_on_disk(&self) -> usize {
         let read = asterlatch_gossip::snapshot::read(&self.bytes(), &self.fleet(), "t");
-        read.facts.len()
+        read.records.len()
     }
 
     fn ask(&self, id: u32) -> String {
@@ -166,11 +166,11 @@
     let drain = |n: u64| Record::Drain {
         name: format!("m{n}"),
         started_ms: 0,
-        list: n,
-        standing: Standing::Draining,
+        list_version: n,
+        state: ListedState::Draining,
     };
     let written = |name: &str, at: Timestamp| {
-        let (mut bytes, mut writer) = Writer::begin(&fleet, name, 5);
+        let (mut bytes, mut writer) = SnapshotEncoder::begin(&fleet, name, 5);
         (0..3).for_each(|n| writer.put(&mut bytes, &drain(n), at));
         bytes
     };
--- a/crates/driver/tests/versions.rs
+++ b/crates/driver/tests/versions.rs
@@ -3,11 +3,11 @@
 
 mod stand;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::codec::Question;
-use asterlatch_gossip::in_doubt::Known;
-use asterlatch_gossip::membership::{Presence, Times};
-use asterlatch_gossip::node::{Engine, Input, Output, Settings};
-use asterlatch_gossip::record::{Record, Standing};
+use asterlatch_gossip::codec::InquiryId;
+use asterlatch_gossip::in_doubt::DispatchStatus;
+use asterlatch_gossip::membership::{MembershipTiming, PeerState};
+use asterlatch_gossip::node::{GossipNode, GossipSettings, NodeInput, NodeOutput};
+use asterlatch_gossip::record::{ListedState, Record};
 use stand::*;
 use std::net::UdpSocket;
 use std::process::Command;
@@ -26,8 +26,8 @@
 
 struct Beside {
     /// What was answered to its questions.
-    answers: Vec<Known>,
-    engine: Engine,
+    answers: Vec<DispatchStatus>,
+    engine: GossipNode,
     socket: UdpSocket,
     began: Instant,
     version: u8,
@@ -40,22 +40,22 @@
         Timestamp(1_000_000 + self.began.elapsed().as_micros() as u64)
     }
 
-    fn give(&mut self, input: Input) {
+    fn give(&mut self, input: NodeInput) {
         let now = self.now();
-        for output in self.engine.take(now, input) {
+        for output in self.engine.handle(now, input) {
             match output {
-                Output::Send { bytes, .. } => {
+                NodeOutput::Send { bytes, .. } => {
                     let bytes = of_version(&self.fleet, &bytes, self.version);
                     let _ = self.socket.send(&bytes);
                 }
-                Output::Answered { known, .. } => self.answers.push(known),
+                NodeOutput::InquiryReplied { status: known, .. } => self.answers.push(known),
                 _ => {}
             }
         }
     }
 
     /// Goes on until that holds; whether it did in time.
-    fn until(&mut self, within: Duration, mut holds: impl FnMut(&Engine) -> bool) -> bool {
+    fn until(&mut self, within: Duration, mut holds: impl FnMut(&GossipNode) -> bool) -> bool {
         let end = Instant::now() + within;
         let mut buffer = [0; 2048];
         while Instant::now() < end {
@@ -63,11 +63,11 @@
                 return true;
             }
             match self.socket.recv(&mut buffer) {
-                Ok(length) => self.give(Input::Datagram {
+                Ok(length) => self.give(NodeInput::Datagram {
                     from: 0,
                     bytes: &buffer[..length],
                 }),
-                Err(_) => self.give(Input::Time),
+                Err(_) => self.give(NodeInput::Tick),
             }
         }
         false
@@ -110,25 +110,25 @@
         .as_str()
         .expect("is told")
         .to_owned();
-    let settings = Settings {
+    let settings = GossipSettings {
         fleet: fleet.clone(),
         name: "later".to_owned(),
         peers: vec!["t".to_owned()],
-        tick: TimeSpan::millis(20),
+        gossip_interval: TimeSpan::millis(20),
         fanout: 3,
-        compare: TimeSpan::millis(200),
-        rate: 256 * 1024,
-        times: Times {
-            probe: TimeSpan::millis(100),
-            suspicion: TimeSpan::millis(500),
+        anti_entropy_interval: TimeSpan::millis(200),
+        bytes_per_second: 256 * 1024,
+        membership: MembershipTiming {
+            probe_interval: TimeSpan::millis(100),
+            suspicion_timeout: TimeSpan::millis(500),
         },
-        ask: TimeSpan::millis(100),
-        file: 0,
+        inquiry_timeout: TimeSpan::millis(100),
+        operators_file: 0,
         dialect: Default::default(),
     };
     let beside = Beside {
         answers: Vec::new(),
-        engine: Engine::new(settings, 5, 1, Timestamp(1_000_000)),
+        engine: GossipNode::new(settings, 5, 1, Timestamp(1_000_000)),
         socket,
         began: Instant::now(),
         version,
@@ -140,26 +140,26 @@
 #[test]
 fn a_later_version_is_understood_as_far_as_both_go() {
     let (folder, operated, _member, mut later) = beside("next", 2, "");
-    let there = |e: &Engine| e.peers.all()[0].presence == Presence::There && !e.catchup.is_behind();
+    let there = |e: &GossipNode| e.peers.peers()[0].state == PeerState::Alive && !e.anti_entropy.is_behind();
     assert!(later.until(PATIENCE, there), "it finds this one");
     operated.told("fleet: driver later is there, was unheard");
     // What this one's member said of itself comes over.
-    let member = |e: &Engine| {
-        e.book
-            .all()
-            .any(|e| matches!(&e.fact, Record::Member { name, .. } if name == "m"))
+    let member = |e: &GossipNode| {
+        e.state
+            .entries()
+            .any(|e| matches!(&e.record, Record::Member { name, .. } if name == "m"))
     };
     assert!(later.until(PATIENCE, member));
     // And what the later one tells is known here.
     let drain = Record::Drain {
         name: "m9".to_owned(),
         started_ms: 0,
-        list: 3,
-        standing: Standing::Draining,
+        list_version: 3,
+        state: ListedState::Draining,
     };
-    later.give(Input::Observed(vec![(drain, TimeSpan(0))]));
+    later.give(NodeInput::Observed(vec![(drain, TimeSpan(0))]));
     let control = folder.path("control");
-    let mut known = |_: &Engine| show(&control, "facts").to_string().contains("m9");
+    let mut known = |_: &GossipNode| show(&control, "facts").to_string().contains("m9");
     assert!(later.until(PATIENCE, &mut known));
     let counts = &show(&control, "status")["counts"][0];
     assert_eq!(
@@ -173,7 +173,8 @@
 fn a_version_that_is_not_understood_is_passed_over() {
     let (folder, _operated, _member, mut older) = beside("old", 0, "");
     let control = folder.path("control");
-    let counted = |_: &Engine| show(&control, "status")["counts"][0]["unknown_version"].as_u64() > Some(3);
+    let counted =
+        |_: &GossipNode| show(&control, "status")["counts"][0]["unknown_version"].as_u64() > Some(3);
     assert!(older.until(PATIENCE, counted));
     let status = show(&control, "status");
     assert_eq!(status["drivers"][1]["presence"], "unheard");
@@ -181,9 +182,12 @@
 
 impl Beside {
     /// What the process says of a statement.
-    fn asks(&mut self, id: u64) -> Known {
+    fn asks(&mut self, id: u64) -> DispatchStatus {
         self.answers.clear();
-        self.give(Input::Ask(Question { id, turn: id as u32 }));
+        self.give(NodeInput::StartInquiry(InquiryId {
+            id,
+            sequence: id as u32,
+        }));
         let end = Instant::now() + PATIENCE;
         while self.answers.is_empty() && Instant::now() < end {
             self.until(Duration::from_millis(10), |_| false);
@@ -208,14 +212,14 @@
     let times = "\nupgrade(hello = 5s, ready = 5s, probation = 10min, beat = 50ms, silence = 2s";
     let more = format!(", window = 1s){times}");
     let (folder, operated, _member, mut other) = beside("upgrade", 1, &more);
-    let there = |e: &Engine| e.peers.all()[0].presence == Presence::There;
+    let there = |e: &GossipNode| e.peers.peers()[0].state == PeerState::Alive;
     assert!(other.until(PATIENCE, there));
     // Its former life may have sent anything within the window.
     let mut id = 100;
-    while other.asks(id) == Known::Unknown {
+    while other.asks(id) == DispatchStatus::Unknown {
         id += 1;
     }
-    assert_eq!(other.asks(1), Known::Untouched);
+    assert_eq!(other.asks(1), DispatchStatus::NotExecuted);
     let control = folder.path("control");
     let mut asking = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
         .args([
@@ -238,7 +242,7 @@
     operated.told("the new process could serve and is told to");
     assert_eq!(
         other.asks(2),
-        Known::Unknown,
+        DispatchStatus::Unknown,
         "the other process may have sent it"
     );
     let mut client = operated.program.client();
@@ -254,14 +258,18 @@
     drop(new);
     operated.told("upgrade: failed, this process serves on");
     let _ = asking.wait();
-    assert_eq!(other.asks(3), Known::Unknown, "the dead one may have sent it");
+    assert_eq!(
+        other.asks(3),
+        DispatchStatus::Unknown,
+        "the dead one may have sent it"
+    );
     let mut id = 1000;
-    while other.asks(id) == Known::Unknown {
+    while other.asks(id) == DispatchStatus::Unknown {
         id += 1;
     }
     assert_eq!(
         other.asks(4),
-        Known::Untouched,
+        DispatchStatus::NotExecuted,
         "nothing of that can be repeated any more"
     );
 }
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -2,7 +2,7 @@
 //! doesn't know are passed over, so that two versions understand each other as far as both go. A hash over everything,
 //! begun with the fleet's name, tells garbled ones and those of another fleet.
 
-use crate::record::{Record, KINDS};
+use crate::record::{Record, ALL_KINDS};
 use asterlatch::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -10,35 +10,35 @@
 /// Of the head. Items need none: a kind is never used for anything else.
 pub const VERSION: u8 = 1;
 /// The least version that is still understood.
-pub const LEAST: u8 = 1;
+pub const MIN_VERSION: u8 = 1;
 /// A datagram that every network takes whole.
-pub const LONGEST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct DatagramHeader {
     pub name: String,
-    pub life: u64,
+    pub incarnation: u64,
     /// By the sender's own clock, which means nothing but against itself.
     pub sent: Timestamp,
-    /// The latest life in which the sender knows the receiver.
-    pub knows_you: u64,
+    /// The latest incarnation in which the sender knows the receiver.
+    pub known_incarnation: u64,
     pub caught_up: bool,
 }
 
 /// Which statement is asked about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Question {
+pub struct InquiryId {
     pub id: u64,
-    /// Tells a repeated question of one id from the former.
-    pub turn: u32,
+    /// Tells a repeated inquiry of one id from the former.
+    pub sequence: u32,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Item {
+pub enum Message {
     /// A message of the membership library.
-    Presence(Vec<u8>),
-    /// A fact, and how long ago it was told.
-    Fact(Record, TimeSpan),
+    Membership(Vec<u8>),
+    /// A record, and how long ago it was told.
+    Record(Record, TimeSpan),
     /// What the sender's copy comes to, by range.
     Digest {
         round: u32,
@@ -46,7 +46,7 @@
     },
     /// What a range holds in the sender's copy: hashes of keys and of wholes, cut short. `upto` is the hash up to which
     /// this part of the range goes.
-    Keys {
+    RangeHashes {
         round: u32,
         range: u8,
         from: u64,
@@ -54,35 +54,35 @@
         pairs: Vec<(u32, u32)>,
     },
     /// Entries that the sender lacks, by their keys' hashes.
-    Want {
+    RangeRequest {
         round: u32,
         range: u8,
         keys: Vec<u32>,
     },
     /// All hashes of this round were sent, in so many parts, or all that a wish asked for.
-    Done {
+    RoundComplete {
         round: u32,
         parts: Option<u32>,
     },
-    Ask(Question),
-    Answer(Question, crate::in_doubt::Known),
+    Inquiry(InquiryId),
+    InquiryReply(InquiryId, crate::in_doubt::DispatchStatus),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum DecodeError {
     /// Neither this program's nor whole, or of another fleet.
-    Garbled,
+    Malformed,
     /// Of a version that isn't understood any more, or not yet.
-    Version(u8),
+    UnsupportedVersion(u8),
 }
 
-const PRESENCE: u8 = 1;
+const MEMBERSHIP: u8 = 1;
 const DIGEST: u8 = 2;
-const KEYS: u8 = 3;
-const WANT: u8 = 4;
-const DONE: u8 = 5;
-const ASK: u8 = 6;
-const ANSWER: u8 = 7;
+const RANGE_HASHES: u8 = 3;
+const RANGE_REQUEST: u8 = 4;
+const ROUND_COMPLETE: u8 = 5;
+const INQUIRY: u8 = 6;
+const INQUIRY_REPLY: u8 = 7;
 
 fn body<T: Serialize>(value: &T) -> Vec<u8> {
     // Everything here can be written.
@@ -94,39 +94,39 @@
     postcard::take_from_bytes(bytes).ok().map(|(value, _)| value)
 }
 
-impl Item {
+impl Message {
     pub fn bytes(&self) -> Vec<u8> {
         let (kind, body) = match self {
-            Item::Presence(data) => (PRESENCE, data.clone()),
-            Item::Fact(fact, age) => (fact.kind().number(), body(&(age, fact))),
-            Item::Digest { round, ranges } => (DIGEST, body(&(round, ranges))),
-            Item::Keys {
+            Message::Membership(data) => (MEMBERSHIP, data.clone()),
+            Message::Record(record, age) => (record.kind().wire_number(), body(&(age, record))),
+            Message::Digest { round, ranges } => (DIGEST, body(&(round, ranges))),
+            Message::RangeHashes {
                 round,
                 range,
                 from,
                 upto,
                 pairs,
-            } => (KEYS, body(&(round, range, from, upto, pairs))),
-            Item::Want { round, range, keys } => (WANT, body(&(round, range, keys))),
-            Item::Done { round, parts } => (DONE, body(&(round, parts))),
-            Item::Ask(question) => (ASK, body(question)),
-            Item::Answer(question, known) => (ANSWER, body(&(question, known))),
+            } => (RANGE_HASHES, body(&(round, range, from, upto, pairs))),
+            Message::RangeRequest { round, range, keys } => (RANGE_REQUEST, body(&(round, range, keys))),
+            Message::RoundComplete { round, parts } => (ROUND_COMPLETE, body(&(round, parts))),
+            Message::Inquiry(inquiry) => (INQUIRY, body(inquiry)),
+            Message::InquiryReply(inquiry, known) => (INQUIRY_REPLY, body(&(inquiry, known))),
         };
         let length = u16::try_from(body.len()).unwrap_or(u16::MAX);
         [&[kind][..], &length.to_be_bytes(), &body].concat()
     }
 
     /// None where the kind isn't known or the body makes no sense: whatever is lost is told again.
-    fn read(kind: u8, bytes: &[u8]) -> Option<Item> {
+    fn read(kind: u8, bytes: &[u8]) -> Option<Message> {
         Some(match kind {
-            PRESENCE => Item::Presence(bytes.to_vec()),
+            MEMBERSHIP => Message::Membership(bytes.to_vec()),
             DIGEST => {
                 let (round, ranges) = read(bytes)?;
-                Item::Digest { round, ranges }
+                Message::Digest { round, ranges }
             }
-            KEYS => {
+            RANGE_HASHES => {
                 let (round, range, from, upto, pairs) = read(bytes)?;
-                Item::Keys {
+                Message::RangeHashes {
                     round,
                     range,
                     from,
@@ -134,24 +134,24 @@
                     pairs,
                 }
             }
-            WANT => {
+            RANGE_REQUEST => {
                 let (round, range, keys) = read(bytes)?;
-                Item::Want { round, range, keys }
+                Message::RangeRequest { round, range, keys }
             }
-            DONE => {
+            ROUND_COMPLETE => {
                 let (round, parts) = read(bytes)?;
-                Item::Done { round, parts }
+                Message::RoundComplete { round, parts }
             }
-            ASK => Item::Ask(read(bytes)?),
-            ANSWER => {
-                let (question, known) = read(bytes)?;
-                Item::Answer(question, known)
+            INQUIRY => Message::Inquiry(read(bytes)?),
+            INQUIRY_REPLY => {
+                let (inquiry, known) = read(bytes)?;
+                Message::InquiryReply(inquiry, known)
             }
             _ => {
-                KINDS.into_iter().find(|k| k.number() == kind)?;
-                // The fact comes last: what a later version adds to it lies behind what is read.
-                let (age, fact): (TimeSpan, Record) = read(bytes)?;
-                (fact.kind().number() == kind).then_some(Item::Fact(fact, age))?
+                ALL_KINDS.into_iter().find(|k| k.wire_number() == kind)?;
+                // The record comes last: what a later version adds to it lies behind what is read.
+                let (age, record): (TimeSpan, Record) = read(bytes)?;
+                (record.kind().wire_number() == kind).then_some(Message::Record(record, age))?
             }
         })
     }
@@ -166,7 +166,7 @@
 pub enum Dialect {
     /// This version.
     #[default]
-    Own,
+    Current,
     /// As a later version may: a higher number, more behind the head and behind each item, and an item of a kind that
     /// nobody knows. For the laboratory, whose fleets are of two versions then.
     Later,
@@ -180,14 +180,14 @@
 
 impl Dialect {
     /// How many bytes are left for items, about.
-    pub fn room(self, head: &Head) -> usize {
+    pub fn room(self, head: &DatagramHeader) -> usize {
         // The library's own messages have nothing behind them, and fill a datagram at most by two thirds.
         let more = if self == Dialect::Later { MORE_ROOM } else { 0 };
-        LONGEST - 9 - 2 - body(head).len() - more
+        MAX_DATAGRAM_BYTES - 9 - 2 - body(head).len() - more
     }
 
     /// Items that together are no longer than `room`.
-    pub fn datagram(self, fleet: &str, head: &Head, items: &[Vec<u8>]) -> Vec<u8> {
+    pub fn datagram(self, fleet: &str, head: &DatagramHeader, items: &[Vec<u8>]) -> Vec<u8> {
         let mut head = body(head);
         let is_later = self == Dialect::Later;
         if is_later {
@@ -198,7 +198,7 @@
         rest.extend(head);
         let mut room = MORE_ROOM;
         for item in items {
-            if is_later && item[0] != PRESENCE && room > 20 {
+            if is_later && item[0] != MEMBERSHIP && room > 20 {
                 room -= MORE.len();
                 let length = u16::from_be_bytes([item[1], item[2]]) + MORE.len() as u16;
                 rest.push(item[0]);
@@ -220,25 +220,25 @@
 }
 
 /// What came, as far as it is understood.
-pub fn read_datagram(fleet: &str, bytes: &[u8]) -> Result<(Head, Vec<Item>), Fault> {
-    let (hashed, rest) = bytes.split_first_chunk::<8>().ok_or(Fault::Garbled)?;
+pub fn read_datagram(fleet: &str, bytes: &[u8]) -> Result<(DatagramHeader, Vec<Message>), DecodeError> {
+    let (hashed, rest) = bytes.split_first_chunk::<8>().ok_or(DecodeError::Malformed)?;
     if u64::from_be_bytes(*hashed) != hash(fleet, rest) {
-        return Err(Fault::Garbled);
+        return Err(DecodeError::Malformed);
     }
-    let (version, rest) = rest.split_first().ok_or(Fault::Garbled)?;
-    if *version < LEAST {
-        return Err(Fault::Version(*version));
+    let (version, rest) = rest.split_first().ok_or(DecodeError::Malformed)?;
+    if *version < MIN_VERSION {
+        return Err(DecodeError::UnsupportedVersion(*version));
     }
-    let (length, rest) = rest.split_first_chunk::<2>().ok_or(Fault::Garbled)?;
+    let (length, rest) = rest.split_first_chunk::<2>().ok_or(DecodeError::Malformed)?;
     let length = usize::from(u16::from_be_bytes(*length));
-    let (head, mut rest) = rest.split_at_checked(length).ok_or(Fault::Garbled)?;
-    let head: Head = read(head).ok_or(Fault::Version(*version))?;
+    let (head, mut rest) = rest.split_at_checked(length).ok_or(DecodeError::Malformed)?;
+    let head: DatagramHeader = read(head).ok_or(DecodeError::UnsupportedVersion(*version))?;
     let mut items = Vec::new();
     while let Some((kind, more)) = rest.split_first() {
-        let (length, more) = more.split_first_chunk::<2>().ok_or(Fault::Garbled)?;
+        let (length, more) = more.split_first_chunk::<2>().ok_or(DecodeError::Malformed)?;
         let length = usize::from(u16::from_be_bytes(*length));
-        let (bytes, more) = more.split_at_checked(length).ok_or(Fault::Garbled)?;
-        items.extend(Item::read(*kind, bytes));
+        let (bytes, more) = more.split_at_checked(length).ok_or(DecodeError::Malformed)?;
+        items.extend(Message::read(*kind, bytes));
         rest = more;
     }
     Ok((head, items))
--- a/crates/gossip/src/conflict.rs
+++ b/crates/gossip/src/conflict.rs
@@ -1,39 +1,39 @@
-//! What can't both be true. The conservative telling stands by the rules of `fact`; both are kept here, for an operator
+//! What can't both be true. The conservative telling stands by the rules of `record`; both are kept here, for an operator
 //! to see who is wrong. Bounded: the oldest go.
 
-use crate::record::{Key, Record};
+use crate::record::{Record, RecordKey};
 use asterlatch::time::Timestamp;
 use std::collections::VecDeque;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
-    /// One version of the list calls a member two things.
-    TwoLists,
+pub enum ConflictKind {
+    /// One version of the list_version calls a member two things.
+    ListVersionMismatch,
     /// Two members of one group spoke as primary at one position, or by turns.
-    TwoPrimaries,
-    /// A driver said two things the same time: two processes have one name, or it lost its memory and not its life.
-    TwoDrivers,
+    CompetingPrimaries,
+    /// A driver sequence two things the same time: two processes have one name, or it lost its memory and not its incarnation.
+    DuplicateDriver,
     /// Somebody speaks under a name from an address that isn't that name's.
-    Foreign,
+    ForeignAddress,
     /// An id that was told to be untouched was sent after all.
-    Untouched,
+    DispatchedAfterDenial,
 }
 
-impl Kind {
+impl ConflictKind {
     pub fn name(self) -> &'static str {
         match self {
-            Kind::TwoLists => "two lists of one version",
-            Kind::TwoPrimaries => "two primaries at once",
-            Kind::TwoDrivers => "two drivers of one name",
-            Kind::Foreign => "a foreign address",
-            Kind::Untouched => "an id that was called untouched",
+            ConflictKind::ListVersionMismatch => "two lists of one version",
+            ConflictKind::CompetingPrimaries => "two primaries at once",
+            ConflictKind::DuplicateDriver => "two drivers of one name",
+            ConflictKind::ForeignAddress => "a foreign address",
+            ConflictKind::DispatchedAfterDenial => "an id that was called untouched",
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Quarrel {
-    pub kind: Kind,
+pub struct Conflict {
+    pub kind: ConflictKind,
     /// What it is about, and what both sides say.
     pub about: String,
     pub sides: (String, String),
@@ -42,16 +42,22 @@
     pub times: u64,
 }
 
-pub const MOST: usize = 256;
+pub const MAX_CONFLICTS: usize = 256;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Quarrels {
-    all: VecDeque<Quarrel>,
+pub struct ConflictLog {
+    all: VecDeque<Conflict>,
 }
 
-impl Quarrels {
+impl ConflictLog {
     /// Says whether it is new.
-    pub fn note(&mut self, now: Timestamp, kind: Kind, about: String, sides: (String, String)) -> bool {
+    pub fn note(
+        &mut self,
+        now: Timestamp,
+        kind: ConflictKind,
+        about: String,
+        sides: (String, String),
+    ) -> bool {
         let known = self
             .all
             .iter_mut()
@@ -60,11 +66,11 @@
             (known.last, known.times) = (now, known.times + 1);
             return false;
         }
-        if self.all.len() >= MOST {
+        if self.all.len() >= MAX_CONFLICTS {
             self.all.pop_front();
         }
         let (first, last, times) = (now, now, 1);
-        self.all.push_back(Quarrel {
+        self.all.push_back(Conflict {
             kind,
             about,
             sides,
@@ -75,41 +81,49 @@
         true
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Quarrel> {
+    pub fn all(&self) -> impl Iterator<Item = &Conflict> {
         self.all.iter()
     }
 }
 
-/// What two tellings of one key quarrel about, if they do.
-pub fn between(here: &Record, came: &Record) -> Option<Kind> {
+/// What two retransmits of one key conflict about, if they do.
+pub fn between(here: &Record, came: &Record) -> Option<ConflictKind> {
     match (here, came) {
         (
             Record::Drain {
                 started_ms,
-                list,
-                standing,
+                list_version,
+                state,
                 ..
             },
             Record::Drain {
                 started_ms: s,
-                list: l,
-                standing: st,
+                list_version: l,
+                state: st,
                 ..
             },
-        ) => (started_ms == s && list == l && standing != st).then_some(Kind::TwoLists),
+        ) => {
+            (started_ms == s && list_version == l && state != st).then_some(ConflictKind::ListVersionMismatch)
+        }
         (
-            Record::Driver { life, said, .. },
             Record::Driver {
-                life: li, said: sa, ..
+                incarnation,
+                sequence,
+                ..
+            },
+            Record::Driver {
+                incarnation: li,
+                sequence: sa,
+                ..
             },
-        ) => (life == li && said == sa && here != came).then_some(Kind::TwoDrivers),
+        ) => (incarnation == li && sequence == sa && here != came).then_some(ConflictKind::DuplicateDriver),
         _ => None,
     }
 }
 
 /// Both claim to be primary of one group and neither is known to have stepped back since: the first's claim is newer than
 /// the other's last word as replica, and the other way round, and they overlap.
-pub fn claim_both(one: &Record, other: &Record) -> bool {
+pub fn are_competing_primaries(one: &Record, other: &Record) -> bool {
     let (
         Record::Member {
             name,
@@ -135,6 +149,6 @@
     both && primary_at == p && replica_at < primary_at && r < p
 }
 
-pub fn about(key: &Key) -> String {
+pub fn about(key: &RecordKey) -> String {
     format!("{} {}", key.0.name(), key.1)
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -3,20 +3,20 @@
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `fact` | what is told, and which of two tellings stands |
-//! | `book` | one driver's copy: bounds, ages, what differs from another's |
-//! | `quarrel` | what can't both be true: kept for operators |
+//! | `record` | what is told, and which of two retransmits stands |
+//! | `state` | one driver's copy: bounds, ages, what differs from another's |
+//! | `conflict` | what can't both be true: kept for operators |
 //! | `peers` | who is there, suspected, gone, back; how late its word comes |
-//! | `spread` | what is told to whom, when, and how much of it |
-//! | `catchup` | how a driver that was away comes by what it missed |
+//! | `dissemination` | what is told to whom, when, and how much of it |
+//! | `anti_entropy` | how a driver that was away comes by what it missed |
 //! | `cold` | how much work a cold member may be sent from here, by what all have sent |
 //! | `doubts` | statements that must not run twice: who may have sent one, and whether it may go out here |
-//! | `engine` | all of it together, input by input |
+//! | `node` | all of it together, input by input |
 //! | `keep` | what of a copy outlives the process, and what of that is used again |
 //! | `wire` | datagrams |
 //!
 //! Facts travel as ages and never as readings of a clock. What is believed for how long, and what the decisions may do
-//! with it, stands with each fact.
+//! with it, stands with each record.
 
 pub mod anti_entropy;
 pub mod codec;
--- a/crates/gossip/tests/catchup.rs
+++ b/crates/gossip/tests/catchup.rs
@@ -1,12 +1,12 @@
-//! A round of catching up in every order of steps, with any datagram lost or told twice and a fact learnt in between: who
+//! A round of catching up in every order of steps, with any datagram lost or told twice and a record learnt in between: who
 //! says that it has caught up holds all that the other held when the round began, and copies that hold the same are equal.
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::anti_entropy::{Catchup, Seen, Standing};
-use asterlatch_gossip::codec::Item;
-use asterlatch_gossip::record::{Record, Standing as Listed};
-use asterlatch_gossip::state::Book;
+use asterlatch_gossip::anti_entropy::{AntiEntropy, PeerView, SyncState};
+use asterlatch_gossip::codec::Message;
+use asterlatch_gossip::record::{ListedState, Record};
+use asterlatch_gossip::state::ReplicatedState;
 use common::{drain, session};
 use stateright::{Checker, Model, Property};
 
@@ -23,8 +23,8 @@
 /// 0 catches up, 1 is whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    books: [Book; 2],
-    catchups: [Catchup; 2],
+    books: [ReplicatedState; 2],
+    catchups: [AntiEntropy; 2],
     /// To whom, as bytes.
     flying: Vec<(usize, Vec<u8>)>,
     /// What 1 held when the round began.
@@ -47,75 +47,76 @@
     mistake: Option<Mistake>,
 }
 
-fn facts(book: &Book) -> Vec<Record> {
-    book.all().map(|e| e.fact.clone()).collect()
+fn records(state: &ReplicatedState) -> Vec<Record> {
+    state.entries().map(|e| e.record.clone()).collect()
 }
 
-fn holds(book: &Book, fact: &Record) -> bool {
-    book.get(&fact.key())
-        .is_some_and(|e| e.fact.joined(fact) == e.fact)
+fn holds(state: &ReplicatedState, record: &Record) -> bool {
+    state
+        .get(&record.key())
+        .is_some_and(|e| e.record.merge(record) == e.record)
 }
 
-fn read(bytes: &[u8]) -> Item {
-    let head = asterlatch_gossip::codec::Head {
+fn read(bytes: &[u8]) -> Message {
+    let head = asterlatch_gossip::codec::DatagramHeader {
         name: "d".into(),
-        life: 1,
+        incarnation: 1,
         sent: NOW,
-        knows_you: 1,
+        known_incarnation: 1,
         caught_up: true,
     };
-    let all = asterlatch_gossip::codec::Dialect::Own.datagram("f", &head, &[bytes.to_vec()]);
+    let all = asterlatch_gossip::codec::Dialect::Current.datagram("f", &head, &[bytes.to_vec()]);
     let (_, mut items) = asterlatch_gossip::codec::read_datagram("f", &all).expect("is whole");
     items.pop().expect("is one")
 }
 
 impl Pair {
-    fn arrives(&self, w: &mut World, to: usize, item: Item) {
+    fn arrives(&self, w: &mut World, to: usize, item: Message) {
         let from = 1 - to;
         match item {
-            Item::Fact(fact, age) => drop(w.books[to].learn(NOW, fact, NOW - age)),
-            Item::Digest { round, ranges } => w.catchups[to].compare(from, round, &ranges, &w.books[to]),
-            Item::Keys {
+            Message::Record(record, age) => drop(w.books[to].apply(NOW, record, NOW - age)),
+            Message::Digest { round, ranges } => w.catchups[to].on_digest(from, round, &ranges, &w.books[to]),
+            Message::RangeHashes {
                 round,
                 from: low,
                 upto,
                 pairs,
                 ..
             } => {
-                let wishes = w.catchups[to].keys(from, round, (low, upto), &pairs, &w.books[to]);
+                let wishes = w.catchups[to].on_range_hashes(from, round, (low, upto), &pairs, &w.books[to]);
                 w.flying.extend(wishes.iter().map(|i| (from, i.bytes())));
             }
-            Item::Want { round, range, keys } => {
-                w.catchups[to].wish(from, round, range, &keys, &w.books[to]);
+            Message::RangeRequest { round, range, keys } => {
+                w.catchups[to].on_range_request(from, round, range, &keys, &w.books[to]);
             }
-            Item::Done { round, parts } => {
-                let empty = Book::default();
+            Message::RoundComplete { round, parts } => {
+                let empty = ReplicatedState::default();
                 match self.mistake {
                     Some(Mistake::TrustTheEnd) => {
                         // As if nothing had been asked for.
-                        let mut trusting = Catchup::new(NOW, TimeSpan::millis(1));
-                        trusting.begin(NOW, from, true, &empty);
-                        let ended = parts.is_some() && trusting.done(from, 1, Some(0), &empty);
+                        let mut trusting = AntiEntropy::new(NOW, TimeSpan::millis(1));
+                        trusting.begin_round(NOW, from, true, &empty);
+                        let ended = parts.is_some() && trusting.on_round_complete(from, 1, Some(0), &empty);
                         if ended && to == 0 {
                             w.catchups[to] = trusting;
                         }
                     }
                     Some(Mistake::FirstPartOnly) => {
                         let first = parts.map(|p| p.min(1));
-                        w.catchups[to].done(from, round, first, &w.books[to]);
+                        w.catchups[to].on_round_complete(from, round, first, &w.books[to]);
                     }
-                    None => drop(w.catchups[to].done(from, round, parts, &w.books[to])),
+                    None => drop(w.catchups[to].on_round_complete(from, round, parts, &w.books[to])),
                 }
             }
             _ => {}
         }
         if to == 0 {
-            let seen = Seen {
+            let seen = PeerView {
                 there: &[1],
                 caught_up: &[1],
                 alone_since: None,
             };
-            w.catchups[0].judge(NOW, &seen);
+            w.catchups[0].update_sync_state(NOW, &seen);
         }
     }
 }
@@ -125,16 +126,19 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let mut books = [Book::default(), Book::default()];
+        let mut books = [ReplicatedState::default(), ReplicatedState::default()];
         // One that 0 lacks, and one that it holds in an older telling.
-        for fact in [drain("m1", 2, Listed::Draining), drain("m2", 4, Listed::Ready)] {
-            books[1].learn(NOW, fact, NOW);
+        for record in [
+            drain("m1", 2, ListedState::Draining),
+            drain("m2", 4, ListedState::Ready),
+        ] {
+            books[1].apply(NOW, record, NOW);
         }
-        books[0].learn(NOW, drain("m2", 3, Listed::Draining), NOW);
-        let catchup = Catchup::new(NOW, TimeSpan::millis(1000));
+        books[0].apply(NOW, drain("m2", 3, ListedState::Draining), NOW);
+        let anti_entropy = AntiEntropy::new(NOW, TimeSpan::millis(1000));
         vec![World {
             books,
-            catchups: [catchup.clone(), catchup],
+            catchups: [anti_entropy.clone(), anti_entropy],
             flying: Vec::new(),
             then: Vec::new(),
             lost: 0,
@@ -147,7 +151,7 @@
         if w.rounds < 1 {
             steps.push(Step::Begin);
         }
-        steps.extend((0..2).filter(|n| w.catchups[*n].owes()).map(Step::Pay));
+        steps.extend((0..2).filter(|n| w.catchups[*n].has_pending()).map(Step::Pay));
         steps.extend((0..w.flying.len()).map(Step::Arrives));
         if w.lost < 1 {
             steps.extend((0..w.flying.len()).map(Step::IsLost));
@@ -162,13 +166,13 @@
         match step {
             Step::Begin => {
                 w.rounds += 1;
-                w.then = facts(&w.books[1]);
-                let item = w.catchups[0].begin(NOW, 1, true, &w.books[0])?;
+                w.then = records(&w.books[1]);
+                let item = w.catchups[0].begin_round(NOW, 1, true, &w.books[0])?;
                 w.flying.push((1, item.bytes()));
             }
             Step::Pay(n) => {
                 let mut one = None;
-                w.catchups[n].pay(NOW, &w.books[n], |_, item| {
+                w.catchups[n].send_pending(NOW, &w.books[n], |_, item| {
                     let first = one.is_none();
                     if first {
                         one = Some(item.bytes());
@@ -187,7 +191,7 @@
             }
             Step::Learns => {
                 w.learnt = true;
-                w.books[1].learn(NOW, session(7, 70), NOW);
+                w.books[1].apply(NOW, session(7, 70), NOW);
             }
         }
         w.flying.sort();
@@ -199,14 +203,14 @@
             Property::always(
                 "who has caught up holds all that the other held when the round began",
                 |_, w: &World| {
-                    let whole = w.catchups[0].standing == Standing::CaughtUp;
+                    let whole = w.catchups[0].sync_state == SyncState::CaughtUp;
                     !whole || w.then.iter().all(|f| holds(&w.books[0], f))
                 },
             ),
             Property::always(
                 "equal copies have equal figures, unequal ones don't",
                 |_, w: &World| {
-                    let same = facts(&w.books[0]) == facts(&w.books[1]);
+                    let same = records(&w.books[0]) == records(&w.books[1]);
                     same == (w.books[0].digests() == w.books[1].digests())
                 },
             ),
@@ -214,10 +218,10 @@
                 w.then.iter().all(|f| holds(&w.books[1], f))
             }),
             Property::sometimes("it catches up", |_, w: &World| {
-                w.catchups[0].standing == Standing::CaughtUp
+                w.catchups[0].sync_state == SyncState::CaughtUp
             }),
             Property::sometimes("copies are equal", |_, w: &World| {
-                facts(&w.books[0]) == facts(&w.books[1])
+                records(&w.books[0]) == records(&w.books[1])
             }),
         ]
     }
--- a/crates/gossip/tests/cold.rs
+++ b/crates/gossip/tests/cold.rs
@@ -3,12 +3,12 @@
 
 use asterlatch::fleet_share::FleetShare;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::slow_start::{Cold, Terms};
+use asterlatch_gossip::slow_start::{WarmUpBudgets, WarmUpRules};
 
-const TERMS: Terms = Terms {
-    span: TimeSpan::millis(2000),
-    multiple: 4.0,
-    tick: TimeSpan::millis(100),
+const TERMS: WarmUpRules = WarmUpRules {
+    window: TimeSpan::millis(2000),
+    overload_multiple: 4.0,
+    report_interval: TimeSpan::millis(100),
 };
 const NOW: Timestamp = Timestamp(1_000_000_000);
 
@@ -28,7 +28,7 @@
     refused: u64,
 }
 
-/// Drivers with uneven traffic, a member that warms up from a fifth over ten seconds; `told` is the part of tellings that
+/// Drivers with uneven traffic, a member that warms up from a fifth over ten seconds; `told` is the part of retransmits that
 /// come through, each a tick late; nothing where each is alone.
 fn run(drivers: usize, told: Option<f64>, demand: f64, seed: u64) -> Run {
     let mut chance = fastrand::Rng::with_seed(seed);
@@ -38,7 +38,7 @@
     // A warm member carries 0.6 of a core; each statement takes 3 ms.
     let (bears, work) = (0.6, TimeSpan::millis(3));
     let carries: Vec<f64> = parts.iter().map(|p| p / all * bears).collect();
-    let mut colds: Vec<Cold> = (0..drivers).map(|_| Cold::new(TERMS)).collect();
+    let mut colds: Vec<WarmUpBudgets> = (0..drivers).map(|_| WarmUpBudgets::new(TERMS)).collect();
     let names: Vec<String> = (0..drivers).map(|n| format!("d{n}")).collect();
     let mut allowed = vec![None; drivers];
     let mut ready = vec![Timestamp(0); drivers];
@@ -58,12 +58,12 @@
                     .collect();
                 for (who, when, work_us, carries_us) in words.iter().filter(|(who, ..)| *who != n) {
                     if told.is_some_and(|part| chance.f64() < part) {
-                        colds[n].told(*when, "m", 5, &names[*who], 1, *work_us, *carries_us);
+                        colds[n].on_peer_report(*when, "m", 5, &names[*who], 1, *work_us, *carries_us);
                     }
                 }
-                let (share, sum) = colds[n].share(now, ("m", 5), (warmth, carries[n]), &there);
+                let (share, sum) = colds[n].budget(now, ("m", 5), (warmth, carries[n]), &there);
                 allowed[n] = share.filter(|_| told.is_some());
-                late.push((n, now, sum.work_us, sum.carries_us));
+                late.push((n, now, sum.work_us, sum.carried_us));
             }
         }
         for n in 0..drivers {
@@ -89,7 +89,7 @@
                 }
             };
             if goes {
-                colds[n].sends(now, "m", work);
+                colds[n].on_dispatch(now, "m", work);
                 sent.push((now, work.ratio(TimeSpan(1_000_000))));
                 served += 1;
             } else {
@@ -99,7 +99,7 @@
     }
     let mut worst: f64 = 0.0;
     for (n, (from, _)) in sent.iter().enumerate() {
-        let within = sent[n..].iter().take_while(|(t, _)| *t < *from + TERMS.span);
+        let within = sent[n..].iter().take_while(|(t, _)| *t < *from + TERMS.window);
         let sum: f64 = within.map(|(_, w)| w).sum();
         let warmth = warm_at((*from - NOW).0 / 1000 + 1000);
         worst = worst.max(sum / (bears * warmth * 2.0));
@@ -133,11 +133,11 @@
 #[test]
 fn nothing_is_known_where_one_that_is_there_is_silent() {
     let known = |told: &[(&str, u64)], there: &[&str]| {
-        let mut cold = Cold::new(TERMS);
+        let mut cold = WarmUpBudgets::new(TERMS);
         for (who, ticks) in told {
-            cold.told(at(1000 - ticks * 100), "m", 5, who, 1, 0, 100_000);
+            cold.on_peer_report(at(1000 - ticks * 100), "m", 5, who, 1, 0, 100_000);
         }
-        cold.share(at(1000), ("m", 5), (0.5, 0.1), there).0
+        cold.budget(at(1000), ("m", 5), (0.5, 0.1), there).0
     };
     assert!(known(&[], &[]).is_some(), "alone there is nobody to know of");
     assert!(known(&[], &["a"]).is_none());
@@ -156,7 +156,7 @@
     );
 }
 
-/// (life, sum, at) one after the other; what counts as sent within the span at 3000
+/// (incarnation, sum, at) one after the other; what counts as sent within the span at 3000
 #[test]
 fn a_sum_counts_once_whatever_becomes_of_who_told_it() {
     type Case<'a> = (&'a str, &'a [(u64, u64, u64)], u64);
@@ -165,16 +165,16 @@
         ("it grows", &[(1, 100, 500), (1, 400, 1500), (1, 900, 2900)], 800),
         ("its first word is all recent", &[(1, 700, 2900)], 700),
         ("an older word changes nothing", &[(1, 900, 2900), (1, 400, 1500)], 900),
-        ("a new life begins at nothing; what the former sent counts on", &[(1, 500, 2000), (2, 300, 2900)], 800),
-        ("a former life's late word", &[(2, 300, 2000), (1, 900, 2900)], 300),
+        ("a new incarnation begins at nothing; what the former sent counts on", &[(1, 500, 2000), (2, 300, 2900)], 800),
+        ("a former incarnation's late word", &[(2, 300, 2000), (1, 900, 2900)], 300),
     ];
     for (name, words, sent) in table {
-        let mut cold = Cold::new(TERMS);
-        for (life, sum, ms) in words {
-            cold.told(at(*ms), "m", 5, "a", *life, *sum, 0);
+        let mut cold = WarmUpBudgets::new(TERMS);
+        for (incarnation, sum, ms) in words {
+            cold.on_peer_report(at(*ms), "m", 5, "a", *incarnation, *sum, 0);
         }
         // All is this driver's own share: what is missing of the budget was sent.
-        let (share, _) = cold.share(at(3000), ("m", 5), (1.0, 1.0), &[]);
+        let (share, _) = cold.budget(at(3000), ("m", 5), (1.0, 1.0), &[]);
         let budget = 2_000_000.0 * 4.0 * 0.75;
         assert_eq!(share.map(|s| budget as u64 - s.0), Some(sent), "{name}");
     }
@@ -182,20 +182,20 @@
 
 #[test]
 fn a_member_that_starts_anew_owes_nothing() {
-    let mut cold = Cold::new(TERMS);
-    cold.told(at(0), "m", 5, "a", 1, 5_000_000, 1_000_000);
+    let mut cold = WarmUpBudgets::new(TERMS);
+    cold.on_peer_report(at(0), "m", 5, "a", 1, 5_000_000, 1_000_000);
     assert_eq!(
-        cold.share(at(10), ("m", 5), (0.2, 0.1), &["a"]).0,
+        cold.budget(at(10), ("m", 5), (0.2, 0.1), &["a"]).0,
         Some(TimeSpan(0))
     );
-    cold.told(at(20), "m", 6, "a", 1, 1000, 1_000_000);
-    assert!(cold.share(at(30), ("m", 6), (0.2, 0.1), &["a"]).0 > Some(TimeSpan(0)));
-    cold.told(at(40), "m", 5, "a", 1, 9_000_000, 1_000_000);
+    cold.on_peer_report(at(20), "m", 6, "a", 1, 1000, 1_000_000);
+    assert!(cold.budget(at(30), ("m", 6), (0.2, 0.1), &["a"]).0 > Some(TimeSpan(0)));
+    cold.on_peer_report(at(40), "m", 5, "a", 1, 9_000_000, 1_000_000);
     assert!(
-        cold.share(at(50), ("m", 6), (0.2, 0.1), &["a"]).0 > Some(TimeSpan(0)),
+        cold.budget(at(50), ("m", 6), (0.2, 0.1), &["a"]).0 > Some(TimeSpan(0)),
         "of a former start"
     );
-    assert!(cold.is_cold("m"));
-    cold.keep(&[]);
-    assert!(!cold.is_cold("m"));
+    assert!(cold.is_warming_up("m"));
+    cold.retain(&[]);
+    assert!(!cold.is_warming_up("m"));
 }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code)] // each test file uses a part
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::membership::Times;
-use asterlatch_gossip::node::{Engine, Input, Output, Settings};
-use asterlatch_gossip::record::{Record, Standing};
+use asterlatch_gossip::membership::MembershipTiming;
+use asterlatch_gossip::node::{GossipNode, GossipSettings, NodeInput, NodeOutput};
+use asterlatch_gossip::record::{ListedState, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub fn name(n: usize) -> String {
@@ -23,12 +23,12 @@
     }
 }
 
-pub fn drain(name: &str, list: u64, standing: Standing) -> Record {
+pub fn drain(name: &str, list: u64, standing: ListedState) -> Record {
     Record::Drain {
         name: name.to_owned(),
         started_ms: 5,
-        list,
-        standing,
+        list_version: list,
+        state: standing,
     }
 }
 
@@ -36,19 +36,19 @@
     Record::Session { session, position }
 }
 
-pub fn settings(n: usize, all: usize) -> Settings {
-    Settings {
+pub fn settings(n: usize, all: usize) -> GossipSettings {
+    GossipSettings {
         fleet: "test".to_owned(),
         name: name(n),
         peers: (0..all).filter(|p| *p != n).map(name).collect(),
-        tick: TimeSpan::millis(100),
+        gossip_interval: TimeSpan::millis(100),
         fanout: 3,
-        compare: TimeSpan::millis(1000),
-        rate: 64 * 1024,
-        times: Times::default(),
-        ask: TimeSpan::millis(100),
-        file: 0,
-        dialect: asterlatch_gossip::codec::Dialect::Own,
+        anti_entropy_interval: TimeSpan::millis(1000),
+        bytes_per_second: 64 * 1024,
+        membership: MembershipTiming::default(),
+        inquiry_timeout: TimeSpan::millis(100),
+        operators_file: 0,
+        dialect: asterlatch_gossip::codec::Dialect::Current,
     }
 }
 
@@ -73,15 +73,15 @@
 }
 
 pub struct Driver {
-    pub engine: Engine,
+    pub node: GossipNode,
     /// Its clock less the network's.
     pub clock: i64,
-    pub life: u64,
+    pub incarnation: u64,
     pub is_up: bool,
     pub paused: bool,
     /// What lies unread.
     unread: Vec<(usize, Vec<u8>)>,
-    pub outputs: Vec<Output>,
+    pub outputs: Vec<NodeOutput>,
 }
 
 pub struct Net {
@@ -95,7 +95,7 @@
     chance: fastrand::Rng,
     /// Of each datagram its sender, receiver, length and hash, where that is wanted: 20 bytes each.
     pub record: Option<Vec<u8>>,
-    pub make: fn(usize, usize) -> Settings,
+    pub make: fn(usize, usize) -> GossipSettings,
 }
 
 impl Net {
@@ -103,7 +103,7 @@
         Net::with(count, seed, settings)
     }
 
-    pub fn with(count: usize, seed: u64, make: fn(usize, usize) -> Settings) -> Net {
+    pub fn with(count: usize, seed: u64, make: fn(usize, usize) -> GossipSettings) -> Net {
         let mut net = Net {
             now: Timestamp(1_000_000_000),
             drivers: Vec::new(),
@@ -124,12 +124,12 @@
         net
     }
 
-    fn driver(&self, n: usize, count: usize, clock: i64, life: u64) -> Driver {
+    fn driver(&self, n: usize, count: usize, clock: i64, incarnation: u64) -> Driver {
         let now = Timestamp((self.now.0 as i64 + clock) as u64);
         Driver {
-            engine: Engine::new((self.make)(n, count), life, n as u64 + 1, now),
+            node: GossipNode::new((self.make)(n, count), incarnation, n as u64 + 1, now),
             clock,
-            life,
+            incarnation,
             is_up: true,
             paused: false,
             unread: Vec::new(),
@@ -143,27 +143,27 @@
     }
 
     /// Begins anew with nothing, by a clock that may have been set.
-    pub fn restart(&mut self, n: usize, clock: i64, life: u64) {
-        self.drivers[n] = self.driver(n, self.drivers.len(), clock, life);
+    pub fn restart(&mut self, n: usize, clock: i64, incarnation: u64) {
+        self.drivers[n] = self.driver(n, self.drivers.len(), clock, incarnation);
     }
 
-    pub fn give(&mut self, n: usize, input: Input) {
+    pub fn give(&mut self, n: usize, input: NodeInput) {
         let now = self.local(n);
-        let outputs = self.drivers[n].engine.take(now, input);
+        let outputs = self.drivers[n].node.handle(now, input);
         self.sort(n, outputs);
     }
 
-    pub fn observe(&mut self, n: usize, fact: Record) {
-        self.give(n, Input::Observed(vec![(fact, TimeSpan(0))]));
+    pub fn observe(&mut self, n: usize, record: Record) {
+        self.give(n, NodeInput::Observed(vec![(record, TimeSpan(0))]));
     }
 
-    fn sort(&mut self, n: usize, outputs: Vec<Output>) {
+    fn sort(&mut self, n: usize, outputs: Vec<NodeOutput>) {
         for output in outputs {
-            let Output::Send { to, bytes } = output else {
+            let NodeOutput::Send { to, bytes } = output else {
                 self.drivers[n].outputs.push(output);
                 continue;
             };
-            // Peers are all others in their order.
+            // Membership are all others in their order.
             let to = if to >= n { to + 1 } else { to };
             if let Some(record) = &mut self.record {
                 record.extend(
@@ -202,7 +202,7 @@
         let peer = if from > to { from - 1 } else { from };
         self.give(
             to,
-            Input::Datagram {
+            NodeInput::Datagram {
                 from: peer,
                 bytes: &bytes,
             },
@@ -223,7 +223,7 @@
             let flight = self.flying.first_key_value().map(|((at, _), _)| *at);
             let runs = |d: &&Driver| d.is_up && !d.paused;
             let timers = self.drivers.iter().filter(runs).map(|d| {
-                let at = d.engine.next_at().0 as i64 - d.clock;
+                let at = d.node.next_at().0 as i64 - d.clock;
                 Timestamp(at.max(0) as u64)
             });
             let next = timers.chain(flight).min().unwrap_or(end).max(self.now);
@@ -238,8 +238,8 @@
             }
             for n in 0..self.drivers.len() {
                 let d = &self.drivers[n];
-                if d.is_up && !d.paused && d.engine.next_at() <= self.local(n) {
-                    self.give(n, Input::Time);
+                if d.is_up && !d.paused && d.node.next_at() <= self.local(n) {
+                    self.give(n, NodeInput::Tick);
                 }
             }
         }
@@ -257,10 +257,11 @@
     }
 
     pub fn contents(&self, n: usize) -> Vec<Record> {
-        let book = &self.drivers[n].engine.book;
+        let state = &self.drivers[n].node.state;
         // What drivers say of themselves changes as they find each other.
-        book.all()
-            .map(|e| e.fact.clone())
+        state
+            .entries()
+            .map(|e| e.record.clone())
             .filter(|f| !matches!(f, Record::Driver { .. }))
             .collect()
     }
--- a/crates/gossip/tests/doubts.rs
+++ b/crates/gossip/tests/doubts.rs
@@ -2,7 +2,7 @@
 //! losses and crashes in a small world.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::in_doubt::{Inquiries, Known, Log, Verdict, FOREVER};
+use asterlatch_gossip::in_doubt::{DispatchLog, DispatchStatus, Inquiries, InquiryOutcome, UNBOUNDED_AGE};
 use stateright::{Checker, Model, Property};
 
 const NOW: Timestamp = Timestamp(1_000_000_000);
@@ -12,8 +12,8 @@
     NOW + TimeSpan::millis(ms)
 }
 
-fn sent(ms: u64, member: &str) -> Known {
-    Known::Sent {
+fn sent(ms: u64, member: &str) -> DispatchStatus {
+    DispatchStatus::Dispatched {
         ago: TimeSpan::millis(ms),
         member: member.to_owned(),
     }
@@ -21,97 +21,97 @@
 
 #[test]
 fn what_was_sent_is_remembered_for_as_long_as_it_may_be_repeated() {
-    let mut log = Log::new(NOW, WINDOW, 100, false);
-    log.sends(at(0), 7, "m1");
-    log.sends(at(100), 7, "m2");
+    let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
+    log.on_dispatch(at(0), 7, "m1");
+    log.on_dispatch(at(100), 7, "m2");
     // (when, what is known): the first sending counts, for the store's window begins with it.
     for (ms, known) in [
         (0, sent(0, "m1")),
         (4999, sent(4999, "m1")),
-        (5000, Known::Untouched),
+        (5000, DispatchStatus::NotExecuted),
     ] {
-        assert_eq!(log.known(at(ms), 7), known, "{ms}");
+        assert_eq!(log.status(at(ms), 7), known, "{ms}");
     }
     assert!(log.is_empty());
 }
 
 #[test]
 fn what_is_proven_untouched_each_time_may_go_out_elsewhere() {
-    let mut log = Log::new(NOW, WINDOW, 100, false);
-    log.sends(at(0), 7, "m1");
-    log.untouched(7);
-    assert_eq!(log.known(at(1), 7), Known::Untouched);
-    log.sends(at(10), 7, "m1");
-    log.sends(at(20), 7, "m2");
-    log.untouched(7);
+    let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
+    log.on_dispatch(at(0), 7, "m1");
+    log.on_not_executed(7);
+    assert_eq!(log.status(at(1), 7), DispatchStatus::NotExecuted);
+    log.on_dispatch(at(10), 7, "m1");
+    log.on_dispatch(at(20), 7, "m2");
+    log.on_not_executed(7);
     assert_eq!(
-        log.known(at(30), 7),
+        log.status(at(30), 7),
         sent(20, "m1"),
         "of the other time nothing is proven"
     );
     // The entry of the first time is older, and ends without taking the later one's along.
-    assert_eq!(log.known(at(5005), 7), sent(4995, "m1"));
-    assert_eq!(log.known(at(5010), 7), Known::Untouched);
+    assert_eq!(log.status(at(5005), 7), sent(4995, "m1"));
+    assert_eq!(log.status(at(5010), 7), DispatchStatus::NotExecuted);
 }
 
 #[test]
 fn who_has_begun_or_forgotten_cannot_say() {
-    let mut log = Log::new(NOW, WINDOW, 100, true);
+    let mut log = DispatchLog::new(NOW, WINDOW, 100, true);
     assert_eq!(
-        log.known(at(4999), 7),
-        Known::Unknown,
-        "its former life may have sent it"
+        log.status(at(4999), 7),
+        DispatchStatus::Unknown,
+        "its former incarnation may have sent it"
     );
-    assert_eq!(log.known(at(5000), 7), Known::Untouched);
-    log.blank(at(5000));
+    assert_eq!(log.status(at(5000), 7), DispatchStatus::NotExecuted);
+    log.forget_past(at(5000));
     assert_eq!(
-        log.known(at(5500), 7),
-        Known::Unknown,
+        log.status(at(5500), 7),
+        DispatchStatus::Unknown,
         "another process was beside it"
     );
     for id in 0..150 {
-        log.sends(at(10_000 + id), id, "m");
+        log.on_dispatch(at(10_000 + id), id, "m");
     }
     assert_eq!(log.len(), 100);
     assert_eq!(
-        log.known(at(10_200), 9999),
-        Known::Unknown,
+        log.status(at(10_200), 9999),
+        DispatchStatus::Unknown,
         "it may be among those forgotten"
     );
-    assert_eq!(log.known(at(10_200), 149), sent(51, "m"));
+    assert_eq!(log.status(at(10_200), 149), sent(51, "m"));
     assert_eq!(
-        log.known(at(10_049 + 5000), 9999),
-        Known::Untouched,
+        log.status(at(10_049 + 5000), 9999),
+        DispatchStatus::NotExecuted,
         "no repeat of those can come any more"
     );
 }
 
 #[test]
 fn what_was_given_away_stays_so() {
-    let mut log = Log::new(NOW, WINDOW, 100, false);
-    log.give_away(at(0), 7);
-    assert!(log.is_given(7) && !log.is_given(8));
-    log.give_away(at(4000), 7);
-    let _ = log.known(at(6000), 1);
-    assert!(log.is_given(7), "it was asked about again");
-    let _ = log.known(at(9000), 1);
-    assert!(!log.is_given(7) && log.is_empty());
+    let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
+    log.give_up(at(0), 7);
+    assert!(log.is_given_up(7) && !log.is_given_up(8));
+    log.give_up(at(4000), 7);
+    let _ = log.status(at(6000), 1);
+    assert!(log.is_given_up(7), "it was asked about again");
+    let _ = log.status(at(9000), 1);
+    assert!(!log.is_given_up(7) && log.is_empty());
 }
 
 #[test]
 fn one_word_of_doubt_is_enough_and_silence_is_one() {
-    let doubt = |ago, member: Option<&str>| Verdict::Sent {
+    let doubt = |ago, member: Option<&str>| InquiryOutcome::MayHaveExecuted {
         ago,
         member: member.map(str::to_owned),
     };
-    type Case = (&'static str, Vec<(usize, Known)>, Option<Verdict>);
+    type Case = (&'static str, Vec<(usize, DispatchStatus)>, Option<InquiryOutcome>);
     #[rustfmt::skip]
     let table: [Case; 6] = [
-        ("all untouched", vec![(0, Known::Untouched), (1, Known::Untouched), (2, Known::Untouched)], Some(Verdict::Untouched)),
-        ("one is silent", vec![(0, Known::Untouched), (2, Known::Untouched)], None),
+        ("all untouched", vec![(0, DispatchStatus::NotExecuted), (1, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)], Some(InquiryOutcome::NotExecuted)),
+        ("one is silent", vec![(0, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)], None),
         ("one has sent it", vec![(1, sent(30, "m4"))], Some(doubt(TimeSpan::millis(30), Some("m4")))),
-        ("one can't say", vec![(0, Known::Untouched), (1, Known::Unknown)], Some(doubt(FOREVER, None))),
-        ("one says it twice", vec![(0, Known::Untouched), (0, Known::Untouched), (0, Known::Untouched)], None),
+        ("one can't say", vec![(0, DispatchStatus::NotExecuted), (1, DispatchStatus::Unknown)], Some(doubt(UNBOUNDED_AGE, None))),
+        ("one says it twice", vec![(0, DispatchStatus::NotExecuted), (0, DispatchStatus::NotExecuted), (0, DispatchStatus::NotExecuted)], None),
         ("somebody who wasn't asked", vec![(9, sent(1, "m"))], None),
     ];
     for (name, words, verdict) in table {
@@ -120,14 +120,14 @@
             .ask(NOW, 7, &[0, 1, 2], TimeSpan::millis(100))
             .expect("three are asked");
         let told = words.iter().fold(None, |told, (peer, known)| {
-            told.or(inquiries.answered(7, turn, *peer, known))
+            told.or(inquiries.on_reply(7, turn, *peer, known))
         });
         assert_eq!(told, verdict, "{name}");
         // An answer to another turn of the same id is none.
-        assert_eq!(inquiries.answered(7, turn + 1, 1, &sent(1, "m")), None, "{name}");
-        assert!(inquiries.due(at(99)).is_empty(), "{name}");
-        let late = inquiries.due(at(100));
-        let silent = vec![(7, doubt(FOREVER, None))];
+        assert_eq!(inquiries.on_reply(7, turn + 1, 1, &sent(1, "m")), None, "{name}");
+        assert!(inquiries.take_timed_out(at(99)).is_empty(), "{name}");
+        let late = inquiries.take_timed_out(at(100));
+        let silent = vec![(7, doubt(UNBOUNDED_AGE, None))];
         assert_eq!(
             late,
             if verdict.is_some() { Vec::new() } else { silent },
@@ -136,17 +136,17 @@
         assert!(inquiries.is_empty());
     }
     let nobody = Inquiries::default().ask(NOW, 7, &[], TimeSpan::millis(100));
-    assert_eq!(nobody, Err(Verdict::Untouched), "there is nobody else");
+    assert_eq!(nobody, Err(InquiryOutcome::NotExecuted), "there is nobody else");
 }
 
 /// A mistake that the checker must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mistake {
-    /// Who is asked goes on holding the statement.
+    /// NodeIdentity is asked goes on holding the statement.
     KeepWhatIsAsked,
-    /// A new life says that it never sent what it can't know.
+    /// A new incarnation says that it never sent what it can't know.
     BlankIsUntouched,
-    /// Who is silent is taken to have sent nothing.
+    /// NodeIdentity is silent is taken to have sent nothing.
     SilenceIsConsent,
     /// What isn't marked as a repeat is taken for the first.
     TrustTheUnmarked,
@@ -155,7 +155,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Driver {
     is_up: bool,
-    log: Log,
+    log: DispatchLog,
     inquiries: Inquiries,
     /// It holds the statement, which may go out; or asks others first.
     holds: bool,
@@ -214,19 +214,19 @@
 
 const ID: u64 = 7;
 
-fn known(number: u8) -> Known {
+fn known(number: u8) -> DispatchStatus {
     match number {
-        0 => Known::Untouched,
+        0 => DispatchStatus::NotExecuted,
         1 => sent(1, "m"),
-        _ => Known::Unknown,
+        _ => DispatchStatus::Unknown,
     }
 }
 
-fn number(known: &Known) -> u8 {
+fn number(known: &DispatchStatus) -> u8 {
     match known {
-        Known::Untouched => 0,
-        Known::Sent { .. } => 1,
-        Known::Unknown => 2,
+        DispatchStatus::NotExecuted => 0,
+        DispatchStatus::Dispatched { .. } => 1,
+        DispatchStatus::Unknown => 2,
     }
 }
 
@@ -235,7 +235,7 @@
         let follows = follows && self.mistake != Some(Mistake::BlankIsUntouched);
         Driver {
             is_up: true,
-            log: Log::new(NOW, WINDOW, 10, follows),
+            log: DispatchLog::new(NOW, WINDOW, 10, follows),
             inquiries: Inquiries::default(),
             holds: false,
             asks: false,
@@ -246,17 +246,17 @@
     fn read(&self, w: &mut World, to: usize, repeat: bool) {
         let d = &mut w.drivers[to];
         let is_open = d.holds || d.asks || w.out.contains(&to);
-        if is_open || d.log.is_given(ID) {
+        if is_open || d.log.is_given_up(ID) {
             return;
         }
-        match d.log.known(NOW, ID) {
+        match d.log.status(NOW, ID) {
             // Also where it isn't marked: the checker found a first that was read behind its repeat.
-            Known::Sent { .. } if self.mistake != Some(Mistake::TrustTheUnmarked) => return,
+            DispatchStatus::Dispatched { .. } if self.mistake != Some(Mistake::TrustTheUnmarked) => return,
             _ if !repeat => {
                 d.holds = true;
                 return;
             }
-            Known::Untouched => {}
+            DispatchStatus::NotExecuted => {}
             _ => return,
         }
         let peers: Vec<usize> = (0..self.drivers).filter(|p| *p != to).collect();
@@ -277,10 +277,10 @@
         match word {
             Word::Ask { from, to, turn } => {
                 let d = &mut w.drivers[*to];
-                let told = d.log.known(NOW, ID);
-                if told == Known::Untouched && self.mistake != Some(Mistake::KeepWhatIsAsked) {
-                    d.log.give_away(NOW, ID);
-                    d.inquiries.end(ID);
+                let told = d.log.status(NOW, ID);
+                if told == DispatchStatus::NotExecuted && self.mistake != Some(Mistake::KeepWhatIsAsked) {
+                    d.log.give_up(NOW, ID);
+                    d.inquiries.cancel(ID);
                     (d.holds, d.asks) = (false, false);
                 }
                 w.words.push(Word::Answer {
@@ -297,9 +297,9 @@
                 known: n,
             } => {
                 let d = &mut w.drivers[*to];
-                if let Some(verdict) = d.inquiries.answered(ID, *turn, *from, &known(*n)) {
+                if let Some(verdict) = d.inquiries.on_reply(ID, *turn, *from, &known(*n)) {
                     d.asks = false;
-                    d.holds = verdict == Verdict::Untouched;
+                    d.holds = verdict == InquiryOutcome::NotExecuted;
                 }
             }
         }
@@ -359,7 +359,7 @@
             }
             Step::Send(n) => {
                 w.drivers[n].holds = false;
-                w.drivers[n].log.sends(NOW, ID, "m");
+                w.drivers[n].log.on_dispatch(NOW, ID, "m");
                 w.out.push(n);
             }
             Step::Runs(n) => {
@@ -371,8 +371,8 @@
                 let by = w.out.remove(n);
                 w.misses += 1;
                 let d = &mut w.drivers[by];
-                if d.is_up && d.log.known(NOW, ID) != Known::Untouched {
-                    d.log.untouched(ID);
+                if d.is_up && d.log.status(NOW, ID) != DispatchStatus::NotExecuted {
+                    d.log.on_not_executed(ID);
                     d.holds = true;
                 }
             }
@@ -385,7 +385,7 @@
             }
             Step::IsLost(n) => drop(w.words.remove(n)),
             Step::TimesOut(n) => {
-                let verdicts = w.drivers[n].inquiries.due(NOW + TimeSpan::millis(100));
+                let verdicts = w.drivers[n].inquiries.take_timed_out(NOW + TimeSpan::millis(100));
                 w.drivers[n].asks = false;
                 w.drivers[n].holds = !verdicts.is_empty() && self.mistake == Some(Mistake::SilenceIsConsent);
             }
@@ -408,7 +408,7 @@
         vec![
             Property::always("a statement has one effect", |_, w: &World| w.effects < 2),
             Property::sometimes("a repeat runs at another driver", |_, w: &World| {
-                w.effects == 1 && w.drivers[0].is_up && w.drivers[0].log.is_given(ID)
+                w.effects == 1 && w.drivers[0].is_up && w.drivers[0].log.is_given_up(ID)
             }),
         ]
     }
--- a/crates/gossip/tests/fixtures.rs
+++ b/crates/gossip/tests/fixtures.rs
@@ -7,11 +7,11 @@
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::{Claim, End};
-use asterlatch_gossip::codec::{read_datagram, Dialect, Head, Item, Question};
-use asterlatch_gossip::in_doubt::Known;
-use asterlatch_gossip::node::Input;
-use asterlatch_gossip::record::{Record, Standing, KINDS};
-use asterlatch_gossip::snapshot::{read, whose, Fault, Writer};
+use asterlatch_gossip::codec::{read_datagram, DatagramHeader, Dialect, InquiryId, Message};
+use asterlatch_gossip::in_doubt::DispatchStatus;
+use asterlatch_gossip::node::NodeInput;
+use asterlatch_gossip::record::{ListedState, Record, ALL_KINDS};
+use asterlatch_gossip::snapshot::{read, read_owner, SnapshotEncoder, SnapshotError};
 use common::{drain, member, session, Link, Net};
 use std::path::PathBuf;
 use xxhash_rust::xxh3::xxh3_64;
@@ -42,36 +42,36 @@
 
 fn turn(subject: &str, claim: Claim) -> Record {
     let subject = subject.to_owned();
-    Record::Turn { subject, claim }
+    Record::Lease { subject, claim }
 }
 
 fn driver(name: &str, caught_up: bool) -> Record {
     Record::Driver {
         name: name.to_owned(),
-        life: 1_700_000_000_123_456,
-        said: 9,
-        list: 12,
-        file: 0xfeed_beef,
+        incarnation: 1_700_000_000_123_456,
+        sequence: 9,
+        list_version: 12,
+        operators_file: 0xfeed_beef,
         caught_up,
     }
 }
 
 /// Each kind and each variant of what kinds hold.
-fn facts() -> Vec<Record> {
+fn records() -> Vec<Record> {
     let (member_name, driver_name) = ("m2".to_owned(), "d2".to_owned());
     vec![
         member("m1", 123_456, 120_000, 0),
-        drain("m1", 7, Standing::Ready),
-        drain("m2", 8, Standing::Draining),
-        drain("m3", 9, Standing::Gone),
-        Record::Cold {
+        drain("m1", 7, ListedState::Ready),
+        drain("m2", 8, ListedState::Draining),
+        drain("m3", 9, ListedState::Gone),
+        Record::WarmUp {
             member: member_name.clone(),
             started_ms: 1_700_000_000_000,
             driver: driver_name.clone(),
-            life: 78,
-            said: 4,
+            incarnation: 78,
+            sequence: 4,
             work_us: 2_500_000,
-            carries_us: 350_000,
+            carried_us: 350_000,
         },
         session(0x7766_5544_3322_1100, 98_765),
         driver("d2", true),
@@ -79,35 +79,35 @@
         turn("probe m1", claim(1, End::Holds)),
         turn("probe m2", claim(2, End::Vain)),
         turn("list", claim(3, End::Done)),
-        Record::Late {
+        Record::Unanswered {
             member: member_name,
             driver: driver_name.clone(),
-            life: 78,
-            said: 300,
-            before_us: 250_000,
+            incarnation: 78,
+            sequence: 300,
+            outstanding_us: 250_000,
         },
         Record::Load {
             driver: driver_name,
-            life: 78,
-            said: 5,
+            incarnation: 78,
+            sequence: 5,
             shares: vec![(0x1122_3344_5566_7788, 200, 17), (9, 0, 255)],
         },
     ]
 }
 
 fn snapshot() -> Vec<u8> {
-    let (mut bytes, mut writer) = Writer::begin(FLEET, DRIVER, 1_700_000_000_000_042);
-    for (n, fact) in facts().iter().enumerate() {
-        writer.put(&mut bytes, fact, WALL + TimeSpan(n as u64));
+    let (mut bytes, mut writer) = SnapshotEncoder::begin(FLEET, DRIVER, 1_700_000_000_000_042);
+    for (n, record) in records().iter().enumerate() {
+        writer.put(&mut bytes, record, WALL + TimeSpan(n as u64));
     }
     bytes
 }
 
-/// Bytes of the damaged copy from here on: the sixth fact's record.
+/// Bytes of the damaged copy from here on: the sixth record's record.
 fn sixth_record() -> usize {
-    let (mut bytes, mut writer) = Writer::begin(FLEET, DRIVER, 1_700_000_000_000_042);
-    for (n, fact) in facts().iter().take(5).enumerate() {
-        writer.put(&mut bytes, fact, WALL + TimeSpan(n as u64));
+    let (mut bytes, mut writer) = SnapshotEncoder::begin(FLEET, DRIVER, 1_700_000_000_000_042);
+    for (n, record) in records().iter().take(5).enumerate() {
+        writer.put(&mut bytes, record, WALL + TimeSpan(n as u64));
     }
     bytes.len()
 }
@@ -122,44 +122,47 @@
     bytes
 }
 
-fn with_times(facts: Vec<Record>) -> Vec<(Record, Timestamp)> {
-    facts.into_iter().zip((0..).map(|n| WALL + TimeSpan(n))).collect()
+fn with_times(records: Vec<Record>) -> Vec<(Record, Timestamp)> {
+    records
+        .into_iter()
+        .zip((0..).map(|n| WALL + TimeSpan(n)))
+        .collect()
 }
 
-fn head() -> Head {
-    Head {
+fn head() -> DatagramHeader {
+    DatagramHeader {
         name: DRIVER.to_owned(),
-        life: 1_700_000_000_000_042,
+        incarnation: 1_700_000_000_000_042,
         sent: Timestamp(987_654_321),
-        knows_you: 1_699_999_999_999_999,
+        known_incarnation: 1_699_999_999_999_999,
         caught_up: true,
     }
 }
 
 /// Each kind of item, by the name of its file.
-fn items() -> Vec<(&'static str, Vec<Item>)> {
-    let question = Question {
+fn items() -> Vec<(&'static str, Vec<Message>)> {
+    let inquiry = InquiryId {
         id: 0xdead_beef_0123_4567,
-        turn: 6,
+        sequence: 6,
     };
-    let sent = Known::Sent {
+    let sent = DispatchStatus::Dispatched {
         ago: TimeSpan::millis(1500),
         member: "m1".to_owned(),
     };
-    let aged = |(n, fact): (usize, Record)| Item::Fact(fact, TimeSpan(n as u64 * 100_000));
+    let aged = |(n, record): (usize, Record)| Message::Record(record, TimeSpan(n as u64 * 100_000));
     vec![
-        ("presence", vec![Item::Presence((0..=255).collect())]),
-        ("facts", facts().into_iter().enumerate().map(aged).collect()),
+        ("presence", vec![Message::Membership((0..=255).collect())]),
+        ("records", records().into_iter().enumerate().map(aged).collect()),
         (
             "digest",
-            vec![Item::Digest {
+            vec![Message::Digest {
                 round: 11,
                 ranges: (0..64).map(|n| xxh3_64(&[n])).collect(),
             }],
         ),
         (
             "keys",
-            vec![Item::Keys {
+            vec![Message::RangeHashes {
                 round: 11,
                 range: 63,
                 from: 0xfc00_0000_0000_0000,
@@ -169,7 +172,7 @@
         ),
         (
             "want",
-            vec![Item::Want {
+            vec![Message::RangeRequest {
                 round: 12,
                 range: 5,
                 keys: vec![4, 5, u32::MAX],
@@ -178,37 +181,37 @@
         (
             "done",
             vec![
-                Item::Done {
+                Message::RoundComplete {
                     round: 12,
                     parts: Some(3),
                 },
-                Item::Done {
+                Message::RoundComplete {
                     round: 13,
                     parts: None,
                 },
             ],
         ),
-        ("ask", vec![Item::Ask(question)]),
+        ("ask", vec![Message::Inquiry(inquiry)]),
         (
             "answers",
             vec![
-                Item::Answer(question, Known::Untouched),
-                Item::Answer(question, sent),
-                Item::Answer(question, Known::Unknown),
+                Message::InquiryReply(inquiry, DispatchStatus::NotExecuted),
+                Message::InquiryReply(inquiry, sent),
+                Message::InquiryReply(inquiry, DispatchStatus::Unknown),
             ],
         ),
     ]
 }
 
-const DIALECTS: [(&str, Dialect); 2] = [("own", Dialect::Own), ("later", Dialect::Later)];
+const DIALECTS: [(&str, Dialect); 2] = [("own", Dialect::Current), ("later", Dialect::Later)];
 
-fn datagram(dialect: Dialect, items: &[Item]) -> Vec<u8> {
-    let items: Vec<Vec<u8>> = items.iter().map(Item::bytes).collect();
+fn datagram(dialect: Dialect, items: &[Message]) -> Vec<u8> {
+    let items: Vec<Vec<u8>> = items.iter().map(Message::bytes).collect();
     dialect.datagram(FLEET, &head(), &items)
 }
 
-/// Who sent how long a datagram to whom and its hash, over links that lose and delay: messages of the membership
-/// library, retransmits, comparisons of copies, a question, a restart and a driver that leaves, by fixed seeds in virtual time.
+/// NodeIdentity sent how long a datagram to whom and its hash, over links that lose and delay: messages of the membership
+/// library, retransmits, comparisons of copies, a inquiry, a restart and a driver that leaves, by fixed seeds in virtual time.
 fn transcript() -> Vec<u8> {
     let mut net = Net::new(4, 38);
     net.link = Link {
@@ -218,8 +221,8 @@
     };
     net.record = Some(Vec::new());
     net.run(TimeSpan::millis(1500));
-    for (n, fact) in facts().into_iter().enumerate() {
-        net.observe(n % 3, fact);
+    for (n, record) in records().into_iter().enumerate() {
+        net.observe(n % 3, record);
         net.run(TimeSpan::millis(70));
     }
     for id in 0..400 {
@@ -227,12 +230,12 @@
     }
     net.cut.extend([(0, 2), (2, 0)]);
     net.run(TimeSpan::millis(4000));
-    net.give(0, Input::Ask(Question { id: 5, turn: 1 }));
+    net.give(0, NodeInput::StartInquiry(InquiryId { id: 5, sequence: 1 }));
     net.cut.clear();
     net.restart(3, 60_000_000, 101);
     net.run(TimeSpan::millis(4000));
-    net.give(1, Input::List(4));
-    net.give(2, Input::Leave);
+    net.give(1, NodeInput::ListVersion(4));
+    net.give(2, NodeInput::Leave);
     // A driver that has left is not driven any more: its `next_at` stays in the past, so `Net::run` would never return.
     net.drivers[2].is_up = false;
     net.run(TimeSpan::millis(1000));
@@ -260,18 +263,18 @@
 
 #[test]
 fn fixtures_hold_every_kind_of_fact() {
-    let held: Vec<_> = facts().iter().map(Record::kind).collect();
-    assert!(KINDS.iter().all(|kind| held.contains(kind)));
+    let held: Vec<_> = records().iter().map(Record::kind).collect();
+    assert!(ALL_KINDS.iter().all(|kind| held.contains(kind)));
 }
 
 #[test]
 fn sound_snapshot_is_read_whole_and_written_the_same() {
     let bytes = fixture("snapshot-sound.bin");
     let copy = read(&bytes, FLEET, DRIVER);
-    assert_eq!((copy.fault, copy.life), (None, 1_700_000_000_000_042));
-    assert_eq!(copy.facts, with_times(facts()));
+    assert_eq!((copy.error, copy.incarnation), (None, 1_700_000_000_000_042));
+    assert_eq!(copy.records, with_times(records()));
     let owner = (FLEET.to_owned(), DRIVER.to_owned(), 1_700_000_000_000_042);
-    assert_eq!(whose(&bytes), Some(owner));
+    assert_eq!(read_owner(&bytes), Some(owner));
     assert_eq!(snapshot(), bytes);
 }
 
@@ -279,26 +282,26 @@
 fn sound_snapshot_of_another_fleet_or_driver_is_refused() {
     let bytes = fixture("snapshot-sound.bin");
     let foreign = read(&bytes, FLEET, "d2");
-    assert_eq!(foreign.fault, Some(Fault::Foreign(DRIVER.to_owned())));
-    assert!(foreign.facts.is_empty());
+    assert_eq!(foreign.error, Some(SnapshotError::OtherDriver(DRIVER.to_owned())));
+    assert!(foreign.records.is_empty());
     let other_fleet = read(&bytes, "fleet-b", DRIVER);
-    assert_eq!(other_fleet.fault, Some(Fault::OtherFleet));
-    assert!(other_fleet.facts.is_empty());
+    assert_eq!(other_fleet.error, Some(SnapshotError::OtherFleet));
+    assert!(other_fleet.records.is_empty());
 }
 
 #[test]
 fn torn_and_flipped_snapshots_are_read_up_to_the_damage() {
     let at = sixth_record();
     for (name, written, fault) in [
-        ("snapshot-torn.bin", torn(), Fault::Torn { at }),
-        ("snapshot-flipped.bin", flipped(), Fault::Flipped { at }),
+        ("snapshot-torn.bin", torn(), SnapshotError::Truncated { at }),
+        ("snapshot-flipped.bin", flipped(), SnapshotError::Corrupted { at }),
     ] {
         let bytes = fixture(name);
         let copy = read(&bytes, FLEET, DRIVER);
-        assert_eq!(copy.fault, Some(fault), "{name}");
+        assert_eq!(copy.error, Some(fault), "{name}");
         assert_eq!(
-            copy.facts,
-            with_times(facts().into_iter().take(5).collect()),
+            copy.records,
+            with_times(records().into_iter().take(5).collect()),
             "{name}"
         );
         assert_eq!(written, bytes, "{name}");
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -1,12 +1,12 @@
-//! Several drivers' engines over links that fail: what becomes of facts and of who is there.
+//! Several drivers' engines over links that fail: what becomes of records and of who is there.
 
 mod common;
 use asterlatch::time::TimeSpan;
 use asterlatch_gossip::codec;
 use asterlatch_gossip::conflict;
-use asterlatch_gossip::membership::Presence;
-use asterlatch_gossip::node::{Input, Output};
-use asterlatch_gossip::record::{Record, Standing};
+use asterlatch_gossip::membership::PeerState;
+use asterlatch_gossip::node::{NodeInput, NodeOutput};
+use asterlatch_gossip::record::{ListedState, Record};
 use common::*;
 
 fn seconds(s: u64) -> TimeSpan {
@@ -19,11 +19,11 @@
     net.run(seconds(8));
     for n in net.up() {
         assert_eq!(
-            net.drivers[n].engine.peers.there().count(),
+            net.drivers[n].node.peers.reachable().count(),
             count - 1,
             "driver {n}"
         );
-        assert!(!net.drivers[n].engine.catchup.is_behind(), "driver {n}");
+        assert!(!net.drivers[n].node.anti_entropy.is_behind(), "driver {n}");
     }
     net
 }
@@ -31,13 +31,13 @@
 #[test]
 fn what_one_hears_all_know_within_a_second_whatever_their_clocks_say() {
     let mut net = begun(5, 1);
-    net.observe(0, drain("m1", 3, Standing::Draining));
+    net.observe(0, drain("m1", 3, ListedState::Draining));
     net.observe(3, member("m2", 77, 77, 0));
     let took = net.settle(seconds(5)).expect("copies are equal");
     assert!(took <= seconds(1), "{took:?}");
     for n in 1..3 {
         let news = net.drivers[n].outputs.iter();
-        let news = news.filter(|o| matches!(o, Output::News(Record::Drain { .. }, _)));
+        let news = news.filter(|o| matches!(o, NodeOutput::RecordLearned(Record::Drain { .. }, _)));
         assert_eq!(news.count(), 1, "it is told once");
     }
 }
@@ -60,7 +60,7 @@
         }
         let took = net.settle(seconds(60)).expect("copies are equal");
         assert!(took < seconds(30), "seed {seed}: {took:?}");
-        let garbled: u64 = net.drivers.iter().map(|d| d.engine.counts.garbled).sum();
+        let garbled: u64 = net.drivers.iter().map(|d| d.node.metrics.malformed).sum();
         assert!(garbled > 0, "or this proves nothing");
     }
 }
@@ -75,9 +75,9 @@
         }
     }
     net.run(seconds(8));
-    assert_eq!(net.drivers[0].engine.peers.there().count(), 1);
-    assert_eq!(net.drivers[4].engine.peers.there().count(), 2);
-    net.observe(1, drain("m1", 9, Standing::Draining));
+    assert_eq!(net.drivers[0].node.peers.reachable().count(), 1);
+    assert_eq!(net.drivers[4].node.peers.reachable().count(), 2);
+    net.observe(1, drain("m1", 9, ListedState::Draining));
     net.observe(4, member("m2", 500, 500, 0));
     net.run(seconds(3));
     assert!(!net.equal());
@@ -86,7 +86,7 @@
     assert!(took < seconds(8), "{took:?}");
     net.run(seconds(8));
     assert_eq!(
-        net.drivers[0].engine.peers.there().count(),
+        net.drivers[0].node.peers.reachable().count(),
         4,
         "all see each other again"
     );
@@ -99,15 +99,15 @@
     net.cut.insert((0, 1));
     net.run(seconds(10));
     for n in 0..5 {
-        let there = net.drivers[n].engine.peers.there().count();
+        let there = net.drivers[n].node.peers.reachable().count();
         assert_eq!(there, 4, "driver {n}");
     }
-    net.observe(0, drain("m1", 3, Standing::Draining));
+    net.observe(0, drain("m1", 3, ListedState::Draining));
     assert!(net.settle(seconds(5)).is_some(), "word goes round by the others");
 }
 
 /// Splits about as long as suspicion takes, after which some hold others for gone and are held for it: whoever comes back
-/// under a new life had let go of its own suspicions' ends, and held the suspected ones so for ever.
+/// under a new incarnation had let go of its own suspicions' ends, and held the suspected ones so for ever.
 #[test]
 fn nobody_stays_suspected_after_a_short_split() {
     for seed in 0..40 {
@@ -121,13 +121,8 @@
         net.cut.clear();
         net.run(seconds(20));
         for n in 0..5 {
-            for peer in net.drivers[n].engine.peers.all() {
-                assert_eq!(
-                    peer.presence,
-                    Presence::There,
-                    "seed {seed}: {} for {n}",
-                    peer.name
-                );
+            for peer in net.drivers[n].node.peers.peers() {
+                assert_eq!(peer.state, PeerState::Alive, "seed {seed}: {} for {n}", peer.name);
             }
         }
     }
@@ -138,24 +133,24 @@
     let mut net = begun(4, 5);
     net.drivers[2].paused = true;
     net.run(seconds(2));
-    net.observe(0, drain("m1", 3, Standing::Draining));
+    net.observe(0, drain("m1", 3, ListedState::Draining));
     net.run(seconds(28));
     let gone = |net: &Net, n: usize| {
         net.drivers[n]
-            .engine
+            .node
             .peers
-            .all()
+            .peers()
             .iter()
-            .filter(|p| p.presence == Presence::Gone)
+            .filter(|p| p.state == PeerState::Down)
             .count()
     };
     assert_eq!(gone(&net, 0), 1);
     net.drivers[2].outputs.clear();
     net.go_on(2);
-    assert!(net.drivers[2].outputs.contains(&Output::CaughtUp(false)));
-    assert!(net.drivers[2].engine.catchup.is_behind());
+    assert!(net.drivers[2].outputs.contains(&NodeOutput::CaughtUp(false)));
+    assert!(net.drivers[2].node.anti_entropy.is_behind());
     net.run(seconds(12));
-    assert!(!net.drivers[2].engine.catchup.is_behind());
+    assert!(!net.drivers[2].node.anti_entropy.is_behind());
     assert!(net.equal());
     assert_eq!(gone(&net, 0), 0, "it is back");
 }
@@ -169,82 +164,86 @@
     net.run(seconds(25));
     net.go_on(2);
     let now = net.local(2);
-    let entry = net.drivers[2].engine.book.get(&session(9, 5).key());
-    let age = now - entry.expect("was told").told;
+    let entry = net.drivers[2].node.state.get(&session(9, 5).key());
+    let age = now - entry.expect("was told").observed_at;
     assert!(age > seconds(24), "{age:?}");
 }
 
-/// A machine whose clock is set back over a restart: its driver's new life is below the one that others know.
+/// A machine whose clock is set back over a restart: its driver's new incarnation is below the one that others know.
 #[test]
 fn a_driver_whose_clock_went_back_is_taken_for_itself_anew() {
     let mut net = begun(4, 7);
-    net.observe(3, drain("m1", 3, Standing::Draining));
+    net.observe(3, drain("m1", 3, ListedState::Draining));
     net.run(seconds(3));
     net.drivers[1].is_up = false;
     net.run(seconds(6));
     net.restart(1, -999_000_000, 1);
     net.run(seconds(12));
-    assert!(net.drivers[1].engine.peers.own().life > 100);
-    assert_eq!(net.drivers[0].engine.peers.there().count(), 3);
+    assert!(net.drivers[1].node.peers.own().incarnation > 100);
+    assert_eq!(net.drivers[0].node.peers.reachable().count(), 3);
     assert!(net.equal(), "it holds what was told before");
-    assert!(!net.drivers[1].engine.catchup.is_behind());
+    assert!(!net.drivers[1].node.anti_entropy.is_behind());
 }
 
 #[test]
 fn a_name_that_is_not_its_addresss_is_refused_and_told() {
     let mut net = begun(3, 8);
-    let head = codec::Head {
+    let head = codec::DatagramHeader {
         name: name(2),
-        life: 7,
+        incarnation: 7,
         sent: net.local(0),
-        knows_you: 0,
+        known_incarnation: 0,
         caught_up: true,
     };
-    let fact = codec::Item::Fact(drain("m9", 9, Standing::Gone), TimeSpan(0)).bytes();
-    let bytes = codec::Dialect::Own.datagram("test", &head, &[fact]);
+    let record = codec::Message::Record(drain("m9", 9, ListedState::Gone), TimeSpan(0)).bytes();
+    let bytes = codec::Dialect::Current.datagram("test", &head, &[record]);
     // From the address of d1.
     net.give(
         0,
-        Input::Datagram {
+        NodeInput::Datagram {
             from: 0,
             bytes: &bytes,
         },
     );
     let d = &net.drivers[0];
-    assert!(d.engine.book.get(&drain("m9", 9, Standing::Gone).key()).is_none());
-    let kinds: Vec<_> = d.engine.book.quarrels.all().map(|q| q.kind).collect();
-    assert_eq!(kinds, [conflict::Kind::Foreign]);
+    assert!(d
+        .node
+        .state
+        .get(&drain("m9", 9, ListedState::Gone).key())
+        .is_none());
+    let kinds: Vec<_> = d.node.state.conflicts.all().map(|q| q.kind).collect();
+    assert_eq!(kinds, [conflict::ConflictKind::ForeignAddress]);
     assert!(d
         .outputs
         .iter()
-        .any(|o| matches!(o, Output::CutOff { peer: 0, .. })));
+        .any(|o| matches!(o, NodeOutput::PeerIgnored { peer: 0, .. })));
     // Another fleet's are nothing at all, and so is what is garbled.
-    let before = net.drivers[0].engine.counts.garbled;
-    let other = codec::Dialect::Own.datagram("elsewhere", &head, &[]);
+    let before = net.drivers[0].node.metrics.malformed;
+    let other = codec::Dialect::Current.datagram("elsewhere", &head, &[]);
     for bytes in [&other[..], &bytes[..bytes.len() - 1], &[], &[1, 2, 3]] {
-        net.give(0, Input::Datagram { from: 0, bytes });
+        net.give(0, NodeInput::Datagram { from: 0, bytes });
     }
-    assert_eq!(net.drivers[0].engine.counts.garbled - before, 4);
+    assert_eq!(net.drivers[0].node.metrics.malformed - before, 4);
 }
 
 #[test]
 fn a_mad_peer_is_cut_off_and_others_are_heard_on() {
     let mut net = begun(3, 9);
-    let head = codec::Head {
+    let head = codec::DatagramHeader {
         name: name(1),
-        life: 100,
+        incarnation: 100,
         sent: net.local(0),
-        knows_you: 0,
+        known_incarnation: 0,
         caught_up: true,
     };
     for n in 0..3000u64 {
         let items: Vec<_> = (0..30)
-            .map(|m| codec::Item::Fact(session(n * 100 + m + 1, 5), TimeSpan(0)).bytes())
+            .map(|m| codec::Message::Record(session(n * 100 + m + 1, 5), TimeSpan(0)).bytes())
             .collect();
-        let bytes = codec::Dialect::Own.datagram("test", &head, &items);
+        let bytes = codec::Dialect::Current.datagram("test", &head, &items);
         net.give(
             0,
-            Input::Datagram {
+            NodeInput::Datagram {
                 from: 0,
                 bytes: &bytes,
             },
@@ -254,23 +253,23 @@
     assert!(d
         .outputs
         .iter()
-        .any(|o| matches!(o, Output::CutOff { peer: 0, .. })));
-    assert!(d.engine.counts.passed_over > 1000);
-    net.observe(2, drain("m1", 3, Standing::Draining));
+        .any(|o| matches!(o, NodeOutput::PeerIgnored { peer: 0, .. })));
+    assert!(d.node.metrics.ignored > 1000);
+    net.observe(2, drain("m1", 3, ListedState::Draining));
     net.run(seconds(2));
     let known = net.drivers[0]
-        .engine
-        .book
-        .get(&drain("m1", 3, Standing::Draining).key());
+        .node
+        .state
+        .get(&drain("m1", 3, ListedState::Draining).key());
     assert!(known.is_some(), "the others are heard");
 }
 
-/// The rate holds whatever there is to tell: a copy of many facts takes its time.
+/// The rate holds whatever there is to tell: a copy of many records takes its time.
 #[test]
 fn who_catches_up_is_sent_no_more_than_the_rate_lets() {
     const RATE: u64 = 16 * 1024;
-    let slow = |n, all| asterlatch_gossip::node::Settings {
-        rate: RATE,
+    let slow = |n, all| asterlatch_gossip::node::GossipSettings {
+        bytes_per_second: RATE,
         ..settings(n, all)
     };
     let mut net = Net::with(3, 10, slow);
@@ -282,21 +281,21 @@
     }
     net.run(seconds(10));
     net.restart(2, 0, 200);
-    let before = net.drivers[0].engine.counts.bytes_sent;
+    let before = net.drivers[0].node.metrics.bytes_sent;
     net.run(seconds(3));
-    let sent = net.drivers[0].engine.counts.bytes_sent - before;
+    let sent = net.drivers[0].node.metrics.bytes_sent - before;
     // A second's worth is saved up.
     let most = 4 * RATE * 21 / 20;
     assert!(sent <= most && sent > most / 2, "{sent} of {most}");
     // A round that breaks off is resumed by the next: what came stays.
-    let half = net.drivers[2].engine.book.len();
+    let half = net.drivers[2].node.state.len();
     assert!(half > 200 && half < 3000, "{half}");
-    assert!(net.drivers[2].engine.catchup.is_behind());
+    assert!(net.drivers[2].node.anti_entropy.is_behind());
     net.cut.extend([(0, 2), (1, 2)]);
     net.run(seconds(5));
     net.cut.clear();
     net.run(seconds(6));
-    let more = net.drivers[2].engine.book.len();
+    let more = net.drivers[2].node.state.len();
     assert!(more > half, "{half} {more}");
     assert!(net.settle(seconds(60)).is_some());
 }
@@ -304,31 +303,39 @@
 /// An id is asked of all, again where an answer is lost; whoever has answered is asked no more.
 #[test]
 fn questions_reach_all_and_are_repeated_to_the_silent() {
-    use asterlatch_gossip::in_doubt::Known;
+    use asterlatch_gossip::in_doubt::DispatchStatus;
     let mut net = begun(4, 11);
     net.cut.insert((0, 2));
-    let question = codec::Question { id: 77, turn: 1 };
+    let inquiry = codec::InquiryId { id: 77, sequence: 1 };
     for d in &mut net.drivers {
         d.outputs.clear();
     }
-    net.give(0, Input::Ask(question));
+    net.give(0, NodeInput::StartInquiry(inquiry));
     net.run(TimeSpan::millis(20));
     let asked = |net: &Net, n: usize| {
         let all = net.drivers[n].outputs.iter();
-        all.filter(|o| matches!(o, Output::Question { .. })).count()
+        all.filter(|o| matches!(o, NodeOutput::InquiryReceived { .. }))
+            .count()
     };
     assert_eq!([asked(&net, 1), asked(&net, 2), asked(&net, 3)], [1, 0, 1]);
     for n in [1, 3] {
         let to = 0;
-        let known = Known::Untouched;
-        net.give(n, Input::Answer { to, question, known });
+        let known = DispatchStatus::NotExecuted;
+        net.give(
+            n,
+            NodeInput::ReplyToInquiry {
+                to,
+                inquiry,
+                status: known,
+            },
+        );
     }
     net.run(TimeSpan::millis(10));
     net.cut.clear();
     net.run(TimeSpan::millis(40));
     assert_eq!([asked(&net, 1), asked(&net, 2), asked(&net, 3)], [1, 1, 1]);
     let answers = net.drivers[0].outputs.iter();
-    let answers = answers.filter(|o| matches!(o, Output::Answered { .. }));
+    let answers = answers.filter(|o| matches!(o, NodeOutput::InquiryReplied { .. }));
     assert_eq!(answers.count(), 2);
     net.run(seconds(1));
     assert!(asked(&net, 2) <= 3, "not for ever");
@@ -338,15 +345,15 @@
 #[test]
 #[ignore = "a measurement: make measure-shared"]
 fn costs_by_size() {
-    println!("drivers  bytes/s  datagrams/s  facts/s sent  news at all (ms: half, 99 %, last)  heal (s)");
+    println!("drivers  bytes/s  datagrams/s  records/s sent  news at all (ms: half, 99 %, last)  heal (s)");
     for count in [5, 20, 100, 300] {
         let mut net = Net::new(count, 1);
         net.run(seconds(10 + count as u64 / 10));
         let mut chance = fastrand::Rng::with_seed(9);
         let sums = |net: &Net| {
-            let all = net.drivers.iter().map(|d| d.engine.counts);
+            let all = net.drivers.iter().map(|d| d.node.metrics);
             all.fold((0, 0, 0), |(b, d, f), c| {
-                (b + c.bytes_sent, d + c.datagrams_sent, f + c.facts_told)
+                (b + c.bytes_sent, d + c.datagrams_sent, f + c.records_sent)
             })
         };
         // Thin traffic: each hears twenty positions a second, of 109 members.
@@ -364,15 +371,15 @@
         let after = sums(&net);
         let each = |a: u64, b: u64| (a - b) as f64 / passed;
         // A drain while that goes on: when has it come to whom?
-        let fact = drain("m7", 99, Standing::Draining);
-        net.observe(0, fact.clone());
+        let record = drain("m7", 99, ListedState::Draining);
+        net.observe(0, record.clone());
         let (told, mut times) = (net.now, vec![0u64; 0]);
         let mut heard = vec![false; count];
         while times.len() < count && net.now - told < seconds(20) {
             for (n, heard) in heard.iter_mut().enumerate() {
                 at += 1;
                 net.observe(n, member(&format!("m{}", chance.u32(0..109)), at, 0, 5));
-                if !*heard && net.drivers[n].engine.book.get(&fact.key()).is_some() {
+                if !*heard && net.drivers[n].node.state.get(&record.key()).is_some() {
                     *heard = true;
                     times.push((net.now - told).0 / 1000);
                 }
@@ -388,8 +395,8 @@
             }
         }
         net.run(seconds(8));
-        net.observe(0, drain("m8", 100, Standing::Draining));
-        net.observe(count - 1, drain("m9", 100, Standing::Draining));
+        net.observe(0, drain("m8", 100, ListedState::Draining));
+        net.observe(count - 1, drain("m9", 100, ListedState::Draining));
         net.run(seconds(2));
         net.cut.clear();
         let heal = net.settle(seconds(60)).map(|s| s.ratio(seconds(1)));
--- a/crates/gossip/tests/keep.rs
+++ b/crates/gossip/tests/keep.rs
@@ -3,23 +3,25 @@
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Record, Standing};
-use asterlatch_gossip::snapshot::{read, Fault, Keeper, Told, Wish, Writer};
+use asterlatch_gossip::record::{ListedState, Record};
+use asterlatch_gossip::snapshot::{
+    read, SnapshotEncoder, SnapshotError, SnapshotSchedule, WriteRequest, WriteStatusChange,
+};
 use common::{drain, member, session};
 
 const NOW: Timestamp = Timestamp(5_000_000_000);
 
-fn facts() -> Vec<Record> {
+fn records() -> Vec<Record> {
     let mut all: Vec<Record> = (0..20).map(|n| member(&format!("m{n}"), n * 10, 0, 5)).collect();
-    all.extend([drain("m3", 9, Standing::Draining), session(77, 900)]);
+    all.extend([drain("m3", 9, ListedState::Draining), session(77, 900)]);
     all
 }
 
 fn copy(name: &str) -> (Vec<u8>, Vec<usize>) {
-    let (mut bytes, mut writer) = Writer::begin("f", name, 42);
+    let (mut bytes, mut writer) = SnapshotEncoder::begin("f", name, 42);
     let mut ends = vec![bytes.len()];
-    for (n, fact) in facts().iter().enumerate() {
-        writer.put(&mut bytes, fact, NOW + TimeSpan(n as u64));
+    for (n, record) in records().iter().enumerate() {
+        writer.put(&mut bytes, record, NOW + TimeSpan(n as u64));
         ends.push(bytes.len());
     }
     (bytes, ends)
@@ -29,9 +31,9 @@
 fn what_was_written_is_read() {
     let (bytes, _) = copy("d1");
     let read = read(&bytes, "f", "d1");
-    assert_eq!((read.fault, read.life), (None, 42));
-    let (told, walls): (Vec<_>, Vec<_>) = read.facts.into_iter().unzip();
-    assert_eq!(told, facts());
+    assert_eq!((read.error, read.incarnation), (None, 42));
+    let (told, walls): (Vec<_>, Vec<_>) = read.records.into_iter().unzip();
+    assert_eq!(told, records());
     assert_eq!(walls[3], NOW + TimeSpan(3));
 }
 
@@ -41,13 +43,13 @@
     for cut in 0..bytes.len() {
         let read = read(&bytes[..cut], "f", "d1");
         let whole = ends.iter().filter(|e| **e <= cut).count().saturating_sub(1);
-        assert_eq!(read.facts.len(), whole, "{cut}");
-        let fault = read.fault;
+        assert_eq!(read.records.len(), whole, "{cut}");
+        let fault = read.error;
         match cut {
-            0 => assert_eq!(fault, Some(Fault::Empty)),
-            _ if cut < ends[0] => assert_eq!(fault, Some(Fault::NoHead), "{cut}"),
+            0 => assert_eq!(fault, Some(SnapshotError::Empty)),
+            _ if cut < ends[0] => assert_eq!(fault, Some(SnapshotError::MissingHeader), "{cut}"),
             _ if ends.contains(&cut) => assert_eq!(fault, None, "{cut}"),
-            _ => assert_eq!(fault, Some(Fault::Torn { at: ends[whole] }), "{cut}"),
+            _ => assert_eq!(fault, Some(SnapshotError::Truncated { at: ends[whole] }), "{cut}"),
         }
     }
 }
@@ -60,15 +62,15 @@
             let mut bytes = bytes.clone();
             bytes[at] ^= 1 << bit;
             let read = read(&bytes, "f", "d1");
-            assert!(read.fault.is_some(), "{at}");
+            assert!(read.error.is_some(), "{at}");
             let whole = ends.iter().filter(|e| **e <= at).count().saturating_sub(1);
-            assert!(read.facts.len() <= whole, "{at}: {}", read.facts.len());
+            assert!(read.records.len() <= whole, "{at}: {}", read.records.len());
             assert_eq!(
-                read.facts[..],
-                facts()
+                read.records[..],
+                records()
                     .into_iter()
                     .zip(0..)
-                    .take(read.facts.len())
+                    .take(read.records.len())
                     .map(|(f, n)| (f, NOW + TimeSpan(n)))
                     .collect::<Vec<_>>()[..]
             );
@@ -87,64 +89,78 @@
     let (other, _) = copy("d2");
     #[rustfmt::skip]
     let table = [
-        ("another driver's", other.clone(), Fault::Foreign("d2".into()), 0),
-        ("not a copy", b"hello, this is no copy at all".to_vec(), Fault::NoHead, 0),
-        ("a later version", with(&|b| b[9] = 9), Fault::Version(9), 0),
-        ("the tail is zeros: the size was written, the bytes not", with(&|b| b[ends[10]..].fill(0)), Fault::Torn { at: ends[10] }, 10),
-        ("two records change places", with(&|b| { let (x, y, z) = (ends[4], ends[5], ends[6]); let moved = [&b[y..z], &b[x..y]].concat(); b[x..z].copy_from_slice(&moved); }), Fault::Flipped { at: ends[4] }, 4),
-        ("the tail of another copy", with(&|b| { b.truncate(ends[6]); b.extend(&other[ends[6]..]); }), Fault::Flipped { at: ends[6] }, 6),
-        ("a length beyond all bounds", with(&|b| b[ends[2]] = 0xff), Fault::Flipped { at: ends[2] }, 2),
+        ("another driver's", other.clone(), SnapshotError::OtherDriver("d2".into()), 0),
+        ("not a copy", b"hello, this is no copy at all".to_vec(), SnapshotError::MissingHeader, 0),
+        ("a later version", with(&|b| b[9] = 9), SnapshotError::UnsupportedVersion(9), 0),
+        ("the tail is zeros: the size was written, the bytes not", with(&|b| b[ends[10]..].fill(0)), SnapshotError::Truncated { at: ends[10] }, 10),
+        ("two records change places", with(&|b| { let (x, y, z) = (ends[4], ends[5], ends[6]); let moved = [&b[y..z], &b[x..y]].concat(); b[x..z].copy_from_slice(&moved); }), SnapshotError::Corrupted { at: ends[4] }, 4),
+        ("the tail of another copy", with(&|b| { b.truncate(ends[6]); b.extend(&other[ends[6]..]); }), SnapshotError::Corrupted { at: ends[6] }, 6),
+        ("a length beyond all bounds", with(&|b| b[ends[2]] = 0xff), SnapshotError::Corrupted { at: ends[2] }, 2),
     ];
     let mut lines = Vec::new();
     for (name, bytes, fault, used) in table {
         let read = read(&bytes, "f", "d1");
         assert_eq!(
-            (read.fault.clone(), read.facts.len()),
+            (read.error.clone(), read.records.len()),
             (Some(fault), used),
             "{name}"
         );
-        let line = read.fault.expect("has one").says();
+        let line = read.error.expect("has one").says();
         assert!(!line.contains('\n') && line.contains("used"), "{line}");
         lines.push(line);
     }
-    assert_eq!(read(&bytes, "g", "d1").fault, Some(Fault::OtherFleet));
+    assert_eq!(read(&bytes, "g", "d1").error, Some(SnapshotError::OtherFleet));
 }
 
 #[test]
 fn a_disk_that_fails_is_tried_again_ever_more_rarely_and_then_written_whole() {
     let every = TimeSpan::millis(1000);
-    let mut keeper = Keeper::new(NOW, every);
+    let mut keeper = SnapshotSchedule::new(NOW, every);
     assert_eq!(
-        keeper.wish(NOW),
-        Some(Wish::Whole),
+        keeper.next_request(NOW),
+        Some(WriteRequest::Rewrite),
         "nobody knows what lies there"
     );
-    assert_eq!(keeper.wish(NOW + every), None, "one at a time");
-    assert_eq!(keeper.done(NOW, Wish::Whole, 10, Ok(())), None);
+    assert_eq!(keeper.next_request(NOW + every), None, "one at a time");
+    assert_eq!(keeper.on_written(NOW, WriteRequest::Rewrite, 10, Ok(())), None);
     assert_eq!(keeper.next_at(), Timestamp(u64::MAX), "nothing has changed");
-    keeper.changed();
-    assert_eq!(keeper.wish(NOW + TimeSpan(1)), None, "in groups");
-    assert_eq!(keeper.wish(NOW + every), Some(Wish::Append));
+    keeper.mark_changed();
+    assert_eq!(keeper.next_request(NOW + TimeSpan(1)), None, "in groups");
+    assert_eq!(keeper.next_request(NOW + every), Some(WriteRequest::Append));
     let full = || Err("no space left on device".to_owned());
-    let told = keeper.done(NOW + every, Wish::Append, 0, full());
-    assert_eq!(told, Some(Told::Failing("no space left on device".to_owned())));
+    let told = keeper.on_written(NOW + every, WriteRequest::Append, 0, full());
+    assert_eq!(
+        told,
+        Some(WriteStatusChange::Failing("no space left on device".to_owned()))
+    );
     let (mut at, mut tries) = (keeper.next_at(), 0);
     while at < NOW + TimeSpan::millis(120_000) {
-        assert_eq!(keeper.wish(at), Some(Wish::Whole), "part of it may lie there");
-        assert_eq!(keeper.done(at, Wish::Whole, 0, full()), None, "told once");
+        assert_eq!(
+            keeper.next_request(at),
+            Some(WriteRequest::Rewrite),
+            "part of it may lie there"
+        );
+        assert_eq!(
+            keeper.on_written(at, WriteRequest::Rewrite, 0, full()),
+            None,
+            "told once"
+        );
         (at, tries) = (keeper.next_at(), tries + 1);
     }
     assert!((5..12).contains(&tries), "{tries}");
-    assert_eq!(keeper.wish(at), Some(Wish::Whole));
-    assert_eq!(keeper.done(at, Wish::Whole, 10, Ok(())), Some(Told::Healed));
+    assert_eq!(keeper.next_request(at), Some(WriteRequest::Rewrite));
+    assert_eq!(
+        keeper.on_written(at, WriteRequest::Rewrite, 10, Ok(())),
+        Some(WriteStatusChange::Recovered)
+    );
     assert!(!keeper.is_failing());
     // What is appended stays in a proportion to the copy.
     let wishes = (0..6000).map(|_| {
-        keeper.changed();
+        keeper.mark_changed();
         at = at + every;
-        let wish = keeper.wish(at).expect("is due");
-        keeper.done(at, wish, 1, Ok(()));
+        let wish = keeper.next_request(at).expect("is due");
+        keeper.on_written(at, wish, 1, Ok(()));
         wish
     });
-    assert_eq!(wishes.filter(|w| *w == Wish::Whole).count(), 1);
+    assert_eq!(wishes.filter(|w| *w == WriteRequest::Rewrite).count(), 1);
 }
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::trust::{trust, Use, Verdict};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Kind, Record};
+use asterlatch_gossip::record::{Record, RecordKind};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -41,7 +41,7 @@
 }
 
 /// Which rule decided what of which kind; how many, and the youngest and oldest.
-type ByRule = (Kind, Use, &'static str);
+type ByRule = (RecordKind, Use, &'static str);
 type Ages = (usize, Option<TimeSpan>, Option<TimeSpan>);
 
 /// Looks at all kept facts; those of use, each with how old it counts as.
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -2,7 +2,7 @@
 //! is worse for the rule it may break, for how long a machine was dark nobody else may know.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Kind, Record, Standing};
+use asterlatch_gossip::record::{ListedState, Record, RecordKind};
 
 /// What may be done with a kept fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -53,13 +53,13 @@
 }
 
 impl Case<'_> {
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> RecordKind {
         self.fact.kind()
     }
 
     /// Older than this kind is kept for, where that is known.
     fn is_over(&self) -> bool {
-        matches!(self.clock, Clock::Passed(span) if span >= self.kind().kept())
+        matches!(self.clock, Clock::Passed(span) if span >= self.kind().time_to_live())
     }
 }
 
@@ -69,43 +69,43 @@
 const RULES: [Rule; 10] = [
     (
         "turns, late executions and shares ended with the life that said so",
-        |c| !c.kind().outlives(),
+        |c| !c.kind().is_persistent(),
         Use::Never,
     ),
     (
         "what a driver said of itself is for operators, and it says it anew",
-        |c| c.kind() == Kind::Driver,
+        |c| c.kind() == RecordKind::Driver,
         Use::Never,
     ),
     ("told longer ago than it is kept for", |c| c.is_over(), Use::Never),
     (
         "a member that was told ready binds nothing, the list says it anew",
-        |c| matches!(c.fact, Record::Drain { standing: Standing::Ready, .. }),
+        |c| matches!(c.fact, Record::Drain { state: ListedState::Ready, .. }),
         Use::Never,
     ),
     (
         "a drain binds until a newer list ends it, however long that is",
-        |c| c.kind() == Kind::Drain,
+        |c| c.kind() == RecordKind::Drain,
         Use::AtOnce,
     ),
     (
         "a session's write must be seen: its reads wait or go to the primary, and are refused rather than older",
-        |c| c.kind() == Kind::Session,
+        |c| c.kind() == RecordKind::Session,
         Use::Bound,
     ),
     (
         "what a cold member bore counts, and whoever was dark is cold as well",
-        |c| c.kind() == Kind::Cold,
+        |c| c.kind() == RecordKind::WarmUp,
         Use::AtOnce,
     ),
     (
         "how far a member was an unknown time ago proves nothing",
-        |c| c.kind() == Kind::Member && c.clock == Clock::WentBack,
+        |c| c.kind() == RecordKind::Member && c.clock == Clock::WentBack,
         Use::Never,
     ),
     (
         "a position is a bound, and a role is nobody's until the member has spoken: it may have lost its last log",
-        |c| c.kind() == Kind::Member,
+        |c| c.kind() == RecordKind::Member,
         Use::AfterMember,
     ),
     ("nothing is known of this kind", |_| true, Use::Never),
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -2,7 +2,7 @@
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::{Claim, End};
-use asterlatch_gossip::record::{Record, Standing, KINDS};
+use asterlatch_gossip::record::{ListedState, Record, ALL_KINDS};
 use asterlatch_recovery::report::sort;
 use asterlatch_recovery::trust::{trust, Use};
 
@@ -13,25 +13,25 @@
     let drain = |standing| Record::Drain {
         name: name(),
         started_ms: 5,
-        list: 3,
-        standing,
+        list_version: 3,
+        state: standing,
     };
     vec![
-        drain(Standing::Draining),
-        drain(Standing::Gone),
-        drain(Standing::Ready),
+        drain(ListedState::Draining),
+        drain(ListedState::Gone),
+        drain(ListedState::Ready),
         Record::Session {
             session: 4,
             position: 9,
         },
-        Record::Cold {
+        Record::WarmUp {
             member: name(),
             started_ms: 5,
             driver: "d".to_owned(),
-            life: 1,
-            said: 1,
+            incarnation: 1,
+            sequence: 1,
             work_us: 1,
-            carries_us: 1,
+            carried_us: 1,
         },
         Record::Member {
             name: name(),
@@ -43,13 +43,13 @@
         },
         Record::Driver {
             name: name(),
-            life: 1,
-            said: 1,
-            list: 1,
-            file: 1,
+            incarnation: 1,
+            sequence: 1,
+            list_version: 1,
+            operators_file: 1,
             caught_up: true,
         },
-        Record::Turn {
+        Record::Lease {
             subject: "probe m".to_owned(),
             claim: Claim {
                 term: 1,
@@ -59,17 +59,17 @@
                 end: End::Holds,
             },
         },
-        Record::Late {
+        Record::Unanswered {
             member: name(),
             driver: "d".to_owned(),
-            life: 1,
-            said: 1,
-            before_us: 1,
+            incarnation: 1,
+            sequence: 1,
+            outstanding_us: 1,
         },
         Record::Load {
             driver: "d".to_owned(),
-            life: 1,
-            said: 1,
+            incarnation: 1,
+            sequence: 1,
             shares: vec![(1, 2, 3)],
         },
     ]
@@ -93,7 +93,7 @@
     ];
     let all = facts();
     assert!(
-        KINDS.iter().all(|k| all.iter().any(|f| f.kind() == *k)),
+        ALL_KINDS.iter().all(|k| all.iter().any(|f| f.kind() == *k)),
         "every kind has its rows"
     );
     for (fact, row) in all.iter().zip(table) {
