--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -14,6 +14,7 @@
 use asterlatch_gossip::membership::PeerState;
 use asterlatch_gossip::node::NodeOutput;
 use asterlatch_gossip::record::{ListedState as Listed, Record};
+use asterlatch_gossip::slow_start::{MemberStart, PeerReport, WarmUpBudget, WarmUpLoad};
 
 /// An attempt of which neither time nor member are known.
 const UNKNOWN_ATTEMPT: PriorAttempt = PriorAttempt {
@@ -85,17 +86,24 @@
         sharing.cold.retain(&names);
         let (mut facts, mut shares) = (Vec::new(), Vec::new());
         for (id, MemberIdentity { name, started_ms, .. }, warmth, carries) in cold {
-            let known = (name.as_str(), started_ms);
-            let (share, sum) = sharing.cold.budget(now, known, (warmth, carries), &there);
-            shares.extend(share.map(|work| (id, work)));
+            let member = MemberStart {
+                name: &name,
+                started_ms,
+            };
+            let load = WarmUpLoad {
+                warm_up_fraction: warmth,
+                carried_load: carries,
+            };
+            let WarmUpBudget { work, report } = sharing.cold.budget(now, member, load, &there);
+            shares.extend(work.map(|work| (id, work)));
             let fact = Record::WarmUp {
                 member: name,
                 started_ms,
                 driver: own.clone(),
                 incarnation: life,
-                sequence: sum.sequence,
-                work_us: sum.work_us,
-                carried_us: sum.carried_us,
+                sequence: report.sequence,
+                work_us: report.work_us,
+                carried_us: report.carried_us,
             };
             facts.push((fact, TimeSpan(0)));
         }
@@ -455,7 +463,18 @@
                 let is_known = self.members.find(member).is_some();
                 if let Some(sharing) = self.sharing.as_mut().filter(|_| is_known) {
                     let cold = &mut sharing.cold;
-                    cold.on_peer_report(told, member, *started_ms, driver, *life, *work_us, *carries_us);
+                    let member = MemberStart {
+                        name: member,
+                        started_ms: *started_ms,
+                    };
+                    let report = PeerReport {
+                        driver,
+                        incarnation: *life,
+                        reported_at: told,
+                        work_us: *work_us,
+                        carried_us: *carries_us,
+                    };
+                    cold.on_peer_report(member, &report);
                 }
             }
             Record::Lease { subject, claim } => {
--- a/crates/gossip/src/slow_start.rs
+++ b/crates/gossip/src/slow_start.rs
@@ -1,91 +1,259 @@
-//! How much work this driver may send a cold member, by what all drivers have sent required_peers.
+//! How much work one driver may dispatch to a member that is warming up, given what all drivers have dispatched there.
 //!
-//! A member that has just started falls over under more work in a window of time than a overload_multiple of what it bears, and it
-//! bears a part of what a warm one carried_load. Alone, each driver uses half of its even part of that, for it can't see the peers.
-//! Where all tell what they send and what they carry, the sums are known: what is left of the budget is shared out by what
-//! each carried_load, and a driver uses its share between two retransmits; the older peers' word, the smaller the share, for
-//! they may have used theirs meanwhile. Where one that is required_peers has reported_at nothing lately, nothing is known, and each is as careful as alone.
+//! A member that has just started is overloaded by more work in a time window than a multiple of its capacity, which is a
+//! fraction of a warm member's. A driver that knows nothing of the others uses half of its even share of that. If all
+//! drivers report what they dispatch and what load they carry, the sums are known: what is left of the budget is shared
+//! in proportion to each driver's load, and a driver may use its share until the next reports. The older the others'
+//! reports, the smaller the share, since they may have used theirs meanwhile. If a reachable driver hasn't reported lately,
+//! the budget is unknown, and each driver is as careful as without reports.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
+/// The overload rule that budgets are computed from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUpRules {
     /// Work within this window counts together.
     pub window: TimeSpan,
-    /// More than this many times what it bears pushes a member over.
+    /// More work than this many times its capacity overloads a member.
     pub overload_multiple: f64,
-    /// Between two retransmits.
+    /// Time between two reports.
     pub report_interval: TimeSpan,
 }
 
-/// Of the rule's budget this part is used: sums stray, and work is heavier than its mean at times.
+/// The part of the rule's budget that is used, because work varies around its mean.
 const USED_FRACTION: f64 = 0.75;
-/// Word older than so many ticks is none.
+/// Reports older than this many intervals are ignored.
 const MAX_REPORT_AGE: f64 = 5.0;
+/// Loads are reported in millionths of a core.
+const MICROS: f64 = 1e6;
+/// Keeps a share of no load at all from dividing by zero.
+const MIN_TOTAL_LOAD: f64 = 1e-9;
 
-/// What a driver has reported_at of its sends to one member.
+/// What a driver reports about its dispatches to a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PeerReport<'a> {
+    /// Name of the driver.
+    pub driver: &'a str,
+    /// Incarnation of the driver.
+    pub incarnation: u64,
+    /// When it was reported.
+    pub reported_at: Timestamp,
+    /// Work dispatched since the member's start, in microseconds.
+    pub work_us: u64,
+    /// Load that warm members carry for that driver, in millionths of a core.
+    pub carried_us: u64,
+}
+
+/// One start of a member that is warming up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemberStart<'a> {
+    /// Name of the member.
+    pub name: &'a str,
+    /// When it started, in milliseconds since 1970.
+    pub started_ms: u64,
+}
+
+/// What the decision rules know of a member that is warming up.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WarmUpLoad {
+    /// How far it has warmed up, from zero to one, on the mean of the window.
+    pub warm_up_fraction: f64,
+    /// Load that a warm member carries for this driver, in cores.
+    pub carried_load: f64,
+}
+
+/// What this driver reports about its dispatches to a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WorkReport {
+    /// Number of the report.
+    pub sequence: u64,
+    /// Work dispatched since the member's start, in microseconds.
+    pub work_us: u64,
+    /// Load that warm members carry for this driver, in millionths of a core.
+    pub carried_us: u64,
+}
+
+/// A budget and the report that goes with it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WarmUpBudget {
+    /// Work that this driver may dispatch until the next report; none if it is unknown.
+    pub work: Option<TimeSpan>,
+    /// What this driver reports to the others.
+    pub report: WorkReport,
+}
+
+/// The total work that a peer reported at some time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct ReportedSum {
+    reported_at: Timestamp,
+    work_us: u64,
+}
+
+/// What one peer has reported about one member.
 #[derive(Clone, Debug, PartialEq)]
 struct PeerWork {
     reported_at: Timestamp,
     incarnation: u64,
-    /// In parts of a core.
+    /// In cores.
     carried_load: f64,
-    /// Its sum, at each telling within the window and the last before that.
-    sums: VecDeque<(Timestamp, u64)>,
+    /// Its reports within the window, and the last one before that; oldest first.
+    sums: VecDeque<ReportedSum>,
 }
 
 impl PeerWork {
-    /// Work within the window, as far as it reported_at.
-    fn recent(&self, now: Timestamp, window: TimeSpan) -> TimeSpan {
-        let last = self.sums.back().map_or(0, |(_, sum)| *sum);
-        let before = self.sums.iter().rev().find(|(at, _)| now - *at >= window);
-        // What was sent before its first word is taken for recent.
-        TimeSpan(last - before.map_or(0, |(_, sum)| (*sum).min(last)))
+    fn new(report: &PeerReport) -> PeerWork {
+        PeerWork {
+            reported_at: report.reported_at,
+            incarnation: report.incarnation,
+            carried_load: 0.0,
+            sums: VecDeque::new(),
+        }
+    }
+
+    fn last_sum(&self) -> u64 {
+        self.sums.back().map_or(0, |sum| sum.work_us)
+    }
+
+    fn is_outdated(&self, report: &PeerReport) -> bool {
+        report.incarnation < self.incarnation
+            || report.incarnation == self.incarnation && report.reported_at < self.reported_at
+    }
+
+    fn apply(&mut self, report: &PeerReport, window: TimeSpan) {
+        let reported_at = report.reported_at;
+        let mut work_us = report.work_us;
+        if report.incarnation > self.incarnation {
+            // A restarted driver counts from zero; what it dispatched before still counts.
+            work_us += self.last_sum();
+            self.incarnation = report.incarnation;
+            self.sums.clear();
+            self.sums.push_back(ReportedSum {
+                reported_at,
+                work_us: 0,
+            });
+        }
+        self.sums.push_back(ReportedSum { reported_at, work_us });
+        self.reported_at = reported_at;
+        self.carried_load = report.carried_us as f64 / MICROS;
+        while self
+            .sums
+            .get(1)
+            .is_some_and(|sum| reported_at - sum.reported_at >= window)
+        {
+            self.sums.pop_front();
+        }
+    }
+
+    /// Work within the window, as far as reported. All work before the first report counts as recent.
+    fn recent_work_us(&self, now: Timestamp, window: TimeSpan) -> u64 {
+        let last = self.last_sum();
+        let before_window = self.sums.iter().rev().find(|sum| now - sum.reported_at >= window);
+        last - before_window.map_or(0, |sum| sum.work_us.min(last))
+    }
+
+    /// The age of its last report in intervals.
+    fn age_in_intervals(&self, now: Timestamp, interval: TimeSpan) -> f64 {
+        (now - self.reported_at).ratio(interval)
     }
 }
 
+/// Work that this driver dispatched at some time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct DispatchedWork {
+    dispatched_at: Timestamp,
+    work: TimeSpan,
+}
+
+/// What all drivers have dispatched to one start of a member.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct MemberWork {
     started_ms: u64,
-    own: VecDeque<(Timestamp, TimeSpan)>,
-    sum: u64,
-    sequence: u64,
+    /// This driver's dispatches within the window, oldest first.
+    own: VecDeque<DispatchedWork>,
+    own_total_us: u64,
+    report_sequence: u64,
     peers: BTreeMap<String, PeerWork>,
 }
 
 impl MemberWork {
+    /// Forgets everything but the report number if the member has started anew.
     fn reset_on_restart(&mut self, started_ms: u64) {
-        if self.started_ms < started_ms {
-            let sequence = self.sequence;
-            *self = MemberWork {
-                started_ms,
-                sequence,
-                ..MemberWork::default()
-            };
+        if self.started_ms >= started_ms {
+            return;
         }
+        *self = MemberWork {
+            started_ms,
+            report_sequence: self.report_sequence,
+            ..MemberWork::default()
+        };
     }
 
-    fn own_recent(&mut self, now: Timestamp, window: TimeSpan) -> TimeSpan {
-        while self.own.pop_front_if(|(at, _)| now - *at >= window).is_some() {}
-        TimeSpan(self.own.iter().map(|(_, work)| work.0).sum())
+    fn own_recent_work_us(&mut self, now: Timestamp, window: TimeSpan) -> u64 {
+        let is_old = |sent: &mut DispatchedWork| now - sent.dispatched_at >= window;
+        while self.own.pop_front_if(is_old).is_some() {}
+        self.own.iter().map(|sent| sent.work.0).sum()
     }
-}
 
-/// What is reported_at of this driver's sends to a member.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WorkReport {
-    pub sequence: u64,
-    pub work_us: u64,
-    pub carried_us: u64,
+    fn next_report(&mut self, carried_load: f64) -> WorkReport {
+        self.report_sequence += 1;
+        WorkReport {
+            sequence: self.report_sequence,
+            work_us: self.own_total_us,
+            carried_us: (carried_load * MICROS) as u64,
+        }
+    }
+
+    /// The last reports of all these drivers; none if one of them is missing or too old.
+    fn fresh_reports(&self, now: Timestamp, interval: TimeSpan, drivers: &[&str]) -> Option<Vec<&PeerWork>> {
+        let reports = drivers.iter().map(|driver| {
+            let peer = self.peers.get(*driver)?;
+            (peer.age_in_intervals(now, interval) <= MAX_REPORT_AGE).then_some(peer)
+        });
+        reports.collect()
+    }
+
+    /// This driver's share of what is left of the budget; none if a required driver hasn't reported lately.
+    fn share(
+        &mut self,
+        now: Timestamp,
+        rules: &WarmUpRules,
+        load: WarmUpLoad,
+        required_drivers: &[&str],
+    ) -> Option<TimeSpan> {
+        let own_work_us = self.own_recent_work_us(now, rules.window);
+        let reports = self.fresh_reports(now, rules.report_interval, required_drivers)?;
+        // Work of drivers that are gone by now counts too.
+        let peers_work_us: u64 = self
+            .peers
+            .values()
+            .map(|peer| peer.recent_work_us(now, rules.window))
+            .sum();
+        let dispatched = TimeSpan(peers_work_us + own_work_us);
+        let peers_load = reports.iter().map(|peer| peer.carried_load).sum::<f64>();
+        let carried_load = load.carried_load + peers_load;
+        let used_multiple = carried_load * load.warm_up_fraction * rules.overload_multiple * USED_FRACTION;
+        let left = (rules.window * used_multiple - dispatched).0 as f64;
+        let total_load = carried_load.max(MIN_TOTAL_LOAD);
+        // Each peer may have used its share once an interval since its report.
+        let unreported = reports.iter().map(|peer| {
+            let intervals = peer.age_in_intervals(now, rules.report_interval);
+            peer.carried_load / total_load * intervals.min(MAX_REPORT_AGE)
+        });
+        let left = left / (1.0 + unreported.sum::<f64>());
+        Some(TimeSpan((left * load.carried_load / total_load) as u64))
+    }
 }
 
+/// Budgets of all members that are warming up, by name.
 pub struct WarmUpBudgets {
+    /// The rule that budgets are computed from.
     pub rules: WarmUpRules,
     members: BTreeMap<String, MemberWork>,
 }
 
 impl WarmUpBudgets {
+    /// No member is warming up yet.
     pub fn new(rules: WarmUpRules) -> WarmUpBudgets {
         WarmUpBudgets {
             rules,
@@ -93,120 +261,57 @@
         }
     }
 
-    /// Only those named are cold still.
-    pub fn retain(&mut self, cold: &[String]) {
-        self.members.retain(|name, _| cold.contains(name));
+    /// Forgets all members but these, because they are warm.
+    pub fn retain(&mut self, warming_up: &[String]) {
+        self.members.retain(|name, _| warming_up.contains(name));
     }
 
+    /// Whether anything is known of this member's warm-up.
     pub fn is_warming_up(&self, name: &str) -> bool {
         self.members.contains_key(name)
     }
 
-    /// This driver sends it so much work.
+    /// This driver dispatches work to a member. Ignored for members that aren't warming up.
     pub fn on_dispatch(&mut self, now: Timestamp, name: &str, work: TimeSpan) {
-        if let Some(member) = self.members.get_mut(name) {
-            member.own.push_back((now, work));
-            member.sum += work.0;
-        }
-    }
-
-    /// Another driver has reported_at what it sent.
-    #[allow(clippy::too_many_arguments)] // the figures of one record
-    pub fn on_peer_report(
-        &mut self,
-        reported_at: Timestamp,
-        name: &str,
-        started_ms: u64,
-        driver: &str,
-        incarnation: u64,
-        work_us: u64,
-        carried_us: u64,
-    ) {
-        let member = self.members.entry(name.to_owned()).or_default();
-        member.reset_on_restart(started_ms);
-        if member.started_ms != started_ms {
+        let Some(member) = self.members.get_mut(name) else {
             return;
-        }
-        let peer = member.peers.entry(driver.to_owned()).or_insert_with(|| PeerWork {
-            reported_at,
-            incarnation,
-            carried_load: 0.0,
-            sums: VecDeque::new(),
+        };
+        member.own.push_back(DispatchedWork {
+            dispatched_at: now,
+            work,
         });
-        if incarnation < peer.incarnation || incarnation == peer.incarnation && reported_at < peer.reported_at
-        {
+        member.own_total_us += work.0;
+    }
+
+    /// Another driver reports its dispatches. Ignored for an earlier start of the member and for outdated reports.
+    pub fn on_peer_report(&mut self, member: MemberStart, report: &PeerReport) {
+        let work = self.members.entry(member.name.to_owned()).or_default();
+        work.reset_on_restart(member.started_ms);
+        if work.started_ms != member.started_ms {
             return;
         }
-        if incarnation > peer.incarnation {
-            // Its former incarnation's sum was another one's; what that sent lately still counts.
-            let base = peer.sums.back().map_or(0, |(_, sum)| *sum);
-            peer.sums.clear();
-            peer.sums.push_back((reported_at, 0));
-            peer.incarnation = incarnation;
-            peer.sums.push_back((reported_at, work_us + base));
-        } else {
-            peer.sums.push_back((reported_at, work_us));
-        }
-        (peer.reported_at, peer.carried_load) = (reported_at, carried_us as f64 / 1e6);
-        let window = self.rules.window;
-        while peer
-            .sums
-            .get(1)
-            .is_some_and(|(at, _)| reported_at - *at >= window)
-        {
-            peer.sums.pop_front();
+        let peer = work
+            .peers
+            .entry(report.driver.to_owned())
+            .or_insert_with(|| PeerWork::new(report));
+        if !peer.is_outdated(report) {
+            peer.apply(report, self.rules.window);
         }
     }
 
-    /// How much work may go required_peers from here until the next telling, where that is known, and what is to be reported_at; `warm_up_fraction` is on
-    /// the mean of the window, for what was sent then was borne by that; `carried_load` is
-    /// what a warm member carried_load for this driver, in parts of a core, `required_peers` are the drivers that must have spoken.
+    /// The work that this driver may dispatch to a member until the next report, and the report to send.
+    /// `required_drivers` are the reachable ones, which must all have reported.
     pub fn budget(
         &mut self,
         now: Timestamp,
-        (name, started_ms): (&str, u64),
-        (warm_up_fraction, carried_load): (f64, f64),
-        required_peers: &[&str],
-    ) -> (Option<TimeSpan>, WorkReport) {
-        let WarmUpRules {
-            window,
-            overload_multiple,
-            report_interval,
-        } = self.rules;
-        let member = self.members.entry(name.to_owned()).or_default();
-        member.reset_on_restart(started_ms);
-        let own = member.own_recent(now, window);
-        member.sequence += 1;
-        let sum = WorkReport {
-            sequence: member.sequence,
-            work_us: member.sum,
-            carried_us: (carried_load * 1e6) as u64,
-        };
-        let fresh = |o: &&PeerWork| (now - o.reported_at).ratio(report_interval) <= MAX_REPORT_AGE;
-        let fresh: Vec<&PeerWork> = required_peers
-            .iter()
-            .filter_map(|d| member.peers.get(*d))
-            .filter(fresh)
-            .collect();
-        if fresh.len() < required_peers.len() {
-            return (None, sum);
-        }
-        // NodeIdentity has gone has sent what it sent.
-        let sent = member
-            .peers
-            .values()
-            .map(|o| o.recent(now, window).0)
-            .sum::<u64>()
-            + own.0;
-        let total_load = carried_load + fresh.iter().map(|o| o.carried_load).sum::<f64>();
-        let budget = window * (total_load * warm_up_fraction * overload_multiple * USED_FRACTION);
-        let left = (budget - TimeSpan(sent)).0 as f64;
-        let all = total_load.max(1e-9);
-        // Each of them may have used its share at each report_interval since it spoke: so a share is a part of what would be left.
-        let unheard = fresh
-            .iter()
-            .map(|o| o.carried_load / all * (now - o.reported_at).ratio(report_interval).min(MAX_REPORT_AGE));
-        let left = left / (1.0 + unheard.sum::<f64>());
-        (Some(TimeSpan((left * carried_load / all) as u64)), sum)
+        member: MemberStart,
+        load: WarmUpLoad,
+        required_drivers: &[&str],
+    ) -> WarmUpBudget {
+        let work = self.members.entry(member.name.to_owned()).or_default();
+        work.reset_on_restart(member.started_ms);
+        let report = work.next_report(load.carried_load);
+        let share = work.share(now, &self.rules, load, required_drivers);
+        WarmUpBudget { work: share, report }
     }
 }
--- a/crates/gossip/tests/cold.rs
+++ b/crates/gossip/tests/cold.rs
@@ -3,19 +3,52 @@
 
 use asterlatch::fleet_share::FleetShare;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::slow_start::{WarmUpBudgets, WarmUpRules};
+use asterlatch_gossip::slow_start::{
+    MemberStart, PeerReport, WarmUpBudget, WarmUpBudgets, WarmUpLoad, WarmUpRules,
+};
 
 const TERMS: WarmUpRules = WarmUpRules {
     window: TimeSpan::millis(2000),
     overload_multiple: 4.0,
     report_interval: TimeSpan::millis(100),
 };
+const MEMBER: MemberStart = MemberStart {
+    name: "m",
+    started_ms: 5,
+};
+const RESTARTED: MemberStart = MemberStart {
+    name: "m",
+    started_ms: 6,
+};
 const NOW: Timestamp = Timestamp(1_000_000_000);
 
 fn at(ms: u64) -> Timestamp {
     NOW + TimeSpan::millis(ms)
 }
 
+fn report(
+    reported_at: Timestamp,
+    driver: &str,
+    incarnation: u64,
+    work_us: u64,
+    carried_us: u64,
+) -> PeerReport<'_> {
+    PeerReport {
+        driver,
+        incarnation,
+        reported_at,
+        work_us,
+        carried_us,
+    }
+}
+
+fn load(warm_up_fraction: f64, carried_load: f64) -> WarmUpLoad {
+    WarmUpLoad {
+        warm_up_fraction,
+        carried_load,
+    }
+}
+
 /// From a fifth to all within ten seconds.
 fn warm_at(ms: u64) -> f64 {
     (0.2 + 0.8 * ms as f64 / 10_000.0).min(1.0)
@@ -58,12 +91,14 @@
                     .collect();
                 for (who, when, work_us, carries_us) in words.iter().filter(|(who, ..)| *who != n) {
                     if told.is_some_and(|part| chance.f64() < part) {
-                        colds[n].on_peer_report(*when, "m", 5, &names[*who], 1, *work_us, *carries_us);
+                        colds[n]
+                            .on_peer_report(MEMBER, &report(*when, &names[*who], 1, *work_us, *carries_us));
                     }
                 }
-                let (share, sum) = colds[n].budget(now, ("m", 5), (warmth, carries[n]), &there);
-                allowed[n] = share.filter(|_| told.is_some());
-                late.push((n, now, sum.work_us, sum.carried_us));
+                let WarmUpBudget { work, report } =
+                    colds[n].budget(now, MEMBER, load(warmth, carries[n]), &there);
+                allowed[n] = work.filter(|_| told.is_some());
+                late.push((n, now, report.work_us, report.carried_us));
             }
         }
         for n in 0..drivers {
@@ -135,9 +170,9 @@
     let known = |told: &[(&str, u64)], there: &[&str]| {
         let mut cold = WarmUpBudgets::new(TERMS);
         for (who, ticks) in told {
-            cold.on_peer_report(at(1000 - ticks * 100), "m", 5, who, 1, 0, 100_000);
+            cold.on_peer_report(MEMBER, &report(at(1000 - ticks * 100), who, 1, 0, 100_000));
         }
-        cold.budget(at(1000), ("m", 5), (0.5, 0.1), there).0
+        cold.budget(at(1000), MEMBER, load(0.5, 0.1), there).work
     };
     assert!(known(&[], &[]).is_some(), "alone there is nobody to know of");
     assert!(known(&[], &["a"]).is_none());
@@ -171,10 +206,10 @@
     for (name, words, sent) in table {
         let mut cold = WarmUpBudgets::new(TERMS);
         for (incarnation, sum, ms) in words {
-            cold.on_peer_report(at(*ms), "m", 5, "a", *incarnation, *sum, 0);
+            cold.on_peer_report(MEMBER, &report(at(*ms), "a", *incarnation, *sum, 0));
         }
         // All is this driver's own share: what is missing of the budget was sent.
-        let (share, _) = cold.budget(at(3000), ("m", 5), (1.0, 1.0), &[]);
+        let share = cold.budget(at(3000), MEMBER, load(1.0, 1.0), &[]).work;
         let budget = 2_000_000.0 * 4.0 * 0.75;
         assert_eq!(share.map(|s| budget as u64 - s.0), Some(sent), "{name}");
     }
@@ -183,16 +218,16 @@
 #[test]
 fn a_member_that_starts_anew_owes_nothing() {
     let mut cold = WarmUpBudgets::new(TERMS);
-    cold.on_peer_report(at(0), "m", 5, "a", 1, 5_000_000, 1_000_000);
+    cold.on_peer_report(MEMBER, &report(at(0), "a", 1, 5_000_000, 1_000_000));
     assert_eq!(
-        cold.budget(at(10), ("m", 5), (0.2, 0.1), &["a"]).0,
+        cold.budget(at(10), MEMBER, load(0.2, 0.1), &["a"]).work,
         Some(TimeSpan(0))
     );
-    cold.on_peer_report(at(20), "m", 6, "a", 1, 1000, 1_000_000);
-    assert!(cold.budget(at(30), ("m", 6), (0.2, 0.1), &["a"]).0 > Some(TimeSpan(0)));
-    cold.on_peer_report(at(40), "m", 5, "a", 1, 9_000_000, 1_000_000);
+    cold.on_peer_report(RESTARTED, &report(at(20), "a", 1, 1000, 1_000_000));
+    assert!(cold.budget(at(30), RESTARTED, load(0.2, 0.1), &["a"]).work > Some(TimeSpan(0)));
+    cold.on_peer_report(MEMBER, &report(at(40), "a", 1, 9_000_000, 1_000_000));
     assert!(
-        cold.budget(at(50), ("m", 6), (0.2, 0.1), &["a"]).0 > Some(TimeSpan(0)),
+        cold.budget(at(50), RESTARTED, load(0.2, 0.1), &["a"]).work > Some(TimeSpan(0)),
         "of a former start"
     );
     assert!(cold.is_warming_up("m"));
