--- a/crates/driver/src/routing/gossip/prior_attempts.rs
+++ b/crates/driver/src/routing/gossip/prior_attempts.rs
@@ -3,9 +3,9 @@
 use super::{GossipSettings, SendCommand};
 use asterlatch::interface::Statement;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::codec::Question;
-use asterlatch_gossip::in_doubt::{Inquiries, Known, Log, Verdict};
-use asterlatch_gossip::node::Input;
+use asterlatch_gossip::codec::InquiryId;
+use asterlatch_gossip::in_doubt::{DispatchLog, DispatchStatus, Inquiries, InquiryOutcome};
+use asterlatch_gossip::node::NodeInput;
 use std::collections::BTreeMap;
 
 /// Share of a statement's time that may be spent on waiting for other drivers' answers.
@@ -37,7 +37,7 @@
     /// Hash of the id that its client gave the statement.
     pub client_id: u64,
     /// What is to be assumed.
-    pub verdict: Verdict,
+    pub outcome: InquiryOutcome,
 }
 
 /// A statement that was deferred, once other drivers' knowledge of it is clear.
@@ -57,7 +57,7 @@
 
 /// Records and queries on statements that must not be executed twice.
 pub struct PriorAttempts {
-    sent: Log,
+    sent: DispatchLog,
     queries: Inquiries,
     deferred: BTreeMap<u64, DeferredStatement>,
     queried_peers: Vec<usize>,
@@ -67,7 +67,7 @@
 impl PriorAttempts {
     pub(super) fn new(now: Timestamp, settings: &GossipSettings, queried_peers: Vec<usize>) -> PriorAttempts {
         PriorAttempts {
-            sent: Log::new(now, settings.retry_window, settings.max_recorded_statements, true),
+            sent: DispatchLog::new(now, settings.retry_window, settings.max_recorded_statements, true),
             queries: Inquiries::default(),
             deferred: BTreeMap::new(),
             queried_peers,
@@ -80,22 +80,22 @@
     }
 
     pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<ExpiredQuery> {
-        let expired = self.queries.due(now).into_iter();
+        let expired = self.queries.take_timed_out(now).into_iter();
         expired
-            .map(|(client_id, verdict)| ExpiredQuery { client_id, verdict })
+            .map(|(client_id, outcome)| ExpiredQuery { client_id, outcome })
             .collect()
     }
 
     pub(super) fn forget_sent(&mut self, now: Timestamp) {
-        self.sent.blank(now);
+        self.sent.forget_past(now);
     }
 
     pub(super) fn on_sent(&mut self, now: Timestamp, client_id: u64, member: &str) {
-        self.sent.sends(now, client_id, member);
+        self.sent.on_dispatch(now, client_id, member);
     }
 
     pub(super) fn on_not_executed(&mut self, client_id: u64) {
-        self.sent.untouched(client_id);
+        self.sent.on_not_executed(client_id);
     }
 }
 
@@ -110,32 +110,37 @@
         deadline: Timestamp,
     ) -> StatementCheck {
         let prior_attempts = &mut self.prior_attempts;
-        if prior_attempts.sent.is_given(client_id) {
+        if prior_attempts.sent.is_given_up(client_id) {
             return StatementCheck::Ceded;
         }
-        match prior_attempts.sent.known(now, client_id) {
+        match prior_attempts.sent.status(now, client_id) {
             // Also where it is not marked as a retry: the first attempt may arrive behind the retry.
-            Known::Sent { ago, member } => return StatementCheck::Sent { age: ago, member },
+            DispatchStatus::Dispatched { ago, member } => return StatementCheck::Sent { age: ago, member },
             _ if !statement.is_client_retry => return StatementCheck::New,
-            Known::Unknown => return StatementCheck::Unknown,
-            Known::Untouched => {}
+            DispatchStatus::Unknown => return StatementCheck::Unknown,
+            DispatchStatus::NotExecuted => {}
         }
         let resolved = ResolvedStatement { statement, deadline };
         prior_attempts.query(now, client_id, resolved, &mut self.send)
     }
 
     /// Another driver's answer to a query. Returns the verdict once all answers allow one.
-    pub fn on_query_answer(&mut self, from: usize, question: Question, known: &Known) -> Option<Verdict> {
+    pub fn on_query_answer(
+        &mut self,
+        from: usize,
+        question: InquiryId,
+        known: &DispatchStatus,
+    ) -> Option<InquiryOutcome> {
         let queries = &mut self.prior_attempts.queries;
-        queries.answered(question.id, question.turn, from, known)
+        queries.on_reply(question.id, question.sequence, from, known)
     }
 
     /// Ends the query on a deferred statement, and returns that.
     pub fn take_deferred(&mut self, client_id: u64) -> Option<ResolvedStatement> {
         let deferred = self.prior_attempts.deferred.remove(&client_id)?;
-        (self.send)(Input::Asked(Question {
+        (self.send)(NodeInput::EndInquiry(InquiryId {
             id: client_id,
-            turn: deferred.query,
+            sequence: deferred.query,
         }));
         Some(deferred.resolved)
     }
@@ -146,25 +151,25 @@
         &mut self,
         now: Timestamp,
         from: usize,
-        question: Question,
+        question: InquiryId,
         is_co_serving: bool,
     ) -> bool {
         let prior_attempts = &mut self.prior_attempts;
         let known = if is_co_serving {
-            Known::Unknown
+            DispatchStatus::Unknown
         } else {
-            prior_attempts.sent.known(now, question.id)
+            prior_attempts.sent.status(now, question.id)
         };
-        let is_ceded = known == Known::Untouched;
+        let is_ceded = known == DispatchStatus::NotExecuted;
         if is_ceded {
-            prior_attempts.sent.give_away(now, question.id);
-            prior_attempts.queries.end(question.id);
+            prior_attempts.sent.give_up(now, question.id);
+            prior_attempts.queries.cancel(question.id);
             prior_attempts.deferred.remove(&question.id);
         }
-        (self.send)(Input::Answer {
+        (self.send)(NodeInput::ReplyToInquiry {
             to: from,
-            question,
-            known,
+            inquiry: question,
+            status: known,
         });
         is_ceded
     }
@@ -185,9 +190,9 @@
         };
         self.deferred
             .insert(client_id, DeferredStatement { query, resolved });
-        send(Input::Ask(Question {
+        send(NodeInput::StartInquiry(InquiryId {
             id: client_id,
-            turn: query,
+            sequence: query,
         }));
         StatementCheck::Queried
     }
