--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -8,9 +8,9 @@
 use crate::routing::member_requests::AttemptId;
 use asterlatch::interface::{MemberEntry, MemberUpdate};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::membership::{Change, Presence};
-use asterlatch_gossip::node::Output;
-use asterlatch_gossip::record::{Record, Standing};
+use asterlatch_gossip::membership::{PeerState, PeerStateChange};
+use asterlatch_gossip::node::NodeOutput;
+use asterlatch_gossip::record::{ListedState, Record};
 
 /// Topic of log lines about the fleet.
 const FLEET: &str = "fleet";
@@ -47,7 +47,7 @@
         }
         for query in due.expired_queries {
             self.metrics.inquiries_unanswered += 1;
-            self.on_query_resolved(now, query.client_id, query.verdict);
+            self.on_query_resolved(now, query.client_id, query.outcome);
         }
     }
 
@@ -115,20 +115,20 @@
         }
     }
 
-    fn on_gossip_output(&mut self, now: Timestamp, output: Output) {
+    fn on_gossip_output(&mut self, now: Timestamp, output: NodeOutput) {
         match output {
-            Output::News(record, received_at) => {
+            NodeOutput::RecordLearned(record, received_at) => {
                 self.metrics.facts_from_others += 1;
                 self.on_record(now, &record, received_at);
             }
-            Output::Question { from, question } => self.on_query(now, from, question),
-            Output::Answered {
+            NodeOutput::InquiryReceived { from, inquiry } => self.on_query(now, from, inquiry),
+            NodeOutput::InquiryReplied {
                 from,
-                question,
-                known,
-            } => self.on_query_answer(now, from, question, &known),
-            Output::Presence(change) => self.on_presence_change(now, &change),
-            Output::CaughtUp(is_complete) => {
+                inquiry,
+                status,
+            } => self.on_query_answer(now, from, inquiry, &status),
+            NodeOutput::PeerStateChanged(change) => self.on_presence_change(now, &change),
+            NodeOutput::CaughtUp(is_complete) => {
                 let text = if is_complete {
                     "caught up"
                 } else {
@@ -136,22 +136,22 @@
                 };
                 self.observer.log(now, FLEET, format_args!("{text}"));
             }
-            Output::CutOff { peer, why } => {
+            NodeOutput::PeerIgnored { peer, reason } => {
                 let Some(gossip) = &self.gossip else { return };
                 let name = gossip.peer_name(peer);
-                let text = format_args!("driver {name} is not listened to: {why}");
+                let text = format_args!("driver {name} is not listened to: {reason}");
                 self.observer.log(now, FLEET, text);
             }
-            Output::Send { .. } => {}
+            NodeOutput::Send { .. } => {}
         }
     }
 
-    fn on_presence_change(&mut self, now: Timestamp, change: &Change) {
+    fn on_presence_change(&mut self, now: Timestamp, change: &PeerStateChange) {
         let Some(gossip) = &mut self.gossip else { return };
         gossip.on_presence_change(change);
         self.update_fleet(now);
         let Some(gossip) = &self.gossip else { return };
-        if change.to == Presence::Gone {
+        if change.to == PeerState::Down {
             self.metrics.peers_lost += 1;
         }
         let (name, to, from) = (
@@ -169,33 +169,36 @@
             Record::Member { .. } => self.on_member_record(now, record, received_at),
             Record::Drain { .. } => self.on_drain_record(now, record),
             Record::Session { session, position } => self.on_session_record(*session, *position),
-            Record::Cold { member, .. } => {
+            Record::WarmUp { member, .. } => {
                 let is_known = self.members.find(member).is_some();
                 if let Some(gossip) = self.gossip.as_mut().filter(|_| is_known) {
                     gossip.on_warm_up_record(received_at, record);
                 }
             }
-            Record::Turn { subject, claim } => {
+            Record::Lease { subject, claim } => {
                 if let Some(gossip) = &mut self.gossip {
                     gossip.on_lease(now, subject, *claim, now - received_at);
                 }
             }
-            Record::Late {
+            Record::Unanswered {
                 member,
                 driver,
-                before_us,
+                outstanding_us,
                 ..
             } => {
-                let sent_at = received_at - TimeSpan(*before_us);
+                let sent_at = received_at - TimeSpan(*outstanding_us);
                 self.on_peer_overdue(member, driver, sent_at, received_at);
             }
             Record::Load {
-                driver, life, shares, ..
+                driver,
+                incarnation,
+                shares,
+                ..
             } => {
                 if let Some(gossip) = &mut self.gossip {
                     gossip.on_load_report(&LoadReport {
                         driver,
-                        incarnation: *life,
+                        incarnation: *incarnation,
                         shares,
                         received_at,
                     });
@@ -242,15 +245,15 @@
         let Record::Drain {
             name,
             started_ms,
-            list,
-            standing,
+            list_version,
+            state,
         } = record
         else {
             return;
         };
         // A record by an older list than the one in force does not bind; by the same list, the worse state applies.
         let version_in_force = self.gossip.as_ref().map_or(0, Gossip::list_version);
-        let is_binding = *standing != Standing::Ready && *list >= version_in_force;
+        let is_binding = *state != ListedState::Ready && *list_version >= version_in_force;
         let Some(member) = self.members.find(name).filter(|_| is_binding) else {
             return;
         };
--- a/crates/driver/src/routing/event_loop/in_doubt.rs
+++ b/crates/driver/src/routing/event_loop/in_doubt.rs
@@ -5,12 +5,12 @@
 use crate::routing::gossip::StatementCheck;
 use asterlatch::interface::{PriorAttempt, Statement};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::codec::Question;
-use asterlatch_gossip::in_doubt::{Known, Verdict, FOREVER};
+use asterlatch_gossip::codec::InquiryId;
+use asterlatch_gossip::in_doubt::{DispatchStatus, InquiryOutcome, UNBOUNDED_AGE};
 
 /// An attempt of which neither time nor member are known.
 const UNKNOWN_ATTEMPT: PriorAttempt = PriorAttempt {
-    age: FOREVER,
+    age: UNBOUNDED_AGE,
     member: 0,
 };
 
@@ -65,16 +65,22 @@
         member.map_or(UNKNOWN_ATTEMPT, |member| PriorAttempt { age, member })
     }
 
-    pub(super) fn on_query_answer(&mut self, now: Timestamp, from: usize, question: Question, known: &Known) {
+    pub(super) fn on_query_answer(
+        &mut self,
+        now: Timestamp,
+        from: usize,
+        inquiry: InquiryId,
+        status: &DispatchStatus,
+    ) {
         let Some(gossip) = &mut self.gossip else { return };
-        let client_id = question.id;
-        if let Some(verdict) = gossip.on_query_answer(from, question, known) {
-            self.on_query_resolved(now, client_id, verdict);
+        let client_id = inquiry.id;
+        if let Some(outcome) = gossip.on_query_answer(from, inquiry, status) {
+            self.on_query_resolved(now, client_id, outcome);
         }
     }
 
     /// What other drivers know of a deferred statement is clear.
-    pub(super) fn on_query_resolved(&mut self, now: Timestamp, client_id: u64, verdict: Verdict) {
+    pub(super) fn on_query_resolved(&mut self, now: Timestamp, client_id: u64, outcome: InquiryOutcome) {
         let Some(gossip) = &mut self.gossip else { return };
         let Some(deferred) = gossip.take_deferred(client_id) else {
             return;
@@ -83,9 +89,9 @@
         if !self.statements.contains(deferred.statement.id) {
             return;
         }
-        let prior_attempt = match verdict {
-            Verdict::Untouched => None,
-            Verdict::Sent { ago, member } => {
+        let prior_attempt = match outcome {
+            InquiryOutcome::NotExecuted => None,
+            InquiryOutcome::MayHaveExecuted { ago, member } => {
                 self.metrics.inquiries_in_doubt += 1;
                 Some(self.prior_attempt(ago, member.as_deref()))
             }
@@ -101,10 +107,10 @@
     }
 
     /// Another driver asks about a statement. If it has not been sent from here it is ceded, and rejected if it is open.
-    pub(super) fn on_query(&mut self, now: Timestamp, from: usize, question: Question) {
+    pub(super) fn on_query(&mut self, now: Timestamp, from: usize, inquiry: InquiryId) {
         let Some(gossip) = &mut self.gossip else { return };
-        let client_id = question.id;
-        let is_ceded = gossip.answer_query(now, from, question, self.handover.is_co_serving());
+        let client_id = inquiry.id;
+        let is_ceded = gossip.answer_query(now, from, inquiry, self.handover.is_co_serving());
         let open = self.statements.find(client_id);
         let Some(statement) = open.filter(|_| is_ceded) else {
             return;
--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -9,7 +9,7 @@
 use asterlatch_coordination::lease::{Lease, LeaseState, LeaseStatus, LeaseTable, LeaseTimings};
 use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate, ShareReport};
 use asterlatch_coordination::NameHash;
-use asterlatch_gossip::record::{Record, MOST_SHARES};
+use asterlatch_gossip::record::{Record, MAX_LOAD_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time between two health checks of an unresponsive member by the lease holder. Without leases, each driver checks the
@@ -225,14 +225,14 @@
             self.wanted.remove(&member);
             let subject = lease_subject(&member);
             if let Some(claim) = self.leases.release(now, &subject, LeaseState::Completed) {
-                records.push((Record::Turn { subject, claim }, TimeSpan(0)));
+                records.push((Record::Lease { subject, claim }, TimeSpan(0)));
             }
         }
     }
 
     fn advance_leases(&mut self, now: Timestamp, records: &mut Vec<(Record, TimeSpan)>) {
         for update in self.leases.advance_to(now) {
-            let record = Record::Turn {
+            let record = Record::Lease {
                 subject: update.subject,
                 claim: update.lease,
             };
@@ -266,12 +266,12 @@
             };
             self.failure_consensus.on_late_report(member, own, report);
             self.record_count += 1;
-            let record = Record::Late {
+            let record = Record::Unanswered {
                 member: member.clone(),
                 driver: self.own.name.clone(),
-                life: self.own.incarnation,
-                said: self.record_count,
-                before_us: (now - *sent_at).0,
+                incarnation: self.own.incarnation,
+                sequence: self.record_count,
+                outstanding_us: (now - *sent_at).0,
             };
             records.push((record, TimeSpan(0)));
         }
@@ -300,7 +300,7 @@
             .map(|own| (fleet_key(&own.member), own.share))
             .collect();
         let mut reported = Vec::new();
-        for reportable in self.load_aggregate.reportable(now, MOST_SHARES) {
+        for reportable in self.load_aggregate.reportable(now, MAX_LOAD_SHARES) {
             if let Some(share) = by_key.get(&reportable.member) {
                 let answers = (reportable.answers * ANSWER_UNITS) as u8;
                 reported.push((reportable.member, (share * SHARE_UNITS) as u8, answers));
@@ -309,8 +309,8 @@
         self.record_count += 1;
         let report = Record::Load {
             driver: self.own.name.clone(),
-            life: self.own.incarnation,
-            said: self.record_count,
+            incarnation: self.own.incarnation,
+            sequence: self.record_count,
             shares: reported,
         };
         let is_empty = matches!(&report, Record::Load { shares, .. } if shares.is_empty());
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::trust::{assess, Usability};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Kind, Record};
+use asterlatch_gossip::record::{Record, RecordKind};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -94,7 +94,7 @@
 /// Rows are ordered and told apart by this.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RowKey {
-    kind: Kind,
+    kind: RecordKind,
     usability: Usability,
     reason: &'static str,
 }
--- a/crates/recovery/tests/common/mod.rs
+++ b/crates/recovery/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use asterlatch::time::Timestamp;
 use asterlatch_coordination::lease::{Lease, LeaseState};
-use asterlatch_gossip::record::{Record, Standing};
+use asterlatch_gossip::record::{ListedState, Record};
 
 /// What the wall clock shows.
 pub(crate) const NOW: Timestamp = Timestamp(1_700_000_000_000_000);
@@ -26,25 +26,25 @@
     let drain = |standing| Record::Drain {
         name: name(),
         started_ms: 5,
-        list: 3,
-        standing,
+        list_version: 3,
+        state: standing,
     };
     vec![
-        drain(Standing::Draining),
-        drain(Standing::Gone),
-        drain(Standing::Ready),
+        drain(ListedState::Draining),
+        drain(ListedState::Gone),
+        drain(ListedState::Ready),
         Record::Session {
             session: 4,
             position: 9,
         },
-        Record::Cold {
+        Record::WarmUp {
             member: name(),
             started_ms: 5,
             driver: "d".to_owned(),
-            life: 1,
-            said: 1,
+            incarnation: 1,
+            sequence: 1,
             work_us: 1,
-            carries_us: 1,
+            carried_us: 1,
         },
         Record::Member {
             name: name(),
@@ -63,13 +63,13 @@
     vec![
         Record::Driver {
             name: name(),
-            life: 1,
-            said: 1,
-            list: 1,
-            file: 1,
+            incarnation: 1,
+            sequence: 1,
+            list_version: 1,
+            operators_file: 1,
             caught_up: true,
         },
-        Record::Turn {
+        Record::Lease {
             subject: "probe m".to_owned(),
             claim: Lease {
                 term: 1,
@@ -79,17 +79,17 @@
                 state: LeaseState::Held,
             },
         },
-        Record::Late {
+        Record::Unanswered {
             member: name(),
             driver: "d".to_owned(),
-            life: 1,
-            said: 1,
-            before_us: 1,
+            incarnation: 1,
+            sequence: 1,
+            outstanding_us: 1,
         },
         Record::Load {
             driver: "d".to_owned(),
-            life: 1,
-            said: 1,
+            incarnation: 1,
+            sequence: 1,
             shares: vec![(1, 2, 3)],
         },
     ]
