--- a/crates/coordination/src/failure_consensus.rs
+++ b/crates/coordination/src/failure_consensus.rs
@@ -1,11 +1,16 @@
-//! Members that are unresponsive by what all drivers together report. One driver of many meets a member once in seconds,
-//! and pays with a statement's whole time for each failure that it finds out alone.
+//! Detects unresponsive members from what all drivers report together.
 //!
-//! A driver reports an execution that is late at a member, and when that was sent. A member counts as unresponsive when a
-//! quorum of drivers have late executions there that were sent after the last response of it to anybody. So a driver that
-//! reports nonsense moves nothing alone, and a member that is only slow responds to somebody. The consequence is mild:
-//! reads go to other members for a while, late executions there may be cancelled, and after that one driver tries again.
-//! Meanwhile less is sent there, so what all drivers do doesn't oscillate: each draws the time of its retry by itself.
+//! In a large fleet each driver sends to a given member only every few seconds, and would lose a whole
+//! statement's time on every failure that it had to detect alone.
+//!
+//! A driver reports an execution that is late at a member, with the time at which it was sent. A member
+//! counts as unresponsive once a quorum of drivers report late executions that were sent after the member's
+//! last response to any driver. A single driver that reports nonsense therefore changes nothing, and a member
+//! that is merely slow still responds to somebody.
+//!
+//! The consequence is mild: reads prefer other members for a while, late executions at the member may be
+//! cancelled, and afterwards one driver tries again. Each driver draws its own retry time, so the fleet
+//! doesn't oscillate.
 
 use crate::NameHash;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -164,8 +169,8 @@
         }
     }
 
-    /// Until when a member is unresponsive; nothing where it isn't. A finding lasts for the retry time; the next one takes
-    /// new reports.
+    /// Until when a member is unresponsive; nothing where it isn't. A finding lasts for the retry time; the
+    /// next one takes new reports.
     pub fn unresponsive_until(&mut self, now: Timestamp, member: &str) -> Option<Timestamp> {
         let own_id = self.own_id;
         let settings = self.settings;
--- a/crates/coordination/src/fleet_size.rs
+++ b/crates/coordination/src/fleet_size.rs
@@ -1,8 +1,8 @@
-//! How many drivers there are, where each has its part of what all may do.
+//! Counts the drivers among which limits are divided.
 //!
-//! With too few counted the sum of all parts is too much; with too many it is too little, which harms less. So a growing
-//! fleet counts at once, and a smaller one only after it has been so for a while: a driver that is only out of sight, cut
-//! off or stopped, takes its part all the same.
+//! Too low a count makes the sum of all parts too large; too high a count makes it too small, which does less
+//! harm. A growing fleet therefore counts at once, and a shrinking one only after a delay: a driver that is
+//! out of sight, cut off or stopped still uses its part.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,15 +1,17 @@
-//! Leases: of all drivers that want something done, one does it, and the others learn that it does. What it is for is the
-//! subject, a text that all know alike.
+//! Leases: among all drivers that want something done, one does it and the others know that it does. The
+//! subject, a text that all drivers know alike, names what a lease is for.
 //!
-//! A lease has a term. The later term wins, and within one term the smaller holder, so two drivers that acquire a lease at
-//! once agree as soon as a message of one reaches the other. A holder renews its lease, and acts on it for
-//! [`LeaseTimings::holder_duration`] from its last renewal by its own clock; others believe in it for
-//! [`LeaseTimings::duration`] from when that renewal was sent. So nobody else begins while the holder still acts, however
-//! late messages arrive, and a holder that was stopped and goes on finds its lease expired. No acknowledgement is needed,
-//! and clocks need to run alike but not to show the same time.
+//! A lease has a term. The later term wins, and within one term the smaller holder, so two drivers that
+//! acquire a lease at the same time agree as soon as a message of one reaches the other. A holder renews its
+//! lease, and acts on it for [`LeaseTimings::holder_duration`] after its last renewal by its own clock;
+//! others believe in it for [`LeaseTimings::duration`] after that renewal was sent. So nobody else begins
+//! while the holder still acts, however late messages arrive, and a holder that was stopped and goes on finds
+//! its lease expired. No acknowledgement is needed, and clocks need to run at the same rate but not to show
+//! the same time.
 //!
-//! Who acquires first is drawn by hash from the drivers that are present; each of the next ones waits longer. Two sides of
-//! a network partition have a holder each, for no message passes between them; when it heals one of them yields.
+//! The order in which drivers may acquire a lease is drawn by hash from those that are present; each of the
+//! next ones waits longer. Each side of a network partition has a holder of its own, because no message
+//! passes between them; when the partition heals, one of them yields.
 
 use crate::NameHash;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -25,7 +27,7 @@
     pub term: u64,
     /// The driver that holds it.
     pub holder: NameHash,
-    /// The holder's incarnation: a driver that restarted is another holder.
+    /// The holder's incarnation. A driver that restarted counts as another holder.
     pub incarnation: u64,
     /// How often the holder has renewed it.
     pub renewals: u64,
@@ -33,19 +35,19 @@
     pub state: LeaseState,
 }
 
-/// Whether a holder still holds its lease, and with what it released it. Ordered by which wins among equal renewals.
+/// Whether a lease is still held, or how it was released. Ordered by precedence among equal renewals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseState {
     /// The holder acts on it.
     Held,
-    /// The holder wants it no more, and its work is not done.
+    /// The holder gave it up and its work is not done.
     Abandoned,
-    /// The work is done: nobody needs to do it for all any more, and each driver may for itself.
+    /// The work is done: no driver needs to do it for all any more, and each may do it for itself.
     Completed,
 }
 
 impl Lease {
-    /// The order by which one lease wins over another.
+    /// The order in which one lease wins over another.
     fn precedence(&self) -> impl Ord {
         let smaller_holder = Reverse(self.holder);
         (
@@ -75,8 +77,8 @@
     pub duration: TimeSpan,
     /// How long its holder acts on it since its last renewal; less than `duration`.
     pub holder_duration: TimeSpan,
-    /// How much longer each next driver waits before it acquires what nobody holds: a message's flight and the time
-    /// between two of them.
+    /// How much longer each next driver waits before it acquires what nobody holds: a message's flight and
+    /// the time between two of them.
     pub acquire_delay: TimeSpan,
 }
 
@@ -92,13 +94,13 @@
 
 /// Part of [`LeaseTimings::holder_duration`] after which a holder renews its lease.
 const RENEWAL_FRACTION: f64 = 0.4;
-/// From this rank on all drivers wait alike: those before them may not want the lease at all, and if several acquire it
-/// one message settles that.
+/// From this rank on all drivers wait alike: those before them may not want the lease at all, and if several
+/// acquire it one message settles that.
 const MAX_RANK: usize = 4;
 /// Subjects that are known at most. The one heard of longest ago goes.
 const MAX_SUBJECTS: usize = 4096;
-/// A subject of which nothing is heard is forgotten after this many lease durations: longer than any lease of a former
-/// term is on its way.
+/// A subject of which nothing is heard is forgotten after this many lease durations: longer than any lease of
+/// a former term is on its way.
 const RETENTION_DURATIONS: f64 = 10.0;
 
 /// What a driver knows of a lease at one moment.
@@ -225,8 +227,8 @@
         }
     }
 
-    /// This driver no longer wants the lease on `subject`, and releases it with `state` if it holds it. Returns the
-    /// released lease, which others must be told of.
+    /// This driver no longer wants the lease on `subject`, and releases it with `state` if it holds it.
+    /// Returns the released lease, which others must be told of.
     pub fn release(&mut self, now: Timestamp, subject: &str, state: LeaseState) -> Option<Lease> {
         let is_held = self.status(now, subject) == LeaseStatus::HeldHere;
         let entry = self.entries.get_mut(subject)?;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,9 +1,10 @@
-//! What many drivers do so that it adds up: who does something for all ([`lease`]), which members they find unresponsive
-//! together ([`failure_consensus`]), what members can take by all their answers ([`load_aggregate`]), and how many drivers
-//! there are ([`fleet_size`]).
+//! Coordination among drivers: who does something for all ([`lease`]), which members are unresponsive by the
+//! reports of several drivers ([`failure_consensus`]), how much load members can take by all drivers' answers
+//! ([`load_aggregate`]), and how many drivers there are ([`fleet_size`]).
 //!
-//! Rules without I/O: other drivers' messages and the clock go in; what to send and what may be done comes out. No client
-//! waits for coordination, and no message of one driver moves more than that driver's own part.
+//! The rules do no I/O: other drivers' messages and the current time go in; messages to send and permissions
+//! come out. No client waits for coordination, and no message of one driver changes more than that driver's
+//! own part.
 
 pub mod failure_consensus;
 pub mod fleet_size;
--- a/crates/coordination/src/load_aggregate.rs
+++ b/crates/coordination/src/load_aggregate.rs
@@ -1,13 +1,14 @@
-//! What members can take, by all drivers' answers together.
+//! Blends the admission shares that all drivers have for a member.
 //!
-//! With few samples a driver moves its admission share of a member by answers that come seconds apart. Here the shares of
-//! all drivers that were answered lately are blended, each weighted by its answers and how old its report is, and no
-//! further than that: a driver that admits more has more answers.
+//! With few samples a driver adjusts its admission share by answers that arrive seconds apart. This module
+//! blends the shares of all drivers that received answers recently. Each share is weighted by the answers
+//! behind it and by the age of its report; a driver that admits more has more answers.
 //!
-//! Blending keeps the mean: what all drivers admit to a member moves by answers alone, so however many act on the same
-//! report at once they don't oscillate. A report counts half after [`AggregateSettings::half_life`], so one of ten seconds
-//! ago moves next to nothing, and a driver that hears nobody acts alone. No driver's report weighs more than another's best
-//! one: one driver among `n` that reports nonsense moves a share by an `n`th of its distance at most.
+//! Blending preserves the mean: the total that all drivers admit moves by answers alone, so drivers that act
+//! on the same report don't oscillate. A report loses half its weight every [`AggregateSettings::half_life`],
+//! so a report that is ten seconds old changes almost nothing, and an isolated driver acts on its own. The
+//! answers behind a report are capped: one of `n` drivers that reports nonsense moves a share by at most an
+//! `n`th of its distance.
 
 use crate::NameHash;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -18,7 +19,8 @@
 pub struct AggregateSettings {
     /// After this a report or an answer counts half.
     pub half_life: TimeSpan,
-    /// How far a share goes to the mean of all in one step, where the peers' answers outweigh this driver's own.
+    /// How far a share goes to the mean of all in one step, where the peers' answers outweigh this driver's
+    /// own.
     pub gain: f64,
     /// The most answers that count behind a share.
     pub max_answers: f64,
@@ -150,8 +152,8 @@
         entry.own_answers * self.settings.decay(now - entry.answered_at)
     }
 
-    /// Another driver reports what it admits to a member. An older report, one of an earlier incarnation, and one that is
-    /// no number change nothing.
+    /// Another driver reports what it admits to a member. An older report, one of an earlier incarnation, and
+    /// one that is no number change nothing.
     pub fn on_report(&mut self, member: NameHash, driver: NameHash, report: ShareReport) {
         let max_answers = self.settings.max_answers;
         let Some(entry) = self.entry_mut(member) else {
@@ -174,8 +176,8 @@
         }
     }
 
-    /// The share that this driver is to admit to a member where it admits `own_share` now; nothing where peers report too
-    /// little, or no other share.
+    /// The share that this driver is to admit to a member where it admits `own_share` now; nothing where
+    /// peers report too little, or no other share.
     pub fn blended_share(&self, now: Timestamp, member: NameHash, own_share: f64) -> Option<f64> {
         let peers = self.peer_totals(now, member)?;
         if peers.weight < self.settings.min_peer_answers {
--- a/crates/coordination/tests/failure_consensus.rs
+++ b/crates/coordination/tests/failure_consensus.rs
@@ -128,7 +128,8 @@
     }
 }
 
-/// A driver that reports nonsense moves nothing alone; it may be the second of two, where another reports truly.
+/// A driver that reports nonsense moves nothing alone; it may be the second of two, where another reports
+/// truly.
 #[test]
 fn on_late_report_nonsense_of_one_driver_moves_nothing() {
     let mut consensus = consensus(1);
--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -1,5 +1,5 @@
-//! Model check of leases: every order of steps of three drivers, messages in flight for up to one unit of time, and one
-//! driver that is stopped at will.
+//! Model check of leases: every order of steps of three drivers, messages in flight for up to one unit of
+//! time, and one driver that is stopped at will.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::{Lease, LeaseState, LeaseStatus, LeaseTable, LeaseTimings};
--- a/crates/coordination/tests/load_aggregate.rs
+++ b/crates/coordination/tests/load_aggregate.rs
@@ -293,8 +293,8 @@
     mean
 }
 
-/// At every age of reports all drivers together serve as much as each alone, or more, oscillate little further and admit
-/// more alike; nor do they lose much where a tenth of the drivers reports nonsense.
+/// At every age of reports all drivers together serve as much as each alone, or more, oscillate little
+/// further and admit more alike; nor do they lose much where a tenth of the drivers reports nonsense.
 fn check_blending(drivers: usize) {
     let print = |what: &str, outcome: Outcome| {
         println!(
--- a/crates/handover/src/capacity_check.rs
+++ b/crates/handover/src/capacity_check.rs
@@ -1,7 +1,7 @@
 //! Whether predecessor and successor fit side by side into limits that were made for one process.
 //!
-//! Checked before anything is started: an upgrade that doesn't fit is refused with its figures, and the running process
-//! goes on.
+//! Checked before anything is started: an upgrade that doesn't fit is refused with its figures, and the
+//! running process goes on.
 
 use thiserror::Error;
 
--- a/crates/handover/src/co_serving.rs
+++ b/crates/handover/src/co_serving.rs
@@ -1,10 +1,11 @@
 //! What binds two processes that serve the same members side by side.
 //!
-//! Executions in flight at either process count against the other's concurrency limits, and a drain that either hears of
-//! binds both. Members go by name, for each process gives ids of its own to those it learns of later.
+//! Executions in flight at either process count against the other's concurrency limits, and a drain that
+//! either hears of binds both. Members go by name, for each process gives ids of its own to those it learns
+//! of later.
 //!
-//! Counts are sent again only once the peer has acknowledged the last ones. So a peer that hangs is sent little, and a
-//! busy process sends what holds now instead of all that held meanwhile.
+//! Counts are sent again only once the peer has acknowledged the last ones. So a peer that hangs is sent
+//! little, and a busy process sends what holds now instead of all that held meanwhile.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -33,7 +34,7 @@
     Acknowledged,
 }
 
-/// What one process has sent to its peer and heard from it.
+/// What one process has sent to its peer and received from it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CoServingState {
     /// Counts that were sent last.
@@ -47,8 +48,8 @@
 }
 
 impl CoServingState {
-    /// What to send now that `counts` are in flight here: what changed since the last time, or nothing while that is
-    /// unacknowledged.
+    /// What to send now that `counts` are in flight here: what changed since the last time, or nothing while
+    /// that is unacknowledged.
     pub fn in_flight_updates(&mut self, counts: InFlightCounts) -> Vec<CoServingMessage> {
         if self.awaits_acknowledgement {
             return Vec::new();
@@ -69,7 +70,7 @@
             .collect()
     }
 
-    /// What to send of a drain that this process heard of: once for each start of the member.
+    /// The message on a drain that this process learned of: once for each start of the member.
     pub fn drain_update(&mut self, member: &str, started_ms: u64) -> Option<CoServingMessage> {
         let known = self.known_drains.insert(member.to_owned(), started_ms);
         if known.is_some_and(|known| known >= started_ms) {
--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -1,7 +1,7 @@
 //! Frames on a Unix socket, with file descriptors that go along.
 //!
-//! A frame is the length of its body (big endian, 32 bits), the body's SHA-256 hash where the message type wants one, and
-//! the body in `postcard`'s format.
+//! A frame is the length of its body (big endian, 32 bits), the body's SHA-256 hash where the message type
+//! wants one, and the body in `postcard`'s format.
 
 use crate::message::HandoverMessage;
 use rustix::io::Errno;
@@ -59,13 +59,14 @@
     /// Whether frames carry a hash of their body.
     const IS_HASHED: bool;
 
-    /// How many descriptors go along with the message. Those that are received together may belong to several messages.
+    /// How many descriptors go along with the message. Those that are received together may belong to several
+    /// messages.
     fn descriptor_count(&self) -> usize;
 
     /// The message's frame.
     ///
     /// # Errors
-    /// [`FrameError::TooLong`], or what the serializer says.
+    /// [`FrameError::TooLong`], or the serializer's error.
     fn encode(&self) -> Result<Vec<u8>, FrameError> {
         let body = postcard::to_stdvec(self)?;
         if body.len() > Self::MAX_LENGTH {
@@ -143,7 +144,7 @@
     Ok(())
 }
 
-/// Sends as many bytes as the socket takes at once and says how many those were.
+/// Sends as many bytes as the socket takes at once, and returns how many.
 fn send_part(socket: &UnixStream, bytes: &[u8], descriptors: &[BorrowedFd]) -> Result<usize, SendError> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Waits for the next message. Its descriptors are the oldest ones received: the kernel may deliver the end of one
-    /// message and the descriptors of the next together.
+    /// Waits for the next message. Its descriptors are the oldest ones received: the kernel may deliver the
+    /// end of one message and the descriptors of the next together.
     pub fn read(&mut self) -> Received<T> {
         loop {
             match T::decode(&self.input[self.consumed..]) {
@@ -220,7 +221,7 @@
         Received::Message(decoded.message, descriptors)
     }
 
-    /// Waits for bytes and descriptors, and says how many bytes came.
+    /// Waits for bytes and descriptors, and returns how many bytes arrived; 0 at the end of the stream.
     fn receive(&mut self) -> Result<usize, Errno> {
         let mut chunk = [0; READ_SIZE];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
--- a/crates/handover/src/io_journal/client_replay.rs
+++ b/crates/handover/src/io_journal/client_replay.rs
@@ -1,4 +1,4 @@
-//! What the journal says of one client.
+//! Replay state of one client.
 
 use super::replay::ReplayError;
 use super::verdict::StatementVerdicts;
@@ -48,7 +48,7 @@
     pub(super) bytes_to_skip: u64,
 }
 
-/// Replay state of one client.
+/// What the journal implies for one client.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct ClientReplay {
     startup_complete: bool,
--- a/crates/handover/src/io_journal/mod.rs
+++ b/crates/handover/src/io_journal/mod.rs
@@ -1,11 +1,12 @@
 //! The I/O journal of a successor on probation, and its replay by the predecessor.
 //!
-//! The successor writes down what it is about to do with each client, before it does it: what it reads, which statement it
-//! dispatches, what it writes. Should it die, the predecessor replays the journal and goes on with each client; the
-//! kernel's byte counts of a socket tell how much of what was announced was done. Nothing here does I/O.
+//! The successor writes down what it is about to do with each client, before it does it: what it reads, which
+//! statement it dispatches, what it writes. Should it die, the predecessor replays the journal and goes on
+//! with each client; the kernel's byte counts of a socket tell how much of what was announced was done.
+//! Nothing here does I/O.
 //!
-//! Offsets count the bytes of one client in one direction from where the successor began with it: first those that were
-//! transferred with the client, then those that come from its socket.
+//! Offsets count the bytes of one client in one direction from where the successor began with it: first those
+//! that were transferred with the client, then those that come from its socket.
 
 mod client_replay;
 mod replay;
--- a/crates/handover/src/io_journal/replay.rs
+++ b/crates/handover/src/io_journal/replay.rs
@@ -46,7 +46,7 @@
     pub recovery: ClientRecovery,
 }
 
-/// All clients that the successor has, as far as its journal says.
+/// All clients of the successor, according to its journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct JournalReplay {
     /// Clients that are on their way to the successor, by the number of their transfer.
@@ -93,7 +93,8 @@
     /// Applies the next record of the journal.
     ///
     /// # Errors
-    /// The record contradicts those before it, or the clients take too much memory. The replay is of no use then.
+    /// The record contradicts those before it, or the clients take too much memory. The replay is of no use
+    /// then.
     pub fn apply(&mut self, record: JournalRecord) -> Result<(), ReplayError> {
         match record {
             JournalRecord::Accepted { client } => self.on_accepted(client),
@@ -179,8 +180,8 @@
         }
     }
 
-    /// Recovers the clients of a dead successor whose whole journal was applied, those on their way first. `byte_counts`
-    /// returns what the kernel counts of a connection, or nothing where that is unknown.
+    /// Recovers the clients of a dead successor whose whole journal was applied, those on their way first.
+    /// `byte_counts` returns what the kernel counts of a connection, or nothing where that is unknown.
     pub fn recover_clients(
         self,
         mut byte_counts: impl FnMut(ConnectionKey) -> Option<SocketByteCounts>,
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -19,8 +19,8 @@
         /// Its [`VERSION`].
         version: u32,
     },
-    /// Predecessor: the learned state. Three descriptors go along: the listener, the journal's socket, and the event that
-    /// tells that the journal was abandoned.
+    /// Predecessor: the learned state. Three descriptors go along: the listener, the journal's socket, and
+    /// the event that tells that the journal was abandoned.
     State(Vec<u8>),
     /// Successor: it has loaded everything and could serve.
     Ready,
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -1,7 +1,7 @@
 //! State machine of the predecessor: the process that serves now and starts its successor.
 //!
-//! It never depends on the successor: whatever becomes of that process, this one goes on serving or resumes to. Events
-//! and the current time go in, actions come out; the caller carries them out in order.
+//! It never depends on the successor: whatever becomes of that process, this one goes on serving or resumes
+//! to. Events and the current time go in, actions come out; the caller carries them out in order.
 
 use crate::message::{HandoverMessage, VERSION};
 use crate::{run_rules, Rule, NEVER};
@@ -18,7 +18,7 @@
     AwaitingHello,
     /// The successor has state and listener and must report that it is ready.
     AwaitingReady,
-    /// The successor was told to serve and must acknowledge that.
+    /// The successor was asked to serve and must acknowledge that.
     AwaitingCommitAcknowledgement,
     /// The successor serves on probation. This process accepts clients for it and moves them there.
     Standby,
@@ -61,7 +61,7 @@
 pub struct StartError {
     /// The program that was to be run.
     pub program: PathBuf,
-    /// What the operating system said.
+    /// The operating system's error message.
     pub cause: String,
 }
 
@@ -89,7 +89,7 @@
     /// The successor could not load the state or could not serve with it.
     #[error("the new process can't serve: {reason}")]
     LoadFailed {
-        /// The successor's own words.
+        /// What the successor reported.
         reason: String,
     },
     /// The successor speaks another version of this protocol.
@@ -140,7 +140,7 @@
     StartCoServing,
     /// Accept no more clients.
     StopAccepting,
-    /// Serve alone again: accept clients and keep those that are connected.
+    /// Serve alone again: accept clients, and let those stay that are connected.
     ResumeServingAlone,
     /// Move each client to the successor as soon as it is between two statements.
     MoveClients,
@@ -161,7 +161,7 @@
     Requested,
     /// The upgrade was refused: another one is under way, or this process is shutting down.
     Busy,
-    /// The successor is ready and was told to serve.
+    /// The successor is ready and was asked to serve.
     Committed,
     /// The successor owns the service.
     Done,
@@ -281,8 +281,8 @@
         Some(vec![Action::StartSuccessor, Action::Report(Progress::Requested)])
     }
 
-    /// Before the commit the successor is withdrawn, for the operator ends the service. After it the service is the
-    /// successor's, which goes on without this process.
+    /// Before the commit the successor is withdrawn, for the operator ends the service. After it the service
+    /// is the successor's, which goes on without this process.
     fn shut_down(&mut self) -> Option<Vec<Action>> {
         if self.event != Some(Event::ShutdownRequested) {
             return None;
@@ -311,8 +311,8 @@
         Some(vec![Action::SendState])
     }
 
-    /// The successor gets clients from here on. This process accepts for it, so that no client is ever known only to a
-    /// process that may be killed on probation.
+    /// The successor gets clients from here on. This process accepts for it, so that no client is ever known
+    /// only to a process that may be killed on probation.
     fn commit(&mut self) -> Option<Vec<Action>> {
         if !self.matches(Phase::AwaitingReady, &Event::Message(HandoverMessage::Ready)) {
             return None;
@@ -380,8 +380,8 @@
         Some(actions)
     }
 
-    /// A successor that is late or sends what makes no sense may hang or be another program. It may accept clients at any
-    /// moment, so it must be gone before anything else.
+    /// A successor that is late or sends what makes no sense may hang or be another program. It may accept
+    /// clients at any moment, so it must be gone before anything else.
     fn fence_successor(&mut self) -> Option<Vec<Action>> {
         let error = self.protocol_error()?;
         let resume_accepting = match self.phase {
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -1,7 +1,7 @@
 //! State machine of the successor: the process that takes the service over.
 //!
-//! On probation it serves the clients that the predecessor moves to it. It accepts clients itself once the probation is
-//! passed, or earlier if the predecessor drains, exits or becomes unresponsive.
+//! On probation it serves the clients that the predecessor moves to it. It accepts clients itself once the
+//! probation is passed, or earlier if the predecessor drains, exits or becomes unresponsive.
 
 use crate::message::{HandoverMessage, VERSION};
 use crate::{run_rules, Rule, NEVER};
@@ -54,7 +54,7 @@
     /// The state could not be loaded, or this process could not serve with it.
     #[error("{reason}")]
     LoadFailed {
-        /// What failed; the predecessor is told the same.
+        /// What failed, as the predecessor is notified of it.
         reason: String,
     },
     /// The predecessor exited before the commit.
@@ -84,7 +84,7 @@
     Loaded,
     /// State or listener are missing or unusable.
     LoadFailed {
-        /// What failed, in words for operators.
+        /// What failed, as operators read it.
         reason: String,
     },
     /// The predecessor closed the socket.
@@ -334,7 +334,8 @@
         self.phase == Phase::Probation && self.event == Some(Event::TimerElapsed) && self.now >= at
     }
 
-    /// New clients would wait for as long as the predecessor hangs. If it recovers both accept, which is harmless.
+    /// New clients would wait for as long as the predecessor hangs. If it recovers both accept, which is
+    /// harmless.
     fn on_predecessor_timeout(&mut self) -> Option<Vec<Action>> {
         if self.is_accepting || !self.is_due(self.predecessor_timeout_at) {
             return None;
--- a/crates/handover/tests/model/main.rs
+++ b/crates/handover/tests/model/main.rs
@@ -1,5 +1,5 @@
-//! Model check of both state machines with one client and its statement: every order of steps, deaths and timeouts that
-//! a small world allows.
+//! Model check of both state machines with one client and its statement: every order of steps, deaths and
+//! timeouts that a small world allows.
 
 mod properties;
 mod steps;
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -1,4 +1,4 @@
-//! What a start made of the records it found, summed up by rule.
+//! Summary, by rule, of what a start made of the records that it found.
 
 use crate::trust::{assess, Usability};
 use asterlatch::time::{TimeSpan, Timestamp};
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -1,7 +1,7 @@
 //! How far a stored record is trusted.
 //!
-//! An ordered list of rules; the first that applies decides. Each errs to the side that is worse for what it may break, for
-//! nobody else may know how long a machine was down.
+//! An ordered list of rules decides; the first one that applies wins. Each rule errs on the safe side,
+//! because nobody can tell how long the machine was down.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::record::{Kind, Record, Standing};
@@ -50,14 +50,14 @@
     }
 }
 
-/// What a rule says of a record.
+/// What the rules decide on a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assessment {
     /// What the record may be used for.
     pub usability: Usability,
     /// How old it counts as; nothing where it isn't used.
     pub age: Option<TimeSpan>,
-    /// The rule that decided, in words for operators.
+    /// The rule that decided, as operators read it.
     pub reason: &'static str,
 }
 
@@ -149,7 +149,8 @@
     usability: Usability::Never,
 };
 
-/// What a record that was written at `written_at` by the wall clock may be used for when that clock shows `now`.
+/// What a record that was written at `written_at` by the wall clock may be used for when that clock shows
+/// `now`.
 pub fn assess(record: &Record, written_at: Timestamp, now: Timestamp) -> Assessment {
     let clock = WallClock::compare(written_at, now);
     let candidate = Candidate { record, clock };
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -1,4 +1,5 @@
-//! What stored records may be used for: every kind, by how long ago it was written and whether the clock can be believed.
+//! What stored records may be used for: every kind, by how long ago it was written and whether the clock can
+//! be believed.
 
 mod common;
 
@@ -55,8 +56,8 @@
     }
 }
 
-/// A clock that went back makes nothing young that was not, but what binds counts as received just now. A clock that shows
-/// 1970 is one that went back.
+/// A clock that went back makes nothing young that was not, but what binds counts as received just now. A
+/// clock that shows 1970 is one that went back.
 #[test]
 fn assess_clock_went_back_uses_no_member_report() {
     for now in [NOW - MINUTE, Timestamp(0), Timestamp(0) + DAY] {
