--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -7,7 +7,7 @@
 use asterlatch_coordination::failure_consensus::{ConsensusSettings, FailureConsensus, LateReport};
 use asterlatch_coordination::fleet_size::FleetSize;
 use asterlatch_coordination::lease::{Lease, LeaseState, LeaseStatus, LeaseTable, LeaseTimings};
-use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate, MemberAnswers, ShareReport};
+use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate, ShareReport};
 use asterlatch_coordination::NameHash;
 use asterlatch_gossip::record::{Record, MOST_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
@@ -151,12 +151,12 @@
         sent_at: Timestamp,
         received_at: Timestamp,
     ) {
-        let driver = fleet_key(driver);
         let report = LateReport {
             sent_at,
             reported_at: received_at,
         };
-        self.failure_consensus.on_late_report(member, driver, report);
+        self.failure_consensus
+            .on_late_report(member, fleet_key(driver), report);
     }
 
     /// A lease as another driver knows it.
@@ -168,13 +168,13 @@
     pub(super) fn on_load_report(&mut self, report: &LoadReport) {
         let driver = fleet_key(report.driver);
         for (member, share, answers) in report.shares {
-            let report = ShareReport {
+            let share_report = ShareReport {
                 incarnation: report.incarnation,
                 share: f64::from(*share) / SHARE_UNITS,
                 answers: f64::from(*answers) / ANSWER_UNITS,
                 reported_at: report.received_at,
             };
-            self.load_aggregate.on_report(*member, driver, report);
+            self.load_aggregate.on_report(*member, driver, share_report);
         }
     }
 
@@ -300,10 +300,10 @@
             .map(|own| (fleet_key(&own.member), own.share))
             .collect();
         let mut reported = Vec::new();
-        for MemberAnswers { member, answers } in self.load_aggregate.reportable(now, MOST_SHARES) {
-            if let Some(share) = by_key.get(&member) {
-                let share = (share * SHARE_UNITS) as u8;
-                reported.push((member, share, (answers * ANSWER_UNITS) as u8));
+        for reportable in self.load_aggregate.reportable(now, MOST_SHARES) {
+            if let Some(share) = by_key.get(&reportable.member) {
+                let answers = (reportable.answers * ANSWER_UNITS) as u8;
+                reported.push((reportable.member, (share * SHARE_UNITS) as u8, answers));
             }
         }
         self.record_count += 1;
