--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -1,4 +1,4 @@
-//! State that the build before handed over: its members mean the same, and the program resumes from the whole of it.
+//! State handed over by an earlier build: its members decode to the same values, and the program resumes from all of it.
 
 mod stand;
 use asterlatch::interface::MemberState;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Three members in two groups, after a fourth has been let go.
+/// Three members in two groups, after a fourth was removed.
 fn members() -> MemberDirectory {
     let mut members = MemberDirectory::new(&["zone-1".to_owned()]);
     let entries = [
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn members_read_from_the_build_before_mean_the_same() {
+fn members_of_earlier_build_decode_to_same_values() {
     let bytes = fs::read(path("members.bin")).expect("lies there");
     let mut read: MemberDirectory = postcard::from_bytes(&bytes).expect("can be read");
     assert_eq!(postcard::to_stdvec(&read).expect("can be written"), bytes);
@@ -79,14 +79,14 @@
 
 const LISTEN: &str = "127.0.0.1:1";
 
-/// The state names the hash of the settings, so these stay as they are here.
+/// The state contains the hash of the settings, so these must stay as they are here.
 fn settings() -> String {
     let address: SocketAddr = LISTEN.parse().expect("is one");
     described(address, address, address)
 }
 
 #[test]
-fn state_of_the_build_before_is_resumed_by_the_program() {
+fn serve_state_of_earlier_build_reports_ready() {
     let bytes = fs::read(path("state.bin")).expect("lies there");
     let (ours, theirs) = UnixStream::pair().expect("a pair");
     rustix::io::fcntl_setfd(&theirs, rustix::io::FdFlags::empty()).expect("is inherited");
@@ -116,10 +116,10 @@
     assert_eq!(answer, HandoverMessage::Ready);
 }
 
-/// The state is not written by the program itself, whose clock and secrets of chance differ at each start, but put
-/// together field by field: form, clock, machine's clock, hash of the settings, what was learned, members.
+/// The state is composed field by field, because the program's clocks and seeds differ at each start: form, clock,
+/// monotonic clock, hash of the settings, learned state, members.
 #[test]
-#[ignore = "writes the fixtures: only by a build whose state is to be kept"]
+#[ignore = "writes the fixtures: only run it on a build whose state must stay"]
 fn write_fixtures() {
     let value = serde_json::from_str(&settings()).expect("is JSON");
     let config = asterlatch_driver::program::config::read(&value, |_| None).expect("is whole");
