--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -15,9 +15,9 @@
 };
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::Lease;
-use asterlatch_gossip::membership::{Change, Presence};
-use asterlatch_gossip::node::{Input, Output};
-use asterlatch_gossip::record::{Record, Standing};
+use asterlatch_gossip::membership::{PeerState, PeerStateChange};
+use asterlatch_gossip::node::{NodeInput, NodeOutput};
+use asterlatch_gossip::record::{ListedState, Record};
 use coordination::Coordination;
 pub use coordination::{CoordinationRound, LoadReport, NamedShare, UnresponsiveMember};
 pub use prior_attempts::{ExpiredQuery, PriorAttempts, ResolvedStatement, StatementCheck};
@@ -28,7 +28,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A command for the gossip thread.
-pub type GossipCommand = Input<'static>;
+pub type GossipCommand = NodeInput<'static>;
 
 /// Sends a command to the gossip thread without waiting for it.
 pub type SendCommand = Box<dyn FnMut(GossipCommand)>;
@@ -36,7 +36,7 @@
 /// A message from the gossip thread.
 pub enum GossipMessage {
     /// An output of the gossip node.
-    Output(Output),
+    Output(NodeOutput),
     /// A line for the log.
     LogLine(String),
 }
@@ -200,13 +200,13 @@
 
     fn send_observed(&mut self, records: Vec<(Record, TimeSpan)>) {
         if !records.is_empty() {
-            (self.send)(Input::Observed(records));
+            (self.send)(NodeInput::Observed(records));
         }
     }
 
     /// Leaves the fleet, so that other drivers need not detect it.
     pub fn leave(&mut self) {
-        (self.send)(Input::Leave);
+        (self.send)(NodeInput::Leave);
     }
 
     /// Forgets which statements were sent: another process has sent some.
@@ -220,12 +220,12 @@
     }
 
     /// A peer has appeared or disappeared.
-    pub fn on_presence_change(&mut self, change: &Change) {
+    pub fn on_presence_change(&mut self, change: &PeerStateChange) {
         match change.to {
-            Presence::There | Presence::Suspected => {
+            PeerState::Alive | PeerState::Suspect => {
                 self.present.insert(change.peer);
             }
-            Presence::Gone | Presence::Unheard => {
+            PeerState::Down | PeerState::NeverHeard => {
                 self.present.remove(&change.peer);
             }
         }
@@ -295,7 +295,7 @@
     pub fn on_endpoint_list(&mut self, version: u64, entries: &[MemberEntry], members: &MemberDirectory) {
         if self.list_version != version {
             self.list_version = version;
-            (self.send)(Input::List(version));
+            (self.send)(NodeInput::ListVersion(version));
         }
         for entry in entries {
             if let Some(name) = members.name(entry.id) {
@@ -310,10 +310,10 @@
 
     /// A ready member is announced only if other drivers may take it for draining.
     fn announce_state(&mut self, member: DrainedMember, state: MemberState) {
-        let standing = match state {
-            MemberState::Ready => Standing::Ready,
-            MemberState::Draining => Standing::Draining,
-            MemberState::Gone => Standing::Gone,
+        let listed_state = match state {
+            MemberState::Ready => ListedState::Ready,
+            MemberState::Draining => ListedState::Draining,
+            MemberState::Gone => ListedState::Gone,
         };
         if state != MemberState::Ready {
             self.announced_drains.insert(member.name.clone());
@@ -323,8 +323,8 @@
         let record = Record::Drain {
             name: member.name,
             started_ms: member.started_ms,
-            list: self.list_version,
-            standing,
+            list_version: self.list_version,
+            state: listed_state,
         };
         self.send_observed(vec![(record, TimeSpan(0))]);
     }
--- a/crates/driver/src/routing/gossip/slow_start.rs
+++ b/crates/driver/src/routing/gossip/slow_start.rs
@@ -5,7 +5,7 @@
 use asterlatch::interface::WarmingMember;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::record::Record;
-use asterlatch_gossip::slow_start::{self, Cold};
+use asterlatch_gossip::slow_start::{MemberStart, PeerReport, WarmUpBudgets, WarmUpLoad, WarmUpRules};
 
 /// Work that this driver may send to a warming member.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,7 +28,7 @@
 pub(super) struct SlowStart {
     own: DriverIdentity,
     tick: TimeSpan,
-    sent: Cold,
+    budgets: WarmUpBudgets,
     due_at: Option<Timestamp>,
 }
 
@@ -37,10 +37,10 @@
         SlowStart {
             own: own.clone(),
             tick: settings.tick,
-            sent: Cold::new(slow_start::Terms {
-                span: settings.overload_window,
-                multiple: settings.overload_multiple,
-                tick: settings.tick,
+            budgets: WarmUpBudgets::new(WarmUpRules {
+                window: settings.overload_window,
+                overload_multiple: settings.overload_multiple,
+                report_interval: settings.tick,
             }),
             due_at: Some(now),
         }
@@ -57,32 +57,35 @@
 
     /// An execution is dispatched to a member, which is expected to take so long.
     pub(super) fn on_dispatched(&mut self, now: Timestamp, member: &str, expected_work: TimeSpan) {
-        if self.sent.is_cold(member) {
-            self.sent.sends(now, member, expected_work);
+        if self.budgets.is_warming_up(member) {
+            self.budgets.on_dispatch(now, member, expected_work);
         }
     }
 
     /// Another driver's record of what it has sent to a warming member.
     pub(super) fn on_record(&mut self, received_at: Timestamp, record: &Record) {
-        if let Record::Cold {
+        if let Record::WarmUp {
             member,
             started_ms,
             driver,
-            life,
+            incarnation,
             work_us,
-            carries_us,
+            carried_us,
             ..
         } = record
         {
-            self.sent.told(
-                received_at,
-                member,
-                *started_ms,
+            let member = MemberStart {
+                name: member,
+                started_ms: *started_ms,
+            };
+            let report = PeerReport {
                 driver,
-                *life,
-                *work_us,
-                *carries_us,
-            );
+                incarnation: *incarnation,
+                reported_at: received_at,
+                work_us: *work_us,
+                carried_us: *carried_us,
+            };
+            self.budgets.on_peer_report(member, &report);
         }
     }
 
@@ -102,7 +105,7 @@
             known.extend(identity.map(|identity| (warming, identity)));
         }
         let names: Vec<String> = known.iter().map(|(_, identity)| identity.name.clone()).collect();
-        self.sent.keep(&names);
+        self.budgets.retain(&names);
         let mut round = WarmUpRound {
             budgets: Vec::new(),
             records: Vec::new(),
@@ -121,23 +124,29 @@
         present_drivers: &[&str],
         round: &mut WarmUpRound,
     ) {
-        let instance = (identity.name.as_str(), identity.started_ms);
-        let load = (warming.warm_up_fraction, warming.carried_load);
-        let (budget, sum) = self.sent.share(now, instance, load, present_drivers);
-        round.budgets.extend(budget.map(|work| WarmUpBudget {
+        let start = MemberStart {
+            name: &identity.name,
+            started_ms: identity.started_ms,
+        };
+        let load = WarmUpLoad {
+            warm_up_fraction: warming.warm_up_fraction,
+            carried_load: warming.carried_load,
+        };
+        let budget = self.budgets.budget(now, start, load, present_drivers);
+        round.budgets.extend(budget.work.map(|work| WarmUpBudget {
             member: warming.member,
             work,
             // A little longer than until the next computation.
             until: now + self.tick + self.tick,
         }));
-        let record = Record::Cold {
+        let record = Record::WarmUp {
             member: identity.name,
             started_ms: identity.started_ms,
             driver: self.own.name.clone(),
-            life: self.own.incarnation,
-            said: sum.said,
-            work_us: sum.work_us,
-            carries_us: sum.carries_us,
+            incarnation: self.own.incarnation,
+            sequence: budget.report.sequence,
+            work_us: budget.report.work_us,
+            carried_us: budget.report.carried_us,
         };
         round.records.push((record, TimeSpan(0)));
     }
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -4,7 +4,7 @@
 //! because nobody can tell how long the machine was down.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Kind, Record, Standing};
+use asterlatch_gossip::record::{ListedState, Record, RecordKind};
 
 /// What a stored record may be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -68,21 +68,21 @@
 }
 
 impl Candidate<'_> {
-    fn has_kind(&self, kind: Kind) -> bool {
+    fn has_kind(&self, kind: RecordKind) -> bool {
         self.record.kind() == kind
     }
 
     /// Whether it is known to be older than records of its kind are stored for.
     fn is_expired(&self) -> bool {
-        let lifetime = self.record.kind().kept();
+        let lifetime = self.record.kind().time_to_live();
         matches!(self.clock, WallClock::Advanced(age) if age >= lifetime)
     }
 
     fn is_listed_ready(&self) -> bool {
-        let Record::Drain { standing, .. } = self.record else {
+        let Record::Drain { state: standing, .. } = self.record else {
             return false;
         };
-        *standing == Standing::Ready
+        *standing == ListedState::Ready
     }
 }
 
@@ -97,12 +97,12 @@
 const RULES: [Rule; 10] = [
     Rule {
         reason: "leases, late executions and shares ended with the incarnation that sent them",
-        applies: |candidate| !candidate.record.kind().outlives(),
+        applies: |candidate| !candidate.record.kind().is_persistent(),
         usability: Usability::Never,
     },
     Rule {
         reason: "a driver's report of itself is for operators, and it reports anew",
-        applies: |candidate| candidate.has_kind(Kind::Driver),
+        applies: |candidate| candidate.has_kind(RecordKind::Driver),
         usability: Usability::Never,
     },
     Rule {
@@ -117,27 +117,27 @@
     },
     Rule {
         reason: "a drain binds until a newer list ends it, however long that is",
-        applies: |candidate| candidate.has_kind(Kind::Drain),
+        applies: |candidate| candidate.has_kind(RecordKind::Drain),
         usability: Usability::Immediate,
     },
     Rule {
         reason: "a session's write must be seen: its reads wait or go to the primary, and are rejected rather than older",
-        applies: |candidate| candidate.has_kind(Kind::Session),
+        applies: |candidate| candidate.has_kind(RecordKind::Session),
         usability: Usability::LowerBound,
     },
     Rule {
         reason: "work sent to a member that warms up counts, and a member that was down warms up as well",
-        applies: |candidate| candidate.has_kind(Kind::Cold),
+        applies: |candidate| candidate.has_kind(RecordKind::WarmUp),
         usability: Usability::Immediate,
     },
     Rule {
         reason: "a member's position an unknown time ago proves nothing",
-        applies: |candidate| candidate.has_kind(Kind::Member) && candidate.clock == WallClock::WentBack,
+        applies: |candidate| candidate.has_kind(RecordKind::Member) && candidate.clock == WallClock::WentBack,
         usability: Usability::Never,
     },
     Rule {
         reason: "a position is a bound, and a role is nobody's until the member has reported: it may have lost its last log",
-        applies: |candidate| candidate.has_kind(Kind::Member),
+        applies: |candidate| candidate.has_kind(RecordKind::Member),
         usability: Usability::AfterMemberReport,
     },
     UNKNOWN_KIND,
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::KINDS;
+use asterlatch_gossip::record::ALL_KINDS;
 use asterlatch_recovery::trust::{assess, Usability};
 use common::{records, DRAIN, MEMBER, NOW, SESSION};
 
@@ -40,7 +40,7 @@
     let records = records();
     let has_kind = |kind| records.iter().any(|record| record.kind() == kind);
     assert!(
-        KINDS.iter().all(|kind| has_kind(*kind)),
+        ALL_KINDS.iter().all(|kind| has_kind(*kind)),
         "every kind has its rows"
     );
     for (record, row) in records.iter().zip(expected) {
