--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -79,10 +79,10 @@
     }
 
     fn is_listed_ready(&self) -> bool {
-        let Record::Drain { state: standing, .. } = self.record else {
+        let Record::Drain { state, .. } = self.record else {
             return false;
         };
-        *standing == ListedState::Ready
+        *state == ListedState::Ready
     }
 }
 
--- a/crates/recovery/tests/common/mod.rs
+++ b/crates/recovery/tests/common/mod.rs
@@ -23,11 +23,11 @@
 /// Drains, a session, work sent to a member, and a member.
 fn persistent_records() -> Vec<Record> {
     let name = || "m".to_owned();
-    let drain = |standing| Record::Drain {
+    let drain = |state| Record::Drain {
         name: name(),
         started_ms: 5,
         list_version: 3,
-        state: standing,
+        state,
     };
     vec![
         drain(ListedState::Draining),
@@ -57,7 +57,7 @@
     ]
 }
 
-/// What a driver says of itself, a lease, a late execution and shares.
+/// A driver's report of itself, a lease, a late execution and shares.
 fn transient_records() -> Vec<Record> {
     let name = || "m".to_owned();
     vec![
