--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -418,7 +418,7 @@
                 f.statements_taken,
             ],
             turned_away: [
-                f.clients_turned_away + f.clients_closed_for_room,
+                f.clients_rejected + f.clients_evicted,
                 f.accepts_failed + f.ended_never_sent,
                 f.rejected_for_memory,
             ],
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -28,7 +28,7 @@
         .iter()
         .for_each(|word| event_loop.on_peer_process_message(now, word));
     let answer = joint.on_messages(words);
-    event_loop.metrics.open_from_beside = joint.peer_in_flight();
+    event_loop.metrics.in_flight_at_peer_process = joint.peer_in_flight();
     answer.map(|word| HandoverMessage::CoServing(vec![word]))
 }
 
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/new.rs
@@ -251,7 +251,7 @@
                         self.ended = true;
                         // Nothing of the former one is out any more.
                         event_loop.set_co_serving(now, CoServing::Alone);
-                        event_loop.metrics.open_from_beside = 0;
+                        event_loop.metrics.in_flight_at_peer_process = 0;
                         log!(event_loop.observer, now, "upgrade", "the former process has left");
                     }
                     effects.extend(self.machine.on_event(machine_now, input));
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/old.rs
@@ -213,7 +213,7 @@
                 predecessor::Action::StopAccepting => event_loop.set_accepting(false),
                 predecessor::Action::ResumeServingAlone => {
                     event_loop.set_co_serving(now, CoServing::Alone);
-                    event_loop.metrics.open_from_beside = 0;
+                    event_loop.metrics.in_flight_at_peer_process = 0;
                     event_loop.set_accepting(true);
                 }
                 predecessor::Action::MoveClients => event_loop.begin_handover(),
--- a/crates/driver/src/routing/event_loop/actions.rs
+++ b/crates/driver/src/routing/event_loop/actions.rs
@@ -75,7 +75,7 @@
 
     /// Sends a health check to a member.
     pub(super) fn check_health(&mut self, now: Timestamp, member: u32) {
-        self.metrics.probes_sent += 1;
+        self.metrics.health_checks_sent += 1;
         // As long as a connection may take to be established: the settings have no other bound for a health check.
         let deadline = now + self.decoding.connect_timeout;
         let request = MemberRequest::new(RequestKind::HealthCheck, member, now, deadline);
@@ -121,7 +121,7 @@
                 }
                 RequestKind::HealthCheck => {
                     let is_answered = end.outcome == ExecutionOutcome::Completed;
-                    self.metrics.probes_answered += u64::from(is_answered);
+                    self.metrics.health_checks_answered += u64::from(is_answered);
                     self.policy
                         .on_health_check(now, member, is_answered, end.latency, end.status)
                 }
--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -37,8 +37,8 @@
         self.metrics.clients_accepted += 1;
         match self.clients.admit(now, id, line) {
             Admission::Admitted => {}
-            Admission::AdmittedByEviction => self.metrics.clients_closed_for_room += 1,
-            Admission::Rejected => self.metrics.clients_turned_away += 1,
+            Admission::AdmittedByEviction => self.metrics.clients_evicted += 1,
+            Admission::Rejected => self.metrics.clients_rejected += 1,
         }
     }
 
@@ -48,7 +48,7 @@
         self.observer.log(now, "accept", text);
         self.acceptor.on_failed(now + self.limits.accept_backoff);
         let is_evicted = self.clients.evict_one(now);
-        self.metrics.clients_closed_for_room += u64::from(is_evicted);
+        self.metrics.clients_evicted += u64::from(is_evicted);
     }
 
     pub(super) fn on_client_event(&mut self, now: Timestamp, event: ClientEvent) {
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -25,7 +25,7 @@
             return true;
         };
         let may_check = gossip.may_check_health(now, name);
-        self.metrics.probes_left_to_others += u64::from(!may_check);
+        self.metrics.health_checks_left_to_peers += u64::from(!may_check);
         may_check
     }
 
@@ -56,7 +56,7 @@
             updates.extend(member.map(|member| (member, MemberUpdate::AdmissionShare(share.share))));
         }
         for member in health_checks {
-            self.metrics.probes_for_all += 1;
+            self.metrics.health_checks_for_fleet += 1;
             self.check_health(now, member);
         }
         for (member, update) in updates {
@@ -68,7 +68,7 @@
     fn count_coordinated(&mut self, update: &MemberUpdate) {
         match update {
             MemberUpdate::Unresponsive(until) => {
-                self.metrics.silent_by_word += u64::from(*until > Timestamp(0));
+                self.metrics.unresponsive_by_consensus += u64::from(*until > Timestamp(0));
             }
             MemberUpdate::AdmissionShare(_) => self.metrics.shares_drawn += 1,
             _ => {}
--- a/crates/driver/src/routing/event_loop/discovery.rs
+++ b/crates/driver/src/routing/event_loop/discovery.rs
@@ -45,7 +45,7 @@
             }
             DiscoveryEvent::Outdated => self.discovery_requests.forget_version(),
             DiscoveryEvent::Unreadable => {
-                self.metrics.rosters_unreadable += 1;
+                self.metrics.endpoint_lists_unreadable += 1;
                 let text = format_args!("answered what can't be read");
                 self.observer.log(now, "discovery", text);
             }
@@ -61,7 +61,7 @@
 
     /// Applies a list, or changes to it. Entries that can't be read are skipped, the others apply.
     pub fn apply_endpoint_list(&mut self, now: Timestamp, list: &EndpointList) {
-        self.metrics.rosters_told += 1;
+        self.metrics.endpoint_lists_applied += 1;
         let mut entries = Vec::with_capacity(list.entries.len());
         for endpoint in &list.entries {
             entries.extend(self.members.upsert(endpoint));
@@ -70,7 +70,7 @@
         self.share_endpoint_list(list.index, &entries);
         let skipped = list.skipped + list.entries.len() - entries.len();
         if skipped > 0 {
-            self.metrics.roster_entries_left_out += skipped as u64;
+            self.metrics.endpoints_skipped += skipped as u64;
             let text = format_args!("{skipped} entries of the list can't be read");
             self.observer.log(now, "discovery", text);
         }
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -55,7 +55,7 @@
         let Some(gossip) = &mut self.gossip else { return };
         let warming = self.policy.warming_members(now);
         for budget in gossip.warm_up_budgets(now, &warming, &self.members) {
-            self.metrics.cold_shares += 1;
+            self.metrics.warm_up_budgets += 1;
             let update = MemberUpdate::WarmUpBudget {
                 work: budget.work,
                 until: budget.until,
@@ -118,7 +118,7 @@
     fn on_gossip_output(&mut self, now: Timestamp, output: NodeOutput) {
         match output {
             NodeOutput::RecordLearned(record, received_at) => {
-                self.metrics.facts_from_others += 1;
+                self.metrics.records_from_peers += 1;
                 self.on_record(now, &record, received_at);
             }
             NodeOutput::InquiryReceived { from, inquiry } => self.on_query(now, from, inquiry),
@@ -258,7 +258,7 @@
             return;
         };
         self.member_requests.close_idle(member);
-        self.metrics.drains_from_others += 1;
+        self.metrics.drains_from_peers += 1;
         let update = MemberUpdate::Draining(replica_status::unix_timestamp(*started_ms));
         self.update_member(now, member, update);
     }
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -239,7 +239,7 @@
         self.member_requests.close_expired_idle(now);
         let expired = self.clients.close_expired(now);
         self.metrics.clients_too_slow += expired.too_slow;
-        self.metrics.clients_rested += expired.idle;
+        self.metrics.clients_closed_idle += expired.idle;
         self.advance_discovery_to(now);
         self.acceptor.advance_to(now);
         self.notify_policy_of_ends(now);
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -94,7 +94,7 @@
     fn on_peer_drain(&mut self, now: Timestamp, name: &str, started_ms: u64) -> Option<Actions> {
         let member = self.members.find(name)?;
         self.member_requests.close_idle(member);
-        self.metrics.drains_from_beside += 1;
+        self.metrics.drains_from_peer_process += 1;
         let update = MemberUpdate::Draining(replica_status::unix_timestamp(started_ms));
         Some(self.policy.on_member_update(now, member, update))
     }
--- a/crates/driver/src/routing/execution_outcomes.rs
+++ b/crates/driver/src/routing/execution_outcomes.rs
@@ -45,7 +45,7 @@
     let counter = match outcome {
         ExecutionOutcome::Completed => &mut metrics.ended_completed,
         ExecutionOutcome::Errored => &mut metrics.ended_errored,
-        ExecutionOutcome::Rejected => &mut metrics.ended_turned_away,
+        ExecutionOutcome::Rejected => &mut metrics.ended_rejected,
         ExecutionOutcome::TimedOut => &mut metrics.ended_timed_out,
         ExecutionOutcome::NoConnection => &mut metrics.ended_no_connection,
         ExecutionOutcome::ConnectionLost => &mut metrics.ended_connection_lost,
--- a/crates/driver/src/routing/metrics.rs
+++ b/crates/driver/src/routing/metrics.rs
@@ -24,13 +24,13 @@
     /// Accepts that failed.
     accepts_failed,
     /// Clients rejected on arrival, for all places were taken.
-    clients_turned_away,
+    clients_rejected,
     /// Clients evicted in favour of others.
-    clients_closed_for_room,
+    clients_evicted,
     /// Clients disconnected because a statement did not arrive in time.
     clients_too_slow,
     /// Clients disconnected because they were idle for too long.
-    clients_rested,
+    clients_closed_idle,
     /// Statements accepted.
     statements_taken,
     /// Statements that could not be routed.
@@ -64,7 +64,7 @@
     /// Executions that were answered with an error.
     ended_errored,
     /// Executions that the member rejected.
-    ended_turned_away,
+    ended_rejected,
     /// Executions without an answer in time.
     ended_timed_out,
     /// Executions whose connection could not be established.
@@ -92,13 +92,13 @@
     /// Clients that could not be taken back or handed over.
     clients_cut,
     /// Drains learned from the peer process.
-    drains_from_beside,
+    drains_from_peer_process,
     /// Executions of the peer process in flight (gauge).
-    open_from_beside,
+    in_flight_at_peer_process,
     /// Records received from other drivers.
-    facts_from_others,
+    records_from_peers,
     /// Drains learned from other drivers.
-    drains_from_others,
+    drains_from_peers,
     /// Statements that other drivers were asked about.
     inquiries,
     /// Of these, with a prior attempt that may have been executed.
@@ -110,29 +110,29 @@
     /// Drivers that disappeared.
     peers_lost,
     /// Budgets computed for warming members.
-    cold_shares,
+    warm_up_budgets,
     /// Statements of clients taken back that were answered as rejected.
     taken_back_rejected,
     /// Statements of clients taken back that were answered as aborted.
     taken_back_aborted,
     /// Health checks sent.
-    probes_sent,
+    health_checks_sent,
     /// Health checks left to the lease holder.
-    probes_left_to_others,
+    health_checks_left_to_peers,
     /// Health checks sent as lease holder.
-    probes_for_all,
+    health_checks_for_fleet,
     /// Members found unresponsive by the failure consensus.
-    silent_by_word,
+    unresponsive_by_consensus,
     /// Admission shares aggregated over the fleet.
     shares_drawn,
     /// Health checks answered.
-    probes_answered,
+    health_checks_answered,
     /// Endpoint lists applied.
-    rosters_told,
+    endpoint_lists_applied,
     /// Endpoint lists that could not be read.
-    rosters_unreadable,
+    endpoint_lists_unreadable,
     /// Entries of endpoint lists that could not be read.
-    roster_entries_left_out,
+    endpoints_skipped,
     /// Requests to discovery.
     discovery_calls,
     /// Configurations reloaded.
--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -108,10 +108,10 @@
 fn a_lost_member_is_asked_by_one_for_all() {
     let (shared, alone) = (holds("holder"), play("holder", false));
     let count = |o: &Outcome, name: &str| o.counters.get(name).copied().unwrap_or(0);
-    assert!(count(&shared, "probes_left_to_others") > 20, "{shared}");
+    assert!(count(&shared, "health_checks_left_to_peers") > 20, "{shared}");
     // Each asks each of six members once at its start, before it knows of anybody.
     let greetings = 12 * 6;
-    let probes = |o: &Outcome| count(o, "probes_sent").saturating_sub(greetings);
+    let probes = |o: &Outcome| count(o, "health_checks_sent").saturating_sub(greetings);
     let (few, many) = (probes(&shared), probes(&alone));
     assert!(few > 0 && few * 2 < many, "{few} probes against {many}");
 }
--- a/crates/driver/tests/routing.rs
+++ b/crates/driver/tests/routing.rs
@@ -863,7 +863,7 @@
     let mut lost = entry("lost", EndpointStatus::Serving, false);
     lost.address = "nowhere".to_owned();
     s.changed(lost);
-    assert_eq!(s.event_loop.metrics.roster_entries_left_out, 1);
+    assert_eq!(s.event_loop.metrics.endpoints_skipped, 1);
 }
 
 /// New members with new names replace the old ones all day: what was kept for those is let go with them, idle
@@ -1193,16 +1193,16 @@
 #[test]
 fn a_probe_tells_position_and_role() {
     let mut s = Stage::new(SETTINGS, 1024, 192 << 20);
-    assert!(s.event_loop.metrics.probes_answered > 0);
+    assert!(s.event_loop.metrics.health_checks_answered > 0);
     let asked = messages::health_check(true);
     assert!(asked.windows(11).any(|w| w == b"SHOW vitals"));
     // The replica owes an answer for long enough to be shunned, and is probed until it speaks.
     s.client(1);
     s.asks(1, "c=view,d=60000,cluster=1");
     s.sent().expect("is sent at once");
-    let before = s.event_loop.metrics.probes_sent;
+    let before = s.event_loop.metrics.health_checks_sent;
     s.pass(3000);
-    assert!(s.event_loop.metrics.probes_sent > before);
+    assert!(s.event_loop.metrics.health_checks_sent > before);
 }
 
 #[test]
--- a/crates/driver/tests/upgrade.rs
+++ b/crates/driver/tests/upgrade.rs
@@ -703,7 +703,7 @@
         } else {
             pid
         };
-        stage.counted(other, "drains_from_beside=1 ");
+        stage.counted(other, "drains_from_peer_process=1 ");
         // Whoever serves sends nothing there any more: nobody is left for the read, which is told so.
         let mut client = stage.operated.program.client();
         let text = "/* id=2,c=view,d=300,cluster=1 */ SELECT 2\0";
@@ -740,10 +740,10 @@
         } else {
             pid
         };
-        stage.counted(other, "open_from_beside=1 ");
+        stage.counted(other, "in_flight_at_peer_process=1 ");
         member.go.send(()).expect("waits");
         assert_eq!(answer(&mut client).0, "T D C Z");
-        stage.counted(other, "open_from_beside=0 ");
+        stage.counted(other, "in_flight_at_peer_process=0 ");
     }
 }
 
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -592,10 +592,10 @@
             count("opened_first"),
             count("opened_busy"),
             count("opened_again"),
-            count("probes_sent"),
-            count("probes_for_all"),
-            count("probes_left_to_others"),
-            count("silent_by_word")
+            count("health_checks_sent"),
+            count("health_checks_for_fleet"),
+            count("health_checks_left_to_peers"),
+            count("unresponsive_by_consensus")
         )?;
         for (what, count) in &self.broken {
             writeln!(f, "broken: {count} times {what}")?;
