--- /dev/null
+++ b/crates/driver/tests/routing/discovery.rs
@@ -0,0 +1,180 @@
+//! Requests to discovery, and the endpoint lists that it answers.
+
+use super::harness::{entry, group, list, with_client, Harness, SETTINGS, VIEW};
+use asterlatch_driver::protocol::discovery_watch::{DiscoveryEvent, DiscoveryMessage};
+use asterlatch_driver::protocol::endpoint_list::EndpointStatus;
+use asterlatch_driver::routing::events::Event;
+use asterlatch_driver::routing::runtime_config::RuntimeConfig;
+use std::sync::mpsc::TryRecvError;
+
+#[test]
+fn discovery_failure_keeps_the_last_list() {
+    let mut harness = with_client();
+    let hear = |harness: &mut Harness, request, event| {
+        harness
+            .event_loop
+            .on_event(harness.now, Event::from(DiscoveryMessage { request, event }))
+    };
+    assert_eq!(
+        (harness.called.borrow().len(), harness.called.borrow()[0].0.after),
+        (1, None),
+        "the whole list first"
+    );
+    hear(&mut harness, 1, DiscoveryEvent::Listed(group()));
+    hear(&mut harness, 1, DiscoveryEvent::Unreadable);
+    hear(&mut harness, 1, DiscoveryEvent::Closed);
+    harness.advance(99);
+    assert_eq!(harness.called.borrow().len(), 1, "not without a pause");
+    harness.advance(1);
+    assert_eq!(harness.called.borrow()[1].0.after, Some(1), "only what is newer");
+    // News of a call that is over must not end the one that stands, nor change the list.
+    hear(&mut harness, 1, DiscoveryEvent::Closed);
+    hear(&mut harness, 1, DiscoveryEvent::Listed(list(9, Vec::new())));
+    harness.send_statement(1, VIEW);
+    assert!(harness.dispatched().is_some());
+    harness.advance(2900);
+    assert_eq!(harness.called.borrow().len(), 2, "a watch may wait");
+    harness.advance(400);
+    assert!(
+        harness.called.borrow().len() > 2,
+        "but not while members come and go unheard"
+    );
+    // Each failure in a row makes the pause longer.
+    let before = harness.called.borrow().len() as u32;
+    let mut pauses = Vec::new();
+    for n in 0..6 {
+        hear(&mut harness, before + n, DiscoveryEvent::Closed);
+        pauses.push((harness.event_loop.next_at() - harness.now).0 / 1000);
+        harness.advance(2000);
+    }
+    assert!(
+        pauses.windows(2).all(|p| p[0] <= p[1]) && pauses.last() > pauses.first(),
+        "{pauses:?}"
+    );
+    // An entry that can't be reached is left out; an empty change changes nothing.
+    let mut lost = entry("lost", EndpointStatus::Serving, false);
+    lost.address = "nowhere".to_owned();
+    harness.change_endpoint(lost);
+    assert_eq!(harness.event_loop.metrics.endpoints_skipped, 1);
+}
+
+/// A configuration that is read again may name another address for discovery. What the old one says or does not
+/// say is of no interest from then on, and its version means nothing at the new one.
+#[test]
+fn discovery_address_change_requests_the_complete_list() {
+    let asked = SETTINGS.replacen('{', r#"{"discovery":"ask","#, 1);
+    for settings in [SETTINGS, &asked] {
+        let mut harness = Harness::new(settings, 1024, 192 << 20);
+        let hear = |harness: &mut Harness, request, event| {
+            harness
+                .event_loop
+                .on_event(harness.now, Event::from(DiscoveryMessage { request, event }))
+        };
+        hear(&mut harness, 1, DiscoveryEvent::Listed(group()));
+        let mut given = RuntimeConfig {
+            discovery: harness.called.borrow()[0].0.address,
+            max_descriptors: 1024,
+            max_memory: 192 << 20,
+        };
+        harness.event_loop.set_config(harness.now, given);
+        harness.advance(0);
+        assert_eq!(
+            harness.called.borrow().len(),
+            1,
+            "the same address: the watch stands"
+        );
+        given.discovery = "10.0.1.2:80".parse().expect("is an address");
+        // Twice in a row must not call twice.
+        harness.event_loop.set_config(harness.now, given);
+        harness.event_loop.set_config(harness.now, given);
+        harness.advance(0);
+        let calls: Vec<_> = harness
+            .called
+            .borrow()
+            .iter()
+            .map(|(c, _)| (c.address, c.after))
+            .collect();
+        assert_eq!(
+            calls[1..],
+            [(given.discovery, None)],
+            "at once, and the whole list"
+        );
+        assert!(matches!(
+            harness.called.borrow()[0].1.try_recv(),
+            Err(TryRecvError::Disconnected)
+        ));
+        hear(&mut harness, 1, DiscoveryEvent::Listed(list(9, Vec::new())));
+        hear(&mut harness, 1, DiscoveryEvent::Closed);
+        harness.connect_client(1);
+        harness.send_statement(1, VIEW);
+        assert!(
+            harness.dispatched().is_some(),
+            "what was known stands until the new one answers"
+        );
+    }
+}
+
+#[test]
+fn polled_list_is_requested_when_the_policy_asks() {
+    let asks = SETTINGS.replacen(
+        '{',
+        r#"{"discovery":"ask","rules":{"ask_within_us":10000000},"#,
+        1,
+    );
+    let mut harness = Harness::new(&asks, 1024, 192 << 20);
+    assert_eq!(harness.called.borrow().len(), 1, "at the start");
+    harness.event_loop.on_event(
+        harness.now,
+        Event::from(DiscoveryMessage {
+            request: 1,
+            event: DiscoveryEvent::Closed,
+        }),
+    );
+    harness.advance(30);
+    assert_eq!(
+        harness.called.borrow().len(),
+        1,
+        "not on the network's own account"
+    );
+    harness.advance(70);
+    assert_eq!(
+        harness.called.borrow().len(),
+        2,
+        "soon, for changes are missed meanwhile"
+    );
+}
+
+/// Each call costs a discovery that is asked: what is known from before is not asked for again, unless that is no version of
+/// what discovery holds. An agent that the list is pushed to is asked for the whole.
+#[test]
+fn polled_list_is_first_requested_from_the_known_version() {
+    let asks = SETTINGS.replacen(
+        '{',
+        r#"{"discovery":"ask","rules":{"ask_within_us":10000000},"#,
+        1,
+    );
+    for (settings, first) in [(asks.as_str(), Some(1)), (SETTINGS, None)] {
+        let mut harness = Harness::knowing(settings, 1024, 192 << 20);
+        let after = |harness: &Harness| harness.called.borrow().last().map(|(call, _)| call.after);
+        assert_eq!(after(&harness), Some(first));
+        harness.event_loop.on_event(
+            harness.now,
+            Event::from(DiscoveryMessage {
+                request: 1,
+                event: DiscoveryEvent::Outdated,
+            }),
+        );
+        harness.event_loop.on_event(
+            harness.now,
+            Event::from(DiscoveryMessage {
+                request: 1,
+                event: DiscoveryEvent::Closed,
+            }),
+        );
+        harness.advance(1600);
+        assert_eq!(
+            (harness.called.borrow().len() > 1, after(&harness)),
+            (true, Some(None))
+        );
+    }
+}
--- /dev/null
+++ b/crates/driver/tests/routing/main.rs
@@ -0,0 +1,8 @@
+//! The event loop, given events and a clock, without a socket.
+
+mod clients;
+mod configuration;
+mod discovery;
+mod harness;
+mod members;
+mod statements;
