--- a/crates/driver/tests/routing/clients.rs
+++ b/crates/driver/tests/routing/clients.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn client_beyond_capacity_evicts_an_idle_one() {
-    // 78 descriptors: 48 kept, 20 for clients, 10 for members.
+    // 78 descriptors: 48 reserved, 20 for clients, 10 for members.
     let mut harness = Harness::new(SETTINGS, 78, 192 << 20);
     (1..=20).for_each(|id| harness.connect_client(id));
     (2..=20).for_each(|id| harness.send_statement(id, "c=view,d=60000,cluster=1"));
@@ -16,7 +16,7 @@
     assert_eq!(
         (harness.received(1).as_str(), harness.received(21).as_str()),
         ("drain", ""),
-        "the only idle one goes"
+        "the only idle one is evicted"
     );
     harness.send_statement(21, "c=view,d=60000,cluster=1");
     harness.connect_client(22);
@@ -24,15 +24,15 @@
     harness.send_statement(22, VIEW);
     assert_eq!(
         harness.event_loop.metrics.statements_taken, 20,
-        "what one that was turned away sends is not taken"
+        "statements of a rejected client are not accepted"
     );
     assert!(
         harness.dialled.borrow().len() <= 10,
-        "members' connections are bounded too"
+        "connections to members are bounded too"
     );
 }
 
-/// At which millisecond, what client 1 does then, and what it has been told by the end of it.
+/// Time in milliseconds, what client 1 does then, and what it has received by the end of that step.
 type Step = (u64, &'static str, &'static str);
 
 #[test]
@@ -83,7 +83,7 @@
     }
 }
 
-/// Hundreds that connect and say nothing must not push out who has asked, however fast they come.
+/// Hundreds of clients that connect and send nothing must not evict active ones, however fast they arrive.
 #[test]
 fn silent_clients_evict_each_other_first() {
     let mut harness = Harness::new(SETTINGS, 78, 192 << 20);
@@ -104,7 +104,7 @@
     (100..400).for_each(|id| harness.connect_client(id));
     assert!(
         (1..=8).all(|id| harness.received(id).is_empty()),
-        "one that has asked was let go"
+        "an active client was evicted"
     );
     assert_eq!(
         (100..388).filter(|id| harness.received(*id) == "drain").count(),
@@ -127,8 +127,8 @@
     assert_eq!(harness.received(1), "rows(v)");
 }
 
-/// Our side of a client's connection is shut, and what it still sends is dropped: for a short while, and for as long as nobody
-/// else needs its place.
+/// Our side of a client's connection is shut, and what it still sends is dropped: for a short time, and as long as no other
+/// client needs its place.
 #[test]
 fn half_closed_client_keeps_its_place_only_briefly() {
     let ended = |harness: &Harness, id: u32| {
@@ -147,7 +147,7 @@
         .event_loop
         .on_event(harness.now, Event::Client(ClientEvent::Closed { client: 1 }));
     assert_eq!(harness.event_loop.open_clients(), 0);
-    // Six descriptors beyond the reserve: four clients.
+    // Six descriptors beyond the reserved ones: four clients.
     let mut harness = Harness::new(SETTINGS, 48 + 6, 192 << 20);
     (1..=4).for_each(|id| harness.connect_client(id));
     harness.advance(1);
@@ -159,11 +159,11 @@
     assert_eq!(
         [1, 3, 4, 5].map(|id| harness.received(id)),
         ["", "", "", ""],
-        "and nobody else"
+        "and no other"
     );
 }
 
-/// Told to leave, a client in the middle of a message has a moment for its end, not all the time that others have.
+/// During a drain, a client that has sent part of a message gets a short timeout for the rest, not the usual one.
 #[test]
 fn partial_message_does_not_delay_a_drain() {
     let mut harness = with_client();
--- a/crates/driver/tests/routing/configuration.rs
+++ b/crates/driver/tests/routing/configuration.rs
@@ -4,7 +4,7 @@
 use asterlatch_driver::protocol::client_events::StatementText;
 use asterlatch_driver::routing::runtime_config::RuntimeConfig;
 
-/// Fewer descriptors or less memory than before bind whoever comes next, and end nothing that is open.
+/// Lower limits on descriptors or memory bind new clients and statements, and end nothing that is open.
 #[test]
 fn changed_limits_bind_from_then_on() {
     let mut harness = with_client();
@@ -27,7 +27,7 @@
     );
     harness.reply(connection, rows("v"), Some(false));
     assert_eq!(harness.received(1), "rows(v)");
-    // A quarter of the memory is for what clients send, and what they have sent is given back with its answer.
+    // A quarter of the memory is for what clients send; the reservation of a statement ends with its answer.
     assert_eq!(harness.room.reserved(), 0);
     let memory = 400;
     harness.event_loop.set_config(
--- a/crates/driver/tests/routing/discovery.rs
+++ b/crates/driver/tests/routing/discovery.rs
@@ -18,16 +18,16 @@
     assert_eq!(
         (harness.called.borrow().len(), harness.called.borrow()[0].0.after),
         (1, None),
-        "the whole list first"
+        "the complete list first"
     );
     hear(&mut harness, 1, DiscoveryEvent::Listed(group()));
     hear(&mut harness, 1, DiscoveryEvent::Unreadable);
     hear(&mut harness, 1, DiscoveryEvent::Closed);
     harness.advance(99);
-    assert_eq!(harness.called.borrow().len(), 1, "not without a pause");
+    assert_eq!(harness.called.borrow().len(), 1, "not without a backoff");
     harness.advance(1);
     assert_eq!(harness.called.borrow()[1].0.after, Some(1), "only what is newer");
-    // News of a call that is over must not end the one that stands, nor change the list.
+    // Events of an earlier request must not end the current one, nor change the list.
     hear(&mut harness, 1, DiscoveryEvent::Closed);
     hear(&mut harness, 1, DiscoveryEvent::Listed(list(9, Vec::new())));
     harness.send_statement(1, VIEW);
@@ -37,9 +37,9 @@
     harness.advance(400);
     assert!(
         harness.called.borrow().len() > 2,
-        "but not while members come and go unheard"
+        "but not for ever without a change"
     );
-    // Each failure in a row makes the pause longer.
+    // Each consecutive failure increases the backoff.
     let before = harness.called.borrow().len() as u32;
     let mut pauses = Vec::new();
     for n in 0..6 {
@@ -51,15 +51,15 @@
         pauses.windows(2).all(|p| p[0] <= p[1]) && pauses.last() > pauses.first(),
         "{pauses:?}"
     );
-    // An entry that can't be reached is left out; an empty change changes nothing.
+    // An entry whose address can't be parsed is skipped; an empty change changes nothing.
     let mut lost = entry("lost", EndpointStatus::Serving, false);
     lost.address = "nowhere".to_owned();
     harness.change_endpoint(lost);
     assert_eq!(harness.event_loop.metrics.endpoints_skipped, 1);
 }
 
-/// A configuration that is read again may name another address for discovery. What the old one says or does not
-/// say is of no interest from then on, and its version means nothing at the new one.
+/// A reloaded configuration may name another address for discovery. Events of the former connection are ignored from
+/// then on, and its version means nothing at the new address.
 #[test]
 fn discovery_address_change_requests_the_complete_list() {
     let asked = SETTINGS.replacen('{', r#"{"discovery":"ask","#, 1);
@@ -81,10 +81,10 @@
         assert_eq!(
             harness.called.borrow().len(),
             1,
-            "the same address: the watch stands"
+            "the same address: the watch continues"
         );
         given.discovery = "10.0.1.2:80".parse().expect("is an address");
-        // Twice in a row must not call twice.
+        // The same change twice in a row must not make two requests.
         harness.event_loop.set_config(harness.now, given);
         harness.event_loop.set_config(harness.now, given);
         harness.advance(0);
@@ -97,7 +97,7 @@
         assert_eq!(
             calls[1..],
             [(given.discovery, None)],
-            "at once, and the whole list"
+            "at once, and the complete list"
         );
         assert!(matches!(
             harness.called.borrow()[0].1.try_recv(),
@@ -109,7 +109,7 @@
         harness.send_statement(1, VIEW);
         assert!(
             harness.dispatched().is_some(),
-            "what was known stands until the new one answers"
+            "the known list applies until the new address answers"
         );
     }
 }
@@ -131,11 +131,7 @@
         }),
     );
     harness.advance(30);
-    assert_eq!(
-        harness.called.borrow().len(),
-        1,
-        "not on the network's own account"
-    );
+    assert_eq!(harness.called.borrow().len(), 1, "not by the backoff of a watch");
     harness.advance(70);
     assert_eq!(
         harness.called.borrow().len(),
@@ -144,8 +140,8 @@
     );
 }
 
-/// Each call costs a discovery that is asked: what is known from before is not asked for again, unless that is no version of
-/// what discovery holds. An agent that the list is pushed to is asked for the whole.
+/// Polling costs discovery work: what is known from before is not requested again, unless discovery does not know that
+/// version. A watch requests the complete list.
 #[test]
 fn polled_list_is_first_requested_from_the_known_version() {
     let asks = SETTINGS.replacen(
--- a/crates/driver/tests/routing/harness.rs
+++ b/crates/driver/tests/routing/harness.rs
@@ -37,7 +37,7 @@
     fn log(&mut self, _now: Timestamp, _topic: &'static str, _text: Arguments) {}
 }
 
-/// Connections by number: the member's address and what it is told.
+/// Connections to members by number: the address, and the commands that it receives.
 pub type Dialled = Rc<RefCell<BTreeMap<u32, (String, Receiver<MemberCommand>)>>>;
 pub type Called = Rc<RefCell<Vec<(DiscoveryRequest, Receiver<Infallible>)>>>;
 
@@ -47,12 +47,12 @@
     pub dialled: Dialled,
     pub called: Called,
     pub clients: BTreeMap<u32, Receiver<ClientCommand>>,
-    /// Connections that have come up.
+    /// Connections that are established.
     pub up: BTreeSet<u32>,
     pub asked: u32,
-    /// For what clients send.
+    /// The budget for what clients send.
     pub room: MemoryBudget,
-    /// The error with which the next dial fails.
+    /// The error number with which the next dial fails.
     pub fault: Rc<RefCell<Option<i32>>>,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Its primary stands at 10.0.0.1, its replica at 10.0.0.2.
+/// A primary at 10.0.0.1 and a replica at 10.0.0.2.
 pub fn group() -> EndpointList {
     let (primary, replica) = (
         entry("p", EndpointStatus::Serving, true),
@@ -97,7 +97,7 @@
         harness.begin()
     }
 
-    /// At its start, with a list from before.
+    /// An event loop that starts with a known list.
     pub fn knowing(settings: &str, sockets: usize, memory: usize) -> Harness {
         let mut harness = Harness::empty(settings, sockets, memory);
         harness.event_loop.start_with_list(START, &group());
@@ -155,11 +155,11 @@
         }
     }
 
-    /// Takes the first steps.
+    /// Answers the initial health checks.
     pub fn begin(self) -> Harness {
         let mut harness = self;
         harness.advance(0);
-        // The probes of the start are of no interest here.
+        // The initial health checks are of no interest to the tests.
         let probes: Vec<_> = harness.dialled.borrow().keys().copied().collect();
         for connection in probes {
             harness.up.insert(connection);
@@ -184,7 +184,7 @@
         self.event_loop.advance_to(self.now);
     }
 
-    /// A change of the list.
+    /// Applies a change of the endpoint list.
     pub fn change_endpoint(&mut self, entry: Endpoint) {
         let (is_complete, change) = (false, list(2, vec![entry]));
         self.event_loop.apply_endpoint_list(
@@ -243,7 +243,7 @@
         self.event_loop.on_event(self.now, Event::Client(heard));
     }
 
-    /// What the client was told, in short.
+    /// What the client has received since the last call, in short.
     pub fn received(&self, client: u32) -> String {
         let words = self.clients[&client].try_iter().map(|say| match say {
             ClientCommand::HandOver => "handed over".to_owned(),
@@ -268,14 +268,14 @@
         words.collect::<Vec<_>>().join(" ")
     }
 
-    /// The connection that was opened last, and at which address.
+    /// The connection that was opened last, and its address.
     pub fn last_opened(&self) -> (u32, String) {
         let dialled = self.dialled.borrow();
         let (id, (address, _)) = dialled.last_key_value().expect("one was opened");
         (*id, address.clone())
     }
 
-    /// The connection that was just told to run a statement, and at which address; those that were opened come up first.
+    /// The connection on which a statement was just sent, and its address; opened connections are established first.
     pub fn dispatched(&mut self) -> Option<(u32, String)> {
         let opened: Vec<_> = self.dialled.borrow().keys().copied().collect();
         for connection in opened {
@@ -286,7 +286,7 @@
         self.query_written()
     }
 
-    /// The same, without any coming up.
+    /// The same, without establishing any connection.
     pub fn query_written(&self) -> Option<(u32, String)> {
         let dialled = self.dialled.borrow();
         let found = dialled.iter().rev().find_map(|(id, (address, told))| {
--- a/crates/driver/tests/routing/members.rs
+++ b/crates/driver/tests/routing/members.rs
@@ -39,7 +39,7 @@
     );
 }
 
-/// While a connection comes up, much may happen to what waits for it: what may not go out any more doesn't, and the
+/// While a connection is established, the request that waits for it may become obsolete: then it is not sent, and the
 /// connection serves another.
 #[test]
 fn request_waiting_for_its_connection_is_checked_again() {
@@ -57,8 +57,8 @@
             .apply_endpoint_list(harness.now, &list(3, vec![replica]));
     };
     type Comes = fn(&mut Harness);
-    // What comes between, whether the statement goes out behind it, and what its client is told at its time: without a
-    // primary the write is tried elsewhere in the end.
+    // What happens meanwhile, whether the statement is sent behind it, and what its client receives at its deadline:
+    // without a primary the write is attempted elsewhere in the end.
     let cases: [(&str, Comes, bool, Option<&str>); 5] = [
         ("nothing", |_| {}, true, Some("40003")),
         ("its client leaves", gone, false, Some("")),
@@ -88,13 +88,9 @@
         assert_eq!(harness.query_written().is_some(), goes, "{name}");
         harness.advance(250);
         let said = harness.received(1);
-        assert_eq!(
-            told.unwrap_or(&said),
-            said,
-            "{name}: never sent on is never aborted"
-        );
+        assert_eq!(told.unwrap_or(&said), said, "{name}: never sent is never aborted");
         if name == "its client leaves" {
-            assert!(harness.is_open(connection), "it rests");
+            assert!(harness.is_open(connection), "it is idle");
             harness.send_statement(2, POST);
             assert_eq!(
                 harness.query_written().map(|(c, _)| c),
@@ -107,7 +103,7 @@
     }
 }
 
-/// A connection that comes up for nobody counts no longer than it may take.
+/// A connection that no request waits for any more is closed once its time is over.
 #[test]
 fn unassigned_connection_is_closed_in_time() {
     let mut harness = with_client();
@@ -122,7 +118,7 @@
     harness.advance(240);
     assert!(harness.is_open(connection));
     harness.advance(20);
-    assert!(!harness.is_open(connection), "it never came up");
+    assert!(!harness.is_open(connection), "it was never established");
 }
 
 #[test]
@@ -151,7 +147,7 @@
     assert!(harness.is_open(connection));
     harness.advance(9000);
     assert!(!harness.is_open(connection), "before the 30 s of the settings");
-    // A member that has moved is not spoken to at its old address.
+    // A member whose address has changed receives nothing at the former one.
     harness.send_statement(1, POST);
     let (connection, _) = harness.dispatched().expect("is sent at once");
     harness.reply(connection, rows("v"), Some(true));
@@ -165,8 +161,8 @@
     );
 }
 
-/// New members with new names replace the old ones all day: what was kept for those is let go with them, idle
-/// connections included, and a name that comes back is a new member.
+/// New members replace old ones for a long time: all state of the old ones goes with them, idle connections included,
+/// and a name that is listed again is a new member.
 #[test]
 fn member_turnover_leaves_no_state_behind() {
     let mut harness = with_client();
@@ -200,11 +196,11 @@
     assert!(open <= 2, "{open} connections to members that are gone");
 }
 
-/// What stands between may forget idle connections and give no sign: a write on one of them is lost, and may have run.
+/// Middleboxes may drop idle connections without a sign: a write on one of them is lost, and may have been executed.
 #[test]
 fn idle_connections_that_break_shorten_the_idle_lifetime() {
     let (hardly, long) = (TimeSpan::millis(1), TimeSpan::millis(150));
-    // (breaks in a hundred of those that hardly rested, and of those that rested for long; whether that is too long)
+    // (broken in a hundred of those idle for a short time, and for a long time; whether the latter is too long)
     for (young, old, too_long) in [
         (0, 40, true),
         (5, 40, true),
@@ -223,7 +219,7 @@
             too_long,
             "{young} {old}"
         );
-        // Not for ever: it is tried again when what was seen is old.
+        // Not for ever: observations lose their weight with time.
         ages.record(START + TimeSpan::millis(30_000), hardly, false);
         assert_eq!(ages.limit(), None);
     }
@@ -247,7 +243,7 @@
     assert_eq!(
         (pool.take_idle(7, address, at(150)), pool.count()),
         (None, 1),
-        "older ones are let go"
+        "older ones are closed"
     );
 }
 
@@ -257,7 +253,7 @@
     assert!(harness.event_loop.metrics.health_checks_answered > 0);
     let asked = messages::health_check(true);
     assert!(asked.windows(11).any(|w| w == b"SHOW vitals"));
-    // The replica owes an answer for long enough to be shunned, and is probed until it speaks.
+    // The replica leaves an execution unanswered until it is ejected, and gets health checks until it answers.
     harness.connect_client(1);
     harness.send_statement(1, "c=view,d=60000,cluster=1");
     harness.dispatched().expect("is sent at once");
--- a/crates/driver/tests/routing/statements.rs
+++ b/crates/driver/tests/routing/statements.rs
@@ -15,7 +15,7 @@
     for (fields, address) in [(VIEW, REPLICA), (POST, PRIMARY), (spaced, REPLICA)] {
         harness.send_statement(1, fields);
         let (connection, at) = harness.dispatched().expect("is sent at once");
-        assert_eq!(at, address, "the design's ordinary path");
+        assert_eq!(at, address, "the ordinary path");
         harness.reply(connection, rows("v"), Some(at == PRIMARY));
         harness.reply(connection, rows("again"), Some(at == PRIMARY));
         harness.member_event(MemberEvent::Closed {
@@ -35,15 +35,15 @@
     assert_eq!(harness.event_loop.open_statements(), 0);
 }
 
-/// What a member's connection did, what that makes of a write's client within 100 ms, and whether the write
-/// went out again.
+/// What happened on a member's connection, what the client of a write receives within 100 ms, and whether the write was
+/// retried.
 #[test]
 fn write_is_retried_only_if_not_executed() {
     enum Came {
         Error(&'static str),
         Malformed,
         Down(bool),
-        /// The connection doesn't come up in time; what it tells behind that.
+        /// The connection is not established in time; the event that follows.
         Late(Option<MemberEvent>),
     }
     #[rustfmt::skip]
@@ -60,7 +60,7 @@
     ];
     for (name, came, told, again) in cases {
         let mut harness = with_client();
-        // All idle connections are in use, so that this one is new.
+        // All idle connections are in use, so this one is new.
         harness.connect_client(2);
         harness.send_statement(2, POST);
         harness.dispatched().expect("the first is sent");
@@ -69,7 +69,7 @@
         assert_eq!(
             harness.query_written(),
             None,
-            "{name}: nothing goes out before it is up"
+            "{name}: nothing is sent before it is established"
         );
         if !matches!(came, Came::Late(_)) {
             assert_eq!(harness.dispatched().map(|(c, _)| c), Some(connection), "{name}");
@@ -85,7 +85,7 @@
             Came::Late(word) => {
                 harness.up.insert(connection);
                 harness.advance(250);
-                assert!(!harness.is_open(connection), "{name}: is hung up on");
+                assert!(!harness.is_open(connection), "{name}: is closed");
                 match word {
                     Some(MemberEvent::Connected { .. }) => {
                         harness.member_event(MemberEvent::Connected { connection })
@@ -105,7 +105,7 @@
     }
 }
 
-/// The primary was held up for long and deposed: its answer shows that, and does not go to the client, who gets another's.
+/// The primary was paused for long and deposed: its answer shows that, so the client receives another member's.
 #[test]
 fn answer_from_stale_data_is_withheld() {
     let bounded = SETTINGS.replace(
@@ -130,7 +130,7 @@
             report,
         });
         if behind > 500 {
-            assert_eq!(harness.received(1), "", "neither as an answer nor as a failure");
+            assert_eq!(harness.received(1), "", "neither an answer nor a failure");
             harness.advance(60);
             let (connection, second) = harness.dispatched().expect("is sent again");
             assert_ne!(first, second);
@@ -147,8 +147,8 @@
     }
 }
 
-/// An answer, the end of its connection, the statement's time and its client's end may all lie in one turn of the loop: in
-/// whatever order they are taken, the client gets one word, and what comes behind it changes nothing.
+/// An answer, the close of its connection, the statement's deadline and the client's close may all be due at once: in any
+/// order the client receives one answer, and what follows changes nothing.
 #[test]
 fn events_in_any_order_give_one_final_answer() {
     #[derive(Clone, Copy, Debug, PartialEq)]
@@ -199,7 +199,7 @@
             (Answer, _) => Some("rows(v)"),
             (Refusal | Reset | Time, POST) => Some("40003"),
             (Gone, _) => None,
-            // A read goes out again, on another connection: nothing that came on the first one is its answer then.
+            // A read is retried on another connection: nothing that arrives on the first one is its answer then.
             _ => words.first().map(String::as_str).filter(|w| *w != "rows(v)"),
         };
         assert!(words.len() <= 1, "{workload} {order:?}: {words:?}");
@@ -216,14 +216,14 @@
     }
 }
 
-/// Many leave at once while all they asked for waits: nothing of it is sent on, now or when there is room again.
+/// Many clients disconnect at once while their statements are queued: none of these is sent, then or later.
 #[test]
 fn queued_statements_of_gone_clients_are_not_dispatched() {
     for cancel in ["true", "false"] {
         let settings = SETTINGS.replace(r#""cancel":true"#, &format!(r#""cancel":{cancel}"#));
         let mut harness = Harness::new(&settings, 1024, 192 << 20);
         (1..=200).for_each(|id| harness.connect_client(id));
-        // Three statements each: what finds no room waits.
+        // Three statements each: those beyond the concurrency limit are queued.
         (1..=200).for_each(|id| (0..3).for_each(|_| harness.send_statement(id, "c=post,d=60000,cluster=1")));
         let out = std::iter::from_fn(|| harness.dispatched()).collect::<Vec<_>>();
         assert!(!out.is_empty() && out.len() < 300, "{}", out.len());
@@ -243,7 +243,7 @@
     }
 }
 
-/// A client need not wait for an answer before it asks again, and with its end all that it asked for is called off.
+/// A client need not wait for an answer before its next statement; when it disconnects, all of them are cancelled.
 #[test]
 fn pipelined_statements_execute_concurrently() {
     let mut harness = with_client();
@@ -271,7 +271,7 @@
 
 #[test]
 fn abandoned_statement_gets_no_late_answer() {
-    // The client leaves, or its time is up.
+    // The client disconnects, or its deadline passes.
     for leaves in [true, false] {
         let mut harness = with_client();
         harness.send_statement(1, VIEW);
@@ -285,10 +285,10 @@
             assert_eq!(
                 harness.received(1),
                 "53300+500",
-                "told before its time is up, and when to come back"
+                "answered before its deadline, with a retry-after time"
             );
         }
-        assert!(!harness.is_open(connection), "giving up ends the connection");
+        assert!(!harness.is_open(connection), "giving up closes the connection");
         assert_eq!(harness.event_loop.open_statements(), 0);
         harness.reply(connection, rows("late"), Some(false));
         harness.advance(2000);
@@ -297,7 +297,7 @@
     }
 }
 
-/// Where executions may not be called off, the late answer still says something of the member.
+/// Where executions can't be cancelled, a late answer still tells something about the member.
 #[test]
 fn end_after_the_answer_notifies_only_the_policy() {
     let mut harness = Harness::new(
@@ -308,7 +308,7 @@
     harness.connect_client(1);
     harness.send_statement(1, "c=view,d=5000,cluster=1");
     let (connection, _) = harness.dispatched().expect("is sent at once");
-    // A waiting one crowds the first out as soon as its SLO time is over.
+    // A queued one displaces the first as soon as its SLO time is over.
     harness.connect_client(2);
     harness.send_statement(2, "c=view,d=5000,cluster=1");
     harness
@@ -340,7 +340,7 @@
             "{fields}"
         );
     }
-    // An entry of one that is gone, with little more than its name, makes no group known.
+    // A deleted endpoint, with little more than its name, makes no group known.
     let mut gone = entry("gone", EndpointStatus::Deleted, false);
     (gone.group, gone.address) = (0, String::new());
     harness.change_endpoint(gone);
@@ -362,7 +362,7 @@
         }),
     );
     assert_eq!(harness.received(1), "42601");
-    // A time that no clock reaches is no reason to fail.
+    // A time beyond any clock must not overflow.
     harness.send_statement(
         1,
         "c=view,d=18446744073709551615,cluster=1,after=18446744073709551615",
@@ -370,7 +370,7 @@
     assert!(harness.dispatched().is_some());
 }
 
-/// To a member it would be a copy of the first, and whoever knows an id could spoil another's statement.
+/// To a member it would look like a retry of the first, and whoever knows an id could interfere with another's statement.
 #[test]
 fn duplicate_open_id_reaches_no_member() {
     let mut harness = with_client();
