--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -4,10 +4,10 @@
 use super::DriverIdentity;
 use crate::routing::members::fleet_key;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::failure_consensus::{ConsensusSettings, FailureConsensus};
+use asterlatch_coordination::failure_consensus::{ConsensusSettings, FailureConsensus, LateReport};
 use asterlatch_coordination::fleet_size::FleetSize;
 use asterlatch_coordination::lease::{Lease, LeaseState, LeaseStatus, LeaseTable, LeaseTimings};
-use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate};
+use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate, ShareReport};
 use asterlatch_coordination::NameHash;
 use asterlatch_gossip::record::{Record, MAX_LOAD_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
@@ -151,9 +151,12 @@
         sent_at: Timestamp,
         received_at: Timestamp,
     ) {
-        let driver = fleet_key(driver);
+        let report = LateReport {
+            sent_at,
+            reported_at: received_at,
+        };
         self.failure_consensus
-            .on_late_report(member, driver, sent_at, received_at);
+            .on_late_report(member, fleet_key(driver), report);
     }
 
     /// A lease as another driver knows it.
@@ -163,12 +166,15 @@
 
     /// Another driver's report of its admission shares.
     pub(super) fn on_load_report(&mut self, report: &LoadReport) {
-        let driver = (fleet_key(report.driver), report.incarnation);
+        let driver = fleet_key(report.driver);
         for (member, share, answers) in report.shares {
-            let share = f64::from(*share) / SHARE_UNITS;
-            let answers = f64::from(*answers) / ANSWER_UNITS;
-            self.load_aggregate
-                .on_report(*member, driver, share, answers, report.received_at);
+            let share_report = ShareReport {
+                incarnation: report.incarnation,
+                share: f64::from(*share) / SHARE_UNITS,
+                answers: f64::from(*answers) / ANSWER_UNITS,
+                reported_at: report.received_at,
+            };
+            self.load_aggregate.on_report(*member, driver, share_report);
         }
     }
 
@@ -188,7 +194,10 @@
         self.share_overdue(now, overdue, &mut records);
         let changes = self.failure_consensus.take_changes(now).into_iter();
         let unresponsive = changes
-            .map(|(member, until)| UnresponsiveMember { member, until })
+            .map(|change| UnresponsiveMember {
+                member: change.member,
+                until: change.unresponsive_until,
+            })
             .collect();
         self.failure_consensus.expire(now);
         self.load_aggregate.expire(now);
@@ -251,7 +260,11 @@
     ) {
         let own = fleet_key(&self.own.name);
         for (member, sent_at) in overdue {
-            self.failure_consensus.on_late_report(member, own, *sent_at, now);
+            let report = LateReport {
+                sent_at: *sent_at,
+                reported_at: now,
+            };
+            self.failure_consensus.on_late_report(member, own, report);
             self.record_count += 1;
             let record = Record::Unanswered {
                 member: member.clone(),
@@ -287,9 +300,10 @@
             .map(|own| (fleet_key(&own.member), own.share))
             .collect();
         let mut reported = Vec::new();
-        for (key, answers) in self.load_aggregate.reportable(now, MAX_LOAD_SHARES) {
-            if let Some(share) = by_key.get(&key) {
-                reported.push((key, (share * SHARE_UNITS) as u8, (answers * ANSWER_UNITS) as u8));
+        for reportable in self.load_aggregate.reportable(now, MAX_LOAD_SHARES) {
+            if let Some(share) = by_key.get(&reportable.member) {
+                let answers = (reportable.answers * ANSWER_UNITS) as u8;
+                reported.push((reportable.member, (share * SHARE_UNITS) as u8, answers));
             }
         }
         self.record_count += 1;
