--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -79,10 +79,10 @@
     }
 
     fn is_listed_ready(&self) -> bool {
-        let Record::Drain { state, .. } = self.record else {
+        let Record::Drain { state: standing, .. } = self.record else {
             return false;
         };
-        *state == ListedState::Ready
+        *standing == ListedState::Ready
     }
 }
 
--- a/crates/recovery/tests/common/mod.rs
+++ b/crates/recovery/tests/common/mod.rs
@@ -23,11 +23,11 @@
 /// Drains, a session, work sent to a member, and a member.
 fn persistent_records() -> Vec<Record> {
     let name = || "m".to_owned();
-    let drain = |state| Record::Drain {
+    let drain = |standing| Record::Drain {
         name: name(),
         started_ms: 5,
         list_version: 3,
-        state,
+        state: standing,
     };
     vec![
         drain(ListedState::Draining),
