--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -10,7 +10,7 @@
 use asterlatch::interface::*;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::codec::InquiryId;
-use asterlatch_gossip::in_doubt::{DispatchStatus, InquiryOutcome, UNBOUNDED_AGE};
+use asterlatch_gossip::in_doubt::{DispatchStatus, InquiryDecision, InquiryOutcome, UNBOUNDED_AGE};
 use asterlatch_gossip::membership::PeerState;
 use asterlatch_gossip::node::NodeOutput;
 use asterlatch_gossip::record::{ListedState as Listed, Record};
@@ -58,9 +58,9 @@
         if turns {
             self.take_turns(now);
         }
-        for (name, verdict) in due {
+        for InquiryDecision { id, outcome } in due {
             self.metrics.inquiries_unanswered += 1;
-            self.decided(now, name, verdict);
+            self.decided(now, id, outcome);
         }
     }
 
@@ -249,7 +249,7 @@
         }
         match sharing.log.status(now, name) {
             // Also where it isn't marked: the first may be read behind its repeat.
-            DispatchStatus::Dispatched { ago, member } => {
+            DispatchStatus::Dispatched { age: ago, member } => {
                 let member = self.members.find(&member);
                 return with_prior_attempt(prior_attempt(ago, member));
             }
@@ -260,9 +260,9 @@
         // No more of a statement's time than leaves enough of it.
         let within = sharing.terms.ask.min(taken.time_left * 0.3);
         let peers = sharing.asked.clone();
-        match sharing.inquiries.ask(now, name, &peers, within) {
-            Err(_) => Some(taken),
-            Ok(turn) => {
+        match sharing.inquiries.start(now, name, &peers, within) {
+            None => Some(taken),
+            Some(turn) => {
                 self.metrics.inquiries += 1;
                 sharing.parked.insert(
                     name,
@@ -297,7 +297,7 @@
         }
         let prior = match verdict {
             InquiryOutcome::NotExecuted => None,
-            InquiryOutcome::MayHaveExecuted { ago, member } => {
+            InquiryOutcome::MayHaveExecuted { age: ago, member } => {
                 self.metrics.inquiries_in_doubt += 1;
                 let member = member.and_then(|m| self.members.find(&m));
                 Some(prior_attempt(ago, member))
--- a/crates/gossip/tests/doubts.rs
+++ b/crates/gossip/tests/doubts.rs
@@ -2,7 +2,9 @@
 //! losses and crashes in a small world.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::in_doubt::{DispatchLog, DispatchStatus, Inquiries, InquiryOutcome, UNBOUNDED_AGE};
+use asterlatch_gossip::in_doubt::{
+    DispatchLog, DispatchStatus, Inquiries, InquiryDecision, InquiryOutcome, UNBOUNDED_AGE,
+};
 use stateright::{Checker, Model, Property};
 
 const NOW: Timestamp = Timestamp(1_000_000_000);
@@ -14,7 +16,7 @@
 
 fn sent(ms: u64, member: &str) -> DispatchStatus {
     DispatchStatus::Dispatched {
-        ago: TimeSpan::millis(ms),
+        age: TimeSpan::millis(ms),
         member: member.to_owned(),
     }
 }
@@ -100,8 +102,8 @@
 
 #[test]
 fn one_word_of_doubt_is_enough_and_silence_is_one() {
-    let doubt = |ago, member: Option<&str>| InquiryOutcome::MayHaveExecuted {
-        ago,
+    let doubt = |age, member: Option<&str>| InquiryOutcome::MayHaveExecuted {
+        age,
         member: member.map(str::to_owned),
     };
     type Case = (&'static str, Vec<(usize, DispatchStatus)>, Option<InquiryOutcome>);
@@ -117,7 +119,7 @@
     for (name, words, verdict) in table {
         let mut inquiries = Inquiries::default();
         let turn = inquiries
-            .ask(NOW, 7, &[0, 1, 2], TimeSpan::millis(100))
+            .start(NOW, 7, &[0, 1, 2], TimeSpan::millis(100))
             .expect("three are asked");
         let told = words.iter().fold(None, |told, (peer, known)| {
             told.or(inquiries.on_reply(7, turn, *peer, known))
@@ -127,7 +129,10 @@
         assert_eq!(inquiries.on_reply(7, turn + 1, 1, &sent(1, "m")), None, "{name}");
         assert!(inquiries.take_timed_out(at(99)).is_empty(), "{name}");
         let late = inquiries.take_timed_out(at(100));
-        let silent = vec![(7, doubt(UNBOUNDED_AGE, None))];
+        let silent = vec![InquiryDecision {
+            id: 7,
+            outcome: doubt(UNBOUNDED_AGE, None),
+        }];
         assert_eq!(
             late,
             if verdict.is_some() { Vec::new() } else { silent },
@@ -135,8 +140,8 @@
         );
         assert!(inquiries.is_empty());
     }
-    let nobody = Inquiries::default().ask(NOW, 7, &[], TimeSpan::millis(100));
-    assert_eq!(nobody, Err(InquiryOutcome::NotExecuted), "there is nobody else");
+    let nobody = Inquiries::default().start(NOW, 7, &[], TimeSpan::millis(100));
+    assert_eq!(nobody, None, "there is nobody else");
 }
 
 /// A mistake that the checker must find.
@@ -260,8 +265,8 @@
             _ => return,
         }
         let peers: Vec<usize> = (0..self.drivers).filter(|p| *p != to).collect();
-        match d.inquiries.ask(NOW, ID, &peers, TimeSpan::millis(100)) {
-            Ok(turn) => {
+        match d.inquiries.start(NOW, ID, &peers, TimeSpan::millis(100)) {
+            Some(turn) => {
                 d.asks = true;
                 w.words.extend(peers.iter().map(|p| Word::Ask {
                     from: to,
@@ -269,7 +274,7 @@
                     turn,
                 }));
             }
-            Err(_) => d.holds = true,
+            None => d.holds = true,
         }
     }
 
--- a/crates/gossip/tests/fixtures.rs
+++ b/crates/gossip/tests/fixtures.rs
@@ -146,7 +146,7 @@
         sequence: 6,
     };
     let sent = DispatchStatus::Dispatched {
-        ago: TimeSpan::millis(1500),
+        age: TimeSpan::millis(1500),
         member: "m1".to_owned(),
     };
     let aged = |(n, record): (usize, Record)| Message::Record(record, TimeSpan(n as u64 * 100_000));
