--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -14,16 +14,16 @@
     let bytes =
         keeping::read(folder)?.ok_or_else(|| format!("{}: nothing was ever kept there", folder.display()))?;
     let whose = snapshot::read_owner(&bytes);
-    let (fleet, own, life) = whose.clone().unwrap_or_default();
-    let read = snapshot::read(&bytes, &fleet, name.unwrap_or(&own));
+    let owner = whose.clone().unwrap_or_default();
+    let read = snapshot::read(&bytes, &owner.fleet, name.unwrap_or(&owner.name));
     let nothing_used = !matches!(
         read.error,
         None | Some(SnapshotError::Truncated { .. } | SnapshotError::Corrupted { .. })
     );
     let (_, report) = report::sort(read.records, clock.now());
     let copy = json!({
-        "of": whose.map(|(_, name, _)| name), "life": life, "bytes": bytes.len(),
-        "fault": read.error.map(|f| f.says()), "facts": report.facts, "of_use": report.used,
+        "of": whose.map(|owner| owner.name), "life": owner.incarnation, "bytes": bytes.len(),
+        "fault": read.error.map(|f| f.to_string()), "facts": report.facts, "of_use": report.used,
         "nothing_used": nothing_used, "from_the_future": report.from_the_future,
     });
     Ok((copy, report))
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -14,8 +14,8 @@
 use asterlatch_coordination::lease::Claim;
 use asterlatch_gossip::codec::Dialect;
 use asterlatch_gossip::membership::MembershipTiming;
-use asterlatch_gossip::node::{shown, GossipNode, GossipSettings, NodeInput, NodeOutput};
-use asterlatch_gossip::record::Record;
+use asterlatch_gossip::node::{GossipNode, GossipSettings, NodeInput, NodeOutput};
+use asterlatch_gossip::record::{ObservedRecord, Record, RecordKey};
 use asterlatch_gossip::snapshot::{self, SnapshotSchedule, WriteRequest, WriteStatusChange};
 use asterlatch_gossip::state::ReplicatedState;
 use asterlatch_recovery::report;
@@ -225,7 +225,7 @@
             Former {
                 facts: read.records,
                 life: read.incarnation,
-                fault: read.error.map(|f| f.says()),
+                fault: read.error.map(|f| f.to_string()),
             }
         }
         Err(fault) => Former {
@@ -237,7 +237,7 @@
 
 #[derive(Default)]
 struct Former {
-    facts: Vec<(Record, Timestamp)>,
+    facts: Vec<ObservedRecord>,
     life: u64,
     fault: Option<String>,
 }
@@ -310,18 +310,21 @@
                 let (head, writer) = snapshot::SnapshotEncoder::begin(
                     &settings.fleet,
                     &settings.name,
-                    engine.peers.own().incarnation,
+                    engine.membership.own().incarnation,
                 );
                 self.writer = Some(writer);
                 let all = engine.state.entries().filter(|e| e.record.kind().is_persistent());
-                let all = all.map(|e| (e.record.clone(), e.observed_at));
-                (WriteRequest::Rewrite, head, all.collect())
+                (
+                    WriteRequest::Rewrite,
+                    head,
+                    all.map(ObservedRecord::from).collect(),
+                )
             }
         };
         if let Some(writer) = &mut self.writer {
-            facts
-                .iter()
-                .for_each(|(fact, told)| writer.put(&mut bytes, fact, *told));
+            for fact in &facts {
+                writer.append(&mut bytes, &fact.record, fact.observed_at);
+            }
         }
         let records = facts.len();
         // One at a time, so there is room for it.
@@ -440,7 +443,7 @@
     }
 
     fn status(&self, now: Timestamp) -> Value {
-        let own = self.engine.peers.own();
+        let own = self.engine.membership.own();
         let told = |name: &str| {
             let of = self.engine.state.entries().map(|e| &e.record);
             of.filter_map(|f| match f {
@@ -475,7 +478,7 @@
             TimeSpan(0),
             is_whole,
         )];
-        for p in self.engine.peers.peers() {
+        for p in self.engine.membership.peers() {
             let heard = p.last_heard.map(|at| now - at);
             rows.push(row(
                 &p.name,
@@ -502,9 +505,10 @@
     }
 
     fn facts(&self, now: Timestamp) -> Value {
-        let all = shown(&self.engine.state, now);
-        let rows = all.into_iter().map(|(key, fact, age)| {
-            json!({ "kind": key.0.name(), "of": key.1, "told_ms_ago": age.0 / 1000, "says": says(&fact) })
+        let rows = self.engine.state.entries().map(|entry| {
+            let RecordKey { kind, subject } = entry.record.key();
+            let age = entry.age(now);
+            json!({ "kind": kind.name(), "of": subject, "told_ms_ago": age.0 / 1000, "says": says(&entry.record) })
         });
         let digests = ReplicatedState::digests(&self.engine.state);
         let mark = digests.iter().fold(0u64, |all, d| all.rotate_left(7) ^ d);
@@ -512,11 +516,11 @@
     }
 
     fn differences(&self, now: Timestamp) -> Value {
-        let all = self.engine.state.conflicts.all();
+        let all = self.engine.state.conflicts.iter();
         let rows = all.map(|q| {
             json!({
-                "what": q.kind.name(), "about": q.about, "one": q.sides.0, "other": q.sides.1,
-                "first_ms_ago": (now - q.first).0 / 1000, "last_ms_ago": (now - q.last).0 / 1000, "times": q.times,
+                "what": q.kind.name(), "about": q.subject, "one": q.sides.one, "other": q.sides.other,
+                "first_ms_ago": (now - q.first_seen).0 / 1000, "last_ms_ago": (now - q.last_seen).0 / 1000, "times": q.count,
             })
         });
         json!({ "differences": rows.collect::<Vec<_>>() })
--- a/crates/driver/src/routing/coordination.rs
+++ b/crates/driver/src/routing/coordination.rs
@@ -8,7 +8,8 @@
 use asterlatch_coordination::lease::{End, Leases, Stand, Terms};
 use asterlatch_coordination::load_aggregate::{self, Sums};
 use asterlatch_coordination::Key;
-use asterlatch_gossip::record::{Record, MAX_LOAD_SHARES};
+use asterlatch_gossip::node::Observation;
+use asterlatch_gossip::record::{LoadShare, Record, MAX_LOAD_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The holder of a turn asks a lost member this often; alone each driver asks it the more rarely the more there are.
@@ -82,13 +83,9 @@
 
     /// Facts to be told, and members that this driver is to ask now for all. `wants` says whether the module still wants a
     /// member probed.
-    pub fn reach(
-        &mut self,
-        now: Timestamp,
-        wants: impl Fn(&str) -> bool,
-    ) -> (Vec<(Record, TimeSpan)>, Vec<String>) {
+    pub fn reach(&mut self, now: Timestamp, wants: impl Fn(&str) -> bool) -> (Vec<Observation>, Vec<String>) {
         let (mut facts, mut ask) = (Vec::new(), Vec::new());
-        let turn = |subject, claim| (Record::Lease { subject, claim }, TimeSpan(0));
+        let turn = |subject, claim| Observation::now(Record::Lease { subject, claim });
         let over: Vec<String> = self.wanted.keys().filter(|m| !wants(m)).cloned().collect();
         for member in over {
             self.wanted.remove(&member);
@@ -113,7 +110,7 @@
     }
 
     /// This driver has late executions at these members, each with when its last was sent.
-    pub fn is_late(&mut self, now: Timestamp, late: &BTreeMap<String, Timestamp>) -> Vec<(Record, TimeSpan)> {
+    pub fn is_late(&mut self, now: Timestamp, late: &BTreeMap<String, Timestamp>) -> Vec<Observation> {
         let mut facts = Vec::new();
         for (member, sent) in late {
             self.silence.late(member, self.own, *sent, now);
@@ -125,7 +122,7 @@
                 sequence: self.said,
                 outstanding_us: (now - *sent).0,
             };
-            facts.push((fact, TimeSpan(0)));
+            facts.push(Observation::now(fact));
         }
         facts
     }
@@ -153,7 +150,13 @@
             .collect();
         let told = self.sums.tellable(now, MAX_LOAD_SHARES).into_iter();
         let told: Vec<_> = told
-            .filter_map(|(key, answers)| Some((key, (of.get(&key)? * 200.0) as u8, (answers * 10.0) as u8)))
+            .filter_map(|(member, answers)| {
+                Some(LoadShare {
+                    member,
+                    admitted: (of.get(&member)? * 200.0) as u8,
+                    answers: (answers * 10.0) as u8,
+                })
+            })
             .collect();
         self.said += 1;
         let fact = Record::Load {
@@ -167,11 +170,11 @@
     }
 
     /// Another driver's word on loads.
-    pub fn load_told(&mut self, (driver, life): (&str, u64), shares: &[(u64, u8, u8)], said: Timestamp) {
+    pub fn load_told(&mut self, (driver, life): (&str, u64), shares: &[LoadShare], said: Timestamp) {
         let driver = (members::fleet_key(driver), life);
-        for (member, share, answers) in shares {
-            let (share, answers) = (f64::from(*share) / 200.0, f64::from(*answers) / 10.0);
-            self.sums.told(*member, driver, share, answers, said);
+        for share in shares {
+            let (admitted, answers) = (f64::from(share.admitted) / 200.0, f64::from(share.answers) / 10.0);
+            self.sums.told(share.member, driver, admitted, answers, said);
         }
     }
 }
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -4,8 +4,9 @@
 use crate::routing::gossip::Word;
 use crate::routing::members;
 use asterlatch::interface::MemberUpdate;
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::Timestamp;
 use asterlatch::zone_health;
+use asterlatch_gossip::node::Observation;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<O: Observer> EventLoop<O> {
@@ -57,7 +58,7 @@
             .filter(|_| sparse)
             .filter_map(|s| Some((members.name(s.member)?.to_owned(), s.share)));
         let (load, drawn) = sharing.turns.loads(now, &shares.collect::<Vec<_>>());
-        facts.extend(load.map(|fact| (fact, TimeSpan(0))));
+        facts.extend(load.map(Observation::now));
         let drawn = drawn.into_iter();
         let drawn: Vec<_> = drawn
             .filter_map(|(name, share)| Some((members.find(&name)?, share)))
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -12,7 +12,7 @@
 use asterlatch_gossip::codec::InquiryId;
 use asterlatch_gossip::in_doubt::{DispatchStatus, InquiryDecision, InquiryOutcome, UNBOUNDED_AGE};
 use asterlatch_gossip::membership::PeerState;
-use asterlatch_gossip::node::NodeOutput;
+use asterlatch_gossip::node::{NodeOutput, Observation};
 use asterlatch_gossip::record::{ListedState as Listed, Record};
 use asterlatch_gossip::slow_start::{MemberStart, PeerReport, WarmUpBudget, WarmUpLoad};
 
@@ -105,7 +105,7 @@
                 work_us: report.work_us,
                 carried_us: report.carried_us,
             };
-            facts.push((fact, TimeSpan(0)));
+            facts.push(Observation::now(fact));
         }
         if !facts.is_empty() {
             (sharing.tell)(Word::Observed(facts));
@@ -348,7 +348,10 @@
             GossipMessage::LogLine(line) => return self.observer.say(now, "fleet", format_args!("{line}")),
         };
         match heard {
-            NodeOutput::RecordLearned(fact, told) => {
+            NodeOutput::RecordLearned {
+                record: fact,
+                observed_at: told,
+            } => {
                 self.metrics.facts_from_others += 1;
                 self.fact(now, &fact, told);
             }
--- a/crates/driver/src/routing/gossip.rs
+++ b/crates/driver/src/routing/gossip.rs
@@ -6,7 +6,7 @@
 use asterlatch::interface::{ReplicaStatus, Statement};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::in_doubt::{DispatchLog, Inquiries};
-use asterlatch_gossip::node::{NodeInput, NodeOutput};
+use asterlatch_gossip::node::{NodeInput, NodeOutput, Observation};
 use asterlatch_gossip::record::{ListedState, Record};
 use asterlatch_gossip::slow_start::{self, WarmUpBudgets};
 use std::collections::{BTreeMap, BTreeSet};
@@ -197,7 +197,7 @@
             state: standing,
         };
         // Drains wait for nothing.
-        (self.tell)(Word::Observed(vec![(fact, TimeSpan(0))]));
+        (self.tell)(Word::Observed(vec![Observation::now(fact)]));
     }
 
     /// Tells what was seen, where it is time; `of` says how others call a member, its start and group.
@@ -205,7 +205,7 @@
         if self.tell_at.take_if(|at| *at <= now).is_none() {
             return;
         }
-        let mut facts: Vec<(Record, TimeSpan)> = Vec::new();
+        let mut facts: Vec<Observation> = Vec::new();
         for (member, saw) in std::mem::take(&mut self.saw) {
             let Some(MemberIdentity {
                 name,
@@ -223,10 +223,16 @@
                 primary_at: saw.primary_at,
                 replica_at: saw.replica_at,
             };
-            facts.push((fact, now - saw.at));
+            facts.push(Observation {
+                record: fact,
+                age: now - saw.at,
+            });
         }
         let sessions = std::mem::take(&mut self.waiting);
-        facts.extend(sessions.into_iter().map(|(fact, at)| (fact, now - at)));
+        facts.extend(sessions.into_iter().map(|(record, at)| Observation {
+            record,
+            age: now - at,
+        }));
         if !facts.is_empty() {
             (self.tell)(Word::Observed(facts));
         }
--- a/crates/driver/tests/kept.rs
+++ b/crates/driver/tests/kept.rs
@@ -171,7 +171,7 @@
     };
     let written = |name: &str, at: Timestamp| {
         let (mut bytes, mut writer) = SnapshotEncoder::begin(&fleet, name, 5);
-        (0..3).for_each(|n| writer.put(&mut bytes, &drain(n), at));
+        (0..3).for_each(|n| writer.append(&mut bytes, &drain(n), at));
         bytes
     };
     let (old, foreign) = (written("t", wall() - month), written("u", wall()));
--- a/crates/driver/tests/versions.rs
+++ b/crates/driver/tests/versions.rs
@@ -6,7 +6,7 @@
 use asterlatch_gossip::codec::InquiryId;
 use asterlatch_gossip::in_doubt::DispatchStatus;
 use asterlatch_gossip::membership::{MembershipTiming, PeerState};
-use asterlatch_gossip::node::{GossipNode, GossipSettings, NodeInput, NodeOutput};
+use asterlatch_gossip::node::{GossipNode, GossipSettings, NodeInput, NodeOutput, Observation};
 use asterlatch_gossip::record::{ListedState, Record};
 use stand::*;
 use std::net::UdpSocket;
@@ -140,7 +140,8 @@
 #[test]
 fn a_later_version_is_understood_as_far_as_both_go() {
     let (folder, operated, _member, mut later) = beside("next", 2, "");
-    let there = |e: &GossipNode| e.peers.peers()[0].state == PeerState::Alive && !e.anti_entropy.is_behind();
+    let there =
+        |e: &GossipNode| e.membership.peers()[0].state == PeerState::Alive && !e.anti_entropy.is_behind();
     assert!(later.until(PATIENCE, there), "it finds this one");
     operated.told("fleet: driver later is there, was unheard");
     // What this one's member said of itself comes over.
@@ -157,7 +158,7 @@
         list_version: 3,
         state: ListedState::Draining,
     };
-    later.give(NodeInput::Observed(vec![(drain, TimeSpan(0))]));
+    later.give(NodeInput::Observed(vec![Observation::now(drain)]));
     let control = folder.path("control");
     let mut known = |_: &GossipNode| show(&control, "facts").to_string().contains("m9");
     assert!(later.until(PATIENCE, &mut known));
@@ -212,7 +213,7 @@
     let times = "\nupgrade(hello = 5s, ready = 5s, probation = 10min, beat = 50ms, silence = 2s";
     let more = format!(", window = 1s){times}");
     let (folder, operated, _member, mut other) = beside("upgrade", 1, &more);
-    let there = |e: &GossipNode| e.peers.peers()[0].state == PeerState::Alive;
+    let there = |e: &GossipNode| e.membership.peers()[0].state == PeerState::Alive;
     assert!(other.until(PATIENCE, there));
     // Its former life may have sent anything within the window.
     let mut id = 100;
--- a/crates/gossip/src/conflict.rs
+++ b/crates/gossip/src/conflict.rs
@@ -1,25 +1,28 @@
-//! What can't both be true. The conservative telling stands by the rules of `record`; both are kept here, for an operator
-//! to see who is wrong. Bounded: the oldest go.
+//! Contradictions between records. Merging keeps the more conservative version; both versions are logged here, so that an
+//! operator can find out which side is wrong.
 
-use crate::record::{Record, RecordKey};
+use crate::record::Record;
 use asterlatch::time::Timestamp;
 use std::collections::VecDeque;
 
+/// What kind of contradiction it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ConflictKind {
-    /// One version of the list_version calls a member two things.
+    /// One version of the endpoint list gives a member two states.
     ListVersionMismatch,
-    /// Two members of one group spoke as primary at one position, or by turns.
+    /// Two members of one group reported to be primary at overlapping log positions.
     CompetingPrimaries,
-    /// A driver sequence two things the same time: two processes have one name, or it lost its memory and not its incarnation.
+    /// A driver sent two different reports under one number: two processes share a name, or one restarted with the
+    /// incarnation of its predecessor.
     DuplicateDriver,
-    /// Somebody speaks under a name from an address that isn't that name's.
+    /// A datagram claims a name that isn't configured for its source address.
     ForeignAddress,
-    /// An id that was told to be untouched was sent after all.
+    /// A driver dispatched a statement after it had denied that it ever would.
     DispatchedAfterDenial,
 }
 
 impl ConflictKind {
+    /// The description shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             ConflictKind::ListVersionMismatch => "two lists of one version",
@@ -31,98 +34,136 @@
     }
 }
 
+/// The two contradicting statements, as text for operators.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct ConflictSides {
+    /// What was known first.
+    pub one: String,
+    /// What contradicts it.
+    pub other: String,
+}
+
+/// One logged contradiction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Conflict {
+    /// What kind of contradiction it is.
     pub kind: ConflictKind,
-    /// What it is about, and what both sides say.
-    pub about: String,
-    pub sides: (String, String),
-    pub first: Timestamp,
-    pub last: Timestamp,
-    pub times: u64,
+    /// What it is about: a record key, a group or a driver name.
+    pub subject: String,
+    /// What both sides claim.
+    pub sides: ConflictSides,
+    /// When it was first seen.
+    pub first_seen: Timestamp,
+    /// When it was last seen.
+    pub last_seen: Timestamp,
+    /// How often it was seen.
+    pub count: u64,
 }
 
+/// Most conflicts that are kept; beyond it the oldest are dropped.
 pub const MAX_CONFLICTS: usize = 256;
 
+/// A bounded log of distinct conflicts, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ConflictLog {
-    all: VecDeque<Conflict>,
+    conflicts: VecDeque<Conflict>,
 }
 
 impl ConflictLog {
-    /// Says whether it is new.
-    pub fn note(
+    /// Adds a conflict, or counts one that is already logged. Returns whether it is new.
+    pub fn report(
         &mut self,
         now: Timestamp,
         kind: ConflictKind,
-        about: String,
-        sides: (String, String),
+        subject: String,
+        sides: ConflictSides,
     ) -> bool {
         let known = self
-            .all
+            .conflicts
             .iter_mut()
-            .find(|q| q.kind == kind && q.about == about && q.sides == sides);
+            .find(|conflict| conflict.kind == kind && conflict.subject == subject && conflict.sides == sides);
         if let Some(known) = known {
-            (known.last, known.times) = (now, known.times + 1);
+            known.last_seen = now;
+            known.count += 1;
             return false;
         }
-        if self.all.len() >= MAX_CONFLICTS {
-            self.all.pop_front();
+        if self.conflicts.len() >= MAX_CONFLICTS {
+            self.conflicts.pop_front();
         }
-        let (first, last, times) = (now, now, 1);
-        self.all.push_back(Conflict {
+        self.conflicts.push_back(Conflict {
             kind,
-            about,
+            subject,
             sides,
-            first,
-            last,
-            times,
+            first_seen: now,
+            last_seen: now,
+            count: 1,
         });
         true
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Conflict> {
-        self.all.iter()
+    /// All logged conflicts, oldest first.
+    pub fn iter(&self) -> impl Iterator<Item = &Conflict> {
+        self.conflicts.iter()
     }
 }
 
-/// What two retransmits of one key conflict about, if they do.
-pub fn between(here: &Record, came: &Record) -> Option<ConflictKind> {
-    match (here, came) {
-        (
-            Record::Drain {
-                started_ms,
-                list_version,
-                state,
-                ..
-            },
-            Record::Drain {
-                started_ms: s,
-                list_version: l,
-                state: st,
-                ..
-            },
-        ) => {
-            (started_ms == s && list_version == l && state != st).then_some(ConflictKind::ListVersionMismatch)
+/// How two versions of one key contradict each other, if they do.
+pub fn conflict_between(local: &Record, remote: &Record) -> Option<ConflictKind> {
+    match (local, remote) {
+        (Record::Drain { .. }, Record::Drain { .. }) if is_list_mismatch(local, remote) => {
+            Some(ConflictKind::ListVersionMismatch)
+        }
+        (Record::Driver { .. }, Record::Driver { .. }) if is_duplicate_driver(local, remote) => {
+            Some(ConflictKind::DuplicateDriver)
         }
-        (
-            Record::Driver {
-                incarnation,
-                sequence,
-                ..
-            },
-            Record::Driver {
-                incarnation: li,
-                sequence: sa,
-                ..
-            },
-        ) => (incarnation == li && sequence == sa && here != came).then_some(ConflictKind::DuplicateDriver),
         _ => None,
     }
 }
 
-/// Both claim to be primary of one group and neither is known to have stepped back since: the first's claim is newer than
-/// the other's last word as replica, and the other way round, and they overlap.
+fn is_list_mismatch(local: &Record, remote: &Record) -> bool {
+    let (
+        Record::Drain {
+            started_ms,
+            list_version,
+            state,
+            ..
+        },
+        Record::Drain {
+            started_ms: remote_started_ms,
+            list_version: remote_list_version,
+            state: remote_state,
+            ..
+        },
+    ) = (local, remote)
+    else {
+        return false;
+    };
+    started_ms == remote_started_ms && list_version == remote_list_version && state != remote_state
+}
+
+fn is_duplicate_driver(local: &Record, remote: &Record) -> bool {
+    let (
+        Record::Driver {
+            incarnation,
+            sequence,
+            ..
+        },
+        Record::Driver {
+            incarnation: remote_incarnation,
+            sequence: remote_sequence,
+            ..
+        },
+    ) = (local, remote)
+    else {
+        return false;
+    };
+    incarnation == remote_incarnation && sequence == remote_sequence && local != remote
+}
+
+/// Whether both members claim to be primary of one group and neither is known to have stepped down since: each claim is
+/// newer than the other's last report as replica, and both are at the same position.
+///
+/// A regular takeover is no conflict: the former primary reports as replica, or is silent from below the new claim on.
 pub fn are_competing_primaries(one: &Record, other: &Record) -> bool {
     let (
         Record::Member {
@@ -133,22 +174,19 @@
             ..
         },
         Record::Member {
-            name: n,
-            group: g,
-            primary_at: p,
-            replica_at: r,
+            name: other_name,
+            group: other_group,
+            primary_at: other_primary_at,
+            replica_at: other_replica_at,
             ..
         },
     ) = (one, other)
     else {
         return false;
     };
-    let both = *primary_at > 0 && *p > 0 && name != n && group == g;
-    // The one with the lower claim was seen to claim again above the other's first word as replica: a plain takeover
-    // leaves the former one as replica, or silent from below the new one's claim on.
-    both && primary_at == p && replica_at < primary_at && r < p
-}
-
-pub fn about(key: &RecordKey) -> String {
-    format!("{} {}", key.0.name(), key.1)
+    let both_claim = *primary_at > 0 && *other_primary_at > 0 && name != other_name && group == other_group;
+    both_claim
+        && primary_at == other_primary_at
+        && replica_at < primary_at
+        && other_replica_at < other_primary_at
 }
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -1,90 +1,111 @@
-//! What is new goes to a few peers by chance at each tick, and from those on: all hear of it within a few ticks, whoever is
-//! cut off from whom. What doesn't fit into the rate waits, the kinds that rules hang on first; what waits too long is remaining
-//! to the comparing of copies.
+//! Which new records are sent next. At each gossip interval they go to a few random peers, which pass them on the same
+//! way, so that all drivers receive them within a few intervals even if some links are cut.
+//!
+//! What exceeds the rate limit stays queued, important kinds first. What is dropped from the queue is left to
+//! anti-entropy.
 
 use crate::record::{RecordKey, RecordKind, ALL_KINDS};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// New records that wait at most; of the least needed kind the oldest go first.
+/// Most queued records; beyond it the oldest of the least important kind is dropped.
 const MAX_QUEUED_RECORDS: usize = 8192;
 
-/// Bytes that may be sent, as they come in over time.
+/// Most intervals at which one record is sent.
+const MAX_RETRANSMITS: f64 = 16.0;
+
+/// A token bucket that holds at most one second's worth of tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
-    pub bytes_per_second: u64,
-    remaining: f64,
-    at: Timestamp,
+    /// Tokens added per second; a token is a byte or an inquiry.
+    pub tokens_per_second: u64,
+    available: f64,
+    refilled_at: Timestamp,
 }
 
 impl TokenBucket {
-    /// As much as a second's worth may be saved up, for what comes at once.
-    pub fn new(now: Timestamp, bytes_per_second: u64) -> TokenBucket {
+    /// A full bucket.
+    pub fn new(now: Timestamp, tokens_per_second: u64) -> TokenBucket {
         TokenBucket {
-            bytes_per_second,
-            remaining: bytes_per_second as f64,
-            at: now,
+            tokens_per_second,
+            available: tokens_per_second as f64,
+            refilled_at: now,
         }
     }
 
+    /// Adds the tokens of the time since the last refill.
     pub fn refill(&mut self, now: Timestamp) {
-        let came = (now - self.at).ratio(TimeSpan::millis(1000)) * self.bytes_per_second as f64;
-        (self.remaining, self.at) = ((self.remaining + came).min(self.bytes_per_second as f64), now);
+        let capacity = self.tokens_per_second as f64;
+        let added = (now - self.refilled_at).ratio(TimeSpan::millis(1000)) * capacity;
+        self.available = (self.available + added).min(capacity);
+        self.refilled_at = now;
     }
 
-    /// What is remaining, which may be less than nothing.
-    pub fn remaining(&self) -> f64 {
-        self.remaining
+    /// Available tokens; negative after [`TokenBucket::spend`] took more than there were.
+    pub fn available(&self) -> f64 {
+        self.available
     }
 
-    /// Takes so much, whether or not that is remaining: what must be said is said, and others wait the longer.
-    pub fn spend(&mut self, bytes: usize) {
-        self.remaining -= bytes as f64;
+    /// Takes tokens even if that leaves a debt, for what must be sent anyway.
+    pub fn spend(&mut self, tokens: usize) {
+        self.available -= tokens as f64;
     }
 
-    /// Takes so much if that is remaining.
-    pub fn try_take(&mut self, bytes: usize) -> bool {
-        let has = self.remaining >= bytes as f64;
-        self.remaining -= if has { bytes as f64 } else { 0.0 };
-        has
+    /// Takes tokens if that many are available; returns whether they were.
+    pub fn try_take(&mut self, tokens: usize) -> bool {
+        let is_enough = self.available >= tokens as f64;
+        if is_enough {
+            self.available -= tokens as f64;
+        }
+        is_enough
     }
 }
 
-/// What is told on, and how often still.
+/// The queue of records to send, and how often each is sent still.
 #[derive(Clone, Debug, Default)]
 pub struct Dissemination {
     queues: BTreeMap<RecordKind, VecDeque<RecordKey>>,
-    remaining: BTreeMap<RecordKey, u8>,
+    retransmits_left: BTreeMap<RecordKey, u8>,
 }
 
-/// At how many ticks a new record is told, to so many peers each time: enough that with each who hears it doing the same all
-/// have it but by bad luck, which the comparing of copies mends.
+/// At how many intervals a new record is sent to `fanout` peers each: enough that, with each receiver doing the same, all
+/// `peers` receive it with high probability.
 pub fn retransmits(peers: usize, fanout: usize) -> u8 {
     let needed = ((peers + 1) as f64).log2() * 1.5 / fanout.max(1) as f64;
-    needed.ceil().clamp(1.0, 16.0) as u8
+    needed.ceil().clamp(1.0, MAX_RETRANSMITS) as u8
 }
 
 impl Dissemination {
+    /// The number of queued records.
     pub fn len(&self) -> usize {
-        self.remaining.len()
+        self.retransmits_left.len()
     }
 
+    /// Whether nothing is queued.
     pub fn is_empty(&self) -> bool {
-        self.remaining.is_empty()
+        self.retransmits_left.is_empty()
     }
 
+    /// Queues a new or changed record. One that is already queued keeps its place.
     pub fn enqueue(&mut self, key: &RecordKey, retransmits: u8) {
-        if self.remaining.insert(key.clone(), retransmits).is_none() {
-            self.queues.entry(key.0).or_default().push_back(key.clone());
+        let previous = self.retransmits_left.insert(key.clone(), retransmits);
+        if previous.is_none() {
+            self.queues.entry(key.kind).or_default().push_back(key.clone());
+        }
+        if self.retransmits_left.len() > MAX_QUEUED_RECORDS {
+            self.drop_least_important();
         }
-        if self.remaining.len() > MAX_QUEUED_RECORDS {
-            let queue = self.queues.values_mut().rev().find(|q| !q.is_empty());
-            let dropped = queue.and_then(VecDeque::pop_front);
-            let _ = dropped.map(|k| self.remaining.remove(&k));
+    }
+
+    fn drop_least_important(&mut self) {
+        let last_queue = self.queues.values_mut().rev().find(|queue| !queue.is_empty());
+        if let Some(key) = last_queue.and_then(VecDeque::pop_front) {
+            self.retransmits_left.remove(&key);
         }
     }
 
-    /// What is to be told at this tick: whatever `fits` takes, in the order of kinds, and of each what has waited longest.
+    /// Selects the records of this interval: all that `fits` accepts, by kind and then in queue order. The first that
+    /// doesn't fit ends the selection and stays first.
     pub fn select(&mut self, mut fits: impl FnMut(&RecordKey) -> bool) {
         for kind in ALL_KINDS {
             let Some(queue) = self.queues.get_mut(&kind) else {
@@ -96,12 +117,14 @@
                     queue.push_front(key);
                     return;
                 }
-                match self.remaining.get_mut(&key) {
-                    Some(remaining) if *remaining > 1 => {
-                        *remaining -= 1;
+                match self.retransmits_left.get_mut(&key) {
+                    Some(left) if *left > 1 => {
+                        *left -= 1;
                         queue.push_back(key);
                     }
-                    _ => drop(self.remaining.remove(&key)),
+                    _ => {
+                        self.retransmits_left.remove(&key);
+                    }
                 }
             }
         }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,22 +1,22 @@
-//! What drivers of one fleet tell each other, so that each decides on what all have heard, and none by chance on what it
-//! alone has not. Nothing here does I/O: datagrams and times go in, datagrams and news come out.
+//! What the drivers of one fleet tell each other, so that each decides on what all of them observed.
 //!
-//! | module | decides |
+//! Nothing here does I/O or reads a clock: datagrams and times go in, datagrams and notifications come out.
+//!
+//! | module | contents |
 //! | --- | --- |
-//! | `record` | what is told, and which of two retransmits stands |
-//! | `state` | one driver's copy: bounds, ages, what differs from another's |
-//! | `conflict` | what can't both be true: kept for operators |
-//! | `peers` | who is there, suspected, gone, back; how late its word comes |
-//! | `dissemination` | what is told to whom, when, and how much of it |
-//! | `anti_entropy` | how a driver that was away comes by what it missed |
-//! | `cold` | how much work a cold member may be sent from here, by what all have sent |
-//! | `doubts` | statements that must not run twice: who may have sent one, and whether it may go out here |
-//! | `node` | all of it together, input by input |
-//! | `keep` | what of a copy outlives the process, and what of that is used again |
-//! | `wire` | datagrams |
+//! | [`node`] | one driver's gossip node: dispatches every input to the modules below |
+//! | [`record`] | replicated records, their merge rules, lifetimes and limits |
+//! | [`state`] | one driver's copy of all records: bounded, expiring, comparable |
+//! | [`conflict`] | contradictions between records, logged for operators |
+//! | [`membership`] | which drivers are alive, by the SWIM protocol |
+//! | [`dissemination`] | which new records are sent to whom, within a rate limit |
+//! | [`anti_entropy`] | comparing copies, so that they become equal whatever was lost |
+//! | [`in_doubt`] | statements that must not be executed twice |
+//! | [`slow_start`] | how much work all drivers together dispatch to a member that is warming up |
+//! | [`snapshot`] | the durable copy of the state |
+//! | [`codec`] | datagrams |
 //!
-//! Facts travel as ages and never as readings of a clock. What is believed for how long, and what the decisions may do
-//! with it, stands with each record.
+//! Records travel with their age, never with a reading of a clock, so clocks need only run at about the same speed.
 
 pub mod anti_entropy;
 pub mod codec;
--- /dev/null
+++ b/crates/gossip/src/node/mod.rs
@@ -0,0 +1,573 @@
+//! One driver's gossip node: dispatches datagrams, observations, inquiries and time to the protocols, and returns what is
+//! to be sent and what was learned.
+//!
+//! A node does no I/O and reads no clock. Equal seeds and inputs give equal outputs.
+
+mod change_tracker;
+mod interface;
+mod open_inquiries;
+mod outbox;
+mod peer_limits;
+
+pub use interface::{GossipMetrics, GossipSettings, IgnoreReason, NodeInput, NodeOutput, Observation};
+
+use crate::anti_entropy::{AntiEntropy, PeerView, RangePart};
+use crate::codec::{self, DatagramHeader, DecodeError, InquiryId, Message};
+use crate::conflict::{ConflictKind, ConflictSides};
+use crate::dissemination::{retransmits, Dissemination, TokenBucket};
+use crate::in_doubt::DispatchStatus;
+use crate::membership::{Membership, NodeIdentity, PeerState};
+use crate::record::{ObservedRecord, Record, RecordKey, RecordKind};
+use crate::state::{ApplyOutcome, ReplicatedState};
+use asterlatch::time::{TimeSpan, Timestamp};
+use change_tracker::ChangeTracker;
+use open_inquiries::OpenInquiries;
+use outbox::Outbox;
+use peer_limits::{Admission, PeerLimits};
+use std::collections::BTreeSet;
+
+/// Without an input for this many suspicion timeouts a driver was suspended.
+const ABSENCE_FACTOR: f64 = 1.0;
+/// The part of the available rate that new records may use at an interval; the rest is for anti-entropy.
+const DISSEMINATION_SHARE: f64 = 0.75;
+/// Makes the node's random choices differ from those of the membership protocol.
+const SEED_MASK: u64 = 0x5eed;
+
+/// Who observed a record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Observer {
+    /// This driver, which needs no notification of it.
+    Own,
+    /// A peer, or this driver before its restart.
+    Other,
+}
+
+/// What a driver reports about itself.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct OwnReport {
+    incarnation: u64,
+    list_version: u64,
+    caught_up: bool,
+}
+
+/// Reachable peers, and those of them that are caught up.
+struct ReachablePeers {
+    reachable: Vec<usize>,
+    caught_up: Vec<usize>,
+}
+
+impl ReachablePeers {
+    fn view(&self, alone_since: Option<Timestamp>) -> PeerView<'_> {
+        PeerView {
+            reachable: &self.reachable,
+            caught_up: &self.caught_up,
+            alone_since,
+        }
+    }
+}
+
+/// The gossip node of one driver. It is owned by one thread, which passes it every input.
+pub struct GossipNode {
+    settings: GossipSettings,
+    /// This driver's copy of the replicated state.
+    pub state: ReplicatedState,
+    /// Which peers are alive.
+    pub membership: Membership,
+    /// Comparison of copies.
+    pub anti_entropy: AntiEntropy,
+    /// Counters.
+    pub metrics: GossipMetrics,
+    dissemination: Dissemination,
+    /// Limits all that is sent.
+    send_rate: TokenBucket,
+    peer_limits: Vec<PeerLimits>,
+    rng: fastrand::Rng,
+    inquiries: OpenInquiries,
+    next_gossip_at: Timestamp,
+    next_round_at: Timestamp,
+    /// Since when no peer is reachable.
+    alone_since: Option<Timestamp>,
+    last_input_at: Timestamp,
+    list_version: u64,
+    /// Number of the last report about this driver, and what it said.
+    report_sequence: u64,
+    last_report: Option<OwnReport>,
+    outbox: Outbox,
+    outputs: Vec<NodeOutput>,
+    has_left: bool,
+    changes: ChangeTracker,
+}
+
+impl GossipNode {
+    /// `incarnation` must grow from one start of this driver to the next, as far as the host's clock allows that.
+    pub fn new(settings: GossipSettings, incarnation: u64, seed: u64, now: Timestamp) -> GossipNode {
+        let own = NodeIdentity {
+            name: settings.name.clone(),
+            incarnation,
+        };
+        let peer_limits = settings
+            .peers
+            .iter()
+            .map(|_| PeerLimits::new(now, settings.bytes_per_second));
+        let patience = settings.membership.suspicion_timeout + settings.membership.probe_interval;
+        GossipNode {
+            state: ReplicatedState::default(),
+            membership: Membership::new(own, &settings.peers, settings.membership, seed, now),
+            anti_entropy: AntiEntropy::new(now, patience),
+            metrics: GossipMetrics::default(),
+            dissemination: Dissemination::default(),
+            send_rate: TokenBucket::new(now, settings.bytes_per_second),
+            peer_limits: peer_limits.collect(),
+            rng: fastrand::Rng::with_seed(seed ^ SEED_MASK),
+            inquiries: OpenInquiries::new(settings.inquiry_timeout),
+            next_gossip_at: now,
+            next_round_at: now,
+            alone_since: Some(now),
+            last_input_at: now,
+            list_version: 0,
+            report_sequence: 0,
+            last_report: None,
+            outbox: Outbox::default(),
+            outputs: Vec::new(),
+            has_left: false,
+            changes: ChangeTracker::default(),
+            settings,
+        }
+    }
+
+    /// The settings that it was made with.
+    pub fn settings(&self) -> &GossipSettings {
+        &self.settings
+    }
+
+    /// When the next [`NodeInput::Tick`] is due.
+    pub fn next_at(&self) -> Timestamp {
+        let next = self
+            .next_gossip_at
+            .min(self.next_round_at)
+            .min(self.membership.next_at());
+        self.inquiries.next_at().map_or(next, |at| at.min(next))
+    }
+
+    /// Handles one input and whatever else is due.
+    pub fn handle(&mut self, now: Timestamp, input: NodeInput) -> Vec<NodeOutput> {
+        self.detect_absence(now);
+        self.dispatch(now, input);
+        if !self.has_left {
+            self.advance_to(now);
+            self.publish_own_report(now);
+        }
+        self.flush(now);
+        std::mem::take(&mut self.outputs)
+    }
+
+    fn dispatch(&mut self, now: Timestamp, input: NodeInput) {
+        match input {
+            NodeInput::Datagram { from, bytes } => self.on_datagram(now, from, bytes),
+            NodeInput::Observed(observations) => {
+                for Observation { record, age } in observations {
+                    self.apply(now, record, now - age, Observer::Own);
+                }
+            }
+            NodeInput::StartInquiry(inquiry) => self.start_inquiry(now, inquiry),
+            NodeInput::EndInquiry(inquiry) => self.inquiries.end(inquiry),
+            NodeInput::ReplyToInquiry { to, inquiry, status } => {
+                self.outbox.push(to, &Message::InquiryReply { inquiry, status });
+            }
+            NodeInput::ListVersion(list_version) => self.list_version = list_version,
+            NodeInput::Leave => {
+                self.has_left = true;
+                let messages = self.membership.leave(now);
+                self.outbox.push_membership(messages);
+            }
+            NodeInput::Tick => {}
+        }
+    }
+
+    /// After a suspension of the process or host unread datagrams are old, and the own copy may be older still.
+    fn detect_absence(&mut self, now: Timestamp) {
+        if now - self.last_input_at > self.settings.membership.suspicion_timeout * ABSENCE_FACTOR {
+            self.fall_behind(now);
+        }
+        self.last_input_at = now;
+    }
+
+    fn fall_behind(&mut self, now: Timestamp) {
+        self.anti_entropy.fall_behind(now);
+        self.outputs.push(NodeOutput::CaughtUp(false));
+    }
+
+    fn on_datagram(&mut self, now: Timestamp, from: usize, bytes: &[u8]) {
+        if !self.admit_datagram(now, from, bytes.len()) {
+            return;
+        }
+        let datagram = match codec::decode_datagram(&self.settings.fleet, bytes) {
+            Ok(datagram) => datagram,
+            Err(DecodeError::Malformed) => {
+                self.metrics.malformed += 1;
+                return;
+            }
+            Err(DecodeError::UnsupportedVersion(_)) => {
+                self.metrics.unknown_version += 1;
+                return;
+            }
+        };
+        if datagram.header.name != self.settings.peers[from] {
+            self.report_foreign_name(now, from, datagram.header.name);
+            return;
+        }
+        self.on_header(now, from, &datagram.header);
+        for message in datagram.messages {
+            self.on_message(now, from, message);
+        }
+    }
+
+    fn admit_datagram(&mut self, now: Timestamp, from: usize, bytes: usize) -> bool {
+        let Some(limits) = self.peer_limits.get_mut(from) else {
+            return false;
+        };
+        self.metrics.datagrams_received += 1;
+        self.metrics.bytes_received += bytes as u64;
+        match limits.admit_datagram(now, bytes) {
+            Admission::Accepted => true,
+            Admission::LimitExceeded => {
+                self.outputs.push(NodeOutput::PeerIgnored {
+                    peer: from,
+                    reason: IgnoreReason::RateExceeded,
+                });
+                false
+            }
+            Admission::Ignored => {
+                self.metrics.ignored += 1;
+                false
+            }
+        }
+    }
+
+    fn report_foreign_name(&mut self, now: Timestamp, from: usize, name: String) {
+        let sides = ConflictSides {
+            one: self.settings.peers[from].clone(),
+            other: name.clone(),
+        };
+        let conflicts = &mut self.state.conflicts;
+        if conflicts.report(now, ConflictKind::ForeignAddress, name, sides) {
+            self.outputs.push(NodeOutput::PeerIgnored {
+                peer: from,
+                reason: IgnoreReason::ForeignName,
+            });
+        }
+    }
+
+    fn on_header(&mut self, now: Timestamp, from: usize, header: &DatagramHeader) {
+        self.membership
+            .on_datagram(now, from, header.incarnation, header.sent, header.caught_up);
+        if header.known_incarnation > self.membership.own().incarnation {
+            // The host's clock went back over this driver's restart.
+            let messages = self.membership.supersede(now, header.known_incarnation);
+            self.outbox.push_membership(messages);
+        }
+    }
+
+    fn on_message(&mut self, now: Timestamp, from: usize, message: Message) {
+        match message {
+            Message::Membership(data) => {
+                let messages = self.membership.on_message(now, &data);
+                self.outbox.push_membership(messages);
+            }
+            Message::Record { record, age } => {
+                self.metrics.records_received += 1;
+                // A record is older by what its datagram was delayed or lay unread.
+                let observed_at = now - age - self.membership.peers()[from].delay;
+                self.apply(now, record, observed_at, Observer::Other);
+            }
+            Message::Digest { round, digests } => {
+                self.anti_entropy.on_digest(from, round, &digests, &self.state);
+            }
+            Message::RangeHashes {
+                round,
+                lowest,
+                highest,
+                entries,
+                ..
+            } => {
+                let part = RangePart {
+                    lowest,
+                    highest,
+                    entries: &entries,
+                };
+                self.on_range_hashes(from, round, part);
+            }
+            Message::RangeRequest { round, range, keys } => {
+                self.anti_entropy
+                    .on_range_request(from, round, range, &keys, &self.state);
+            }
+            Message::RoundComplete { round, parts } => {
+                let is_complete = self
+                    .anti_entropy
+                    .on_round_complete(from, round, parts, &self.state);
+                self.metrics.rounds += u64::from(is_complete);
+            }
+            Message::Inquiry(inquiry) => self.on_inquiry(now, from, inquiry),
+            Message::InquiryReply { inquiry, status } => self.on_inquiry_reply(from, inquiry, status),
+        }
+    }
+
+    fn on_range_hashes(&mut self, from: usize, round: u32, part: RangePart) {
+        let requests = self.anti_entropy.on_range_hashes(from, round, part, &self.state);
+        for request in requests {
+            self.outbox.push(from, &request);
+        }
+    }
+
+    /// A peer that inquires too often gets no answer of the driver, because each answer may have to be remembered.
+    fn on_inquiry(&mut self, now: Timestamp, from: usize, inquiry: InquiryId) {
+        if self.peer_limits[from].admit_inquiry(now) {
+            self.outputs.push(NodeOutput::InquiryReceived { from, inquiry });
+            return;
+        }
+        let status = DispatchStatus::Unknown;
+        self.outbox.push(from, &Message::InquiryReply { inquiry, status });
+    }
+
+    fn on_inquiry_reply(&mut self, from: usize, inquiry: InquiryId, status: DispatchStatus) {
+        if self.inquiries.on_reply(inquiry, from) {
+            self.outputs.push(NodeOutput::InquiryReplied {
+                from,
+                inquiry,
+                status,
+            });
+        }
+    }
+
+    fn apply(&mut self, now: Timestamp, record: Record, observed_at: Timestamp, observer: Observer) {
+        let key = record.key();
+        match self.state.apply(now, record, observed_at) {
+            ApplyOutcome::Unchanged => {}
+            ApplyOutcome::Rejected => self.metrics.records_rejected += 1,
+            ApplyOutcome::Updated => self.on_updated(now, &key, observer),
+        }
+    }
+
+    fn on_updated(&mut self, now: Timestamp, key: &RecordKey, observer: Observer) {
+        self.changes.note(key);
+        let reachable = self.membership.reachable().count();
+        self.dissemination
+            .enqueue(key, retransmits(reachable, self.settings.fanout));
+        if key.kind == RecordKind::Member {
+            self.state.detect_competing_primaries(now, &key.subject);
+        }
+        if observer == Observer::Own {
+            return;
+        }
+        if let Some(entry) = self.state.get(key) {
+            self.metrics.records_new += 1;
+            self.outputs.push(NodeOutput::RecordLearned {
+                record: entry.record.clone(),
+                observed_at: entry.observed_at,
+            });
+        }
+    }
+
+    /// Asks all peers, also those that are down: they may only be unreachable from here.
+    fn start_inquiry(&mut self, now: Timestamp, inquiry: InquiryId) {
+        let peers: BTreeSet<usize> = (0..self.settings.peers.len()).collect();
+        for peer in &peers {
+            self.outbox.push(*peer, &Message::Inquiry(inquiry));
+        }
+        self.inquiries.start(now, inquiry, peers);
+    }
+
+    fn repeat_inquiries(&mut self, now: Timestamp) {
+        for repeated in self.inquiries.take_due(now) {
+            for peer in repeated.unanswered {
+                self.outbox.push(peer, &Message::Inquiry(repeated.inquiry));
+            }
+        }
+    }
+
+    /// Runs everything that is due.
+    fn advance_to(&mut self, now: Timestamp) {
+        self.advance_membership(now);
+        self.update_sync_state(now);
+        self.repeat_inquiries(now);
+        self.send_rate.refill(now);
+        if self.next_round_at <= now {
+            self.next_round_at = now + self.settings.anti_entropy_interval;
+            self.begin_round(now);
+        }
+        if self.next_gossip_at <= now {
+            self.next_gossip_at = now + self.settings.gossip_interval;
+            self.state.expire(now);
+            self.disseminate(now);
+        }
+        self.send_pending(now);
+    }
+
+    fn advance_membership(&mut self, now: Timestamp) {
+        let messages = self.membership.advance_to(now);
+        self.outbox.push_membership(messages);
+        for change in self.membership.poll_changes(now) {
+            if change.to == PeerState::Down {
+                self.anti_entropy.remove_peer(change.peer);
+            }
+            self.outputs.push(NodeOutput::PeerStateChanged(change));
+        }
+    }
+
+    fn reachable_peers(&self) -> ReachablePeers {
+        let peers = self.membership.peers();
+        let reachable: Vec<usize> = self.membership.reachable().collect();
+        let caught_up = reachable.iter().copied().filter(|peer| peers[*peer].caught_up);
+        ReachablePeers {
+            caught_up: caught_up.collect(),
+            reachable,
+        }
+    }
+
+    fn update_sync_state(&mut self, now: Timestamp) {
+        let peers = self.reachable_peers();
+        let is_alone = peers.reachable.is_empty();
+        let was_long_alone = self
+            .alone_since
+            .is_some_and(|since| now - since >= self.settings.membership.suspicion_timeout);
+        if !is_alone && was_long_alone && !self.anti_entropy.is_behind() {
+            // The others went on without this driver.
+            self.fall_behind(now);
+        }
+        self.alone_since = is_alone.then(|| self.alone_since.unwrap_or(now));
+        let view = peers.view(self.alone_since);
+        if self.anti_entropy.update_sync_state(now, &view) {
+            let caught_up = !self.anti_entropy.is_behind();
+            self.outputs.push(NodeOutput::CaughtUp(caught_up));
+        }
+    }
+
+    fn begin_round(&mut self, now: Timestamp) {
+        let peers = self.reachable_peers();
+        let view = peers.view(self.alone_since);
+        let Some(peer) = self.anti_entropy.choose_peer(&view, &mut self.rng) else {
+            return;
+        };
+        let caught_up = self.membership.peers()[peer].caught_up;
+        if let Some(message) = self.anti_entropy.begin_round(now, peer, caught_up, &self.state) {
+            self.outbox.push(peer, &message);
+        }
+    }
+
+    /// Sends new records to a few random peers.
+    fn disseminate(&mut self, now: Timestamp) {
+        let mut receivers: Vec<usize> = self.membership.reachable().collect();
+        self.rng.shuffle(&mut receivers);
+        receivers.truncate(self.settings.fanout);
+        if receivers.is_empty() || self.dissemination.is_empty() {
+            return;
+        }
+        let mut available = self.send_rate.available() * DISSEMINATION_SHARE;
+        let state = &self.state;
+        let mut messages = Vec::new();
+        self.dissemination.select(|key| {
+            let Some(entry) = state.get(key) else {
+                return true;
+            };
+            let record = entry.record.clone();
+            let age = entry.age(now);
+            let message = Message::Record { record, age }.encode();
+            available -= (message.len() * receivers.len()) as f64;
+            let fits = available >= 0.0;
+            if fits {
+                messages.push(message);
+            }
+            fits
+        });
+        self.metrics.records_sent += (messages.len() * receivers.len()) as u64;
+        for peer in receivers {
+            for message in &messages {
+                self.outbox.push_encoded(peer, message.clone());
+            }
+        }
+    }
+
+    /// Gives anti-entropy what is left of the rate.
+    fn send_pending(&mut self, now: Timestamp) {
+        if !self.anti_entropy.has_pending() {
+            return;
+        }
+        let mut available = self.send_rate.available() - self.outbox.len_bytes() as f64;
+        let outbox = &mut self.outbox;
+        let records_sent = &mut self.metrics.records_sent;
+        self.anti_entropy.send_pending(now, &self.state, |peer, message| {
+            let message = message.encode();
+            let fits = available >= message.len() as f64;
+            if fits {
+                available -= message.len() as f64;
+                *records_sent += 1;
+                outbox.push_encoded(peer, message);
+            }
+            fits
+        });
+    }
+
+    /// Sends all waiting messages in as few datagrams as possible.
+    fn flush(&mut self, now: Timestamp) {
+        for (to, messages) in self.outbox.take() {
+            let header = self.header_for(to, now);
+            let capacity = self.settings.dialect.capacity(&header);
+            for chunk in outbox::datagram_chunks(&messages, capacity) {
+                let bytes = self.settings.dialect.encode(&self.settings.fleet, &header, chunk);
+                self.send_rate.spend(bytes.len());
+                self.metrics.datagrams_sent += 1;
+                self.metrics.bytes_sent += bytes.len() as u64;
+                self.outputs.push(NodeOutput::Send { to, bytes });
+            }
+        }
+    }
+
+    fn header_for(&self, to: usize, now: Timestamp) -> DatagramHeader {
+        DatagramHeader {
+            name: self.settings.name.clone(),
+            incarnation: self.membership.own().incarnation,
+            sent: now,
+            known_incarnation: self.membership.peers()[to].incarnation,
+            caught_up: !self.anti_entropy.is_behind(),
+        }
+    }
+
+    /// Applies a record that this driver stored before its restart. Peers that lack it receive it like a new one.
+    pub fn restore(&mut self, now: Timestamp, record: Record, age: TimeSpan) {
+        self.apply(now, record, now - age, Observer::Other);
+    }
+
+    /// Whether persistent records have changed since [`GossipNode::take_changed`].
+    pub fn has_changed(&self) -> bool {
+        !self.changes.is_empty()
+    }
+
+    /// The persistent records that changed since the last call; none if there were too many to track.
+    pub fn take_changed(&mut self) -> Option<Vec<ObservedRecord>> {
+        let changed = self.changes.take()?;
+        let entries = changed.iter().filter_map(|key| self.state.get(key));
+        Some(entries.map(ObservedRecord::from).collect())
+    }
+
+    /// Publishes a report about this driver whenever its content changes.
+    fn publish_own_report(&mut self, now: Timestamp) {
+        let report = OwnReport {
+            incarnation: self.membership.own().incarnation,
+            list_version: self.list_version,
+            caught_up: !self.anti_entropy.is_behind(),
+        };
+        if self.last_report.replace(report) == Some(report) {
+            return;
+        }
+        self.report_sequence += 1;
+        let record = Record::Driver {
+            name: self.settings.name.clone(),
+            incarnation: report.incarnation,
+            sequence: self.report_sequence,
+            list_version: report.list_version,
+            operators_file: self.settings.operators_file,
+            caught_up: report.caught_up,
+        };
+        self.apply(now, record, now, Observer::Own);
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/record/kind.rs
@@ -0,0 +1,100 @@
+//! Kinds of records: their wire numbers, lifetimes and limits.
+
+use asterlatch::time::TimeSpan;
+
+/// The kind of a record, ordered by dissemination priority: earlier kinds are sent first when bandwidth is short.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum RecordKind {
+    /// [`super::Record::Drain`]
+    Drain,
+    /// [`super::Record::Lease`]
+    Lease,
+    /// [`super::Record::Unanswered`]
+    Unanswered,
+    /// [`super::Record::WarmUp`]
+    WarmUp,
+    /// [`super::Record::Member`]
+    Member,
+    /// [`super::Record::Driver`]
+    Driver,
+    /// [`super::Record::Session`]
+    Session,
+    /// [`super::Record::Load`]
+    Load,
+}
+
+/// Every kind, in order of dissemination priority.
+pub const ALL_KINDS: [RecordKind; 8] = [
+    RecordKind::Drain,
+    RecordKind::Lease,
+    RecordKind::Unanswered,
+    RecordKind::WarmUp,
+    RecordKind::Member,
+    RecordKind::Driver,
+    RecordKind::Session,
+    RecordKind::Load,
+];
+
+impl RecordKind {
+    /// The message kind of such a record in a datagram. A number is never reassigned to another kind.
+    pub fn wire_number(self) -> u8 {
+        match self {
+            RecordKind::Member => 16,
+            RecordKind::Drain => 17,
+            RecordKind::WarmUp => 18,
+            RecordKind::Session => 19,
+            RecordKind::Driver => 20,
+            RecordKind::Lease => 21,
+            RecordKind::Unanswered => 22,
+            RecordKind::Load => 23,
+        }
+    }
+
+    /// The name shown to operators. Key hashes are computed over it, so it must not change between versions.
+    pub fn name(self) -> &'static str {
+        match self {
+            RecordKind::Member => "member",
+            RecordKind::Drain => "drain",
+            RecordKind::WarmUp => "cold",
+            RecordKind::Session => "session",
+            RecordKind::Driver => "driver",
+            RecordKind::Lease => "turn",
+            RecordKind::Unanswered => "late",
+            RecordKind::Load => "load",
+        }
+    }
+
+    /// Whether such records are written to the snapshot, because a restarted driver can still use them.
+    pub fn is_persistent(self) -> bool {
+        !matches!(
+            self,
+            RecordKind::Lease | RecordKind::Unanswered | RecordKind::Load
+        )
+    }
+
+    /// Records observed longer ago than this are dropped, and rejected when a peer sends them.
+    pub fn time_to_live(self) -> TimeSpan {
+        match self {
+            RecordKind::Member => TimeSpan::millis(120_000),
+            RecordKind::Drain => TimeSpan::millis(600_000),
+            // Longer than any member warms up.
+            RecordKind::WarmUp => TimeSpan::millis(120_000),
+            // Replicas that lag further behind receive no reads anyway.
+            RecordKind::Session => TimeSpan::millis(30_000),
+            RecordKind::Driver => TimeSpan::millis(600_000),
+            // Longer than any lease.
+            RecordKind::Lease => TimeSpan::millis(60_000),
+            RecordKind::Unanswered | RecordKind::Load => TimeSpan::millis(5_000),
+        }
+    }
+
+    /// The largest number of records of this kind in one driver's state; beyond it the oldest are dropped.
+    pub fn max_entries(self) -> usize {
+        match self {
+            RecordKind::Member | RecordKind::Drain | RecordKind::Lease => 4096,
+            RecordKind::Unanswered | RecordKind::WarmUp => 16_384,
+            RecordKind::Session => 32_768,
+            RecordKind::Driver | RecordKind::Load => 1024,
+        }
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/record/merge.rs
@@ -0,0 +1,236 @@
+//! Merge rules. For each kind the merge is commutative, associative and idempotent, so replicas that received the same
+//! records in any order are equal. Where two versions contradict each other the more conservative one wins; module
+//! `conflict` reports the contradiction.
+
+use super::{ListedState, LoadShare, Record, RecordKind};
+use asterlatch::time::Timestamp;
+use std::cmp::Ordering;
+
+/// How a merge relates to its two inputs.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum MergeOutcome {
+    /// Both versions are equal.
+    Identical,
+    /// The local version already contains the remote one.
+    Local,
+    /// The remote version replaces the local one.
+    Remote,
+    /// Neither contains the other; this record combines them.
+    Combined(Record),
+}
+
+/// The rank of a version among the versions of one key, for kinds whose greater version replaces the lesser one.
+/// Fields are compared in the order in which they are declared.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+enum Precedence<'a> {
+    /// A later start of the member, then the newer endpoint list, then the worse state.
+    Drain {
+        started_ms: u64,
+        list_version: u64,
+        state: ListedState,
+    },
+    /// The latest report of the latest incarnation.
+    WarmUp {
+        incarnation: u64,
+        sequence: u64,
+        work_us: u64,
+        carried_us: u64,
+    },
+    /// The furthest log position.
+    Session { position: u64 },
+    /// The latest report; of two contradictory ones that which admits to be behind.
+    Driver {
+        incarnation: u64,
+        sequence: u64,
+        is_behind: bool,
+        list_version: u64,
+        operators_file: u64,
+    },
+    /// The latest report of the latest incarnation.
+    Unanswered {
+        incarnation: u64,
+        sequence: u64,
+        outstanding_us: u64,
+    },
+    /// The latest report of the latest incarnation.
+    Load {
+        incarnation: u64,
+        sequence: u64,
+        shares: &'a [LoadShare],
+    },
+}
+
+impl Record {
+    /// Merges `remote` into this version of the same key and tells which side the result equals.
+    pub fn merge_outcome(&self, remote: &Record) -> MergeOutcome {
+        if self == remote {
+            return MergeOutcome::Identical;
+        }
+        let merged = self.merge(remote);
+        if merged == *self {
+            MergeOutcome::Local
+        } else if merged == *remote {
+            MergeOutcome::Remote
+        } else {
+            MergeOutcome::Combined(merged)
+        }
+    }
+
+    /// The least record that contains both versions. Both must have the same key; of two kinds this one is returned.
+    pub fn merge(&self, other: &Record) -> Record {
+        if self.kind() != other.kind() {
+            return self.clone();
+        }
+        match self {
+            Record::Member { .. } => merge_members(self, other),
+            Record::Lease { .. } => merge_leases(self, other),
+            _ if self.precedence() >= other.precedence() => self.clone(),
+            _ => other.clone(),
+        }
+    }
+
+    /// When a merge result counts as observed, given when each input was.
+    pub fn merged_observed_at(
+        &self,
+        outcome: &MergeOutcome,
+        local: Timestamp,
+        remote: Timestamp,
+    ) -> Timestamp {
+        match outcome {
+            MergeOutcome::Local => local,
+            MergeOutcome::Remote => remote,
+            // A drain counts from its first observation; other values from when they were last seen to hold.
+            MergeOutcome::Identical if self.kind() == RecordKind::Drain => local.min(remote),
+            MergeOutcome::Identical | MergeOutcome::Combined(_) => local.max(remote),
+        }
+    }
+
+    /// None for kinds that are merged field by field.
+    fn precedence(&self) -> Option<Precedence<'_>> {
+        Some(match self {
+            Record::Drain { .. } => self.drain_precedence()?,
+            Record::WarmUp {
+                incarnation,
+                sequence,
+                work_us,
+                carried_us,
+                ..
+            } => Precedence::WarmUp {
+                incarnation: *incarnation,
+                sequence: *sequence,
+                work_us: *work_us,
+                carried_us: *carried_us,
+            },
+            Record::Session { position, .. } => Precedence::Session { position: *position },
+            Record::Driver { .. } => self.driver_precedence()?,
+            Record::Unanswered {
+                incarnation,
+                sequence,
+                outstanding_us,
+                ..
+            } => Precedence::Unanswered {
+                incarnation: *incarnation,
+                sequence: *sequence,
+                outstanding_us: *outstanding_us,
+            },
+            Record::Load {
+                incarnation,
+                sequence,
+                shares,
+                ..
+            } => Precedence::Load {
+                incarnation: *incarnation,
+                sequence: *sequence,
+                shares,
+            },
+            Record::Member { .. } | Record::Lease { .. } => return None,
+        })
+    }
+
+    fn drain_precedence(&self) -> Option<Precedence<'_>> {
+        let Record::Drain {
+            started_ms,
+            list_version,
+            state,
+            ..
+        } = self
+        else {
+            return None;
+        };
+        Some(Precedence::Drain {
+            started_ms: *started_ms,
+            list_version: *list_version,
+            state: *state,
+        })
+    }
+
+    fn driver_precedence(&self) -> Option<Precedence<'_>> {
+        let Record::Driver {
+            incarnation,
+            sequence,
+            list_version,
+            operators_file,
+            caught_up,
+            ..
+        } = self
+        else {
+            return None;
+        };
+        Some(Precedence::Driver {
+            incarnation: *incarnation,
+            sequence: *sequence,
+            is_behind: !caught_up,
+            list_version: *list_version,
+            operators_file: *operators_file,
+        })
+    }
+}
+
+/// A later start of the member wins. Within one start each position only grows, so each is the greater of the two.
+fn merge_members(local: &Record, remote: &Record) -> Record {
+    let (
+        Record::Member {
+            name,
+            started_ms,
+            group,
+            position,
+            primary_at,
+            replica_at,
+        },
+        Record::Member {
+            started_ms: remote_started_ms,
+            group: remote_group,
+            position: remote_position,
+            primary_at: remote_primary_at,
+            replica_at: remote_replica_at,
+            ..
+        },
+    ) = (local, remote)
+    else {
+        return local.clone();
+    };
+    match started_ms.cmp(remote_started_ms) {
+        Ordering::Less => remote.clone(),
+        Ordering::Greater => local.clone(),
+        Ordering::Equal => Record::Member {
+            name: name.clone(),
+            started_ms: *started_ms,
+            group: *group.max(remote_group),
+            position: *position.max(remote_position),
+            primary_at: *primary_at.max(remote_primary_at),
+            replica_at: *replica_at.max(remote_replica_at),
+        },
+    }
+}
+
+/// The claim that wins by the rules of `asterlatch_coordination::lease`.
+fn merge_leases(local: &Record, remote: &Record) -> Record {
+    match (local, remote) {
+        (Record::Lease { claim, .. }, Record::Lease { claim: other, .. })
+            if claim.joined(*other) != *claim =>
+        {
+            remote.clone()
+        }
+        _ => local.clone(),
+    }
+}
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -1,242 +1,311 @@
-//! One driver's copy of all records: merged, bounded, aged, and compared with another's by range.
+//! One driver's copy of the replicated state: merged, bounded, expiring, and comparable by hash range.
 
-use crate::conflict::{self, ConflictLog};
-use crate::record::{MergeOutcome, Record, RecordKey, RecordKind};
+use crate::conflict::{self, ConflictKind, ConflictLog, ConflictSides};
+use crate::record::{MergeOutcome, ObservedRecord, Record, RecordKey, RecordKind, ALL_KINDS};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Copies are compared by so many parts of all keys.
+/// Copies are compared in this many ranges of the key hash.
 pub const RANGE_COUNT: usize = 64;
 
+/// Key hashes with equal upper 6 bits form one range.
+const RANGE_SHIFT: u32 = 58;
+
+/// Hashes by which copies are compared.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct EntryHashes {
+    /// Hash of the key; entries are compared in its order.
+    pub key: u64,
+    /// Hash of the whole record.
+    pub content: u64,
+}
+
+impl EntryHashes {
+    fn of(key: &RecordKey, record: &Record) -> EntryHashes {
+        // Encoding into memory can't fail for these types.
+        let content = postcard::to_stdvec(record).unwrap_or_default();
+        EntryHashes {
+            key: xxh3_64(key.to_string().as_bytes()),
+            content: xxh3_64(&content),
+        }
+    }
+
+    /// The summand of this entry in its range's digest.
+    fn digest(self) -> u64 {
+        self.key.rotate_left(17).wrapping_add(self.content)
+    }
+}
+
+/// A record in the state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
+    /// The merged record.
     pub record: Record,
-    /// By this driver's clock.
+    /// When it was observed, by this driver's clock.
     pub observed_at: Timestamp,
-    /// Of the key and of the whole, for comparing.
-    pub hashes: (u64, u64),
+    /// Hashes of the key and of the record.
+    pub hashes: EntryHashes,
+}
+
+impl Entry {
+    /// How long ago the record was observed.
+    pub fn age(&self, now: Timestamp) -> TimeSpan {
+        now - self.observed_at
+    }
+}
+
+impl From<&Entry> for ObservedRecord {
+    fn from(entry: &Entry) -> ObservedRecord {
+        ObservedRecord {
+            record: entry.record.clone(),
+            observed_at: entry.observed_at,
+        }
+    }
 }
 
-/// What a telling changed.
+/// What applying a record changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
+    /// The state already contained it.
     Unchanged,
-    /// It holds more than before.
+    /// The state contains more than before.
     Updated,
-    /// Too old, senseless, or more than there is room for.
+    /// The record is expired or invalid.
     Rejected,
 }
 
+/// An index entry: entries of one kind, oldest first.
+type AgeKey = (RecordKind, Timestamp, RecordKey);
+
+/// One driver's copy of all records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ReplicatedState {
     entries: BTreeMap<RecordKey, Entry>,
-    /// By kind, and within by when it was observed_at.
-    by_age: BTreeSet<(RecordKind, Timestamp, RecordKey)>,
+    by_age: BTreeSet<AgeKey>,
     counts: BTreeMap<RecordKind, usize>,
-    /// By the hash of the key, which is the order in which copies are compared.
-    by_hash: BTreeMap<u64, RecordKey>,
-    /// The sum of all hashes of each range, whatever their order.
+    by_key_hash: BTreeMap<u64, RecordKey>,
+    /// Per range the wrapping sum of its entries' digests; empty until the first record.
     digests: Vec<u64>,
+    /// Contradictions found while applying records.
     pub conflicts: ConflictLog,
 }
 
-fn hashes(key: &RecordKey, record: &Record) -> (u64, u64) {
-    let of_key = xxh3_64(format!("{} {}", key.0.name(), key.1).as_bytes());
-    // Facts are plain: they can be written.
-    let whole = postcard::to_stdvec(record).unwrap_or_default();
-    (of_key, xxh3_64(&whole))
-}
-
-pub fn range_of(of_key: u64) -> usize {
-    (of_key >> 58) as usize
+/// The range that a key hash belongs to.
+pub fn range_of(key_hash: u64) -> usize {
+    (key_hash >> RANGE_SHIFT) as usize
 }
 
-/// Of an entry, as ranges add it up.
-fn digest_of((key, whole): (u64, u64)) -> u64 {
-    key.rotate_left(17).wrapping_add(whole)
+/// The lowest and highest key hash of a range.
+pub fn range_bounds(range: usize) -> (u64, u64) {
+    let lowest = (range as u64) << RANGE_SHIFT;
+    (lowest, lowest | (u64::MAX >> (u64::BITS - RANGE_SHIFT)))
 }
 
 impl ReplicatedState {
+    /// The entry of this key.
     pub fn get(&self, key: &RecordKey) -> Option<&Entry> {
         self.entries.get(key)
     }
 
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
+    /// The number of records of one kind.
     pub fn count(&self, kind: RecordKind) -> usize {
         self.counts.get(&kind).copied().unwrap_or(0)
     }
 
-    /// In the order of keys.
+    /// All entries in key order.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
+    /// All entries of one kind in key order.
     pub fn of_kind(&self, kind: RecordKind) -> impl Iterator<Item = &Entry> {
-        let from = RecordKey(kind, String::new());
+        let subject = String::new();
         self.entries
-            .range(from..)
-            .map(|(_, e)| e)
-            .take_while(move |e| e.record.kind() == kind)
+            .range(RecordKey { kind, subject }..)
+            .map(|(_, entry)| entry)
+            .take_while(move |entry| entry.record.kind() == kind)
     }
 
-    /// Takes a telling over.
+    /// Merges a record that was observed at `observed_at`, which counts as `now` if it is later than that.
     pub fn apply(&mut self, now: Timestamp, record: Record, observed_at: Timestamp) -> ApplyOutcome {
-        let (kind, observed_at) = (record.kind(), observed_at.min(now));
+        let kind = record.kind();
+        let observed_at = observed_at.min(now);
         if !record.is_valid() || now - observed_at >= kind.time_to_live() {
             return ApplyOutcome::Rejected;
         }
         let key = record.key();
-        let Some(here) = self.entries.get(&key) else {
-            self.put(key, record, observed_at);
+        let Some(local) = self.entries.get(&key) else {
+            self.insert(key, record, observed_at);
             self.enforce_limit(kind);
             return ApplyOutcome::Updated;
         };
-        if let Some(what) = conflict::between(&here.record, &record) {
-            let sides = (format!("{:?}", here.record), format!("{record:?}"));
-            self.conflicts.note(now, what, conflict::about(&key), sides);
-        }
-        let stands = here.record.merge_outcome(&record);
-        let observed_at = here
+        report_conflict(&mut self.conflicts, now, &key, [&local.record, &record]);
+        let outcome = local.record.merge_outcome(&record);
+        let merged_at = local
             .record
-            .merged_observed_at(&stands, here.observed_at, observed_at);
-        match stands {
+            .merged_observed_at(&outcome, local.observed_at, observed_at);
+        match outcome {
             MergeOutcome::Identical | MergeOutcome::Local => {
-                let record = here.record.clone();
-                if observed_at != here.observed_at {
-                    self.put(key, record, observed_at);
+                if merged_at != local.observed_at {
+                    let local_record = local.record.clone();
+                    self.insert(key, local_record, merged_at);
                 }
                 ApplyOutcome::Unchanged
             }
             MergeOutcome::Remote => {
-                self.put(key, record, observed_at);
+                self.insert(key, record, merged_at);
                 ApplyOutcome::Updated
             }
-            MergeOutcome::Combined(joined) => {
-                self.put(key, joined, observed_at);
+            MergeOutcome::Combined(merged) => {
+                self.insert(key, merged, merged_at);
                 ApplyOutcome::Updated
             }
         }
     }
 
-    /// Members that claim one group's primary at once are put down as a conflict.
-    pub fn detect_competing_primaries(&mut self, now: Timestamp, name: &str) {
-        let Some(own) = self.entries.get(&RecordKey(RecordKind::Member, name.to_owned())) else {
+    /// Reports other members that claim to be primary of this member's group at the same time.
+    pub fn detect_competing_primaries(&mut self, now: Timestamp, member_name: &str) {
+        let key = RecordKey {
+            kind: RecordKind::Member,
+            subject: member_name.to_owned(),
+        };
+        let Some(Entry { record: member, .. }) = self.entries.get(&key).cloned() else {
+            return;
+        };
+        let Record::Member { group, .. } = &member else {
             return;
         };
-        let own = own.record.clone();
-        let others = self.of_kind(RecordKind::Member).map(|e| e.record.clone());
-        let rivals: Vec<Record> = others
-            .filter(|o| conflict::are_competing_primaries(&own, o))
+        let rivals: Vec<Record> = self
+            .of_kind(RecordKind::Member)
+            .map(|entry| &entry.record)
+            .filter(|other| conflict::are_competing_primaries(&member, other))
+            .cloned()
             .collect();
         for rival in rivals {
-            let mut sides = [format!("{own:?}"), format!("{rival:?}")];
+            // Sorted, so that both directions are one conflict.
+            let mut sides = [format!("{member:?}"), format!("{rival:?}")];
             sides.sort();
             let [one, other] = sides;
-            let about = match &own {
-                Record::Member { group, .. } => format!("group {group}"),
-                _ => String::new(),
-            };
-            self.conflicts.note(
+            self.conflicts.report(
                 now,
-                conflict::ConflictKind::CompetingPrimaries,
-                about,
-                (one, other),
+                ConflictKind::CompetingPrimaries,
+                format!("group {group}"),
+                ConflictSides { one, other },
             );
         }
     }
 
-    fn put(&mut self, key: RecordKey, record: Record, observed_at: Timestamp) {
+    fn insert(&mut self, key: RecordKey, record: Record, observed_at: Timestamp) {
         self.remove(&key);
         self.digests.resize(RANGE_COUNT, 0);
-        let hashes = hashes(&key, &record);
-        let digest = &mut self.digests[range_of(hashes.0)];
-        *digest = digest.wrapping_add(digest_of(hashes));
-        *self.counts.entry(key.0).or_default() += 1;
-        self.by_age.insert((key.0, observed_at, key.clone()));
-        self.by_hash.insert(hashes.0, key.clone());
-        self.entries.insert(
-            key,
-            Entry {
-                record,
-                observed_at,
-                hashes,
-            },
-        );
+        let hashes = EntryHashes::of(&key, &record);
+        let digest = &mut self.digests[range_of(hashes.key)];
+        *digest = digest.wrapping_add(hashes.digest());
+        *self.counts.entry(key.kind).or_default() += 1;
+        self.by_age.insert((key.kind, observed_at, key.clone()));
+        self.by_key_hash.insert(hashes.key, key.clone());
+        let entry = Entry {
+            record,
+            observed_at,
+            hashes,
+        };
+        self.entries.insert(key, entry);
     }
 
     fn remove(&mut self, key: &RecordKey) {
-        let Some(before) = self.entries.remove(key) else {
+        let Some(entry) = self.entries.remove(key) else {
             return;
         };
-        let digest = &mut self.digests[range_of(before.hashes.0)];
-        *digest = digest.wrapping_sub(digest_of(before.hashes));
-        *self.counts.entry(key.0).or_default() -= 1;
-        self.by_hash.remove(&before.hashes.0);
-        self.by_age.remove(&(key.0, before.observed_at, key.clone()));
+        let digest = &mut self.digests[range_of(entry.hashes.key)];
+        *digest = digest.wrapping_sub(entry.hashes.digest());
+        *self.counts.entry(key.kind).or_default() -= 1;
+        self.by_key_hash.remove(&entry.hashes.key);
+        self.by_age.remove(&(key.kind, entry.observed_at, key.clone()));
     }
 
     fn enforce_limit(&mut self, kind: RecordKind) {
         while self.count(kind) > kind.max_entries() {
-            match self.oldest(kind) {
-                Some((_, key)) => self.remove(&key),
-                None => return,
-            }
+            let Some((_, oldest)) = self.oldest(kind) else {
+                return;
+            };
+            self.remove(&oldest);
         }
     }
 
     fn oldest(&self, kind: RecordKind) -> Option<(Timestamp, RecordKey)> {
-        let from = (kind, Timestamp(0), RecordKey(kind, String::new()));
-        let first = self.by_age.range(from..).next().filter(|(k, ..)| *k == kind);
-        first.map(|(_, observed_at, key)| (*observed_at, key.clone()))
+        let subject = String::new();
+        let lowest = (kind, Timestamp(0), RecordKey { kind, subject });
+        let (_, observed_at, key) = self
+            .by_age
+            .range(lowest..)
+            .next()
+            .filter(|(of_kind, ..)| *of_kind == kind)?;
+        Some((*observed_at, key.clone()))
     }
 
-    /// Lets go what was observed_at too long ago; says how many.
+    /// Drops expired records; returns how many.
     pub fn expire(&mut self, now: Timestamp) -> usize {
         let before = self.len();
-        for kind in crate::record::ALL_KINDS {
-            while let Some((_, key)) = self
-                .oldest(kind)
-                .filter(|(observed_at, _)| now - *observed_at >= kind.time_to_live())
-            {
-                self.remove(&key);
+        for kind in ALL_KINDS {
+            while let Some((observed_at, oldest)) = self.oldest(kind) {
+                if now - observed_at < kind.time_to_live() {
+                    break;
+                }
+                self.remove(&oldest);
             }
         }
         before - self.len()
     }
 
-    /// One figure for each range: equal copies have equal ones.
+    /// One digest for each range. Equal copies have equal digests.
     pub fn digests(&self) -> Vec<u64> {
-        let mut all = self.digests.clone();
-        all.resize(RANGE_COUNT, 0);
-        all
+        let mut digests = self.digests.clone();
+        digests.resize(RANGE_COUNT, 0);
+        digests
     }
 
-    /// Entries whose keys' hashes lie there, in their order.
-    pub fn entries_between(&self, from: u64, upto: u64) -> impl Iterator<Item = &Entry> {
-        let hashes = (from <= upto).then(|| self.by_hash.range(from..=upto));
+    /// Entries whose key hashes lie between `lowest` and `highest` inclusive, in hash order.
+    pub fn entries_between(&self, lowest: u64, highest: u64) -> impl Iterator<Item = &Entry> {
+        let hashes = (lowest <= highest).then(|| self.by_key_hash.range(lowest..=highest));
         let keys = hashes.into_iter().flatten().map(|(_, key)| key);
         keys.filter_map(|key| self.entries.get(key))
     }
 
-    pub fn entries_in_range(&self, wanted: usize) -> impl Iterator<Item = &Entry> {
-        let low = (wanted as u64) << 58;
-        self.entries_between(low, low | (u64::MAX >> 6))
+    /// Entries of one range in hash order.
+    pub fn entries_in_range(&self, range: usize) -> impl Iterator<Item = &Entry> {
+        let (lowest, highest) = range_bounds(range);
+        self.entries_between(lowest, highest)
     }
 
-    pub fn entry_by_hash(&self, of_key: u64) -> Option<&Entry> {
-        self.entries.get(self.by_hash.get(&of_key)?)
+    /// The entry whose key has this hash.
+    pub fn entry_by_hash(&self, key_hash: u64) -> Option<&Entry> {
+        self.entries.get(self.by_key_hash.get(&key_hash)?)
     }
+}
 
-    /// How old an entry is when it is observed_at now.
-    pub fn age_of(entry: &Entry, now: Timestamp) -> TimeSpan {
-        now - entry.observed_at
-    }
+fn report_conflict(
+    conflicts: &mut ConflictLog,
+    now: Timestamp,
+    key: &RecordKey,
+    [local, remote]: [&Record; 2],
+) {
+    let Some(kind) = conflict::conflict_between(local, remote) else {
+        return;
+    };
+    let sides = ConflictSides {
+        one: format!("{local:?}"),
+        other: format!("{remote:?}"),
+    };
+    conflicts.report(now, kind, key.to_string(), sides);
 }
--- a/crates/gossip/tests/catchup.rs
+++ b/crates/gossip/tests/catchup.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::anti_entropy::{AntiEntropy, PeerView, SyncState};
+use asterlatch_gossip::anti_entropy::{AntiEntropy, PeerView, RangePart, SyncState};
 use asterlatch_gossip::codec::Message;
 use asterlatch_gossip::record::{ListedState, Record};
 use asterlatch_gossip::state::ReplicatedState;
@@ -65,26 +65,36 @@
         known_incarnation: 1,
         caught_up: true,
     };
-    let all = asterlatch_gossip::codec::Dialect::Current.datagram("f", &head, &[bytes.to_vec()]);
-    let (_, mut items) = asterlatch_gossip::codec::read_datagram("f", &all).expect("is whole");
-    items.pop().expect("is one")
+    let bytes = asterlatch_gossip::codec::Dialect::Current.encode("f", &head, &[bytes.to_vec()]);
+    let mut datagram = asterlatch_gossip::codec::decode_datagram("f", &bytes).expect("is complete");
+    datagram.messages.pop().expect("is one")
 }
 
 impl Pair {
     fn arrives(&self, w: &mut World, to: usize, item: Message) {
         let from = 1 - to;
         match item {
-            Message::Record(record, age) => drop(w.books[to].apply(NOW, record, NOW - age)),
-            Message::Digest { round, ranges } => w.catchups[to].on_digest(from, round, &ranges, &w.books[to]),
+            Message::Record { record, age } => {
+                w.books[to].apply(NOW, record, NOW - age);
+            }
+            Message::Digest { round, digests } => {
+                w.catchups[to].on_digest(from, round, &digests, &w.books[to]);
+            }
             Message::RangeHashes {
                 round,
-                from: low,
-                upto,
-                pairs,
+                lowest,
+                highest,
+                entries,
                 ..
             } => {
-                let wishes = w.catchups[to].on_range_hashes(from, round, (low, upto), &pairs, &w.books[to]);
-                w.flying.extend(wishes.iter().map(|i| (from, i.bytes())));
+                let part = RangePart {
+                    lowest,
+                    highest,
+                    entries: &entries,
+                };
+                let requests = w.catchups[to].on_range_hashes(from, round, part, &w.books[to]);
+                w.flying
+                    .extend(requests.iter().map(|request| (from, request.encode())));
             }
             Message::RangeRequest { round, range, keys } => {
                 w.catchups[to].on_range_request(from, round, range, &keys, &w.books[to]);
@@ -112,7 +122,7 @@
         }
         if to == 0 {
             let seen = PeerView {
-                there: &[1],
+                reachable: &[1],
                 caught_up: &[1],
                 alone_since: None,
             };
@@ -168,14 +178,14 @@
                 w.rounds += 1;
                 w.then = records(&w.books[1]);
                 let item = w.catchups[0].begin_round(NOW, 1, true, &w.books[0])?;
-                w.flying.push((1, item.bytes()));
+                w.flying.push((1, item.encode()));
             }
             Step::Pay(n) => {
                 let mut one = None;
                 w.catchups[n].send_pending(NOW, &w.books[n], |_, item| {
                     let first = one.is_none();
                     if first {
-                        one = Some(item.bytes());
+                        one = Some(item.encode());
                     }
                     first
                 });
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::membership::MembershipTiming;
-use asterlatch_gossip::node::{GossipNode, GossipSettings, NodeInput, NodeOutput};
+use asterlatch_gossip::node::{GossipNode, GossipSettings, NodeInput, NodeOutput, Observation};
 use asterlatch_gossip::record::{ListedState, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -154,7 +154,7 @@
     }
 
     pub fn observe(&mut self, n: usize, record: Record) {
-        self.give(n, NodeInput::Observed(vec![(record, TimeSpan(0))]));
+        self.give(n, NodeInput::Observed(vec![Observation::now(record)]));
     }
 
     fn sort(&mut self, n: usize, outputs: Vec<NodeOutput>) {
--- a/crates/gossip/tests/facts.rs
+++ b/crates/gossip/tests/facts.rs
@@ -137,7 +137,7 @@
         state.apply(NOW, here.clone(), NOW);
         state.apply(NOW, came.clone(), NOW);
         assert_eq!(contents(&state), [stands], "{here:?} {came:?}");
-        let kinds: Vec<_> = state.conflicts.all().map(|q| q.kind).collect();
+        let kinds: Vec<_> = state.conflicts.iter().map(|conflict| conflict.kind).collect();
         assert_eq!(
             kinds,
             conflict.into_iter().collect::<Vec<_>>(),
@@ -229,6 +229,6 @@
             state.apply(NOW, record, NOW);
             state.detect_competing_primaries(NOW, &member);
         }
-        assert_eq!(state.conflicts.all().count() == 1, is_quarrel, "{name}");
+        assert_eq!(state.conflicts.iter().count() == 1, is_quarrel, "{name}");
     }
 }
--- a/crates/gossip/tests/fixtures.rs
+++ b/crates/gossip/tests/fixtures.rs
@@ -7,11 +7,11 @@
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::{Claim, End};
-use asterlatch_gossip::codec::{read_datagram, DatagramHeader, Dialect, InquiryId, Message};
+use asterlatch_gossip::codec::{decode_datagram, DatagramHeader, Dialect, InquiryId, Message, ShortHashes};
 use asterlatch_gossip::in_doubt::DispatchStatus;
 use asterlatch_gossip::node::NodeInput;
-use asterlatch_gossip::record::{ListedState, Record, ALL_KINDS};
-use asterlatch_gossip::snapshot::{read, read_owner, SnapshotEncoder, SnapshotError};
+use asterlatch_gossip::record::{ListedState, LoadShare, ObservedRecord, Record, ALL_KINDS};
+use asterlatch_gossip::snapshot::{read, read_owner, SnapshotEncoder, SnapshotError, SnapshotHeader};
 use common::{drain, member, session, Link, Net};
 use std::path::PathBuf;
 use xxhash_rust::xxh3::xxh3_64;
@@ -90,7 +90,18 @@
             driver: driver_name,
             incarnation: 78,
             sequence: 5,
-            shares: vec![(0x1122_3344_5566_7788, 200, 17), (9, 0, 255)],
+            shares: vec![
+                LoadShare {
+                    member: 0x1122_3344_5566_7788,
+                    admitted: 200,
+                    answers: 17,
+                },
+                LoadShare {
+                    member: 9,
+                    admitted: 0,
+                    answers: 255,
+                },
+            ],
         },
     ]
 }
@@ -98,7 +109,7 @@
 fn snapshot() -> Vec<u8> {
     let (mut bytes, mut writer) = SnapshotEncoder::begin(FLEET, DRIVER, 1_700_000_000_000_042);
     for (n, record) in records().iter().enumerate() {
-        writer.put(&mut bytes, record, WALL + TimeSpan(n as u64));
+        writer.append(&mut bytes, record, WALL + TimeSpan(n as u64));
     }
     bytes
 }
@@ -107,7 +118,7 @@
 fn sixth_record() -> usize {
     let (mut bytes, mut writer) = SnapshotEncoder::begin(FLEET, DRIVER, 1_700_000_000_000_042);
     for (n, record) in records().iter().take(5).enumerate() {
-        writer.put(&mut bytes, record, WALL + TimeSpan(n as u64));
+        writer.append(&mut bytes, record, WALL + TimeSpan(n as u64));
     }
     bytes.len()
 }
@@ -122,11 +133,10 @@
     bytes
 }
 
-fn with_times(records: Vec<Record>) -> Vec<(Record, Timestamp)> {
-    records
-        .into_iter()
-        .zip((0..).map(|n| WALL + TimeSpan(n)))
-        .collect()
+fn with_times(records: Vec<Record>) -> Vec<ObservedRecord> {
+    let times = (0..).map(|n| WALL + TimeSpan(n));
+    let observed = |(record, observed_at)| ObservedRecord { record, observed_at };
+    records.into_iter().zip(times).map(observed).collect()
 }
 
 fn head() -> DatagramHeader {
@@ -149,7 +159,11 @@
         age: TimeSpan::millis(1500),
         member: "m1".to_owned(),
     };
-    let aged = |(n, record): (usize, Record)| Message::Record(record, TimeSpan(n as u64 * 100_000));
+    let reply = |status| Message::InquiryReply { inquiry, status };
+    let aged = |(n, record): (usize, Record)| Message::Record {
+        record,
+        age: TimeSpan(n as u64 * 100_000),
+    };
     vec![
         ("presence", vec![Message::Membership((0..=255).collect())]),
         ("records", records().into_iter().enumerate().map(aged).collect()),
@@ -157,7 +171,7 @@
             "digest",
             vec![Message::Digest {
                 round: 11,
-                ranges: (0..64).map(|n| xxh3_64(&[n])).collect(),
+                digests: (0..64).map(|n| xxh3_64(&[n])).collect(),
             }],
         ),
         (
@@ -165,9 +179,19 @@
             vec![Message::RangeHashes {
                 round: 11,
                 range: 63,
-                from: 0xfc00_0000_0000_0000,
-                upto: u64::MAX,
-                pairs: vec![(1, 2), (u32::MAX, 0), (77, 1 << 20)],
+                lowest: 0xfc00_0000_0000_0000,
+                highest: u64::MAX,
+                entries: vec![
+                    ShortHashes { key: 1, content: 2 },
+                    ShortHashes {
+                        key: u32::MAX,
+                        content: 0,
+                    },
+                    ShortHashes {
+                        key: 77,
+                        content: 1 << 20,
+                    },
+                ],
             }],
         ),
         (
@@ -195,9 +219,9 @@
         (
             "answers",
             vec![
-                Message::InquiryReply(inquiry, DispatchStatus::NotExecuted),
-                Message::InquiryReply(inquiry, sent),
-                Message::InquiryReply(inquiry, DispatchStatus::Unknown),
+                reply(DispatchStatus::NotExecuted),
+                reply(sent),
+                reply(DispatchStatus::Unknown),
             ],
         ),
     ]
@@ -206,8 +230,8 @@
 const DIALECTS: [(&str, Dialect); 2] = [("own", Dialect::Current), ("later", Dialect::Later)];
 
 fn datagram(dialect: Dialect, items: &[Message]) -> Vec<u8> {
-    let items: Vec<Vec<u8>> = items.iter().map(Message::bytes).collect();
-    dialect.datagram(FLEET, &head(), &items)
+    let items: Vec<Vec<u8>> = items.iter().map(Message::encode).collect();
+    dialect.encode(FLEET, &head(), &items)
 }
 
 /// NodeIdentity sent how long a datagram to whom and its hash, over links that lose and delay: messages of the membership
@@ -273,7 +297,11 @@
     let copy = read(&bytes, FLEET, DRIVER);
     assert_eq!((copy.error, copy.incarnation), (None, 1_700_000_000_000_042));
     assert_eq!(copy.records, with_times(records()));
-    let owner = (FLEET.to_owned(), DRIVER.to_owned(), 1_700_000_000_000_042);
+    let owner = SnapshotHeader {
+        fleet: FLEET.to_owned(),
+        name: DRIVER.to_owned(),
+        incarnation: 1_700_000_000_000_042,
+    };
     assert_eq!(read_owner(&bytes), Some(owner));
     assert_eq!(snapshot(), bytes);
 }
@@ -313,9 +341,9 @@
     for (suffix, dialect) in DIALECTS {
         for (name, items) in items() {
             let bytes = fixture(&format!("datagram-{name}-{suffix}.bin"));
-            let (read_head, read_items) = read_datagram(FLEET, &bytes).expect("is understood");
-            assert_eq!(read_head, head(), "{name} {suffix}");
-            assert_eq!(read_items, items, "{name} {suffix}");
+            let datagram_read = decode_datagram(FLEET, &bytes).expect("is understood");
+            assert_eq!(datagram_read.header, head(), "{name} {suffix}");
+            assert_eq!(datagram_read.messages, items, "{name} {suffix}");
             assert_eq!(datagram(dialect, &items), bytes, "{name} {suffix}");
         }
     }
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -14,12 +14,17 @@
 }
 
 /// All find each other, and say that they have caught up.
+fn record_message(record: Record) -> Vec<u8> {
+    let age = TimeSpan(0);
+    codec::Message::Record { record, age }.encode()
+}
+
 fn begun(count: usize, seed: u64) -> Net {
     let mut net = Net::new(count, seed);
     net.run(seconds(8));
     for n in net.up() {
         assert_eq!(
-            net.drivers[n].node.peers.reachable().count(),
+            net.drivers[n].node.membership.reachable().count(),
             count - 1,
             "driver {n}"
         );
@@ -37,7 +42,15 @@
     assert!(took <= seconds(1), "{took:?}");
     for n in 1..3 {
         let news = net.drivers[n].outputs.iter();
-        let news = news.filter(|o| matches!(o, NodeOutput::RecordLearned(Record::Drain { .. }, _)));
+        let news = news.filter(|o| {
+            matches!(
+                o,
+                NodeOutput::RecordLearned {
+                    record: Record::Drain { .. },
+                    ..
+                }
+            )
+        });
         assert_eq!(news.count(), 1, "it is told once");
     }
 }
@@ -75,8 +88,8 @@
         }
     }
     net.run(seconds(8));
-    assert_eq!(net.drivers[0].node.peers.reachable().count(), 1);
-    assert_eq!(net.drivers[4].node.peers.reachable().count(), 2);
+    assert_eq!(net.drivers[0].node.membership.reachable().count(), 1);
+    assert_eq!(net.drivers[4].node.membership.reachable().count(), 2);
     net.observe(1, drain("m1", 9, ListedState::Draining));
     net.observe(4, member("m2", 500, 500, 0));
     net.run(seconds(3));
@@ -86,7 +99,7 @@
     assert!(took < seconds(8), "{took:?}");
     net.run(seconds(8));
     assert_eq!(
-        net.drivers[0].node.peers.reachable().count(),
+        net.drivers[0].node.membership.reachable().count(),
         4,
         "all see each other again"
     );
@@ -99,7 +112,7 @@
     net.cut.insert((0, 1));
     net.run(seconds(10));
     for n in 0..5 {
-        let there = net.drivers[n].node.peers.reachable().count();
+        let there = net.drivers[n].node.membership.reachable().count();
         assert_eq!(there, 4, "driver {n}");
     }
     net.observe(0, drain("m1", 3, ListedState::Draining));
@@ -121,7 +134,7 @@
         net.cut.clear();
         net.run(seconds(20));
         for n in 0..5 {
-            for peer in net.drivers[n].node.peers.peers() {
+            for peer in net.drivers[n].node.membership.peers() {
                 assert_eq!(peer.state, PeerState::Alive, "seed {seed}: {} for {n}", peer.name);
             }
         }
@@ -138,7 +151,7 @@
     let gone = |net: &Net, n: usize| {
         net.drivers[n]
             .node
-            .peers
+            .membership
             .peers()
             .iter()
             .filter(|p| p.state == PeerState::Down)
@@ -179,8 +192,8 @@
     net.run(seconds(6));
     net.restart(1, -999_000_000, 1);
     net.run(seconds(12));
-    assert!(net.drivers[1].node.peers.own().incarnation > 100);
-    assert_eq!(net.drivers[0].node.peers.reachable().count(), 3);
+    assert!(net.drivers[1].node.membership.own().incarnation > 100);
+    assert_eq!(net.drivers[0].node.membership.reachable().count(), 3);
     assert!(net.equal(), "it holds what was told before");
     assert!(!net.drivers[1].node.anti_entropy.is_behind());
 }
@@ -195,8 +208,8 @@
         known_incarnation: 0,
         caught_up: true,
     };
-    let record = codec::Message::Record(drain("m9", 9, ListedState::Gone), TimeSpan(0)).bytes();
-    let bytes = codec::Dialect::Current.datagram("test", &head, &[record]);
+    let record = record_message(drain("m9", 9, ListedState::Gone));
+    let bytes = codec::Dialect::Current.encode("test", &head, &[record]);
     // From the address of d1.
     net.give(
         0,
@@ -211,7 +224,13 @@
         .state
         .get(&drain("m9", 9, ListedState::Gone).key())
         .is_none());
-    let kinds: Vec<_> = d.node.state.conflicts.all().map(|q| q.kind).collect();
+    let kinds: Vec<_> = d
+        .node
+        .state
+        .conflicts
+        .iter()
+        .map(|conflict| conflict.kind)
+        .collect();
     assert_eq!(kinds, [conflict::ConflictKind::ForeignAddress]);
     assert!(d
         .outputs
@@ -219,7 +238,7 @@
         .any(|o| matches!(o, NodeOutput::PeerIgnored { peer: 0, .. })));
     // Another fleet's are nothing at all, and so is what is garbled.
     let before = net.drivers[0].node.metrics.malformed;
-    let other = codec::Dialect::Current.datagram("elsewhere", &head, &[]);
+    let other = codec::Dialect::Current.encode("elsewhere", &head, &[]);
     for bytes in [&other[..], &bytes[..bytes.len() - 1], &[], &[1, 2, 3]] {
         net.give(0, NodeInput::Datagram { from: 0, bytes });
     }
@@ -238,9 +257,9 @@
     };
     for n in 0..3000u64 {
         let items: Vec<_> = (0..30)
-            .map(|m| codec::Message::Record(session(n * 100 + m + 1, 5), TimeSpan(0)).bytes())
+            .map(|m| record_message(session(n * 100 + m + 1, 5)))
             .collect();
-        let bytes = codec::Dialect::Current.datagram("test", &head, &items);
+        let bytes = codec::Dialect::Current.encode("test", &head, &items);
         net.give(
             0,
             NodeInput::Datagram {
--- a/crates/gossip/tests/keep.rs
+++ b/crates/gossip/tests/keep.rs
@@ -3,12 +3,13 @@
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{ListedState, Record};
+use asterlatch_gossip::record::{ListedState, ObservedRecord, Record};
 use asterlatch_gossip::snapshot::{
     read, SnapshotEncoder, SnapshotError, SnapshotSchedule, WriteRequest, WriteStatusChange,
 };
 use common::{drain, member, session};
 
+const SUCCESS: Result<(), String> = Ok(());
 const NOW: Timestamp = Timestamp(5_000_000_000);
 
 fn records() -> Vec<Record> {
@@ -21,7 +22,7 @@
     let (mut bytes, mut writer) = SnapshotEncoder::begin("f", name, 42);
     let mut ends = vec![bytes.len()];
     for (n, record) in records().iter().enumerate() {
-        writer.put(&mut bytes, record, NOW + TimeSpan(n as u64));
+        writer.append(&mut bytes, record, NOW + TimeSpan(n as u64));
         ends.push(bytes.len());
     }
     (bytes, ends)
@@ -32,9 +33,9 @@
     let (bytes, _) = copy("d1");
     let read = read(&bytes, "f", "d1");
     assert_eq!((read.error, read.incarnation), (None, 42));
-    let (told, walls): (Vec<_>, Vec<_>) = read.records.into_iter().unzip();
-    assert_eq!(told, records());
-    assert_eq!(walls[3], NOW + TimeSpan(3));
+    let stored: Vec<Record> = read.records.iter().map(|r| r.record.clone()).collect();
+    assert_eq!(stored, records());
+    assert_eq!(read.records[3].observed_at, NOW + TimeSpan(3));
 }
 
 #[test]
@@ -71,7 +72,10 @@
                     .into_iter()
                     .zip(0..)
                     .take(read.records.len())
-                    .map(|(f, n)| (f, NOW + TimeSpan(n)))
+                    .map(|(record, n)| ObservedRecord {
+                        record,
+                        observed_at: NOW + TimeSpan(n),
+                    })
                     .collect::<Vec<_>>()[..]
             );
         }
@@ -105,7 +109,7 @@
             (Some(fault), used),
             "{name}"
         );
-        let line = read.error.expect("has one").says();
+        let line = read.error.expect("has one").to_string();
         assert!(!line.contains('\n') && line.contains("used"), "{line}");
         lines.push(line);
     }
@@ -122,7 +126,7 @@
         "nobody knows what lies there"
     );
     assert_eq!(keeper.next_request(NOW + every), None, "one at a time");
-    assert_eq!(keeper.on_written(NOW, WriteRequest::Rewrite, 10, Ok(())), None);
+    assert_eq!(keeper.on_written(NOW, WriteRequest::Rewrite, 10, SUCCESS), None);
     assert_eq!(keeper.next_at(), Timestamp(u64::MAX), "nothing has changed");
     keeper.mark_changed();
     assert_eq!(keeper.next_request(NOW + TimeSpan(1)), None, "in groups");
@@ -150,7 +154,7 @@
     assert!((5..12).contains(&tries), "{tries}");
     assert_eq!(keeper.next_request(at), Some(WriteRequest::Rewrite));
     assert_eq!(
-        keeper.on_written(at, WriteRequest::Rewrite, 10, Ok(())),
+        keeper.on_written(at, WriteRequest::Rewrite, 10, SUCCESS),
         Some(WriteStatusChange::Recovered)
     );
     assert!(!keeper.is_failing());
@@ -159,7 +163,7 @@
         keeper.mark_changed();
         at = at + every;
         let wish = keeper.next_request(at).expect("is due");
-        keeper.on_written(at, wish, 1, Ok(()));
+        keeper.on_written(at, wish, 1, SUCCESS);
         wish
     });
     assert_eq!(wishes.filter(|w| *w == WriteRequest::Rewrite).count(), 1);
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::trust::{trust, Use, Verdict};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Record, RecordKind};
+use asterlatch_gossip::record::{ObservedRecord, Record, RecordKind};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -45,10 +45,14 @@
 type Ages = (usize, Option<TimeSpan>, Option<TimeSpan>);
 
 /// Looks at all kept facts; those of use, each with how old it counts as.
-pub fn sort(facts: Vec<(Record, Timestamp)>, now: Timestamp) -> (Vec<(Record, TimeSpan)>, Report) {
+pub fn sort(facts: Vec<ObservedRecord>, now: Timestamp) -> (Vec<(Record, TimeSpan)>, Report) {
     let mut by_rule: BTreeMap<ByRule, Ages> = BTreeMap::new();
     let (mut usable, mut report) = (Vec::new(), Report::default());
-    for (fact, wall) in facts {
+    for ObservedRecord {
+        record: fact,
+        observed_at: wall,
+    } in facts
+    {
         let Verdict { used, age, why } = trust(&fact, wall, now);
         let passed = (wall <= now).then(|| now - wall);
         let row = by_rule.entry((fact.kind(), used, why)).or_default();
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -2,7 +2,7 @@
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::{Claim, End};
-use asterlatch_gossip::record::{ListedState, Record, ALL_KINDS};
+use asterlatch_gossip::record::{ListedState, LoadShare, ObservedRecord, Record, ALL_KINDS};
 use asterlatch_recovery::report::sort;
 use asterlatch_recovery::trust::{trust, Use};
 
@@ -70,7 +70,11 @@
             driver: "d".to_owned(),
             incarnation: 1,
             sequence: 1,
-            shares: vec![(1, 2, 3)],
+            shares: vec![LoadShare {
+                member: 1,
+                admitted: 2,
+                answers: 3,
+            }],
         },
     ]
 }
@@ -168,7 +172,15 @@
         NOW - TimeSpan::millis(3000),
         NOW + TimeSpan::millis(5),
     ];
-    let kept: Vec<_> = all.iter().flat_map(|f| walls.map(|w| (f.clone(), w))).collect();
+    let kept: Vec<_> = all
+        .iter()
+        .flat_map(|f| {
+            walls.map(|observed_at| ObservedRecord {
+                record: f.clone(),
+                observed_at,
+            })
+        })
+        .collect();
     let (usable, report) = sort(kept.clone(), NOW);
     assert_eq!((report.facts, report.from_the_future), (kept.len(), all.len()));
     assert_eq!(report.rows.iter().map(|r| r.facts).sum::<usize>(), kept.len());
