--- a/crates/gossip/src/node/mod.rs
+++ b/crates/gossip/src/node/mod.rs
@@ -8,14 +8,14 @@
 mod open_inquiries;
 mod outbox;
 mod peer_limits;
+mod receive;
+mod send;
 
 pub use interface::{GossipMetrics, GossipSettings, IgnoreReason, NodeInput, NodeOutput, Observation};
 
-use crate::anti_entropy::{AntiEntropy, PeerView, RangePart};
-use crate::codec::{self, DatagramHeader, DecodeError, InquiryId, Message};
-use crate::conflict::{ConflictKind, ConflictSides};
+use crate::anti_entropy::{AntiEntropy, PeerView};
+use crate::codec::{InquiryId, Message};
 use crate::dissemination::{retransmits, Dissemination, TokenBucket};
-use crate::in_doubt::DispatchStatus;
 use crate::membership::{Membership, NodeIdentity, PeerState};
 use crate::record::{ObservedRecord, Record, RecordKey, RecordKind};
 use crate::state::{ApplyOutcome, ReplicatedState};
@@ -23,13 +23,11 @@
 use change_tracker::ChangeTracker;
 use open_inquiries::OpenInquiries;
 use outbox::Outbox;
-use peer_limits::{Admission, PeerLimits};
+use peer_limits::PeerLimits;
 use std::collections::BTreeSet;
 
 /// Without an input for this many suspicion timeouts a driver was suspended.
 const ABSENCE_FACTOR: f64 = 1.0;
-/// The part of the available rate that new records may use at an interval; the rest is for anti-entropy.
-const DISSEMINATION_SHARE: f64 = 0.75;
 /// Makes the node's random choices differ from those of the membership protocol.
 const SEED_MASK: u64 = 0x5eed;
 
@@ -197,148 +195,6 @@
         self.outputs.push(NodeOutput::CaughtUp(false));
     }
 
-    fn on_datagram(&mut self, now: Timestamp, from: usize, bytes: &[u8]) {
-        if !self.admit_datagram(now, from, bytes.len()) {
-            return;
-        }
-        let datagram = match codec::decode_datagram(&self.settings.fleet, bytes) {
-            Ok(datagram) => datagram,
-            Err(DecodeError::Malformed) => {
-                self.metrics.malformed += 1;
-                return;
-            }
-            Err(DecodeError::UnsupportedVersion(_)) => {
-                self.metrics.unknown_version += 1;
-                return;
-            }
-        };
-        if datagram.header.name != self.settings.peers[from] {
-            self.report_foreign_name(now, from, datagram.header.name);
-            return;
-        }
-        self.on_header(now, from, &datagram.header);
-        for message in datagram.messages {
-            self.on_message(now, from, message);
-        }
-    }
-
-    fn admit_datagram(&mut self, now: Timestamp, from: usize, bytes: usize) -> bool {
-        let Some(limits) = self.peer_limits.get_mut(from) else {
-            return false;
-        };
-        self.metrics.datagrams_received += 1;
-        self.metrics.bytes_received += bytes as u64;
-        match limits.admit_datagram(now, bytes) {
-            Admission::Accepted => true,
-            Admission::LimitExceeded => {
-                self.outputs.push(NodeOutput::PeerIgnored {
-                    peer: from,
-                    reason: IgnoreReason::RateExceeded,
-                });
-                false
-            }
-            Admission::Ignored => {
-                self.metrics.ignored += 1;
-                false
-            }
-        }
-    }
-
-    fn report_foreign_name(&mut self, now: Timestamp, from: usize, name: String) {
-        let sides = ConflictSides {
-            one: self.settings.peers[from].clone(),
-            other: name.clone(),
-        };
-        let conflicts = &mut self.state.conflicts;
-        if conflicts.report(now, ConflictKind::ForeignAddress, name, sides) {
-            self.outputs.push(NodeOutput::PeerIgnored {
-                peer: from,
-                reason: IgnoreReason::ForeignName,
-            });
-        }
-    }
-
-    fn on_header(&mut self, now: Timestamp, from: usize, header: &DatagramHeader) {
-        self.membership
-            .on_datagram(now, from, header.incarnation, header.sent, header.caught_up);
-        if header.known_incarnation > self.membership.own().incarnation {
-            // The host's clock went back over this driver's restart.
-            let messages = self.membership.supersede(now, header.known_incarnation);
-            self.outbox.push_membership(messages);
-        }
-    }
-
-    fn on_message(&mut self, now: Timestamp, from: usize, message: Message) {
-        match message {
-            Message::Membership(data) => {
-                let messages = self.membership.on_message(now, &data);
-                self.outbox.push_membership(messages);
-            }
-            Message::Record { record, age } => {
-                self.metrics.records_received += 1;
-                // A record is older by what its datagram was delayed or lay unread.
-                let observed_at = now - age - self.membership.peers()[from].delay;
-                self.apply(now, record, observed_at, Observer::Other);
-            }
-            Message::Digest { round, digests } => {
-                self.anti_entropy.on_digest(from, round, &digests, &self.state);
-            }
-            Message::RangeHashes {
-                round,
-                lowest,
-                highest,
-                entries,
-                ..
-            } => {
-                let part = RangePart {
-                    lowest,
-                    highest,
-                    entries: &entries,
-                };
-                self.on_range_hashes(from, round, part);
-            }
-            Message::RangeRequest { round, range, keys } => {
-                self.anti_entropy
-                    .on_range_request(from, round, range, &keys, &self.state);
-            }
-            Message::RoundComplete { round, parts } => {
-                let is_complete = self
-                    .anti_entropy
-                    .on_round_complete(from, round, parts, &self.state);
-                self.metrics.rounds += u64::from(is_complete);
-            }
-            Message::Inquiry(inquiry) => self.on_inquiry(now, from, inquiry),
-            Message::InquiryReply { inquiry, status } => self.on_inquiry_reply(from, inquiry, status),
-        }
-    }
-
-    fn on_range_hashes(&mut self, from: usize, round: u32, part: RangePart) {
-        let requests = self.anti_entropy.on_range_hashes(from, round, part, &self.state);
-        for request in requests {
-            self.outbox.push(from, &request);
-        }
-    }
-
-    /// A peer that inquires too often gets no answer of the driver, because each answer may have to be remembered.
-    fn on_inquiry(&mut self, now: Timestamp, from: usize, inquiry: InquiryId) {
-        if self.peer_limits[from].admit_inquiry(now) {
-            self.outputs.push(NodeOutput::InquiryReceived { from, inquiry });
-            return;
-        }
-        let status = DispatchStatus::Unknown;
-        self.outbox.push(from, &Message::InquiryReply { inquiry, status });
-    }
-
-    fn on_inquiry_reply(&mut self, from: usize, inquiry: InquiryId, status: DispatchStatus) {
-        if self.inquiries.on_reply(inquiry, from) {
-            self.outputs.push(NodeOutput::InquiryReplied {
-                from,
-                inquiry,
-                status,
-            });
-        }
-    }
-
     fn apply(&mut self, now: Timestamp, record: Record, observed_at: Timestamp, observer: Observer) {
         let key = record.key();
         match self.state.apply(now, record, observed_at) {
@@ -454,84 +310,6 @@
         }
     }
 
-    /// Sends new records to a few random peers.
-    fn disseminate(&mut self, now: Timestamp) {
-        let mut receivers: Vec<usize> = self.membership.reachable().collect();
-        self.rng.shuffle(&mut receivers);
-        receivers.truncate(self.settings.fanout);
-        if receivers.is_empty() || self.dissemination.is_empty() {
-            return;
-        }
-        let mut available = self.send_rate.available() * DISSEMINATION_SHARE;
-        let state = &self.state;
-        let mut messages = Vec::new();
-        self.dissemination.select(|key| {
-            let Some(entry) = state.get(key) else {
-                return true;
-            };
-            let record = entry.record.clone();
-            let age = entry.age(now);
-            let message = Message::Record { record, age }.encode();
-            available -= (message.len() * receivers.len()) as f64;
-            let fits = available >= 0.0;
-            if fits {
-                messages.push(message);
-            }
-            fits
-        });
-        self.metrics.records_sent += (messages.len() * receivers.len()) as u64;
-        for peer in receivers {
-            for message in &messages {
-                self.outbox.push_encoded(peer, message.clone());
-            }
-        }
-    }
-
-    /// Gives anti-entropy what is left of the rate.
-    fn send_pending(&mut self, now: Timestamp) {
-        if !self.anti_entropy.has_pending() {
-            return;
-        }
-        let mut available = self.send_rate.available() - self.outbox.len_bytes() as f64;
-        let outbox = &mut self.outbox;
-        let records_sent = &mut self.metrics.records_sent;
-        self.anti_entropy.send_pending(now, &self.state, |peer, message| {
-            let message = message.encode();
-            let fits = available >= message.len() as f64;
-            if fits {
-                available -= message.len() as f64;
-                *records_sent += 1;
-                outbox.push_encoded(peer, message);
-            }
-            fits
-        });
-    }
-
-    /// Sends all waiting messages in as few datagrams as possible.
-    fn flush(&mut self, now: Timestamp) {
-        for (to, messages) in self.outbox.take() {
-            let header = self.header_for(to, now);
-            let capacity = self.settings.dialect.capacity(&header);
-            for chunk in outbox::datagram_chunks(&messages, capacity) {
-                let bytes = self.settings.dialect.encode(&self.settings.fleet, &header, chunk);
-                self.send_rate.spend(bytes.len());
-                self.metrics.datagrams_sent += 1;
-                self.metrics.bytes_sent += bytes.len() as u64;
-                self.outputs.push(NodeOutput::Send { to, bytes });
-            }
-        }
-    }
-
-    fn header_for(&self, to: usize, now: Timestamp) -> DatagramHeader {
-        DatagramHeader {
-            name: self.settings.name.clone(),
-            incarnation: self.membership.own().incarnation,
-            sent: now,
-            known_incarnation: self.membership.peers()[to].incarnation,
-            caught_up: !self.anti_entropy.is_behind(),
-        }
-    }
-
     /// Applies a record that this driver stored before its restart. Peers that lack it receive it like a new one.
     pub fn restore(&mut self, now: Timestamp, record: Record, age: TimeSpan) {
         self.apply(now, record, now - age, Observer::Other);
