--- a/Makefile
+++ b/Makefile
@@ -53,4 +53,4 @@
 
 # Costs of word between drivers by size, in virtual time.
 measure-shared:
-	cargo test -p asterlatch-gossip --release --locked --test fleet costs -- --ignored --nocapture
+	cargo test -p asterlatch-gossip --release --locked --test node costs -- --ignored --nocapture
--- a/crates/gossip/tests/catchup.rs
+++ b/crates/gossip/tests/anti_entropy.rs
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn no_order_of_steps_and_losses_has_one_say_that_it_is_whole_and_is_not() {
+fn round_in_any_order_of_steps_and_losses_never_claims_completeness_falsely() {
     let checker = Pair { mistake: None }.checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn seeded_mistakes_are_found() {
+fn model_with_seeded_mistake_is_rejected() {
     for mistake in [Mistake::TrustTheEnd, Mistake::FirstPartOnly] {
         let checker = Pair {
             mistake: Some(mistake),
--- a/crates/gossip/tests/fixtures.rs
+++ b/crates/gossip/tests/fixtures.rs
@@ -286,13 +286,13 @@
 }
 
 #[test]
-fn fixtures_hold_every_kind_of_fact() {
+fn fixtures_contain_every_record_kind() {
     let held: Vec<_> = records().iter().map(Record::kind).collect();
     assert!(ALL_KINDS.iter().all(|kind| held.contains(kind)));
 }
 
 #[test]
-fn sound_snapshot_is_read_whole_and_written_the_same() {
+fn read_of_sound_snapshot_fixture_round_trips() {
     let bytes = fixture("snapshot-sound.bin");
     let copy = read(&bytes, FLEET, DRIVER);
     assert_eq!((copy.error, copy.incarnation), (None, 1_700_000_000_000_042));
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn sound_snapshot_of_another_fleet_or_driver_is_refused() {
+fn read_of_snapshot_fixture_for_other_fleet_or_driver_is_rejected() {
     let bytes = fixture("snapshot-sound.bin");
     let foreign = read(&bytes, FLEET, "d2");
     assert_eq!(foreign.error, Some(SnapshotError::OtherDriver(DRIVER.to_owned())));
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn torn_and_flipped_snapshots_are_read_up_to_the_damage() {
+fn read_of_damaged_snapshot_fixtures_stops_at_the_damage() {
     let at = sixth_record();
     for (name, written, fault) in [
         ("snapshot-torn.bin", torn(), SnapshotError::Truncated { at }),
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn datagrams_of_each_kind_are_read_and_written_the_same_in_both_dialects() {
+fn decode_of_datagram_fixtures_round_trips_in_both_dialects() {
     for (suffix, dialect) in DIALECTS {
         for (name, items) in items() {
             let bytes = fixture(&format!("datagram-{name}-{suffix}.bin"));
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn a_conversation_of_four_drivers_is_sent_byte_by_byte_as_before() {
+fn conversation_of_four_drivers_sends_the_recorded_bytes() {
     let before = fixture("transcript.bin");
     let now = transcript();
     let differs = before.chunks(20).zip(now.chunks(20)).position(|(a, b)| a != b);
--- a/crates/gossip/tests/doubts.rs
+++ b/crates/gossip/tests/in_doubt.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_was_sent_is_remembered_for_as_long_as_it_may_be_repeated() {
+fn status_within_the_window_is_the_first_dispatch() {
     let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
     log.on_dispatch(at(0), 7, "m1");
     log.on_dispatch(at(100), 7, "m2");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_is_proven_untouched_each_time_may_go_out_elsewhere() {
+fn on_not_executed_for_every_dispatch_makes_status_not_executed() {
     let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
     log.on_dispatch(at(0), 7, "m1");
     log.on_not_executed(7);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn who_has_begun_or_forgotten_cannot_say() {
+fn status_after_restart_or_dropped_entries_is_unknown() {
     let mut log = DispatchLog::new(NOW, WINDOW, 100, true);
     assert_eq!(
         log.status(at(4999), 7),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_was_given_away_stays_so() {
+fn give_up_is_kept_for_the_window() {
     let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
     log.give_up(at(0), 7);
     assert!(log.is_given_up(7) && !log.is_given_up(8));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn one_word_of_doubt_is_enough_and_silence_is_one() {
+fn on_reply_with_one_doubt_or_timeout_decides_in_doubt() {
     let doubt = |age, member: Option<&str>| InquiryOutcome::MayHaveExecuted {
         age,
         member: member.map(str::to_owned),
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn no_order_of_steps_losses_and_a_crash_gives_a_statement_two_effects() {
+fn statement_in_any_order_of_steps_losses_and_a_crash_executes_at_most_once() {
     for (drivers, repeats) in [(2, 3), (3, 2)] {
         let checker = checked(None, drivers, repeats);
         println!(
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn seeded_mistakes_are_found() {
+fn model_with_seeded_mistake_is_rejected() {
     for mistake in [
         Mistake::KeepWhatIsAsked,
         Mistake::BlankIsUntouched,
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/node.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_one_hears_all_know_within_a_second_whatever_their_clocks_say() {
+fn observed_with_clocks_apart_reaches_all_within_a_second() {
     let mut net = begun(5, 1);
     net.observe(0, drain("m1", 3, ListedState::Draining));
     net.observe(3, member("m2", 77, 77, 0));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn links_that_lose_repeat_and_garble_only_delay() {
+fn observed_over_lossy_links_reaches_all() {
     for seed in 1..6 {
         let mut net = Net::new(6, seed);
         net.link = Link {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_split_heals_and_both_sides_hold_what_either_heard() {
+fn partition_after_healing_leaves_equal_copies() {
     let mut net = begun(5, 3);
     let sides = [vec![0, 1], vec![2, 3, 4]];
     for a in &sides[0] {
@@ -107,7 +107,7 @@
 
 /// A link that lets word through one way only: others ask on the cut one's behalf, and nobody is lost.
 #[test]
-fn a_link_cut_one_way_costs_nobody_its_place() {
+fn one_way_cut_keeps_every_driver_a_member() {
     let mut net = begun(5, 4);
     net.cut.insert((0, 1));
     net.run(seconds(10));
@@ -122,7 +122,7 @@
 /// Splits about as long as suspicion takes, after which some hold others for gone and are held for it: whoever comes back
 /// under a new incarnation had let go of its own suspicions' ends, and held the suspected ones so for ever.
 #[test]
-fn nobody_stays_suspected_after_a_short_split() {
+fn short_partition_leaves_nobody_suspected() {
     for seed in 0..40 {
         let mut net = begun(5, seed);
         for a in [0, 2] {
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn one_that_was_paused_says_that_it_is_behind_until_it_has_caught_up() {
+fn suspended_driver_is_behind_until_it_has_caught_up() {
     let mut net = begun(4, 5);
     net.drivers[2].paused = true;
     net.run(seconds(2));
@@ -170,7 +170,7 @@
 
 /// What lay unread while a driver was stopped is as old as that, though its sender called it new.
 #[test]
-fn what_lay_unread_is_not_taken_for_new() {
+fn datagram_read_late_gives_records_their_true_age() {
     let mut net = begun(3, 6);
     net.drivers[2].paused = true;
     net.observe(0, session(9, 5));
@@ -184,7 +184,7 @@
 
 /// A machine whose clock is set back over a restart: its driver's new incarnation is below the one that others know.
 #[test]
-fn a_driver_whose_clock_went_back_is_taken_for_itself_anew() {
+fn restart_with_earlier_clock_takes_a_higher_incarnation() {
     let mut net = begun(4, 7);
     net.observe(3, drain("m1", 3, ListedState::Draining));
     net.run(seconds(3));
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_name_that_is_not_its_addresss_is_refused_and_told() {
+fn datagram_under_a_foreign_name_is_rejected_and_reported() {
     let mut net = begun(3, 8);
     let head = codec::DatagramHeader {
         name: name(2),
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_mad_peer_is_cut_off_and_others_are_heard_on() {
+fn datagrams_beyond_the_rate_limit_ignore_only_that_peer() {
     let mut net = begun(3, 9);
     let head = codec::DatagramHeader {
         name: name(1),
@@ -285,7 +285,7 @@
 
 /// The rate holds whatever there is to tell: a copy of many records takes its time.
 #[test]
-fn who_catches_up_is_sent_no_more_than_the_rate_lets() {
+fn anti_entropy_of_many_records_stays_within_the_rate() {
     const RATE: u64 = 16 * 1024;
     let slow = |n, all| asterlatch_gossip::node::GossipSettings {
         bytes_per_second: RATE,
@@ -321,7 +321,7 @@
 
 /// An id is asked of all, again where an answer is lost; whoever has answered is asked no more.
 #[test]
-fn questions_reach_all_and_are_repeated_to_the_silent() {
+fn inquiry_reaches_all_peers_and_is_repeated_to_unanswered_ones() {
     use asterlatch_gossip::in_doubt::DispatchStatus;
     let mut net = begun(4, 11);
     net.cut.insert((0, 2));
--- a/crates/gossip/tests/facts.rs
+++ b/crates/gossip/tests/replicated_state.rs
@@ -68,7 +68,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), cases: 2000, ..ProptestConfig::default() })]
 
     #[test]
-    fn two_tellings_of_one_key_merge_alike_in_any_order(a in record(), b in record(), c in record()) {
+    fn merge_of_one_key_is_commutative_associative_and_idempotent(a in record(), b in record(), c in record()) {
         prop_assert_eq!(a.merge(&a), a.clone());
         if a.key() == b.key() {
             prop_assert_eq!(a.merge(&b), b.merge(&a));
@@ -83,7 +83,7 @@
     }
 
     #[test]
-    fn copies_that_were_told_the_same_are_equal(records in prop::collection::vec(record(), 1..40), order in any::<u64>()) {
+    fn apply_same_records_in_any_order_gives_equal_states(records in prop::collection::vec(record(), 1..40), order in any::<u64>()) {
         let (mut one, mut other) = (ReplicatedState::default(), ReplicatedState::default());
         for record in &records {
             one.apply(NOW, record.clone(), NOW);
@@ -109,7 +109,7 @@
 
 /// (here, came, what stands)
 #[test]
-fn the_conservative_telling_stands() {
+fn apply_contradicting_versions_keeps_the_conservative_one() {
     let driver = |incarnation, said, caught_up| Record::Driver {
         name: "d".into(),
         incarnation,
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_drain_counts_from_its_first_telling_and_a_position_from_its_last() {
+fn apply_identical_record_keeps_first_time_of_drains_and_last_of_positions() {
     let later = NOW + TimeSpan::millis(5000);
     for (record, told) in [
         (drain("a", 3, ListedState::Draining), NOW),
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn what_is_old_is_let_go_and_not_taken_again() {
+fn expire_after_time_to_live_drops_and_rejects_the_record() {
     for kind_fact in [
         drain("a", 3, ListedState::Draining),
         member("a", 10, 0, 10),
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_copy_is_bounded_and_keeps_what_was_told_last() {
+fn apply_beyond_max_entries_drops_the_oldest() {
     let mut state = ReplicatedState::default();
     let most = RecordKind::Session.max_entries() as u64;
     for n in 0..most + 1000 {
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn two_that_claim_one_group_are_a_quarrel_and_a_takeover_is_none() {
+fn detect_competing_primaries_reports_overlap_but_no_takeover() {
     #[rustfmt::skip]
     let table = [
         ("both at once", member("a", 20, 20, 0), member("b", 20, 20, 0), true),
--- a/crates/gossip/tests/cold.rs
+++ b/crates/gossip/tests/slow_start.rs
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn sums_keep_the_rule_and_refuse_less_than_caution_does() {
+fn budget_by_reports_keeps_the_rule_and_rejects_less_than_alone() {
     println!("drivers  told   alone: served, refused, worst   by sums: served, refused, worst");
     for drivers in [1, 5, 20, 100] {
         for part in [1.0, 0.7] {
@@ -166,7 +166,7 @@
 
 /// (who has told, how many ticks ago; whether a share is known)
 #[test]
-fn nothing_is_known_where_one_that_is_there_is_silent() {
+fn budget_without_a_fresh_report_of_each_driver_is_unknown() {
     let known = |told: &[(&str, u64)], there: &[&str]| {
         let mut cold = WarmUpBudgets::new(TERMS);
         for (who, ticks) in told {
@@ -193,7 +193,7 @@
 
 /// (incarnation, sum, at) one after the other; what counts as sent within the span at 3000
 #[test]
-fn a_sum_counts_once_whatever_becomes_of_who_told_it() {
+fn on_peer_report_counts_work_once_across_restarts_and_reordering() {
     type Case<'a> = (&'a str, &'a [(u64, u64, u64)], u64);
     #[rustfmt::skip]
     let table: [Case; 5] = [
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_member_that_starts_anew_owes_nothing() {
+fn budget_of_restarted_member_starts_anew() {
     let mut cold = WarmUpBudgets::new(TERMS);
     cold.on_peer_report(MEMBER, &report(at(0), "a", 1, 5_000_000, 1_000_000));
     assert_eq!(
--- a/crates/gossip/tests/keep.rs
+++ b/crates/gossip/tests/snapshot.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_was_written_is_read() {
+fn read_of_sound_snapshot_returns_all_records() {
     let (bytes, _) = copy("d1");
     let read = read(&bytes, "f", "d1");
     assert_eq!((read.error, read.incarnation), (None, 42));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_cut_at_any_byte_costs_what_is_behind_it_alone() {
+fn read_of_truncated_snapshot_returns_records_before_the_cut() {
     let (bytes, ends) = copy("d1");
     for cut in 0..bytes.len() {
         let read = read(&bytes[..cut], "f", "d1");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_flipped_bit_anywhere_is_found_and_nothing_behind_it_believed() {
+fn read_with_any_bit_flipped_returns_at_most_the_records_before() {
     let (bytes, ends) = copy("d1");
     for at in 0..bytes.len() {
         for bit in [0, 7] {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn each_damage_has_its_own_line() {
+fn read_of_each_damage_returns_its_own_error() {
     let (bytes, ends) = copy("d1");
     let with = |change: &dyn Fn(&mut Vec<u8>)| {
         let mut bytes = bytes.clone();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_disk_that_fails_is_tried_again_ever_more_rarely_and_then_written_whole() {
+fn schedule_with_failing_disk_backs_off_and_then_rewrites() {
     let every = TimeSpan::millis(1000);
     let mut keeper = SnapshotSchedule::new(NOW, every);
     assert_eq!(
