--- a/crates/gossip/src/in_doubt/dispatch_log.rs
+++ b/crates/gossip/src/in_doubt/dispatch_log.rs
@@ -42,7 +42,7 @@
 }
 
 impl DispatchLog {
-    /// A log of at most `capacity` entries that are kept for `window`. `has_predecessor` tells whether an earlier process
+    /// A log of at most `capacity` entries that are kept for `window`. `has_predecessor` is whether an earlier process
     /// of this driver may have dispatched statements.
     pub fn new(now: Timestamp, window: TimeSpan, capacity: usize, has_predecessor: bool) -> DispatchLog {
         let unknown_until = match has_predecessor {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A peer was told that this driver won't dispatch the statement.
+    /// A peer was promised that this driver won't dispatch the statement.
     pub fn give_up(&mut self, now: Timestamp, id: u64) {
         self.expire(now);
         let position = self.append(now, id);
--- a/crates/gossip/src/node/interface.rs
+++ b/crates/gossip/src/node/interface.rs
@@ -78,7 +78,7 @@
     },
     /// The endpoint list of this version is in force.
     ListVersion(u64),
-    /// This driver shuts down; peers are told.
+    /// This driver shuts down; peers are notified.
     Leave,
     /// Time has passed.
     Tick,
--- a/crates/gossip/src/node/send.rs
+++ b/crates/gossip/src/node/send.rs
@@ -1,4 +1,4 @@
-//! What is sent: new records, what anti-entropy owes to peers, and the datagrams that hold it.
+//! What is sent: new records, what anti-entropy has pending for peers, and the datagrams that hold it.
 
 use super::{outbox, GossipNode, NodeOutput};
 use crate::codec::{DatagramHeader, Message};
--- a/crates/gossip/src/slow_start.rs
+++ b/crates/gossip/src/slow_start.rs
@@ -223,7 +223,7 @@
     ) -> Option<TimeSpan> {
         let own_work_us = self.own_recent_work_us(now, rules.window);
         let reports = self.fresh_reports(now, rules.report_interval, required_drivers)?;
-        // Work of drivers that are gone by now counts too.
+        // Work of drivers that are down by now counts too.
         let peers_work_us: u64 = self
             .peers
             .values()
--- a/crates/gossip/tests/anti_entropy.rs
+++ b/crates/gossip/tests/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! A round of catching up in every order of steps, with any datagram lost or told twice and a record learnt in between: who
-//! says that it has caught up holds all that the other held when the round began, and copies that hold the same are equal.
+//! A model check of one anti-entropy round in every order of steps, with any datagram lost and a record learned meanwhile: a
+//! driver that claims to be caught up holds all that its peer held when the round began, and equal copies have equal digests.
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -12,38 +12,38 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mistake {
-    /// The word that all hashes were sent ends the round, whatever was lost before it.
-    TrustTheEnd,
-    /// What a range holds beyond its first part is taken for told.
+    /// The mark that all hashes were sent completes the round, whatever was lost before it.
+    TrustCompletionMark,
+    /// Parts of a range beyond the first are taken as received.
     FirstPartOnly,
 }
 
 const NOW: Timestamp = Timestamp(1_000_000_000);
 
-/// 0 catches up, 1 is whole.
+/// Driver 0 is behind, driver 1 is caught up.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
-    books: [ReplicatedState; 2],
-    catchups: [AntiEntropy; 2],
-    /// To whom, as bytes.
-    flying: Vec<(usize, Vec<u8>)>,
-    /// What 1 held when the round began.
-    then: Vec<Record>,
+struct Drivers {
+    states: [ReplicatedState; 2],
+    protocols: [AntiEntropy; 2],
+    /// Receiver and encoded message.
+    in_flight: Vec<(usize, Vec<u8>)>,
+    /// What driver 1 held when the round began.
+    held_at_begin: Vec<Record>,
     lost: u8,
-    learnt: bool,
+    has_learned: bool,
     rounds: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Begin,
-    Pay(usize),
-    Arrives(usize),
-    IsLost(usize),
-    Learns,
+    Send(usize),
+    Deliver(usize),
+    Lose(usize),
+    Learn,
 }
 
-struct Pair {
+struct RoundModel {
     mistake: Option<Mistake>,
 }
 
@@ -57,28 +57,28 @@
         .is_some_and(|e| e.record.merge(record) == e.record)
 }
 
-fn read(bytes: &[u8]) -> Message {
-    let head = asterlatch_gossip::codec::DatagramHeader {
+fn decode(bytes: &[u8]) -> Message {
+    let header = asterlatch_gossip::codec::DatagramHeader {
         name: "d".into(),
         incarnation: 1,
         sent: NOW,
         known_incarnation: 1,
         caught_up: true,
     };
-    let bytes = asterlatch_gossip::codec::Dialect::Current.encode("f", &head, &[bytes.to_vec()]);
+    let bytes = asterlatch_gossip::codec::Dialect::Current.encode("f", &header, &[bytes.to_vec()]);
     let mut datagram = asterlatch_gossip::codec::decode_datagram("f", &bytes).expect("is complete");
     datagram.messages.pop().expect("is one")
 }
 
-impl Pair {
-    fn arrives(&self, w: &mut World, to: usize, item: Message) {
+impl RoundModel {
+    fn deliver(&self, world: &mut Drivers, to: usize, message: Message) {
         let from = 1 - to;
-        match item {
+        match message {
             Message::Record { record, age } => {
-                w.books[to].apply(NOW, record, NOW - age);
+                world.states[to].apply(NOW, record, NOW - age);
             }
             Message::Digest { round, digests } => {
-                w.catchups[to].on_digest(from, round, &digests, &w.books[to]);
+                world.protocols[to].on_digest(from, round, &digests, &world.states[to]);
             }
             Message::RangeHashes {
                 round,
@@ -92,146 +92,153 @@
                     highest,
                     entries: &entries,
                 };
-                let requests = w.catchups[to].on_range_hashes(from, round, part, &w.books[to]);
-                w.flying
+                let requests = world.protocols[to].on_range_hashes(from, round, part, &world.states[to]);
+                world
+                    .in_flight
                     .extend(requests.iter().map(|request| (from, request.encode())));
             }
             Message::RangeRequest { round, range, keys } => {
-                w.catchups[to].on_range_request(from, round, range, &keys, &w.books[to]);
+                world.protocols[to].on_range_request(from, round, range, &keys, &world.states[to]);
             }
             Message::RoundComplete { round, parts } => {
                 let empty = ReplicatedState::default();
                 match self.mistake {
-                    Some(Mistake::TrustTheEnd) => {
-                        // As if nothing had been asked for.
+                    Some(Mistake::TrustCompletionMark) => {
+                        // As if nothing had been requested.
                         let mut trusting = AntiEntropy::new(NOW, TimeSpan::millis(1));
                         trusting.begin_round(NOW, from, true, &empty);
                         let ended = parts.is_some() && trusting.on_round_complete(from, 1, Some(0), &empty);
                         if ended && to == 0 {
-                            w.catchups[to] = trusting;
+                            world.protocols[to] = trusting;
                         }
                     }
                     Some(Mistake::FirstPartOnly) => {
                         let first = parts.map(|p| p.min(1));
-                        w.catchups[to].on_round_complete(from, round, first, &w.books[to]);
+                        world.protocols[to].on_round_complete(from, round, first, &world.states[to]);
+                    }
+                    None => {
+                        world.protocols[to].on_round_complete(from, round, parts, &world.states[to]);
                     }
-                    None => drop(w.catchups[to].on_round_complete(from, round, parts, &w.books[to])),
                 }
             }
             _ => {}
         }
         if to == 0 {
-            let seen = PeerView {
+            let view = PeerView {
                 reachable: &[1],
                 caught_up: &[1],
                 alone_since: None,
             };
-            w.catchups[0].update_sync_state(NOW, &seen);
+            world.protocols[0].update_sync_state(NOW, &view);
         }
     }
 }
 
-impl Model for Pair {
-    type State = World;
+impl Model for RoundModel {
+    type State = Drivers;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        let mut books = [ReplicatedState::default(), ReplicatedState::default()];
-        // One that 0 lacks, and one that it holds in an older telling.
+    fn init_states(&self) -> Vec<Drivers> {
+        let mut states = [ReplicatedState::default(), ReplicatedState::default()];
+        // One record that driver 0 lacks, and one of which it has an older version.
         for record in [
             drain("m1", 2, ListedState::Draining),
             drain("m2", 4, ListedState::Ready),
         ] {
-            books[1].apply(NOW, record, NOW);
+            states[1].apply(NOW, record, NOW);
         }
-        books[0].apply(NOW, drain("m2", 3, ListedState::Draining), NOW);
+        states[0].apply(NOW, drain("m2", 3, ListedState::Draining), NOW);
         let anti_entropy = AntiEntropy::new(NOW, TimeSpan::millis(1000));
-        vec![World {
-            books,
-            catchups: [anti_entropy.clone(), anti_entropy],
-            flying: Vec::new(),
-            then: Vec::new(),
+        vec![Drivers {
+            states,
+            protocols: [anti_entropy.clone(), anti_entropy],
+            in_flight: Vec::new(),
+            held_at_begin: Vec::new(),
             lost: 0,
-            learnt: false,
+            has_learned: false,
             rounds: 0,
         }]
     }
 
-    fn actions(&self, w: &World, steps: &mut Vec<Step>) {
-        if w.rounds < 1 {
+    fn actions(&self, world: &Drivers, steps: &mut Vec<Step>) {
+        if world.rounds < 1 {
             steps.push(Step::Begin);
         }
-        steps.extend((0..2).filter(|n| w.catchups[*n].has_pending()).map(Step::Pay));
-        steps.extend((0..w.flying.len()).map(Step::Arrives));
-        if w.lost < 1 {
-            steps.extend((0..w.flying.len()).map(Step::IsLost));
+        steps.extend(
+            (0..2)
+                .filter(|n| world.protocols[*n].has_pending())
+                .map(Step::Send),
+        );
+        steps.extend((0..world.in_flight.len()).map(Step::Deliver));
+        if world.lost < 1 {
+            steps.extend((0..world.in_flight.len()).map(Step::Lose));
         }
-        if !w.learnt {
-            steps.push(Step::Learns);
+        if !world.has_learned {
+            steps.push(Step::Learn);
         }
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut w = last.clone();
+    fn next_state(&self, last: &Drivers, step: Step) -> Option<Drivers> {
+        let mut world = last.clone();
         match step {
             Step::Begin => {
-                w.rounds += 1;
-                w.then = records(&w.books[1]);
-                let item = w.catchups[0].begin_round(NOW, 1, true, &w.books[0])?;
-                w.flying.push((1, item.encode()));
+                world.rounds += 1;
+                world.held_at_begin = records(&world.states[1]);
+                let message = world.protocols[0].begin_round(NOW, 1, true, &world.states[0])?;
+                world.in_flight.push((1, message.encode()));
             }
-            Step::Pay(n) => {
+            Step::Send(n) => {
                 let mut one = None;
-                w.catchups[n].send_pending(NOW, &w.books[n], |_, item| {
+                world.protocols[n].send_pending(NOW, &world.states[n], |_, message| {
                     let first = one.is_none();
                     if first {
-                        one = Some(item.encode());
+                        one = Some(message.encode());
                     }
                     first
                 });
-                w.flying.extend(one.map(|bytes| (1 - n, bytes)));
+                world.in_flight.extend(one.map(|bytes| (1 - n, bytes)));
             }
-            Step::Arrives(n) => {
-                let (to, bytes) = w.flying.remove(n);
-                self.arrives(&mut w, to, read(&bytes));
+            Step::Deliver(n) => {
+                let (to, bytes) = world.in_flight.remove(n);
+                self.deliver(&mut world, to, decode(&bytes));
             }
-            Step::IsLost(n) => {
-                w.lost += 1;
-                w.flying.remove(n);
+            Step::Lose(n) => {
+                world.lost += 1;
+                world.in_flight.remove(n);
             }
-            Step::Learns => {
-                w.learnt = true;
-                w.books[1].apply(NOW, session(7, 70), NOW);
+            Step::Learn => {
+                world.has_learned = true;
+                world.states[1].apply(NOW, session(7, 70), NOW);
             }
         }
-        w.flying.sort();
-        Some(w)
+        world.in_flight.sort();
+        Some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "who has caught up holds all that the other held when the round began",
-                |_, w: &World| {
-                    let whole = w.catchups[0].sync_state == SyncState::CaughtUp;
-                    !whole || w.then.iter().all(|f| holds(&w.books[0], f))
+                "a driver that is caught up holds all that its peer held when the round began",
+                |_, world: &Drivers| {
+                    let is_caught_up = world.protocols[0].sync_state == SyncState::CaughtUp;
+                    !is_caught_up || world.held_at_begin.iter().all(|f| holds(&world.states[0], f))
                 },
             ),
             Property::always(
-                "equal copies have equal figures, unequal ones don't",
-                |_, w: &World| {
-                    let same = records(&w.books[0]) == records(&w.books[1]);
-                    same == (w.books[0].digests() == w.books[1].digests())
+                "equal copies have equal digests, and only they",
+                |_, world: &Drivers| {
+                    let same = records(&world.states[0]) == records(&world.states[1]);
+                    same == (world.states[0].digests() == world.states[1].digests())
                 },
             ),
-            Property::always("nothing that was held is lost", |_, w: &World| {
-                w.then.iter().all(|f| holds(&w.books[1], f))
+            Property::always("no record is lost", |_, world: &Drivers| {
+                world.held_at_begin.iter().all(|f| holds(&world.states[1], f))
             }),
-            Property::sometimes("it catches up", |_, w: &World| {
-                w.catchups[0].sync_state == SyncState::CaughtUp
+            Property::sometimes("the driver catches up", |_, world: &Drivers| {
+                world.protocols[0].sync_state == SyncState::CaughtUp
             }),
-            Property::sometimes("copies are equal", |_, w: &World| {
-                records(&w.books[0]) == records(&w.books[1])
+            Property::sometimes("copies are equal", |_, world: &Drivers| {
+                records(&world.states[0]) == records(&world.states[1])
             }),
         ]
     }
@@ -239,7 +246,11 @@
 
 #[test]
 fn round_in_any_order_of_steps_and_losses_never_claims_completeness_falsely() {
-    let checker = Pair { mistake: None }.checker().threads(4).spawn_bfs().join();
+    let checker = RoundModel { mistake: None }
+        .checker()
+        .threads(4)
+        .spawn_bfs()
+        .join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
     assert!(checker.unique_state_count() > 1000);
@@ -247,15 +258,15 @@
 
 #[test]
 fn model_with_seeded_mistake_is_rejected() {
-    for mistake in [Mistake::TrustTheEnd, Mistake::FirstPartOnly] {
-        let checker = Pair {
+    for mistake in [Mistake::TrustCompletionMark, Mistake::FirstPartOnly] {
+        let checker = RoundModel {
             mistake: Some(mistake),
         }
         .checker()
         .threads(4)
         .spawn_bfs()
         .join();
-        let property = "who has caught up holds all that the other held when the round began";
+        let property = "a driver that is caught up holds all that its peer held when the round began";
         assert!(checker.discovery(property).is_some(), "{mistake:?} is not found");
     }
 }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -112,7 +112,7 @@
     make_settings: MakeSettings,
 }
 
-/// The clocks' offsets in microseconds, by turns.
+/// The clocks' offsets in microseconds, assigned in rotation.
 const CLOCK_OFFSETS: [i64; 3] = [0, 3_600_000_000, -900_000_000];
 
 impl Network {
--- a/crates/gossip/tests/in_doubt.rs
+++ b/crates/gossip/tests/in_doubt.rs
@@ -1,5 +1,5 @@
-//! Statements that must not run twice: what a driver remembers, what others' words come to, and every order of steps,
-//! losses and crashes in a small world.
+//! Statements that must not be executed twice: what a driver remembers, how answers are combined, and a model check of
+//! every order of steps, losses and crashes.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::in_doubt::{
@@ -14,7 +14,7 @@
     NOW + TimeSpan::millis(ms)
 }
 
-fn sent(ms: u64, member: &str) -> DispatchStatus {
+fn dispatched(ms: u64, member: &str) -> DispatchStatus {
     DispatchStatus::Dispatched {
         age: TimeSpan::millis(ms),
         member: member.to_owned(),
@@ -26,10 +26,10 @@
     let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
     log.on_dispatch(at(0), 7, "m1");
     log.on_dispatch(at(100), 7, "m2");
-    // (when, what is known): the first sending counts, for the store's window begins with it.
+    // The first dispatch counts, because the store's window begins with it.
     for (ms, known) in [
-        (0, sent(0, "m1")),
-        (4999, sent(4999, "m1")),
+        (0, dispatched(0, "m1")),
+        (4999, dispatched(4999, "m1")),
         (5000, DispatchStatus::NotExecuted),
     ] {
         assert_eq!(log.status(at(ms), 7), known, "{ms}");
@@ -48,11 +48,11 @@
     log.on_not_executed(7);
     assert_eq!(
         log.status(at(30), 7),
-        sent(20, "m1"),
-        "of the other time nothing is proven"
+        dispatched(20, "m1"),
+        "the other execution may have happened"
     );
-    // The entry of the first time is older, and ends without taking the later one's along.
-    assert_eq!(log.status(at(5005), 7), sent(4995, "m1"));
+    // The entry of the first dispatch expires without removing the later one.
+    assert_eq!(log.status(at(5005), 7), dispatched(4995, "m1"));
     assert_eq!(log.status(at(5010), 7), DispatchStatus::NotExecuted);
 }
 
@@ -62,14 +62,14 @@
     assert_eq!(
         log.status(at(4999), 7),
         DispatchStatus::Unknown,
-        "its former incarnation may have sent it"
+        "its earlier process may have dispatched it"
     );
     assert_eq!(log.status(at(5000), 7), DispatchStatus::NotExecuted);
     log.forget_past(at(5000));
     assert_eq!(
         log.status(at(5500), 7),
         DispatchStatus::Unknown,
-        "another process was beside it"
+        "another process was running"
     );
     for id in 0..150 {
         log.on_dispatch(at(10_000 + id), id, "m");
@@ -78,13 +78,13 @@
     assert_eq!(
         log.status(at(10_200), 9999),
         DispatchStatus::Unknown,
-        "it may be among those forgotten"
+        "it may be among the dropped ones"
     );
-    assert_eq!(log.status(at(10_200), 149), sent(51, "m"));
+    assert_eq!(log.status(at(10_200), 149), dispatched(51, "m"));
     assert_eq!(
         log.status(at(10_049 + 5000), 9999),
         DispatchStatus::NotExecuted,
-        "no repeat of those can come any more"
+        "the dropped ones can't be retried any more"
     );
 }
 
@@ -95,7 +95,7 @@
     assert!(log.is_given_up(7) && !log.is_given_up(8));
     log.give_up(at(4000), 7);
     let _ = log.status(at(6000), 1);
-    assert!(log.is_given_up(7), "it was asked about again");
+    assert!(log.is_given_up(7), "it was inquired about again");
     let _ = log.status(at(9000), 1);
     assert!(!log.is_given_up(7) && log.is_empty());
 }
@@ -109,24 +109,28 @@
     type Case = (&'static str, Vec<(usize, DispatchStatus)>, Option<InquiryOutcome>);
     #[rustfmt::skip]
     let table: [Case; 6] = [
-        ("all untouched", vec![(0, DispatchStatus::NotExecuted), (1, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)], Some(InquiryOutcome::NotExecuted)),
-        ("one is silent", vec![(0, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)], None),
-        ("one has sent it", vec![(1, sent(30, "m4"))], Some(doubt(TimeSpan::millis(30), Some("m4")))),
-        ("one can't say", vec![(0, DispatchStatus::NotExecuted), (1, DispatchStatus::Unknown)], Some(doubt(UNBOUNDED_AGE, None))),
-        ("one says it twice", vec![(0, DispatchStatus::NotExecuted), (0, DispatchStatus::NotExecuted), (0, DispatchStatus::NotExecuted)], None),
-        ("somebody who wasn't asked", vec![(9, sent(1, "m"))], None),
+        ("no peer dispatched it", vec![(0, DispatchStatus::NotExecuted), (1, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)], Some(InquiryOutcome::NotExecuted)),
+        ("one doesn't answer", vec![(0, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)], None),
+        ("one dispatched it", vec![(1, dispatched(30, "m4"))], Some(doubt(TimeSpan::millis(30), Some("m4")))),
+        ("one can't tell", vec![(0, DispatchStatus::NotExecuted), (1, DispatchStatus::Unknown)], Some(doubt(UNBOUNDED_AGE, None))),
+        ("one answers repeatedly", vec![(0, DispatchStatus::NotExecuted), (0, DispatchStatus::NotExecuted), (0, DispatchStatus::NotExecuted)], None),
+        ("a peer that wasn't asked", vec![(9, dispatched(1, "m"))], None),
     ];
-    for (name, words, verdict) in table {
+    for (name, answers, outcome) in table {
         let mut inquiries = Inquiries::default();
-        let turn = inquiries
+        let sequence = inquiries
             .start(NOW, 7, &[0, 1, 2], TimeSpan::millis(100))
-            .expect("three are asked");
-        let told = words.iter().fold(None, |told, (peer, known)| {
-            told.or(inquiries.on_reply(7, turn, *peer, known))
+            .expect("there are peers");
+        let decided = answers.iter().fold(None, |decided, (peer, status)| {
+            decided.or(inquiries.on_reply(7, sequence, *peer, status))
         });
-        assert_eq!(told, verdict, "{name}");
-        // An answer to another turn of the same id is none.
-        assert_eq!(inquiries.on_reply(7, turn + 1, 1, &sent(1, "m")), None, "{name}");
+        assert_eq!(decided, outcome, "{name}");
+        // An answer to another inquiry about the same id is ignored.
+        assert_eq!(
+            inquiries.on_reply(7, sequence + 1, 1, &dispatched(1, "m")),
+            None,
+            "{name}"
+        );
         assert!(inquiries.take_timed_out(at(99)).is_empty(), "{name}");
         let late = inquiries.take_timed_out(at(100));
         let silent = vec![InquiryDecision {
@@ -135,26 +139,26 @@
         }];
         assert_eq!(
             late,
-            if verdict.is_some() { Vec::new() } else { silent },
+            if outcome.is_some() { Vec::new() } else { silent },
             "{name}"
         );
         assert!(inquiries.is_empty());
     }
     let nobody = Inquiries::default().start(NOW, 7, &[], TimeSpan::millis(100));
-    assert_eq!(nobody, None, "there is nobody else");
+    assert_eq!(nobody, None, "there is no other driver");
 }
 
-/// A mistake that the checker must find.
+/// A seeded mistake that the model checker must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mistake {
-    /// NodeIdentity is asked goes on holding the statement.
-    KeepWhatIsAsked,
-    /// A new incarnation says that it never sent what it can't know.
-    BlankIsUntouched,
-    /// NodeIdentity is silent is taken to have sent nothing.
-    SilenceIsConsent,
-    /// What isn't marked as a repeat is taken for the first.
-    TrustTheUnmarked,
+    /// A driver that is asked may still dispatch the statement.
+    KeepAfterInquiry,
+    /// A restarted driver denies dispatches that it can't know of.
+    DenyAfterRestart,
+    /// A peer that doesn't answer counts as not having dispatched it.
+    TimeoutIsDenial,
+    /// A statement that isn't marked as a client retry is taken as the first attempt.
+    TrustUnmarked,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -162,59 +166,59 @@
     is_up: bool,
     log: DispatchLog,
     inquiries: Inquiries,
-    /// It holds the statement, which may go out; or asks others first.
-    holds: bool,
-    asks: bool,
+    /// It holds the statement and may dispatch it.
+    may_dispatch: bool,
+    is_inquiring: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Word {
+enum DriverMessage {
     Ask {
         from: usize,
         to: usize,
-        turn: u32,
+        sequence: u32,
     },
     Answer {
         from: usize,
         to: usize,
-        turn: u32,
+        sequence: u32,
         known: u8,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct FleetState {
     drivers: Vec<Driver>,
-    /// Sent by the client and not read yet: to whom, and whether it is marked as a repeat.
+    /// Sent by the client and not read yet: the receiver, and whether it is marked as a client retry.
     unread: Vec<(usize, bool)>,
-    words: Vec<Word>,
-    /// Executions that are out, by whose driver sent them.
-    out: Vec<usize>,
-    effects: u8,
-    repeats: u8,
+    messages: Vec<DriverMessage>,
+    /// Executions in flight, by the driver that dispatched them.
+    in_flight: Vec<usize>,
+    executions: u8,
+    client_retries: u8,
     crashes: u8,
-    /// How often it was proven to have left a member untouched.
-    misses: u8,
+    /// How often it was proven that the statement was not executed.
+    not_executed: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Repeat(usize),
+    ClientRetry(usize),
     Read(usize),
-    Send(usize),
-    Runs(usize),
-    Untouched(usize),
-    Arrives(usize),
-    IsLost(usize),
-    TimesOut(usize),
+    Dispatch(usize),
+    Execute(usize),
+    NotExecuted(usize),
+    Deliver(usize),
+    Lose(usize),
+    TimeOut(usize),
     Crash(usize),
     Restart(usize),
 }
 
-struct Fleet {
+struct FleetModel {
     mistake: Option<Mistake>,
     drivers: usize,
-    repeats: u8,
+    client_retries: u8,
 }
 
 const ID: u64 = 7;
@@ -222,7 +226,7 @@
 fn known(number: u8) -> DispatchStatus {
     match number {
         0 => DispatchStatus::NotExecuted,
-        1 => sent(1, "m"),
+        1 => dispatched(1, "m"),
         _ => DispatchStatus::Unknown,
     }
 }
@@ -235,205 +239,217 @@
     }
 }
 
-impl Fleet {
-    fn begin(&self, follows: bool) -> Driver {
-        let follows = follows && self.mistake != Some(Mistake::BlankIsUntouched);
+impl FleetModel {
+    fn start_driver(&self, has_predecessor: bool) -> Driver {
+        let has_predecessor = has_predecessor && self.mistake != Some(Mistake::DenyAfterRestart);
         Driver {
             is_up: true,
-            log: DispatchLog::new(NOW, WINDOW, 10, follows),
+            log: DispatchLog::new(NOW, WINDOW, 10, has_predecessor),
             inquiries: Inquiries::default(),
-            holds: false,
-            asks: false,
+            may_dispatch: false,
+            is_inquiring: false,
         }
     }
 
-    /// The same steps as the owner's.
-    fn read(&self, w: &mut World, to: usize, repeat: bool) {
-        let d = &mut w.drivers[to];
-        let is_open = d.holds || d.asks || w.out.contains(&to);
-        if is_open || d.log.is_given_up(ID) {
+    /// The same steps as the event loop's.
+    fn read(&self, state: &mut FleetState, to: usize, is_client_retry: bool) {
+        let driver = &mut state.drivers[to];
+        let is_open = driver.may_dispatch || driver.is_inquiring || state.in_flight.contains(&to);
+        if is_open || driver.log.is_given_up(ID) {
             return;
         }
-        match d.log.status(NOW, ID) {
-            // Also where it isn't marked: the checker found a first that was read behind its repeat.
-            DispatchStatus::Dispatched { .. } if self.mistake != Some(Mistake::TrustTheUnmarked) => return,
-            _ if !repeat => {
-                d.holds = true;
+        match driver.log.status(NOW, ID) {
+            // Also if it isn't marked: the checker found a first attempt that was read after its retry.
+            DispatchStatus::Dispatched { .. } if self.mistake != Some(Mistake::TrustUnmarked) => return,
+            _ if !is_client_retry => {
+                driver.may_dispatch = true;
                 return;
             }
             DispatchStatus::NotExecuted => {}
             _ => return,
         }
         let peers: Vec<usize> = (0..self.drivers).filter(|p| *p != to).collect();
-        match d.inquiries.start(NOW, ID, &peers, TimeSpan::millis(100)) {
-            Some(turn) => {
-                d.asks = true;
-                w.words.extend(peers.iter().map(|p| Word::Ask {
+        match driver.inquiries.start(NOW, ID, &peers, TimeSpan::millis(100)) {
+            Some(sequence) => {
+                driver.is_inquiring = true;
+                state.messages.extend(peers.iter().map(|p| DriverMessage::Ask {
                     from: to,
                     to: *p,
-                    turn,
+                    sequence,
                 }));
             }
-            None => d.holds = true,
+            None => driver.may_dispatch = true,
         }
     }
 
-    fn arrives(&self, w: &mut World, word: &Word) {
-        match word {
-            Word::Ask { from, to, turn } => {
-                let d = &mut w.drivers[*to];
-                let told = d.log.status(NOW, ID);
-                if told == DispatchStatus::NotExecuted && self.mistake != Some(Mistake::KeepWhatIsAsked) {
-                    d.log.give_up(NOW, ID);
-                    d.inquiries.cancel(ID);
-                    (d.holds, d.asks) = (false, false);
+    fn deliver(&self, state: &mut FleetState, message: &DriverMessage) {
+        match message {
+            DriverMessage::Ask { from, to, sequence } => {
+                let driver = &mut state.drivers[*to];
+                let status = driver.log.status(NOW, ID);
+                if status == DispatchStatus::NotExecuted && self.mistake != Some(Mistake::KeepAfterInquiry) {
+                    driver.log.give_up(NOW, ID);
+                    driver.inquiries.cancel(ID);
+                    driver.may_dispatch = false;
+                    driver.is_inquiring = false;
                 }
-                w.words.push(Word::Answer {
+                state.messages.push(DriverMessage::Answer {
                     from: *to,
                     to: *from,
-                    turn: *turn,
-                    known: number(&told),
+                    sequence: *sequence,
+                    known: number(&status),
                 });
             }
-            Word::Answer {
+            DriverMessage::Answer {
                 from,
                 to,
-                turn,
+                sequence,
                 known: n,
             } => {
-                let d = &mut w.drivers[*to];
-                if let Some(verdict) = d.inquiries.on_reply(ID, *turn, *from, &known(*n)) {
-                    d.asks = false;
-                    d.holds = verdict == InquiryOutcome::NotExecuted;
+                let driver = &mut state.drivers[*to];
+                if let Some(outcome) = driver.inquiries.on_reply(ID, *sequence, *from, &known(*n)) {
+                    driver.is_inquiring = false;
+                    driver.may_dispatch = outcome == InquiryOutcome::NotExecuted;
                 }
             }
         }
     }
 }
 
-impl Model for Fleet {
-    type State = World;
+impl Model for FleetModel {
+    type State = FleetState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World {
-            drivers: (0..self.drivers).map(|_| self.begin(false)).collect(),
+    fn init_states(&self) -> Vec<FleetState> {
+        vec![FleetState {
+            drivers: (0..self.drivers).map(|_| self.start_driver(false)).collect(),
             unread: vec![(0, false)],
-            words: Vec::new(),
-            out: Vec::new(),
-            effects: 0,
-            repeats: 0,
+            messages: Vec::new(),
+            in_flight: Vec::new(),
+            executions: 0,
+            client_retries: 0,
             crashes: 0,
-            misses: 0,
+            not_executed: 0,
         }]
     }
 
-    fn actions(&self, w: &World, steps: &mut Vec<Step>) {
+    fn actions(&self, state: &FleetState, steps: &mut Vec<Step>) {
         for n in 0..self.drivers {
-            let d = &w.drivers[n];
+            let driver = &state.drivers[n];
             let mut may = |possible: bool, step: Step| steps.extend(possible.then_some(step));
-            may(w.repeats < self.repeats, Step::Repeat(n));
-            may(d.is_up && d.holds, Step::Send(n));
-            may(d.is_up && d.asks, Step::TimesOut(n));
-            may(d.is_up && w.crashes < 1, Step::Crash(n));
-            may(!d.is_up, Step::Restart(n));
+            may(state.client_retries < self.client_retries, Step::ClientRetry(n));
+            may(driver.is_up && driver.may_dispatch, Step::Dispatch(n));
+            may(driver.is_up && driver.is_inquiring, Step::TimeOut(n));
+            may(driver.is_up && state.crashes < 1, Step::Crash(n));
+            may(!driver.is_up, Step::Restart(n));
         }
         steps.extend(
-            (0..w.unread.len())
-                .filter(|n| w.drivers[w.unread[*n].0].is_up)
+            (0..state.unread.len())
+                .filter(|n| state.drivers[state.unread[*n].0].is_up)
                 .map(Step::Read),
         );
-        steps.extend((0..w.out.len()).map(Step::Runs));
-        if w.misses < 2 {
-            steps.extend((0..w.out.len()).map(Step::Untouched));
+        steps.extend((0..state.in_flight.len()).map(Step::Execute));
+        if state.not_executed < 2 {
+            steps.extend((0..state.in_flight.len()).map(Step::NotExecuted));
         }
-        steps.extend((0..w.words.len()).map(Step::Arrives));
-        steps.extend((0..w.words.len()).map(Step::IsLost));
+        steps.extend((0..state.messages.len()).map(Step::Deliver));
+        steps.extend((0..state.messages.len()).map(Step::Lose));
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut w = last.clone();
+    fn next_state(&self, last: &FleetState, step: Step) -> Option<FleetState> {
+        let mut state = last.clone();
         match step {
-            Step::Repeat(n) => {
-                w.repeats += 1;
-                w.unread.push((n, true));
+            Step::ClientRetry(n) => {
+                state.client_retries += 1;
+                state.unread.push((n, true));
             }
             Step::Read(n) => {
-                let (to, repeat) = w.unread.remove(n);
-                self.read(&mut w, to, repeat);
+                let (to, is_client_retry) = state.unread.remove(n);
+                self.read(&mut state, to, is_client_retry);
             }
-            Step::Send(n) => {
-                w.drivers[n].holds = false;
-                w.drivers[n].log.on_dispatch(NOW, ID, "m");
-                w.out.push(n);
+            Step::Dispatch(n) => {
+                state.drivers[n].may_dispatch = false;
+                state.drivers[n].log.on_dispatch(NOW, ID, "m");
+                state.in_flight.push(n);
             }
-            Step::Runs(n) => {
-                w.out.remove(n);
-                w.effects += 1;
+            Step::Execute(n) => {
+                state.in_flight.remove(n);
+                state.executions += 1;
             }
-            // Proven: a write that missed its primary waits for the next one.
-            Step::Untouched(n) => {
-                let by = w.out.remove(n);
-                w.misses += 1;
-                let d = &mut w.drivers[by];
-                if d.is_up && d.log.status(NOW, ID) != DispatchStatus::NotExecuted {
-                    d.log.on_not_executed(ID);
-                    d.holds = true;
+            // A write that was rejected by a replica waits for the next primary.
+            Step::NotExecuted(n) => {
+                let dispatcher = state.in_flight.remove(n);
+                state.not_executed += 1;
+                let driver = &mut state.drivers[dispatcher];
+                if driver.is_up && driver.log.status(NOW, ID) != DispatchStatus::NotExecuted {
+                    driver.log.on_not_executed(ID);
+                    driver.may_dispatch = true;
                 }
             }
-            Step::Arrives(n) => {
-                let word = w.words.remove(n);
-                let (Word::Ask { to, .. } | Word::Answer { to, .. }) = word;
-                if w.drivers[to].is_up {
-                    self.arrives(&mut w, &word);
+            Step::Deliver(n) => {
+                let message = state.messages.remove(n);
+                let (DriverMessage::Ask { to, .. } | DriverMessage::Answer { to, .. }) = message;
+                if state.drivers[to].is_up {
+                    self.deliver(&mut state, &message);
                 }
             }
-            Step::IsLost(n) => drop(w.words.remove(n)),
-            Step::TimesOut(n) => {
-                let verdicts = w.drivers[n].inquiries.take_timed_out(NOW + TimeSpan::millis(100));
-                w.drivers[n].asks = false;
-                w.drivers[n].holds = !verdicts.is_empty() && self.mistake == Some(Mistake::SilenceIsConsent);
+            Step::Lose(n) => {
+                state.messages.remove(n);
+            }
+            Step::TimeOut(n) => {
+                let decisions = state.drivers[n]
+                    .inquiries
+                    .take_timed_out(NOW + TimeSpan::millis(100));
+                state.drivers[n].is_inquiring = false;
+                state.drivers[n].may_dispatch =
+                    !decisions.is_empty() && self.mistake == Some(Mistake::TimeoutIsDenial);
             }
             Step::Crash(n) => {
-                w.crashes += 1;
-                w.drivers[n].is_up = false;
-                (w.drivers[n].holds, w.drivers[n].asks) = (false, false);
-                w.unread.retain(|(to, _)| *to != n);
-                // What is out may run all the same; nobody hears of it.
+                state.crashes += 1;
+                state.drivers[n].is_up = false;
+                state.drivers[n].may_dispatch = false;
+                state.drivers[n].is_inquiring = false;
+                state.unread.retain(|(to, _)| *to != n);
+                // Executions in flight may still happen; no driver learns of it.
             }
-            Step::Restart(n) => w.drivers[n] = self.begin(true),
+            Step::Restart(n) => state.drivers[n] = self.start_driver(true),
         }
-        w.words.sort();
-        w.unread.sort_unstable();
-        w.out.sort_unstable();
-        Some(w)
+        state.messages.sort();
+        state.unread.sort_unstable();
+        state.in_flight.sort_unstable();
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a statement has one effect", |_, w: &World| w.effects < 2),
-            Property::sometimes("a repeat runs at another driver", |_, w: &World| {
-                w.effects == 1 && w.drivers[0].is_up && w.drivers[0].log.is_given_up(ID)
+            Property::always("a statement is executed at most once", |_, state: &FleetState| {
+                state.executions < 2
             }),
+            Property::sometimes(
+                "a client retry is executed by another driver",
+                |_, state: &FleetState| {
+                    state.executions == 1 && state.drivers[0].is_up && state.drivers[0].log.is_given_up(ID)
+                },
+            ),
         ]
     }
 }
 
-fn checked(mistake: Option<Mistake>, drivers: usize, repeats: u8) -> impl Checker<Fleet> {
-    let fleet = Fleet {
+fn checked(mistake: Option<Mistake>, drivers: usize, client_retries: u8) -> impl Checker<FleetModel> {
+    let fleet = FleetModel {
         mistake,
         drivers,
-        repeats,
+        client_retries,
     };
     fleet.checker().threads(4).spawn_bfs().join()
 }
 
 #[test]
 fn statement_in_any_order_of_steps_losses_and_a_crash_executes_at_most_once() {
-    for (drivers, repeats) in [(2, 3), (3, 2)] {
-        let checker = checked(None, drivers, repeats);
+    for (drivers, client_retries) in [(2, 3), (3, 2)] {
+        let checker = checked(None, drivers, client_retries);
         println!(
-            "{drivers} drivers, {repeats} repeats: {} states",
+            "{drivers} drivers, {client_retries} client retries: {} states",
             checker.unique_state_count()
         );
         checker.assert_properties();
@@ -444,13 +460,15 @@
 #[test]
 fn model_with_seeded_mistake_is_rejected() {
     for mistake in [
-        Mistake::KeepWhatIsAsked,
-        Mistake::BlankIsUntouched,
-        Mistake::SilenceIsConsent,
-        Mistake::TrustTheUnmarked,
+        Mistake::KeepAfterInquiry,
+        Mistake::DenyAfterRestart,
+        Mistake::TimeoutIsDenial,
+        Mistake::TrustUnmarked,
     ] {
         let checker = checked(Some(mistake), 2, 2);
-        let found = checker.discovery("a statement has one effect").is_some();
+        let found = checker
+            .discovery("a statement is executed at most once")
+            .is_some();
         assert!(found, "{mistake:?} is not found");
     }
 }
--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -41,8 +41,8 @@
     let elapsed = network.run_until_equal(seconds(5)).expect("copies are equal");
     assert!(elapsed <= seconds(1), "{elapsed:?}");
     for n in 1..3 {
-        let news = network.drivers[n].outputs.iter();
-        let news = news.filter(|o| {
+        let learned = network.drivers[n].outputs.iter();
+        let learned = learned.filter(|o| {
             matches!(
                 o,
                 NodeOutput::RecordLearned {
@@ -51,7 +51,7 @@
                 }
             )
         });
-        assert_eq!(news.count(), 1, "learned once");
+        assert_eq!(learned.count(), 1, "learned once");
     }
 }
 
@@ -112,8 +112,8 @@
     network.cut.insert((0, 1));
     network.run(seconds(10));
     for n in 0..5 {
-        let there = network.drivers[n].node.membership.reachable().count();
-        assert_eq!(there, 4, "driver {n}");
+        let reachable = network.drivers[n].node.membership.reachable().count();
+        assert_eq!(reachable, 4, "driver {n}");
     }
     network.observe(0, drain("m1", 3, ListedState::Draining));
     assert!(
@@ -151,7 +151,7 @@
     network.run(seconds(2));
     network.observe(0, drain("m1", 3, ListedState::Draining));
     network.run(seconds(28));
-    let gone = |network: &Network, n: usize| {
+    let peers_down = |network: &Network, n: usize| {
         network.drivers[n]
             .node
             .membership
@@ -160,7 +160,7 @@
             .filter(|p| p.state == PeerState::Down)
             .count()
     };
-    assert_eq!(gone(&network, 0), 1);
+    assert_eq!(peers_down(&network, 0), 1);
     network.drivers[2].outputs.clear();
     network.resume(2);
     assert!(network.drivers[2].outputs.contains(&NodeOutput::CaughtUp(false)));
@@ -168,7 +168,7 @@
     network.run(seconds(12));
     assert!(!network.drivers[2].node.anti_entropy.is_behind());
     assert!(network.copies_are_equal());
-    assert_eq!(gone(&network, 0), 0, "it has returned");
+    assert_eq!(peers_down(&network, 0), 0, "it has returned");
 }
 
 /// A record in a datagram that lay unread is older by that, though its sender sent it as new.
@@ -373,7 +373,7 @@
 #[test]
 #[ignore = "a measurement: make measure-shared"]
 fn costs_by_size() {
-    println!("drivers  bytes/s  datagrams/s  records/s sent  news at all (ms: half, 99 %, last)  heal (s)");
+    println!("drivers  bytes/s  datagrams/s  records/s sent  record at all (ms: half, 99 %, last)  heal (s)");
     for count in [5, 20, 100, 300] {
         let mut network = Network::new(count, 1);
         network.run(seconds(10 + count as u64 / 10));
@@ -385,7 +385,7 @@
             })
         };
         // Light traffic: each driver observes twenty positions a second, of 109 members.
-        let (before, began, mut at) = (sums(&network), network.now, 1000);
+        let (before, started_at, mut at) = (sums(&network), network.now, 1000);
         for _ in 0..50 {
             for n in 0..count {
                 for _ in 0..2 {
@@ -395,27 +395,27 @@
             }
             network.run(TimeSpan::millis(100));
         }
-        let passed = (network.now - began).ratio(seconds(1)) * count as f64;
+        let passed = (network.now - started_at).ratio(seconds(1)) * count as f64;
         let after = sums(&network);
         let each = |a: u64, b: u64| (a - b) as f64 / passed;
         // A drain meanwhile: when does each driver receive it?
         let record = drain("m7", 99, ListedState::Draining);
         network.observe(0, record.clone());
-        let (told, mut times) = (network.now, vec![0u64; 0]);
-        let mut heard = vec![false; count];
-        while times.len() < count && network.now - told < seconds(20) {
-            for (n, heard) in heard.iter_mut().enumerate() {
+        let (sent_at, mut times) = (network.now, vec![0u64; 0]);
+        let mut has_received = vec![false; count];
+        while times.len() < count && network.now - sent_at < seconds(20) {
+            for (n, has_received) in has_received.iter_mut().enumerate() {
                 at += 1;
                 network.observe(n, member(&format!("m{}", rng.u32(0..109)), at, 0, 5));
-                if !*heard && network.drivers[n].node.state.get(&record.key()).is_some() {
-                    *heard = true;
-                    times.push((network.now - told).0 / 1000);
+                if !*has_received && network.drivers[n].node.state.get(&record.key()).is_some() {
+                    *has_received = true;
+                    times.push((network.now - sent_at).0 / 1000);
                 }
             }
             network.run(TimeSpan::millis(20));
         }
         let part = |q: usize| times[(times.len() * q / 100).min(times.len() - 1)];
-        let news = format!("{}, {}, {}", part(50), part(99), part(100));
+        let dissemination_ms = format!("{}, {}, {}", part(50), part(99), part(100));
         // A partition into halves for 8 s, in which both sides observe something.
         for a in 0..count / 2 {
             for b in count / 2..count {
@@ -429,7 +429,7 @@
         network.cut.clear();
         let heal = network.run_until_equal(seconds(60)).map(|s| s.ratio(seconds(1)));
         println!(
-            "{count:>7}  {:>7.0}  {:>11.1}  {:>12.0}  {news:>35}  {heal:.1?}",
+            "{count:>7}  {:>7.0}  {:>11.1}  {:>12.0}  {dissemination_ms:>35}  {heal:.1?}",
             each(after.0, before.0),
             each(after.1, before.1),
             each(after.2, before.2)
--- a/crates/gossip/tests/replicated_state.rs
+++ b/crates/gossip/tests/replicated_state.rs
@@ -1,4 +1,4 @@
-//! Merging: commutative, associative, idempotent; bounds and ages of a copy.
+//! The replicated state: merge rules, limits, expiry and conflicts.
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -9,15 +9,15 @@
 use proptest::prelude::*;
 
 fn record() -> impl Strategy<Value = Record> {
-    let figure = || 0u64..4;
+    let number = || 0u64..4;
     let name = || prop_oneof![Just("a".to_owned()), Just("b".to_owned())];
-    let standing = prop_oneof![
+    let state = prop_oneof![
         Just(ListedState::Ready),
         Just(ListedState::Draining),
         Just(ListedState::Gone)
     ];
     prop_oneof![
-        (name(), figure(), 0u32..2, figure(), figure(), figure()).prop_map(
+        (name(), number(), 0u32..2, number(), number(), number()).prop_map(
             |(name, started_ms, group, position, primary_at, replica_at)| Record::Member {
                 name,
                 started_ms,
@@ -27,31 +27,33 @@
                 replica_at
             }
         ),
-        (name(), figure(), figure(), standing).prop_map(|(name, started_ms, list, standing)| Record::Drain {
-            name,
-            started_ms,
-            list_version: list,
-            state: standing
+        (name(), number(), number(), state).prop_map(|(name, started_ms, list_version, state)| {
+            Record::Drain {
+                name,
+                started_ms,
+                list_version,
+                state,
+            }
         }),
-        (name(), figure(), name(), figure(), figure(), figure(), figure()).prop_map(
-            |(member, started_ms, driver, incarnation, said, work_us, carries_us)| Record::WarmUp {
+        (name(), number(), name(), number(), number(), number(), number()).prop_map(
+            |(member, started_ms, driver, incarnation, sequence, work_us, carried_us)| Record::WarmUp {
                 member,
                 started_ms,
                 driver,
                 incarnation,
-                sequence: said,
+                sequence,
                 work_us,
-                carried_us: carries_us
+                carried_us
             }
         ),
-        (1u64..3, figure()).prop_map(|(session, position)| Record::Session { session, position }),
-        (name(), figure(), figure(), figure(), figure(), any::<bool>()).prop_map(
-            |(name, incarnation, said, list, file, caught_up)| Record::Driver {
+        (1u64..3, number()).prop_map(|(session, position)| Record::Session { session, position }),
+        (name(), number(), number(), number(), number(), any::<bool>()).prop_map(
+            |(name, incarnation, sequence, list_version, operators_file, caught_up)| Record::Driver {
                 name,
                 incarnation,
-                sequence: said,
-                list_version: list,
-                operators_file: file,
+                sequence,
+                list_version,
+                operators_file,
                 caught_up
             }
         ),
@@ -75,7 +77,7 @@
             if b.key() == c.key() {
                 prop_assert_eq!(a.merge(&b).merge(&c), a.merge(&b.merge(&c)));
             }
-            // It holds what both say: merging it again changes nothing.
+            // It contains both: merging again changes nothing.
             let both = a.merge(&b);
             prop_assert_eq!(both.merge_outcome(&a) != MergeOutcome::Remote || both == a, true);
             prop_assert_eq!(both.merge(&b), both);
@@ -89,15 +91,15 @@
             one.apply(NOW, record.clone(), NOW);
         }
         // In another order, some of them twice.
-        let mut chance = fastrand::Rng::with_seed(order);
+        let mut rng = fastrand::Rng::with_seed(order);
         let mut again: Vec<_> = records.iter().chain(records.iter().step_by(2)).collect();
-        chance.shuffle(&mut again);
+        rng.shuffle(&mut again);
         for record in again {
             other.apply(NOW, record.clone(), NOW);
         }
         prop_assert_eq!(contents(&one), contents(&other));
         prop_assert_eq!(one.digests(), other.digests());
-        // And equal figures stand for equal contents: what is left out shows.
+        // A missing record changes the digests.
         let key = records[0].key();
         let mut less = ReplicatedState::default();
         for record in records.iter().filter(|f| f.key() != key) {
@@ -107,41 +109,41 @@
     }
 }
 
-/// (here, came, what stands)
+/// Local version, remote version, what results, and the conflict.
 #[test]
 fn apply_contradicting_versions_keeps_the_conservative_one() {
-    let driver = |incarnation, said, caught_up| Record::Driver {
+    let driver = |incarnation, sequence, caught_up| Record::Driver {
         name: "d".into(),
         incarnation,
-        sequence: said,
+        sequence,
         list_version: 1,
         operators_file: 1,
         caught_up,
     };
     #[rustfmt::skip]
     let table = [
-        // A newer list ends a drain, an older one doesn't; of one version the worse word stands, and that is a conflict.
+        // A newer list ends a drain, an older one doesn't; within one version the worse state wins, and that is a conflict.
         (drain("a", 3, ListedState::Draining), drain("a", 4, ListedState::Ready), drain("a", 4, ListedState::Ready), None),
         (drain("a", 4, ListedState::Draining), drain("a", 3, ListedState::Ready), drain("a", 4, ListedState::Draining), None),
         (drain("a", 4, ListedState::Ready), drain("a", 4, ListedState::Draining), drain("a", 4, ListedState::Draining), Some(conflict::ConflictKind::ListVersionMismatch)),
         (drain("a", 4, ListedState::Gone), drain("a", 4, ListedState::Draining), drain("a", 4, ListedState::Gone), Some(conflict::ConflictKind::ListVersionMismatch)),
-        // Positions only grow, each figure alone.
+        // Positions only grow, each on its own.
         (member("a", 10, 10, 0), member("a", 12, 0, 12), member("a", 12, 10, 12), None),
         (session(1, 10), session(1, 9), session(1, 10), None),
-        // Whoever hasn't caught up is believed in that.
+        // A report of being behind wins.
         (driver(1, 2, true), driver(1, 2, false), driver(1, 2, false), Some(conflict::ConflictKind::DuplicateDriver)),
         (driver(1, 9, false), driver(2, 1, true), driver(2, 1, true), None),
     ];
-    for (here, came, stands, conflict) in table {
+    for (local, remote, expected, conflict) in table {
         let mut state = ReplicatedState::default();
-        state.apply(NOW, here.clone(), NOW);
-        state.apply(NOW, came.clone(), NOW);
-        assert_eq!(contents(&state), [stands], "{here:?} {came:?}");
+        state.apply(NOW, local.clone(), NOW);
+        state.apply(NOW, remote.clone(), NOW);
+        assert_eq!(contents(&state), [expected], "{local:?} {remote:?}");
         let kinds: Vec<_> = state.conflicts.iter().map(|conflict| conflict.kind).collect();
         assert_eq!(
             kinds,
             conflict.into_iter().collect::<Vec<_>>(),
-            "{here:?} {came:?}"
+            "{local:?} {remote:?}"
         );
     }
 }
@@ -149,7 +151,7 @@
 #[test]
 fn apply_identical_record_keeps_first_time_of_drains_and_last_of_positions() {
     let later = NOW + TimeSpan::millis(5000);
-    for (record, told) in [
+    for (record, expected) in [
         (drain("a", 3, ListedState::Draining), NOW),
         (member("a", 10, 0, 10), later),
     ] {
@@ -158,7 +160,7 @@
             let _ = order.map(|at| state.apply(later, record.clone(), at));
             assert_eq!(
                 state.get(&record.key()).map(|e| e.observed_at),
-                Some(told),
+                Some(expected),
                 "{record:?}"
             );
         }
@@ -167,20 +169,20 @@
 
 #[test]
 fn expire_after_time_to_live_drops_and_rejects_the_record() {
-    for kind_fact in [
+    for record in [
         drain("a", 3, ListedState::Draining),
         member("a", 10, 0, 10),
         session(3, 9),
     ] {
-        let kept = kind_fact.kind().time_to_live();
+        let time_to_live = record.kind().time_to_live();
         let mut state = ReplicatedState::default();
-        assert_eq!(state.apply(NOW, kind_fact.clone(), NOW), ApplyOutcome::Updated);
-        let before = NOW + kept - TimeSpan(1);
-        assert_eq!(state.expire(before), 0, "{kind_fact:?}");
-        assert_eq!(state.expire(NOW + kept), 1, "{kind_fact:?}");
-        // A peer whose clock of it is a little behind tells it again: it would go to and fro for ever.
-        let again = state.apply(NOW + kept, kind_fact.clone(), NOW);
-        assert_eq!(again, ApplyOutcome::Rejected, "{kind_fact:?}");
+        assert_eq!(state.apply(NOW, record.clone(), NOW), ApplyOutcome::Updated);
+        let before = NOW + time_to_live - TimeSpan(1);
+        assert_eq!(state.expire(before), 0, "{record:?}");
+        assert_eq!(state.expire(NOW + time_to_live), 1, "{record:?}");
+        // A peer that expires it a little later sends it again: it must not circulate for ever.
+        let again = state.apply(NOW + time_to_live, record.clone(), NOW);
+        assert_eq!(again, ApplyOutcome::Rejected, "{record:?}");
         assert_eq!(state.digests(), ReplicatedState::default().digests());
     }
 }
@@ -188,17 +190,17 @@
 #[test]
 fn apply_beyond_max_entries_drops_the_oldest() {
     let mut state = ReplicatedState::default();
-    let most = RecordKind::Session.max_entries() as u64;
-    for n in 0..most + 1000 {
-        state.apply(NOW, session(n + 1, 5), NOW - TimeSpan(most + 1000 - n));
+    let limit = RecordKind::Session.max_entries() as u64;
+    for n in 0..limit + 1000 {
+        state.apply(NOW, session(n + 1, 5), NOW - TimeSpan(limit + 1000 - n));
     }
-    assert_eq!(state.count(RecordKind::Session) as u64, most);
+    assert_eq!(state.count(RecordKind::Session) as u64, limit);
     assert!(
         state.get(&session(1000, 5).key()).is_none(),
-        "the oldest have gone"
+        "the oldest are dropped"
     );
-    assert!(state.get(&session(most + 1000, 5).key()).is_some());
-    // Other kinds have their own room.
+    assert!(state.get(&session(limit + 1000, 5).key()).is_some());
+    // Other kinds have their own limit.
     assert_eq!(
         state.apply(NOW, drain("a", 1, ListedState::Draining), NOW),
         ApplyOutcome::Updated
@@ -215,11 +217,11 @@
     #[rustfmt::skip]
     let table = [
         ("both at once", member("a", 20, 20, 0), member("b", 20, 20, 0), true),
-        ("a takeover: the former one is silent", member("a", 20, 20, 0), member("b", 25, 25, 10), false),
-        ("the former one has said that it is a replica", member("a", 20, 20, 21), member("b", 20, 20, 0), false),
+        ("a takeover: the former primary is silent", member("a", 20, 20, 0), member("b", 25, 25, 10), false),
+        ("the former primary reports as replica", member("a", 20, 20, 21), member("b", 20, 20, 0), false),
         ("a replica", member("a", 20, 20, 0), member("b", 20, 0, 20), false),
     ];
-    for (name, one, other, is_quarrel) in table {
+    for (name, one, other, is_conflict) in table {
         let mut state = ReplicatedState::default();
         for record in [one, other] {
             let member = match &record {
@@ -229,6 +231,6 @@
             state.apply(NOW, record, NOW);
             state.detect_competing_primaries(NOW, &member);
         }
-        assert_eq!(state.conflicts.iter().count() == 1, is_quarrel, "{name}");
+        assert_eq!(state.conflicts.iter().count() == 1, is_conflict, "{name}");
     }
 }
