--- a/crates/coordination/src/fleet_size.rs
+++ b/crates/coordination/src/fleet_size.rs
@@ -1,38 +1,60 @@
-//! How many drivers there are, where each has its part of what all may do. Too few and the sum of all parts is too much; too
-//! many and it is too little, which harms less. So growth counts at once, and a smaller fleet only when it has been so for a
-//! while: whoever is only out of sight, behind a cut or stopped, takes its part all the same.
+//! How many drivers there are, where each has its part of what all may do.
+//!
+//! With too few counted the sum of all parts is too much; with too many it is too little, which harms less. So a growing
+//! fleet counts at once, and a smaller one only after it has been so for a while: a driver that is only out of sight, cut
+//! off or stopped, takes its part all the same.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
+#[derive(Clone, Copy, Debug)]
+struct Sample {
+    count: u32,
+    /// When so many were last present.
+    last_seen: Timestamp,
+}
+
+/// The number of drivers that counts, by the numbers that were present.
 #[derive(Clone, Debug)]
-pub struct Size {
-    /// A fleet that is smaller for so long is smaller.
-    lasts: TimeSpan,
-    /// Falling counts with the time each was last true, as far back as `lasts`; the first is what counts.
-    seen: VecDeque<(u32, Timestamp)>,
+pub struct FleetSize {
+    /// How long a fleet must be smaller to count as smaller.
+    shrink_delay: TimeSpan,
+    /// Falling counts, as far back as `shrink_delay`; the first is what counts.
+    samples: VecDeque<Sample>,
 }
 
-impl Size {
-    /// `first` is what is assumed before anybody was seen: as many as the operators' file names.
-    pub fn new(first: u32, lasts: TimeSpan, now: Timestamp) -> Size {
-        Size {
-            lasts,
-            seen: VecDeque::from([(first.max(1), now)]),
+impl FleetSize {
+    /// `initial` drivers are assumed before any was seen: as many as the operators' file names.
+    pub fn new(initial: u32, shrink_delay: TimeSpan, now: Timestamp) -> FleetSize {
+        let sample = Sample {
+            count: initial.max(1),
+            last_seen: now,
+        };
+        FleetSize {
+            shrink_delay,
+            samples: VecDeque::from([sample]),
         }
     }
 
-    /// So many are there now, this one among them; how many count.
-    pub fn reach(&mut self, now: Timestamp, there: u32) -> u32 {
-        let there = there.max(1);
-        // What is no more than now is covered by now.
-        while self.seen.back().is_some_and(|(n, _)| *n <= there) {
-            self.seen.pop_back();
+    /// `present` drivers are present now, this one among them. Returns how many count.
+    pub fn update(&mut self, now: Timestamp, present: u32) -> u32 {
+        let present = present.max(1);
+        // Samples no larger than the present count add nothing to it.
+        while self.samples.back().is_some_and(|last| last.count <= present) {
+            self.samples.pop_back();
         }
-        self.seen.push_back((there, now));
-        while self.seen.len() > 1 && self.seen.front().is_some_and(|(_, at)| now - *at >= self.lasts) {
-            self.seen.pop_front();
+        self.samples.push_back(Sample {
+            count: present,
+            last_seen: now,
+        });
+        while self.samples.len() > 1 && self.has_expired_sample(now) {
+            self.samples.pop_front();
         }
-        self.seen.front().map_or(there, |(n, _)| *n)
+        self.samples.front().map_or(present, |first| first.count)
+    }
+
+    fn has_expired_sample(&self, now: Timestamp) -> bool {
+        let first = self.samples.front();
+        first.is_some_and(|first| now - first.last_seen >= self.shrink_delay)
     }
 }
--- a/crates/driver/src/program/kept.rs
+++ b/crates/driver/src/program/kept.rs
@@ -1,11 +1,12 @@
 //! Copies of the connections of clients that another process serves on probation, with the ledger of what it does.
 
-use crate::routing::event_loop::Moved;
+use crate::routing::handover::TransferredClient;
 use crate::transport::io_journal::is_abandoned;
 use crate::transport::socket_counts::counts;
 use asterlatch_handover::codec::{FrameReader, Received};
 use asterlatch_handover::io_journal::{
-    ClientRecovery, ConnectionKey, JournalRecord, JournalReplay, ReplayError, SocketByteCounts,
+    ClientRecovery, ConnectionKey, JournalRecord, JournalReplay, RecoveredClient, ReplayError,
+    SocketByteCounts,
 };
 use asterlatch_handover::message::ClientState;
 use std::collections::BTreeMap;
@@ -38,7 +39,7 @@
 /// What was had back.
 #[derive(Default)]
 pub struct TakenBack {
-    pub clients: Vec<Moved>,
+    pub clients: Vec<TransferredClient>,
     /// Those to whom nothing whole could be said any more.
     pub cut: u64,
     /// Why nobody was, where the ledger was not whole.
@@ -154,10 +155,11 @@
                 written: all.written.checked_sub(base.written)?,
             })
         };
-        for (key, outcome) in ledger.recover_clients(since) {
-            match (outcome, sockets.remove(&key)) {
-                (ClientRecovery::Resume(client, verdicts), Some((stream, _))) => {
-                    back.clients.push(Moved::from(client, None, stream, verdicts));
+        for RecoveredClient { key, recovery } in ledger.recover_clients(since) {
+            match (recovery, sockets.remove(&key)) {
+                (ClientRecovery::Resume { client, verdicts }, Some((stream, _))) => {
+                    back.clients
+                        .push(TransferredClient::new(client, None, stream, verdicts));
                 }
                 (_, socket) => {
                     back.cut += 1;
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -5,20 +5,22 @@
 use crate::program::config::Config;
 use crate::program::operators::registry;
 use crate::routing::events::Event;
-use crate::routing::gossip::{GossipMessage, Sharing, Terms, Word};
+use crate::routing::gossip::{
+    DriverIdentity, FleetPeers, Gossip, GossipCommand, GossipMessage, GossipSettings,
+};
 use crate::transport::clock::Clock;
 use crate::transport::datagrams::{DatagramEvent, DatagramSocket, DatagramWaker};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::host::{drivers, Other};
 use asterlatch_config::meaning::{hash, Meaning};
-use asterlatch_coordination::lease::Claim;
+use asterlatch_coordination::lease::Lease;
 use asterlatch_gossip::codec::Dialect;
 use asterlatch_gossip::membership::MembershipTiming;
-use asterlatch_gossip::node::{GossipNode, GossipSettings, NodeInput, NodeOutput};
+use asterlatch_gossip::node::{GossipNode, NodeInput, NodeOutput, NodeSettings};
 use asterlatch_gossip::record::{ObservedRecord, Record, RecordKey};
 use asterlatch_gossip::snapshot::{self, SnapshotSchedule, WriteRequest, WriteStatusChange};
 use asterlatch_gossip::state::ReplicatedState;
-use asterlatch_recovery::report;
+use asterlatch_recovery::report::{self, Classified, StoredRecord, UsableRecord};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -32,8 +34,8 @@
 pub struct Shares {
     port: u16,
     others: Vec<Other>,
-    settings: GossipSettings,
-    terms: Terms,
+    settings: NodeSettings,
+    terms: GossipSettings,
     /// Between two writings; zero keeps nothing.
     keep: TimeSpan,
 }
@@ -45,7 +47,7 @@
         let port = u16::try_from(amount("port")).ok().filter(|p| *p > 0)?;
         let others = drivers(registry(), meaning);
         let canonical = hash(&meaning.canonical(registry()));
-        let settings = GossipSettings {
+        let settings = NodeSettings {
             fleet: String::new(),
             name: String::new(),
             peers: others.iter().map(|o| o.name.clone()).collect(),
@@ -61,14 +63,14 @@
             operators_file: u64::from_str_radix(canonical.get(..16).unwrap_or_default(), 16).unwrap_or(0),
             dialect: Dialect::Current,
         };
-        let terms = Terms {
+        let terms = GossipSettings {
             tick: span("tick"),
-            ask: span("ask"),
-            window: span("window"),
-            most: amount("ids") as usize,
+            query_timeout: span("ask"),
+            retry_window: span("window"),
+            max_recorded_statements: amount("ids") as usize,
             // The deployment's, put in at the start.
-            fall_span: TimeSpan(0),
-            fall_multiple: 0.0,
+            overload_window: TimeSpan(0),
+            overload_multiple: 0.0,
         };
         Some(Shares {
             port,
@@ -114,7 +116,7 @@
 }
 
 enum ToEngine {
-    Word(Word),
+    Word(GossipCommand),
     Show(Show),
 }
 
@@ -132,7 +134,7 @@
         self.waker.wake();
     }
 
-    fn tell(&self, word: Word) {
+    fn tell(&self, word: GossipCommand) {
         let _ = self.words.send(ToEngine::Word(word));
         self.waker.wake();
     }
@@ -148,12 +150,12 @@
     clock: Clock,
     queue: Sender<Event>,
     state: Option<&Path>,
-) -> Result<(Sharing, Line), String> {
+) -> Result<(Gossip, Line), String> {
     let address = SocketAddr::new(config.listen.ip(), shares.port);
     let addresses = shares.others.iter().map(|o| o.address).collect();
     let datagrams =
         DatagramSocket::bind(address, addresses).map_err(|e| format!("shared.port: {address}: {e}"))?;
-    let settings = GossipSettings {
+    let settings = NodeSettings {
         // Drivers of other deployments, or with other settings, have nothing to tell this one.
         fleet: format!("{:016x}", config.settings_text),
         name: config.name.clone(),
@@ -182,18 +184,23 @@
     let teller = line.clone();
     let peers = shares.others.iter().enumerate().filter(|(_, o)| o.asked);
     let rules = &config.settings.0;
-    let terms = Terms {
-        fall_span: rules.overload_window,
-        fall_multiple: rules.overload_multiple,
+    let terms = GossipSettings {
+        overload_window: rules.overload_window,
+        overload_multiple: rules.overload_multiple,
         ..shares.terms
     };
-    let sharing = Sharing::new(
+    let gossip = Gossip::new(
         now,
         terms,
-        peers.map(|(n, _)| n).collect(),
-        shares.settings.peers.clone(),
-        (config.name.clone(), life),
-        Box::new(move |word| teller.tell(word)),
+        DriverIdentity {
+            name: config.name.clone(),
+            incarnation: life,
+        },
+        FleetPeers {
+            names: shares.settings.peers.clone(),
+            queried: peers.map(|(n, _)| n).collect(),
+        },
+        Box::new(move |command| teller.tell(command)),
     );
     let keeping = folder
         .map(|f| Keeping::start(&f, shares.keep, now, &line))
@@ -213,11 +220,11 @@
     let thread = std::thread::Builder::new().name("sharing".to_owned());
     let spawned = thread.spawn(move || running.run());
     spawned.map_err(|e| format!("shared: {e}"))?;
-    Ok((sharing, line))
+    Ok((gossip, line))
 }
 
 /// What a former life of this driver has kept.
-fn former(folder: &Path, settings: &GossipSettings) -> Former {
+fn former(folder: &Path, settings: &NodeSettings) -> Former {
     match keeping::read(folder) {
         Ok(None) => Former::default(),
         Ok(Some(bytes)) => {
@@ -244,14 +251,15 @@
 
 /// Begins with what was kept, as far as it is of use still; what is to be told of that.
 fn take_over(engine: &mut GossipNode, former: Former, now: Timestamp, keeps: bool) -> Vec<String> {
-    let (used, report) = report::sort(former.facts, now);
+    let found = former.facts.into_iter().map(StoredRecord::from);
+    let Classified { usable, report } = report::classify(found, now);
     let mut lines: Vec<String> = former.fault.into_iter().collect();
     if keeps {
-        lines.push(report.line());
+        lines.push(report.to_string());
     }
     // Nobody is there to be told of it yet: what comes out is for the event loop alone, which hears it with the first news.
-    for (fact, age) in used {
-        engine.restore(now, fact, age);
+    for UsableRecord { record, age } in usable {
+        engine.restore(now, record, age);
     }
     lines
 }
@@ -390,7 +398,7 @@
                 return;
             }
             while let Ok(word) = self.inbox.try_recv() {
-                let leaves = matches!(word, ToEngine::Word(Word::Leave));
+                let leaves = matches!(word, ToEngine::Word(GossipCommand::Leave));
                 let outputs = self.word(word);
                 if !self.carry_out(outputs) || leaves {
                     return;
@@ -543,8 +551,8 @@
             work_us, carried_us: carries_us, ..
         } => format!("{work_us} us of work, carries {carries_us} us a second"),
         Record::Session { position, .. } => format!("written at {position}"),
-        Record::Lease { claim, .. } => {
-            let Claim { term, holder, said, end, .. } = claim;
+        Record::Lease { lease: claim, .. } => {
+            let Lease { term, holder, renewals: said, state: end, .. } = claim;
             format!("{end:?} by {holder:016x}, term {term}, said {said} times")
         }
         Record::Load { shares, .. } => format!("shares of {} members", shares.len()),
--- a/crates/driver/tests/versions.rs
+++ b/crates/driver/tests/versions.rs
@@ -6,7 +6,7 @@
 use asterlatch_gossip::codec::InquiryId;
 use asterlatch_gossip::in_doubt::DispatchStatus;
 use asterlatch_gossip::membership::{MembershipTiming, PeerState};
-use asterlatch_gossip::node::{GossipNode, GossipSettings, NodeInput, NodeOutput, Observation};
+use asterlatch_gossip::node::{GossipNode, NodeInput, NodeOutput, NodeSettings, Observation};
 use asterlatch_gossip::record::{ListedState, Record};
 use stand::*;
 use std::net::UdpSocket;
@@ -110,7 +110,7 @@
         .as_str()
         .expect("is told")
         .to_owned();
-    let settings = GossipSettings {
+    let settings = NodeSettings {
         fleet: fleet.clone(),
         name: "later".to_owned(),
         peers: vec!["t".to_owned()],
--- a/crates/gossip/src/node/interface.rs
+++ b/crates/gossip/src/node/interface.rs
@@ -9,7 +9,7 @@
 
 /// Settings of a gossip node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct GossipSettings {
+pub struct NodeSettings {
     /// Name of the fleet; datagrams of other fleets are rejected.
     pub fleet: String,
     /// Name of this driver.
@@ -51,7 +51,7 @@
     }
 }
 
-/// An input of a gossip node. Peers are referred to by their index in [`GossipSettings::peers`].
+/// An input of a gossip node. Peers are referred to by their index in [`NodeSettings::peers`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeInput<'a> {
     /// A datagram was received.
--- a/crates/gossip/src/node/mod.rs
+++ b/crates/gossip/src/node/mod.rs
@@ -11,7 +11,7 @@
 mod receive;
 mod send;
 
-pub use interface::{GossipMetrics, GossipSettings, IgnoreReason, NodeInput, NodeOutput, Observation};
+pub use interface::{GossipMetrics, IgnoreReason, NodeInput, NodeOutput, NodeSettings, Observation};
 
 use crate::anti_entropy::{AntiEntropy, PeerView};
 use crate::codec::{InquiryId, Message};
@@ -66,7 +66,7 @@
 
 /// The gossip node of one driver. It is owned by one thread, which passes it every input.
 pub struct GossipNode {
-    settings: GossipSettings,
+    settings: NodeSettings,
     /// This driver's copy of the replicated state.
     pub state: ReplicatedState,
     /// Which peers are alive.
@@ -98,7 +98,7 @@
 
 impl GossipNode {
     /// `incarnation` must grow from one start of this driver to the next, as far as the host's clock allows that.
-    pub fn new(settings: GossipSettings, incarnation: u64, seed: u64, now: Timestamp) -> GossipNode {
+    pub fn new(settings: NodeSettings, incarnation: u64, seed: u64, now: Timestamp) -> GossipNode {
         let own = NodeIdentity {
             name: settings.name.clone(),
             incarnation,
@@ -134,7 +134,7 @@
     }
 
     /// The settings that it was made with.
-    pub fn settings(&self) -> &GossipSettings {
+    pub fn settings(&self) -> &NodeSettings {
         &self.settings
     }
 
--- a/crates/gossip/src/record/merge.rs
+++ b/crates/gossip/src/record/merge.rs
@@ -223,11 +223,11 @@
     }
 }
 
-/// The claim that wins by the rules of `asterlatch_coordination::lease`.
+/// The version that wins by the rules of `asterlatch_coordination::lease`.
 fn merge_leases(local: &Record, remote: &Record) -> Record {
     match (local, remote) {
-        (Record::Lease { claim, .. }, Record::Lease { claim: other, .. })
-            if claim.joined(*other) != *claim =>
+        (Record::Lease { lease, .. }, Record::Lease { lease: other, .. })
+            if lease.merge(*other) != *lease =>
         {
             remote.clone()
         }
--- a/crates/gossip/src/record/mod.rs
+++ b/crates/gossip/src/record/mod.rs
@@ -9,7 +9,7 @@
 pub use merge::MergeOutcome;
 
 use asterlatch::time::Timestamp;
-use asterlatch_coordination::lease::Claim;
+use asterlatch_coordination::lease::Lease;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -110,12 +110,12 @@
         /// Whether its copy of the replicated state is complete.
         caught_up: bool,
     },
-    /// A claim to a lease. Owned by the claim's holder; `asterlatch_coordination::lease` says which claim wins.
+    /// A lease as its holder last renewed it. Owned by the holder; `asterlatch_coordination::lease` says which version wins.
     Lease {
         /// What the lease is for.
         subject: String,
-        /// The claim.
-        claim: Claim,
+        /// Holder, term and renewals.
+        lease: Lease,
     },
     /// A driver has an overdue execution at a member. Owned by that driver; the latest report wins. Only together with
     /// another driver's report does it make reads avoid the member for a moment.
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::codec::Dialect;
 use asterlatch_gossip::membership::MembershipTiming;
-use asterlatch_gossip::node::{GossipNode, GossipSettings, NodeInput, NodeOutput, Observation};
+use asterlatch_gossip::node::{GossipNode, NodeInput, NodeOutput, NodeSettings, Observation};
 use asterlatch_gossip::record::{ListedState, Record};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
@@ -38,8 +38,8 @@
     Record::Session { session, position }
 }
 
-pub(crate) fn settings(driver: usize, driver_count: usize) -> GossipSettings {
-    GossipSettings {
+pub(crate) fn settings(driver: usize, driver_count: usize) -> NodeSettings {
+    NodeSettings {
         fleet: "test".to_owned(),
         name: name(driver),
         peers: (0..driver_count)
@@ -95,7 +95,7 @@
     pub(crate) outputs: Vec<NodeOutput>,
 }
 
-type MakeSettings = fn(usize, usize) -> GossipSettings;
+type MakeSettings = fn(usize, usize) -> NodeSettings;
 
 pub(crate) struct Network {
     pub(crate) now: Timestamp,
--- a/crates/gossip/tests/fixtures.rs
+++ b/crates/gossip/tests/fixtures.rs
@@ -6,7 +6,7 @@
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::lease::{Claim, End};
+use asterlatch_coordination::lease::{Lease, LeaseState};
 use asterlatch_gossip::codec::{decode_datagram, DatagramHeader, Dialect, InquiryId, Message, ShortHashes};
 use asterlatch_gossip::in_doubt::DispatchStatus;
 use asterlatch_gossip::node::NodeInput;
@@ -30,19 +30,16 @@
     std::fs::read(path(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-fn claim(said: u64, end: End) -> Claim {
-    Claim {
+fn lease(subject: &str, renewals: u64, state: LeaseState) -> Record {
+    let lease = Lease {
         term: 3,
         holder: 0x0102_0304_0506_0708,
-        life: 77,
-        said,
-        end,
-    }
-}
-
-fn turn(subject: &str, claim: Claim) -> Record {
+        incarnation: 77,
+        renewals,
+        state,
+    };
     let subject = subject.to_owned();
-    Record::Lease { subject, claim }
+    Record::Lease { subject, lease }
 }
 
 fn driver(name: &str, caught_up: bool) -> Record {
@@ -76,9 +73,9 @@
         session(0x7766_5544_3322_1100, 98_765),
         driver("d2", true),
         driver("d3", false),
-        turn("probe m1", claim(1, End::Holds)),
-        turn("probe m2", claim(2, End::Vain)),
-        turn("list", claim(3, End::Done)),
+        lease("probe m1", 1, LeaseState::Held),
+        lease("probe m2", 2, LeaseState::Abandoned),
+        lease("list", 3, LeaseState::Completed),
         Record::Unanswered {
             member: member_name,
             driver: driver_name.clone(),
--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -290,7 +290,7 @@
 #[test]
 fn anti_entropy_of_many_records_stays_within_the_rate() {
     const RATE: u64 = 16 * 1024;
-    let slow = |n, all| asterlatch_gossip::node::GossipSettings {
+    let slow = |n, all| asterlatch_gossip::node::NodeSettings {
         bytes_per_second: RATE,
         ..settings(n, all)
     };
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -1,134 +1,169 @@
-//! How far a kept fact is to be trusted. An ordered list of rules, the first that fires decides; each errs to the side that
-//! is worse for the rule it may break, for how long a machine was dark nobody else may know.
+//! How far a stored record is trusted.
+//!
+//! An ordered list of rules; the first that applies decides. Each errs to the side that is worse for what it may break, for
+//! nobody else may know how long a machine was down.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::record::{ListedState, Record, RecordKind};
 
-/// What may be done with a kept fact.
+/// What a stored record may be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Use {
-    /// As if it were heard now.
-    AtOnce,
-    /// It binds from below: no read that it speaks of may be older.
-    Bound,
-    /// For what is expected of a member, once that has spoken for itself.
-    AfterMember,
-    /// Not at all.
+pub enum Usability {
+    /// As if it were received now.
+    Immediate,
+    /// As a lower bound: no read that it concerns may be older.
+    LowerBound,
+    /// For what is expected of a member, once that has reported itself.
+    AfterMemberReport,
+    /// For nothing.
     Never,
 }
 
-impl Use {
+impl Usability {
+    /// The name shown to operators.
     pub fn name(self) -> &'static str {
         match self {
-            Use::AtOnce => "at once",
-            Use::Bound => "as a bound",
-            Use::AfterMember => "after the member's own word",
-            Use::Never => "never",
+            Usability::Immediate => "at once",
+            Usability::LowerBound => "as a bound",
+            Usability::AfterMemberReport => "after the member's own word",
+            Usability::Never => "never",
         }
     }
 }
 
-/// The wall clock of now against the time that a fact was written at, or the latest one of the whole copy.
+/// The wall clock now, compared with the time at which a record was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Clock {
-    /// It went on: so much has passed, as far as it can be believed.
-    Passed(TimeSpan),
-    /// It stands before what was written, as after a battery that died: how long it was nobody knows.
+enum WallClock {
+    /// It advanced by this, as far as it can be believed.
+    Advanced(TimeSpan),
+    /// It shows an earlier time, as after a battery failure: how much time passed is unknown.
     WentBack,
 }
 
+impl WallClock {
+    fn compare(written_at: Timestamp, now: Timestamp) -> WallClock {
+        if written_at <= now {
+            WallClock::Advanced(now - written_at)
+        } else {
+            WallClock::WentBack
+        }
+    }
+}
+
+/// What a rule says of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
-    pub used: Use,
+pub struct Assessment {
+    /// What the record may be used for.
+    pub usability: Usability,
     /// How old it counts as; nothing where it isn't used.
     pub age: Option<TimeSpan>,
-    /// The rule that said so.
-    pub why: &'static str,
+    /// The rule that decided, in words for operators.
+    pub reason: &'static str,
 }
 
-/// What is looked at.
-struct Case<'a> {
-    fact: &'a Record,
-    clock: Clock,
+/// A record that the rules look at.
+struct Candidate<'a> {
+    record: &'a Record,
+    clock: WallClock,
 }
 
-impl Case<'_> {
-    fn kind(&self) -> RecordKind {
-        self.fact.kind()
+impl Candidate<'_> {
+    fn has_kind(&self, kind: RecordKind) -> bool {
+        self.record.kind() == kind
+    }
+
+    /// Whether it is known to be older than records of its kind are stored for.
+    fn is_expired(&self) -> bool {
+        let lifetime = self.record.kind().time_to_live();
+        matches!(self.clock, WallClock::Advanced(age) if age >= lifetime)
     }
 
-    /// Older than this kind is kept for, where that is known.
-    fn is_over(&self) -> bool {
-        matches!(self.clock, Clock::Passed(span) if span >= self.kind().time_to_live())
+    fn is_listed_ready(&self) -> bool {
+        let Record::Drain { state: standing, .. } = self.record else {
+            return false;
+        };
+        *standing == ListedState::Ready
     }
 }
 
-type Rule = (&'static str, fn(&Case) -> bool, Use);
+/// A condition, and what a record that fulfils it may be used for.
+struct Rule {
+    reason: &'static str,
+    applies: fn(&Candidate) -> bool,
+    usability: Usability,
+}
 
-/// In order; the last one fires for whatever is left.
+/// In this order; the last one applies to whatever is left.
 const RULES: [Rule; 10] = [
-    (
-        "turns, late executions and shares ended with the life that said so",
-        |c| !c.kind().is_persistent(),
-        Use::Never,
-    ),
-    (
-        "what a driver said of itself is for operators, and it says it anew",
-        |c| c.kind() == RecordKind::Driver,
-        Use::Never,
-    ),
-    ("told longer ago than it is kept for", |c| c.is_over(), Use::Never),
-    (
-        "a member that was told ready binds nothing, the list says it anew",
-        |c| matches!(c.fact, Record::Drain { state: ListedState::Ready, .. }),
-        Use::Never,
-    ),
-    (
-        "a drain binds until a newer list ends it, however long that is",
-        |c| c.kind() == RecordKind::Drain,
-        Use::AtOnce,
-    ),
-    (
-        "a session's write must be seen: its reads wait or go to the primary, and are refused rather than older",
-        |c| c.kind() == RecordKind::Session,
-        Use::Bound,
-    ),
-    (
-        "what a cold member bore counts, and whoever was dark is cold as well",
-        |c| c.kind() == RecordKind::WarmUp,
-        Use::AtOnce,
-    ),
-    (
-        "how far a member was an unknown time ago proves nothing",
-        |c| c.kind() == RecordKind::Member && c.clock == Clock::WentBack,
-        Use::Never,
-    ),
-    (
-        "a position is a bound, and a role is nobody's until the member has spoken: it may have lost its last log",
-        |c| c.kind() == RecordKind::Member,
-        Use::AfterMember,
-    ),
-    ("nothing is known of this kind", |_| true, Use::Never),
+    Rule {
+        reason: "leases, late executions and shares ended with the incarnation that sent them",
+        applies: |candidate| !candidate.record.kind().is_persistent(),
+        usability: Usability::Never,
+    },
+    Rule {
+        reason: "a driver's report of itself is for operators, and it reports anew",
+        applies: |candidate| candidate.has_kind(RecordKind::Driver),
+        usability: Usability::Never,
+    },
+    Rule {
+        reason: "older than records of its kind are stored for",
+        applies: |candidate| candidate.is_expired(),
+        usability: Usability::Never,
+    },
+    Rule {
+        reason: "a member listed as ready binds nothing, the endpoint list says it anew",
+        applies: |candidate| candidate.is_listed_ready(),
+        usability: Usability::Never,
+    },
+    Rule {
+        reason: "a drain binds until a newer list ends it, however long that is",
+        applies: |candidate| candidate.has_kind(RecordKind::Drain),
+        usability: Usability::Immediate,
+    },
+    Rule {
+        reason: "a session's write must be seen: its reads wait or go to the primary, and are rejected rather than older",
+        applies: |candidate| candidate.has_kind(RecordKind::Session),
+        usability: Usability::LowerBound,
+    },
+    Rule {
+        reason: "work sent to a member that warms up counts, and a member that was down warms up as well",
+        applies: |candidate| candidate.has_kind(RecordKind::WarmUp),
+        usability: Usability::Immediate,
+    },
+    Rule {
+        reason: "a member's position an unknown time ago proves nothing",
+        applies: |candidate| candidate.has_kind(RecordKind::Member) && candidate.clock == WallClock::WentBack,
+        usability: Usability::Never,
+    },
+    Rule {
+        reason: "a position is a bound, and a role is nobody's until the member has reported: it may have lost its last log",
+        applies: |candidate| candidate.has_kind(RecordKind::Member),
+        usability: Usability::AfterMemberReport,
+    },
+    UNKNOWN_KIND,
 ];
 
-/// What becomes of a fact that was known at `wall`, by the wall clock, where that shows `now`.
-pub fn trust(fact: &Record, wall: Timestamp, now: Timestamp) -> Verdict {
-    let clock = if wall <= now {
-        Clock::Passed(now - wall)
-    } else {
-        Clock::WentBack
-    };
-    let case = Case { fact, clock };
-    let (why, _, used) = RULES
-        .iter()
-        .find(|(_, fires, _)| fires(&case))
-        .copied()
-        .unwrap_or(RULES[RULES.len() - 1]);
+const UNKNOWN_KIND: Rule = Rule {
+    reason: "nothing is known of this kind",
+    applies: |_| true,
+    usability: Usability::Never,
+};
+
+/// What a record that was written at `written_at` by the wall clock may be used for when that clock shows `now`.
+pub fn assess(record: &Record, written_at: Timestamp, now: Timestamp) -> Assessment {
+    let clock = WallClock::compare(written_at, now);
+    let candidate = Candidate { record, clock };
+    let rule = RULES.iter().find(|rule| (rule.applies)(&candidate));
+    let rule = rule.unwrap_or(&UNKNOWN_KIND);
     let age = match clock {
-        _ if used == Use::Never => None,
-        Clock::Passed(span) => Some(span),
-        // As if it were told just now: so it binds for as long as it can.
-        Clock::WentBack => Some(TimeSpan(0)),
+        _ if rule.usability == Usability::Never => None,
+        WallClock::Advanced(age) => Some(age),
+        // As if it were received just now, so that it binds for as long as it can.
+        WallClock::WentBack => Some(TimeSpan(0)),
     };
-    Verdict { used, age, why }
+    Assessment {
+        usability: rule.usability,
+        age,
+        reason: rule.reason,
+    }
 }
