--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -16,8 +16,8 @@
 use asterlatch_coordination::lease::Lease;
 use asterlatch_gossip::codec::Dialect;
 use asterlatch_gossip::membership::MembershipTiming;
-use asterlatch_gossip::node::{self, shown, GossipNode, NodeInput, NodeOutput};
-use asterlatch_gossip::record::Record;
+use asterlatch_gossip::node::{GossipNode, NodeInput, NodeOutput, NodeSettings};
+use asterlatch_gossip::record::{ObservedRecord, Record, RecordKey};
 use asterlatch_gossip::snapshot::{self, SnapshotSchedule, WriteRequest, WriteStatusChange};
 use asterlatch_gossip::state::ReplicatedState;
 use asterlatch_recovery::report::{self, Classified, StoredRecord, UsableRecord};
@@ -34,7 +34,7 @@
 pub struct Shares {
     port: u16,
     others: Vec<Other>,
-    settings: node::GossipSettings,
+    settings: NodeSettings,
     terms: GossipSettings,
     /// Between two writings; zero keeps nothing.
     keep: TimeSpan,
@@ -47,7 +47,7 @@
         let port = u16::try_from(amount("port")).ok().filter(|p| *p > 0)?;
         let others = drivers(registry(), meaning);
         let canonical = hash(&meaning.canonical(registry()));
-        let settings = node::GossipSettings {
+        let settings = NodeSettings {
             fleet: String::new(),
             name: String::new(),
             peers: others.iter().map(|o| o.name.clone()).collect(),
@@ -155,7 +155,7 @@
     let addresses = shares.others.iter().map(|o| o.address).collect();
     let datagrams =
         DatagramSocket::bind(address, addresses).map_err(|e| format!("shared.port: {address}: {e}"))?;
-    let settings = node::GossipSettings {
+    let settings = NodeSettings {
         // Drivers of other deployments, or with other settings, have nothing to tell this one.
         fleet: format!("{:016x}", config.settings_text),
         name: config.name.clone(),
@@ -224,7 +224,7 @@
 }
 
 /// What a former life of this driver has kept.
-fn former(folder: &Path, settings: &node::GossipSettings) -> Former {
+fn former(folder: &Path, settings: &NodeSettings) -> Former {
     match keeping::read(folder) {
         Ok(None) => Former::default(),
         Ok(Some(bytes)) => {
@@ -232,7 +232,7 @@
             Former {
                 facts: read.records,
                 life: read.incarnation,
-                fault: read.error.map(|f| f.says()),
+                fault: read.error.map(|f| f.to_string()),
             }
         }
         Err(fault) => Former {
@@ -244,7 +244,7 @@
 
 #[derive(Default)]
 struct Former {
-    facts: Vec<(Record, Timestamp)>,
+    facts: Vec<ObservedRecord>,
     life: u64,
     fault: Option<String>,
 }
@@ -318,18 +318,21 @@
                 let (head, writer) = snapshot::SnapshotEncoder::begin(
                     &settings.fleet,
                     &settings.name,
-                    engine.peers.own().incarnation,
+                    engine.membership.own().incarnation,
                 );
                 self.writer = Some(writer);
                 let all = engine.state.entries().filter(|e| e.record.kind().is_persistent());
-                let all = all.map(|e| (e.record.clone(), e.observed_at));
-                (WriteRequest::Rewrite, head, all.collect())
+                (
+                    WriteRequest::Rewrite,
+                    head,
+                    all.map(ObservedRecord::from).collect(),
+                )
             }
         };
         if let Some(writer) = &mut self.writer {
-            facts
-                .iter()
-                .for_each(|(fact, told)| writer.put(&mut bytes, fact, *told));
+            for fact in &facts {
+                writer.append(&mut bytes, &fact.record, fact.observed_at);
+            }
         }
         let records = facts.len();
         // One at a time, so there is room for it.
@@ -448,7 +451,7 @@
     }
 
     fn status(&self, now: Timestamp) -> Value {
-        let own = self.engine.peers.own();
+        let own = self.engine.membership.own();
         let told = |name: &str| {
             let of = self.engine.state.entries().map(|e| &e.record);
             of.filter_map(|f| match f {
@@ -483,7 +486,7 @@
             TimeSpan(0),
             is_whole,
         )];
-        for p in self.engine.peers.peers() {
+        for p in self.engine.membership.peers() {
             let heard = p.last_heard.map(|at| now - at);
             rows.push(row(
                 &p.name,
@@ -510,9 +513,10 @@
     }
 
     fn facts(&self, now: Timestamp) -> Value {
-        let all = shown(&self.engine.state, now);
-        let rows = all.into_iter().map(|(key, fact, age)| {
-            json!({ "kind": key.0.name(), "of": key.1, "told_ms_ago": age.0 / 1000, "says": says(&fact) })
+        let rows = self.engine.state.entries().map(|entry| {
+            let RecordKey { kind, subject } = entry.record.key();
+            let age = entry.age(now);
+            json!({ "kind": kind.name(), "of": subject, "told_ms_ago": age.0 / 1000, "says": says(&entry.record) })
         });
         let digests = ReplicatedState::digests(&self.engine.state);
         let mark = digests.iter().fold(0u64, |all, d| all.rotate_left(7) ^ d);
@@ -520,11 +524,11 @@
     }
 
     fn differences(&self, now: Timestamp) -> Value {
-        let all = self.engine.state.conflicts.all();
+        let all = self.engine.state.conflicts.iter();
         let rows = all.map(|q| {
             json!({
-                "what": q.kind.name(), "about": q.about, "one": q.sides.0, "other": q.sides.1,
-                "first_ms_ago": (now - q.first).0 / 1000, "last_ms_ago": (now - q.last).0 / 1000, "times": q.times,
+                "what": q.kind.name(), "about": q.subject, "one": q.sides.one, "other": q.sides.other,
+                "first_ms_ago": (now - q.first_seen).0 / 1000, "last_ms_ago": (now - q.last_seen).0 / 1000, "times": q.count,
             })
         });
         json!({ "differences": rows.collect::<Vec<_>>() })
@@ -547,7 +551,7 @@
             work_us, carried_us: carries_us, ..
         } => format!("{work_us} us of work, carries {carries_us} us a second"),
         Record::Session { position, .. } => format!("written at {position}"),
-        Record::Lease { claim, .. } => {
+        Record::Lease { lease: claim, .. } => {
             let Lease { term, holder, renewals: said, state: end, .. } = claim;
             format!("{end:?} by {holder:016x}, term {term}, said {said} times")
         }
--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -9,7 +9,8 @@
 use asterlatch_coordination::lease::{Lease, LeaseState, LeaseStatus, LeaseTable, LeaseTimings};
 use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate, ShareReport};
 use asterlatch_coordination::NameHash;
-use asterlatch_gossip::record::{Record, MAX_LOAD_SHARES};
+use asterlatch_gossip::node::Observation;
+use asterlatch_gossip::record::{LoadShare, Record, MAX_LOAD_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time between two health checks of an unresponsive member by the lease holder. Without leases, each driver checks the
@@ -51,7 +52,7 @@
     /// Number of its run.
     pub incarnation: u64,
     /// Member, share and answers, in units of the record.
-    pub shares: &'a [(u64, u8, u8)],
+    pub shares: &'a [LoadShare],
     /// When it was received.
     pub received_at: Timestamp,
 }
@@ -59,7 +60,7 @@
 /// The result of advancing coordination.
 pub struct CoordinationRound {
     /// Records to be shared, with their age.
-    pub(super) records: Vec<(Record, TimeSpan)>,
+    pub(super) records: Vec<Observation>,
     /// Members whose health this driver checks now for all.
     pub health_checks: Vec<String>,
     /// Members whose responsiveness has changed.
@@ -167,14 +168,14 @@
     /// Another driver's report of its admission shares.
     pub(super) fn on_load_report(&mut self, report: &LoadReport) {
         let driver = fleet_key(report.driver);
-        for (member, share, answers) in report.shares {
+        for load in report.shares {
             let share_report = ShareReport {
                 incarnation: report.incarnation,
-                share: f64::from(*share) / SHARE_UNITS,
-                answers: f64::from(*answers) / ANSWER_UNITS,
+                share: f64::from(load.admitted) / SHARE_UNITS,
+                answers: f64::from(load.answers) / ANSWER_UNITS,
                 reported_at: report.received_at,
             };
-            self.load_aggregate.on_report(*member, driver, share_report);
+            self.load_aggregate.on_report(load.member, driver, share_report);
         }
     }
 
@@ -203,7 +204,7 @@
         self.load_aggregate.expire(now);
         let aggregated = self.aggregated_shares(now, shares);
         let report = self.load_report(now, shares);
-        records.extend(report.map(|record| (record, TimeSpan(0))));
+        records.extend(report.map(Observation::now));
         CoordinationRound {
             records,
             health_checks,
@@ -217,7 +218,7 @@
         &mut self,
         now: Timestamp,
         wants_health_check: impl Fn(&str) -> bool,
-        records: &mut Vec<(Record, TimeSpan)>,
+        records: &mut Vec<Observation>,
     ) {
         let wanted = self.wanted.keys();
         let unwanted: Vec<String> = wanted.filter(|m| !wants_health_check(m)).cloned().collect();
@@ -225,18 +226,21 @@
             self.wanted.remove(&member);
             let subject = lease_subject(&member);
             if let Some(claim) = self.leases.release(now, &subject, LeaseState::Completed) {
-                records.push((Record::Lease { subject, claim }, TimeSpan(0)));
+                records.push(Observation::now(Record::Lease {
+                    subject,
+                    lease: claim,
+                }));
             }
         }
     }
 
-    fn advance_leases(&mut self, now: Timestamp, records: &mut Vec<(Record, TimeSpan)>) {
+    fn advance_leases(&mut self, now: Timestamp, records: &mut Vec<Observation>) {
         for update in self.leases.advance_to(now) {
             let record = Record::Lease {
                 subject: update.subject,
-                claim: update.lease,
+                lease: update.lease,
             };
-            records.push((record, TimeSpan(0)));
+            records.push(Observation::now(record));
         }
     }
 
@@ -256,7 +260,7 @@
         &mut self,
         now: Timestamp,
         overdue: &BTreeMap<String, Timestamp>,
-        records: &mut Vec<(Record, TimeSpan)>,
+        records: &mut Vec<Observation>,
     ) {
         let own = fleet_key(&self.own.name);
         for (member, sent_at) in overdue {
@@ -273,7 +277,7 @@
                 sequence: self.record_count,
                 outstanding_us: (now - *sent_at).0,
             };
-            records.push((record, TimeSpan(0)));
+            records.push(Observation::now(record));
         }
     }
 
@@ -302,8 +306,11 @@
         let mut reported = Vec::new();
         for reportable in self.load_aggregate.reportable(now, MAX_LOAD_SHARES) {
             if let Some(share) = by_key.get(&reportable.member) {
-                let answers = (reportable.answers * ANSWER_UNITS) as u8;
-                reported.push((reportable.member, (share * SHARE_UNITS) as u8, answers));
+                reported.push(LoadShare {
+                    member: reportable.member,
+                    admitted: (share * SHARE_UNITS) as u8,
+                    answers: (reportable.answers * ANSWER_UNITS) as u8,
+                });
             }
         }
         self.record_count += 1;
--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -16,7 +16,7 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::lease::Lease;
 use asterlatch_gossip::membership::{PeerState, PeerStateChange};
-use asterlatch_gossip::node::{NodeInput, NodeOutput};
+use asterlatch_gossip::node::{NodeInput, NodeOutput, Observation};
 use asterlatch_gossip::record::{ListedState, Record};
 use coordination::Coordination;
 pub use coordination::{CoordinationRound, LoadReport, NamedShare, UnresponsiveMember};
@@ -198,7 +198,7 @@
         }
     }
 
-    fn send_observed(&mut self, records: Vec<(Record, TimeSpan)>) {
+    fn send_observed(&mut self, records: Vec<Observation>) {
         if !records.is_empty() {
             (self.send)(NodeInput::Observed(records));
         }
@@ -310,7 +310,7 @@
 
     /// A ready member is announced only if other drivers may take it for draining.
     fn announce_state(&mut self, member: DrainedMember, state: MemberState) {
-        let listed_state = match state {
+        let standing = match state {
             MemberState::Ready => ListedState::Ready,
             MemberState::Draining => ListedState::Draining,
             MemberState::Gone => ListedState::Gone,
@@ -324,9 +324,9 @@
             name: member.name,
             started_ms: member.started_ms,
             list_version: self.list_version,
-            state: listed_state,
+            state: standing,
         };
-        self.send_observed(vec![(record, TimeSpan(0))]);
+        self.send_observed(vec![Observation::now(record)]);
     }
 
     /// Version of the endpoint list in force; zero before the first.
