--- a/crates/driver/src/routing/gossip/prior_attempts.rs
+++ b/crates/driver/src/routing/gossip/prior_attempts.rs
@@ -37,7 +37,7 @@
     /// Hash of the id that its client gave the statement.
     pub client_id: u64,
     /// What is to be assumed.
-    pub outcome: InquiryOutcome,
+    pub verdict: InquiryOutcome,
 }
 
 /// A statement that was deferred, once other drivers' knowledge of it is clear.
@@ -82,7 +82,10 @@
     pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<ExpiredQuery> {
         let expired = self.queries.take_timed_out(now).into_iter();
         expired
-            .map(|(client_id, outcome)| ExpiredQuery { client_id, outcome })
+            .map(|decision| ExpiredQuery {
+                client_id: decision.id,
+                verdict: decision.outcome,
+            })
             .collect()
     }
 
@@ -115,7 +118,9 @@
         }
         match prior_attempts.sent.status(now, client_id) {
             // Also where it is not marked as a retry: the first attempt may arrive behind the retry.
-            DispatchStatus::Dispatched { ago, member } => return StatementCheck::Sent { age: ago, member },
+            DispatchStatus::Dispatched { age: ago, member } => {
+                return StatementCheck::Sent { age: ago, member }
+            }
             _ if !statement.is_client_retry => return StatementCheck::New,
             DispatchStatus::Unknown => return StatementCheck::Unknown,
             DispatchStatus::NotExecuted => {}
@@ -185,7 +190,7 @@
     ) -> StatementCheck {
         let max_wait = resolved.statement.time_left * MAX_QUERY_SHARE;
         let timeout = self.query_timeout.min(max_wait);
-        let Ok(query) = self.queries.ask(now, client_id, &self.queried_peers, timeout) else {
+        let Some(query) = self.queries.start(now, client_id, &self.queried_peers, timeout) else {
             return StatementCheck::New;
         };
         self.deferred
--- a/crates/driver/src/routing/gossip/status_batch.rs
+++ b/crates/driver/src/routing/gossip/status_batch.rs
@@ -3,7 +3,8 @@
 use crate::routing::members::{MemberDirectory, MemberIdentity};
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::Record;
+use asterlatch_gossip::node::Observation;
+use asterlatch_gossip::record::{ObservedRecord, Record};
 use std::collections::BTreeMap;
 
 /// Most positions of sessions in a batch. Further ones are left out; the next write of such a session is shared again.
@@ -30,7 +31,7 @@
 pub(super) struct StatusBatch {
     tick: TimeSpan,
     statuses: BTreeMap<u32, BatchedStatus>,
-    sessions: Vec<(Record, Timestamp)>,
+    sessions: Vec<ObservedRecord>,
     due_at: Option<Timestamp>,
 }
 
@@ -81,12 +82,15 @@
             return;
         }
         let position = to_ms(position);
-        self.sessions.push((Record::Session { session, position }, now));
+        self.sessions.push(ObservedRecord {
+            record: Record::Session { session, position },
+            observed_at: now,
+        });
         self.schedule(now);
     }
 
     /// Takes the batch, if it is due, as records with their age.
-    pub(super) fn take_due(&mut self, now: Timestamp, members: &MemberDirectory) -> Vec<(Record, TimeSpan)> {
+    pub(super) fn take_due(&mut self, now: Timestamp, members: &MemberDirectory) -> Vec<Observation> {
         if self.due_at.take_if(|at| *at <= now).is_none() {
             return Vec::new();
         }
@@ -94,11 +98,13 @@
         for (member, status) in std::mem::take(&mut self.statuses) {
             if let Some(identity) = members.identity(member) {
                 let age = now - status.reported_at;
-                records.push((member_record(identity, status.record), age));
+                let record = member_record(identity, status.record);
+                records.push(Observation { record, age });
             }
         }
-        for (record, observed_at) in std::mem::take(&mut self.sessions) {
-            records.push((record, now - observed_at));
+        for ObservedRecord { record, observed_at } in std::mem::take(&mut self.sessions) {
+            let age = now - observed_at;
+            records.push(Observation { record, age });
         }
         records
     }
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::trust::{assess, Usability};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_gossip::record::{Record, RecordKind};
+use asterlatch_gossip::record::{ObservedRecord, Record, RecordKind};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,9 +16,12 @@
     pub written_at: Timestamp,
 }
 
-impl From<(Record, Timestamp)> for StoredRecord {
-    fn from((record, written_at): (Record, Timestamp)) -> StoredRecord {
-        StoredRecord { record, written_at }
+impl From<ObservedRecord> for StoredRecord {
+    fn from(observed: ObservedRecord) -> StoredRecord {
+        StoredRecord {
+            record: observed.record,
+            written_at: observed.observed_at,
+        }
     }
 }
 
