--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -2,7 +2,7 @@
 
 use asterlatch_driver::program::config::{self, Config};
 use asterlatch_driver::program::log::{self, Format};
-use asterlatch_driver::program::{commands, operators, recover, serve, sharing, upgrade};
+use asterlatch_driver::program::{commands, gossip, operators, recover, serve, upgrade};
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -72,7 +72,7 @@
     /// Show what a running service shares with other drivers, and who of them is there
     Fleet {
         #[arg(value_enum)]
-        what: sharing::What,
+        what: gossip::QueryKind,
         /// The running service's socket
         #[arg(long, env = "ASTERLATCH_CONTROL")]
         control: PathBuf,
@@ -124,10 +124,10 @@
             Ok(false) => return ExitCode::FAILURE,
             Err(fault) => Err(fault),
         },
-        Command::Fleet { what, control, json } => match sharing::request(&control, what, json) {
+        Command::Fleet { what, control, json } => match gossip::query_service(&control, what, json) {
             Ok(true) => Ok(()),
             Ok(false) => return ExitCode::FAILURE,
-            Err(fault) => Err(fault),
+            Err(error) => Err(error.to_string()),
         },
         Command::Recover { folder, name, json } => recover::run(&folder, name.as_deref(), json),
         Command::Version => {
--- a/crates/driver/src/program/mod.rs
+++ b/crates/driver/src/program/mod.rs
@@ -3,13 +3,13 @@
 pub mod commands;
 pub mod config;
 pub mod counters;
-mod keeping;
+
+pub mod gossip;
 mod kept;
 pub mod log;
 pub mod operators;
 pub mod phases;
 pub mod recover;
 pub mod serve;
-pub mod sharing;
 pub mod signals;
 pub mod upgrade;
--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -1,8 +1,8 @@
 //! `asterlatch recover`: reads what a driver has kept, and says what its next start would trust of that, and why. Nothing is
 //! written, and no service is asked.
 
-use super::keeping;
-use super::sharing::written;
+use super::gossip::snapshot_file;
+use super::gossip::table;
 use crate::transport::clock::Clock;
 use asterlatch_gossip::snapshot::{self, SnapshotError};
 use asterlatch_recovery::report::{self, RecoveryReport, StoredRecord};
@@ -11,8 +11,9 @@
 
 /// What a start on this folder would make of it, for the driver of this name, or for whoever the copy says it is.
 fn look(folder: &Path, name: Option<&str>, clock: &Clock) -> Result<(Value, RecoveryReport), String> {
-    let bytes =
-        keeping::read(folder)?.ok_or_else(|| format!("{}: nothing was ever kept there", folder.display()))?;
+    let bytes = snapshot_file::read(folder)
+        .map_err(|e| e.to_string())?
+        .ok_or_else(|| format!("{}: nothing was ever kept there", folder.display()))?;
     let whose = snapshot::read_owner(&bytes);
     let owner = whose.clone().unwrap_or_default();
     let read = snapshot::read(&bytes, &owner.fleet, name.unwrap_or(&owner.name));
@@ -35,7 +36,7 @@
     let (copy, report) = look(folder, name, &Clock::start())?;
     let rows = serde_json::to_value(&report.rows).map_err(|e| e.to_string())?;
     let all = json!({ "copy": [copy], "kept": rows });
-    print!("{}", written(&all, as_json));
+    print!("{}", table::render(&all, as_json));
     if !as_json {
         println!("{}", report);
     }
--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -2,10 +2,10 @@
 
 use super::config::Config;
 use super::counters;
+use super::gossip::{self, GossipConfig, GossipHandle};
 use super::log::{log, Log};
 use super::operators::{self, InForce, Operators};
 use super::phases::{Phase, Phases, Seen};
-use super::sharing::{self, Shares};
 use super::signals;
 use super::upgrade::{self, Takeover, Upgrades};
 use crate::protocol::client_session::ClientSession;
@@ -110,14 +110,15 @@
     let (tell_asks, asks) = channel();
     let mut upgrades = Upgrades::new(config.settings_text, to_takeover.clone(), asks);
     // While it may have to serve on, the former process keeps its own name, and its place among the others.
-    let shares = Shares::of(&start.meaning);
+    let shares = GossipConfig::from_meaning(&start.meaning);
     let to_sharing = to_takeover.clone();
-    let begin_sharing = |event_loop: &mut EventLoop<Log>| -> Result<Option<sharing::Line>, String> {
+    let begin_sharing = |event_loop: &mut EventLoop<Log>| -> Result<Option<GossipHandle>, String> {
         let Some(shares) = &shares else { return Ok(None) };
-        let (shared, line) =
-            sharing::start(shares, &config, clock, to_sharing.clone(), given.state.as_deref())?;
-        event_loop.join_gossip(shared);
-        Ok(Some(line))
+        let state = given.state.as_deref();
+        let started = gossip::start(shares, &config, clock, to_sharing.clone(), state);
+        let started = started.map_err(|e| e.to_string())?;
+        event_loop.join_gossip(started.gossip);
+        Ok(Some(started.handle))
     };
     let mut control = control.map(|path| move |line| upgrade::control(path, to_takeover, tell_asks, line));
     if takeover.is_some() && shares.is_some() {
--- a/crates/driver/src/program/upgrade/control.rs
+++ b/crates/driver/src/program/upgrade/control.rs
@@ -1,6 +1,6 @@
 //! The socket at which upgrades and the fleet's state are asked for.
 
-use crate::program::sharing::{Line, Show, What};
+use crate::program::gossip::{GossipHandle, Query, QueryKind};
 use crate::routing::events::{ControlEvent, Event};
 use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -20,7 +20,7 @@
     path: &Path,
     queue: Sender<Event>,
     asks: Sender<Ask>,
-    fleet: Option<Line>,
+    fleet: Option<GossipHandle>,
 ) -> Result<(), String> {
     let told = |e: io::Error| format!("{}: {e}", path.display());
     // What a former process left there, or still holds: its own stands without the name.
@@ -70,12 +70,16 @@
 }
 
 /// `status table`, `facts json` and the like: answered by the thread that speaks with other drivers.
-fn show(wish: &str, mut reply: UnixStream, fleet: Option<&Line>) {
+fn show(wish: &str, mut reply: UnixStream, fleet: Option<&GossipHandle>) {
     let (what, form) = wish.split_once(' ').unwrap_or((wish, "table"));
-    match (What::named(what), fleet) {
+    match (QueryKind::named(what), fleet) {
         (Some(what), Some(fleet)) => {
             let json = form == "json";
-            fleet.show(Show { what, json, reply });
+            fleet.query(Query {
+                kind: what,
+                as_json: json,
+                reply,
+            });
         }
         (_, None) => drop(writeln!(
             reply,
