--- a/crates/recovery/tests/common/mod.rs
+++ b/crates/recovery/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use asterlatch::time::Timestamp;
 use asterlatch_coordination::lease::{Lease, LeaseState};
-use asterlatch_gossip::record::{ListedState, Record};
+use asterlatch_gossip::record::{ListedState, LoadShare, Record};
 
 /// What the wall clock shows.
 pub(crate) const NOW: Timestamp = Timestamp(1_700_000_000_000_000);
@@ -71,7 +71,7 @@
         },
         Record::Lease {
             subject: "probe m".to_owned(),
-            claim: Lease {
+            lease: Lease {
                 term: 1,
                 holder: 2,
                 incarnation: 3,
@@ -90,7 +90,11 @@
             driver: "d".to_owned(),
             incarnation: 1,
             sequence: 1,
-            shares: vec![(1, 2, 3)],
+            shares: vec![LoadShare {
+                member: 1,
+                admitted: 2,
+                answers: 3,
+            }],
         },
     ]
 }
