--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -105,14 +105,14 @@
         member: &str,
         driver: &str,
         sent_at: Timestamp,
-        received_at: Timestamp,
+        observed_at: Timestamp,
     ) {
         // Members that are not listed here are not counted here.
         if self.members.find(member).is_none() {
             return;
         }
         if let Some(gossip) = &mut self.gossip {
-            gossip.on_peer_overdue(member, driver, sent_at, received_at);
+            gossip.on_peer_overdue(member, driver, sent_at, observed_at);
         }
     }
 }
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -47,7 +47,7 @@
         }
         for query in due.expired_queries {
             self.metrics.inquiries_unanswered += 1;
-            self.on_query_resolved(now, query.client_id, query.verdict);
+            self.on_query_resolved(now, query.client_id, query.outcome);
         }
     }
 
@@ -117,22 +117,16 @@
 
     fn on_gossip_output(&mut self, now: Timestamp, output: NodeOutput) {
         match output {
-            NodeOutput::RecordLearned {
-                record,
-                observed_at: received_at,
-            } => {
+            NodeOutput::RecordLearned { record, observed_at } => {
                 self.metrics.records_from_peers += 1;
-                self.on_record(now, &record, received_at);
+                self.on_record(now, &record, observed_at);
             }
-            NodeOutput::InquiryReceived {
-                from,
-                inquiry: question,
-            } => self.on_query(now, from, question),
+            NodeOutput::InquiryReceived { from, inquiry } => self.on_query(now, from, inquiry),
             NodeOutput::InquiryReplied {
                 from,
-                inquiry: question,
-                status: known,
-            } => self.on_query_answer(now, from, question, &known),
+                inquiry,
+                status,
+            } => self.on_query_answer(now, from, inquiry, &status),
             NodeOutput::PeerStateChanged(change) => self.on_presence_change(now, &change),
             NodeOutput::CaughtUp(is_complete) => {
                 let text = if is_complete {
@@ -142,10 +136,10 @@
                 };
                 self.observer.log(now, FLEET, format_args!("{text}"));
             }
-            NodeOutput::PeerIgnored { peer, reason: why } => {
+            NodeOutput::PeerIgnored { peer, reason } => {
                 let Some(gossip) = &self.gossip else { return };
                 let name = gossip.peer_name(peer);
-                let text = format_args!("driver {name} is not listened to: {why}");
+                let text = format_args!("driver {name} is not listened to: {reason}");
                 self.observer.log(now, FLEET, text);
             }
             NodeOutput::Send { .. } => {}
@@ -170,46 +164,43 @@
     }
 
     /// Applies another driver's record. Members that are not listed here are not affected.
-    fn on_record(&mut self, now: Timestamp, record: &Record, received_at: Timestamp) {
+    fn on_record(&mut self, now: Timestamp, record: &Record, observed_at: Timestamp) {
         match record {
-            Record::Member { .. } => self.on_member_record(now, record, received_at),
+            Record::Member { .. } => self.on_member_record(now, record, observed_at),
             Record::Drain { .. } => self.on_drain_record(now, record),
             Record::Session { session, position } => self.on_session_record(*session, *position),
             Record::WarmUp { member, .. } => {
                 let is_known = self.members.find(member).is_some();
                 if let Some(gossip) = self.gossip.as_mut().filter(|_| is_known) {
-                    gossip.on_warm_up_record(received_at, record);
+                    gossip.on_warm_up_record(observed_at, record);
                 }
             }
-            Record::Lease {
-                subject,
-                lease: claim,
-            } => {
+            Record::Lease { subject, lease } => {
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.on_lease(now, subject, *claim, now - received_at);
+                    gossip.on_lease(now, subject, *lease, now - observed_at);
                 }
             }
             Record::Unanswered {
                 member,
                 driver,
-                outstanding_us: before_us,
+                outstanding_us,
                 ..
             } => {
-                let sent_at = received_at - TimeSpan(*before_us);
-                self.on_peer_overdue(member, driver, sent_at, received_at);
+                let sent_at = observed_at - TimeSpan(*outstanding_us);
+                self.on_peer_overdue(member, driver, sent_at, observed_at);
             }
             Record::Load {
                 driver,
-                incarnation: life,
+                incarnation,
                 shares,
                 ..
             } => {
                 if let Some(gossip) = &mut self.gossip {
                     gossip.on_load_report(&LoadReport {
                         driver,
-                        incarnation: *life,
+                        incarnation: *incarnation,
                         shares,
-                        received_at,
+                        observed_at,
                     });
                 }
             }
@@ -219,7 +210,7 @@
     }
 
     /// A record of another instance of the member says nothing about the listed one.
-    fn on_member_record(&mut self, now: Timestamp, record: &Record, received_at: Timestamp) {
+    fn on_member_record(&mut self, now: Timestamp, record: &Record, observed_at: Timestamp) {
         let Record::Member {
             name,
             started_ms,
@@ -236,10 +227,10 @@
             return;
         };
         if let Some(gossip) = &mut self.gossip {
-            gossip.on_peer_answer(name, received_at);
+            gossip.on_peer_answer(name, observed_at);
         }
         // Never as new as what the member reports to this driver itself.
-        let age = (now - received_at).max(TimeSpan(1));
+        let age = (now - observed_at).max(TimeSpan(1));
         let reported = MemberStatusRecord {
             position: *position,
             primary_at: *primary_at,
@@ -254,15 +245,15 @@
         let Record::Drain {
             name,
             started_ms,
-            list_version: list,
-            state: standing,
+            list_version,
+            state,
         } = record
         else {
             return;
         };
         // A record by an older list than the one in force does not bind; by the same list, the worse state applies.
         let version_in_force = self.gossip.as_ref().map_or(0, Gossip::list_version);
-        let is_binding = *standing != ListedState::Ready && *list >= version_in_force;
+        let is_binding = *state != ListedState::Ready && *list_version >= version_in_force;
         let Some(member) = self.members.find(name).filter(|_| is_binding) else {
             return;
         };
--- a/crates/driver/src/routing/event_loop/in_doubt.rs
+++ b/crates/driver/src/routing/event_loop/in_doubt.rs
@@ -69,18 +69,18 @@
         &mut self,
         now: Timestamp,
         from: usize,
-        question: InquiryId,
-        known: &DispatchStatus,
+        inquiry: InquiryId,
+        status: &DispatchStatus,
     ) {
         let Some(gossip) = &mut self.gossip else { return };
-        let client_id = question.id;
-        if let Some(verdict) = gossip.on_query_answer(from, question, known) {
-            self.on_query_resolved(now, client_id, verdict);
+        let client_id = inquiry.id;
+        if let Some(outcome) = gossip.on_query_answer(from, inquiry, status) {
+            self.on_query_resolved(now, client_id, outcome);
         }
     }
 
     /// What other drivers know of a deferred statement is clear.
-    pub(super) fn on_query_resolved(&mut self, now: Timestamp, client_id: u64, verdict: InquiryOutcome) {
+    pub(super) fn on_query_resolved(&mut self, now: Timestamp, client_id: u64, outcome: InquiryOutcome) {
         let Some(gossip) = &mut self.gossip else { return };
         let Some(deferred) = gossip.take_deferred(client_id) else {
             return;
@@ -89,11 +89,11 @@
         if !self.statements.contains(deferred.statement.id) {
             return;
         }
-        let prior_attempt = match verdict {
+        let prior_attempt = match outcome {
             InquiryOutcome::NotExecuted => None,
-            InquiryOutcome::MayHaveExecuted { age: ago, member } => {
+            InquiryOutcome::MayHaveExecuted { age, member } => {
                 self.metrics.inquiries_in_doubt += 1;
-                Some(self.prior_attempt(ago, member.as_deref()))
+                Some(self.prior_attempt(age, member.as_deref()))
             }
         };
         let statement = Statement {
@@ -107,10 +107,10 @@
     }
 
     /// Another driver asks about a statement. If it has not been sent from here it is ceded, and rejected if it is open.
-    pub(super) fn on_query(&mut self, now: Timestamp, from: usize, question: InquiryId) {
+    pub(super) fn on_query(&mut self, now: Timestamp, from: usize, inquiry: InquiryId) {
         let Some(gossip) = &mut self.gossip else { return };
-        let client_id = question.id;
-        let is_ceded = gossip.answer_query(now, from, question, self.handover.is_co_serving());
+        let client_id = inquiry.id;
+        let is_ceded = gossip.answer_query(now, from, inquiry, self.handover.is_co_serving());
         let open = self.statements.find(client_id);
         let Some(statement) = open.filter(|_| is_ceded) else {
             return;
--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -54,7 +54,7 @@
     /// Member, share and answers, in units of the record.
     pub shares: &'a [LoadShare],
     /// When it was received.
-    pub received_at: Timestamp,
+    pub observed_at: Timestamp,
 }
 
 /// The result of advancing coordination.
@@ -150,11 +150,11 @@
         member: &str,
         driver: &str,
         sent_at: Timestamp,
-        received_at: Timestamp,
+        observed_at: Timestamp,
     ) {
         let report = LateReport {
             sent_at,
-            reported_at: received_at,
+            reported_at: observed_at,
         };
         self.failure_consensus
             .on_late_report(member, fleet_key(driver), report);
@@ -173,7 +173,7 @@
                 incarnation: report.incarnation,
                 share: f64::from(load.admitted) / SHARE_UNITS,
                 answers: f64::from(load.answers) / ANSWER_UNITS,
-                reported_at: report.received_at,
+                reported_at: report.observed_at,
             };
             self.load_aggregate.on_report(load.member, driver, share_report);
         }
@@ -225,11 +225,8 @@
         for member in unwanted {
             self.wanted.remove(&member);
             let subject = lease_subject(&member);
-            if let Some(claim) = self.leases.release(now, &subject, LeaseState::Completed) {
-                records.push(Observation::now(Record::Lease {
-                    subject,
-                    lease: claim,
-                }));
+            if let Some(lease) = self.leases.release(now, &subject, LeaseState::Completed) {
+                records.push(Observation::now(Record::Lease { subject, lease }));
             }
         }
     }
--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -310,7 +310,7 @@
 
     /// A ready member is announced only if other drivers may take it for draining.
     fn announce_state(&mut self, member: DrainedMember, state: MemberState) {
-        let standing = match state {
+        let listed_state = match state {
             MemberState::Ready => ListedState::Ready,
             MemberState::Draining => ListedState::Draining,
             MemberState::Gone => ListedState::Gone,
@@ -324,7 +324,7 @@
             name: member.name,
             started_ms: member.started_ms,
             list_version: self.list_version,
-            state: standing,
+            state: listed_state,
         };
         self.send_observed(vec![Observation::now(record)]);
     }
@@ -349,8 +349,8 @@
     }
 
     /// Another driver's record of what it sends to a warming member.
-    pub fn on_warm_up_record(&mut self, received_at: Timestamp, record: &Record) {
-        self.slow_start.on_record(received_at, record);
+    pub fn on_warm_up_record(&mut self, observed_at: Timestamp, record: &Record) {
+        self.slow_start.on_record(observed_at, record);
     }
 
     /// Whether this driver checks a member's health itself, or leaves that to the lease holder.
@@ -391,10 +391,10 @@
         member: &str,
         driver: &str,
         sent_at: Timestamp,
-        received_at: Timestamp,
+        observed_at: Timestamp,
     ) {
         self.coordination
-            .on_peer_overdue(member, driver, sent_at, received_at);
+            .on_peer_overdue(member, driver, sent_at, observed_at);
     }
 
     /// Another driver's report of its admission shares.
--- a/crates/driver/src/routing/gossip/prior_attempts.rs
+++ b/crates/driver/src/routing/gossip/prior_attempts.rs
@@ -37,7 +37,7 @@
     /// Hash of the id that its client gave the statement.
     pub client_id: u64,
     /// What is to be assumed.
-    pub verdict: InquiryOutcome,
+    pub outcome: InquiryOutcome,
 }
 
 /// A statement that was deferred, once other drivers' knowledge of it is clear.
@@ -84,7 +84,7 @@
         expired
             .map(|decision| ExpiredQuery {
                 client_id: decision.id,
-                verdict: decision.outcome,
+                outcome: decision.outcome,
             })
             .collect()
     }
@@ -118,9 +118,7 @@
         }
         match prior_attempts.sent.status(now, client_id) {
             // Also where it is not marked as a retry: the first attempt may arrive behind the retry.
-            DispatchStatus::Dispatched { age: ago, member } => {
-                return StatementCheck::Sent { age: ago, member }
-            }
+            DispatchStatus::Dispatched { age, member } => return StatementCheck::Sent { age, member },
             _ if !statement.is_client_retry => return StatementCheck::New,
             DispatchStatus::Unknown => return StatementCheck::Unknown,
             DispatchStatus::NotExecuted => {}
@@ -129,15 +127,15 @@
         prior_attempts.query(now, client_id, resolved, &mut self.send)
     }
 
-    /// Another driver's answer to a query. Returns the verdict once all answers allow one.
+    /// Another driver's answer to a query. Returns the outcome once all answers allow one.
     pub fn on_query_answer(
         &mut self,
         from: usize,
-        question: InquiryId,
-        known: &DispatchStatus,
+        inquiry: InquiryId,
+        status: &DispatchStatus,
     ) -> Option<InquiryOutcome> {
         let queries = &mut self.prior_attempts.queries;
-        queries.on_reply(question.id, question.sequence, from, known)
+        queries.on_reply(inquiry.id, inquiry.sequence, from, status)
     }
 
     /// Ends the query on a deferred statement, and returns that.
@@ -156,25 +154,25 @@
         &mut self,
         now: Timestamp,
         from: usize,
-        question: InquiryId,
+        inquiry: InquiryId,
         is_co_serving: bool,
     ) -> bool {
         let prior_attempts = &mut self.prior_attempts;
-        let known = if is_co_serving {
+        let status = if is_co_serving {
             DispatchStatus::Unknown
         } else {
-            prior_attempts.sent.status(now, question.id)
+            prior_attempts.sent.status(now, inquiry.id)
         };
-        let is_ceded = known == DispatchStatus::NotExecuted;
+        let is_ceded = status == DispatchStatus::NotExecuted;
         if is_ceded {
-            prior_attempts.sent.give_up(now, question.id);
-            prior_attempts.queries.cancel(question.id);
-            prior_attempts.deferred.remove(&question.id);
+            prior_attempts.sent.give_up(now, inquiry.id);
+            prior_attempts.queries.cancel(inquiry.id);
+            prior_attempts.deferred.remove(&inquiry.id);
         }
         (self.send)(NodeInput::ReplyToInquiry {
             to: from,
-            inquiry: question,
-            status: known,
+            inquiry,
+            status,
         });
         is_ceded
     }
--- a/crates/driver/src/routing/gossip/slow_start.rs
+++ b/crates/driver/src/routing/gossip/slow_start.rs
@@ -29,7 +29,7 @@
 pub(super) struct SlowStart {
     own: DriverIdentity,
     tick: TimeSpan,
-    sent: WarmUpBudgets,
+    budgets: WarmUpBudgets,
     due_at: Option<Timestamp>,
 }
 
@@ -38,7 +38,7 @@
         SlowStart {
             own: own.clone(),
             tick: settings.tick,
-            sent: WarmUpBudgets::new(slow_start::WarmUpRules {
+            budgets: WarmUpBudgets::new(slow_start::WarmUpRules {
                 window: settings.overload_window,
                 overload_multiple: settings.overload_multiple,
                 report_interval: settings.tick,
@@ -58,13 +58,13 @@
 
     /// An execution is dispatched to a member, which is expected to take so long.
     pub(super) fn on_dispatched(&mut self, now: Timestamp, member: &str, expected_work: TimeSpan) {
-        if self.sent.is_warming_up(member) {
-            self.sent.on_dispatch(now, member, expected_work);
+        if self.budgets.is_warming_up(member) {
+            self.budgets.on_dispatch(now, member, expected_work);
         }
     }
 
     /// Another driver's record of what it has sent to a warming member.
-    pub(super) fn on_record(&mut self, received_at: Timestamp, record: &Record) {
+    pub(super) fn on_record(&mut self, observed_at: Timestamp, record: &Record) {
         if let Record::WarmUp {
             member,
             started_ms,
@@ -82,11 +82,11 @@
             let report = PeerReport {
                 driver,
                 incarnation: *incarnation,
-                reported_at: received_at,
+                reported_at: observed_at,
                 work_us: *work_us,
                 carried_us: *carried_us,
             };
-            self.sent.on_peer_report(member, &report);
+            self.budgets.on_peer_report(member, &report);
         }
     }
 
@@ -106,7 +106,7 @@
             known.extend(identity.map(|identity| (warming, identity)));
         }
         let names: Vec<String> = known.iter().map(|(_, identity)| identity.name.clone()).collect();
-        self.sent.retain(&names);
+        self.budgets.retain(&names);
         let mut round = WarmUpRound {
             budgets: Vec::new(),
             records: Vec::new(),
@@ -133,7 +133,8 @@
             warm_up_fraction: warming.warm_up_fraction,
             carried_load: warming.carried_load,
         };
-        let slow_start::WarmUpBudget { work, report } = self.sent.budget(now, member, load, present_drivers);
+        let slow_start::WarmUpBudget { work, report } =
+            self.budgets.budget(now, member, load, present_drivers);
         round.budgets.extend(work.map(|work| WarmUpBudget {
             member: warming.member,
             work,
