--- a/crates/driver/src/protocol/member_connection.rs
+++ b/crates/driver/src/protocol/member_connection.rs
@@ -33,7 +33,7 @@
         /// The answer.
         reply: Reply,
         /// What the member reported with it.
-        sighting: ReplicaStatus,
+        status: ReplicaStatus,
         /// Its load report, unparsed.
         report: Option<String>,
     },
@@ -166,7 +166,7 @@
             connection: self.connection,
             at,
             reply,
-            sighting: self.answer.status,
+            status: self.answer.status,
             report: self.answer.report.take(),
         });
         self.has_open_query = false;
--- a/crates/driver/src/routing/event_loop/members.rs
+++ b/crates/driver/src/routing/event_loop/members.rs
@@ -24,7 +24,7 @@
                 connection,
                 at,
                 reply,
-                sighting,
+                status,
                 report,
             } => {
                 let request = match reply {
@@ -32,7 +32,7 @@
                     _ => self.member_requests.on_answered(connection, now),
                 };
                 if let Some(request) = request {
-                    let status = sighting.merge(self.reported_status(&request, &reply, report));
+                    let status = status.merge(self.reported_status(&request, &reply, report));
                     self.on_reply(now, request, at, reply, status);
                 }
             }
--- a/crates/driver/tests/protocol.rs
+++ b/crates/driver/tests/protocol.rs
@@ -445,7 +445,7 @@
         member_connection::MemberEvent::Connected { .. } => "up".to_owned(),
         member_connection::MemberEvent::Replied {
             reply,
-            sighting,
+            status,
             report,
             ..
         } => {
@@ -457,10 +457,10 @@
                 Reply::Error(code) => code.clone(),
                 Reply::Malformed => "malformed".to_owned(),
             };
-            let at = sighting
+            let at = status
                 .position
                 .map_or(String::new(), |p| format!("@{}", p.0 / 1000));
-            let role = sighting.is_primary.map_or("", |p| if p { "!" } else { "?" });
+            let role = status.is_primary.map_or("", |p| if p { "!" } else { "?" });
             format!("{reply}{at}{role}{}", report.as_deref().unwrap_or_default())
         }
         member_connection::MemberEvent::Closed { written, .. } => {
--- a/crates/driver/tests/routing/harness.rs
+++ b/crates/driver/tests/routing/harness.rs
@@ -202,7 +202,7 @@
 
     pub fn reply(&mut self, connection: u32, reply: Reply, is_primary: Option<bool>) {
         let (at, report) = (self.now, None);
-        let sighting = ReplicaStatus {
+        let status = ReplicaStatus {
             position: Some(at),
             is_primary,
         };
@@ -210,7 +210,7 @@
             connection,
             at,
             reply,
-            sighting,
+            status,
             report,
         });
     }
--- a/crates/driver/tests/routing/statements.rs
+++ b/crates/driver/tests/routing/statements.rs
@@ -117,7 +117,7 @@
         harness.connect_client(1);
         harness.send_statement(1, VIEW);
         let (connection, first) = harness.dispatched().expect("is sent");
-        let sighting = ReplicaStatus {
+        let status = ReplicaStatus {
             position: Some(harness.now - TimeSpan::millis(behind)),
             is_primary: None,
         };
@@ -126,7 +126,7 @@
             connection,
             at,
             reply,
-            sighting,
+            status,
             report,
         });
         if behind > 500 {
