--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -47,7 +47,7 @@
         }
         for query in due.expired_queries {
             self.metrics.inquiries_unanswered += 1;
-            self.on_query_resolved(now, query.client_id, query.verdict);
+            self.on_query_resolved(now, query.client_id, query.outcome);
         }
     }
 
@@ -124,15 +124,12 @@
                 self.metrics.facts_from_others += 1;
                 self.on_record(now, &record, received_at);
             }
-            NodeOutput::InquiryReceived {
-                from,
-                inquiry: question,
-            } => self.on_query(now, from, question),
+            NodeOutput::InquiryReceived { from, inquiry } => self.on_query(now, from, inquiry),
             NodeOutput::InquiryReplied {
                 from,
-                inquiry: question,
-                status: known,
-            } => self.on_query_answer(now, from, question, &known),
+                inquiry,
+                status,
+            } => self.on_query_answer(now, from, inquiry, &status),
             NodeOutput::PeerStateChanged(change) => self.on_presence_change(now, &change),
             NodeOutput::CaughtUp(is_complete) => {
                 let text = if is_complete {
@@ -142,10 +139,10 @@
                 };
                 self.observer.log(now, FLEET, format_args!("{text}"));
             }
-            NodeOutput::PeerIgnored { peer, reason: why } => {
+            NodeOutput::PeerIgnored { peer, reason } => {
                 let Some(gossip) = &self.gossip else { return };
                 let name = gossip.peer_name(peer);
-                let text = format_args!("driver {name} is not listened to: {why}");
+                let text = format_args!("driver {name} is not listened to: {reason}");
                 self.observer.log(now, FLEET, text);
             }
             NodeOutput::Send { .. } => {}
@@ -192,22 +189,22 @@
             Record::Unanswered {
                 member,
                 driver,
-                outstanding_us: before_us,
+                outstanding_us,
                 ..
             } => {
-                let sent_at = received_at - TimeSpan(*before_us);
+                let sent_at = received_at - TimeSpan(*outstanding_us);
                 self.on_peer_overdue(member, driver, sent_at, received_at);
             }
             Record::Load {
                 driver,
-                incarnation: life,
+                incarnation,
                 shares,
                 ..
             } => {
                 if let Some(gossip) = &mut self.gossip {
                     gossip.on_load_report(&LoadReport {
                         driver,
-                        incarnation: *life,
+                        incarnation: *incarnation,
                         shares,
                         received_at,
                     });
@@ -254,15 +251,15 @@
         let Record::Drain {
             name,
             started_ms,
-            list_version: list,
-            state: standing,
+            list_version,
+            state,
         } = record
         else {
             return;
         };
         // A record by an older list than the one in force does not bind; by the same list, the worse state applies.
         let version_in_force = self.gossip.as_ref().map_or(0, Gossip::list_version);
-        let is_binding = *standing != ListedState::Ready && *list >= version_in_force;
+        let is_binding = *state != ListedState::Ready && *list_version >= version_in_force;
         let Some(member) = self.members.find(name).filter(|_| is_binding) else {
             return;
         };
