--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -47,7 +47,7 @@
         }
         for query in due.expired_queries {
             self.metrics.inquiries_unanswered += 1;
-            self.on_query_resolved(now, query.client_id, query.outcome);
+            self.on_query_resolved(now, query.client_id, query.verdict);
         }
     }
 
@@ -55,7 +55,7 @@
         let Some(gossip) = &mut self.gossip else { return };
         let warming = self.policy.warming_members(now);
         for budget in gossip.warm_up_budgets(now, &warming, &self.members) {
-            self.metrics.cold_shares += 1;
+            self.metrics.warm_up_budgets += 1;
             let update = MemberUpdate::WarmUpBudget {
                 work: budget.work,
                 until: budget.until,
@@ -121,15 +121,18 @@
                 record,
                 observed_at: received_at,
             } => {
-                self.metrics.facts_from_others += 1;
+                self.metrics.records_from_peers += 1;
                 self.on_record(now, &record, received_at);
             }
-            NodeOutput::InquiryReceived { from, inquiry } => self.on_query(now, from, inquiry),
+            NodeOutput::InquiryReceived {
+                from,
+                inquiry: question,
+            } => self.on_query(now, from, question),
             NodeOutput::InquiryReplied {
                 from,
-                inquiry,
-                status,
-            } => self.on_query_answer(now, from, inquiry, &status),
+                inquiry: question,
+                status: known,
+            } => self.on_query_answer(now, from, question, &known),
             NodeOutput::PeerStateChanged(change) => self.on_presence_change(now, &change),
             NodeOutput::CaughtUp(is_complete) => {
                 let text = if is_complete {
@@ -139,10 +142,10 @@
                 };
                 self.observer.log(now, FLEET, format_args!("{text}"));
             }
-            NodeOutput::PeerIgnored { peer, reason } => {
+            NodeOutput::PeerIgnored { peer, reason: why } => {
                 let Some(gossip) = &self.gossip else { return };
                 let name = gossip.peer_name(peer);
-                let text = format_args!("driver {name} is not listened to: {reason}");
+                let text = format_args!("driver {name} is not listened to: {why}");
                 self.observer.log(now, FLEET, text);
             }
             NodeOutput::Send { .. } => {}
@@ -189,22 +192,22 @@
             Record::Unanswered {
                 member,
                 driver,
-                outstanding_us,
+                outstanding_us: before_us,
                 ..
             } => {
-                let sent_at = received_at - TimeSpan(*outstanding_us);
+                let sent_at = received_at - TimeSpan(*before_us);
                 self.on_peer_overdue(member, driver, sent_at, received_at);
             }
             Record::Load {
                 driver,
-                incarnation,
+                incarnation: life,
                 shares,
                 ..
             } => {
                 if let Some(gossip) = &mut self.gossip {
                     gossip.on_load_report(&LoadReport {
                         driver,
-                        incarnation: *incarnation,
+                        incarnation: *life,
                         shares,
                         received_at,
                     });
@@ -251,20 +254,20 @@
         let Record::Drain {
             name,
             started_ms,
-            list_version,
-            state,
+            list_version: list,
+            state: standing,
         } = record
         else {
             return;
         };
         // A record by an older list than the one in force does not bind; by the same list, the worse state applies.
         let version_in_force = self.gossip.as_ref().map_or(0, Gossip::list_version);
-        let is_binding = *state != ListedState::Ready && *list_version >= version_in_force;
+        let is_binding = *standing != ListedState::Ready && *list >= version_in_force;
         let Some(member) = self.members.find(name).filter(|_| is_binding) else {
             return;
         };
         self.member_requests.close_idle(member);
-        self.metrics.drains_from_others += 1;
+        self.metrics.drains_from_peers += 1;
         let update = MemberUpdate::Draining(replica_status::unix_timestamp(*started_ms));
         self.update_member(now, member, update);
     }
--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -310,7 +310,7 @@
 
     /// A ready member is announced only if other drivers may take it for draining.
     fn announce_state(&mut self, member: DrainedMember, state: MemberState) {
-        let listed_state = match state {
+        let standing = match state {
             MemberState::Ready => ListedState::Ready,
             MemberState::Draining => ListedState::Draining,
             MemberState::Gone => ListedState::Gone,
@@ -324,7 +324,7 @@
             name: member.name,
             started_ms: member.started_ms,
             list_version: self.list_version,
-            state: listed_state,
+            state: standing,
         };
         self.send_observed(vec![Observation::now(record)]);
     }
--- a/crates/driver/src/routing/gossip/prior_attempts.rs
+++ b/crates/driver/src/routing/gossip/prior_attempts.rs
@@ -37,7 +37,7 @@
     /// Hash of the id that its client gave the statement.
     pub client_id: u64,
     /// What is to be assumed.
-    pub outcome: InquiryOutcome,
+    pub verdict: InquiryOutcome,
 }
 
 /// A statement that was deferred, once other drivers' knowledge of it is clear.
@@ -84,7 +84,7 @@
         expired
             .map(|decision| ExpiredQuery {
                 client_id: decision.id,
-                outcome: decision.outcome,
+                verdict: decision.outcome,
             })
             .collect()
     }
--- a/crates/driver/src/routing/gossip/slow_start.rs
+++ b/crates/driver/src/routing/gossip/slow_start.rs
@@ -6,7 +6,7 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::node::Observation;
 use asterlatch_gossip::record::Record;
-use asterlatch_gossip::slow_start::{MemberStart, PeerReport, WarmUpBudgets, WarmUpLoad, WarmUpRules};
+use asterlatch_gossip::slow_start::{self, MemberStart, PeerReport, WarmUpBudgets, WarmUpLoad};
 
 /// Work that this driver may send to a warming member.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,7 +29,7 @@
 pub(super) struct SlowStart {
     own: DriverIdentity,
     tick: TimeSpan,
-    budgets: WarmUpBudgets,
+    sent: WarmUpBudgets,
     due_at: Option<Timestamp>,
 }
 
@@ -38,7 +38,7 @@
         SlowStart {
             own: own.clone(),
             tick: settings.tick,
-            budgets: WarmUpBudgets::new(WarmUpRules {
+            sent: WarmUpBudgets::new(slow_start::WarmUpRules {
                 window: settings.overload_window,
                 overload_multiple: settings.overload_multiple,
                 report_interval: settings.tick,
@@ -58,8 +58,8 @@
 
     /// An execution is dispatched to a member, which is expected to take so long.
     pub(super) fn on_dispatched(&mut self, now: Timestamp, member: &str, expected_work: TimeSpan) {
-        if self.budgets.is_warming_up(member) {
-            self.budgets.on_dispatch(now, member, expected_work);
+        if self.sent.is_warming_up(member) {
+            self.sent.on_dispatch(now, member, expected_work);
         }
     }
 
@@ -86,7 +86,7 @@
                 work_us: *work_us,
                 carried_us: *carried_us,
             };
-            self.budgets.on_peer_report(member, &report);
+            self.sent.on_peer_report(member, &report);
         }
     }
 
@@ -106,7 +106,7 @@
             known.extend(identity.map(|identity| (warming, identity)));
         }
         let names: Vec<String> = known.iter().map(|(_, identity)| identity.name.clone()).collect();
-        self.budgets.retain(&names);
+        self.sent.retain(&names);
         let mut round = WarmUpRound {
             budgets: Vec::new(),
             records: Vec::new(),
@@ -125,7 +125,7 @@
         present_drivers: &[&str],
         round: &mut WarmUpRound,
     ) {
-        let start = MemberStart {
+        let member = MemberStart {
             name: &identity.name,
             started_ms: identity.started_ms,
         };
@@ -133,8 +133,8 @@
             warm_up_fraction: warming.warm_up_fraction,
             carried_load: warming.carried_load,
         };
-        let budget = self.budgets.budget(now, start, load, present_drivers);
-        round.budgets.extend(budget.work.map(|work| WarmUpBudget {
+        let slow_start::WarmUpBudget { work, report } = self.sent.budget(now, member, load, present_drivers);
+        round.budgets.extend(work.map(|work| WarmUpBudget {
             member: warming.member,
             work,
             // A little longer than until the next computation.
@@ -145,9 +145,9 @@
             started_ms: identity.started_ms,
             driver: self.own.name.clone(),
             incarnation: self.own.incarnation,
-            sequence: budget.report.sequence,
-            work_us: budget.report.work_us,
-            carried_us: budget.report.carried_us,
+            sequence: report.sequence,
+            work_us: report.work_us,
+            carried_us: report.carried_us,
         };
         round.records.push(Observation::now(record));
     }
