--- a/crates/driver/tests/kept.rs
+++ b/crates/driver/tests/kept.rs
@@ -129,21 +129,17 @@
 fn a_damaged_copy_is_told_in_one_line_and_serves_as_far_as_it_is_whole() {
     #[allow(clippy::type_complexity)]
     let table: [(&str, fn(&mut Vec<u8>), &str); 5] = [
-        (
-            "torn",
-            |b| b.truncate(b.len() - 3),
-            "ends in the middle of a record",
-        ),
+        ("torn", |b| b.truncate(b.len() - 3), "ends within a record"),
         (
             "flipped",
             |b| {
                 let n = b.len();
                 b[60.min(n - 1)] ^= 1
             },
-            "the kept copy",
+            "the snapshot",
         ),
-        ("empty", Vec::clear, "the kept copy is empty"),
-        ("rubbish", |b| b[..8].fill(b'x'), "has no head"),
+        ("empty", Vec::clear, "the snapshot is empty"),
+        ("rubbish", |b| b[..8].fill(b'x'), "has no readable header"),
         ("version", |b| b[9] = 77, "has version 77, not 1"),
     ];
     for (name, change, words) in table {
@@ -183,7 +179,7 @@
         .operated
         .told("fleet: 0 of 3 stored records are of use still");
     let stage = stage.again("old-3", |b| *b = foreign);
-    stage.operated.told("the kept copy is u's: nothing of it is used");
+    stage.operated.told("the snapshot is u's: nothing of it is used");
     // Of a clock that was set back since drains bind all the same.
     let stage = stage.again("old-4", |b| *b = ahead);
     stage
@@ -298,7 +294,7 @@
     assert!(
         one["fault"]
             .as_str()
-            .is_some_and(|f| f.contains("ends in the middle")),
+            .is_some_and(|f| f.contains("ends within a record")),
         "{said}"
     );
     let counts = format!("{} of {} stored records", one["of_use"], one["facts"]);
--- a/crates/gossip/src/conflict.rs
+++ b/crates/gossip/src/conflict.rs
@@ -29,7 +29,7 @@
             ConflictKind::CompetingPrimaries => "two primaries at once",
             ConflictKind::DuplicateDriver => "two drivers of one name",
             ConflictKind::ForeignAddress => "a foreign address",
-            ConflictKind::DispatchedAfterDenial => "an id that was called untouched",
+            ConflictKind::DispatchedAfterDenial => "a statement dispatched after that was denied",
         }
     }
 }
--- a/crates/gossip/src/node/interface.rs
+++ b/crates/gossip/src/node/interface.rs
@@ -96,8 +96,8 @@
 impl fmt::Display for IgnoreReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            IgnoreReason::RateExceeded => "it sends more than it may",
-            IgnoreReason::ForeignName => "it speaks under another name than its address has",
+            IgnoreReason::RateExceeded => "it exceeds its rate limit",
+            IgnoreReason::ForeignName => "it uses a name that isn't configured for its address",
         })
     }
 }
--- a/crates/gossip/src/snapshot/mod.rs
+++ b/crates/gossip/src/snapshot/mod.rs
@@ -40,28 +40,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// There are no bytes.
-    #[error("the kept copy is empty")]
+    #[error("the snapshot is empty")]
     Empty,
     /// It isn't a snapshot, or its header is damaged.
-    #[error("the kept copy has no head that could be read: nothing of it is used")]
+    #[error("the snapshot has no readable header: nothing of it is used")]
     MissingHeader,
     /// It has another version.
-    #[error("the kept copy has version {0}, not {VERSION}: nothing of it is used")]
+    #[error("the snapshot has version {0}, not {VERSION}: nothing of it is used")]
     UnsupportedVersion(u16),
     /// It belongs to a fleet with other settings.
-    #[error("the kept copy is of a fleet with other settings: nothing of it is used")]
+    #[error("the snapshot is of a fleet with other settings: nothing of it is used")]
     OtherFleet,
     /// It belongs to the driver of this name.
-    #[error("the kept copy is {0}'s: nothing of it is used")]
+    #[error("the snapshot is {0}'s: nothing of it is used")]
     OtherDriver(String),
     /// It ends within a frame: the writer was killed, or the disk was full.
-    #[error("the kept copy ends in the middle of a record at byte {at}: what is before it is used")]
+    #[error("the snapshot ends within a record at byte {at}: records before it are used")]
     Truncated {
         /// Where the frame begins.
         at: usize,
     },
     /// A frame differs from what was written, and more follows.
-    #[error("the kept copy is damaged at byte {at}: what is before that is used")]
+    #[error("the snapshot is corrupted at byte {at}: records before that are used")]
     Corrupted {
         /// Where the frame begins.
         at: usize,
