--- /dev/null
+++ b/crates/driver/src/program/operators/start.rs
@@ -0,0 +1,126 @@
+//! With which settings a process starts.
+
+use super::{read, registry, OperatorsError, DECISIONS, DETAILS};
+use asterlatch_config::load::Outcome;
+use asterlatch_config::meaning::Meaning;
+use asterlatch_config::registry::Machine;
+use asterlatch_config::store::{Store, Stored};
+use std::path::{Path, PathBuf};
+
+/// Where the operators' file and its former generations are.
+#[derive(Clone, Debug, Default)]
+pub struct Given {
+    /// The operators' file.
+    pub file: Option<String>,
+    /// The folder of former generations.
+    pub state: Option<PathBuf>,
+    /// A start with a faulty file fails, whatever generations are stored.
+    pub strict: bool,
+}
+
+/// A log line with its topic.
+pub struct StartLine {
+    /// Topic of the line.
+    pub topic: &'static str,
+    /// Its text.
+    pub text: String,
+}
+
+/// What a start found.
+pub struct Start {
+    pub(super) number: u64,
+    /// The meaning to start with.
+    pub meaning: Meaning,
+    /// Lines to be logged.
+    pub lines: Vec<StartLine>,
+}
+
+/// Finds the meaning to start with: the file's, otherwise the generation that was stored last.
+///
+/// # Errors
+/// If the stored generations can't be read, or the file is faulty and may not, or can't, be replaced by one of them.
+pub fn start(given: &Given, machine: Machine) -> Result<Start, OperatorsError> {
+    let stored = match &given.state {
+        Some(folder) => stored_generations(folder)?,
+        None => Vec::new(),
+    };
+    let lines = damage_lines(&stored);
+    let newest = stored.first().map_or(0, |generation| generation.number);
+    let Some(path) = &given.file else {
+        return Ok(Start {
+            number: newest,
+            meaning: Meaning::default_of(registry()),
+            lines,
+        });
+    };
+    let outcome = read(path, machine);
+    if outcome.meaning.is_none() {
+        return start_on_stored(given, &stored, &outcome, lines);
+    }
+    Ok(Start {
+        number: newest + 1,
+        meaning: outcome.meaning.unwrap_or_else(|| Meaning::default_of(registry())),
+        lines,
+    })
+}
+
+fn stored_generations(folder: &Path) -> Result<Vec<Stored>, OperatorsError> {
+    let all = Store::open(folder).and_then(|store| store.all());
+    all.map_err(|source| OperatorsError::Store {
+        folder: folder.to_owned(),
+        source,
+    })
+}
+
+fn damage_lines(stored: &[Stored]) -> Vec<StartLine> {
+    let damaged = stored.iter().filter_map(|one| {
+        let damage = one.canonical.as_ref().err()?;
+        Some(format!(
+            "stored generation {} {}, passed over",
+            one.number,
+            damage.reason()
+        ))
+    });
+    damaged.map(|text| StartLine { topic: DETAILS, text }).collect()
+}
+
+/// Starts with the newest stored generation that can be read, since the file is faulty.
+fn start_on_stored(
+    given: &Given,
+    stored: &[Stored],
+    outcome: &Outcome,
+    mut lines: Vec<StartLine>,
+) -> Result<Start, OperatorsError> {
+    let errors = outcome.text();
+    if given.strict {
+        return Err(OperatorsError::Faulty { errors });
+    }
+    let readable = stored.iter().find_map(|one| {
+        let canonical = one.canonical.as_ref().ok()?;
+        let (meaning, unknown) = Meaning::from_canonical(registry(), canonical).ok()?;
+        Some((one.number, meaning, unknown))
+    });
+    let Some((number, meaning, unknown)) = readable else {
+        return Err(OperatorsError::NoStoredGeneration { errors });
+    };
+    let mut add = |topic, text| lines.push(StartLine { topic, text });
+    for line in errors.lines() {
+        add(DETAILS, line.to_owned());
+    }
+    if !unknown.is_empty() {
+        let all = unknown.join(", ");
+        add(
+            DETAILS,
+            format!("generation {number} states what is not known here: {all}"),
+        );
+    }
+    add(
+        DECISIONS,
+        format!("THE FILE IS FAULTY: serving on generation {number}, the one kept last"),
+    );
+    Ok(Start {
+        number,
+        meaning,
+        lines,
+    })
+}
--- a/crates/driver/src/program/serve.rs
+++ b/crates/driver/src/program/serve.rs
@@ -31,9 +31,9 @@
     control: Option<&Path>,
 ) -> Result<(), String> {
     let mut machine = operators::machine(&config);
-    let start = operators::start(given, machine)?;
+    let start = operators::start(given, machine).map_err(|e| e.to_string())?;
     let force = InForce::of(&start.meaning);
-    let mut takeover = upgrade::inherited(force.takeover.1)?;
+    let mut takeover = upgrade::inherited(force.handover.successor)?;
     transport::coroutines::start(force.stacks);
     let resumed = takeover.as_mut().map(|t| t.load(&config)).transpose()?;
     let clock = resumed.as_ref().map_or_else(Clock::start, |r| r.clock);
@@ -136,10 +136,11 @@
     event_loop.attach_listener(listening);
     let mut phases = Phases::default();
     operators::take_over(&mut event_loop, &mut phases, &force);
-    for (topic, line) in &start.lines {
-        log!(event_loop.observer, clock.now(), topic, "{line}");
+    for line in &start.lines {
+        log!(event_loop.observer, clock.now(), line.topic, "{}", line.text);
     }
-    let mut operators = Operators::new(given, start, force.takeover.0, to_operators)?;
+    let mut operators =
+        Operators::new(given, start, force.handover.predecessor, to_operators).map_err(|e| e.to_string())?;
     let mut told_to_leave = false;
     event_loop.run(&inputs, clock, |event_loop, now| {
         for event in event_loop.take_control_events() {
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -86,7 +86,7 @@
 fn described_in_force(force: &InForce) -> String {
     let limits = &force.limits;
     let [crowded, filling] = limits.crowded_idle_timeouts;
-    let (serving, taking) = &force.takeover;
+    let (serving, taking) = (&force.handover.predecessor, &force.handover.successor);
     let mut text = lines(&[
         ("descriptors.reserve", limits.reserved_descriptors.to_string()),
         ("descriptors.clients", limits.client_share.0.to_string()),
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -120,7 +120,7 @@
         (Times::default(), CoroutineStacks::default())
     );
     assert_eq!(
-        force.takeover,
+        (force.handover.predecessor, force.handover.successor),
         (predecessor::Timeouts::default(), successor::Timeouts::default())
     );
     assert_eq!(
