--- a/crates/driver/tests/transport.rs
+++ b/crates/driver/tests/transport.rs
@@ -35,7 +35,7 @@
 /// The number of a socket that is being closed may be given to one that is opened on another thread. Without
 /// `transport::event_registration::lock` some of these connections are never heard of again.
 #[test]
-fn sockets_opened_while_others_are_closed_are_heard_of() {
+fn sockets_opened_during_closes_report_events() {
     start(CoroutineStacks::default());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("is bound");
