--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -55,7 +55,8 @@
     };
     let settings = value.get("settings").ok_or("no settings")?;
     let settings_text = hash_id(&settings.to_string());
-    let settings = Pairs::from_json(settings).and_then(|pairs| asterlatch_settings::read(&pairs))?;
+    let settings = Pairs::from_json(settings).and_then(|pairs| asterlatch_settings::read(&pairs));
+    let settings = settings.map_err(|e| e.to_string())?;
     if settings.0.workloads.is_empty() {
         return Err("the settings name no workload".to_owned());
     }
--- a/crates/settings/tests/equal.rs
+++ b/crates/settings/tests/equal.rs
@@ -99,7 +99,7 @@
         let value = serde_json::from_str(json).expect("is JSON");
         let fault = Pairs::from_json(&value).and_then(|p| read(&p)).err();
         assert!(
-            fault.as_ref().is_some_and(|f| f.contains(named)),
+            fault.as_ref().is_some_and(|f| f.to_string().contains(named)),
             "{json}: {fault:?}"
         );
     }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,296 +1,283 @@
-//! Hosts drivers by number: decodes records into calls and results into records.
+//! Hosts drivers by number: passes records to their policies, and their actions back.
 
-use crate::wire::{Batch, Fault, Fields, Reply};
+use crate::decode;
+use crate::error::{HostError, RecordError};
+use crate::wire::{Batch, Fields, Reply};
 use asterlatch::interface::*;
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_settings::{Decoding, Pairs};
 use std::collections::BTreeMap;
 
+/// Codes of the simulator's records.
+mod event {
+    pub(super) const STREAM: u8 = 0;
+    pub(super) const STOP: u8 = 1;
+    pub(super) const EXECUTION_ENDED: u8 = 2;
+    pub(super) const STATEMENT_WITHDRAWN: u8 = 3;
+    pub(super) const PEER_MESSAGE: u8 = 4;
+    pub(super) const DEFINE_LIST: u8 = 5;
+    pub(super) const START: u8 = 6;
+    pub(super) const ENDPOINT_LIST: u8 = 7;
+    pub(super) const STATEMENT: u8 = 8;
+    pub(super) const TIMER: u8 = 9;
+    pub(super) const HEALTH_CHECK: u8 = 10;
+    pub(super) const DRIVER: u8 = 11;
+}
+
+/// Codes of the records of a reply.
+mod action {
+    pub(super) const EXECUTE: u8 = 0;
+    pub(super) const REJECT: u8 = 1;
+    pub(super) const ABORT: u8 = 2;
+    pub(super) const CANCEL: u8 = 3;
+    pub(super) const SET_TIMER: u8 = 4;
+    pub(super) const CHECK_HEALTH: u8 = 5;
+    pub(super) const POLL_ENDPOINT_LIST: u8 = 10;
+    pub(super) const DRIVER: u8 = 12;
+}
+
+/// Ways in which a list is to be taken.
+mod list_mode {
+    pub(super) const CHANGES: u8 = 0;
+    pub(super) const FAILED: u8 = 3;
+}
+
+/// Health checks that were answered.
+const HEALTH_CHECK_ANSWERED: u16 = 1;
+
 struct Instance {
-    driver: RoutingPolicy,
+    policy: RoutingPolicy,
     workloads: usize,
     decoding: Decoding,
     /// The earliest timer that is still to fire.
-    armed: Option<Timestamp>,
+    timer: Option<Timestamp>,
 }
 
+/// All drivers of the simulator.
 #[derive(Default)]
-pub struct Host {
+pub(crate) struct Host {
     instances: BTreeMap<u16, Instance>,
+    /// Lists that several drivers may be given, by number.
     lists: BTreeMap<u8, Vec<MemberEntry>>,
+    /// The driver that the next records are for.
+    current: Option<u16>,
+    /// The driver that the reply named last.
     replying_as: Option<u16>,
 }
 
-fn entry(f: &mut Fields) -> Result<MemberEntry, Fault> {
-    let (id, zone, named, _kind, group) = (f.u32()?, f.u16()?, f.f32()?, f.u16()?, f.u16()?);
-    let standing = match f.u8()? {
-        2 => MemberState::Ready,
-        0 => MemberState::Draining,
-        1 => MemberState::Gone,
-        other => return Err(format!("unknown standing {other} of member {id}")),
-    };
-    let (size, started) = (f.f32()?, f.u64()?);
-    Ok(MemberEntry {
-        id,
-        fleet_key: u64::from(id),
-        zone,
-        group: u32::from(group),
-        state: standing,
-        listed_as_primary: named == 1.0,
-        capacity: f64::from(size),
-        started_at: (started > 0).then_some(Timestamp(started)),
-    })
-}
-
-fn report(f: &mut Fields, decoding: &Decoding) -> Result<ReplicaStatus, Fault> {
-    let count = f.u8()?;
-    let mut values = Vec::new();
-    for _ in 0..count {
-        values.push(f.f32()?);
-    }
-    let at = |i: Option<usize>| i.and_then(|i| values.get(i)).map(|v| f64::from(*v));
-    // Taken down to the last whole millisecond: the wire's short floats may have rounded up.
-    let position = at(decoding.position_field)
-        .filter(|s| *s > 0.0)
-        .map(|s| decoding.epoch + TimeSpan::millis((s * 1000.0 - 0.5).max(0.0) as u64));
-    Ok(ReplicaStatus {
-        position,
-        is_primary: at(decoding.role_field).map(|v| v == 1.0),
-    })
-}
-
-fn noted(value: u32, decoding: &Decoding) -> ReplicaStatus {
-    let ms = u64::from(value / 4);
-    let position = (ms > 0 && decoding.positions).then(|| decoding.epoch + TimeSpan::millis(ms));
-    let is_primary = match value % 4 {
-        1 => Some(true),
-        2 => Some(false),
-        _ => None,
-    };
-    ReplicaStatus { position, is_primary }
-}
-
-fn ending(code: u16) -> Result<ExecutionOutcome, Fault> {
-    Ok(match code {
-        0 => ExecutionOutcome::Errored,
-        1 => ExecutionOutcome::Completed,
-        2 => ExecutionOutcome::Rejected,
-        3 => ExecutionOutcome::TimedOut,
-        4 => ExecutionOutcome::NoConnection,
-        5 => ExecutionOutcome::ConnectionLost,
-        6 => ExecutionOutcome::Cancelled,
-        7 => ExecutionOutcome::NotSent,
-        8 => ExecutionOutcome::NotEligible,
-        other => return Err(format!("unknown outcome {other}")),
-    })
-}
-
 impl Host {
-    pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, Fault> {
+    /// Takes a frame; returns the reply's frame.
+    pub(crate) fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, HostError> {
         let now = Timestamp(batch.clock);
         let mut reply = Reply::default();
         let mut body = Fields::new(&batch.body);
-        let mut current = None;
+        self.current = None;
         self.replying_as = None;
-        for n in 0..batch.records {
-            let place = |e: Fault| format!("frame {}, record {n}: {e}", batch.number);
-            let (code, fields) = body.record().map_err(place)?;
-            self.record(code, fields, now, &mut current, &mut reply)
-                .map_err(place)?;
+        for record in 0..batch.records {
+            let taken = self.take_record(&mut body, now, &mut reply);
+            taken.map_err(|source| HostError::Record {
+                frame: batch.number,
+                record,
+                source,
+            })?;
         }
         if !body.is_empty() {
-            return Err(format!(
-                "frame {} goes on after its {} records",
-                batch.number, batch.records
-            ));
+            return Err(HostError::TrailingBytes {
+                frame: batch.number,
+                records: batch.records,
+            });
         }
         Ok(reply.frame(batch.number))
     }
 
-    fn record(
+    fn take_record(
         &mut self,
-        code: u8,
-        mut f: Fields,
+        body: &mut Fields,
         now: Timestamp,
-        current: &mut Option<u16>,
         reply: &mut Reply,
-    ) -> Result<(), Fault> {
-        if code == 11 {
-            *current = Some(f.u16()?);
-            return Ok(());
-        }
-        if code == 5 {
-            let (number, count) = (f.u8()?, f.u32()?);
-            let mut entries = Vec::new();
-            for _ in 0..count {
-                entries.push(entry(&mut f)?);
-            }
-            self.lists.insert(number, entries);
-            return Ok(());
-        }
-        let number = current.ok_or_else(|| format!("event {code} before any driver was named"))?;
-        match code {
-            1 => {
-                self.instances.remove(&number);
-                return Ok(());
-            }
-            6 => {
-                let (seed, len) = (f.u64()?, f.u32()? as usize);
-                let text = std::str::from_utf8(f.take(len)?).map_err(|e| format!("settings text: {e}"))?;
-                let (settings, decoding) = asterlatch_settings::read(&Pairs::from_text(text)?)?;
-                let driver = RoutingPolicy::new(&settings, seed, now);
-                let workloads = settings.workloads.len();
-                self.instances.insert(
-                    number,
-                    Instance {
-                        driver,
-                        workloads,
-                        decoding,
-                        armed: None,
-                    },
-                );
+    ) -> Result<(), RecordError> {
+        let mut record = body.record()?;
+        match record.code {
+            event::DRIVER => {
+                self.current = Some(record.fields.u16()?);
                 return Ok(());
             }
+            event::DEFINE_LIST => return self.define_list(&mut record.fields),
             _ => {}
         }
-        let lists = &self.lists;
-        let instance = self.instances.get_mut(&number);
-        let Some(Instance {
-            driver,
-            workloads,
+        let driver = self.current.ok_or(RecordError::NoDriver(record.code))?;
+        match record.code {
+            event::STOP => {
+                self.instances.remove(&driver);
+                Ok(())
+            }
+            event::START => self.start(driver, &mut record.fields, now),
+            code => self.take_event(driver, code, &mut record.fields, now, reply),
+        }
+    }
+
+    fn define_list(&mut self, fields: &mut Fields) -> Result<(), RecordError> {
+        let number = fields.u8()?;
+        let count = fields.u32()?;
+        let mut entries = Vec::new();
+        for _ in 0..count {
+            entries.push(decode::member_entry(fields)?);
+        }
+        self.lists.insert(number, entries);
+        Ok(())
+    }
+
+    fn start(&mut self, driver: u16, fields: &mut Fields, now: Timestamp) -> Result<(), RecordError> {
+        let seed = fields.u64()?;
+        let length = fields.u32()? as usize;
+        let text = std::str::from_utf8(fields.take(length)?)?;
+        let (settings, decoding) = asterlatch_settings::read(&Pairs::from_text(text)?)?;
+        let instance = Instance {
+            policy: RoutingPolicy::new(&settings, seed, now),
+            workloads: settings.workloads.len(),
             decoding,
-            armed,
-        }) = instance
-        else {
-            return Err(format!("event {code} for driver {number}, which is not running"));
+            timer: None,
         };
-        let results = match code {
-            0 | 4 => return Ok(()), // streams and messages between drivers: no deployment here has them
-            2 => {
-                let (stmt, attempt, member, status) = (f.u32()?, f.u8()?, f.u32()?, f.u16()?);
-                let (took, settled, note) = (TimeSpan(f.u32()?.into()), f.u8()? != 0, f.u32()?);
-                let inline = report(&mut f, decoding)?;
-                let sighting = noted(note, decoding).merge(inline);
-                let ending = ending(status)?;
-                driver.on_execution_ended(
-                    now,
-                    &ExecutionEnd {
-                        statement: stmt,
-                        attempt,
-                        member,
-                        outcome: ending,
-                        latency: took,
-                        is_answered: settled,
-                        status: sighting,
-                    },
-                )
-            }
-            3 => driver.on_statement_withdrawn(now, f.u32()?),
-            7 => {
-                let (mode, _version, list) = (f.u8()?, f.u64()?, f.u8()?);
-                if mode == 3 {
-                    driver.on_poll_failed(now)
-                } else if mode < 3 {
-                    let entries = lists
-                        .get(&list)
-                        .ok_or_else(|| format!("list {list} was never defined"))?;
-                    driver.on_endpoint_list(now, entries, mode != 0)
-                } else {
-                    return Err(format!("unknown list mode {mode}"));
-                }
+        self.instances.insert(driver, instance);
+        Ok(())
+    }
+
+    /// Passes an event to a driver's policy and appends its actions to the reply.
+    fn take_event(
+        &mut self,
+        driver: u16,
+        code: u8,
+        fields: &mut Fields,
+        now: Timestamp,
+        reply: &mut Reply,
+    ) -> Result<(), RecordError> {
+        let instance = self.instances.get_mut(&driver);
+        let instance = instance.ok_or(RecordError::NotRunning { event: code, driver })?;
+        let actions = match code {
+            // Streams and messages between drivers: no deployment here has them.
+            event::STREAM | event::PEER_MESSAGE => return Ok(()),
+            event::EXECUTION_ENDED => {
+                let end = decode::execution_end(fields, &instance.decoding)?;
+                instance.policy.on_execution_ended(now, &end)
             }
-            8 => {
-                let (id, workload, tenant, session) = (f.u32()?, f.u8()?, f.u32()?, f.u64()?);
-                let (left, work, group, ago, bits) = (f.u32()?, f.u32()?, f.f32()?, f.f32()?, f.u16()?);
-                if usize::from(workload) >= *workloads {
-                    return Err(format!("statement {id} is of the unknown class {workload}"));
-                }
-                driver.on_statement(
-                    now,
-                    &Statement {
-                        id,
-                        workload: workload.into(),
-                        tenant: tenant as usize,
-                        group: group as u32,
-                        session,
-                        is_client_retry: bits & 2 != 0,
-                        time_left: TimeSpan(left.into()),
-                        expected_work: (bits & 1 != 0).then_some(TimeSpan(work.into())),
-                        prior_attempt: None,
-                        session_write_age: (ago > 0.0).then(|| TimeSpan((f64::from(ago) * 1000.0) as u64)),
-                    },
-                )
+            event::STATEMENT_WITHDRAWN => instance.policy.on_statement_withdrawn(now, fields.u32()?),
+            event::ENDPOINT_LIST => instance.on_endpoint_list(&self.lists, fields, now)?,
+            event::STATEMENT => {
+                let statement = decode::statement(fields, instance.workloads)?;
+                instance.policy.on_statement(now, &statement)
             }
-            9 => {
-                if *armed == Some(Timestamp(f.u64()?)) {
-                    *armed = None;
+            event::TIMER => {
+                if instance.timer == Some(Timestamp(fields.u64()?)) {
+                    instance.timer = None;
                 }
-                driver.advance_to(now)
-            }
-            10 => {
-                let (member, status, took) = (f.u32()?, f.u16()?, TimeSpan(f.u32()?.into()));
-                let sighting = report(&mut f, decoding)?;
-                driver.on_health_check(now, member, status == 1, took, sighting)
+                instance.policy.advance_to(now)
             }
-            other => return Err(format!("unknown event code {other}")),
+            event::HEALTH_CHECK => instance.on_health_check(fields, now)?,
+            other => return Err(RecordError::UnknownEvent(other)),
         };
-        let wake = results.wake_up_at.filter(|at| armed.is_none_or(|a| *at < a));
-        if let Some(at) = wake {
-            *armed = Some(at);
-        }
-        encode(&results, wake, now, number, &mut self.replying_as, reply);
+        let new_timer = instance.set_timer(actions.wake_up_at);
+        let mut encoder = ActionEncoder {
+            driver,
+            replying_as: &mut self.replying_as,
+            reply,
+        };
+        encoder.encode(&actions, new_timer, now);
         Ok(())
     }
 }
 
-fn encode(
-    r: &Actions,
-    wake: Option<Timestamp>,
-    now: Timestamp,
-    number: u16,
-    named: &mut Option<u16>,
-    reply: &mut Reply,
-) {
-    let mut put = |code: u8, fields: &[&[u8]]| {
-        if *named != Some(number) {
-            reply.record(12, &[&number.to_le_bytes()]);
-            *named = Some(number);
+impl Instance {
+    fn on_endpoint_list(
+        &mut self,
+        lists: &BTreeMap<u8, Vec<MemberEntry>>,
+        fields: &mut Fields,
+        now: Timestamp,
+    ) -> Result<Actions, RecordError> {
+        let mode = fields.u8()?;
+        let _version = fields.u64()?;
+        let number = fields.u8()?;
+        if mode > list_mode::FAILED {
+            return Err(RecordError::UnknownListMode(mode));
+        }
+        if mode == list_mode::FAILED {
+            return Ok(self.policy.on_poll_failed(now));
+        }
+        let entries = lists.get(&number).ok_or(RecordError::UndefinedList(number))?;
+        let is_complete = mode != list_mode::CHANGES;
+        Ok(self.policy.on_endpoint_list(now, entries, is_complete))
+    }
+
+    fn on_health_check(&mut self, fields: &mut Fields, now: Timestamp) -> Result<Actions, RecordError> {
+        let member = fields.u32()?;
+        let is_answered = fields.u16()? == HEALTH_CHECK_ANSWERED;
+        let latency = TimeSpan(fields.u32()?.into());
+        let status = decode::load_report(fields, &self.decoding)?;
+        let actions = self
+            .policy
+            .on_health_check(now, member, is_answered, latency, status);
+        Ok(actions)
+    }
+
+    /// The timer to be set, if it is earlier than the one that is still to fire.
+    fn set_timer(&mut self, wake_up_at: Option<Timestamp>) -> Option<Timestamp> {
+        let at = wake_up_at.filter(|at| self.timer.is_none_or(|timer| *at < timer))?;
+        self.timer = Some(at);
+        Some(at)
+    }
+}
+
+struct ActionEncoder<'a> {
+    driver: u16,
+    replying_as: &'a mut Option<u16>,
+    reply: &'a mut Reply,
+}
+
+impl ActionEncoder<'_> {
+    fn put(&mut self, code: u8, fields: &[&[u8]]) {
+        if *self.replying_as != Some(self.driver) {
+            self.reply.record(action::DRIVER, &[&self.driver.to_le_bytes()]);
+            *self.replying_as = Some(self.driver);
         }
-        reply.record(code, fields);
-    };
-    for c in &r.cancellations {
-        put(3, &[&c.statement.to_le_bytes(), &[c.attempt]]);
+        self.reply.record(code, fields);
     }
-    for e in &r.executions {
-        put(
-            0,
-            &[
-                &e.statement.to_le_bytes(),
-                &e.member.to_le_bytes(),
-                &e.deadline.0.to_le_bytes(),
-            ],
-        );
+
+    fn encode(&mut self, actions: &Actions, new_timer: Option<Timestamp>, now: Timestamp) {
+        for cancellation in &actions.cancellations {
+            let statement = cancellation.statement.to_le_bytes();
+            self.put(action::CANCEL, &[&statement, &[cancellation.attempt]]);
+        }
+        for execution in &actions.executions {
+            let statement = execution.statement.to_le_bytes();
+            let member = execution.member.to_le_bytes();
+            let deadline = execution.deadline.0.to_le_bytes();
+            self.put(action::EXECUTE, &[&statement, &member, &deadline]);
+        }
+        for answer in &actions.answers {
+            self.encode_answer(answer);
+        }
+        for member in &actions.health_checks {
+            self.put(action::CHECK_HEALTH, &[&member.to_le_bytes()]);
+        }
+        if actions.poll_endpoint_list {
+            self.put(action::POLL_ENDPOINT_LIST, &[&[1]]);
+        }
+        if let Some(at) = new_timer {
+            let offset = (at - now).0.min(u64::from(u32::MAX)) as u32;
+            self.put(action::SET_TIMER, &[&at.0.to_le_bytes(), &offset.to_le_bytes()]);
+        }
     }
-    for answer in &r.answers {
+
+    fn encode_answer(&mut self, answer: &Answer) {
         match answer {
             Answer::Rejected {
-                statement: stmt,
-                retry_after: hold_off,
+                statement,
+                retry_after,
             } => {
-                put(1, &[&stmt.to_le_bytes(), &(hold_off.0 as u32).to_le_bytes()]);
+                let retry_after = (retry_after.0 as u32).to_le_bytes();
+                self.put(action::REJECT, &[&statement.to_le_bytes(), &retry_after]);
             }
-            Answer::Aborted { statement: stmt } => put(2, &[&stmt.to_le_bytes()]),
+            Answer::Aborted { statement } => self.put(action::ABORT, &[&statement.to_le_bytes()]),
         }
     }
-    for member in &r.health_checks {
-        put(5, &[&member.to_le_bytes()]);
-    }
-    if r.poll_endpoint_list {
-        put(10, &[&[1]]);
-    }
-    if let Some(at) = wake {
-        let offset = (at - now).0.min(u64::from(u32::MAX)) as u32;
-        put(4, &[&at.0.to_le_bytes(), &offset.to_le_bytes()]);
-    }
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,21 +1,24 @@
-//! Speaks the bench's wire on standard input and output and hosts one driver per instance.
+//! `asterlatch-simhost`: speaks the simulator's wire on standard input and output and hosts one driver per instance.
 
+mod decode;
+mod error;
 mod host;
 mod wire;
 
+use error::HostError;
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
-fn serve() -> Result<(), wire::Fault> {
-    let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
+const INPUT_BUFFER: usize = 1 << 16;
+
+fn serve() -> Result<(), HostError> {
+    let mut input = BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut host = host::Host::default();
     while let Some(batch) = wire::read_batch(&mut input)? {
         let frame = host.answer(&batch)?;
-        output
-            .write_all(&frame)
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("writing reply: {e}"))?;
+        let written = output.write_all(&frame).and_then(|()| output.flush());
+        written.map_err(HostError::WriteReply)?;
     }
     Ok(())
 }
@@ -23,8 +26,8 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("asterlatch-simhost: {fault}");
+        Err(error) => {
+            eprintln!("asterlatch-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,142 +1,156 @@
-//! Frames and records of the bench's wire.
+//! Frames and records of the simulator's wire: little-endian integers, records of a code, a length and fields.
 
-use std::io::{self, Read};
+use crate::error::{HostError, RecordError};
+use std::io::Read;
 
-pub type Fault = String;
+/// Bytes of a frame's header from the simulator.
+const REQUEST_HEADER: usize = 20;
+/// Bytes of a reply's header.
+const REPLY_HEADER: usize = 12;
 
-/// Reads fields one after another and complains when they run out.
-pub struct Fields<'a> {
+/// Reads fields one after another.
+pub(crate) struct Fields<'a> {
     left: &'a [u8],
 }
 
+/// A record of a frame.
+pub(crate) struct WireRecord<'a> {
+    pub(crate) code: u8,
+    pub(crate) fields: Fields<'a>,
+}
+
 impl<'a> Fields<'a> {
-    pub fn new(bytes: &'a [u8]) -> Self {
+    pub(crate) fn new(bytes: &'a [u8]) -> Self {
         Fields { left: bytes }
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.left.is_empty()
     }
 
-    pub fn take(&mut self, n: usize) -> Result<&'a [u8], Fault> {
-        if n > self.left.len() {
-            return Err(format!(
-                "{n} bytes wanted, {} left in the record",
-                self.left.len()
-            ));
-        }
-        let (head, rest) = self.left.split_at(n);
+    pub(crate) fn take(&mut self, count: usize) -> Result<&'a [u8], RecordError> {
+        let Some((head, rest)) = self.left.split_at_checked(count) else {
+            return Err(RecordError::FieldBeyondEnd {
+                wanted: count,
+                left: self.left.len(),
+            });
+        };
         self.left = rest;
         Ok(head)
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Fault> {
-        let mut out = [0; N];
-        out.copy_from_slice(self.take(N)?);
-        Ok(out)
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], RecordError> {
+        let mut bytes = [0; N];
+        bytes.copy_from_slice(self.take(N)?);
+        Ok(bytes)
     }
 
-    pub fn u8(&mut self) -> Result<u8, Fault> {
-        Ok(self.array::<1>()?[0])
+    pub(crate) fn u8(&mut self) -> Result<u8, RecordError> {
+        self.array().map(u8::from_le_bytes)
     }
-    pub fn u16(&mut self) -> Result<u16, Fault> {
+
+    pub(crate) fn u16(&mut self) -> Result<u16, RecordError> {
         self.array().map(u16::from_le_bytes)
     }
-    pub fn u32(&mut self) -> Result<u32, Fault> {
+
+    pub(crate) fn u32(&mut self) -> Result<u32, RecordError> {
         self.array().map(u32::from_le_bytes)
     }
-    pub fn u64(&mut self) -> Result<u64, Fault> {
+
+    pub(crate) fn u64(&mut self) -> Result<u64, RecordError> {
         self.array().map(u64::from_le_bytes)
     }
-    pub fn f32(&mut self) -> Result<f32, Fault> {
+
+    pub(crate) fn f32(&mut self) -> Result<f32, RecordError> {
         self.array().map(f32::from_le_bytes)
     }
 
-    /// A record's code and its fields.
-    pub fn record(&mut self) -> Result<(u8, Fields<'a>), Fault> {
+    /// The next record, with its fields.
+    pub(crate) fn record(&mut self) -> Result<WireRecord<'a>, RecordError> {
         let code = self.u8()?;
-        let len = self.u32()? as usize;
-        Ok((code, Fields::new(self.take(len)?)))
+        let length = self.u32()? as usize;
+        let fields = Fields::new(self.take(length)?);
+        Ok(WireRecord { code, fields })
     }
 }
 
-pub struct Batch {
-    pub number: u32,
-    pub records: u32,
-    pub clock: u64,
-    pub body: Vec<u8>,
+/// A frame from the simulator.
+pub(crate) struct Batch {
+    /// Number of the frame.
+    pub(crate) number: u32,
+    /// Number of its records.
+    pub(crate) records: u32,
+    /// The simulator's clock in microseconds.
+    pub(crate) clock: u64,
+    /// The records.
+    pub(crate) body: Vec<u8>,
 }
 
-const HEADER: usize = 20;
-
-/// The next batch, or none when input has ended between frames.
-pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, Fault> {
-    let mut header = Vec::with_capacity(HEADER);
-    let read = |e: io::Error| format!("reading input: {e}");
-    input
-        .by_ref()
-        .take(HEADER as u64)
-        .read_to_end(&mut header)
-        .map_err(read)?;
+/// Reads the next frame; `None` where input ends between two frames.
+pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, HostError> {
+    let header = read_up_to(input, REQUEST_HEADER)?;
     if header.is_empty() {
         return Ok(None);
     }
-    if header.len() < HEADER {
-        return Err(format!(
-            "input ended inside a frame header, after {} bytes",
-            header.len()
-        ));
-    }
+    let truncated = |_| HostError::TruncatedHeader(header.len());
     let mut fields = Fields::new(&header);
-    let (number, length, records, clock) = (fields.u32()?, fields.u32()?, fields.u32()?, fields.u64()?);
-    let want = (length as usize)
-        .checked_sub(HEADER)
-        .ok_or_else(|| format!("frame {number} declares {length} bytes, less than its header"))?;
-    // Grows with what really arrives, so that a false length costs no memory.
-    let mut body = Vec::new();
-    input
-        .by_ref()
-        .take(want as u64)
-        .read_to_end(&mut body)
-        .map_err(read)?;
-    if body.len() < want {
-        return Err(format!(
-            "frame {number} declares {length} bytes but input ended after {}",
-            body.len() + HEADER
-        ));
+    let frame = fields.u32().map_err(truncated)?;
+    let length = fields.u32().map_err(truncated)?;
+    let records = fields.u32().map_err(truncated)?;
+    let clock = fields.u64().map_err(truncated)?;
+    let body_length = (length as usize).checked_sub(REQUEST_HEADER);
+    let body_length = body_length.ok_or(HostError::LengthBelowHeader { frame, length })?;
+    let body = read_up_to(input, body_length)?;
+    if body.len() < body_length {
+        return Err(HostError::TruncatedFrame {
+            frame,
+            length,
+            received: body.len() + REQUEST_HEADER,
+        });
     }
     Ok(Some(Batch {
-        number,
+        number: frame,
         records,
         clock,
         body,
     }))
 }
 
-/// Gathers the records of one reply.
+/// At most `count` bytes. Memory grows with what really arrives, so a false length costs none.
+fn read_up_to(input: &mut impl Read, count: usize) -> Result<Vec<u8>, HostError> {
+    let mut bytes = Vec::new();
+    let mut limited = input.by_ref().take(count as u64);
+    limited.read_to_end(&mut bytes).map_err(HostError::ReadInput)?;
+    Ok(bytes)
+}
+
+/// The records of one reply.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     body: Vec<u8>,
     records: u32,
 }
 
 impl Reply {
-    pub fn record(&mut self, code: u8, fields: &[&[u8]]) {
-        let len: usize = fields.iter().map(|f| f.len()).sum();
+    /// Appends a record.
+    pub(crate) fn record(&mut self, code: u8, fields: &[&[u8]]) {
+        let length: usize = fields.iter().map(|field| field.len()).sum();
         self.body.push(code);
-        self.body.extend_from_slice(&(len as u32).to_le_bytes());
+        self.body.extend_from_slice(&(length as u32).to_le_bytes());
         for field in fields {
             self.body.extend_from_slice(field);
         }
         self.records += 1;
     }
 
-    pub fn frame(&self, number: u32) -> Vec<u8> {
-        let mut out = Vec::with_capacity(12 + self.body.len());
-        out.extend_from_slice(&number.to_le_bytes());
-        out.extend_from_slice(&(12 + self.body.len() as u32).to_le_bytes());
-        out.extend_from_slice(&self.records.to_le_bytes());
-        out.extend_from_slice(&self.body);
-        out
+    /// The frame with all records.
+    pub(crate) fn frame(&self, number: u32) -> Vec<u8> {
+        let length = REPLY_HEADER + self.body.len();
+        let mut frame = Vec::with_capacity(length);
+        frame.extend_from_slice(&number.to_le_bytes());
+        frame.extend_from_slice(&(length as u32).to_le_bytes());
+        frame.extend_from_slice(&self.records.to_le_bytes());
+        frame.extend_from_slice(&self.body);
+        frame
     }
 }
