--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 
 # Stand-in members, discovery and clients around the built program, ten seconds of load with faults, and a judge.
 demo: build
-	target/release/asterlatch-lab demo
+	target/release/asterlatch-testbed demo
 
 run: build
 	target/release/asterlatch serve --config "$(CONFIG)"
@@ -40,7 +40,7 @@
 # clients were told is held against what members ran.
 trial-upgrade: build
 	cargo test -p asterlatch-driver --release --locked --test upgrade -- --ignored --nocapture twenty
-	target/release/asterlatch-lab upgrade --count 20 --rate 1500 --faults --after 1
+	target/release/asterlatch-testbed upgrade --count 20 --rate 1500 --faults --after 1
 
 # SIGKILL on either side at 200 random points of upgrades: make trial-faults SEED=7
 trial-faults:
@@ -49,7 +49,7 @@
 # All scenes of several processes with faults between them, fifty seeds each: half an hour on six cores.
 SEEDS ?= 50
 trial-fleet: build
-	target/release/asterlatch-lab trial-fleet --seeds $(SEEDS) --jobs 6 --seconds 5
+	target/release/asterlatch-testbed trial-fleet --seeds $(SEEDS) --jobs 6 --seconds 5
 
 # Costs of word between drivers by size, in virtual time.
 measure-shared:
--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Five processes of the built program with faults between them: the laboratory's scenes, judged over all of them together.
 
-use asterlatch_lab::fleet::{run, scenes, Outcome, Plan};
-use asterlatch_lab::roam::Manners;
-use asterlatch_lab::script::Script;
+use asterlatch_testbed::fleet::{run, scenes, Outcome, Plan};
+use asterlatch_testbed::roam::Manners;
+use asterlatch_testbed::script::Script;
 use std::path::Path;
 use std::sync::{Condvar, Mutex, PoisonError};
 
--- a/crates/driver/tests/stand/mod.rs
+++ b/crates/driver/tests/stand/mod.rs
@@ -14,8 +14,8 @@
 /// Long enough for the busiest machine; nothing here waits for it to pass.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-pub use asterlatch_lab::wire::message;
-use asterlatch_lab::wire::{read, row, status};
+pub use asterlatch_testbed::wire::message;
+use asterlatch_testbed::wire::{read, row, status};
 
 pub fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     read(stream, true).ok()
--- a/crates/lab/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod judge;
 pub mod load;
 pub mod member;
+pub mod program;
 pub mod relay;
 pub mod roam;
 pub mod scene;
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/program.rs
@@ -1,16 +1,16 @@
-//! `asterlatch-lab`: experiments on one machine.
+//! Command line of the test bed: experiments on one machine.
 
+use crate::arrivals::Arrivals;
+use crate::fleet::{self, Plan};
+use crate::judge::{judge, times, Record};
+use crate::load;
+use crate::member::{lock, pause};
+use crate::roam::Manners;
+use crate::scene::Scene;
+use crate::script::Script;
+use crate::wire::unix;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_lab::arrivals::Arrivals;
-use asterlatch_lab::fleet::{self, Plan};
-use asterlatch_lab::judge::{judge, times, Record};
-use asterlatch_lab::load;
-use asterlatch_lab::member::{lock, pause};
-use asterlatch_lab::roam::Manners;
-use asterlatch_lab::scene::Scene;
-use asterlatch_lab::script::Script;
-use asterlatch_lab::wire::unix;
-use clap::{Args, Parser, Subcommand};
+use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand};
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -401,8 +401,12 @@
     Ok(failed == 0)
 }
 
-fn main() -> ExitCode {
-    let done = match Line::parse().command {
+/// Runs the command line of the program called `name` and returns its exit code: 0 if every rule was kept, 1 if one was
+/// broken, 2 on an error.
+pub fn main(name: &'static str) -> ExitCode {
+    let matches = Line::command().name(name).get_matches();
+    let line = Line::from_arg_matches(&matches).unwrap_or_else(|e| e.exit());
+    let done = match line.command {
         Command::Fleet {
             arguments,
             scene,
@@ -437,7 +441,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
-            eprintln!("asterlatch-lab: {e}");
+            eprintln!("{name}: {e}");
             ExitCode::from(2)
         }
     }
--- a/crates/lab/tests/decisions.rs
+++ b/crates/testbed/tests/decisions.rs
@@ -1,11 +1,11 @@
 //! Scripts, the store, arrivals and the judge, without sockets.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_lab::arrivals::Arrivals;
-use asterlatch_lab::judge::{judge, Record, Told, BREACHES};
-use asterlatch_lab::script::{Event, Fault, Harm, Outage, Script, Target};
-use asterlatch_lab::store::{workloads, Ask, Reply, Store};
-use asterlatch_lab::wire::{ask, of_value, value};
+use asterlatch_testbed::arrivals::Arrivals;
+use asterlatch_testbed::judge::{judge, Record, Told, BREACHES};
+use asterlatch_testbed::script::{Event, Fault, Harm, Outage, Script, Target};
+use asterlatch_testbed::store::{workloads, Ask, Reply, Store};
+use asterlatch_testbed::wire::{ask, of_value, value};
 
 const START: Timestamp = Timestamp(1_000_000_000_000);
 
