--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Five processes of the built program with faults between them: the laboratory's scenes, judged over all of them together.
 
-use asterlatch_testbed::fleet::{run, scenes, Outcome, Plan};
-use asterlatch_testbed::roam::Manners;
-use asterlatch_testbed::script::Script;
+use asterlatch_testbed::cluster::{run, scenes, Outcome, Plan};
+use asterlatch_testbed::fault_script::Script;
+use asterlatch_testbed::roaming_clients::Manners;
 use std::path::Path;
 use std::sync::{Condvar, Mutex, PoisonError};
 
--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -1,6 +1,6 @@
 //! When clients ask, and for what: an open stream, which doesn't wait for answers.
 
-use crate::store::Workload;
+use crate::store_model::Workload;
 use asterlatch::time::TimeSpan;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/testbed/src/bin/asterlatch-lab.rs
+++ b/crates/testbed/src/bin/asterlatch-lab.rs
@@ -1,5 +1,5 @@
 //! `asterlatch-lab`: former name of `asterlatch-testbed`, kept for scripts that call it.
 
 fn main() -> std::process::ExitCode {
-    asterlatch_testbed::program::main(env!("CARGO_BIN_NAME"))
+    asterlatch_testbed::cli::main(env!("CARGO_BIN_NAME"))
 }
--- a/crates/testbed/src/bin/asterlatch-testbed.rs
+++ b/crates/testbed/src/bin/asterlatch-testbed.rs
@@ -1,5 +1,5 @@
 //! `asterlatch-testbed`: experiments on one machine.
 
 fn main() -> std::process::ExitCode {
-    asterlatch_testbed::program::main(env!("CARGO_BIN_NAME"))
+    asterlatch_testbed::cli::main(env!("CARGO_BIN_NAME"))
 }
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/checker.rs
@@ -1,6 +1,6 @@
 //! Holds what clients were told against what members did.
 
-use crate::store::{Kind, Store};
+use crate::store_model::{Kind, Store};
 use asterlatch::time::{TimeSpan, Timestamp};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,13 +1,13 @@
 //! Command line of the test bed: experiments on one machine.
 
 use crate::arrivals::Arrivals;
-use crate::fleet::{self, Plan};
-use crate::judge::{judge, times, Record};
-use crate::load;
+use crate::checker::{judge, times, Record};
+use crate::cluster::{self, Plan};
+use crate::deployment::Scene;
+use crate::fault_script::Script;
+use crate::load_generator;
 use crate::member::{lock, pause};
-use crate::roam::Manners;
-use crate::scene::Scene;
-use crate::script::Script;
+use crate::roaming_clients::Manners;
 use crate::wire::unix;
 use asterlatch::time::{TimeSpan, Timestamp};
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand};
@@ -171,12 +171,12 @@
         )
     }
 
-    fn load(&self, scene: &Scene, seconds: f64) -> (load::Load, Timestamp) {
+    fn load(&self, scene: &Scene, seconds: f64) -> (load_generator::Load, Timestamp) {
         let from = unix();
         let workloads = lock(&scene.store).workloads.clone();
         let until = TimeSpan((seconds * 1e6) as u64);
         let arrivals = Arrivals::new(&workloads, self.rate, self.basis.groups, until, self.basis.seed);
-        let load = load::start(&scene.store, scene.listen, arrivals, from, self.clients);
+        let load = load_generator::start(&scene.store, scene.listen, arrivals, from, self.clients);
         (load, from)
     }
 }
@@ -327,8 +327,8 @@
         })
     }
 
-    fn run(&self, drivers: u32, text: &str, seed: u64) -> io::Result<fleet::Outcome> {
-        fleet::run(&self.basis.driver()?, &self.plan(drivers, text, seed)?)
+    fn run(&self, drivers: u32, text: &str, seed: u64) -> io::Result<cluster::Outcome> {
+        cluster::run(&self.basis.driver()?, &self.plan(drivers, text, seed)?)
     }
 }
 
@@ -340,8 +340,8 @@
             (arguments.drivers, text)
         }
         None => {
-            let found = fleet::scenes(arguments.drivers).find(|(name, ..)| *name == scene);
-            let names: Vec<_> = fleet::scenes(0).map(|(name, ..)| name).collect();
+            let found = cluster::scenes(arguments.drivers).find(|(name, ..)| *name == scene);
+            let names: Vec<_> = cluster::scenes(0).map(|(name, ..)| name).collect();
             let (_, drivers, text) =
                 found.ok_or_else(|| io::Error::other(format!("no scene '{scene}': {}", names.join(", "))))?;
             (drivers, text.to_owned())
@@ -358,7 +358,7 @@
 
 fn trial_fleet(arguments: &FleetArguments, seeds: u64, jobs: usize, only: &[String]) -> io::Result<bool> {
     let meant = |name: &str| only.is_empty() || only.iter().any(|o| o == name);
-    let scenes: Vec<_> = fleet::scenes(arguments.drivers)
+    let scenes: Vec<_> = cluster::scenes(arguments.drivers)
         .filter(|(name, ..)| meant(name))
         .collect();
     let seeds = arguments.basis.seed..arguments.basis.seed + seeds;
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,14 +1,14 @@
 //! Several processes of the program with one store behind them, links between them, and what befalls all of that by script.
 
 use crate::arrivals::Arrivals;
+use crate::checker::{judge, Told};
+use crate::deployment::{described, is_up, PATIENCE};
 use crate::discovery;
-use crate::judge::{judge, Told};
+use crate::fault_script::{Outage, Script};
+use crate::link_proxy::{self, Link};
 use crate::member::{self, lock, pause, Shared};
-use crate::relay::{self, Link};
-use crate::roam::{self, Manners, Roamed};
-use crate::scene::{described, is_up, PATIENCE};
-use crate::script::{Outage, Script};
-use crate::store::{Kind, Store};
+use crate::roaming_clients::{self, Manners, Roamed};
+use crate::store_model::{Kind, Store};
 use crate::wire::unix;
 use asterlatch::time::{TimeSpan, Timestamp};
 use serde_json::Value;
@@ -92,7 +92,7 @@
         for one in 1..=plan.drivers {
             for other in one + 1..=plan.drivers {
                 let ends = (own[one as usize - 1], own[other as usize - 1]);
-                let link = relay::start(&store, (one, other), ends, plan.seed)?;
+                let link = link_proxy::start(&store, (one, other), ends, plan.seed)?;
                 found.insert((one, other), link.at.0);
                 found.insert((other, one), link.at.1);
                 links.push(link);
@@ -444,7 +444,7 @@
     };
     let arrivals = Arrivals::new(&workloads, plan.rate, plan.groups, until, plan.seed);
     let terms = (plan.clients, plan.manners, plan.seed);
-    let load = roam::start(&fleet.store, &fleet.listens(), arrivals, from, terms);
+    let load = roaming_clients::start(&fleet.store, &fleet.listens(), arrivals, from, terms);
     fleet.play(from, &plan.script)?;
     let records = load.finish();
     let mut outcome = Outcome {
@@ -500,10 +500,10 @@
     let report = judge(&store, &plain);
     for (n, count) in report.breaches.iter().enumerate().filter(|(_, c)| **c > 0) {
         // What a session wrote at one driver is no promise at another; it is counted.
-        if n == crate::judge::SESSION {
+        if n == crate::checker::SESSION {
             outcome.roamed_stale = *count;
         } else {
-            outcome.broken.insert(crate::judge::BREACHES[n], *count);
+            outcome.broken.insert(crate::checker::BREACHES[n], *count);
         }
     }
     if report.after_drains > 0 {
--- a/crates/testbed/src/scene.rs
+++ b/crates/testbed/src/deployment.rs
@@ -1,9 +1,9 @@
 //! A whole deployment on loopback: members, discovery, and the built program between them and its clients.
 
 use crate::discovery;
+use crate::fault_script::Script;
 use crate::member::{self, lock, Shared};
-use crate::script::Script;
-use crate::store::{Kind, Store};
+use crate::store_model::{Kind, Store};
 use crate::wire::{greet, message, read, unix};
 use serde_json::{json, Value};
 use std::fs::File;
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The list of members over HTTP: whole, and as a watch that waits for something newer.
 
+use crate::fault_script::Outage;
 use crate::member::{lock, Shared};
-use crate::script::Outage;
 use crate::wire::unix;
 use asterlatch::time::TimeSpan;
 use serde_json::{json, Value};
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,19 +1,22 @@
-//! A laboratory on one machine's loopback: members, discovery and clients that speak the public protocols, faults by
-//! script, and a judge that holds what clients were told against what members did.
+//! Test bed on one machine's loopback interface.
 //!
-//! `script`, `store`, `arrivals` and `judge` are without I/O; `member`, `discovery`, `load` and `scene` put them on
-//! sockets.
+//! Stand-in members, discovery and clients speak the public protocols around the built program; faults follow a script;
+//! a checker compares what clients were told with what members executed.
+//!
+//! [`fault_script`], [`store_model`], [`arrivals`] and [`checker`] are free of I/O. [`member`], [`discovery`],
+//! [`link_proxy`], [`load_generator`] and [`roaming_clients`] put them on sockets; [`deployment`] and [`cluster`] start one
+//! process or several of the program among them; [`cli`] is the command line.
 
 pub mod arrivals;
+pub mod checker;
+pub mod cli;
+pub mod cluster;
+pub mod deployment;
 pub mod discovery;
-pub mod fleet;
-pub mod judge;
-pub mod load;
+pub mod fault_script;
+pub mod link_proxy;
+pub mod load_generator;
 pub mod member;
-pub mod program;
-pub mod relay;
-pub mod roam;
-pub mod scene;
-pub mod script;
-pub mod store;
+pub mod roaming_clients;
+pub mod store_model;
 pub mod wire;
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/link_proxy.rs
@@ -1,8 +1,8 @@
 //! Links between drivers: each pair's datagrams go through sockets of the laboratory, which cut, slow, lose and garble them
 //! as the script says.
 
+use crate::fault_script::Way;
 use crate::member::{lock, Shared};
-use crate::script::Way;
 use crate::wire::unix;
 use asterlatch::time::Timestamp;
 use std::collections::BTreeMap;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -1,9 +1,9 @@
 //! Clients that ask whenever an arrival is due, whether or not others still wait.
 
 use crate::arrivals::{Arrival, Arrivals};
-use crate::judge::{Record, Told};
+use crate::checker::{Record, Told};
 use crate::member::{lock, pause, Shared};
-use crate::store::Kind;
+use crate::store_model::Kind;
 use crate::wire::{greet, message, of_value, read, unix};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, ErrorKind, Write};
--- a/crates/testbed/src/member.rs
+++ b/crates/testbed/src/member.rs
@@ -1,6 +1,6 @@
 //! Members on loopback sockets, each with a port of its own, and one thread a connection.
 
-use crate::store::{Reply, Store};
+use crate::store_model::{Reply, Store};
 use crate::wire::{ask, error, message, read, row, status, unix, value};
 use asterlatch::time::TimeSpan;
 use std::io::{self, Write};
--- a/crates/testbed/src/roam.rs
+++ b/crates/testbed/src/roaming_clients.rs
@@ -2,10 +2,10 @@
 //! to come again, repeats the same statement at another.
 
 use crate::arrivals::{Arrival, Arrivals};
-use crate::judge::{Record, Told};
-use crate::load::answer;
+use crate::checker::{Record, Told};
+use crate::load_generator::answer;
 use crate::member::{lock, pause, Shared};
-use crate::store::Kind;
+use crate::store_model::Kind;
 use crate::wire::{greet, message, unix};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store_model.rs
@@ -1,6 +1,6 @@
 //! The store that members stand for: groups with a primary and replicas, positions, and every effect that was had.
 
-use crate::script::{Fault, Script};
+use crate::fault_script::{Fault, Script};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,6 +1,6 @@
 //! What is spoken: messages of PostgreSQL's protocol, and the comment that heads a statement.
 
-use crate::store::Ask;
+use crate::store_model::Ask;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
--- a/crates/testbed/tests/decisions.rs
+++ b/crates/testbed/tests/decisions.rs
@@ -2,9 +2,9 @@
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_testbed::arrivals::Arrivals;
-use asterlatch_testbed::judge::{judge, Record, Told, BREACHES};
-use asterlatch_testbed::script::{Event, Fault, Harm, Outage, Script, Target};
-use asterlatch_testbed::store::{workloads, Ask, Reply, Store};
+use asterlatch_testbed::checker::{judge, Record, Told, BREACHES};
+use asterlatch_testbed::fault_script::{Event, Fault, Harm, Outage, Script, Target};
+use asterlatch_testbed::store_model::{workloads, Ask, Reply, Store};
 use asterlatch_testbed::wire::{ask, of_value, value};
 
 const START: Timestamp = Timestamp(1_000_000_000_000);
