--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Five processes of the built program with faults between them: the laboratory's scenes, judged over all of them together.
 
-use asterlatch_testbed::cluster::{run, scenes, Outcome, Plan};
-use asterlatch_testbed::fault_script::Script;
-use asterlatch_testbed::roaming_clients::Manners;
+use asterlatch_testbed::cluster::{run, scenes, ClusterPlan, RunReport};
+use asterlatch_testbed::fault_script::FaultScript;
+use asterlatch_testbed::roaming_clients::RoamingBehavior;
 use std::path::Path;
 use std::sync::{Condvar, Mutex, PoisonError};
 
@@ -34,19 +34,19 @@
     }
 }
 
-fn play(scene: &str, shares: bool) -> Outcome {
+fn play(scene: &str, shares: bool) -> RunReport {
     let _permit = ScenePermit::acquire();
     let (_, drivers, text) = scenes(5).find(|(name, ..)| *name == scene).expect("is a scene");
-    let plan = Plan {
+    let plan = ClusterPlan {
         drivers,
         groups: 2,
         replicas: 2,
-        script: Script::read(text).expect("can be read"),
+        script: FaultScript::read(text).expect("can be read"),
         shares,
         seconds: 5.0,
         rate: 150.0,
         clients: 24,
-        manners: Manners {
+        manners: RoamingBehavior {
             roam: 100,
             hasty: 200,
         },
@@ -56,7 +56,7 @@
 }
 
 /// All rules hold over all processes, copies come to be equal, and no payment that was repeated elsewhere ran twice.
-fn holds(scene: &str) -> Outcome {
+fn holds(scene: &str) -> RunReport {
     let outcome = play(scene, true);
     assert!(outcome.is_kept(), "{outcome}");
     assert!(outcome.completed > 500, "{outcome}");
@@ -107,11 +107,11 @@
 #[test]
 fn a_lost_member_is_asked_by_one_for_all() {
     let (shared, alone) = (holds("holder"), play("holder", false));
-    let count = |o: &Outcome, name: &str| o.counters.get(name).copied().unwrap_or(0);
+    let count = |o: &RunReport, name: &str| o.counters.get(name).copied().unwrap_or(0);
     assert!(count(&shared, "health_checks_left_to_peers") > 20, "{shared}");
     // Each asks each of six members once at its start, before it knows of anybody.
     let greetings = 12 * 6;
-    let probes = |o: &Outcome| count(o, "health_checks_sent").saturating_sub(greetings);
+    let probes = |o: &RunReport| count(o, "health_checks_sent").saturating_sub(greetings);
     let (few, many) = (probes(&shared), probes(&alone));
     assert!(few > 0 && few * 2 < many, "{few} probes against {many}");
 }
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -1,13 +1,13 @@
 //! Holds what clients were told against what members did.
 
-use crate::store_model::{Kind, Store};
+use crate::store_model::{StoreModel, WorkloadKind};
 use asterlatch::time::{TimeSpan, Timestamp};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ClientOutcome {
     /// A row that names the statement which it was made for, and a position.
     Row { id: u64, position: Timestamp },
     /// Not executed, or harmless to repeat.
@@ -15,14 +15,14 @@
     /// It may have been executed.
     Aborted,
     /// The connection ended, or nothing came in time and long after.
-    Nothing,
+    NoAnswer,
     /// No connection could be had.
-    Refused,
+    ConnectionRefused,
 }
 
 /// One statement as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Record {
+pub struct StatementRecord {
     pub id: u64,
     pub workload: usize,
     pub group: u32,
@@ -31,19 +31,19 @@
     pub due: Timestamp,
     pub sent: Timestamp,
     pub answered: Timestamp,
-    pub told: Told,
+    pub told: ClientOutcome,
     /// Bytes came behind the final answer.
     pub more: bool,
 }
 
 /// The protocol's slack.
-const SLACK: TimeSpan = TimeSpan::millis(50);
+const PROTOCOL_SLACK: TimeSpan = TimeSpan::millis(50);
 
 /// The place of what sessions wrote among the breaches.
-pub const SESSION: usize = 8;
+pub const STALE_SESSION_READ: usize = 8;
 
 /// What was broken, in the order of the rules.
-pub const BREACHES: [&str; 9] = [
+pub const VIOLATIONS: [&str; 9] = [
     "lost: no final answer",
     "late: answered after its time",
     "twice: something came behind the final answer",
@@ -56,7 +56,7 @@
 ];
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Row {
+pub struct WorkloadSummary {
     pub name: &'static str,
     pub asked: u64,
     pub completed: u64,
@@ -69,9 +69,9 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Report {
-    pub rows: Vec<Row>,
-    pub breaches: [u64; BREACHES.len()],
+pub struct CheckReport {
+    pub rows: Vec<WorkloadSummary>,
+    pub breaches: [u64; VIOLATIONS.len()],
     /// The first of each kind.
     pub first: BTreeMap<usize, u64>,
     /// Executions that went to members long after their drain was told.
@@ -86,44 +86,44 @@
 }
 
 /// Times of answers that were rows, from when their statements were due, in microseconds.
-pub fn times<'a>(records: impl IntoIterator<Item = &'a Record>) -> Histogram<u64> {
+pub fn times<'a>(records: impl IntoIterator<Item = &'a StatementRecord>) -> Histogram<u64> {
     // Three digits over any time that a client waits.
     let mut times = Histogram::new_with_bounds(1, 100_000_000, 3).expect("three digits are had");
     for r in records {
-        if matches!(r.told, Told::Row { .. }) {
+        if matches!(r.told, ClientOutcome::Row { .. }) {
             times.saturating_record((r.answered - r.due).0);
         }
     }
     times
 }
 
-pub fn judge(store: &Store, records: &[Record]) -> Report {
-    let mut report = Report {
+pub fn judge(store: &StoreModel, records: &[StatementRecord]) -> CheckReport {
+    let mut report = CheckReport {
         after_drains: store.after_drains,
         executions: store.executions,
         connections: store.connections,
         probes: store.probes,
-        ..Report::default()
+        ..CheckReport::default()
     };
     for (w, workload) in store.workloads.iter().enumerate() {
         let own: Vec<_> = records.iter().filter(|r| r.workload == w).collect();
-        let count = |told: fn(&Told) -> bool| own.iter().filter(|r| told(&r.told)).count() as u64;
-        report.rows.push(Row {
+        let count = |told: fn(&ClientOutcome) -> bool| own.iter().filter(|r| told(&r.told)).count() as u64;
+        report.rows.push(WorkloadSummary {
             name: workload.name,
             asked: own.len() as u64,
-            completed: count(|t| matches!(t, Told::Row { .. })),
-            rejected: count(|t| *t == Told::Rejected),
-            aborted: count(|t| *t == Told::Aborted),
-            lost: count(|t| *t == Told::Nothing),
-            refused: count(|t| *t == Told::Refused),
+            completed: count(|t| matches!(t, ClientOutcome::Row { .. })),
+            rejected: count(|t| *t == ClientOutcome::Rejected),
+            aborted: count(|t| *t == ClientOutcome::Aborted),
+            lost: count(|t| *t == ClientOutcome::NoAnswer),
+            refused: count(|t| *t == ClientOutcome::ConnectionRefused),
             times: percentiles(&times(own)),
         });
     }
     // What each session knew to be written, by when it knew.
     let mut written: BTreeMap<(u32, u32), Vec<(Timestamp, Timestamp)>> = BTreeMap::new();
     for r in records {
-        let is_write = matches!(store.workloads[r.workload].kind, Kind::Write { .. });
-        if let (true, Told::Row { position, .. }) = (is_write, r.told) {
+        let is_write = matches!(store.workloads[r.workload].kind, WorkloadKind::Write { .. });
+        if let (true, ClientOutcome::Row { position, .. }) = (is_write, r.told) {
             written
                 .entry((r.group, r.session))
                 .or_default()
@@ -134,7 +134,7 @@
         let workload = &store.workloads[r.workload];
         let ran = store.effects.get(&r.id).map_or(0, Vec::len);
         let row = match r.told {
-            Told::Row { id, position } => Some((id, position)),
+            ClientOutcome::Row { id, position } => Some((id, position)),
             _ => None,
         };
         let known = written.get(&(r.group, r.session)).into_iter().flatten();
@@ -144,22 +144,23 @@
             .max();
         let older = |least: Timestamp| row.is_some_and(|(_, position)| position < least);
         let write = match workload.kind {
-            Kind::Write { dropped } => Some(dropped),
+            WorkloadKind::Write { dropped } => Some(dropped),
             _ => None,
         };
         let broken = [
-            r.told == Told::Nothing,
-            r.answered - r.sent > TimeSpan(workload.patience.0 + SLACK.0) && r.told != Told::Nothing,
+            r.told == ClientOutcome::NoAnswer,
+            r.answered - r.sent > TimeSpan(workload.patience.0 + PROTOCOL_SLACK.0)
+                && r.told != ClientOutcome::NoAnswer,
             r.more,
             row.is_some_and(|(id, _)| id != r.id),
             write == Some(false) && ran > 1,
             write.is_some() && row.is_some() && ran == 0,
-            write == Some(false) && r.told == Told::Rejected && ran > 0,
+            write == Some(false) && r.told == ClientOutcome::Rejected && ran > 0,
             match workload.kind {
-                Kind::Bounded(bound) => older(r.sent - TimeSpan(bound.0 + SLACK.0)),
+                WorkloadKind::BoundedStaleness(bound) => older(r.sent - TimeSpan(bound.0 + PROTOCOL_SLACK.0)),
                 _ => false,
             },
-            workload.kind == Kind::Own && known.is_some_and(older),
+            workload.kind == WorkloadKind::ReadYourWrites && known.is_some_and(older),
         ];
         for (n, _) in broken.iter().enumerate().filter(|(_, b)| **b) {
             report.breaches[n] += 1;
@@ -169,7 +170,7 @@
     report
 }
 
-impl Report {
+impl CheckReport {
     /// Rules broken.
     pub fn broken(&self) -> u64 {
         self.breaches.iter().sum::<u64>() + self.after_drains
@@ -184,7 +185,7 @@
     }
 }
 
-impl Display for Report {
+impl Display for CheckReport {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let head = [
             "workload",
@@ -225,7 +226,7 @@
             writeln!(
                 f,
                 "broken: {count} times {}, first by statement {:x}",
-                BREACHES[n], self.first[&n]
+                VIOLATIONS[n], self.first[&n]
             )?;
         }
         if self.after_drains > 0 {
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,13 +1,13 @@
 //! Command line of the test bed: experiments on one machine.
 
 use crate::arrivals::Arrivals;
-use crate::checker::{judge, times, Record};
-use crate::cluster::{self, Plan};
-use crate::deployment::Scene;
-use crate::fault_script::Script;
+use crate::checker::{judge, times, StatementRecord};
+use crate::cluster::{self, ClusterPlan};
+use crate::deployment::Deployment;
+use crate::fault_script::FaultScript;
 use crate::load_generator;
 use crate::member::{lock, pause};
-use crate::roaming_clients::Manners;
+use crate::roaming_clients::RoamingBehavior;
 use crate::wire::unix;
 use asterlatch::time::{TimeSpan, Timestamp};
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand};
@@ -20,7 +20,7 @@
 /// Stand-in members, discovery and clients around the built program.
 #[derive(Parser)]
 #[command(version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
@@ -30,7 +30,7 @@
     /// Three groups, the program, and ten seconds of load with faults: what became of each statement.
     Demo {
         #[command(flatten)]
-        common: Common,
+        common: LoadArguments,
         /// For how many seconds clients ask.
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
@@ -65,7 +65,7 @@
     /// Upgrades, or restarts in their place, under load: what clients notice.
     Upgrade {
         #[command(flatten)]
-        common: Common,
+        common: LoadArguments,
         #[arg(long, default_value_t = 20)]
         count: u32,
         /// A restart instead: leaves, and begins with nothing learned.
@@ -88,7 +88,7 @@
 
 /// What every command puts up.
 #[derive(Args)]
-struct Basis {
+struct SetupArguments {
     /// The built program; without it the one that lies beside this one.
     #[arg(long)]
     driver: Option<PathBuf>,
@@ -100,7 +100,7 @@
     replicas: u32,
 }
 
-impl Basis {
+impl SetupArguments {
     fn driver(&self) -> io::Result<PathBuf> {
         match &self.driver {
             Some(path) => Ok(path.clone()),
@@ -112,7 +112,7 @@
 #[derive(Args)]
 struct FleetArguments {
     #[command(flatten)]
-    basis: Basis,
+    basis: SetupArguments,
     #[arg(long, default_value_t = 5)]
     drivers: u32,
     /// Statements a second, over all drivers.
@@ -134,9 +134,9 @@
 }
 
 #[derive(Args)]
-struct Common {
+struct LoadArguments {
     #[command(flatten)]
-    basis: Basis,
+    basis: SetupArguments,
     /// Statements a second.
     #[arg(long, default_value_t = 500.0)]
     rate: f64,
@@ -148,7 +148,7 @@
     clients: usize,
 }
 
-const FAULTS: &str = "
+const DEMO_FAULTS: &str = "
 1.5s member 2 slow 60ms for 1s
 3s member 3 is down for 1s
 4.5s member 9 lags 3s for 1s
@@ -159,10 +159,10 @@
 9s primary of 3 loses answers for 100ms
 ";
 
-impl Common {
-    fn scene(&self, script: Script) -> io::Result<Scene> {
+impl LoadArguments {
+    fn scene(&self, script: FaultScript) -> io::Result<Deployment> {
         let folder = std::env::temp_dir().join(format!("asterlatch-lab-{}", std::process::id()));
-        Scene::start(
+        Deployment::start(
             &self.basis.driver()?,
             &folder,
             (self.basis.groups, self.basis.replicas),
@@ -171,7 +171,7 @@
         )
     }
 
-    fn load(&self, scene: &Scene, seconds: f64) -> (load_generator::Load, Timestamp) {
+    fn load(&self, scene: &Deployment, seconds: f64) -> (load_generator::Load, Timestamp) {
         let from = unix();
         let workloads = lock(&scene.store).workloads.clone();
         let until = TimeSpan((seconds * 1e6) as u64);
@@ -182,7 +182,7 @@
 }
 
 /// Ends the program, judges, and prints; whether all rules were kept.
-fn conclude(mut scene: Scene, records: &[Record]) -> bool {
+fn conclude(mut scene: Deployment, records: &[StatementRecord]) -> bool {
     scene.end();
     let report = judge(&lock(&scene.store), records);
     println!("{report}");
@@ -190,14 +190,14 @@
     report.broken() == 0
 }
 
-fn demo(common: &Common, seconds: f64, script: Option<PathBuf>) -> io::Result<bool> {
+fn demo(common: &LoadArguments, seconds: f64, script: Option<PathBuf>) -> io::Result<bool> {
     let text = match &script {
         Some(path) => {
             std::fs::read_to_string(path).map_err(|e| io::Error::other(format!("{}: {e}", path.display())))?
         }
-        None => FAULTS.to_owned(),
+        None => DEMO_FAULTS.to_owned(),
     };
-    let script = Script::read(&text).map_err(io::Error::other)?;
+    let script = FaultScript::read(&text).map_err(io::Error::other)?;
     println!(
         "{} groups of {} members, {} statements a second for {seconds} s; faults:",
         common.basis.groups,
@@ -213,7 +213,7 @@
 
 /// `around` are the calm spans before and behind each one.
 fn upgrade(
-    common: &Common,
+    common: &LoadArguments,
     count: u32,
     restart: bool,
     next: Option<PathBuf>,
@@ -249,7 +249,7 @@
             fault => format!("{at}s member {member} {fault} for 700ms\n"),
         };
     }
-    let mut scene = common.scene(Script::read(&text).map_err(io::Error::other)?)?;
+    let mut scene = common.scene(FaultScript::read(&text).map_err(io::Error::other)?)?;
     scene.next = next;
     let (load, from) = common.load(&scene, f64::from(count) * each + 0.5);
     lock(&scene.store).started = from;
@@ -266,8 +266,9 @@
         spans.push((at, unix()));
     }
     let records = load.finish();
-    let within =
-        |r: &Record, spans: &[(Timestamp, Timestamp)]| spans.iter().any(|(a, b)| (*a..*b).contains(&r.due));
+    let within = |r: &StatementRecord, spans: &[(Timestamp, Timestamp)]| {
+        spans.iter().any(|(a, b)| (*a..*b).contains(&r.due))
+    };
     let calm: Vec<_> = spans
         .iter()
         .map(|(at, _)| (*at - quiet, *at - TimeSpan::millis(200)))
@@ -296,7 +297,7 @@
 }
 
 /// Reads that members executed meanwhile.
-fn reads(scene: &Scene, from: Timestamp, spans: &[(Timestamp, Timestamp)]) -> (u32, u32) {
+fn reads(scene: &Deployment, from: Timestamp, spans: &[(Timestamp, Timestamp)]) -> (u32, u32) {
     let store = lock(&scene.store);
     let at = |tenth: &u64| from + TimeSpan::millis(tenth * 100);
     let meant = store
@@ -309,17 +310,17 @@
 }
 
 impl FleetArguments {
-    fn plan(&self, drivers: u32, text: &str, seed: u64) -> io::Result<Plan> {
-        Ok(Plan {
+    fn plan(&self, drivers: u32, text: &str, seed: u64) -> io::Result<ClusterPlan> {
+        Ok(ClusterPlan {
             drivers,
             groups: self.basis.groups,
             replicas: self.basis.replicas,
-            script: Script::read(text).map_err(io::Error::other)?,
+            script: FaultScript::read(text).map_err(io::Error::other)?,
             shares: !self.alone,
             seconds: self.seconds,
             rate: self.rate,
             clients: self.clients,
-            manners: Manners {
+            manners: RoamingBehavior {
                 roam: self.roam,
                 hasty: self.hasty,
             },
@@ -327,7 +328,7 @@
         })
     }
 
-    fn run(&self, drivers: u32, text: &str, seed: u64) -> io::Result<cluster::Outcome> {
+    fn run(&self, drivers: u32, text: &str, seed: u64) -> io::Result<cluster::RunReport> {
         cluster::run(&self.basis.driver()?, &self.plan(drivers, text, seed)?)
     }
 }
@@ -404,8 +405,8 @@
 /// Runs the command line of the program called `name` and returns its exit code: 0 if every rule was kept, 1 if one was
 /// broken, 2 on an error.
 pub fn main(name: &'static str) -> ExitCode {
-    let matches = Line::command().name(name).get_matches();
-    let line = Line::from_arg_matches(&matches).unwrap_or_else(|e| e.exit());
+    let matches = CommandLine::command().name(name).get_matches();
+    let line = CommandLine::from_arg_matches(&matches).unwrap_or_else(|e| e.exit());
     let done = match line.command {
         Command::Fleet {
             arguments,
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,14 +1,14 @@
 //! Several processes of the program with one store behind them, links between them, and what befalls all of that by script.
 
 use crate::arrivals::Arrivals;
-use crate::checker::{judge, Told};
-use crate::deployment::{described, is_up, PATIENCE};
+use crate::checker::{judge, ClientOutcome};
+use crate::deployment::{described, is_up, START_TIMEOUT};
 use crate::discovery;
-use crate::fault_script::{Outage, Script};
+use crate::fault_script::{DriverFault, FaultScript};
 use crate::link_proxy::{self, Link};
-use crate::member::{self, lock, pause, Shared};
-use crate::roaming_clients::{self, Manners, Roamed};
-use crate::store_model::{Kind, Store};
+use crate::member::{self, lock, pause, SharedStore};
+use crate::roaming_clients::{self, RoamingBehavior, RoamingRecord};
+use crate::store_model::{StoreModel, WorkloadKind};
 use crate::wire::unix;
 use asterlatch::time::{TimeSpan, Timestamp};
 use serde_json::Value;
@@ -27,22 +27,22 @@
 
 /// What is put up.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClusterPlan {
     pub drivers: u32,
     pub groups: u32,
     pub replicas: u32,
-    pub script: Script,
+    pub script: FaultScript,
     /// Drivers tell each other; else each is alone.
     pub shares: bool,
     pub seconds: f64,
     /// Statements a second.
     pub rate: f64,
     pub clients: usize,
-    pub manners: Manners,
+    pub manners: RoamingBehavior,
     pub seed: u64,
 }
 
-struct Process {
+struct DriverProcess {
     number: u32,
     listen: SocketAddr,
     child: Option<Child>,
@@ -50,12 +50,12 @@
     is_later: bool,
 }
 
-pub struct Fleet {
-    pub store: Shared,
-    script: Script,
+pub struct Cluster {
+    pub store: SharedStore,
+    script: FaultScript,
     folder: PathBuf,
     program: PathBuf,
-    processes: Vec<Process>,
+    processes: Vec<DriverProcess>,
     /// What befell whom, as it came to be.
     pub outages: Vec<(u32, Timestamp, Timestamp)>,
     _links: Vec<Link>,
@@ -64,7 +64,7 @@
 }
 
 /// Fleets that this process has put up.
-static PLAYS: AtomicU32 = AtomicU32::new(0);
+static CLUSTERS_STARTED: AtomicU32 = AtomicU32::new(0);
 
 /// Each driver has an address of its own, in each play: while it is down, its ports are nobody else's.
 fn host(play: u32, number: u32) -> String {
@@ -72,14 +72,14 @@
     format!("127.{}.{}.{number}:0", 20 + id % 200, id / 200 % 250)
 }
 
-impl Fleet {
-    pub fn start(program: &Path, plan: &Plan) -> io::Result<Fleet> {
-        let play = PLAYS.fetch_add(1, Ordering::Relaxed);
+impl Cluster {
+    pub fn start(program: &Path, plan: &ClusterPlan) -> io::Result<Cluster> {
+        let play = CLUSTERS_STARTED.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("asterlatch-fleet-{}-{play}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         // Nothing befalls anybody before the load begins.
-        let store = Store::new(plan.groups, plan.replicas, Script::default(), unix());
-        let store: Shared = Arc::new(Mutex::new(store));
+        let store = StoreModel::new(plan.groups, plan.replicas, FaultScript::default(), unix());
+        let store: SharedStore = Arc::new(Mutex::new(store));
         let members: Vec<u32> = lock(&store).members().collect();
         let started = members.into_iter().map(|m| Ok((m, member::start(&store, m)?)));
         let addresses: discovery::Addresses = started.collect::<io::Result<_>>()?;
@@ -98,7 +98,7 @@
                 links.push(link);
             }
         }
-        let mut fleet = Fleet {
+        let mut fleet = Cluster {
             store,
             script: plan.script.clone(),
             folder,
@@ -128,7 +128,7 @@
                 }
             }
             std::fs::write(fleet.path(number, "latch"), text)?;
-            fleet.processes.push(Process {
+            fleet.processes.push(DriverProcess {
                 number,
                 listen,
                 child: None,
@@ -159,7 +159,7 @@
         let own = outages
             .into_iter()
             .filter_map(|(driver, outage, ..)| match outage {
-                Outage::Clock(by) if driver == number => Some(by),
+                DriverFault::ClockOffset(by) if driver == number => Some(by),
                 _ => None,
             });
         own.sum()
@@ -202,7 +202,7 @@
     }
 
     fn await_up(&self, number: u32) -> io::Result<()> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + START_TIMEOUT;
         while let Err(e) = is_up(self.processes[number as usize - 1].listen) {
             if Instant::now() > end {
                 let log = std::fs::read_to_string(self.path(number, "1.log")).unwrap_or_default();
@@ -217,7 +217,7 @@
 
     /// Waits until all drivers hold that all others are there and that they have caught up.
     pub fn await_whole(&self) -> io::Result<()> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + START_TIMEOUT;
         while !self.is_whole()? {
             if Instant::now() > end {
                 return Err(io::Error::other("the drivers don't find each other"));
@@ -274,7 +274,7 @@
 
     /// Processor time of all that run now, in seconds, as the system counts it.
     fn cpu(&self) -> f64 {
-        let of = |p: &Process| -> Option<f64> {
+        let of = |p: &DriverProcess| -> Option<f64> {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", p.child.as_ref()?.id())).ok()?;
             let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
             let ticks = |n: usize| fields.get(n)?.parse::<f64>().ok();
@@ -294,10 +294,13 @@
     }
 
     /// Does to drivers what the script says, until all of it is done.
-    fn play(&mut self, from: Timestamp, script: &Script) -> io::Result<()> {
-        let mut steps: Vec<(TimeSpan, u32, Outage, bool)> = Vec::new();
+    fn play(&mut self, from: Timestamp, script: &FaultScript) -> io::Result<()> {
+        let mut steps: Vec<(TimeSpan, u32, DriverFault, bool)> = Vec::new();
         for (driver, outage, begins, ends) in script.outages() {
-            let befalls = !matches!(outage, Outage::NoList | Outage::Clock(_));
+            let befalls = !matches!(
+                outage,
+                DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_)
+            );
             if befalls && (driver as usize) <= self.processes.len() {
                 steps.push((begins, driver, outage, true));
                 steps.push((ends, driver, outage, false));
@@ -308,27 +311,27 @@
         for (at, driver, outage, begins) in steps {
             pause((from + at) - unix());
             match (outage, begins) {
-                (Outage::Killed | Outage::OnTheDiskOf(_) | Outage::Renewed, true) => {
+                (DriverFault::Killed | DriverFault::RestartedOnDiskOf(_) | DriverFault::LaterBuild, true) => {
                     self.signal(driver, "KILL");
                     if let Some(mut child) = self.processes[driver as usize - 1].child.take() {
                         child.wait()?;
                     }
                 }
-                (Outage::OnTheDiskOf(other), false) => {
+                (DriverFault::RestartedOnDiskOf(other), false) => {
                     let of = |n| self.path(n, "state").join("shared.log");
                     std::fs::copy(of(other), of(driver))?;
                     self.begin(driver)?;
                     self.await_up(driver)?;
                 }
-                (Outage::Killed | Outage::Renewed, false) => {
+                (DriverFault::Killed | DriverFault::LaterBuild, false) => {
                     // Killed behind that it is the former build again.
-                    self.processes[driver as usize - 1].is_later = outage == Outage::Renewed;
+                    self.processes[driver as usize - 1].is_later = outage == DriverFault::LaterBuild;
                     self.begin(driver)?;
                     self.await_up(driver)?;
                 }
-                (Outage::Stopped, true) => self.signal(driver, "STOP"),
-                (Outage::Stopped, false) => self.signal(driver, "CONT"),
-                (Outage::NoList | Outage::Clock(_), _) => {}
+                (DriverFault::Stopped, true) => self.signal(driver, "STOP"),
+                (DriverFault::Stopped, false) => self.signal(driver, "CONT"),
+                (DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_), _) => {}
             }
             if begins {
                 open.insert(driver, from + at);
@@ -366,7 +369,7 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for Cluster {
     fn drop(&mut self) {
         // Or hundreds of plays in one process leave thousands of threads, and each fork copies what they hold.
         lock(&self.store).is_over = true;
@@ -384,7 +387,7 @@
 
 /// What became of statements whose client had no answer at one driver and repeated them at another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Repeats {
+pub struct RetryCounts {
     pub asked: u64,
     /// Of those that had run when they were repeated.
     pub had_run: u64,
@@ -398,11 +401,11 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Outcome {
+pub struct RunReport {
     pub text: String,
     /// Rules broken, by name.
     pub broken: BTreeMap<&'static str, u64>,
-    pub repeats: Repeats,
+    pub repeats: RetryCounts,
     pub asked: u64,
     pub completed: u64,
     pub rejected: u64,
@@ -420,18 +423,18 @@
     pub counters: BTreeMap<String, u64>,
 }
 
-impl Outcome {
+impl RunReport {
     pub fn is_kept(&self) -> bool {
         self.broken.is_empty()
     }
 }
 
 /// A driver that was stopped or killed isn't held to answers for so long around that.
-const AROUND: TimeSpan = TimeSpan::millis(1500);
+const OUTAGE_MARGIN: TimeSpan = TimeSpan::millis(1500);
 
 /// Puts a fleet up, plays the script under load, and judges.
-pub fn run(program: &Path, plan: &Plan) -> io::Result<Outcome> {
-    let mut fleet = Fleet::start(program, plan)?;
+pub fn run(program: &Path, plan: &ClusterPlan) -> io::Result<RunReport> {
+    let mut fleet = Cluster::start(program, plan)?;
     if plan.shares {
         fleet.await_whole()?;
     }
@@ -447,9 +450,9 @@
     let load = roaming_clients::start(&fleet.store, &fleet.listens(), arrivals, from, terms);
     fleet.play(from, &plan.script)?;
     let records = load.finish();
-    let mut outcome = Outcome {
+    let mut outcome = RunReport {
         cpu: fleet.cpu(),
-        ..Outcome::default()
+        ..RunReport::default()
     };
     if plan.shares {
         let passed = (unix() - from).ratio(TimeSpan::millis(1000));
@@ -459,7 +462,7 @@
             bytes += status["counts"][0]["bytes_sent"].as_f64().unwrap_or(0.0);
         }
         outcome.bytes = bytes / passed / f64::from(plan.drivers);
-        outcome.equal = fleet.await_equal(PATIENCE)?.map(|d| d.as_secs_f64());
+        outcome.equal = fleet.await_equal(START_TIMEOUT)?.map(|d| d.as_secs_f64());
         if outcome.equal.is_none() {
             outcome.broken.insert("copies never equal", 1);
         }
@@ -470,25 +473,29 @@
     Ok(outcome)
 }
 
-fn weigh(fleet: &Fleet, records: &[Roamed], outcome: &mut Outcome) {
+fn weigh(fleet: &Cluster, records: &[RoamingRecord], outcome: &mut RunReport) {
     let store = lock(&fleet.store);
     let spared = |driver: u32, from: Timestamp, until: Timestamp| {
         let hit = |(d, a, b): &(u32, Timestamp, Timestamp)| {
-            *d == driver && from < *b + AROUND && until + AROUND > *a
+            *d == driver && from < *b + OUTAGE_MARGIN && until + OUTAGE_MARGIN > *a
         };
         fleet.outages.iter().any(hit)
     };
     let mut plain: Vec<_> = records.iter().map(|r| r.record).collect();
     for (r, plain) in records.iter().zip(&mut plain) {
-        if plain.told == Told::Nothing {
+        if plain.told == ClientOutcome::NoAnswer {
             // Judged try by try below.
-            plain.told = Told::Refused;
+            plain.told = ClientOutcome::ConnectionRefused;
         }
         if r.tries.last().is_some_and(|t| spared(t.driver, t.sent, t.ended)) {
             // One that was stopped answers when it goes on.
             plain.answered = plain.answered.min(plain.sent);
         }
-        for t in r.tries.iter().filter(|t| t.told == Told::Nothing && !t.left) {
+        for t in r
+            .tries
+            .iter()
+            .filter(|t| t.told == ClientOutcome::NoAnswer && !t.left)
+        {
             if !spared(t.driver, t.sent, t.ended) {
                 *outcome
                     .broken
@@ -500,10 +507,10 @@
     let report = judge(&store, &plain);
     for (n, count) in report.breaches.iter().enumerate().filter(|(_, c)| **c > 0) {
         // What a session wrote at one driver is no promise at another; it is counted.
-        if n == crate::checker::SESSION {
+        if n == crate::checker::STALE_SESSION_READ {
             outcome.roamed_stale = *count;
         } else {
-            outcome.broken.insert(crate::checker::BREACHES[n], *count);
+            outcome.broken.insert(crate::checker::VIOLATIONS[n], *count);
         }
     }
     if report.after_drains > 0 {
@@ -518,8 +525,12 @@
     }
     let r = &mut outcome.repeats;
     for roamed in records {
-        let is_unsafe = store.workloads[roamed.record.workload].kind == Kind::Write { dropped: false };
-        let open = roamed.tries.iter().position(|t| t.told == Told::Nothing);
+        let is_unsafe =
+            store.workloads[roamed.record.workload].kind == WorkloadKind::Write { dropped: false };
+        let open = roamed
+            .tries
+            .iter()
+            .position(|t| t.told == ClientOutcome::NoAnswer);
         let repeated = open.is_some_and(|n| n + 1 < roamed.tries.len());
         if !is_unsafe || !repeated {
             continue;
@@ -536,13 +547,13 @@
         r.had_run += u64::from(had_run);
         r.doubled += u64::from(effects.len() > 1);
         match roamed.record.told {
-            Told::Aborted => r.told_in_doubt += 1,
-            Told::Rejected => {
+            ClientOutcome::Aborted => r.told_in_doubt += 1,
+            ClientOutcome::Rejected => {
                 r.told_untouched += 1;
                 r.untrue += u64::from(!effects.is_empty());
             }
-            Told::Row { .. } => r.completed += 1,
-            Told::Nothing | Told::Refused => {}
+            ClientOutcome::Row { .. } => r.completed += 1,
+            ClientOutcome::NoAnswer | ClientOutcome::ConnectionRefused => {}
         }
     }
     outcome.asked = report.asked();
@@ -554,7 +565,7 @@
     outcome.text = report.to_string();
 }
 
-impl Display for Outcome {
+impl Display for RunReport {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let table = self.text.split("rules kept").next().unwrap_or_default();
         let table = table.split("broken:").next().unwrap_or_default();
@@ -608,7 +619,7 @@
 }
 
 /// Scenes by name: what they are for, and what befalls whom. The fleet has five drivers.
-pub const SCENES: [(&str, &str); 14] = [
+pub const SCENARIOS: [(&str, &str); 14] = [
     ("calm", "0s link 1 to 2 slow 0ms for 1ms"),
     ("killed", "1s driver 2 is killed for 2s"),
     ("one-way", "500ms link 1 to 2 is cut for 4s"),
@@ -642,7 +653,7 @@
 
 /// The same with so many drivers that each sees little: what they do together.
 pub const WIDE_DRIVERS: u32 = 12;
-pub const WIDE: [(&str, &str); 7] = [
+pub const WIDE_SCENARIOS: [(&str, &str); 7] = [
     ("silent", "1s member 2 hangs for 3s"),
     ("silent-lossy", "0s links lose 50% for 6s\n1s member 2 hangs for 3s"),
     // Whoever holds the turn to ask member 2, a stopped or killed one is followed by another.
@@ -671,8 +682,10 @@
 
 /// Every scene: its name, how many drivers it has, and its script; `drivers` for those that leave it open.
 pub fn scenes(drivers: u32) -> impl Iterator<Item = (&'static str, u32, &'static str)> {
-    let narrow = SCENES.into_iter().map(move |(name, text)| (name, drivers, text));
-    let wide = WIDE
+    let narrow = SCENARIOS
+        .into_iter()
+        .map(move |(name, text)| (name, drivers, text));
+    let wide = WIDE_SCENARIOS
         .into_iter()
         .map(move |(name, text)| (name, drivers.max(WIDE_DRIVERS), text));
     narrow.chain(wide)
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -1,9 +1,9 @@
 //! A whole deployment on loopback: members, discovery, and the built program between them and its clients.
 
 use crate::discovery;
-use crate::fault_script::Script;
-use crate::member::{self, lock, Shared};
-use crate::store_model::{Kind, Store};
+use crate::fault_script::FaultScript;
+use crate::member::{self, lock, SharedStore};
+use crate::store_model::{StoreModel, WorkloadKind};
 use crate::wire::{greet, message, read, unix};
 use serde_json::{json, Value};
 use std::fs::File;
@@ -15,8 +15,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub struct Scene {
-    pub store: Shared,
+pub struct Deployment {
+    pub store: SharedStore,
     pub listen: SocketAddr,
     pub folder: PathBuf,
     driver: PathBuf,
@@ -30,7 +30,7 @@
 
 /// A driver's configuration: its name, where it listens and where discovery is, what it knows, and how many there are.
 pub fn described(
-    store: &Shared,
+    store: &SharedStore,
     (name, listen, discovery): (&str, SocketAddr, SocketAddr),
     known: Value,
     drivers: u32,
@@ -39,13 +39,13 @@
         let store = lock(store);
         (store.workloads.clone(), store.checks)
     };
-    let each = |f: fn(&Kind) -> Value| -> Vec<_> { workloads.iter().map(|w| f(&w.kind)).collect() };
+    let each = |f: fn(&WorkloadKind) -> Value| -> Vec<_> { workloads.iter().map(|w| f(&w.kind)).collect() };
     let categories: Vec<_> = workloads
         .iter()
         .map(|w| {
             let repeat = match w.kind {
-                Kind::Write { dropped: false } => "fragile",
-                Kind::Write { dropped: true } => "dedup",
+                WorkloadKind::Write { dropped: false } => "fragile",
+                WorkloadKind::Write { dropped: true } => "dedup",
                 _ => "retryable",
             };
             json!({"name": w.name, "idempotency": repeat, "objective_us": w.patience.0 / 2, "worth": 1.0,
@@ -60,10 +60,10 @@
             "categories": categories, "zones": ["heredia", "cartago"], "tick_us": 5000, "peers_total": drivers,
             "family_info": {
                 "freshness": each(|k| match k {
-                    Kind::Any => "loose", Kind::Bounded(_) => "recent", Kind::Own => "own_writes",
-                    Kind::Write { .. } => "update",
+                    WorkloadKind::AnyReplica => "loose", WorkloadKind::BoundedStaleness(_) => "recent", WorkloadKind::ReadYourWrites => "own_writes",
+                    WorkloadKind::Write { .. } => "update",
                 }.into()),
-                "staleness_bound_us": each(|k| match k { Kind::Bounded(b) => b.0, _ => 0 }.into()),
+                "staleness_bound_us": each(|k| match k { WorkloadKind::BoundedStaleness(b) => b.0, _ => 0 }.into()),
                 "behind": if checks { "reject" } else { "off" }, "tokens": "router", "answers_stamped": true,
             },
             "limits": {"cancel": true, "probes": true, "try_limit": 4, "connect_timeout_us": 200_000,
@@ -77,26 +77,26 @@
 /// Whether a program at this address answers.
 pub fn is_up(listen: SocketAddr) -> io::Result<()> {
     let mut stream = TcpStream::connect(listen)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(START_TIMEOUT))?;
     greet(&mut stream)?;
     stream.write_all(&message(b'Q', b"\0"))?;
     read(&mut stream, true).map(drop)
 }
 
 /// How long a program may take to begin.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-impl Scene {
+impl Deployment {
     /// Puts members and discovery up and starts the program, whose log and files lie in `folder`.
     pub fn start(
         driver: &Path,
         folder: &Path,
         (groups, replicas): (u32, u32),
-        script: Script,
+        script: FaultScript,
         checks: bool,
-    ) -> io::Result<Scene> {
+    ) -> io::Result<Deployment> {
         std::fs::create_dir_all(folder)?;
-        let mut store = Store::new(groups, replicas, script, unix());
+        let mut store = StoreModel::new(groups, replicas, script, unix());
         store.checks = checks;
         let store = Arc::new(Mutex::new(store));
         let members: Vec<u32> = lock(&store).members().collect();
@@ -111,7 +111,7 @@
         let times =
             "upgrade(hello = 5s, ready = 5s, taken = 1s, probation = 500ms, beat = 100ms, silence = 2s)\n";
         std::fs::write(folder.join("operators.latch"), times)?;
-        let mut scene = Scene {
+        let mut scene = Deployment {
             store,
             listen,
             folder: folder.to_owned(),
@@ -148,7 +148,7 @@
             .map_err(|e| io::Error::other(format!("{}: {e}", self.driver.display())))?;
         self.pid = child.id();
         self.child = Some(child);
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + START_TIMEOUT;
         while let Err(e) = is_up(self.listen) {
             if Instant::now() > end {
                 return Err(io::Error::other(format!("the program doesn't serve: {e}")));
@@ -196,14 +196,14 @@
             let _ = child.wait();
             return;
         }
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + START_TIMEOUT;
         while Path::new(&format!("/proc/{pid}")).exists() && Instant::now() < end {
             thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-impl Drop for Scene {
+impl Drop for Deployment {
     fn drop(&mut self) {
         if self.pid > 0 {
             self.end();
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The list of members over HTTP: whole, and as a watch that waits for something newer.
 
-use crate::fault_script::Outage;
-use crate::member::{lock, Shared};
+use crate::fault_script::DriverFault;
+use crate::member::{lock, SharedStore};
 use crate::wire::unix;
 use asterlatch::time::TimeSpan;
 use serde_json::{json, Value};
@@ -14,7 +14,7 @@
 pub type Addresses = BTreeMap<u32, SocketAddr>;
 
 /// The list as it stands now. Its version grows with each change that the script makes to it.
-pub fn listed(store: &Shared, addresses: &Addresses) -> Value {
+pub fn listed(store: &SharedStore, addresses: &Addresses) -> Value {
     let store = lock(store);
     let now = unix();
     let mut index = 1;
@@ -41,7 +41,7 @@
 }
 
 /// Discovery for one of several drivers (from 1; 0 where there is one only), which may be kept from news.
-pub fn start(store: &Shared, addresses: &Addresses, driver: u32) -> io::Result<SocketAddr> {
+pub fn start(store: &SharedStore, addresses: &Addresses, driver: u32) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     let (store, addresses) = (store.clone(), addresses.clone());
@@ -57,14 +57,14 @@
     Ok(address)
 }
 
-fn hears_nothing(store: &Shared, driver: u32) -> bool {
+fn hears_nothing(store: &SharedStore, driver: u32) -> bool {
     let store = lock(store);
     store
         .script
-        .befalls(unix() - store.started, driver, Outage::NoList)
+        .befalls(unix() - store.started, driver, DriverFault::DiscoveryStalled)
 }
 
-fn answer(mut stream: TcpStream, store: &Shared, addresses: &Addresses, driver: u32) -> io::Result<()> {
+fn answer(mut stream: TcpStream, store: &SharedStore, addresses: &Addresses, driver: u32) -> io::Result<()> {
     let mut lines = BufReader::new(stream.try_clone()?);
     loop {
         let mut first = String::new();
--- a/crates/testbed/src/fault_script.rs
+++ b/crates/testbed/src/fault_script.rs
@@ -17,23 +17,23 @@
 use asterlatch::time::TimeSpan;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum MemberFault {
     /// Each statement takes so much longer.
     Slow(TimeSpan),
     /// Takes statements and answers nothing; connections come up.
-    Hangs,
+    Unresponsive,
     /// Connections are refused or ended.
     Down,
     /// Answers with an error that proves nothing.
-    Fails,
+    Failing,
     /// Runs statements, and ends the connection instead of an answer.
-    LosesAnswers,
+    DropsAnswers,
     /// Its log is so far behind.
-    Lags(TimeSpan),
+    Lagging(TimeSpan),
     /// Listed as draining.
-    Drains,
+    Draining,
     /// It has just started, and is cold.
-    Starts,
+    WarmingUp,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,19 +44,19 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
-    Fault {
+pub enum FaultEvent {
+    Member {
         target: Target,
-        fault: Fault,
+        fault: MemberFault,
         from: TimeSpan,
         until: TimeSpan,
     },
     /// The group's primary changes.
-    Switch { group: u32, to: u32, at: TimeSpan },
+    PrimaryChange { group: u32, to: u32, at: TimeSpan },
     /// Of the program's processes, numbered from 1.
     Driver {
         driver: u32,
-        outage: Outage,
+        outage: DriverFault,
         from: TimeSpan,
         until: TimeSpan,
     },
@@ -65,41 +65,41 @@
         from_drivers: Vec<u32>,
         to_drivers: Vec<u32>,
         both_ways: bool,
-        harm: Harm,
+        harm: LinkFault,
         from: TimeSpan,
         until: TimeSpan,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outage {
+pub enum DriverFault {
     /// SIGKILL, and begun anew at the end.
     Killed,
     /// SIGSTOP, and SIGCONT at the end.
     Stopped,
     /// Discovery tells it nothing new.
-    NoList,
+    DiscoveryStalled,
     /// Its clock stands so many seconds ahead of the others', or behind, from its next start on.
-    Clock(i64),
+    ClockOffset(i64),
     /// SIGKILL, and begun anew on a copy of another driver's disk.
-    OnTheDiskOf(u32),
+    RestartedOnDiskOf(u32),
     /// SIGKILL, and begun anew as a later build, which speaks to others in a later version of the wire.
-    Renewed,
+    LaterBuild,
 }
 
 /// What a link does to datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
+pub enum LinkFault {
     Cut,
-    Slow(TimeSpan),
+    Delay(TimeSpan),
     /// In thousandths.
-    Loses(u32),
-    Garbles(u32),
+    Loss(u32),
+    Corruption(u32),
 }
 
 /// What holds of a link in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Way {
+pub struct LinkState {
     pub cut: bool,
     pub slow: TimeSpan,
     pub loses: u32,
@@ -107,7 +107,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Script(pub Vec<Event>);
+pub struct FaultScript(pub Vec<FaultEvent>);
 
 /// `50ms`, `1.5s`.
 fn span(text: &str) -> Result<TimeSpan, String> {
@@ -151,13 +151,13 @@
 }
 
 /// What concerns the program's processes and the links between them; nothing where the line is of other things.
-fn of_fleet(at: TimeSpan, words: &[&str]) -> Result<Option<Event>, String> {
+fn of_fleet(at: TimeSpan, words: &[&str]) -> Result<Option<FaultEvent>, String> {
     let (driver, rest) = match words {
         ["driver", n, rest @ ..] => (number(n)?, rest),
         ["link", a, way @ ("to" | "and"), b, rest @ ..] => {
             let (harm, rest) = harm(rest)?;
             let (from, until) = lasting(at, rest)?;
-            return Ok(Some(Event::Link {
+            return Ok(Some(FaultEvent::Link {
                 from_drivers: vec![number(a)?],
                 to_drivers: vec![number(b)?],
                 both_ways: *way == "and",
@@ -169,7 +169,7 @@
         ["links", rest @ ..] => {
             let (harm, rest) = harm(rest)?;
             let (from, until) = lasting(at, rest)?;
-            return Ok(Some(Event::Link {
+            return Ok(Some(FaultEvent::Link {
                 from_drivers: Vec::new(),
                 to_drivers: Vec::new(),
                 both_ways: true,
@@ -188,11 +188,11 @@
                 .position(|w| *w == "for")
                 .ok_or("doesn't say for how long")?;
             let (from, until) = lasting(at, &rest[end..])?;
-            return Ok(Some(Event::Link {
+            return Ok(Some(FaultEvent::Link {
                 from_drivers: numbers(&rest[..middle])?,
                 to_drivers: numbers(rest.get(middle + 1..end).unwrap_or_default())?,
                 both_ways: true,
-                harm: Harm::Cut,
+                harm: LinkFault::Cut,
                 from,
                 until,
             }));
@@ -201,24 +201,24 @@
     };
     let (outage, rest) = match rest {
         ["is", "killed", "and", "given", "the", "disk", "of", other, rest @ ..] => {
-            (Outage::OnTheDiskOf(number(other)?), rest)
+            (DriverFault::RestartedOnDiskOf(number(other)?), rest)
         }
-        ["is", "renewed", rest @ ..] => (Outage::Renewed, rest),
-        ["is", "killed", rest @ ..] => (Outage::Killed, rest),
+        ["is", "renewed", rest @ ..] => (DriverFault::LaterBuild, rest),
+        ["is", "killed", rest @ ..] => (DriverFault::Killed, rest),
         ["is", by, way @ ("ahead" | "behind"), rest @ ..] => {
             let seconds = (span(by)?.0 / 1_000_000) as i64;
             let sign = if *way == "ahead" { 1 } else { -1 };
-            (Outage::Clock(sign * seconds), rest)
+            (DriverFault::ClockOffset(sign * seconds), rest)
         }
-        ["stops", rest @ ..] => (Outage::Stopped, rest),
-        ["hears", "no", "list", rest @ ..] => (Outage::NoList, rest),
+        ["stops", rest @ ..] => (DriverFault::Stopped, rest),
+        ["hears", "no", "list", rest @ ..] => (DriverFault::DiscoveryStalled, rest),
         _ => return Err(
             "names nothing that befalls a driver: is killed, is renewed, stops, hears no list, is SPAN ahead or behind"
                 .to_owned(),
         ),
     };
     let (from, until) = lasting(at, rest)?;
-    Ok(Some(Event::Driver {
+    Ok(Some(FaultEvent::Driver {
         driver,
         outage,
         from,
@@ -226,17 +226,17 @@
     }))
 }
 
-fn harm<'a, 'b>(words: &'b [&'a str]) -> Result<(Harm, &'b [&'a str]), String> {
+fn harm<'a, 'b>(words: &'b [&'a str]) -> Result<(LinkFault, &'b [&'a str]), String> {
     match words {
-        ["is" | "are", "cut", rest @ ..] => Ok((Harm::Cut, rest)),
-        ["slow", by, rest @ ..] => Ok((Harm::Slow(span(by)?), rest)),
-        ["lose" | "loses", part, rest @ ..] => Ok((Harm::Loses(share(part)?), rest)),
-        ["garble" | "garbles", part, rest @ ..] => Ok((Harm::Garbles(share(part)?), rest)),
+        ["is" | "are", "cut", rest @ ..] => Ok((LinkFault::Cut, rest)),
+        ["slow", by, rest @ ..] => Ok((LinkFault::Delay(span(by)?), rest)),
+        ["lose" | "loses", part, rest @ ..] => Ok((LinkFault::Loss(share(part)?), rest)),
+        ["garble" | "garbles", part, rest @ ..] => Ok((LinkFault::Corruption(share(part)?), rest)),
         _ => Err("names nothing that befalls a link: is cut, slow, loses, garbles".to_owned()),
     }
 }
 
-fn event(line: &str) -> Result<Event, String> {
+fn event(line: &str) -> Result<FaultEvent, String> {
     let words: Vec<&str> = line.split_whitespace().collect();
     let (at, rest) = words.split_first().ok_or("is empty")?;
     let at = span(at)?;
@@ -246,21 +246,21 @@
     let (target, rest) = match rest {
         ["group", g, "switches", "to", m] => {
             let (group, to) = (number(g)?, number(m)?);
-            return Ok(Event::Switch { group, to, at });
+            return Ok(FaultEvent::PrimaryChange { group, to, at });
         }
         ["member", m, rest @ ..] => (Target::Member(number(m)?), rest),
         ["primary", "of", g, rest @ ..] => (Target::Primary(number(g)?), rest),
         _ => return Err("names neither member, primary, group, driver, link nor split".to_owned()),
     };
     let (fault, rest) = match rest {
-        ["slow", by, rest @ ..] => (Fault::Slow(span(by)?), rest),
-        ["lags", by, rest @ ..] => (Fault::Lags(span(by)?), rest),
-        ["hangs", rest @ ..] => (Fault::Hangs, rest),
-        ["is", "down", rest @ ..] => (Fault::Down, rest),
-        ["fails", rest @ ..] => (Fault::Fails, rest),
-        ["loses", "answers", rest @ ..] => (Fault::LosesAnswers, rest),
-        ["drains", rest @ ..] => (Fault::Drains, rest),
-        ["starts", rest @ ..] => (Fault::Starts, rest),
+        ["slow", by, rest @ ..] => (MemberFault::Slow(span(by)?), rest),
+        ["lags", by, rest @ ..] => (MemberFault::Lagging(span(by)?), rest),
+        ["hangs", rest @ ..] => (MemberFault::Unresponsive, rest),
+        ["is", "down", rest @ ..] => (MemberFault::Down, rest),
+        ["fails", rest @ ..] => (MemberFault::Failing, rest),
+        ["loses", "answers", rest @ ..] => (MemberFault::DropsAnswers, rest),
+        ["drains", rest @ ..] => (MemberFault::Draining, rest),
+        ["starts", rest @ ..] => (MemberFault::WarmingUp, rest),
         _ => {
             return Err(
                 "names no fault: slow, lags, hangs, is down, fails, loses answers, drains, starts".to_owned(),
@@ -271,7 +271,7 @@
         return Err("doesn't say for how long".to_owned());
     };
     let (from, until) = (at, TimeSpan(at.0 + span(long)?.0));
-    Ok(Event::Fault {
+    Ok(FaultEvent::Member {
         target,
         fault,
         from,
@@ -279,19 +279,19 @@
     })
 }
 
-impl Script {
+impl FaultScript {
     /// An error names its line.
-    pub fn read(text: &str) -> Result<Script, String> {
+    pub fn read(text: &str) -> Result<FaultScript, String> {
         let lines = text.lines().enumerate();
         let meant = lines.filter(|(_, l)| !l.trim().is_empty() && !l.trim_start().starts_with('#'));
         let events = meant.map(|(n, line)| event(line).map_err(|e| format!("line {}: {e}", n + 1)));
-        events.collect::<Result<_, _>>().map(Script)
+        events.collect::<Result<_, _>>().map(FaultScript)
     }
 
     /// The member that is its group's primary, `first` from the start on.
     pub fn primary(&self, now: TimeSpan, group: u32, first: u32) -> (u32, TimeSpan) {
         let switches = self.0.iter().filter_map(|e| match e {
-            Event::Switch { group: g, to, at } if *g == group && *at <= now => Some((*at, *to)),
+            FaultEvent::PrimaryChange { group: g, to, at } if *g == group && *at <= now => Some((*at, *to)),
             _ => None,
         });
         switches
@@ -305,9 +305,9 @@
         now: TimeSpan,
         member: u32,
         is_primary_of: Option<u32>,
-    ) -> impl Iterator<Item = (Fault, TimeSpan)> + '_ {
+    ) -> impl Iterator<Item = (MemberFault, TimeSpan)> + '_ {
         self.0.iter().filter_map(move |e| match e {
-            Event::Fault {
+            FaultEvent::Member {
                 target,
                 fault,
                 from,
@@ -326,9 +326,9 @@
     /// When a member last began anew, up to now.
     pub fn began(&self, now: TimeSpan, member: u32) -> Option<TimeSpan> {
         let starts = self.0.iter().filter_map(|e| match e {
-            Event::Fault {
+            FaultEvent::Member {
                 target: Target::Member(m),
-                fault: Fault::Starts,
+                fault: MemberFault::WarmingUp,
                 from,
                 ..
             } if *m == member && *from <= now => Some(*from),
@@ -340,8 +340,8 @@
     /// When the list of members changes next: drains begin or end, or a member has begun anew.
     pub fn next_listing(&self, now: TimeSpan) -> Option<TimeSpan> {
         let times = self.0.iter().filter_map(|e| match e {
-            Event::Fault {
-                fault: Fault::Drains | Fault::Starts,
+            FaultEvent::Member {
+                fault: MemberFault::Draining | MemberFault::WarmingUp,
                 from,
                 until,
                 ..
@@ -352,9 +352,9 @@
     }
 
     /// What befalls drivers, in the order of their beginnings.
-    pub fn outages(&self) -> Vec<(u32, Outage, TimeSpan, TimeSpan)> {
+    pub fn outages(&self) -> Vec<(u32, DriverFault, TimeSpan, TimeSpan)> {
         let all = self.0.iter().filter_map(|e| match e {
-            Event::Driver {
+            FaultEvent::Driver {
                 driver,
                 outage,
                 from,
@@ -367,18 +367,18 @@
         all
     }
 
-    pub fn befalls(&self, now: TimeSpan, driver: u32, outage: Outage) -> bool {
-        let own = |(n, o, from, until): &(u32, Outage, TimeSpan, TimeSpan)| {
+    pub fn befalls(&self, now: TimeSpan, driver: u32, outage: DriverFault) -> bool {
+        let own = |(n, o, from, until): &(u32, DriverFault, TimeSpan, TimeSpan)| {
             *n == driver && *o == outage && (*from..*until).contains(&now)
         };
         self.outages().iter().any(own)
     }
 
     /// What holds now of what goes from one driver to another.
-    pub fn way(&self, now: TimeSpan, one: u32, other: u32) -> Way {
-        let mut way = Way::default();
+    pub fn way(&self, now: TimeSpan, one: u32, other: u32) -> LinkState {
+        let mut way = LinkState::default();
         for event in &self.0 {
-            let Event::Link {
+            let FaultEvent::Link {
                 from_drivers,
                 to_drivers,
                 both_ways,
@@ -396,10 +396,10 @@
                 continue;
             }
             match harm {
-                Harm::Cut => way.cut = true,
-                Harm::Slow(by) => way.slow = way.slow.max(*by),
-                Harm::Loses(part) => way.loses = way.loses.max(*part),
-                Harm::Garbles(part) => way.garbles = way.garbles.max(*part),
+                LinkFault::Cut => way.cut = true,
+                LinkFault::Delay(by) => way.slow = way.slow.max(*by),
+                LinkFault::Loss(part) => way.loses = way.loses.max(*part),
+                LinkFault::Corruption(part) => way.garbles = way.garbles.max(*part),
             }
         }
         way
--- a/crates/testbed/src/link_proxy.rs
+++ b/crates/testbed/src/link_proxy.rs
@@ -1,8 +1,8 @@
 //! Links between drivers: each pair's datagrams go through sockets of the laboratory, which cut, slow, lose and garble them
 //! as the script says.
 
-use crate::fault_script::Way;
-use crate::member::{lock, Shared};
+use crate::fault_script::LinkState;
+use crate::member::{lock, SharedStore};
 use crate::wire::unix;
 use asterlatch::time::Timestamp;
 use std::collections::BTreeMap;
@@ -27,10 +27,15 @@
 }
 
 /// How often a link looks whether anything is due.
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Between drivers `n`, whose own sockets are at `own`.
-pub fn start(store: &Shared, n: (u32, u32), own: (SocketAddr, SocketAddr), seed: u64) -> io::Result<Link> {
+pub fn start(
+    store: &SharedStore,
+    n: (u32, u32),
+    own: (SocketAddr, SocketAddr),
+    seed: u64,
+) -> io::Result<Link> {
     let bind = || UdpSocket::bind("127.0.0.1:0");
     let (near, far) = (bind()?, bind()?);
     let at = (near.local_addr()?, far.local_addr()?);
@@ -41,7 +46,7 @@
         (far, near, n.1, n.0, own.0),
     ];
     for (k, (from, by, one, other, to)) in ways.into_iter().enumerate() {
-        from.set_read_timeout(Some(LOOK))?;
+        from.set_read_timeout(Some(POLL_INTERVAL))?;
         let (store, ends) = (store.clone(), ends.clone());
         let mut chance =
             fastrand::Rng::with_seed(seed ^ (u64::from(one) << 32 | u64::from(other)) ^ k as u64);
@@ -72,7 +77,7 @@
 }
 
 /// What comes through of a datagram.
-fn passes(chance: &mut fastrand::Rng, way: Way, bytes: &[u8]) -> Option<Vec<u8>> {
+fn passes(chance: &mut fastrand::Rng, way: LinkState, bytes: &[u8]) -> Option<Vec<u8>> {
     if way.cut || chance.u32(0..1000) < way.loses {
         return None;
     }
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -1,9 +1,9 @@
 //! Clients that ask whenever an arrival is due, whether or not others still wait.
 
 use crate::arrivals::{Arrival, Arrivals};
-use crate::checker::{Record, Told};
-use crate::member::{lock, pause, Shared};
-use crate::store_model::Kind;
+use crate::checker::{ClientOutcome, StatementRecord};
+use crate::member::{lock, pause, SharedStore};
+use crate::store_model::WorkloadKind;
 use crate::wire::{greet, message, of_value, read, unix};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, ErrorKind, Write};
@@ -13,13 +13,13 @@
 use std::time::Duration;
 
 /// Beyond its patience a client listens on for so long, to tell late answers from none.
-const AFTERWARDS: TimeSpan = TimeSpan::millis(1000);
+const LATE_ANSWER_WAIT: TimeSpan = TimeSpan::millis(1000);
 
-pub struct Load(Vec<JoinHandle<Vec<Record>>>);
+pub struct Load(Vec<JoinHandle<Vec<StatementRecord>>>);
 
 /// Asks at this address; times of arrivals count from `from`.
 pub fn start(
-    store: &Shared,
+    store: &SharedStore,
     address: SocketAddr,
     arrivals: Arrivals,
     from: Timestamp,
@@ -50,9 +50,9 @@
 
 impl Load {
     /// All that was told, by when it was due.
-    pub fn finish(self) -> Vec<Record> {
+    pub fn finish(self) -> Vec<StatementRecord> {
         let ended = self.0.into_iter().filter_map(|client| client.join().ok());
-        let mut all: Vec<Record> = ended.flatten().collect();
+        let mut all: Vec<StatementRecord> = ended.flatten().collect();
         all.sort_by_key(|r| (r.due, r.id));
         all
     }
@@ -60,9 +60,9 @@
 
 struct Client {
     address: SocketAddr,
-    store: Shared,
+    store: SharedStore,
     kept: Option<TcpStream>,
-    records: Vec<Record>,
+    records: Vec<StatementRecord>,
 }
 
 impl Client {
@@ -80,7 +80,7 @@
     fn connect(&self, patience: TimeSpan) -> io::Result<TcpStream> {
         let mut stream = TcpStream::connect(self.address)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(Duration::from_micros(patience.0 + AFTERWARDS.0)))?;
+        stream.set_read_timeout(Some(Duration::from_micros(patience.0 + LATE_ANSWER_WAIT.0)))?;
         greet(&mut stream)?;
         Ok(stream)
     }
@@ -95,14 +95,14 @@
         let (id, group, key) = (arrival.id, arrival.group, arrival.session);
         let head = format!("/* id={id:x},c={name},d={},cluster={group} */", patience.0 / 1000);
         let text = match kind {
-            Kind::Write { .. } => {
+            WorkloadKind::Write { .. } => {
                 format!("{head} INSERT INTO rows (handle, blob) VALUES ('s{key}', 'x') RETURNING blob\0")
             }
             _ => format!("{head} SELECT blob FROM rows WHERE handle = 's{key}'\0"),
         };
         let query = message(b'Q', text.as_bytes());
         let mut sent = unix();
-        let mut told = Told::Refused;
+        let mut told = ClientOutcome::ConnectionRefused;
         // A connection that ended before the statement was read is no answer: it is sent once more on a new one. That
         // it wasn't read is for the store to say, which has never seen it.
         for again in [false, true] {
@@ -116,20 +116,20 @@
                 stream = self.connect(patience);
             }
             let Ok(mut stream) = stream else { break };
-            let _ = stream.set_read_timeout(Some(Duration::from_micros(patience.0 + AFTERWARDS.0)));
+            let _ = stream.set_read_timeout(Some(Duration::from_micros(patience.0 + LATE_ANSWER_WAIT.0)));
             sent = unix();
             told = match stream.write_all(&query).and_then(|()| answer(&mut stream)) {
                 Ok(told) => {
                     self.kept = Some(stream);
                     told
                 }
-                Err(_) => Told::Nothing,
+                Err(_) => ClientOutcome::NoAnswer,
             };
-            if told != Told::Nothing || lock(&self.store).has_seen(id) {
+            if told != ClientOutcome::NoAnswer || lock(&self.store).has_seen(id) {
                 break;
             }
         }
-        self.records.push(Record {
+        self.records.push(StatementRecord {
             id,
             workload: arrival.workload,
             group,
@@ -144,7 +144,7 @@
 }
 
 /// The one final answer, up to where the next statement may follow.
-pub fn answer(stream: &mut TcpStream) -> io::Result<Told> {
+pub fn answer(stream: &mut TcpStream) -> io::Result<ClientOutcome> {
     let mut told = None;
     loop {
         let (kind, body) = read(stream, true)?;
@@ -152,15 +152,15 @@
             b'D' => {
                 let row = body.get(6..).and_then(of_value);
                 let (id, position) = row.ok_or(ErrorKind::InvalidData)?;
-                told = Some(Told::Row { id, position });
+                told = Some(ClientOutcome::Row { id, position });
             }
             b'E' => {
                 let code = body.split(|b| *b == 0).find_map(|f| f.strip_prefix(b"C"));
                 let is_rejection = matches!(code, Some(b"53300" | b"57P03"));
                 told = Some(if is_rejection {
-                    Told::Rejected
+                    ClientOutcome::Rejected
                 } else {
-                    Told::Aborted
+                    ClientOutcome::Aborted
                 });
             }
             b'Z' => return told.ok_or(ErrorKind::InvalidData.into()),
--- a/crates/testbed/src/member.rs
+++ b/crates/testbed/src/member.rs
@@ -1,6 +1,6 @@
 //! Members on loopback sockets, each with a port of its own, and one thread a connection.
 
-use crate::store_model::{Reply, Store};
+use crate::store_model::{Reply, StoreModel};
 use crate::wire::{ask, error, message, read, row, status, unix, value};
 use asterlatch::time::TimeSpan;
 use std::io::{self, Write};
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
-pub type Shared = Arc<Mutex<Store>>;
+pub type SharedStore = Arc<Mutex<StoreModel>>;
 
-pub fn lock(store: &Shared) -> MutexGuard<'_, Store> {
+pub fn lock(store: &SharedStore) -> MutexGuard<'_, StoreModel> {
     store.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -20,7 +20,7 @@
 }
 
 /// Starts a member; says where it listens.
-pub fn start(store: &Shared, member: u32) -> io::Result<SocketAddr> {
+pub fn start(store: &SharedStore, member: u32) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     let store = store.clone();
@@ -37,7 +37,7 @@
     Ok(address)
 }
 
-fn speak(mut stream: TcpStream, store: &Shared, member: u32) -> io::Result<()> {
+fn speak(mut stream: TcpStream, store: &SharedStore, member: u32) -> io::Result<()> {
     stream.set_nodelay(true)?;
     {
         let mut store = lock(store);
@@ -96,8 +96,8 @@
             ]
             .concat(),
             Reply::Failed => error("XX000", "something went wrong"),
-            Reply::Lost | Reply::Refused => return Ok(()),
-            Reply::Never => {
+            Reply::ConnectionLost | Reply::Refused => return Ok(()),
+            Reply::NoAnswer => {
                 // Until whoever waits gives up.
                 read(&mut stream, true)?;
                 return Ok(());
--- a/crates/testbed/src/roaming_clients.rs
+++ b/crates/testbed/src/roaming_clients.rs
@@ -2,10 +2,10 @@
 //! to come again, repeats the same statement at another.
 
 use crate::arrivals::{Arrival, Arrivals};
-use crate::checker::{Record, Told};
+use crate::checker::{ClientOutcome, StatementRecord};
 use crate::load_generator::answer;
-use crate::member::{lock, pause, Shared};
-use crate::store_model::Kind;
+use crate::member::{lock, pause, SharedStore};
+use crate::store_model::WorkloadKind;
 use crate::wire::{greet, message, unix};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
@@ -17,25 +17,25 @@
 
 /// One of a client's tries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Try {
+pub struct Attempt {
     /// From 1.
     pub driver: u32,
     pub sent: Timestamp,
     pub ended: Timestamp,
-    pub told: Told,
+    pub told: ClientOutcome,
     /// The client went away before its time was over.
     pub left: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Roamed {
-    pub record: Record,
-    pub tries: Vec<Try>,
+pub struct RoamingRecord {
+    pub record: StatementRecord,
+    pub tries: Vec<Attempt>,
 }
 
 /// How clients behave, in thousandths.
 #[derive(Clone, Copy, Debug)]
-pub struct Manners {
+pub struct RoamingBehavior {
     /// Ask at another driver than their session's.
     pub roam: u32,
     /// Go away from a write soon after they have sent it, and repeat it elsewhere.
@@ -43,19 +43,19 @@
 }
 
 /// A hasty client goes away within this, in microseconds: its write may lie unread, be out, or be done by then.
-const HASTE: u64 = 5000;
+const MAX_ABANDON_DELAY_US: u64 = 5000;
 /// Between a rejection and the next try.
-const AGAIN: TimeSpan = TimeSpan::millis(20);
-const MOST_TRIES: usize = 4;
+const RETRY_BACKOFF: TimeSpan = TimeSpan::millis(20);
+const MAX_ATTEMPTS: usize = 4;
 
-pub struct Load(Vec<JoinHandle<Vec<Roamed>>>);
+pub struct Load(Vec<JoinHandle<Vec<RoamingRecord>>>);
 
 pub fn start(
-    store: &Shared,
+    store: &SharedStore,
     drivers: &[SocketAddr],
     arrivals: Arrivals,
     from: Timestamp,
-    (clients, manners, seed): (usize, Manners, u64),
+    (clients, manners, seed): (usize, RoamingBehavior, u64),
 ) -> Load {
     let arrivals = Arc::new(Mutex::new(arrivals));
     let client = |n: usize| {
@@ -82,9 +82,9 @@
 }
 
 impl Load {
-    pub fn finish(self) -> Vec<Roamed> {
+    pub fn finish(self) -> Vec<RoamingRecord> {
         let ended = self.0.into_iter().filter_map(|client| client.join().ok());
-        let mut all: Vec<Roamed> = ended.flatten().collect();
+        let mut all: Vec<RoamingRecord> = ended.flatten().collect();
         all.sort_by_key(|r| (r.record.due, r.record.id));
         all
     }
@@ -92,10 +92,10 @@
 
 struct Client {
     drivers: Vec<SocketAddr>,
-    store: Shared,
+    store: SharedStore,
     kept: BTreeMap<usize, TcpStream>,
     chance: fastrand::Rng,
-    manners: Manners,
+    manners: RoamingBehavior,
 }
 
 impl Client {
@@ -116,22 +116,22 @@
         Ok(stream)
     }
 
-    fn ask(&mut self, arrival: &Arrival, due: Timestamp) -> Roamed {
+    fn ask(&mut self, arrival: &Arrival, due: Timestamp) -> RoamingRecord {
         let (name, kind, patience) = {
             let store = lock(&self.store);
             let w = &store.workloads[arrival.workload];
             (w.name, w.kind, w.patience)
         };
         let until = unix() + patience;
-        let writes = matches!(kind, Kind::Write { .. });
+        let writes = matches!(kind, WorkloadKind::Write { .. });
         let count = self.drivers.len();
         let home = arrival.session as usize % count;
         let roams = self.chance.u32(0..1000) < self.manners.roam;
         let mut driver = if roams { self.chance.usize(0..count) } else { home };
         let hasty = writes && self.chance.u32(0..1000) < self.manners.hasty;
-        let mut tries: Vec<Try> = Vec::new();
-        let (mut told, mut sent, mut refused) = (Told::Refused, unix(), 0);
-        while tries.len() < MOST_TRIES && unix() + TimeSpan::millis(5) < until {
+        let mut tries: Vec<Attempt> = Vec::new();
+        let (mut told, mut sent, mut refused) = (ClientOutcome::ConnectionRefused, unix(), 0);
+        while tries.len() < MAX_ATTEMPTS && unix() + TimeSpan::millis(5) < until {
             let left = until - unix();
             let wait = Duration::from_micros(left.0.max(1000));
             let Ok(mut stream) = self.connect(driver, wait.min(Duration::from_millis(200))) else {
@@ -163,7 +163,7 @@
             let asked = stream.write_all(&query);
             if goes {
                 // Whatever comes of it is lost.
-                pause(TimeSpan(self.chance.u64(0..HASTE)));
+                pause(TimeSpan(self.chance.u64(0..MAX_ABANDON_DELAY_US)));
             }
             let heard = asked.and_then(|()| {
                 if goes {
@@ -177,9 +177,9 @@
                     self.kept.insert(driver, stream);
                     told
                 }
-                Err(_) => Told::Nothing,
+                Err(_) => ClientOutcome::NoAnswer,
             };
-            tries.push(Try {
+            tries.push(Attempt {
                 driver: driver as u32 + 1,
                 sent,
                 ended: unix(),
@@ -187,13 +187,13 @@
                 left: goes,
             });
             match told {
-                Told::Nothing => {}
-                Told::Rejected => pause(AGAIN),
+                ClientOutcome::NoAnswer => {}
+                ClientOutcome::Rejected => pause(RETRY_BACKOFF),
                 _ => break,
             }
             driver = (driver + 1 + self.chance.usize(0..count)) % count;
         }
-        let record = Record {
+        let record = StatementRecord {
             id: arrival.id,
             workload: arrival.workload,
             group: arrival.group,
@@ -204,6 +204,6 @@
             told,
             more: false,
         };
-        Roamed { record, tries }
+        RoamingRecord { record, tries }
     }
 }
--- a/crates/testbed/src/store_model.rs
+++ b/crates/testbed/src/store_model.rs
@@ -1,29 +1,29 @@
 //! The store that members stand for: groups with a primary and replicas, positions, and every effect that was had.
 
-use crate::fault_script::{Fault, Script};
+use crate::fault_script::{FaultScript, MemberFault};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How long after it was listed a draining member may still be sent something, and the protocol's slack.
-const GRACE: TimeSpan = TimeSpan::millis(2050);
+const DRAIN_GRACE: TimeSpan = TimeSpan::millis(2050);
 
 /// What a cold member bears, as the drivers' settings say it: work within this span, this many times of what it bears by
 /// then, which grows from a part of a warm one's within this time.
-const FALL_SPAN: TimeSpan = TimeSpan::millis(2000);
-const FALL_MULTIPLE: f64 = 4.0;
-const COLD: f64 = 0.2;
-const WARM_WITHIN: TimeSpan = TimeSpan::millis(3000);
+const OVERLOAD_WINDOW: TimeSpan = TimeSpan::millis(2000);
+const OVERLOAD_MULTIPLE: f64 = 4.0;
+const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
+const WARM_UP_TIME: TimeSpan = TimeSpan::millis(3000);
 /// A warm member has one core, as the drivers take it to have at least.
-const BEARS: f64 = 1.0;
+const MIN_CAPACITY_CORES: f64 = 1.0;
 
 /// What a workload's statements are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Any,
+pub enum WorkloadKind {
+    AnyReplica,
     /// Data may be this old.
-    Bounded(TimeSpan),
+    BoundedStaleness(TimeSpan),
     /// Sees what its session wrote.
-    Own,
+    ReadYourWrites,
     /// A write; whether the store drops repeats of the same id.
     Write {
         dropped: bool,
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct Workload {
     pub name: &'static str,
-    pub kind: Kind,
+    pub kind: WorkloadKind,
     /// Of all statements.
     pub share: f64,
     /// How long its clients wait.
@@ -53,21 +53,33 @@
     vec![
         row(
             "balance-view",
-            Kind::Bounded(TimeSpan::millis(800)),
+            WorkloadKind::BoundedStaleness(TimeSpan::millis(800)),
             0.5,
             600,
             1500,
         ),
-        row("history-view", Kind::Any, 0.2, 2000, 4000),
-        row("own-view", Kind::Own, 0.1, 600, 1500),
-        row("payment-post", Kind::Write { dropped: false }, 0.15, 800, 2500),
-        row("meter-post", Kind::Write { dropped: true }, 0.05, 800, 2500),
+        row("history-view", WorkloadKind::AnyReplica, 0.2, 2000, 4000),
+        row("own-view", WorkloadKind::ReadYourWrites, 0.1, 600, 1500),
+        row(
+            "payment-post",
+            WorkloadKind::Write { dropped: false },
+            0.15,
+            800,
+            2500,
+        ),
+        row(
+            "meter-post",
+            WorkloadKind::Write { dropped: true },
+            0.05,
+            800,
+            2500,
+        ),
     ]
 }
 
 /// What a client asks a member through whoever stands between.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Statement {
     pub id: u64,
     pub workload: usize,
     /// The position that it must see.
@@ -85,16 +97,16 @@
     /// Something went wrong; nobody knows how far it came.
     Failed,
     /// It ran, and the connection ends.
-    Lost,
+    ConnectionLost,
     /// No answer will ever come.
-    Never,
+    NoAnswer,
     /// The connection ends before anything.
     Refused,
 }
 
 /// What a member does with a statement, and how long that takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outcome {
+pub struct ExecutionOutcome {
     pub reply: Reply,
     pub after: TimeSpan,
 }
@@ -102,8 +114,8 @@
 /// One run of a write: where, and when.
 pub type Effect = (u32, Timestamp);
 
-pub struct Store {
-    pub script: Script,
+pub struct StoreModel {
+    pub script: FaultScript,
     pub started: Timestamp,
     /// Who listens for it ends at the next connection.
     pub is_over: bool,
@@ -131,10 +143,10 @@
     pub probes: u64,
 }
 
-impl Store {
+impl StoreModel {
     /// Members are numbered from 1, group by group, the first of each its primary at the start.
-    pub fn new(groups: u32, replicas: u32, script: Script, started: Timestamp) -> Store {
-        Store {
+    pub fn new(groups: u32, replicas: u32, script: FaultScript, started: Timestamp) -> StoreModel {
+        StoreModel {
             script,
             started,
             is_over: false,
@@ -181,21 +193,21 @@
         self.primary(now, self.group(member)) == member
     }
 
-    fn faults(&self, now: Timestamp, member: u32) -> impl Iterator<Item = Fault> + '_ {
+    fn faults(&self, now: Timestamp, member: u32) -> impl Iterator<Item = MemberFault> + '_ {
         let of = Some(self.group(member)).filter(|_| self.is_primary(now, member));
         self.script.faults(now - self.started, member, of).map(|(f, _)| f)
     }
 
-    fn has(&self, now: Timestamp, member: u32, fault: Fault) -> bool {
+    fn has(&self, now: Timestamp, member: u32, fault: MemberFault) -> bool {
         self.faults(now, member).any(|f| f == fault)
     }
 
     pub fn is_down(&self, now: Timestamp, member: u32) -> bool {
-        self.has(now, member, Fault::Down)
+        self.has(now, member, MemberFault::Down)
     }
 
     pub fn drains(&self, now: Timestamp, member: u32) -> bool {
-        self.has(now, member, Fault::Drains)
+        self.has(now, member, MemberFault::Draining)
     }
 
     /// A primary stands at the present, a replica behind it.
@@ -206,7 +218,7 @@
             .faults(since, member, None)
             .filter_map(|(f, from)| match f {
                 // What was applied stays applied: the log stands still until it is as far behind as that.
-                Fault::Lags(by) => Some((now - by).max(self.started + from - self.lag)),
+                MemberFault::Lagging(by) => Some((now - by).max(self.started + from - self.lag)),
                 _ => None,
             });
         let behind = lags.min().unwrap_or(now - self.lag);
@@ -217,7 +229,7 @@
 
     pub fn probe(&mut self, now: Timestamp, member: u32) -> Option<(Timestamp, bool)> {
         self.probes += 1;
-        let hangs = self.has(now, member, Fault::Hangs);
+        let hangs = self.has(now, member, MemberFault::Unresponsive);
         (!hangs).then(|| (self.position(now, member), self.is_primary(now, member)))
     }
 
@@ -229,10 +241,13 @@
     /// Counts work, and whether a cold member falls over under it: measured by what warm ones carry on the mean.
     fn weigh(&mut self, now: Timestamp, member: u32, work: TimeSpan) {
         for queue in self.recent.values_mut() {
-            while queue.pop_front_if(|(at, _)| now - *at >= FALL_SPAN).is_some() {}
+            while queue
+                .pop_front_if(|(at, _)| now - *at >= OVERLOAD_WINDOW)
+                .is_some()
+            {}
         }
         self.recent.entry(member).or_default().push_back((now, work));
-        let cold = |m: u32| self.began(now, m).filter(|at| now - *at < WARM_WITHIN);
+        let cold = |m: u32| self.began(now, m).filter(|at| now - *at < WARM_UP_TIME);
         let Some(began) = cold(member) else { return };
         let sum = |m: &u32| {
             self.recent
@@ -241,24 +256,26 @@
         };
         let warm: Vec<u32> = self.members().filter(|m| cold(*m).is_none()).collect();
         let carried =
-            warm.iter().map(sum).sum::<u64>() as f64 / warm.len().max(1) as f64 / FALL_SPAN.0 as f64;
-        let warmth = COLD + (1.0 - COLD) * (now - began).ratio(WARM_WITHIN);
-        let bears = carried.max(BEARS) * warmth * FALL_MULTIPLE * FALL_SPAN.0 as f64;
+            warm.iter().map(sum).sum::<u64>() as f64 / warm.len().max(1) as f64 / OVERLOAD_WINDOW.0 as f64;
+        let warmth =
+            INITIAL_CAPACITY_FRACTION + (1.0 - INITIAL_CAPACITY_FRACTION) * (now - began).ratio(WARM_UP_TIME);
+        let bears = carried.max(MIN_CAPACITY_CORES) * warmth * OVERLOAD_MULTIPLE * OVERLOAD_WINDOW.0 as f64;
         self.pushed_over += u64::from(sum(&member) as f64 > bears);
     }
 
     /// A member has the whole of a statement.
-    pub fn execute(&mut self, now: Timestamp, member: u32, ask: &Ask) -> Outcome {
+    pub fn execute(&mut self, now: Timestamp, member: u32, ask: &Statement) -> ExecutionOutcome {
         self.executions += 1;
         self.seen.insert(ask.id);
         self.weigh(now, member, self.workloads[ask.workload].work);
         let drains = self.script.faults(now - self.started, member, None);
-        let late = drains.filter(|(f, from)| *f == Fault::Drains && now - (self.started + *from) > GRACE);
+        let late = drains
+            .filter(|(f, from)| *f == MemberFault::Draining && now - (self.started + *from) > DRAIN_GRACE);
         self.after_drains += u64::from(late.count() > 0);
-        let faults: Vec<Fault> = self.faults(now, member).collect();
+        let faults: Vec<MemberFault> = self.faults(now, member).collect();
         let (is_primary, position) = (self.is_primary(now, member), self.position(now, member));
         let slow = faults.iter().filter_map(|f| match f {
-            Fault::Slow(by) => Some(*by),
+            MemberFault::Slow(by) => Some(*by),
             _ => None,
         });
         let workload = &self.workloads[ask.workload];
@@ -266,14 +283,14 @@
             workload.kind,
             TimeSpan(workload.work.0 + slow.max().unwrap_or_default().0),
         );
-        let end = |reply| Outcome { reply, after };
-        if faults.contains(&Fault::Hangs) {
-            return end(Reply::Never);
+        let end = |reply| ExecutionOutcome { reply, after };
+        if faults.contains(&MemberFault::Unresponsive) {
+            return end(Reply::NoAnswer);
         }
-        if faults.contains(&Fault::Down) {
+        if faults.contains(&MemberFault::Down) {
             return end(Reply::Refused);
         }
-        if let Kind::Write { dropped } = kind {
+        if let WorkloadKind::Write { dropped } = kind {
             if !is_primary {
                 return end(Reply::NoPrimary);
             }
@@ -286,18 +303,18 @@
             let (primary, replica) = self.reads.entry(since).or_default();
             *(if is_primary { primary } else { replica }) += 1;
             let needed = match kind {
-                Kind::Bounded(bound) => now - bound,
-                Kind::Own => ask.after,
-                Kind::Any | Kind::Write { .. } => Timestamp(0),
+                WorkloadKind::BoundedStaleness(bound) => now - bound,
+                WorkloadKind::ReadYourWrites => ask.after,
+                WorkloadKind::AnyReplica | WorkloadKind::Write { .. } => Timestamp(0),
             };
             if self.checks && position < needed {
                 return end(Reply::Behind);
             }
         }
-        if faults.contains(&Fault::LosesAnswers) {
-            return end(Reply::Lost);
+        if faults.contains(&MemberFault::DropsAnswers) {
+            return end(Reply::ConnectionLost);
         }
-        if faults.contains(&Fault::Fails) {
+        if faults.contains(&MemberFault::Failing) {
             return end(Reply::Failed);
         }
         end(Reply::Row { position })
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,6 +1,6 @@
 //! What is spoken: messages of PostgreSQL's protocol, and the comment that heads a statement.
 
-use crate::store_model::Ask;
+use crate::store_model::Statement;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -17,7 +17,7 @@
 }
 
 /// No message of a laboratory is longer.
-const LONGEST: usize = 1 << 24;
+const MAX_MESSAGE_BYTES: usize = 1 << 24;
 
 /// The next message, behind its kind where it has one.
 pub fn read(stream: &mut TcpStream, has_kind: bool) -> io::Result<(u8, Vec<u8>)> {
@@ -27,7 +27,7 @@
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
     let length = length
         .checked_sub(4)
-        .filter(|l| *l <= LONGEST)
+        .filter(|l| *l <= MAX_MESSAGE_BYTES)
         .ok_or(ErrorKind::InvalidData)?;
     let mut body = vec![0; length];
     stream.read_exact(&mut body)?;
@@ -80,14 +80,14 @@
 }
 
 /// The statement that a comment heads; `names` are the workloads'.
-pub fn ask(text: &str, names: &[&str]) -> Option<Ask> {
+pub fn ask(text: &str, names: &[&str]) -> Option<Statement> {
     let comment = text.trim_start().strip_prefix("/*")?.split("*/").next()?;
     let field = |name: &str| {
         let fields = comment.trim().split(',').filter_map(|f| f.split_once('='));
         fields.filter(|(n, _)| *n == name).map(|(_, v)| v).next()
     };
     let after = field("after").and_then(|ms| ms.parse().ok()).unwrap_or(0);
-    Some(Ask {
+    Some(Statement {
         id: u64::from_str_radix(field("id")?, 16).ok()?,
         workload: names.iter().position(|n| Some(*n) == field("c"))?,
         after: Timestamp(0) + TimeSpan::millis(after),
--- a/crates/testbed/tests/decisions.rs
+++ b/crates/testbed/tests/decisions.rs
@@ -2,9 +2,11 @@
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_testbed::arrivals::Arrivals;
-use asterlatch_testbed::checker::{judge, Record, Told, BREACHES};
-use asterlatch_testbed::fault_script::{Event, Fault, Harm, Outage, Script, Target};
-use asterlatch_testbed::store_model::{workloads, Ask, Reply, Store};
+use asterlatch_testbed::checker::{judge, ClientOutcome, StatementRecord, VIOLATIONS};
+use asterlatch_testbed::fault_script::{
+    DriverFault, FaultEvent, FaultScript, LinkFault, MemberFault, Target,
+};
+use asterlatch_testbed::store_model::{workloads, Reply, Statement, StoreModel};
 use asterlatch_testbed::wire::{ask, of_value, value};
 
 const START: Timestamp = Timestamp(1_000_000_000_000);
@@ -19,13 +21,13 @@
 
 #[test]
 fn scripts_say_what_they_mean_or_where_they_don_t() {
-    let fault = |target, fault, from, until| Event::Fault {
+    let fault = |target, fault, from, until| FaultEvent::Member {
         target,
         fault,
         from: ms(from),
         until: ms(until),
     };
-    let link = |from_drivers: &[u32], to_drivers: &[u32], both_ways, harm, from, until| Event::Link {
+    let link = |from_drivers: &[u32], to_drivers: &[u32], both_ways, harm, from, until| FaultEvent::Link {
         from_drivers: from_drivers.to_vec(),
         to_drivers: to_drivers.to_vec(),
         both_ways,
@@ -35,24 +37,24 @@
     };
     #[rustfmt::skip]
     let good = [
-        ("2s member 3 slow 50ms for 1s", fault(Target::Member(3), Fault::Slow(ms(50)), 2000, 3000)),
-        ("500ms primary of 1 hangs for 1.5s", fault(Target::Primary(1), Fault::Hangs, 500, 2000)),
-        ("0s member 1 is down for 10ms", fault(Target::Member(1), Fault::Down, 0, 10)),
-        ("1s member 1 loses answers for 1s", fault(Target::Member(1), Fault::LosesAnswers, 1000, 2000)),
-        ("1s member 1 lags 3s for 1s", fault(Target::Member(1), Fault::Lags(ms(3000)), 1000, 2000)),
-        ("1s member 2 starts for 4s", fault(Target::Member(2), Fault::Starts, 1000, 5000)),
-        ("5s driver 2 is killed for 3s", Event::Driver { driver: 2, outage: Outage::Killed, from: ms(5000), until: ms(8000) }),
-        ("5s driver 1 hears no list for 1s", Event::Driver { driver: 1, outage: Outage::NoList, from: ms(5000), until: ms(6000) }),
-        ("6s link 1 to 2 is cut for 2s", link(&[1], &[2], false, Harm::Cut, 6000, 8000)),
-        ("6s split 1 2 from 3 4 for 2s", link(&[1, 2], &[3, 4], true, Harm::Cut, 6000, 8000)),
-        ("0s links lose 30% for 1s", link(&[], &[], true, Harm::Loses(300), 0, 1000)),
-        ("0s links slow 20ms for 1s", link(&[], &[], true, Harm::Slow(ms(20)), 0, 1000)),
-        ("4s group 2 switches to 7", Event::Switch { group: 2, to: 7, at: ms(4000) }),
+        ("2s member 3 slow 50ms for 1s", fault(Target::Member(3), MemberFault::Slow(ms(50)), 2000, 3000)),
+        ("500ms primary of 1 hangs for 1.5s", fault(Target::Primary(1), MemberFault::Unresponsive, 500, 2000)),
+        ("0s member 1 is down for 10ms", fault(Target::Member(1), MemberFault::Down, 0, 10)),
+        ("1s member 1 loses answers for 1s", fault(Target::Member(1), MemberFault::DropsAnswers, 1000, 2000)),
+        ("1s member 1 lags 3s for 1s", fault(Target::Member(1), MemberFault::Lagging(ms(3000)), 1000, 2000)),
+        ("1s member 2 starts for 4s", fault(Target::Member(2), MemberFault::WarmingUp, 1000, 5000)),
+        ("5s driver 2 is killed for 3s", FaultEvent::Driver { driver: 2, outage: DriverFault::Killed, from: ms(5000), until: ms(8000) }),
+        ("5s driver 1 hears no list for 1s", FaultEvent::Driver { driver: 1, outage: DriverFault::DiscoveryStalled, from: ms(5000), until: ms(6000) }),
+        ("6s link 1 to 2 is cut for 2s", link(&[1], &[2], false, LinkFault::Cut, 6000, 8000)),
+        ("6s split 1 2 from 3 4 for 2s", link(&[1, 2], &[3, 4], true, LinkFault::Cut, 6000, 8000)),
+        ("0s links lose 30% for 1s", link(&[], &[], true, LinkFault::Loss(300), 0, 1000)),
+        ("0s links slow 20ms for 1s", link(&[], &[], true, LinkFault::Delay(ms(20)), 0, 1000)),
+        ("4s group 2 switches to 7", FaultEvent::PrimaryChange { group: 2, to: 7, at: ms(4000) }),
     ];
     for (line, event) in good {
         assert_eq!(
-            Script::read(&format!("# why\n\n{line}\n")),
-            Ok(Script(vec![event])),
+            FaultScript::read(&format!("# why\n\n{line}\n")),
+            Ok(FaultScript(vec![event])),
             "{line}"
         );
     }
@@ -74,7 +76,7 @@
         ("2s member 3 hangs for ever", "'ever' is no span"),
     ];
     for (line, words) in bad {
-        let told = Script::read(&format!("1s member 1 fails for 1s\n{line}")).expect_err(line);
+        let told = FaultScript::read(&format!("1s member 1 fails for 1s\n{line}")).expect_err(line);
         assert!(
             told.starts_with("line 2: ") && told.contains(words),
             "{line}: {told}"
@@ -86,7 +88,7 @@
 fn members_do_what_the_script_has_them_do() {
     let script = "1s member 1 fails for 1s\n1s member 3 lags 3s for 1s\n2s group 1 switches to 2\n3s primary of 1 hangs for 1s\n\
         4s member 2 loses answers for 1s\n5s member 2 is down for 1s\n6s member 2 slow 70ms for 1s";
-    let mut store = Store::new(2, 2, Script::read(script).expect("reads"), START);
+    let mut store = StoreModel::new(2, 2, FaultScript::read(script).expect("reads"), START);
     let (bounded, any, own, post, dropped) = (0, 1, 2, 3, 4);
     #[rustfmt::skip]
     let cases = [
@@ -101,14 +103,14 @@
     ];
     for (n, (when, member, workload, after, expected)) in cases.into_iter().enumerate() {
         let (id, after) = (n as u64, START + ms(after));
-        let outcome = store.execute(at(when), member, &Ask { id, workload, after });
+        let outcome = store.execute(at(when), member, &Statement { id, workload, after });
         let got = match outcome.reply {
             Reply::Row { .. } => "row",
             Reply::NoPrimary => "no primary",
             Reply::Behind => "behind",
             Reply::Failed => "failed",
-            Reply::Lost => "lost",
-            Reply::Never => "never",
+            Reply::ConnectionLost => "lost",
+            Reply::NoAnswer => "never",
             Reply::Refused => "refused",
         };
         assert_eq!(got, expected, "case {n}");
@@ -122,11 +124,11 @@
     }
     // (how long it has been draining; whether what is sent there then breaks the rule)
     for (long, broken) in [(0, 0), (2050, 0), (2051, 1)] {
-        let script = Script::read("1s member 2 drains for 9s").expect("reads");
-        let mut store = Store::new(1, 1, script, START);
+        let script = FaultScript::read("1s member 2 drains for 9s").expect("reads");
+        let mut store = StoreModel::new(1, 1, script, START);
         let (id, after) = (1, START);
         let workload = any;
-        store.execute(at(1000 + long), 2, &Ask { id, workload, after });
+        store.execute(at(1000 + long), 2, &Statement { id, workload, after });
         assert_eq!(
             (store.after_drains, judge(&store, &[]).broken()),
             (broken, broken),
@@ -135,7 +137,7 @@
     }
     // The store drops a repeat of what it may, and no other.
     for (workload, effects) in [(post, 2), (dropped, 1)] {
-        let asked = Ask {
+        let asked = Statement {
             id: 1000 + effects,
             workload,
             after: START,
@@ -163,7 +165,7 @@
 /// Each breach is found, and by itself.
 #[test]
 fn the_judge_finds_each_breach() {
-    let good = |workload| Record {
+    let good = |workload| StatementRecord {
         id: 1,
         workload,
         group: 1,
@@ -171,44 +173,46 @@
         due: at(1000),
         sent: at(1000),
         answered: at(1020),
-        told: Told::Row {
+        told: ClientOutcome::Row {
             id: 1,
             position: at(1005),
         },
         more: false,
     };
     let (bounded, own, post, dropped) = (0, 2, 3, 4);
-    let row = |id, position| Told::Row {
+    let row = |id, position| ClientOutcome::Row {
         id,
         position: at(position),
     };
     #[rustfmt::skip]
-    let cases: [(&str, Record, usize, Option<usize>); 19] = [
+    let cases: [(&str, StatementRecord, usize, Option<usize>); 19] = [
         ("a read", good(bounded), 0, None),
         ("a write", good(post), 1, None),
-        ("nothing was said", Record { told: Told::Nothing, ..good(post) }, 0, Some(0)),
-        ("in its last moment", Record { answered: at(1640), ..good(bounded) }, 0, None),
-        ("too late", Record { answered: at(1660), ..good(bounded) }, 0, Some(1)),
-        ("more was said", Record { more: true, ..good(bounded) }, 0, Some(2)),
-        ("another's row", Record { told: row(2, 1005), ..good(bounded) }, 0, Some(3)),
+        ("nothing was said", StatementRecord { told: ClientOutcome::NoAnswer, ..good(post) }, 0, Some(0)),
+        ("in its last moment", StatementRecord { answered: at(1640), ..good(bounded) }, 0, None),
+        ("too late", StatementRecord { answered: at(1660), ..good(bounded) }, 0, Some(1)),
+        ("more was said", StatementRecord { more: true, ..good(bounded) }, 0, Some(2)),
+        ("another's row", StatementRecord { told: row(2, 1005), ..good(bounded) }, 0, Some(3)),
         ("a write twice", good(post), 2, Some(4)),
-        ("an aborted write twice", Record { told: Told::Aborted, ..good(post) }, 2, Some(4)),
+        ("an aborted write twice", StatementRecord { told: ClientOutcome::Aborted, ..good(post) }, 2, Some(4)),
         ("a dropped write once", good(dropped), 1, None),
         ("a write never", good(post), 0, Some(5)),
         ("a dropped write never", good(dropped), 0, Some(5)),
-        ("a rejected write that ran", Record { told: Told::Rejected, ..good(post) }, 1, Some(6)),
-        ("a rejected write that may be repeated", Record { told: Told::Rejected, ..good(dropped) }, 1, None),
-        ("an aborted write that ran", Record { told: Told::Aborted, ..good(post) }, 1, None),
-        ("an aborted write that didn't", Record { told: Told::Aborted, ..good(post) }, 0, None),
-        ("refused", Record { told: Told::Refused, ..good(post) }, 0, None),
-        ("as old as it may be", Record { told: row(1, 160), ..good(bounded) }, 0, None),
-        ("older", Record { told: row(1, 140), ..good(bounded) }, 0, Some(7)),
+        ("a rejected write that ran", StatementRecord { told: ClientOutcome::Rejected, ..good(post) }, 1, Some(6)),
+        ("a rejected write that may be repeated", StatementRecord { told: ClientOutcome::Rejected, ..good(dropped) }, 1, None),
+        ("an aborted write that ran", StatementRecord { told: ClientOutcome::Aborted, ..good(post) }, 1, None),
+        ("an aborted write that didn't", StatementRecord { told: ClientOutcome::Aborted, ..good(post) }, 0, None),
+        ("refused", StatementRecord { told: ClientOutcome::ConnectionRefused, ..good(post) }, 0, None),
+        ("as old as it may be", StatementRecord { told: row(1, 160), ..good(bounded) }, 0, None),
+        ("older", StatementRecord { told: row(1, 140), ..good(bounded) }, 0, Some(7)),
     ];
     for (name, record, ran, broken) in cases {
-        let mut store = Store::new(1, 1, Script::default(), START);
+        let mut store = StoreModel::new(1, 1, FaultScript::default(), START);
         store.effects.insert(1, vec![(1, at(1001)); ran]);
         let report = judge(&store, &[record]);
-        let found: Vec<usize> = (0..BREACHES.len()).filter(|n| report.breaches[*n] > 0).collect();
+        let found: Vec<usize> = (0..VIOLATIONS.len())
+            .filter(|n| report.breaches[*n] > 0)
+            .collect();
         assert_eq!(found, broken.into_iter().collect::<Vec<_>>(), "{name}");
         assert_eq!(
             report.to_string().contains("rules kept"),
@@ -223,10 +227,10 @@
         (2, 1, 990, 970, false), (1, 2, 990, 970, false),
     ];
     for (group, session, answered, position, stale) in sessions {
-        let mut store = Store::new(2, 1, Script::default(), START);
+        let mut store = StoreModel::new(2, 1, FaultScript::default(), START);
         store.effects.insert(7, vec![(1, at(975))]);
         let (sent, told) = (at(970), row(7, 975));
-        let write = Record {
+        let write = StatementRecord {
             id: 7,
             group,
             session,
@@ -236,7 +240,7 @@
             told,
             ..good(post)
         };
-        let read = Record {
+        let read = StatementRecord {
             told: row(1, position),
             ..good(own)
         };
@@ -276,7 +280,7 @@
 #[test]
 fn links_are_harmed_as_the_script_says() {
     let text = "1s link 1 to 2 is cut for 1s\n2s split 1 2 from 3 for 1s\n3s links lose 10% for 1s\n3s link 2 and 3 slow 5ms for 1s";
-    let script = Script::read(text).expect("can be read");
+    let script = FaultScript::read(text).expect("can be read");
     let cut = |at, one, other| script.way(ms(at), one, other).cut;
     assert!(cut(1500, 1, 2) && !cut(1500, 2, 1) && !cut(1500, 1, 3) && !cut(999, 1, 2));
     assert!(cut(2500, 1, 3) && cut(2500, 3, 2) && !cut(2500, 1, 2) && !cut(3000, 1, 3));
