--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -34,21 +34,21 @@
     }
 }
 
-fn play(scene: &str, shares: bool) -> RunReport {
+fn play(scene: &str, gossip_enabled: bool) -> RunReport {
     let _permit = ScenePermit::acquire();
     let (_, drivers, text) = scenes(5).find(|(name, ..)| *name == scene).expect("is a scene");
     let plan = ClusterPlan {
         drivers,
         groups: 2,
         replicas: 2,
-        script: FaultScript::read(text).expect("can be read"),
-        shares,
+        script: FaultScript::parse(text).expect("can be read"),
+        gossip_enabled,
         seconds: 5.0,
         rate: 150.0,
         clients: 24,
-        manners: RoamingBehavior {
-            roam: 100,
-            hasty: 200,
+        behavior: RoamingBehavior {
+            roam_per_mille: 100,
+            abandon_per_mille: 200,
         },
         seed: 3,
     };
@@ -58,11 +58,15 @@
 /// All rules hold over all processes, copies come to be equal, and no payment that was repeated elsewhere ran twice.
 fn holds(scene: &str) -> RunReport {
     let outcome = play(scene, true);
-    assert!(outcome.is_kept(), "{outcome}");
+    assert!(outcome.all_rules_kept(), "{outcome}");
     assert!(outcome.completed > 500, "{outcome}");
-    let repeats = outcome.repeats;
-    assert!(repeats.asked > 0, "or this proves little: {outcome}");
-    assert_eq!((repeats.doubled, repeats.untrue), (0, 0), "{outcome}");
+    let retries = outcome.retries;
+    assert!(retries.retried > 0, "or this proves little: {outcome}");
+    assert_eq!(
+        (retries.executed_twice, retries.false_reports),
+        (0, 0),
+        "{outcome}"
+    );
     outcome
 }
 
@@ -120,7 +124,7 @@
 #[test]
 fn alone_they_double_payments_and_miss_drains() {
     let outcome = play("drain", false);
-    assert!(outcome.repeats.doubled > 0, "{outcome}");
-    let late = outcome.broken.get("drains: sent long after it was told");
+    assert!(outcome.retries.executed_twice > 0, "{outcome}");
+    let late = outcome.violations.get("drains: sent long after it was told");
     assert!(late.is_some(), "{outcome}");
 }
--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -14,7 +14,7 @@
 
 /// Independent arrivals at a steady rate, by seed.
 pub struct Arrivals {
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     shares: Vec<f64>,
     rate: f64,
     groups: u32,
@@ -27,8 +27,8 @@
     /// `rate` a second, for that long.
     pub fn new(workloads: &[Workload], rate: f64, groups: u32, until: TimeSpan, seed: u64) -> Arrivals {
         Arrivals {
-            chance: fastrand::Rng::with_seed(seed),
-            shares: workloads.iter().map(|w| w.share).collect(),
+            rng: fastrand::Rng::with_seed(seed),
+            shares: workloads.iter().map(|workload| workload.share).collect(),
             rate,
             groups,
             until,
@@ -43,13 +43,13 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        self.at += -(1.0 - self.chance.f64()).ln() / self.rate;
+        self.at += -(1.0 - self.rng.f64()).ln() / self.rate;
         let at = TimeSpan((self.at * 1e6) as u64);
         if at >= self.until {
             return None;
         }
         self.next += 1;
-        let mut drawn = self.chance.f64() * self.shares.iter().sum::<f64>();
+        let mut drawn = self.rng.f64() * self.shares.iter().sum::<f64>();
         let chosen = self.shares.iter().position(|share| {
             drawn -= share;
             drawn < 0.0
@@ -58,8 +58,8 @@
             at,
             id: self.next,
             workload: chosen.unwrap_or(self.shares.len() - 1),
-            group: self.chance.u32(1..=self.groups),
-            session: self.chance.u32(0..200),
+            group: self.rng.u32(1..=self.groups),
+            session: self.rng.u32(0..200),
         })
     }
 }
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -31,9 +31,9 @@
     pub due: Timestamp,
     pub sent: Timestamp,
     pub answered: Timestamp,
-    pub told: ClientOutcome,
+    pub outcome: ClientOutcome,
     /// Bytes came behind the final answer.
-    pub more: bool,
+    pub has_trailing_bytes: bool,
 }
 
 /// The protocol's slack.
@@ -65,49 +65,50 @@
     pub lost: u64,
     pub refused: u64,
     /// Milliseconds from when it was due: half, 99 of 100, and all.
-    pub times: [f64; 3],
+    pub latencies: [f64; 3],
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct CheckReport {
     pub rows: Vec<WorkloadSummary>,
-    pub breaches: [u64; VIOLATIONS.len()],
+    pub violations: [u64; VIOLATIONS.len()],
     /// The first of each kind.
-    pub first: BTreeMap<usize, u64>,
+    pub first_by_rule: BTreeMap<usize, u64>,
     /// Executions that went to members long after their drain was told.
-    pub after_drains: u64,
+    pub executions_after_drain: u64,
     pub executions: u64,
     pub connections: u64,
-    pub probes: u64,
+    pub health_checks: u64,
 }
 
-fn percentiles(times: &Histogram<u64>) -> [f64; 3] {
-    [0.5, 0.99, 1.0].map(|q| times.value_at_quantile(q) as f64 / 1000.0)
+fn percentiles(latencies: &Histogram<u64>) -> [f64; 3] {
+    [0.5, 0.99, 1.0].map(|q| latencies.value_at_quantile(q) as f64 / 1000.0)
 }
 
 /// Times of answers that were rows, from when their statements were due, in microseconds.
-pub fn times<'a>(records: impl IntoIterator<Item = &'a StatementRecord>) -> Histogram<u64> {
+pub fn latencies<'a>(records: impl IntoIterator<Item = &'a StatementRecord>) -> Histogram<u64> {
     // Three digits over any time that a client waits.
-    let mut times = Histogram::new_with_bounds(1, 100_000_000, 3).expect("three digits are had");
+    let mut latencies = Histogram::new_with_bounds(1, 100_000_000, 3).expect("three digits are had");
     for r in records {
-        if matches!(r.told, ClientOutcome::Row { .. }) {
-            times.saturating_record((r.answered - r.due).0);
+        if matches!(r.outcome, ClientOutcome::Row { .. }) {
+            latencies.saturating_record((r.answered - r.due).0);
         }
     }
-    times
+    latencies
 }
 
-pub fn judge(store: &StoreModel, records: &[StatementRecord]) -> CheckReport {
+pub fn check(store: &StoreModel, records: &[StatementRecord]) -> CheckReport {
     let mut report = CheckReport {
-        after_drains: store.after_drains,
+        executions_after_drain: store.executions_after_drain,
         executions: store.executions,
         connections: store.connections,
-        probes: store.probes,
+        health_checks: store.health_checks,
         ..CheckReport::default()
     };
     for (w, workload) in store.workloads.iter().enumerate() {
         let own: Vec<_> = records.iter().filter(|r| r.workload == w).collect();
-        let count = |told: fn(&ClientOutcome) -> bool| own.iter().filter(|r| told(&r.told)).count() as u64;
+        let count =
+            |outcome: fn(&ClientOutcome) -> bool| own.iter().filter(|r| outcome(&r.outcome)).count() as u64;
         report.rows.push(WorkloadSummary {
             name: workload.name,
             asked: own.len() as u64,
@@ -116,14 +117,14 @@
             aborted: count(|t| *t == ClientOutcome::Aborted),
             lost: count(|t| *t == ClientOutcome::NoAnswer),
             refused: count(|t| *t == ClientOutcome::ConnectionRefused),
-            times: percentiles(&times(own)),
+            latencies: percentiles(&latencies(own)),
         });
     }
     // What each session knew to be written, by when it knew.
     let mut written: BTreeMap<(u32, u32), Vec<(Timestamp, Timestamp)>> = BTreeMap::new();
     for r in records {
         let is_write = matches!(store.workloads[r.workload].kind, WorkloadKind::Write { .. });
-        if let (true, ClientOutcome::Row { position, .. }) = (is_write, r.told) {
+        if let (true, ClientOutcome::Row { position, .. }) = (is_write, r.outcome) {
             written
                 .entry((r.group, r.session))
                 .or_default()
@@ -133,7 +134,7 @@
     for r in records {
         let workload = &store.workloads[r.workload];
         let ran = store.effects.get(&r.id).map_or(0, Vec::len);
-        let row = match r.told {
+        let row = match r.outcome {
             ClientOutcome::Row { id, position } => Some((id, position)),
             _ => None,
         };
@@ -144,27 +145,27 @@
             .max();
         let older = |least: Timestamp| row.is_some_and(|(_, position)| position < least);
         let write = match workload.kind {
-            WorkloadKind::Write { dropped } => Some(dropped),
+            WorkloadKind::Write { deduplicated } => Some(deduplicated),
             _ => None,
         };
-        let broken = [
-            r.told == ClientOutcome::NoAnswer,
-            r.answered - r.sent > TimeSpan(workload.patience.0 + PROTOCOL_SLACK.0)
-                && r.told != ClientOutcome::NoAnswer,
-            r.more,
+        let violated = [
+            r.outcome == ClientOutcome::NoAnswer,
+            r.answered - r.sent > TimeSpan(workload.timeout.0 + PROTOCOL_SLACK.0)
+                && r.outcome != ClientOutcome::NoAnswer,
+            r.has_trailing_bytes,
             row.is_some_and(|(id, _)| id != r.id),
             write == Some(false) && ran > 1,
             write.is_some() && row.is_some() && ran == 0,
-            write == Some(false) && r.told == ClientOutcome::Rejected && ran > 0,
+            write == Some(false) && r.outcome == ClientOutcome::Rejected && ran > 0,
             match workload.kind {
                 WorkloadKind::BoundedStaleness(bound) => older(r.sent - TimeSpan(bound.0 + PROTOCOL_SLACK.0)),
                 _ => false,
             },
             workload.kind == WorkloadKind::ReadYourWrites && known.is_some_and(older),
         ];
-        for (n, _) in broken.iter().enumerate().filter(|(_, b)| **b) {
-            report.breaches[n] += 1;
-            report.first.entry(n).or_insert(r.id);
+        for (n, _) in violated.iter().enumerate().filter(|(_, b)| **b) {
+            report.violations[n] += 1;
+            report.first_by_rule.entry(n).or_insert(r.id);
         }
     }
     report
@@ -172,8 +173,8 @@
 
 impl CheckReport {
     /// Rules broken.
-    pub fn broken(&self) -> u64 {
-        self.breaches.iter().sum::<u64>() + self.after_drains
+    pub fn violation_count(&self) -> u64 {
+        self.violations.iter().sum::<u64>() + self.executions_after_drain
     }
 
     pub fn completed(&self) -> u64 {
@@ -207,35 +208,41 @@
             for n in [r.asked, r.completed, r.rejected, r.aborted, r.lost, r.refused] {
                 write!(f, "{n:>11}")?;
             }
-            r.times.iter().try_for_each(|ms| write!(f, "{ms:>11.1}"))?;
+            r.latencies.iter().try_for_each(|ms| write!(f, "{ms:>11.1}"))?;
             writeln!(f)?;
         }
-        let (executions, connections, probes) = (self.executions, self.connections, self.probes);
+        let (executions, connections, health_checks) =
+            (self.executions, self.connections, self.health_checks);
         writeln!(
             f,
-            "at members: {executions} executions, {connections} connections, {probes} probes"
+            "at members: {executions} executions, {connections} connections, {health_checks} probes"
         )?;
-        if self.broken() == 0 {
+        if self.violation_count() == 0 {
             return write!(
                 f,
                 "rules kept: each of {} statements has one true answer in time",
                 self.asked()
             );
         }
-        for (n, count) in self.breaches.iter().enumerate().filter(|(_, c)| **c > 0) {
+        for (n, count) in self.violations.iter().enumerate().filter(|(_, c)| **c > 0) {
             writeln!(
                 f,
                 "broken: {count} times {}, first by statement {:x}",
-                VIOLATIONS[n], self.first[&n]
+                VIOLATIONS[n], self.first_by_rule[&n]
             )?;
         }
-        if self.after_drains > 0 {
+        if self.executions_after_drain > 0 {
             writeln!(
                 f,
                 "broken: {} executions went to members that drained",
-                self.after_drains
+                self.executions_after_drain
             )?;
         }
-        write!(f, "{} breaches in {} statements", self.broken(), self.asked())
+        write!(
+            f,
+            "{} breaches in {} statements",
+            self.violation_count(),
+            self.asked()
+        )
     }
 }
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,14 +1,14 @@
 //! Command line of the test bed: experiments on one machine.
 
 use crate::arrivals::Arrivals;
-use crate::checker::{judge, times, StatementRecord};
+use crate::checker::{check, latencies, StatementRecord};
 use crate::cluster::{self, ClusterPlan};
 use crate::deployment::Deployment;
 use crate::fault_script::FaultScript;
 use crate::load_generator;
 use crate::member::{lock, pause};
 use crate::roaming_clients::RoamingBehavior;
-use crate::wire::unix;
+use crate::wire::wall_clock_now;
 use asterlatch::time::{TimeSpan, Timestamp};
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand};
 use std::io;
@@ -172,7 +172,7 @@
     }
 
     fn load(&self, scene: &Deployment, seconds: f64) -> (load_generator::Load, Timestamp) {
-        let from = unix();
+        let from = wall_clock_now();
         let workloads = lock(&scene.store).workloads.clone();
         let until = TimeSpan((seconds * 1e6) as u64);
         let arrivals = Arrivals::new(&workloads, self.rate, self.basis.groups, until, self.basis.seed);
@@ -184,10 +184,10 @@
 /// Ends the program, judges, and prints; whether all rules were kept.
 fn conclude(mut scene: Deployment, records: &[StatementRecord]) -> bool {
     scene.end();
-    let report = judge(&lock(&scene.store), records);
+    let report = check(&lock(&scene.store), records);
     println!("{report}");
     let _ = std::fs::remove_dir_all(&scene.folder);
-    report.broken() == 0
+    report.violation_count() == 0
 }
 
 fn demo(common: &LoadArguments, seconds: f64, script: Option<PathBuf>) -> io::Result<bool> {
@@ -197,7 +197,7 @@
         }
         None => DEMO_FAULTS.to_owned(),
     };
-    let script = FaultScript::read(&text).map_err(io::Error::other)?;
+    let script = FaultScript::parse(&text).map_err(io::Error::other)?;
     println!(
         "{} groups of {} members, {} statements a second for {seconds} s; faults:",
         common.basis.groups,
@@ -249,21 +249,21 @@
             fault => format!("{at}s member {member} {fault} for 700ms\n"),
         };
     }
-    let mut scene = common.scene(FaultScript::read(&text).map_err(io::Error::other)?)?;
+    let mut scene = common.scene(FaultScript::parse(&text).map_err(io::Error::other)?)?;
     scene.next = next;
     let (load, from) = common.load(&scene, f64::from(count) * each + 0.5);
-    lock(&scene.store).started = from;
+    lock(&scene.store).started_at = from;
     let mut spans = Vec::new();
     for n in 0..count {
         let at = from + TimeSpan((f64::from(n) * each * 1e6) as u64) + quiet;
-        pause(at - unix());
+        pause(at - wall_clock_now());
         if restart {
             scene.end();
             scene.begin()?;
         } else {
             scene.upgrade()?;
         }
-        spans.push((at, unix()));
+        spans.push((at, wall_clock_now()));
     }
     let records = load.finish();
     let within = |r: &StatementRecord, spans: &[(Timestamp, Timestamp)]| {
@@ -277,7 +277,7 @@
     let kind = if restart { "restarts" } else { "upgrades" };
     println!("{count} {kind}, {} statements a second", common.rate);
     for (name, spans) in [("before", &calm), ("meanwhile", &spans), ("behind", &after)] {
-        let own = times(records.iter().filter(|r| within(r, spans)));
+        let own = latencies(records.iter().filter(|r| within(r, spans)));
         let part = |q| own.value_at_quantile(q) as f64 / 1000.0;
         let (primary, replica) = reads(&scene, from, spans);
         println!(
@@ -315,14 +315,14 @@
             drivers,
             groups: self.basis.groups,
             replicas: self.basis.replicas,
-            script: FaultScript::read(text).map_err(io::Error::other)?,
-            shares: !self.alone,
+            script: FaultScript::parse(text).map_err(io::Error::other)?,
+            gossip_enabled: !self.alone,
             seconds: self.seconds,
             rate: self.rate,
             clients: self.clients,
-            manners: RoamingBehavior {
-                roam: self.roam,
-                hasty: self.hasty,
+            behavior: RoamingBehavior {
+                roam_per_mille: self.roam,
+                abandon_per_mille: self.hasty,
             },
             seed,
         })
@@ -354,7 +354,7 @@
     );
     let outcome = arguments.run(drivers, &text, arguments.basis.seed)?;
     println!("{outcome}");
-    Ok(outcome.is_kept())
+    Ok(outcome.all_rules_kept())
 }
 
 fn trial_fleet(arguments: &FleetArguments, seeds: u64, jobs: usize, only: &[String]) -> io::Result<bool> {
@@ -373,18 +373,22 @@
     let work = || -> io::Result<()> {
         while let Some(((name, drivers, text), seed)) = next() {
             let outcome = arguments.run(*drivers, text, seed)?;
-            let r = outcome.repeats;
+            let r = outcome.retries;
             println!(
                 "{name:<18} seed {seed:<4} asked {:>6}, rejected {:>4}, in doubt {:>4}; repeats {:>4}, untrue {}, doubled {}; {}",
                 outcome.asked,
                 outcome.rejected,
                 outcome.aborted,
-                r.asked,
-                r.untrue,
-                r.doubled,
-                if outcome.is_kept() { "kept".to_owned() } else { format!("{:?}", outcome.broken) }
+                r.retried,
+                r.false_reports,
+                r.executed_twice,
+                if outcome.all_rules_kept() { "kept".to_owned() } else { format!("{:?}", outcome.violations) }
             );
-            let count = if outcome.is_kept() { &passed } else { &failed };
+            let count = if outcome.all_rules_kept() {
+                &passed
+            } else {
+                &failed
+            };
             count.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,15 +1,15 @@
 //! Several processes of the program with one store behind them, links between them, and what befalls all of that by script.
 
 use crate::arrivals::Arrivals;
-use crate::checker::{judge, ClientOutcome};
-use crate::deployment::{described, is_up, START_TIMEOUT};
+use crate::checker::{check, ClientOutcome};
+use crate::deployment::{check_serving, driver_config, START_TIMEOUT};
 use crate::discovery;
 use crate::fault_script::{DriverFault, FaultScript};
 use crate::link_proxy::{self, Link};
 use crate::member::{self, lock, pause, SharedStore};
 use crate::roaming_clients::{self, RoamingBehavior, RoamingRecord};
 use crate::store_model::{StoreModel, WorkloadKind};
-use crate::wire::unix;
+use crate::wire::wall_clock_now;
 use asterlatch::time::{TimeSpan, Timestamp};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -33,12 +33,12 @@
     pub replicas: u32,
     pub script: FaultScript,
     /// Drivers tell each other; else each is alone.
-    pub shares: bool,
+    pub gossip_enabled: bool,
     pub seconds: f64,
     /// Statements a second.
     pub rate: f64,
     pub clients: usize,
-    pub manners: RoamingBehavior,
+    pub behavior: RoamingBehavior,
     pub seed: u64,
 }
 
@@ -47,7 +47,7 @@
     listen: SocketAddr,
     child: Option<Child>,
     starts: u32,
-    is_later: bool,
+    runs_later_build: bool,
 }
 
 pub struct Cluster {
@@ -57,8 +57,8 @@
     program: PathBuf,
     processes: Vec<DriverProcess>,
     /// What befell whom, as it came to be.
-    pub outages: Vec<(u32, Timestamp, Timestamp)>,
-    _links: Vec<Link>,
+    pub observed_outages: Vec<(u32, Timestamp, Timestamp)>,
+    _link_proxies: Vec<Link>,
     /// Where members and discovery listen.
     listeners: Vec<SocketAddr>,
 }
@@ -67,24 +67,30 @@
 static CLUSTERS_STARTED: AtomicU32 = AtomicU32::new(0);
 
 /// Each driver has an address of its own, in each play: while it is down, its ports are nobody else's.
-fn host(play: u32, number: u32) -> String {
-    let id = std::process::id().wrapping_mul(97).wrapping_add(play);
+fn driver_address(cluster_index: u32, number: u32) -> String {
+    let id = std::process::id().wrapping_mul(97).wrapping_add(cluster_index);
     format!("127.{}.{}.{number}:0", 20 + id % 200, id / 200 % 250)
 }
 
 impl Cluster {
     pub fn start(program: &Path, plan: &ClusterPlan) -> io::Result<Cluster> {
-        let play = CLUSTERS_STARTED.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("asterlatch-fleet-{}-{play}", std::process::id()));
+        let cluster_index = CLUSTERS_STARTED.fetch_add(1, Ordering::Relaxed);
+        let folder =
+            std::env::temp_dir().join(format!("asterlatch-fleet-{}-{cluster_index}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         // Nothing befalls anybody before the load begins.
-        let store = StoreModel::new(plan.groups, plan.replicas, FaultScript::default(), unix());
+        let store = StoreModel::new(
+            plan.groups,
+            plan.replicas,
+            FaultScript::default(),
+            wall_clock_now(),
+        );
         let store: SharedStore = Arc::new(Mutex::new(store));
         let members: Vec<u32> = lock(&store).members().collect();
-        let started = members.into_iter().map(|m| Ok((m, member::start(&store, m)?)));
-        let addresses: discovery::Addresses = started.collect::<io::Result<_>>()?;
+        let listening = members.into_iter().map(|m| Ok((m, member::start(&store, m)?)));
+        let addresses: discovery::Addresses = listening.collect::<io::Result<_>>()?;
         let own: Vec<SocketAddr> = (1..=plan.drivers)
-            .map(|n| UdpSocket::bind(host(play, n))?.local_addr())
+            .map(|n| UdpSocket::bind(driver_address(cluster_index, n))?.local_addr())
             .collect::<io::Result<_>>()?;
         let mut links = Vec::new();
         // Where each finds each other one.
@@ -98,26 +104,26 @@
                 links.push(link);
             }
         }
-        let mut fleet = Cluster {
+        let mut cluster = Cluster {
             store,
             script: plan.script.clone(),
             folder,
             program: program.to_owned(),
             processes: Vec::new(),
-            outages: Vec::new(),
-            _links: links,
+            observed_outages: Vec::new(),
+            _link_proxies: links,
             listeners: addresses.values().copied().collect(),
         };
         for number in 1..=plan.drivers {
-            let listen = TcpListener::bind(host(play, number))?.local_addr()?;
-            let discovery = discovery::start(&fleet.store, &addresses, number)?;
-            fleet.listeners.push(discovery);
-            let known = discovery::listed(&fleet.store, &addresses);
+            let listen = TcpListener::bind(driver_address(cluster_index, number))?.local_addr()?;
+            let discovery = discovery::start(&cluster.store, &addresses, number)?;
+            cluster.listeners.push(discovery);
+            let known = discovery::endpoint_list(&cluster.store, &addresses);
             let name = format!("d{number}");
-            let config = described(&fleet.store, (&name, listen, discovery), known, plan.drivers);
-            std::fs::write(fleet.path(number, "json"), config.to_string())?;
+            let config = driver_config(&cluster.store, (&name, listen, discovery), known, plan.drivers);
+            std::fs::write(cluster.path(number, "json"), config.to_string())?;
             let mut text = String::from("log(lines = 100/s)\n");
-            if plan.shares {
+            if plan.gossip_enabled {
                 let port = own[number as usize - 1].port();
                 text += &format!(
                     "shared(port = {port}, probe = 200ms, suspicion = 1s, compare = 500ms, ask = 100ms, window = 5s, keep = 200ms)\n"
@@ -127,22 +133,22 @@
                     text += &format!("driver(\"d{other}@127.0.0.1\", port = {port})\n");
                 }
             }
-            std::fs::write(fleet.path(number, "latch"), text)?;
-            fleet.processes.push(DriverProcess {
+            std::fs::write(cluster.path(number, "latch"), text)?;
+            cluster.processes.push(DriverProcess {
                 number,
                 listen,
                 child: None,
                 starts: 0,
-                is_later: false,
+                runs_later_build: false,
             });
         }
         for number in 1..=plan.drivers {
-            fleet.begin(number)?;
+            cluster.begin(number)?;
         }
         for number in 1..=plan.drivers {
-            fleet.await_up(number)?;
+            cluster.await_serving(number)?;
         }
-        Ok(fleet)
+        Ok(cluster)
     }
 
     fn path(&self, number: u32, end: &str) -> PathBuf {
@@ -155,8 +161,8 @@
 
     /// How far a driver's clock is off.
     fn clock(&self, number: u32) -> i64 {
-        let outages = self.script.outages();
-        let own = outages
+        let driver_faults = self.script.driver_faults();
+        let own = driver_faults
             .into_iter()
             .filter_map(|(driver, outage, ..)| match outage {
                 DriverFault::ClockOffset(by) if driver == number => Some(by),
@@ -177,7 +183,7 @@
                 rustix::process::set_parent_process_death_signal(with_us).map_err(io::Error::from)
             });
         }
-        if self.processes[number as usize - 1].is_later {
+        if self.processes[number as usize - 1].runs_later_build {
             command.env("ASTERLATCH_LAB_LATER_WIRE", "1");
         }
         let child = command
@@ -201,9 +207,9 @@
         Ok(())
     }
 
-    fn await_up(&self, number: u32) -> io::Result<()> {
+    fn await_serving(&self, number: u32) -> io::Result<()> {
         let end = Instant::now() + START_TIMEOUT;
-        while let Err(e) = is_up(self.processes[number as usize - 1].listen) {
+        while let Err(e) = check_serving(self.processes[number as usize - 1].listen) {
             if Instant::now() > end {
                 let log = std::fs::read_to_string(self.path(number, "1.log")).unwrap_or_default();
                 return Err(io::Error::other(format!(
@@ -216,9 +222,9 @@
     }
 
     /// Waits until all drivers hold that all others are there and that they have caught up.
-    pub fn await_whole(&self) -> io::Result<()> {
+    pub fn await_membership(&self) -> io::Result<()> {
         let end = Instant::now() + START_TIMEOUT;
-        while !self.is_whole()? {
+        while !self.is_membership_complete()? {
             if Instant::now() > end {
                 return Err(io::Error::other("the drivers don't find each other"));
             }
@@ -227,9 +233,9 @@
         Ok(())
     }
 
-    fn is_whole(&self) -> io::Result<bool> {
+    fn is_membership_complete(&self) -> io::Result<bool> {
         for process in &self.processes {
-            let status = self.show(process.number, "status")?;
+            let status = self.query_status(process.number, "status")?;
             let rows = status["drivers"].as_array().cloned().unwrap_or_default();
             let fine = |r: &Value| {
                 let presence = r["presence"].as_str().unwrap_or_default();
@@ -243,7 +249,7 @@
     }
 
     /// What a driver says of what is shared.
-    pub fn show(&self, number: u32, what: &str) -> io::Result<Value> {
+    pub fn query_status(&self, number: u32, what: &str) -> io::Result<Value> {
         let output = Command::new(&self.program)
             .args(["fleet", what, "--json", "--control"])
             .arg(self.path(number, "control"))
@@ -255,17 +261,17 @@
     }
 
     /// How long until all copies are equal, once nothing new comes.
-    pub fn await_equal(&self, most: Duration) -> io::Result<Option<Duration>> {
-        let began = Instant::now();
-        while began.elapsed() < most {
+    pub fn await_equal_copies(&self, most: Duration) -> io::Result<Option<Duration>> {
+        let last_start = Instant::now();
+        while last_start.elapsed() < most {
             let marks: io::Result<Vec<Value>> = self
                 .processes
                 .iter()
-                .map(|p| Ok(self.show(p.number, "facts")?["copy"].clone()))
+                .map(|p| Ok(self.query_status(p.number, "facts")?["copy"].clone()))
                 .collect();
             let marks = marks?;
             if marks.windows(2).all(|w| w[0] == w[1]) {
-                return Ok(Some(began.elapsed()));
+                return Ok(Some(last_start.elapsed()));
             }
             thread::sleep(Duration::from_millis(50));
         }
@@ -273,7 +279,7 @@
     }
 
     /// Processor time of all that run now, in seconds, as the system counts it.
-    fn cpu(&self) -> f64 {
+    fn cpu_seconds(&self) -> f64 {
         let of = |p: &DriverProcess| -> Option<f64> {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", p.child.as_ref()?.id())).ok()?;
             let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
@@ -294,14 +300,14 @@
     }
 
     /// Does to drivers what the script says, until all of it is done.
-    fn play(&mut self, from: Timestamp, script: &FaultScript) -> io::Result<()> {
+    fn apply_driver_faults(&mut self, from: Timestamp, script: &FaultScript) -> io::Result<()> {
         let mut steps: Vec<(TimeSpan, u32, DriverFault, bool)> = Vec::new();
-        for (driver, outage, begins, ends) in script.outages() {
-            let befalls = !matches!(
+        for (driver, outage, begins, ends) in script.driver_faults() {
+            let has_driver_fault = !matches!(
                 outage,
                 DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_)
             );
-            if befalls && (driver as usize) <= self.processes.len() {
+            if has_driver_fault && (driver as usize) <= self.processes.len() {
                 steps.push((begins, driver, outage, true));
                 steps.push((ends, driver, outage, false));
             }
@@ -309,7 +315,7 @@
         steps.sort_by_key(|(at, driver, ..)| (*at, *driver));
         let mut open: BTreeMap<u32, Timestamp> = BTreeMap::new();
         for (at, driver, outage, begins) in steps {
-            pause((from + at) - unix());
+            pause((from + at) - wall_clock_now());
             match (outage, begins) {
                 (DriverFault::Killed | DriverFault::RestartedOnDiskOf(_) | DriverFault::LaterBuild, true) => {
                     self.signal(driver, "KILL");
@@ -321,13 +327,13 @@
                     let of = |n| self.path(n, "state").join("shared.log");
                     std::fs::copy(of(other), of(driver))?;
                     self.begin(driver)?;
-                    self.await_up(driver)?;
+                    self.await_serving(driver)?;
                 }
                 (DriverFault::Killed | DriverFault::LaterBuild, false) => {
                     // Killed behind that it is the former build again.
-                    self.processes[driver as usize - 1].is_later = outage == DriverFault::LaterBuild;
+                    self.processes[driver as usize - 1].runs_later_build = outage == DriverFault::LaterBuild;
                     self.begin(driver)?;
-                    self.await_up(driver)?;
+                    self.await_serving(driver)?;
                 }
                 (DriverFault::Stopped, true) => self.signal(driver, "STOP"),
                 (DriverFault::Stopped, false) => self.signal(driver, "CONT"),
@@ -336,7 +342,7 @@
             if begins {
                 open.insert(driver, from + at);
             } else if let Some(since) = open.remove(&driver) {
-                self.outages.push((driver, since, unix()));
+                self.observed_outages.push((driver, since, wall_clock_now()));
             }
         }
         Ok(())
@@ -372,7 +378,7 @@
 impl Drop for Cluster {
     fn drop(&mut self) {
         // Or hundreds of plays in one process leave thousands of threads, and each fork copies what they hold.
-        lock(&self.store).is_over = true;
+        lock(&self.store).is_shut_down = true;
         for listener in &self.listeners {
             let _ = TcpStream::connect(listener);
         }
@@ -388,44 +394,44 @@
 /// What became of statements whose client had no answer at one driver and repeated them at another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryCounts {
-    pub asked: u64,
+    pub retried: u64,
     /// Of those that had run when they were repeated.
-    pub had_run: u64,
-    pub told_in_doubt: u64,
-    pub told_untouched: u64,
+    pub executed_before_retry: u64,
+    pub reported_in_doubt: u64,
+    pub reported_not_executed: u64,
     pub completed: u64,
     /// Told that nothing ran where something had.
-    pub untrue: u64,
+    pub false_reports: u64,
     /// Ran twice.
-    pub doubled: u64,
+    pub executed_twice: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
-    pub text: String,
+    pub summary: String,
     /// Rules broken, by name.
-    pub broken: BTreeMap<&'static str, u64>,
-    pub repeats: RetryCounts,
+    pub violations: BTreeMap<&'static str, u64>,
+    pub retries: RetryCounts,
     pub asked: u64,
     pub completed: u64,
     pub rejected: u64,
     pub aborted: u64,
     pub reads_at_primaries: f64,
     /// Session reads at another driver than the write's that were older than that write.
-    pub roamed_stale: u64,
+    pub stale_roaming_reads: u64,
     /// Datagram bytes a driver and second.
-    pub bytes: f64,
+    pub gossip_bytes_per_second: f64,
     /// Until all copies were equal, in seconds.
-    pub equal: Option<f64>,
+    pub convergence_seconds: Option<f64>,
     /// Processor time of all drivers that lived to the end, in seconds.
-    pub cpu: f64,
+    pub cpu_seconds: f64,
     /// What drivers counted, summed over those that lived to the end.
     pub counters: BTreeMap<String, u64>,
 }
 
 impl RunReport {
-    pub fn is_kept(&self) -> bool {
-        self.broken.is_empty()
+    pub fn all_rules_kept(&self) -> bool {
+        self.violations.is_empty()
     }
 }
 
@@ -434,104 +440,108 @@
 
 /// Puts a fleet up, plays the script under load, and judges.
 pub fn run(program: &Path, plan: &ClusterPlan) -> io::Result<RunReport> {
-    let mut fleet = Cluster::start(program, plan)?;
-    if plan.shares {
-        fleet.await_whole()?;
+    let mut cluster = Cluster::start(program, plan)?;
+    if plan.gossip_enabled {
+        cluster.await_membership()?;
     }
-    let from = unix();
+    let from = wall_clock_now();
     let (workloads, until) = {
-        let mut store = lock(&fleet.store);
-        store.started = from;
+        let mut store = lock(&cluster.store);
+        store.started_at = from;
         store.script = plan.script.clone();
         (store.workloads.clone(), TimeSpan((plan.seconds * 1e6) as u64))
     };
     let arrivals = Arrivals::new(&workloads, plan.rate, plan.groups, until, plan.seed);
-    let terms = (plan.clients, plan.manners, plan.seed);
-    let load = roaming_clients::start(&fleet.store, &fleet.listens(), arrivals, from, terms);
-    fleet.play(from, &plan.script)?;
+    let terms = (plan.clients, plan.behavior, plan.seed);
+    let load = roaming_clients::start(&cluster.store, &cluster.listens(), arrivals, from, terms);
+    cluster.apply_driver_faults(from, &plan.script)?;
     let records = load.finish();
-    let mut outcome = RunReport {
-        cpu: fleet.cpu(),
+    let mut run = RunReport {
+        cpu_seconds: cluster.cpu_seconds(),
         ..RunReport::default()
     };
-    if plan.shares {
-        let passed = (unix() - from).ratio(TimeSpan::millis(1000));
+    if plan.gossip_enabled {
+        let passed = (wall_clock_now() - from).ratio(TimeSpan::millis(1000));
         let mut bytes = 0.0;
         for number in 1..=plan.drivers {
-            let status = fleet.show(number, "status")?;
+            let status = cluster.query_status(number, "status")?;
             bytes += status["counts"][0]["bytes_sent"].as_f64().unwrap_or(0.0);
         }
-        outcome.bytes = bytes / passed / f64::from(plan.drivers);
-        outcome.equal = fleet.await_equal(START_TIMEOUT)?.map(|d| d.as_secs_f64());
-        if outcome.equal.is_none() {
-            outcome.broken.insert("copies never equal", 1);
+        run.gossip_bytes_per_second = bytes / passed / f64::from(plan.drivers);
+        run.convergence_seconds = cluster
+            .await_equal_copies(START_TIMEOUT)?
+            .map(|d| d.as_secs_f64());
+        if run.convergence_seconds.is_none() {
+            run.violations.insert("copies never equal", 1);
         }
     }
-    outcome.counters = fleet.end();
-    weigh(&fleet, &records, &mut outcome);
-    let _ = std::fs::remove_dir_all(&fleet.folder);
-    Ok(outcome)
+    run.counters = cluster.end();
+    evaluate(&cluster, &records, &mut run);
+    let _ = std::fs::remove_dir_all(&cluster.folder);
+    Ok(run)
 }
 
-fn weigh(fleet: &Cluster, records: &[RoamingRecord], outcome: &mut RunReport) {
-    let store = lock(&fleet.store);
+fn evaluate(cluster: &Cluster, records: &[RoamingRecord], run: &mut RunReport) {
+    let store = lock(&cluster.store);
     let spared = |driver: u32, from: Timestamp, until: Timestamp| {
         let hit = |(d, a, b): &(u32, Timestamp, Timestamp)| {
             *d == driver && from < *b + OUTAGE_MARGIN && until + OUTAGE_MARGIN > *a
         };
-        fleet.outages.iter().any(hit)
+        cluster.observed_outages.iter().any(hit)
     };
     let mut plain: Vec<_> = records.iter().map(|r| r.record).collect();
     for (r, plain) in records.iter().zip(&mut plain) {
-        if plain.told == ClientOutcome::NoAnswer {
+        if plain.outcome == ClientOutcome::NoAnswer {
             // Judged try by try below.
-            plain.told = ClientOutcome::ConnectionRefused;
+            plain.outcome = ClientOutcome::ConnectionRefused;
         }
-        if r.tries.last().is_some_and(|t| spared(t.driver, t.sent, t.ended)) {
+        if r.attempts
+            .last()
+            .is_some_and(|t| spared(t.driver, t.sent, t.ended))
+        {
             // One that was stopped answers when it goes on.
             plain.answered = plain.answered.min(plain.sent);
         }
         for t in r
-            .tries
+            .attempts
             .iter()
-            .filter(|t| t.told == ClientOutcome::NoAnswer && !t.left)
+            .filter(|t| t.outcome == ClientOutcome::NoAnswer && !t.abandoned)
         {
             if !spared(t.driver, t.sent, t.ended) {
-                *outcome
-                    .broken
+                *run.violations
                     .entry("lost: no answer from a driver that was up")
                     .or_default() += 1;
             }
         }
     }
-    let report = judge(&store, &plain);
-    for (n, count) in report.breaches.iter().enumerate().filter(|(_, c)| **c > 0) {
+    let report = check(&store, &plain);
+    for (n, count) in report.violations.iter().enumerate().filter(|(_, c)| **c > 0) {
         // What a session wrote at one driver is no promise at another; it is counted.
         if n == crate::checker::STALE_SESSION_READ {
-            outcome.roamed_stale = *count;
+            run.stale_roaming_reads = *count;
         } else {
-            outcome.broken.insert(crate::checker::VIOLATIONS[n], *count);
+            run.violations.insert(crate::checker::VIOLATIONS[n], *count);
         }
     }
-    if report.after_drains > 0 {
-        outcome
-            .broken
-            .insert("drains: sent long after it was told", report.after_drains);
+    if report.executions_after_drain > 0 {
+        run.violations.insert(
+            "drains: sent long after it was told",
+            report.executions_after_drain,
+        );
     }
-    if store.pushed_over > 0 {
-        outcome
-            .broken
-            .insert("cold: a member was pushed over", store.pushed_over);
+    if store.overloads_while_warming_up > 0 {
+        run.violations
+            .insert("cold: a member was pushed over", store.overloads_while_warming_up);
     }
-    let r = &mut outcome.repeats;
+    let r = &mut run.retries;
     for roamed in records {
         let is_unsafe =
-            store.workloads[roamed.record.workload].kind == WorkloadKind::Write { dropped: false };
+            store.workloads[roamed.record.workload].kind == WorkloadKind::Write { deduplicated: false };
         let open = roamed
-            .tries
+            .attempts
             .iter()
-            .position(|t| t.told == ClientOutcome::NoAnswer);
-        let repeated = open.is_some_and(|n| n + 1 < roamed.tries.len());
+            .position(|t| t.outcome == ClientOutcome::NoAnswer);
+        let repeated = open.is_some_and(|n| n + 1 < roamed.attempts.len());
         if !is_unsafe || !repeated {
             continue;
         }
@@ -540,59 +550,59 @@
             .get(&roamed.record.id)
             .map_or(&[][..], Vec::as_slice);
         let again = open
-            .and_then(|n| roamed.tries.get(n + 1))
+            .and_then(|n| roamed.attempts.get(n + 1))
             .map_or(Timestamp(0), |t| t.sent);
-        let had_run = effects.iter().any(|(_, at)| *at <= again);
-        r.asked += 1;
-        r.had_run += u64::from(had_run);
-        r.doubled += u64::from(effects.len() > 1);
-        match roamed.record.told {
-            ClientOutcome::Aborted => r.told_in_doubt += 1,
+        let executed_before_retry = effects.iter().any(|(_, at)| *at <= again);
+        r.retried += 1;
+        r.executed_before_retry += u64::from(executed_before_retry);
+        r.executed_twice += u64::from(effects.len() > 1);
+        match roamed.record.outcome {
+            ClientOutcome::Aborted => r.reported_in_doubt += 1,
             ClientOutcome::Rejected => {
-                r.told_untouched += 1;
-                r.untrue += u64::from(!effects.is_empty());
+                r.reported_not_executed += 1;
+                r.false_reports += u64::from(!effects.is_empty());
             }
             ClientOutcome::Row { .. } => r.completed += 1,
             ClientOutcome::NoAnswer | ClientOutcome::ConnectionRefused => {}
         }
     }
-    outcome.asked = report.asked();
-    outcome.completed = report.completed();
-    outcome.rejected = report.rows.iter().map(|r| r.rejected).sum();
-    outcome.aborted = report.rows.iter().map(|r| r.aborted).sum();
+    run.asked = report.asked();
+    run.completed = report.completed();
+    run.rejected = report.rows.iter().map(|r| r.rejected).sum();
+    run.aborted = report.rows.iter().map(|r| r.aborted).sum();
     let reads = store.reads.values().fold((0, 0), |(p, r), (a, b)| (p + a, r + b));
-    outcome.reads_at_primaries = f64::from(reads.0) / f64::from((reads.0 + reads.1).max(1));
-    outcome.text = report.to_string();
+    run.reads_at_primaries = f64::from(reads.0) / f64::from((reads.0 + reads.1).max(1));
+    run.summary = report.to_string();
 }
 
 impl Display for RunReport {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
-        let table = self.text.split("rules kept").next().unwrap_or_default();
+        let table = self.summary.split("rules kept").next().unwrap_or_default();
         let table = table.split("broken:").next().unwrap_or_default();
         write!(f, "{table}")?;
-        let r = &self.repeats;
+        let r = &self.retries;
         writeln!(
             f,
             "unsafe writes repeated at another driver: {}, of which {} had run; told in doubt {}, untouched {}, completed {}; \
              untrue {}, doubled {}",
-            r.asked, r.had_run, r.told_in_doubt, r.told_untouched, r.completed, r.untrue, r.doubled
+            r.retried, r.executed_before_retry, r.reported_in_doubt, r.reported_not_executed, r.completed, r.false_reports, r.executed_twice
         )?;
         writeln!(
             f,
             "reads at primaries {:.2} %, session reads older than a write at another driver: {}",
             self.reads_at_primaries * 100.0,
-            self.roamed_stale
+            self.stale_roaming_reads
         )?;
-        let each = self.cpu * 1e6 / self.asked.max(1) as f64;
+        let each = self.cpu_seconds * 1e6 / self.asked.max(1) as f64;
         writeln!(f, "drivers' processor time {each:.0} us a statement")?;
-        if self.bytes > 0.0 {
+        if self.gossip_bytes_per_second > 0.0 {
             let equal = self
-                .equal
+                .convergence_seconds
                 .map_or("never".to_owned(), |s| format!("after {s:.2} s"));
             writeln!(
                 f,
                 "told: {:.0} bytes a driver and second; copies equal {equal}",
-                self.bytes
+                self.gossip_bytes_per_second
             )?;
         }
         let count = |name: &str| self.counters.get(name).copied().unwrap_or(0);
@@ -608,10 +618,10 @@
             count("health_checks_left_to_peers"),
             count("unresponsive_by_consensus")
         )?;
-        for (what, count) in &self.broken {
+        for (what, count) in &self.violations {
             writeln!(f, "broken: {count} times {what}")?;
         }
-        if self.is_kept() {
+        if self.all_rules_kept() {
             writeln!(f, "rules kept over all processes")?;
         }
         Ok(())
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -4,7 +4,7 @@
 use crate::fault_script::FaultScript;
 use crate::member::{self, lock, SharedStore};
 use crate::store_model::{StoreModel, WorkloadKind};
-use crate::wire::{greet, message, read, unix};
+use crate::wire::{message, read, start_session, wall_clock_now};
 use serde_json::{json, Value};
 use std::fs::File;
 use std::io::{self, Write};
@@ -29,26 +29,26 @@
 }
 
 /// A driver's configuration: its name, where it listens and where discovery is, what it knows, and how many there are.
-pub fn described(
+pub fn driver_config(
     store: &SharedStore,
     (name, listen, discovery): (&str, SocketAddr, SocketAddr),
     known: Value,
     drivers: u32,
 ) -> Value {
-    let (workloads, checks) = {
+    let (workloads, rejects_stale_reads) = {
         let store = lock(store);
-        (store.workloads.clone(), store.checks)
+        (store.workloads.clone(), store.rejects_stale_reads)
     };
     let each = |f: fn(&WorkloadKind) -> Value| -> Vec<_> { workloads.iter().map(|w| f(&w.kind)).collect() };
     let categories: Vec<_> = workloads
         .iter()
         .map(|w| {
             let repeat = match w.kind {
-                WorkloadKind::Write { dropped: false } => "fragile",
-                WorkloadKind::Write { dropped: true } => "dedup",
+                WorkloadKind::Write { deduplicated: false } => "fragile",
+                WorkloadKind::Write { deduplicated: true } => "dedup",
                 _ => "retryable",
             };
-            json!({"name": w.name, "idempotency": repeat, "objective_us": w.patience.0 / 2, "worth": 1.0,
+            json!({"name": w.name, "idempotency": repeat, "objective_us": w.timeout.0 / 2, "worth": 1.0,
                 "late_worth": 0.3, "key_scope": "all", "window_us": 2_000_000})
         })
         .collect();
@@ -64,7 +64,7 @@
                     WorkloadKind::Write { .. } => "update",
                 }.into()),
                 "staleness_bound_us": each(|k| match k { WorkloadKind::BoundedStaleness(b) => b.0, _ => 0 }.into()),
-                "behind": if checks { "reject" } else { "off" }, "tokens": "router", "answers_stamped": true,
+                "behind": if rejects_stale_reads { "reject" } else { "off" }, "tokens": "router", "answers_stamped": true,
             },
             "limits": {"cancel": true, "probes": true, "try_limit": 4, "connect_timeout_us": 200_000,
                 "conn_idle_us": 30_000_000, "retry_after": true, "max_retry_after_us": 200_000},
@@ -75,10 +75,10 @@
 }
 
 /// Whether a program at this address answers.
-pub fn is_up(listen: SocketAddr) -> io::Result<()> {
+pub fn check_serving(listen: SocketAddr) -> io::Result<()> {
     let mut stream = TcpStream::connect(listen)?;
     stream.set_read_timeout(Some(START_TIMEOUT))?;
-    greet(&mut stream)?;
+    start_session(&mut stream)?;
     stream.write_all(&message(b'Q', b"\0"))?;
     read(&mut stream, true).map(drop)
 }
@@ -93,20 +93,20 @@
         folder: &Path,
         (groups, replicas): (u32, u32),
         script: FaultScript,
-        checks: bool,
+        rejects_stale_reads: bool,
     ) -> io::Result<Deployment> {
         std::fs::create_dir_all(folder)?;
-        let mut store = StoreModel::new(groups, replicas, script, unix());
-        store.checks = checks;
+        let mut store = StoreModel::new(groups, replicas, script, wall_clock_now());
+        store.rejects_stale_reads = rejects_stale_reads;
         let store = Arc::new(Mutex::new(store));
         let members: Vec<u32> = lock(&store).members().collect();
-        let started = members.into_iter().map(|m| Ok((m, member::start(&store, m)?)));
-        let addresses: discovery::Addresses = started.collect::<io::Result<_>>()?;
+        let listening = members.into_iter().map(|m| Ok((m, member::start(&store, m)?)));
+        let addresses: discovery::Addresses = listening.collect::<io::Result<_>>()?;
         let discovery = discovery::start(&store, &addresses, 0)?;
         // Bound for a moment, so that the system picks the port.
         let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let known = discovery::listed(&store, &addresses);
-        let config = described(&store, ("lab", listen, discovery), known, 1);
+        let known = discovery::endpoint_list(&store, &addresses);
+        let config = driver_config(&store, ("lab", listen, discovery), known, 1);
         std::fs::write(folder.join("config.json"), config.to_string())?;
         let times =
             "upgrade(hello = 5s, ready = 5s, taken = 1s, probation = 500ms, beat = 100ms, silence = 2s)\n";
@@ -149,7 +149,7 @@
         self.pid = child.id();
         self.child = Some(child);
         let end = Instant::now() + START_TIMEOUT;
-        while let Err(e) = is_up(self.listen) {
+        while let Err(e) = check_serving(self.listen) {
             if Instant::now() > end {
                 return Err(io::Error::other(format!("the program doesn't serve: {e}")));
             }
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::fault_script::DriverFault;
 use crate::member::{lock, SharedStore};
-use crate::wire::unix;
+use crate::wire::wall_clock_now;
 use asterlatch::time::TimeSpan;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -14,15 +14,15 @@
 pub type Addresses = BTreeMap<u32, SocketAddr>;
 
 /// The list as it stands now. Its version grows with each change that the script makes to it.
-pub fn listed(store: &SharedStore, addresses: &Addresses) -> Value {
+pub fn endpoint_list(store: &SharedStore, addresses: &Addresses) -> Value {
     let store = lock(store);
-    let now = unix();
+    let now = wall_clock_now();
     let mut index = 1;
     let mut at = TimeSpan(0);
     while let Some(next) = store
         .script
-        .next_listing(at)
-        .filter(|n| *n <= now - store.started)
+        .next_endpoint_list_change(at)
+        .filter(|n| *n <= now - store.started_at)
     {
         (at, index) = (next, index + 1);
     }
@@ -31,9 +31,9 @@
         json!({
             "name": format!("m{member}"), "address": address.to_string(), "zone": zone,
             "group": store.group(*member), "weight": 1.0,
-            "since_ms": store.began(now, *member).map_or(0, |at| at.0 / 1000),
-            "status": if store.drains(now, *member) { "DRAINING" } else { "SERVING" },
-            "rank": if store.primary(store.started, store.group(*member)) == *member { "source" } else { "copy" },
+            "since_ms": store.last_start(now, *member).map_or(0, |at| at.0 / 1000),
+            "status": if store.is_draining(now, *member) { "DRAINING" } else { "SERVING" },
+            "rank": if store.primary(store.started_at, store.group(*member)) == *member { "source" } else { "copy" },
         })
     };
     let endpoints: Vec<Value> = addresses.iter().map(entry).collect();
@@ -47,7 +47,7 @@
     let (store, addresses) = (store.clone(), addresses.clone());
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            if lock(&store).is_over {
+            if lock(&store).is_shut_down {
                 return;
             }
             let (store, addresses) = (store.clone(), addresses.clone());
@@ -57,11 +57,13 @@
     Ok(address)
 }
 
-fn hears_nothing(store: &SharedStore, driver: u32) -> bool {
+fn is_discovery_stalled(store: &SharedStore, driver: u32) -> bool {
     let store = lock(store);
-    store
-        .script
-        .befalls(unix() - store.started, driver, DriverFault::DiscoveryStalled)
+    store.script.has_driver_fault(
+        wall_clock_now() - store.started_at,
+        driver,
+        DriverFault::DiscoveryStalled,
+    )
 }
 
 fn answer(mut stream: TcpStream, store: &SharedStore, addresses: &Addresses, driver: u32) -> io::Result<()> {
@@ -87,15 +89,15 @@
                 .find_map(|(_, v)| v.parse().ok())
         };
         let until = Instant::now() + Duration::from_millis(field("wait_ms").unwrap_or(0).min(60_000));
-        let mut list = listed(store, addresses);
+        let mut list = endpoint_list(store, addresses);
         while field("after").is_some_and(|after| list["index"].as_u64() <= Some(after))
             && Instant::now() < until
         {
             thread::sleep(Duration::from_millis(5));
-            list = listed(store, addresses);
+            list = endpoint_list(store, addresses);
         }
         // Kept from news: neither a call nor a watch that stood before has an answer.
-        while hears_nothing(store, driver) {
+        while is_discovery_stalled(store, driver) {
             thread::sleep(Duration::from_millis(5));
         }
         if field("after").is_some_and(|after| list["index"].as_u64() <= Some(after)) {
--- a/crates/testbed/src/fault_script.rs
+++ b/crates/testbed/src/fault_script.rs
@@ -65,7 +65,7 @@
         from_drivers: Vec<u32>,
         to_drivers: Vec<u32>,
         both_ways: bool,
-        harm: LinkFault,
+        fault: LinkFault,
         from: TimeSpan,
         until: TimeSpan,
     },
@@ -101,9 +101,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkState {
     pub cut: bool,
-    pub slow: TimeSpan,
-    pub loses: u32,
-    pub garbles: u32,
+    pub delay: TimeSpan,
+    pub loss_per_mille: u32,
+    pub corruption_per_mille: u32,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -155,25 +155,25 @@
     let (driver, rest) = match words {
         ["driver", n, rest @ ..] => (number(n)?, rest),
         ["link", a, way @ ("to" | "and"), b, rest @ ..] => {
-            let (harm, rest) = harm(rest)?;
+            let (fault, rest) = link_fault(rest)?;
             let (from, until) = lasting(at, rest)?;
             return Ok(Some(FaultEvent::Link {
                 from_drivers: vec![number(a)?],
                 to_drivers: vec![number(b)?],
                 both_ways: *way == "and",
-                harm,
+                fault,
                 from,
                 until,
             }));
         }
         ["links", rest @ ..] => {
-            let (harm, rest) = harm(rest)?;
+            let (fault, rest) = link_fault(rest)?;
             let (from, until) = lasting(at, rest)?;
             return Ok(Some(FaultEvent::Link {
                 from_drivers: Vec::new(),
                 to_drivers: Vec::new(),
                 both_ways: true,
-                harm,
+                fault,
                 from,
                 until,
             }));
@@ -192,7 +192,7 @@
                 from_drivers: numbers(&rest[..middle])?,
                 to_drivers: numbers(rest.get(middle + 1..end).unwrap_or_default())?,
                 both_ways: true,
-                harm: LinkFault::Cut,
+                fault: LinkFault::Cut,
                 from,
                 until,
             }));
@@ -226,7 +226,7 @@
     }))
 }
 
-fn harm<'a, 'b>(words: &'b [&'a str]) -> Result<(LinkFault, &'b [&'a str]), String> {
+fn link_fault<'a, 'b>(words: &'b [&'a str]) -> Result<(LinkFault, &'b [&'a str]), String> {
     match words {
         ["is" | "are", "cut", rest @ ..] => Ok((LinkFault::Cut, rest)),
         ["slow", by, rest @ ..] => Ok((LinkFault::Delay(span(by)?), rest)),
@@ -281,7 +281,7 @@
 
 impl FaultScript {
     /// An error names its line.
-    pub fn read(text: &str) -> Result<FaultScript, String> {
+    pub fn parse(text: &str) -> Result<FaultScript, String> {
         let lines = text.lines().enumerate();
         let meant = lines.filter(|(_, l)| !l.trim().is_empty() && !l.trim_start().starts_with('#'));
         let events = meant.map(|(n, line)| event(line).map_err(|e| format!("line {}: {e}", n + 1)));
@@ -324,7 +324,7 @@
     }
 
     /// When a member last began anew, up to now.
-    pub fn began(&self, now: TimeSpan, member: u32) -> Option<TimeSpan> {
+    pub fn last_start(&self, now: TimeSpan, member: u32) -> Option<TimeSpan> {
         let starts = self.0.iter().filter_map(|e| match e {
             FaultEvent::Member {
                 target: Target::Member(m),
@@ -338,7 +338,7 @@
     }
 
     /// When the list of members changes next: drains begin or end, or a member has begun anew.
-    pub fn next_listing(&self, now: TimeSpan) -> Option<TimeSpan> {
+    pub fn next_endpoint_list_change(&self, now: TimeSpan) -> Option<TimeSpan> {
         let times = self.0.iter().filter_map(|e| match e {
             FaultEvent::Member {
                 fault: MemberFault::Draining | MemberFault::WarmingUp,
@@ -352,7 +352,7 @@
     }
 
     /// What befalls drivers, in the order of their beginnings.
-    pub fn outages(&self) -> Vec<(u32, DriverFault, TimeSpan, TimeSpan)> {
+    pub fn driver_faults(&self) -> Vec<(u32, DriverFault, TimeSpan, TimeSpan)> {
         let all = self.0.iter().filter_map(|e| match e {
             FaultEvent::Driver {
                 driver,
@@ -367,22 +367,22 @@
         all
     }
 
-    pub fn befalls(&self, now: TimeSpan, driver: u32, outage: DriverFault) -> bool {
+    pub fn has_driver_fault(&self, now: TimeSpan, driver: u32, outage: DriverFault) -> bool {
         let own = |(n, o, from, until): &(u32, DriverFault, TimeSpan, TimeSpan)| {
             *n == driver && *o == outage && (*from..*until).contains(&now)
         };
-        self.outages().iter().any(own)
+        self.driver_faults().iter().any(own)
     }
 
     /// What holds now of what goes from one driver to another.
-    pub fn way(&self, now: TimeSpan, one: u32, other: u32) -> LinkState {
+    pub fn link_state(&self, now: TimeSpan, one: u32, other: u32) -> LinkState {
         let mut way = LinkState::default();
         for event in &self.0 {
             let FaultEvent::Link {
                 from_drivers,
                 to_drivers,
                 both_ways,
-                harm,
+                fault,
                 from,
                 until,
             } = event
@@ -395,11 +395,11 @@
             if !(*from..*until).contains(&now) || !(there || back) {
                 continue;
             }
-            match harm {
+            match fault {
                 LinkFault::Cut => way.cut = true,
-                LinkFault::Delay(by) => way.slow = way.slow.max(*by),
-                LinkFault::Loss(part) => way.loses = way.loses.max(*part),
-                LinkFault::Corruption(part) => way.garbles = way.garbles.max(*part),
+                LinkFault::Delay(by) => way.delay = way.delay.max(*by),
+                LinkFault::Loss(part) => way.loss_per_mille = way.loss_per_mille.max(*part),
+                LinkFault::Corruption(part) => way.corruption_per_mille = way.corruption_per_mille.max(*part),
             }
         }
         way
--- a/crates/testbed/src/link_proxy.rs
+++ b/crates/testbed/src/link_proxy.rs
@@ -3,7 +3,7 @@
 
 use crate::fault_script::LinkState;
 use crate::member::{lock, SharedStore};
-use crate::wire::unix;
+use crate::wire::wall_clock_now;
 use asterlatch::time::Timestamp;
 use std::collections::BTreeMap;
 use std::io;
@@ -48,22 +48,21 @@
     for (k, (from, by, one, other, to)) in ways.into_iter().enumerate() {
         from.set_read_timeout(Some(POLL_INTERVAL))?;
         let (store, ends) = (store.clone(), ends.clone());
-        let mut chance =
-            fastrand::Rng::with_seed(seed ^ (u64::from(one) << 32 | u64::from(other)) ^ k as u64);
+        let mut rng = fastrand::Rng::with_seed(seed ^ (u64::from(one) << 32 | u64::from(other)) ^ k as u64);
         thread::spawn(move || {
             let mut waiting: BTreeMap<(Timestamp, u64), Vec<u8>> = BTreeMap::new();
             let (mut buffer, mut count) = ([0; 2048], 0);
             while !ends.load(Ordering::Acquire) {
                 let came = from.recv(&mut buffer);
-                let now = unix();
+                let now = wall_clock_now();
                 if let Ok(length) = came {
-                    let way = {
+                    let state = {
                         let store = lock(&store);
-                        store.script.way(now - store.started, one, other)
+                        store.script.link_state(now - store.started_at, one, other)
                     };
-                    if let Some(bytes) = passes(&mut chance, way, &buffer[..length]) {
+                    if let Some(bytes) = transmit(&mut rng, state, &buffer[..length]) {
                         count += 1;
-                        waiting.insert((now + way.slow, count), bytes);
+                        waiting.insert((now + state.delay, count), bytes);
                     }
                 }
                 while let Some(due) = waiting.first_entry().filter(|e| e.key().0 <= now) {
@@ -77,14 +76,14 @@
 }
 
 /// What comes through of a datagram.
-fn passes(chance: &mut fastrand::Rng, way: LinkState, bytes: &[u8]) -> Option<Vec<u8>> {
-    if way.cut || chance.u32(0..1000) < way.loses {
+fn transmit(rng: &mut fastrand::Rng, state: LinkState, bytes: &[u8]) -> Option<Vec<u8>> {
+    if state.cut || rng.u32(0..1000) < state.loss_per_mille {
         return None;
     }
     let mut bytes = bytes.to_vec();
-    if !bytes.is_empty() && chance.u32(0..1000) < way.garbles {
-        let at = chance.usize(0..bytes.len());
-        bytes[at] ^= 1 << chance.u8(0..8);
+    if !bytes.is_empty() && rng.u32(0..1000) < state.corruption_per_mille {
+        let at = rng.usize(0..bytes.len());
+        bytes[at] ^= 1 << rng.u8(0..8);
     }
     Some(bytes)
 }
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -4,7 +4,7 @@
 use crate::checker::{ClientOutcome, StatementRecord};
 use crate::member::{lock, pause, SharedStore};
 use crate::store_model::WorkloadKind;
-use crate::wire::{greet, message, of_value, read, unix};
+use crate::wire::{decode_value, message, read, start_session, wall_clock_now};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -32,16 +32,16 @@
             let mut client = Client {
                 address,
                 store,
-                kept: None,
+                idle_connection: None,
                 records: Vec::new(),
             };
             let next = || arrivals.lock().unwrap_or_else(PoisonError::into_inner).next();
             while let Some(arrival) = next() {
                 let due = from + arrival.at;
-                pause(due - unix());
-                client.ask(&arrival, due);
+                pause(due - wall_clock_now());
+                client.execute(&arrival, due);
             }
-            client.look_behind();
+            client.check_trailing_bytes();
             client.records
         })
     };
@@ -61,39 +61,41 @@
 struct Client {
     address: SocketAddr,
     store: SharedStore,
-    kept: Option<TcpStream>,
+    idle_connection: Option<TcpStream>,
     records: Vec<StatementRecord>,
 }
 
 impl Client {
     /// Whether anything came behind the last answer.
-    fn look_behind(&mut self) {
-        let Some(stream) = &self.kept else { return };
+    fn check_trailing_bytes(&mut self) {
+        let Some(stream) = &self.idle_connection else {
+            return;
+        };
         let _ = stream.set_nonblocking(true);
-        let more = matches!(stream.peek(&mut [0]), Ok(n) if n > 0);
+        let has_trailing_bytes = matches!(stream.peek(&mut [0]), Ok(n) if n > 0);
         let _ = stream.set_nonblocking(false);
         if let Some(last) = self.records.last_mut() {
-            last.more |= more;
+            last.has_trailing_bytes |= has_trailing_bytes;
         }
     }
 
-    fn connect(&self, patience: TimeSpan) -> io::Result<TcpStream> {
+    fn connect(&self, timeout: TimeSpan) -> io::Result<TcpStream> {
         let mut stream = TcpStream::connect(self.address)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(Duration::from_micros(patience.0 + LATE_ANSWER_WAIT.0)))?;
-        greet(&mut stream)?;
+        stream.set_read_timeout(Some(Duration::from_micros(timeout.0 + LATE_ANSWER_WAIT.0)))?;
+        start_session(&mut stream)?;
         Ok(stream)
     }
 
-    fn ask(&mut self, arrival: &Arrival, due: Timestamp) {
-        self.look_behind();
-        let (name, kind, patience) = {
+    fn execute(&mut self, arrival: &Arrival, due: Timestamp) {
+        self.check_trailing_bytes();
+        let (name, kind, timeout) = {
             let store = lock(&self.store);
             let w = &store.workloads[arrival.workload];
-            (w.name, w.kind, w.patience)
+            (w.name, w.kind, w.timeout)
         };
         let (id, group, key) = (arrival.id, arrival.group, arrival.session);
-        let head = format!("/* id={id:x},c={name},d={},cluster={group} */", patience.0 / 1000);
+        let head = format!("/* id={id:x},c={name},d={},cluster={group} */", timeout.0 / 1000);
         let text = match kind {
             WorkloadKind::Write { .. } => {
                 format!("{head} INSERT INTO rows (handle, blob) VALUES ('s{key}', 'x') RETURNING blob\0")
@@ -101,31 +103,31 @@
             _ => format!("{head} SELECT blob FROM rows WHERE handle = 's{key}'\0"),
         };
         let query = message(b'Q', text.as_bytes());
-        let mut sent = unix();
-        let mut told = ClientOutcome::ConnectionRefused;
+        let mut sent = wall_clock_now();
+        let mut outcome = ClientOutcome::ConnectionRefused;
         // A connection that ended before the statement was read is no answer: it is sent once more on a new one. That
         // it wasn't read is for the store to say, which has never seen it.
         for again in [false, true] {
-            let kept = self.kept.take().filter(|_| !again);
-            let until = unix() + patience;
-            let mut stream = kept
+            let idle_connection = self.idle_connection.take().filter(|_| !again);
+            let until = wall_clock_now() + timeout;
+            let mut stream = idle_connection
                 .ok_or(io::Error::from(ErrorKind::NotConnected))
-                .or_else(|_| self.connect(patience));
-            while stream.is_err() && unix() < until {
+                .or_else(|_| self.connect(timeout));
+            while stream.is_err() && wall_clock_now() < until {
                 pause(TimeSpan::millis(5));
-                stream = self.connect(patience);
+                stream = self.connect(timeout);
             }
             let Ok(mut stream) = stream else { break };
-            let _ = stream.set_read_timeout(Some(Duration::from_micros(patience.0 + LATE_ANSWER_WAIT.0)));
-            sent = unix();
-            told = match stream.write_all(&query).and_then(|()| answer(&mut stream)) {
-                Ok(told) => {
-                    self.kept = Some(stream);
-                    told
+            let _ = stream.set_read_timeout(Some(Duration::from_micros(timeout.0 + LATE_ANSWER_WAIT.0)));
+            sent = wall_clock_now();
+            outcome = match stream.write_all(&query).and_then(|()| answer(&mut stream)) {
+                Ok(outcome) => {
+                    self.idle_connection = Some(stream);
+                    outcome
                 }
                 Err(_) => ClientOutcome::NoAnswer,
             };
-            if told != ClientOutcome::NoAnswer || lock(&self.store).has_seen(id) {
+            if outcome != ClientOutcome::NoAnswer || lock(&self.store).has_received(id) {
                 break;
             }
         }
@@ -136,34 +138,34 @@
             session: key,
             due,
             sent,
-            answered: unix(),
-            told,
-            more: false,
+            answered: wall_clock_now(),
+            outcome,
+            has_trailing_bytes: false,
         });
     }
 }
 
 /// The one final answer, up to where the next statement may follow.
 pub fn answer(stream: &mut TcpStream) -> io::Result<ClientOutcome> {
-    let mut told = None;
+    let mut outcome = None;
     loop {
         let (kind, body) = read(stream, true)?;
         match kind {
             b'D' => {
-                let row = body.get(6..).and_then(of_value);
+                let row = body.get(6..).and_then(decode_value);
                 let (id, position) = row.ok_or(ErrorKind::InvalidData)?;
-                told = Some(ClientOutcome::Row { id, position });
+                outcome = Some(ClientOutcome::Row { id, position });
             }
             b'E' => {
                 let code = body.split(|b| *b == 0).find_map(|f| f.strip_prefix(b"C"));
                 let is_rejection = matches!(code, Some(b"53300" | b"57P03"));
-                told = Some(if is_rejection {
+                outcome = Some(if is_rejection {
                     ClientOutcome::Rejected
                 } else {
                     ClientOutcome::Aborted
                 });
             }
-            b'Z' => return told.ok_or(ErrorKind::InvalidData.into()),
+            b'Z' => return outcome.ok_or(ErrorKind::InvalidData.into()),
             _ => {}
         }
     }
--- a/crates/testbed/src/member.rs
+++ b/crates/testbed/src/member.rs
@@ -1,7 +1,7 @@
 //! Members on loopback sockets, each with a port of its own, and one thread a connection.
 
 use crate::store_model::{Reply, StoreModel};
-use crate::wire::{ask, error, message, read, row, status, unix, value};
+use crate::wire::{encode_value, error, message, parse_statement, read, row, status, wall_clock_now};
 use asterlatch::time::TimeSpan;
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -26,7 +26,7 @@
     let store = store.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            if lock(&store).is_over {
+            if lock(&store).is_shut_down {
                 return;
             }
             let store = store.clone();
@@ -42,7 +42,7 @@
     {
         let mut store = lock(store);
         store.connections += 1;
-        if store.is_down(unix(), member) {
+        if store.is_down(wall_clock_now(), member) {
             return Ok(());
         }
     }
@@ -54,12 +54,12 @@
         if kind != b'Q' {
             return Ok(());
         }
-        let now = unix();
+        let now = wall_clock_now();
         let text = String::from_utf8_lossy(&body);
         let text = text.trim_end_matches('\0');
         if text.starts_with("SHOW") || text.starts_with("SELECT 1") {
-            let seen = lock(store).probe(now, member);
-            let Some((position, is_primary)) = seen else {
+            let status = lock(store).health_check(now, member);
+            let Some((position, is_primary)) = status else {
                 read(&mut stream, true)?;
                 return Ok(());
             };
@@ -68,26 +68,26 @@
             stream.write_all(&[row(report.as_bytes()), ready.clone()].concat())?;
             continue;
         }
-        let (asked, outcome) = {
+        let (statement, outcome) = {
             let mut store = lock(store);
             let names: Vec<_> = store.workloads.iter().map(|w| w.name).collect();
-            let Some(asked) = ask(text, &names) else {
+            let Some(statement) = parse_statement(text, &names) else {
                 stream.write_all(&[error("08P01", "no statement of this form"), ready.clone()].concat())?;
                 continue;
             };
-            (asked, store.execute(now, member, &asked))
+            (statement, store.execute(now, member, &statement))
         };
-        pause(outcome.after);
+        pause(outcome.delay);
         let (is_primary, position) = {
             let store = lock(store);
-            let now = unix();
+            let now = wall_clock_now();
             (store.is_primary(now, member), store.position(now, member))
         };
         let rank = status("rank", if is_primary { "source" } else { "copy" });
-        let told = match outcome.reply {
+        let response = match outcome.reply {
             Reply::Row { position } => {
                 let as_of = status("as_of", &(position.0 / 1000).to_string());
-                [row(&value(asked.id, position)), as_of].concat()
+                [row(&encode_value(statement.id, position)), as_of].concat()
             }
             Reply::NoPrimary => error("25006", "this is no primary"),
             Reply::Behind => [
@@ -103,6 +103,6 @@
                 return Ok(());
             }
         };
-        stream.write_all(&[told, rank, ready.clone()].concat())?;
+        stream.write_all(&[response, rank, ready.clone()].concat())?;
     }
 }
--- a/crates/testbed/src/roaming_clients.rs
+++ b/crates/testbed/src/roaming_clients.rs
@@ -6,7 +6,7 @@
 use crate::load_generator::answer;
 use crate::member::{lock, pause, SharedStore};
 use crate::store_model::WorkloadKind;
-use crate::wire::{greet, message, unix};
+use crate::wire::{message, start_session, wall_clock_now};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Write};
@@ -22,24 +22,24 @@
     pub driver: u32,
     pub sent: Timestamp,
     pub ended: Timestamp,
-    pub told: ClientOutcome,
+    pub outcome: ClientOutcome,
     /// The client went away before its time was over.
-    pub left: bool,
+    pub abandoned: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoamingRecord {
     pub record: StatementRecord,
-    pub tries: Vec<Attempt>,
+    pub attempts: Vec<Attempt>,
 }
 
 /// How clients behave, in thousandths.
 #[derive(Clone, Copy, Debug)]
 pub struct RoamingBehavior {
     /// Ask at another driver than their session's.
-    pub roam: u32,
+    pub roam_per_mille: u32,
     /// Go away from a write soon after they have sent it, and repeat it elsewhere.
-    pub hasty: u32,
+    pub abandon_per_mille: u32,
 }
 
 /// A hasty client goes away within this, in microseconds: its write may lie unread, be out, or be done by then.
@@ -55,7 +55,7 @@
     drivers: &[SocketAddr],
     arrivals: Arrivals,
     from: Timestamp,
-    (clients, manners, seed): (usize, RoamingBehavior, u64),
+    (clients, behavior, seed): (usize, RoamingBehavior, u64),
 ) -> Load {
     let arrivals = Arc::new(Mutex::new(arrivals));
     let client = |n: usize| {
@@ -64,16 +64,16 @@
             let mut client = Client {
                 drivers,
                 store,
-                kept: BTreeMap::new(),
-                chance: fastrand::Rng::with_seed(seed << 16 | n as u64),
-                manners,
+                idle_connections: BTreeMap::new(),
+                rng: fastrand::Rng::with_seed(seed << 16 | n as u64),
+                behavior,
             };
             let next = || arrivals.lock().unwrap_or_else(PoisonError::into_inner).next();
             let mut all = Vec::new();
             while let Some(arrival) = next() {
                 let due = from + arrival.at;
-                pause(due - unix());
-                all.push(client.ask(&arrival, due));
+                pause(due - wall_clock_now());
+                all.push(client.execute(&arrival, due));
             }
             all
         })
@@ -93,14 +93,14 @@
 struct Client {
     drivers: Vec<SocketAddr>,
     store: SharedStore,
-    kept: BTreeMap<usize, TcpStream>,
-    chance: fastrand::Rng,
-    manners: RoamingBehavior,
+    idle_connections: BTreeMap<usize, TcpStream>,
+    rng: fastrand::Rng,
+    behavior: RoamingBehavior,
 }
 
 impl Client {
     fn connect(&mut self, driver: usize, wait: Duration) -> io::Result<TcpStream> {
-        if let Some(stream) = self.kept.remove(&driver) {
+        if let Some(stream) = self.idle_connections.remove(&driver) {
             // One that its driver has closed meanwhile is known by its end.
             stream.set_nonblocking(true)?;
             let ended = !matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
@@ -112,28 +112,28 @@
         let mut stream = TcpStream::connect_timeout(&self.drivers[driver], wait)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(wait))?;
-        greet(&mut stream)?;
+        start_session(&mut stream)?;
         Ok(stream)
     }
 
-    fn ask(&mut self, arrival: &Arrival, due: Timestamp) -> RoamingRecord {
-        let (name, kind, patience) = {
+    fn execute(&mut self, arrival: &Arrival, due: Timestamp) -> RoamingRecord {
+        let (name, kind, timeout) = {
             let store = lock(&self.store);
             let w = &store.workloads[arrival.workload];
-            (w.name, w.kind, w.patience)
+            (w.name, w.kind, w.timeout)
         };
-        let until = unix() + patience;
+        let until = wall_clock_now() + timeout;
         let writes = matches!(kind, WorkloadKind::Write { .. });
         let count = self.drivers.len();
         let home = arrival.session as usize % count;
-        let roams = self.chance.u32(0..1000) < self.manners.roam;
-        let mut driver = if roams { self.chance.usize(0..count) } else { home };
-        let hasty = writes && self.chance.u32(0..1000) < self.manners.hasty;
-        let mut tries: Vec<Attempt> = Vec::new();
-        let (mut told, mut sent, mut refused) = (ClientOutcome::ConnectionRefused, unix(), 0);
-        while tries.len() < MAX_ATTEMPTS && unix() + TimeSpan::millis(5) < until {
-            let left = until - unix();
-            let wait = Duration::from_micros(left.0.max(1000));
+        let roams = self.rng.u32(0..1000) < self.behavior.roam_per_mille;
+        let mut driver = if roams { self.rng.usize(0..count) } else { home };
+        let abandons_first = writes && self.rng.u32(0..1000) < self.behavior.abandon_per_mille;
+        let mut attempts: Vec<Attempt> = Vec::new();
+        let (mut outcome, mut sent, mut refused) = (ClientOutcome::ConnectionRefused, wall_clock_now(), 0);
+        while attempts.len() < MAX_ATTEMPTS && wall_clock_now() + TimeSpan::millis(5) < until {
+            let remaining = until - wall_clock_now();
+            let wait = Duration::from_micros(remaining.0.max(1000));
             let Ok(mut stream) = self.connect(driver, wait.min(Duration::from_millis(200))) else {
                 // Nothing was sent there.
                 driver = (driver + 1) % count;
@@ -143,55 +143,55 @@
                 }
                 continue;
             };
-            let again = if tries.is_empty() { "" } else { ",r=1" };
+            let again = if attempts.is_empty() { "" } else { ",r=1" };
             let (id, group, key) = (arrival.id, arrival.group, arrival.session);
             let head = format!(
                 "/* id={id:x},c={name},d={},cluster={group}{again} */",
-                left.0 / 1000
+                remaining.0 / 1000
             );
             let text = if writes {
                 format!("{head} INSERT INTO rows (handle, blob) VALUES ('s{key}', 'x') RETURNING blob\0")
             } else {
                 format!("{head} SELECT blob FROM rows WHERE handle = 's{key}'\0")
             };
-            let goes = hasty && tries.is_empty();
+            let abandons = abandons_first && attempts.is_empty();
             // A driver's answer may take its slack, and is looked for a little beyond.
-            let listen = Duration::from_micros(left.0 + 300_000);
+            let listen = Duration::from_micros(remaining.0 + 300_000);
             let _ = stream.set_read_timeout(Some(listen));
-            sent = unix();
+            sent = wall_clock_now();
             let query = message(b'Q', text.as_bytes());
             let asked = stream.write_all(&query);
-            if goes {
+            if abandons {
                 // Whatever comes of it is lost.
-                pause(TimeSpan(self.chance.u64(0..MAX_ABANDON_DELAY_US)));
+                pause(TimeSpan(self.rng.u64(0..MAX_ABANDON_DELAY_US)));
             }
-            let heard = asked.and_then(|()| {
-                if goes {
+            let answer_result = asked.and_then(|()| {
+                if abandons {
                     Err(ErrorKind::TimedOut.into())
                 } else {
                     answer(&mut stream)
                 }
             });
-            told = match heard {
-                Ok(told) => {
-                    self.kept.insert(driver, stream);
-                    told
+            outcome = match answer_result {
+                Ok(outcome) => {
+                    self.idle_connections.insert(driver, stream);
+                    outcome
                 }
                 Err(_) => ClientOutcome::NoAnswer,
             };
-            tries.push(Attempt {
+            attempts.push(Attempt {
                 driver: driver as u32 + 1,
                 sent,
-                ended: unix(),
-                told,
-                left: goes,
+                ended: wall_clock_now(),
+                outcome,
+                abandoned: abandons,
             });
-            match told {
+            match outcome {
                 ClientOutcome::NoAnswer => {}
                 ClientOutcome::Rejected => pause(RETRY_BACKOFF),
                 _ => break,
             }
-            driver = (driver + 1 + self.chance.usize(0..count)) % count;
+            driver = (driver + 1 + self.rng.usize(0..count)) % count;
         }
         let record = StatementRecord {
             id: arrival.id,
@@ -200,10 +200,10 @@
             session: arrival.session,
             due,
             sent,
-            answered: unix(),
-            told,
-            more: false,
+            answered: wall_clock_now(),
+            outcome,
+            has_trailing_bytes: false,
         };
-        RoamingRecord { record, tries }
+        RoamingRecord { record, attempts }
     }
 }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -7,7 +7,7 @@
 use std::time::SystemTime;
 
 /// As machines of a deployment read it.
-pub fn unix() -> Timestamp {
+pub fn wall_clock_now() -> Timestamp {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     Timestamp(since.unwrap_or_default().as_micros() as u64)
 }
@@ -35,7 +35,7 @@
 }
 
 /// A startup message, and all that comes up to the first word that it is ready.
-pub fn greet(stream: &mut TcpStream) -> io::Result<()> {
+pub fn start_session(stream: &mut TcpStream) -> io::Result<()> {
     let fields = b"user\0api\0database\0ledger\0\0";
     let mut startup = (fields.len() as u32 + 8).to_be_bytes().to_vec();
     startup.extend((3u32 << 16).to_be_bytes());
@@ -55,13 +55,13 @@
 
 /// A row of one binary column.
 pub fn row(value: &[u8]) -> Vec<u8> {
-    let mut described = 1u16.to_be_bytes().to_vec();
-    described.extend(b"blob\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
+    let mut column = 1u16.to_be_bytes().to_vec();
+    column.extend(b"blob\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
     let mut row = 1u16.to_be_bytes().to_vec();
     row.extend((value.len() as u32).to_be_bytes());
     row.extend(value);
     [
-        message(b'T', &described),
+        message(b'T', &column),
         message(b'D', &row),
         message(b'C', b"SELECT 1\0"),
     ]
@@ -69,18 +69,18 @@
 }
 
 /// The value that a stand-in gives for a statement: for whom it was made, and at what position.
-pub fn value(id: u64, position: Timestamp) -> Vec<u8> {
+pub fn encode_value(id: u64, position: Timestamp) -> Vec<u8> {
     format!("{id:x}@{}", position.0 / 1000).into_bytes()
 }
 
-pub fn of_value(value: &[u8]) -> Option<(u64, Timestamp)> {
+pub fn decode_value(value: &[u8]) -> Option<(u64, Timestamp)> {
     let (id, ms) = std::str::from_utf8(value).ok()?.split_once('@')?;
     let at = Timestamp(0) + TimeSpan::millis(ms.parse().ok()?);
     Some((u64::from_str_radix(id, 16).ok()?, at))
 }
 
 /// The statement that a comment heads; `names` are the workloads'.
-pub fn ask(text: &str, names: &[&str]) -> Option<Statement> {
+pub fn parse_statement(text: &str, names: &[&str]) -> Option<Statement> {
     let comment = text.trim_start().strip_prefix("/*")?.split("*/").next()?;
     let field = |name: &str| {
         let fields = comment.trim().split(',').filter_map(|f| f.split_once('='));
@@ -90,6 +90,6 @@
     Some(Statement {
         id: u64::from_str_radix(field("id")?, 16).ok()?,
         workload: names.iter().position(|n| Some(*n) == field("c"))?,
-        after: Timestamp(0) + TimeSpan::millis(after),
+        min_position: Timestamp(0) + TimeSpan::millis(after),
     })
 }
--- a/crates/testbed/tests/decisions.rs
+++ b/crates/testbed/tests/decisions.rs
@@ -2,12 +2,12 @@
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_testbed::arrivals::Arrivals;
-use asterlatch_testbed::checker::{judge, ClientOutcome, StatementRecord, VIOLATIONS};
+use asterlatch_testbed::checker::{check, ClientOutcome, StatementRecord, VIOLATIONS};
 use asterlatch_testbed::fault_script::{
     DriverFault, FaultEvent, FaultScript, LinkFault, MemberFault, Target,
 };
 use asterlatch_testbed::store_model::{workloads, Reply, Statement, StoreModel};
-use asterlatch_testbed::wire::{ask, of_value, value};
+use asterlatch_testbed::wire::{decode_value, encode_value, parse_statement};
 
 const START: Timestamp = Timestamp(1_000_000_000_000);
 
@@ -27,11 +27,11 @@
         from: ms(from),
         until: ms(until),
     };
-    let link = |from_drivers: &[u32], to_drivers: &[u32], both_ways, harm, from, until| FaultEvent::Link {
+    let link = |from_drivers: &[u32], to_drivers: &[u32], both_ways, fault, from, until| FaultEvent::Link {
         from_drivers: from_drivers.to_vec(),
         to_drivers: to_drivers.to_vec(),
         both_ways,
-        harm,
+        fault,
         from: ms(from),
         until: ms(until),
     };
@@ -53,7 +53,7 @@
     ];
     for (line, event) in good {
         assert_eq!(
-            FaultScript::read(&format!("# why\n\n{line}\n")),
+            FaultScript::parse(&format!("# why\n\n{line}\n")),
             Ok(FaultScript(vec![event])),
             "{line}"
         );
@@ -76,10 +76,10 @@
         ("2s member 3 hangs for ever", "'ever' is no span"),
     ];
     for (line, words) in bad {
-        let told = FaultScript::read(&format!("1s member 1 fails for 1s\n{line}")).expect_err(line);
+        let error = FaultScript::parse(&format!("1s member 1 fails for 1s\n{line}")).expect_err(line);
         assert!(
-            told.starts_with("line 2: ") && told.contains(words),
-            "{line}: {told}"
+            error.starts_with("line 2: ") && error.contains(words),
+            "{line}: {error}"
         );
     }
 }
@@ -88,8 +88,8 @@
 fn members_do_what_the_script_has_them_do() {
     let script = "1s member 1 fails for 1s\n1s member 3 lags 3s for 1s\n2s group 1 switches to 2\n3s primary of 1 hangs for 1s\n\
         4s member 2 loses answers for 1s\n5s member 2 is down for 1s\n6s member 2 slow 70ms for 1s";
-    let mut store = StoreModel::new(2, 2, FaultScript::read(script).expect("reads"), START);
-    let (bounded, any, own, post, dropped) = (0, 1, 2, 3, 4);
+    let mut store = StoreModel::new(2, 2, FaultScript::parse(script).expect("reads"), START);
+    let (bounded, any, own, post, deduplicated) = (0, 1, 2, 3, 4);
     #[rustfmt::skip]
     let cases = [
         // (when, member, workload, after; reply)
@@ -97,13 +97,21 @@
         (500, 3, own, 450, "row"), (500, 3, own, 490, "behind"), (500, 1, own, 490, "row"),
         (1500, 1, post, 0, "failed"), (1500, 3, bounded, 0, "row"), (1900, 3, bounded, 0, "behind"), (1900, 3, any, 0, "row"),
         (1900, 3, own, 980, "row"), (1900, 3, own, 981, "behind"), (2000, 3, own, 1980, "row"),
-        (2500, 1, post, 0, "no primary"), (2500, 2, post, 0, "row"), (2500, 4, dropped, 0, "row"),
+        (2500, 1, post, 0, "no primary"), (2500, 2, post, 0, "row"), (2500, 4, deduplicated, 0, "row"),
         (3500, 2, post, 0, "never"), (3500, 1, any, 0, "row"),
         (4500, 2, post, 0, "lost"), (5500, 2, post, 0, "refused"), (6500, 2, post, 0, "row"),
     ];
     for (n, (when, member, workload, after, expected)) in cases.into_iter().enumerate() {
         let (id, after) = (n as u64, START + ms(after));
-        let outcome = store.execute(at(when), member, &Statement { id, workload, after });
+        let outcome = store.execute(
+            at(when),
+            member,
+            &Statement {
+                id,
+                workload,
+                min_position: after,
+            },
+        );
         let got = match outcome.reply {
             Reply::Row { .. } => "row",
             Reply::NoPrimary => "no primary",
@@ -120,27 +128,35 @@
             ran, wrote,
             "case {n}: only what ran has an effect, whatever was said"
         );
-        assert_eq!(outcome.after > ms(50), when == 6500, "case {n}");
+        assert_eq!(outcome.delay > ms(50), when == 6500, "case {n}");
     }
     // (how long it has been draining; whether what is sent there then breaks the rule)
     for (long, broken) in [(0, 0), (2050, 0), (2051, 1)] {
-        let script = FaultScript::read("1s member 2 drains for 9s").expect("reads");
+        let script = FaultScript::parse("1s member 2 drains for 9s").expect("reads");
         let mut store = StoreModel::new(1, 1, script, START);
         let (id, after) = (1, START);
         let workload = any;
-        store.execute(at(1000 + long), 2, &Statement { id, workload, after });
+        store.execute(
+            at(1000 + long),
+            2,
+            &Statement {
+                id,
+                workload,
+                min_position: after,
+            },
+        );
         assert_eq!(
-            (store.after_drains, judge(&store, &[]).broken()),
+            (store.executions_after_drain, check(&store, &[]).violation_count()),
             (broken, broken),
             "{long}"
         );
     }
     // The store drops a repeat of what it may, and no other.
-    for (workload, effects) in [(post, 2), (dropped, 1)] {
+    for (workload, effects) in [(post, 2), (deduplicated, 1)] {
         let asked = Statement {
             id: 1000 + effects,
             workload,
-            after: START,
+            min_position: START,
         };
         for _ in 0..2 {
             store.execute(at(9000), 4, &asked);
@@ -173,13 +189,13 @@
         due: at(1000),
         sent: at(1000),
         answered: at(1020),
-        told: ClientOutcome::Row {
+        outcome: ClientOutcome::Row {
             id: 1,
             position: at(1005),
         },
-        more: false,
+        has_trailing_bytes: false,
     };
-    let (bounded, own, post, dropped) = (0, 2, 3, 4);
+    let (bounded, own, post, deduplicated) = (0, 2, 3, 4);
     let row = |id, position| ClientOutcome::Row {
         id,
         position: at(position),
@@ -188,30 +204,30 @@
     let cases: [(&str, StatementRecord, usize, Option<usize>); 19] = [
         ("a read", good(bounded), 0, None),
         ("a write", good(post), 1, None),
-        ("nothing was said", StatementRecord { told: ClientOutcome::NoAnswer, ..good(post) }, 0, Some(0)),
+        ("nothing was said", StatementRecord { outcome: ClientOutcome::NoAnswer, ..good(post) }, 0, Some(0)),
         ("in its last moment", StatementRecord { answered: at(1640), ..good(bounded) }, 0, None),
         ("too late", StatementRecord { answered: at(1660), ..good(bounded) }, 0, Some(1)),
-        ("more was said", StatementRecord { more: true, ..good(bounded) }, 0, Some(2)),
-        ("another's row", StatementRecord { told: row(2, 1005), ..good(bounded) }, 0, Some(3)),
+        ("more was said", StatementRecord { has_trailing_bytes: true, ..good(bounded) }, 0, Some(2)),
+        ("another's row", StatementRecord { outcome: row(2, 1005), ..good(bounded) }, 0, Some(3)),
         ("a write twice", good(post), 2, Some(4)),
-        ("an aborted write twice", StatementRecord { told: ClientOutcome::Aborted, ..good(post) }, 2, Some(4)),
-        ("a dropped write once", good(dropped), 1, None),
+        ("an aborted write twice", StatementRecord { outcome: ClientOutcome::Aborted, ..good(post) }, 2, Some(4)),
+        ("a dropped write once", good(deduplicated), 1, None),
         ("a write never", good(post), 0, Some(5)),
-        ("a dropped write never", good(dropped), 0, Some(5)),
-        ("a rejected write that ran", StatementRecord { told: ClientOutcome::Rejected, ..good(post) }, 1, Some(6)),
-        ("a rejected write that may be repeated", StatementRecord { told: ClientOutcome::Rejected, ..good(dropped) }, 1, None),
-        ("an aborted write that ran", StatementRecord { told: ClientOutcome::Aborted, ..good(post) }, 1, None),
-        ("an aborted write that didn't", StatementRecord { told: ClientOutcome::Aborted, ..good(post) }, 0, None),
-        ("refused", StatementRecord { told: ClientOutcome::ConnectionRefused, ..good(post) }, 0, None),
-        ("as old as it may be", StatementRecord { told: row(1, 160), ..good(bounded) }, 0, None),
-        ("older", StatementRecord { told: row(1, 140), ..good(bounded) }, 0, Some(7)),
+        ("a dropped write never", good(deduplicated), 0, Some(5)),
+        ("a rejected write that ran", StatementRecord { outcome: ClientOutcome::Rejected, ..good(post) }, 1, Some(6)),
+        ("a rejected write that may be repeated", StatementRecord { outcome: ClientOutcome::Rejected, ..good(deduplicated) }, 1, None),
+        ("an aborted write that ran", StatementRecord { outcome: ClientOutcome::Aborted, ..good(post) }, 1, None),
+        ("an aborted write that didn't", StatementRecord { outcome: ClientOutcome::Aborted, ..good(post) }, 0, None),
+        ("refused", StatementRecord { outcome: ClientOutcome::ConnectionRefused, ..good(post) }, 0, None),
+        ("as old as it may be", StatementRecord { outcome: row(1, 160), ..good(bounded) }, 0, None),
+        ("older", StatementRecord { outcome: row(1, 140), ..good(bounded) }, 0, Some(7)),
     ];
     for (name, record, ran, broken) in cases {
         let mut store = StoreModel::new(1, 1, FaultScript::default(), START);
         store.effects.insert(1, vec![(1, at(1001)); ran]);
-        let report = judge(&store, &[record]);
+        let report = check(&store, &[record]);
         let found: Vec<usize> = (0..VIOLATIONS.len())
-            .filter(|n| report.breaches[*n] > 0)
+            .filter(|n| report.violations[*n] > 0)
             .collect();
         assert_eq!(found, broken.into_iter().collect::<Vec<_>>(), "{name}");
         assert_eq!(
@@ -229,7 +245,7 @@
     for (group, session, answered, position, stale) in sessions {
         let mut store = StoreModel::new(2, 1, FaultScript::default(), START);
         store.effects.insert(7, vec![(1, at(975))]);
-        let (sent, told) = (at(970), row(7, 975));
+        let (sent, outcome) = (at(970), row(7, 975));
         let write = StatementRecord {
             id: 7,
             group,
@@ -237,20 +253,20 @@
             sent,
             due: sent,
             answered: at(answered),
-            told,
+            outcome,
             ..good(post)
         };
         let read = StatementRecord {
-            told: row(1, position),
+            outcome: row(1, position),
             ..good(own)
         };
-        let report = judge(&store, &[write, read]);
+        let report = check(&store, &[write, read]);
         assert_eq!(
-            report.breaches[8] > 0,
+            report.violations[8] > 0,
             stale,
             "{group} {session} {answered} {position}"
         );
-        assert_eq!(report.broken(), u64::from(stale));
+        assert_eq!(report.violation_count(), u64::from(stale));
     }
 }
 
@@ -258,9 +274,9 @@
 fn statements_and_values_are_read_as_they_are_written() {
     let names = ["view", "post"];
     let full = "/* id=1f,c=post,d=480,cluster=2,after=1767225600123 */ INSERT";
-    let asked = ask(full, &names).expect("is one");
+    let asked = parse_statement(full, &names).expect("is one");
     assert_eq!(
-        (asked.id, asked.workload, asked.after.0),
+        (asked.id, asked.workload, asked.min_position.0),
         (0x1f, 1, 1_767_225_600_123_000)
     );
     for bad in [
@@ -270,21 +286,24 @@
         "/* id=xyz,c=post */",
         "/*",
     ] {
-        assert_eq!(ask(bad, &names), None, "{bad}");
+        assert_eq!(parse_statement(bad, &names), None, "{bad}");
     }
-    assert_eq!(of_value(&value(0xabc, at(5))), Some((0xabc, at(5))));
-    assert_eq!(of_value(b"whatever"), None);
+    assert_eq!(decode_value(&encode_value(0xabc, at(5))), Some((0xabc, at(5))));
+    assert_eq!(decode_value(b"whatever"), None);
 }
 
 /// What holds of what goes from one driver to another, in each direction by itself.
 #[test]
 fn links_are_harmed_as_the_script_says() {
     let text = "1s link 1 to 2 is cut for 1s\n2s split 1 2 from 3 for 1s\n3s links lose 10% for 1s\n3s link 2 and 3 slow 5ms for 1s";
-    let script = FaultScript::read(text).expect("can be read");
-    let cut = |at, one, other| script.way(ms(at), one, other).cut;
+    let script = FaultScript::parse(text).expect("can be read");
+    let cut = |at, one, other| script.link_state(ms(at), one, other).cut;
     assert!(cut(1500, 1, 2) && !cut(1500, 2, 1) && !cut(1500, 1, 3) && !cut(999, 1, 2));
     assert!(cut(2500, 1, 3) && cut(2500, 3, 2) && !cut(2500, 1, 2) && !cut(3000, 1, 3));
-    let way = script.way(ms(3500), 3, 2);
-    assert_eq!((way.loses, way.slow, way.cut), (100, ms(5), false));
-    assert_eq!(script.way(ms(3500), 1, 2).slow, TimeSpan(0));
+    let state = script.link_state(ms(3500), 3, 2);
+    assert_eq!(
+        (state.loss_per_mille, state.delay, state.cut),
+        (100, ms(5), false)
+    );
+    assert_eq!(script.link_state(ms(3500), 1, 2).delay, TimeSpan(0));
 }
