--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -1,8 +1,9 @@
 //! Five processes of the built program with faults between them: the laboratory's scenes, judged over all of them together.
 
-use asterlatch_testbed::cluster::{run, scenes, ClusterPlan, RunReport};
+use asterlatch_testbed::cluster::{run, ClusterPlan, RunReport};
 use asterlatch_testbed::fault_script::FaultScript;
 use asterlatch_testbed::roaming_clients::RoamingBehavior;
+use asterlatch_testbed::scenario::scenarios;
 use std::path::Path;
 use std::sync::{Condvar, Mutex, PoisonError};
 
@@ -36,7 +37,9 @@
 
 fn play(scene: &str, gossip_enabled: bool) -> RunReport {
     let _permit = ScenePermit::acquire();
-    let (_, drivers, text) = scenes(5).find(|(name, ..)| *name == scene).expect("is a scene");
+    let (_, drivers, text) = scenarios(5)
+        .find(|(name, ..)| *name == scene)
+        .expect("is a scene");
     let plan = ClusterPlan {
         drivers,
         groups: 2,
@@ -79,7 +82,7 @@
 
         #[test]
         fn all_scenes_are_played() {
-            assert_eq!(vec![$($scene),*], scenes(5).map(|(name, ..)| name).collect::<Vec<_>>());
+            assert_eq!(vec![$($scene),*], scenarios(5).map(|(name, ..)| name).collect::<Vec<_>>());
         }
     };
 }
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -8,6 +8,7 @@
 use crate::load_generator;
 use crate::member::{lock, pause};
 use crate::roaming_clients::RoamingBehavior;
+use crate::scenario;
 use crate::wire::wall_clock_now;
 use asterlatch::time::{TimeSpan, Timestamp};
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand};
@@ -341,8 +342,8 @@
             (arguments.drivers, text)
         }
         None => {
-            let found = cluster::scenes(arguments.drivers).find(|(name, ..)| *name == scene);
-            let names: Vec<_> = cluster::scenes(0).map(|(name, ..)| name).collect();
+            let found = scenario::scenarios(arguments.drivers).find(|(name, ..)| *name == scene);
+            let names: Vec<_> = scenario::scenarios(0).map(|(name, ..)| name).collect();
             let (_, drivers, text) =
                 found.ok_or_else(|| io::Error::other(format!("no scene '{scene}': {}", names.join(", "))))?;
             (drivers, text.to_owned())
@@ -359,7 +360,7 @@
 
 fn trial_fleet(arguments: &FleetArguments, seeds: u64, jobs: usize, only: &[String]) -> io::Result<bool> {
     let meant = |name: &str| only.is_empty() || only.iter().any(|o| o == name);
-    let scenes: Vec<_> = cluster::scenes(arguments.drivers)
+    let scenes: Vec<_> = scenario::scenarios(arguments.drivers)
         .filter(|(name, ..)| meant(name))
         .collect();
     let seeds = arguments.basis.seed..arguments.basis.seed + seeds;
--- /dev/null
+++ b/crates/testbed/src/cluster/driver_faults.rs
@@ -0,0 +1,132 @@
+//! Applies the fault script to driver processes, and ends them.
+
+use super::{Cluster, Outage};
+use crate::fault_script::{DriverFault, FaultScript};
+use crate::member::pause;
+use crate::wire::wall_clock_now;
+use asterlatch::time::{TimeSpan, Timestamp};
+use std::collections::BTreeMap;
+use std::io;
+use std::process::Command;
+
+/// The begin or the end of a driver's fault.
+struct FaultStep {
+    at: TimeSpan,
+    driver: u32,
+    fault: DriverFault,
+    begins: bool,
+}
+
+/// Begins and ends of all faults that act on processes `1..=drivers`, by time and driver.
+fn fault_steps(script: &FaultScript, drivers: usize) -> Vec<FaultStep> {
+    let mut steps = Vec::new();
+    for (driver, fault, from, until) in script.driver_faults() {
+        let acts_on_process = !matches!(fault, DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_));
+        if !acts_on_process || driver as usize > drivers {
+            continue;
+        }
+        for (at, begins) in [(from, true), (until, false)] {
+            steps.push(FaultStep {
+                at,
+                driver,
+                fault,
+                begins,
+            });
+        }
+    }
+    steps.sort_by_key(|step| (step.at, step.driver));
+    steps
+}
+
+impl Cluster {
+    fn signal(&self, number: u32, name: &str) {
+        if let Some(child) = &self.processes[number as usize - 1].child {
+            let _ = Command::new("kill")
+                .arg(format!("-{name}"))
+                .arg(child.id().to_string())
+                .status();
+        }
+    }
+
+    /// Kills, stops and restarts drivers as the script says, with times counted from `from`; returns after the last step.
+    pub(super) fn apply_driver_faults(&mut self, from: Timestamp, script: &FaultScript) -> io::Result<()> {
+        let mut open: BTreeMap<u32, Timestamp> = BTreeMap::new();
+        for step in fault_steps(script, self.processes.len()) {
+            pause((from + step.at) - wall_clock_now());
+            if step.begins {
+                self.begin_fault(step.driver, step.fault)?;
+                open.insert(step.driver, from + step.at);
+                continue;
+            }
+            self.end_fault(step.driver, step.fault)?;
+            if let Some(since) = open.remove(&step.driver) {
+                self.observed_outages.push(Outage {
+                    driver: step.driver,
+                    from: since,
+                    until: wall_clock_now(),
+                });
+            }
+        }
+        Ok(())
+    }
+
+    fn begin_fault(&mut self, driver: u32, fault: DriverFault) -> io::Result<()> {
+        match fault {
+            DriverFault::Killed | DriverFault::RestartedOnDiskOf(_) | DriverFault::LaterBuild => {
+                self.signal(driver, "KILL");
+                if let Some(mut child) = self.processes[driver as usize - 1].child.take() {
+                    child.wait()?;
+                }
+            }
+            DriverFault::Stopped => self.signal(driver, "STOP"),
+            DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_) => {}
+        }
+        Ok(())
+    }
+
+    fn end_fault(&mut self, driver: u32, fault: DriverFault) -> io::Result<()> {
+        match fault {
+            DriverFault::RestartedOnDiskOf(other) => {
+                let log_of = |number| self.path(number, "state").join("shared.log");
+                std::fs::copy(log_of(other), log_of(driver))?;
+            }
+            DriverFault::Killed | DriverFault::LaterBuild => {
+                // A kill after an upgrade brings the former build back.
+                self.processes[driver as usize - 1].runs_later_build = fault == DriverFault::LaterBuild;
+            }
+            DriverFault::Stopped => {
+                self.signal(driver, "CONT");
+                return Ok(());
+            }
+            DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_) => return Ok(()),
+        }
+        self.spawn_driver(driver)?;
+        self.await_serving(driver)
+    }
+
+    /// Terminates all drivers; returns their counters, summed over the drivers' last logs.
+    pub(super) fn terminate(&mut self) -> BTreeMap<String, u64> {
+        for process in &self.processes {
+            self.signal(process.number, "CONT");
+            self.signal(process.number, "TERM");
+        }
+        for process in &mut self.processes {
+            if let Some(mut child) = process.child.take() {
+                let _ = child.wait();
+            }
+        }
+        let mut counters: BTreeMap<String, u64> = BTreeMap::new();
+        for process in &self.processes {
+            let log = std::fs::read_to_string(self.path(process.number, &format!("{}.log", process.starts)));
+            for pair in log.unwrap_or_default().split_whitespace() {
+                let count = pair
+                    .split_once('=')
+                    .and_then(|(name, n)| Some((name, n.parse::<u64>().ok()?)));
+                if let Some((name, count)) = count {
+                    *counters.entry(name.to_owned()).or_default() += count;
+                }
+            }
+        }
+        counters
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/cluster/evaluate.rs
@@ -0,0 +1,119 @@
+//! Checks the records of a run against the store model, over all drivers together.
+
+use super::{Cluster, Outage, RetryCounts, RunReport};
+use crate::checker::{check, CheckReport, ClientOutcome, StatementRecord, STALE_SESSION_READ, VIOLATIONS};
+use crate::member::lock;
+use crate::roaming_clients::{Attempt, RoamingRecord};
+use crate::store_model::{StoreModel, WorkloadKind};
+use asterlatch::time::TimeSpan;
+
+/// A driver that was stopped or killed isn't held to answers for so long around that.
+const OUTAGE_MARGIN: TimeSpan = TimeSpan::millis(1500);
+
+/// Whether an attempt ran while its driver was out, or close to that.
+fn is_excused(outages: &[Outage], attempt: &Attempt) -> bool {
+    outages.iter().any(|outage| {
+        outage.driver == attempt.driver
+            && attempt.sent < outage.until + OUTAGE_MARGIN
+            && attempt.ended + OUTAGE_MARGIN > outage.from
+    })
+}
+
+/// Fills in what the records of all clients prove.
+pub(super) fn evaluate(cluster: &Cluster, records: &[RoamingRecord], run: &mut RunReport) {
+    let store = lock(&cluster.store);
+    let outages = &cluster.observed_outages;
+    let plain: Vec<_> = records
+        .iter()
+        .map(|record| checkable_record(outages, record))
+        .collect();
+    let lost = records
+        .iter()
+        .flat_map(|record| &record.attempts)
+        .filter(|a| a.outcome == ClientOutcome::NoAnswer && !a.abandoned && !is_excused(outages, a))
+        .count();
+    if lost > 0 {
+        let rule = "lost: no answer from a driver that was up";
+        run.violations.insert(rule, lost as u64);
+    }
+    let report = check(&store, &plain);
+    add_violations(&report, &store, run);
+    for record in records {
+        count_retry(&store, record, &mut run.retries);
+    }
+    run.asked = report.asked();
+    run.completed = report.completed();
+    run.rejected = report.rows.iter().map(|r| r.rejected).sum();
+    run.aborted = report.rows.iter().map(|r| r.aborted).sum();
+    let reads = store.reads.values().fold((0, 0), |(p, r), (a, b)| (p + a, r + b));
+    run.reads_at_primaries = f64::from(reads.0) / f64::from((reads.0 + reads.1).max(1));
+    run.summary = report.to_string();
+}
+
+/// The statement as one client record, without what single attempts are checked for.
+fn checkable_record(outages: &[Outage], roaming: &RoamingRecord) -> StatementRecord {
+    let mut record = roaming.record;
+    if record.outcome == ClientOutcome::NoAnswer {
+        // Missing answers are counted by attempt.
+        record.outcome = ClientOutcome::ConnectionRefused;
+    }
+    let last = roaming.attempts.last();
+    if last.is_some_and(|attempt| is_excused(outages, attempt)) {
+        // A driver that was stopped answers after it is resumed.
+        record.answered = record.answered.min(record.sent);
+    }
+    record
+}
+
+fn add_violations(report: &CheckReport, store: &StoreModel, run: &mut RunReport) {
+    for (rule, count) in report.violations.iter().enumerate().filter(|(_, c)| **c > 0) {
+        // What a session wrote at one driver is no promise at another; it is counted.
+        if rule == STALE_SESSION_READ {
+            run.stale_roaming_reads = *count;
+        } else {
+            run.violations.insert(VIOLATIONS[rule], *count);
+        }
+    }
+    let of_store = [
+        (
+            "drains: sent long after it was told",
+            report.executions_after_drain,
+        ),
+        ("cold: a member was pushed over", store.overloads_while_warming_up),
+    ];
+    for (rule, count) in of_store.into_iter().filter(|(_, count)| *count > 0) {
+        run.violations.insert(rule, count);
+    }
+}
+
+/// Counts a non-idempotent write that was retried after an attempt without an answer.
+fn count_retry(store: &StoreModel, roaming: &RoamingRecord, retries: &mut RetryCounts) {
+    let kind = store.workloads[roaming.record.workload].kind;
+    if kind != (WorkloadKind::Write { deduplicated: false }) {
+        return;
+    }
+    let unanswered = roaming
+        .attempts
+        .iter()
+        .position(|attempt| attempt.outcome == ClientOutcome::NoAnswer);
+    let Some(retry) = unanswered.and_then(|n| roaming.attempts.get(n + 1)) else {
+        return;
+    };
+    let effects = store
+        .effects
+        .get(&roaming.record.id)
+        .map_or(&[][..], Vec::as_slice);
+    let had_executed = effects.iter().any(|(_, at)| *at <= retry.sent);
+    retries.retried += 1;
+    retries.executed_before_retry += u64::from(had_executed);
+    retries.executed_twice += u64::from(effects.len() > 1);
+    match roaming.record.outcome {
+        ClientOutcome::Aborted => retries.reported_in_doubt += 1,
+        ClientOutcome::Rejected => {
+            retries.reported_not_executed += 1;
+            retries.false_reports += u64::from(!effects.is_empty());
+        }
+        ClientOutcome::Row { .. } => retries.completed += 1,
+        ClientOutcome::NoAnswer | ClientOutcome::ConnectionRefused => {}
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/cluster/mod.rs
@@ -0,0 +1,127 @@
+//! Several processes of the program with one store behind them, link proxies between them, and scripted faults.
+
+mod driver_faults;
+mod evaluate;
+mod observe;
+mod process;
+mod report;
+mod setup;
+
+use crate::arrivals::Arrivals;
+use crate::deployment::START_TIMEOUT;
+use crate::fault_script::FaultScript;
+use crate::link_proxy::Link;
+use crate::member::{lock, SharedStore};
+use crate::roaming_clients::{self, RoamingBehavior};
+use crate::wire::wall_clock_now;
+use asterlatch::time::{TimeSpan, Timestamp};
+use evaluate::evaluate;
+use process::DriverProcess;
+pub use report::{RetryCounts, RunReport};
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+
+/// What is put up.
+#[derive(Clone, Debug)]
+pub struct ClusterPlan {
+    pub drivers: u32,
+    pub groups: u32,
+    pub replicas: u32,
+    pub script: FaultScript,
+    /// Drivers tell each other; else each is alone.
+    pub gossip_enabled: bool,
+    pub seconds: f64,
+    /// Statements a second.
+    pub rate: f64,
+    pub clients: usize,
+    pub behavior: RoamingBehavior,
+    pub seed: u64,
+}
+
+/// A span in which a driver was killed or stopped.
+#[derive(Clone, Copy, Debug)]
+pub struct Outage {
+    /// From 1.
+    pub driver: u32,
+    pub from: Timestamp,
+    /// When the driver served again.
+    pub until: Timestamp,
+}
+
+pub struct Cluster {
+    pub store: SharedStore,
+    script: FaultScript,
+    folder: PathBuf,
+    program: PathBuf,
+    processes: Vec<DriverProcess>,
+    /// What befell whom, as it came to be.
+    pub observed_outages: Vec<Outage>,
+    _link_proxies: Vec<Link>,
+    /// Where members and discovery listen.
+    listeners: Vec<SocketAddr>,
+}
+
+impl Drop for Cluster {
+    fn drop(&mut self) {
+        // Or hundreds of plays in one process leave thousands of threads, and each fork copies what they hold.
+        lock(&self.store).is_shut_down = true;
+        for listener in &self.listeners {
+            let _ = TcpStream::connect(listener);
+        }
+        for p in &mut self.processes {
+            if let Some(mut child) = p.child.take() {
+                let _ = child.kill();
+                let _ = child.wait();
+            }
+        }
+    }
+}
+
+/// Puts a fleet up, plays the script under load, and judges.
+pub fn run(program: &Path, plan: &ClusterPlan) -> io::Result<RunReport> {
+    let mut cluster = Cluster::start(program, plan)?;
+    if plan.gossip_enabled {
+        cluster.await_membership()?;
+    }
+    let from = wall_clock_now();
+    let (workloads, until) = {
+        let mut store = lock(&cluster.store);
+        store.started_at = from;
+        store.script = plan.script.clone();
+        (store.workloads.clone(), TimeSpan((plan.seconds * 1e6) as u64))
+    };
+    let arrivals = Arrivals::new(&workloads, plan.rate, plan.groups, until, plan.seed);
+    let terms = (plan.clients, plan.behavior, plan.seed);
+    let load = roaming_clients::start(&cluster.store, &cluster.listens(), arrivals, from, terms);
+    cluster.apply_driver_faults(from, &plan.script)?;
+    let records = load.finish();
+    let mut run = RunReport {
+        cpu_seconds: cluster.cpu_seconds(),
+        ..RunReport::default()
+    };
+    if plan.gossip_enabled {
+        measure_gossip(&cluster, plan.drivers, from, &mut run)?;
+    }
+    run.counters = cluster.terminate();
+    evaluate(&cluster, &records, &mut run);
+    let _ = std::fs::remove_dir_all(&cluster.folder);
+    Ok(run)
+}
+
+/// Gossip traffic since `from`, and how long the copies take to become equal.
+fn measure_gossip(cluster: &Cluster, drivers: u32, from: Timestamp, run: &mut RunReport) -> io::Result<()> {
+    let seconds = (wall_clock_now() - from).ratio(TimeSpan::millis(1000));
+    let mut bytes = 0.0;
+    for number in 1..=drivers {
+        let status = cluster.query_status(number, "status")?;
+        bytes += status["counts"][0]["bytes_sent"].as_f64().unwrap_or(0.0);
+    }
+    run.gossip_bytes_per_second = bytes / seconds / f64::from(drivers);
+    let converged = cluster.await_equal_copies(START_TIMEOUT)?;
+    run.convergence_seconds = converged.map(|span| span.as_secs_f64());
+    if converged.is_none() {
+        run.violations.insert("copies never equal", 1);
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/testbed/src/cluster/observe.rs
@@ -0,0 +1,80 @@
+//! What a running cluster reports: membership, replicated state, processor time.
+
+use super::{Cluster, DriverProcess};
+use crate::deployment::START_TIMEOUT;
+use serde_json::Value;
+use std::io;
+use std::process::Command;
+use std::thread;
+use std::time::{Duration, Instant};
+
+impl Cluster {
+    /// Waits until all drivers hold that all others are there and that they have caught up.
+    pub fn await_membership(&self) -> io::Result<()> {
+        let end = Instant::now() + START_TIMEOUT;
+        while !self.is_membership_complete()? {
+            if Instant::now() > end {
+                return Err(io::Error::other("the drivers don't find each other"));
+            }
+            thread::sleep(Duration::from_millis(20));
+        }
+        Ok(())
+    }
+
+    fn is_membership_complete(&self) -> io::Result<bool> {
+        for process in &self.processes {
+            let status = self.query_status(process.number, "status")?;
+            let rows = status["drivers"].as_array().cloned().unwrap_or_default();
+            let fine = |r: &Value| {
+                let presence = r["presence"].as_str().unwrap_or_default();
+                r["caught_up"] == true && (presence == "there" || presence == "this one")
+            };
+            if rows.len() != self.processes.len() || !rows.iter().all(fine) {
+                return Ok(false);
+            }
+        }
+        Ok(true)
+    }
+
+    /// What a driver says of what is shared.
+    pub fn query_status(&self, number: u32, what: &str) -> io::Result<Value> {
+        let output = Command::new(&self.program)
+            .args(["fleet", what, "--json", "--control"])
+            .arg(self.path(number, "control"))
+            .output()?;
+        serde_json::from_slice(&output.stdout).map_err(|e| {
+            let said = String::from_utf8_lossy(&output.stderr).into_owned();
+            io::Error::other(format!("fleet {what} of driver {number}: {e} {said}"))
+        })
+    }
+
+    /// How long until all copies are equal, once nothing new comes.
+    pub fn await_equal_copies(&self, most: Duration) -> io::Result<Option<Duration>> {
+        let waiting_since = Instant::now();
+        while waiting_since.elapsed() < most {
+            let marks: io::Result<Vec<Value>> = self
+                .processes
+                .iter()
+                .map(|p| Ok(self.query_status(p.number, "facts")?["copy"].clone()))
+                .collect();
+            let marks = marks?;
+            if marks.windows(2).all(|w| w[0] == w[1]) {
+                return Ok(Some(waiting_since.elapsed()));
+            }
+            thread::sleep(Duration::from_millis(50));
+        }
+        Ok(None)
+    }
+
+    /// Processor time of all that run now, in seconds, as the system counts it.
+    pub(super) fn cpu_seconds(&self) -> f64 {
+        let of = |p: &DriverProcess| -> Option<f64> {
+            let stat = std::fs::read_to_string(format!("/proc/{}/stat", p.child.as_ref()?.id())).ok()?;
+            let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
+            let ticks = |n: usize| fields.get(n)?.parse::<f64>().ok();
+            // User and system time, the 14th and 15th field, in hundredths.
+            Some((ticks(11)? + ticks(12)?) / 100.0)
+        };
+        self.processes.iter().filter_map(of).sum()
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/cluster/process.rs
@@ -0,0 +1,99 @@
+//! One process of the program in a cluster.
+
+use super::Cluster;
+use crate::deployment::{check_serving, START_TIMEOUT};
+use crate::fault_script::DriverFault;
+use std::fs::File;
+use std::io;
+use std::net::SocketAddr;
+use std::os::unix::process::CommandExt;
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::thread;
+use std::time::{Duration, Instant};
+
+pub(super) struct DriverProcess {
+    pub(super) number: u32,
+    pub(super) listen: SocketAddr,
+    /// `None` while it is down.
+    pub(super) child: Option<Child>,
+    pub(super) starts: u32,
+    pub(super) runs_later_build: bool,
+}
+
+/// Has the system kill the child when this process ends, however it ends.
+fn kill_with_parent(command: &mut Command) {
+    // SAFETY: the closure makes one system call between fork and exec, which touches no memory.
+    unsafe {
+        command.pre_exec(|| {
+            let signal = Some(rustix::process::Signal::KILL);
+            rustix::process::set_parent_process_death_signal(signal).map_err(io::Error::from)
+        });
+    }
+}
+
+impl Cluster {
+    pub(super) fn path(&self, number: u32, end: &str) -> PathBuf {
+        self.folder.join(format!("d{number}.{end}"))
+    }
+
+    pub fn listens(&self) -> Vec<SocketAddr> {
+        self.processes.iter().map(|p| p.listen).collect()
+    }
+
+    /// How far a driver's clock is off.
+    fn clock(&self, number: u32) -> i64 {
+        let driver_faults = self.script.driver_faults();
+        let own = driver_faults
+            .into_iter()
+            .filter_map(|(driver, outage, ..)| match outage {
+                DriverFault::ClockOffset(by) if driver == number => Some(by),
+                _ => None,
+            });
+        own.sum()
+    }
+
+    pub(super) fn spawn_driver(&mut self, number: u32) -> io::Result<()> {
+        let starts = self.processes[number as usize - 1].starts + 1;
+        let log = File::create(self.path(number, &format!("{starts}.log")))?;
+        let mut command = Command::new(&self.program);
+        kill_with_parent(&mut command);
+        if self.processes[number as usize - 1].runs_later_build {
+            command.env("ASTERLATCH_LAB_LATER_WIRE", "1");
+        }
+        let child = command
+            .arg("serve")
+            .arg("--config")
+            .arg(self.path(number, "json"))
+            .arg("--operators")
+            .arg(self.path(number, "latch"))
+            .arg("--control")
+            .arg(self.path(number, "control"))
+            .arg("--state")
+            .arg(self.path(number, "state"))
+            .env("ASTERLATCH_LAB_CLOCK", self.clock(number).to_string())
+            .stdin(Stdio::null())
+            .stdout(log.try_clone()?)
+            .stderr(log)
+            .spawn()
+            .map_err(|e| io::Error::other(format!("{}: {e}", self.program.display())))?;
+        let process = &mut self.processes[number as usize - 1];
+        process.child = Some(child);
+        process.starts = starts;
+        Ok(())
+    }
+
+    pub(super) fn await_serving(&self, number: u32) -> io::Result<()> {
+        let end = Instant::now() + START_TIMEOUT;
+        while let Err(e) = check_serving(self.processes[number as usize - 1].listen) {
+            if Instant::now() > end {
+                let log = std::fs::read_to_string(self.path(number, "1.log")).unwrap_or_default();
+                return Err(io::Error::other(format!(
+                    "driver {number} doesn't serve: {e}\n{log}"
+                )));
+            }
+            thread::sleep(Duration::from_millis(2));
+        }
+        Ok(())
+    }
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -18,5 +18,6 @@
 pub mod load_generator;
 pub mod member;
 pub mod roaming_clients;
+pub mod scenario;
 pub mod store_model;
 pub mod wire;
--- /dev/null
+++ b/crates/testbed/src/scenario.rs
@@ -0,0 +1,74 @@
+//! Named fault scripts for a cluster, and how many drivers each needs.
+
+/// Scenes by name: what they are for, and what befalls whom. The fleet has five drivers.
+pub const SCENARIOS: [(&str, &str); 14] = [
+    ("calm", "0s link 1 to 2 slow 0ms for 1ms"),
+    ("killed", "1s driver 2 is killed for 2s"),
+    ("one-way", "500ms link 1 to 2 is cut for 4s"),
+    (
+        "split",
+        "1s split 1 2 from 3 4 5 for 3s\n1500ms group 1 switches to 2\n2s member 5 lags 2s for 1s",
+    ),
+    ("drain", "500ms driver 3 hears no list for 5s\n1s member 2 drains for 4s"),
+    (
+        "drain-in-a-split",
+        "500ms driver 3 hears no list for 5s\n800ms split 1 2 from 4 5 for 3s\n1s member 2 drains for 4s",
+    ),
+    ("doubt", "1s driver 1 stops for 1s\n3s driver 2 is killed for 1s"),
+    ("lossy", "0s links lose 30% for 5s\n0s links garble 5% for 5s\n0s links slow 20ms for 5s"),
+    (
+        "clocks",
+        "0s driver 1 is 3600s ahead for 1s\n0s driver 2 is 3600s behind for 1s\n1s driver 3 is killed for 500ms\n2s split 1 3 from 2 4 5 for 1s",
+    ),
+    ("one-disk", "1s driver 2 is killed and given the disk of 3 for 500ms\n2500ms driver 4 is killed for 500ms"),
+    ("paused", "1s driver 4 stops for 3s"),
+    ("cold", "500ms member 2 starts for 4s\n500ms member 3 starts for 4s\n2s driver 5 is killed for 1s"),
+    (
+        "rolling",
+        "500ms driver 1 is killed for 200ms\n1500ms driver 2 is killed for 200ms\n2500ms driver 3 is killed for 200ms",
+    ),
+    (
+        "two-wires",
+        "300ms driver 1 is renewed for 200ms\n1s driver 2 is renewed for 200ms\n1700ms driver 3 is renewed for 200ms\n2500ms driver 1 is killed for 200ms",
+    ),
+];
+
+/// The same with so many drivers that each sees little: what they do together.
+pub const WIDE_DRIVERS: u32 = 12;
+pub const WIDE_SCENARIOS: [(&str, &str); 7] = [
+    ("silent", "1s member 2 hangs for 3s"),
+    ("silent-lossy", "0s links lose 50% for 6s\n1s member 2 hangs for 3s"),
+    // Whoever holds the turn to ask member 2, a stopped or killed one is followed by another.
+    (
+        "holder",
+        "500ms member 2 is down for 4s\n1s driver 1 stops for 2s\n1s driver 2 stops for 2s\n1s driver 3 stops for 2s\n1s driver 4 stops for 2s\n2s driver 5 is killed for 1s\n2s driver 6 is killed for 1s",
+    ),
+    (
+        "third",
+        "1s driver 1 is killed for 2s\n1s driver 2 is killed for 2s\n1s driver 3 is killed for 2s\n1s driver 4 is killed for 2s",
+    ),
+    // Four come late, and four others go.
+    (
+        "grows-and-shrinks",
+        "0s driver 9 is killed for 2s\n0s driver 10 is killed for 2s\n0s driver 11 is killed for 2s\n0s driver 12 is killed for 2s\n3s driver 1 is killed for 2s\n3s driver 2 is killed for 2s\n3s driver 3 is killed for 2s",
+    ),
+    (
+        "zone-cold",
+        "500ms member 2 starts for 4s\n500ms member 4 starts for 4s\n500ms member 6 starts for 4s\n1s driver 1 is killed for 1s",
+    ),
+    (
+        "lists-differ",
+        "0s driver 3 hears no list for 6s\n0s driver 4 hears no list for 6s\n0s driver 5 hears no list for 6s\n1s member 2 drains for 4s\n1500ms split 3 6 7 from 1 2 for 2s",
+    ),
+];
+
+/// Every scene: its name, how many drivers it has, and its script; `drivers` for those that leave it open.
+pub fn scenarios(drivers: u32) -> impl Iterator<Item = (&'static str, u32, &'static str)> {
+    let narrow = SCENARIOS
+        .into_iter()
+        .map(move |(name, text)| (name, drivers, text));
+    let wide = WIDE_SCENARIOS
+        .into_iter()
+        .map(move |(name, text)| (name, drivers.max(WIDE_DRIVERS), text));
+    narrow.chain(wide)
+}
