--- a/crates/testbed/src/cluster/driver_faults.rs
+++ b/crates/testbed/src/cluster/driver_faults.rs
@@ -20,16 +20,19 @@
 /// Begins and ends of all faults that act on processes `1..=drivers`, by time and driver.
 fn fault_steps(script: &FaultScript, drivers: usize) -> Vec<FaultStep> {
     let mut steps = Vec::new();
-    for (driver, fault, from, until) in script.driver_faults() {
-        let acts_on_process = !matches!(fault, DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_));
-        if !acts_on_process || driver as usize > drivers {
+    for scheduled in script.driver_faults() {
+        let acts_on_process = !matches!(
+            scheduled.fault,
+            DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_)
+        );
+        if !acts_on_process || scheduled.driver as usize > drivers {
             continue;
         }
-        for (at, begins) in [(from, true), (until, false)] {
+        for (at, begins) in [(scheduled.from, true), (scheduled.until, false)] {
             steps.push(FaultStep {
                 at,
-                driver,
-                fault,
+                driver: scheduled.driver,
+                fault: scheduled.fault,
                 begins,
             });
         }
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -41,16 +41,15 @@
         self.processes.iter().map(|p| p.listen).collect()
     }
 
-    /// How far a driver's clock is off.
-    fn clock(&self, number: u32) -> i64 {
-        let driver_faults = self.script.driver_faults();
-        let own = driver_faults
-            .into_iter()
-            .filter_map(|(driver, outage, ..)| match outage {
-                DriverFault::ClockOffset(by) if driver == number => Some(by),
-                _ => None,
-            });
-        own.sum()
+    /// Offset of a driver's clock in seconds.
+    fn clock_offset(&self, number: u32) -> i64 {
+        let faults = self.script.driver_faults();
+        let own = faults.iter().filter(|scheduled| scheduled.driver == number);
+        own.filter_map(|scheduled| match scheduled.fault {
+            DriverFault::ClockOffset(seconds) => Some(seconds),
+            _ => None,
+        })
+        .sum()
     }
 
     pub(super) fn spawn_driver(&mut self, number: u32) -> io::Result<()> {
@@ -71,7 +70,7 @@
             .arg(self.path(number, "control"))
             .arg("--state")
             .arg(self.path(number, "state"))
-            .env("ASTERLATCH_LAB_CLOCK", self.clock(number).to_string())
+            .env("ASTERLATCH_LAB_CLOCK", self.clock_offset(number).to_string())
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
--- a/crates/testbed/tests/decisions.rs
+++ b/crates/testbed/tests/decisions.rs
@@ -43,8 +43,8 @@
         ("1s member 1 loses answers for 1s", fault(Target::Member(1), MemberFault::DropsAnswers, 1000, 2000)),
         ("1s member 1 lags 3s for 1s", fault(Target::Member(1), MemberFault::Lagging(ms(3000)), 1000, 2000)),
         ("1s member 2 starts for 4s", fault(Target::Member(2), MemberFault::WarmingUp, 1000, 5000)),
-        ("5s driver 2 is killed for 3s", FaultEvent::Driver { driver: 2, outage: DriverFault::Killed, from: ms(5000), until: ms(8000) }),
-        ("5s driver 1 hears no list for 1s", FaultEvent::Driver { driver: 1, outage: DriverFault::DiscoveryStalled, from: ms(5000), until: ms(6000) }),
+        ("5s driver 2 is killed for 3s", FaultEvent::Driver { driver: 2, fault: DriverFault::Killed, from: ms(5000), until: ms(8000) }),
+        ("5s driver 1 hears no list for 1s", FaultEvent::Driver { driver: 1, fault: DriverFault::DiscoveryStalled, from: ms(5000), until: ms(6000) }),
         ("6s link 1 to 2 is cut for 2s", link(&[1], &[2], false, LinkFault::Cut, 6000, 8000)),
         ("6s split 1 2 from 3 4 for 2s", link(&[1, 2], &[3, 4], true, LinkFault::Cut, 6000, 8000)),
         ("0s links lose 30% for 1s", link(&[], &[], true, LinkFault::Loss(300), 0, 1000)),
@@ -76,7 +76,9 @@
         ("2s member 3 hangs for ever", "'ever' is no span"),
     ];
     for (line, words) in bad {
-        let error = FaultScript::parse(&format!("1s member 1 fails for 1s\n{line}")).expect_err(line);
+        let error = FaultScript::parse(&format!("1s member 1 fails for 1s\n{line}"))
+            .expect_err(line)
+            .to_string();
         assert!(
             error.starts_with("line 2: ") && error.contains(words),
             "{line}: {error}"
