--- /dev/null
+++ b/crates/testbed/src/cli/arguments.rs
@@ -0,0 +1,145 @@
+//! Arguments that several commands share, and what is started by them.
+
+use crate::arrivals::Arrivals;
+use crate::checker::{check, StatementRecord};
+use crate::cluster::{self, ClusterPlan};
+use crate::deployment::Deployment;
+use crate::fault_script::FaultScript;
+use crate::load_generator;
+use crate::member::lock;
+use crate::roaming_clients::RoamingBehavior;
+use crate::wire::wall_clock_now;
+use asterlatch::time::{TimeSpan, Timestamp};
+use clap::Args;
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// What every command puts up.
+#[derive(Args)]
+pub(super) struct SetupArguments {
+    /// The built program; without it the one that lies beside this one.
+    #[arg(long)]
+    driver: Option<PathBuf>,
+    #[arg(long, default_value_t = 1)]
+    pub(super) seed: u64,
+    #[arg(long, default_value_t = 3)]
+    pub(super) groups: u32,
+    #[arg(long, default_value_t = 2)]
+    pub(super) replicas: u32,
+}
+
+impl SetupArguments {
+    pub(super) fn driver(&self) -> io::Result<PathBuf> {
+        match &self.driver {
+            Some(path) => Ok(path.clone()),
+            None => Ok(std::env::current_exe()?.with_file_name("asterlatch")),
+        }
+    }
+}
+
+#[derive(Args)]
+pub(super) struct FleetArguments {
+    #[command(flatten)]
+    pub(super) basis: SetupArguments,
+    #[arg(long, default_value_t = 5)]
+    pub(super) drivers: u32,
+    /// Statements a second, over all drivers.
+    #[arg(long, default_value_t = 600.0)]
+    pub(super) rate: f64,
+    #[arg(long, default_value_t = 6.0)]
+    pub(super) seconds: f64,
+    #[arg(long, default_value_t = 64)]
+    pub(super) clients: usize,
+    /// Of a thousand statements, those asked at another driver than their session's.
+    #[arg(long, default_value_t = 100)]
+    pub(super) roam: u32,
+    /// Of a thousand writes, those whose client goes away at once and repeats them elsewhere.
+    #[arg(long, default_value_t = 100)]
+    pub(super) hasty: u32,
+    /// Each driver is alone: nothing is shared.
+    #[arg(long)]
+    pub(super) alone: bool,
+}
+
+#[derive(Args)]
+pub(super) struct LoadArguments {
+    #[command(flatten)]
+    pub(super) basis: SetupArguments,
+    /// Statements a second.
+    #[arg(long, default_value_t = 500.0)]
+    pub(super) rate: f64,
+    /// Members answer reads from what they have, however old that is.
+    #[arg(long)]
+    pub(super) unchecked: bool,
+    /// How many may wait for an answer at once.
+    #[arg(long, default_value_t = 96)]
+    pub(super) clients: usize,
+}
+
+impl LoadArguments {
+    /// Starts one process of the program under this script.
+    pub(super) fn deploy(&self, script: FaultScript) -> io::Result<Deployment> {
+        let folder = std::env::temp_dir().join(format!("asterlatch-lab-{}", std::process::id()));
+        Deployment::start(
+            &self.basis.driver()?,
+            &folder,
+            (self.basis.groups, self.basis.replicas),
+            script,
+            !self.unchecked,
+        )
+    }
+
+    /// Starts the load; returns it with its begin.
+    pub(super) fn start_load(
+        &self,
+        deployment: &Deployment,
+        seconds: f64,
+    ) -> (load_generator::Load, Timestamp) {
+        let from = wall_clock_now();
+        let workloads = lock(&deployment.store).workloads.clone();
+        let until = TimeSpan((seconds * 1e6) as u64);
+        let arrivals = Arrivals::new(&workloads, self.rate, self.basis.groups, until, self.basis.seed);
+        let load = load_generator::start(&deployment.store, deployment.listen, arrivals, from, self.clients);
+        (load, from)
+    }
+}
+
+/// Reads a fault script's text; an error names the file.
+pub(super) fn read_script(path: &Path) -> io::Result<String> {
+    std::fs::read_to_string(path).map_err(|e| io::Error::other(format!("{}: {e}", path.display())))
+}
+
+/// Ends the program and prints the check of all records; whether all rules were kept.
+pub(super) fn conclude(mut deployment: Deployment, records: &[StatementRecord]) -> bool {
+    deployment.end();
+    let report = check(&lock(&deployment.store), records);
+    println!("{report}");
+    let _ = std::fs::remove_dir_all(&deployment.folder);
+    report.violation_count() == 0
+}
+
+impl FleetArguments {
+    /// The plan of a run with this fault script.
+    fn plan(&self, drivers: u32, text: &str, seed: u64) -> io::Result<ClusterPlan> {
+        Ok(ClusterPlan {
+            drivers,
+            groups: self.basis.groups,
+            replicas: self.basis.replicas,
+            script: FaultScript::parse(text).map_err(io::Error::other)?,
+            gossip_enabled: !self.alone,
+            seconds: self.seconds,
+            rate: self.rate,
+            clients: self.clients,
+            behavior: RoamingBehavior {
+                roam_per_mille: self.roam,
+                abandon_per_mille: self.hasty,
+            },
+            seed,
+        })
+    }
+
+    /// Runs one cluster.
+    pub(super) fn run(&self, drivers: u32, text: &str, seed: u64) -> io::Result<cluster::RunReport> {
+        cluster::run(&self.basis.driver()?, &self.plan(drivers, text, seed)?)
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/cli/demo.rs
@@ -0,0 +1,36 @@
+//! `demo`: one process of the program under load, with a few faults of each kind.
+
+use super::arguments::{conclude, read_script, LoadArguments};
+use crate::fault_script::FaultScript;
+use std::io;
+use std::path::Path;
+
+const DEMO_FAULTS: &str = "
+1.5s member 2 slow 60ms for 1s
+3s member 3 is down for 1s
+4.5s member 9 lags 3s for 1s
+5s group 2 switches to 5
+6s member 8 drains for 3s
+7s member 6 fails for 500ms
+8s member 1 hangs for 400ms
+9s primary of 3 loses answers for 100ms
+";
+
+pub(super) fn run(common: &LoadArguments, seconds: f64, script: Option<&Path>) -> io::Result<bool> {
+    let text = match script {
+        Some(path) => read_script(path)?,
+        None => DEMO_FAULTS.to_owned(),
+    };
+    let script = FaultScript::parse(&text).map_err(io::Error::other)?;
+    println!(
+        "{} groups of {} members, {} statements a second for {seconds} s; faults:",
+        common.basis.groups,
+        common.basis.replicas + 1,
+        common.rate
+    );
+    println!("{}\n", text.trim());
+    let deployment = common.deploy(script)?;
+    let (load, _) = common.start_load(&deployment, seconds);
+    let records = load.finish();
+    Ok(conclude(deployment, &records))
+}
--- /dev/null
+++ b/crates/testbed/src/cli/fleet.rs
@@ -0,0 +1,27 @@
+//! `fleet`: a cluster of several processes under one scenario or script.
+
+use super::arguments::{read_script, FleetArguments};
+use crate::scenario::scenarios;
+use std::io;
+use std::path::Path;
+
+/// Runs the cluster under `script`, or else under the named scenario; whether all rules were kept.
+pub(super) fn run(arguments: &FleetArguments, scene: &str, script: Option<&Path>) -> io::Result<bool> {
+    let (drivers, text) = match script {
+        Some(path) => (arguments.drivers, read_script(path)?),
+        None => {
+            let found = scenarios(arguments.drivers).find(|(name, ..)| *name == scene);
+            let names: Vec<_> = scenarios(0).map(|(name, ..)| name).collect();
+            let (_, drivers, text) =
+                found.ok_or_else(|| io::Error::other(format!("no scene '{scene}': {}", names.join(", "))))?;
+            (drivers, text.to_owned())
+        }
+    };
+    println!(
+        "{drivers} drivers, {} statements a second:\n{text}\n",
+        arguments.rate
+    );
+    let report = arguments.run(drivers, &text, arguments.basis.seed)?;
+    println!("{report}");
+    Ok(report.all_rules_kept())
+}
--- /dev/null
+++ b/crates/testbed/src/cli/trial_fleet.rs
@@ -0,0 +1,63 @@
+//! `trial-fleet`: every scenario with several seeds.
+
+use super::arguments::FleetArguments;
+use crate::cluster::RunReport;
+use crate::scenario::scenarios;
+use std::io;
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::Mutex;
+
+/// Runs `jobs` clusters at once over the scenarios named in `only`, or all; whether all rules were kept in each.
+pub(super) fn run(arguments: &FleetArguments, seeds: u64, jobs: usize, only: &[String]) -> io::Result<bool> {
+    let is_selected = |name: &str| only.is_empty() || only.iter().any(|o| o == name);
+    let selected: Vec<_> = scenarios(arguments.drivers)
+        .filter(|(name, ..)| is_selected(name))
+        .collect();
+    let seeds = arguments.basis.seed..arguments.basis.seed + seeds;
+    // Scenario by scenario: an idle worker takes the next.
+    let runs = selected
+        .iter()
+        .flat_map(|scenario| seeds.clone().map(move |seed| (scenario, seed)));
+    let runs = Mutex::new(runs.collect::<Vec<_>>().into_iter());
+    let (passed, failed) = (AtomicU32::new(0), AtomicU32::new(0));
+    let next = || runs.lock().ok()?.next();
+    let work = || -> io::Result<()> {
+        while let Some(((name, drivers, text), seed)) = next() {
+            let report = arguments.run(*drivers, text, seed)?;
+            print_line(name, seed, &report);
+            let count = if report.all_rules_kept() { &passed } else { &failed };
+            count.fetch_add(1, Ordering::Relaxed);
+        }
+        Ok(())
+    };
+    std::thread::scope(|scope| {
+        let workers: Vec<_> = (0..jobs.max(1)).map(|_| scope.spawn(work)).collect();
+        let ends = workers.into_iter().map(|worker| {
+            worker
+                .join()
+                .unwrap_or_else(|_| Err(io::Error::other("a play panicked")))
+        });
+        ends.collect::<io::Result<()>>()
+    })?;
+    let (passed, failed) = (passed.into_inner(), failed.into_inner());
+    println!("{passed} passed, {failed} failed");
+    Ok(failed == 0)
+}
+
+fn print_line(scenario: &str, seed: u64, report: &RunReport) {
+    let retries = report.retries;
+    let verdict = if report.all_rules_kept() {
+        "kept".to_owned()
+    } else {
+        format!("{:?}", report.violations)
+    };
+    println!(
+        "{scenario:<18} seed {seed:<4} asked {:>6}, rejected {:>4}, in doubt {:>4}; repeats {:>4}, untrue {}, doubled {}; {verdict}",
+        report.asked,
+        report.rejected,
+        report.aborted,
+        retries.retried,
+        retries.false_reports,
+        retries.executed_twice,
+    );
+}
