--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -97,78 +97,108 @@
     latencies
 }
 
+/// By group and session: when a write's answer had come, and the position that it named.
+type SessionWrites = BTreeMap<(u32, u32), Vec<(Timestamp, Timestamp)>>;
+
+/// Compares what clients were told with what members executed.
 pub fn check(store: &StoreModel, records: &[StatementRecord]) -> CheckReport {
     let mut report = CheckReport {
+        rows: summaries(store, records),
         executions_after_drain: store.executions_after_drain,
         executions: store.executions,
         connections: store.connections,
         health_checks: store.health_checks,
         ..CheckReport::default()
     };
-    for (w, workload) in store.workloads.iter().enumerate() {
-        let own: Vec<_> = records.iter().filter(|r| r.workload == w).collect();
-        let count =
-            |outcome: fn(&ClientOutcome) -> bool| own.iter().filter(|r| outcome(&r.outcome)).count() as u64;
-        report.rows.push(WorkloadSummary {
+    let writes = session_writes(store, records);
+    for record in records {
+        let violated = violated_rules(store, &writes, record);
+        for (rule, _) in violated
+            .iter()
+            .enumerate()
+            .filter(|(_, is_violated)| **is_violated)
+        {
+            report.violations[rule] += 1;
+            report.first_by_rule.entry(rule).or_insert(record.id);
+        }
+    }
+    report
+}
+
+fn summaries(store: &StoreModel, records: &[StatementRecord]) -> Vec<WorkloadSummary> {
+    let mut rows = Vec::new();
+    for (index, workload) in store.workloads.iter().enumerate() {
+        let own: Vec<_> = records.iter().filter(|r| r.workload == index).collect();
+        let count = |is_counted: fn(&ClientOutcome) -> bool| {
+            own.iter().filter(|r| is_counted(&r.outcome)).count() as u64
+        };
+        rows.push(WorkloadSummary {
             name: workload.name,
             asked: own.len() as u64,
-            completed: count(|t| matches!(t, ClientOutcome::Row { .. })),
-            rejected: count(|t| *t == ClientOutcome::Rejected),
-            aborted: count(|t| *t == ClientOutcome::Aborted),
-            lost: count(|t| *t == ClientOutcome::NoAnswer),
-            refused: count(|t| *t == ClientOutcome::ConnectionRefused),
+            completed: count(|outcome| matches!(outcome, ClientOutcome::Row { .. })),
+            rejected: count(|outcome| *outcome == ClientOutcome::Rejected),
+            aborted: count(|outcome| *outcome == ClientOutcome::Aborted),
+            lost: count(|outcome| *outcome == ClientOutcome::NoAnswer),
+            refused: count(|outcome| *outcome == ClientOutcome::ConnectionRefused),
             latencies: percentiles(&latencies(own)),
         });
     }
-    // What each session knew to be written, by when it knew.
-    let mut written: BTreeMap<(u32, u32), Vec<(Timestamp, Timestamp)>> = BTreeMap::new();
-    for r in records {
-        let is_write = matches!(store.workloads[r.workload].kind, WorkloadKind::Write { .. });
-        if let (true, ClientOutcome::Row { position, .. }) = (is_write, r.outcome) {
-            written
-                .entry((r.group, r.session))
-                .or_default()
-                .push((r.answered, position));
-        }
-    }
-    for r in records {
-        let workload = &store.workloads[r.workload];
-        let ran = store.effects.get(&r.id).map_or(0, Vec::len);
-        let row = match r.outcome {
-            ClientOutcome::Row { id, position } => Some((id, position)),
-            _ => None,
-        };
-        let known = written.get(&(r.group, r.session)).into_iter().flatten();
-        let known = known
-            .filter(|(at, _)| *at < r.sent)
-            .map(|(_, position)| *position)
-            .max();
-        let older = |least: Timestamp| row.is_some_and(|(_, position)| position < least);
-        let write = match workload.kind {
-            WorkloadKind::Write { deduplicated } => Some(deduplicated),
-            _ => None,
-        };
-        let violated = [
-            r.outcome == ClientOutcome::NoAnswer,
-            r.answered - r.sent > TimeSpan(workload.timeout.0 + PROTOCOL_SLACK.0)
-                && r.outcome != ClientOutcome::NoAnswer,
-            r.has_trailing_bytes,
-            row.is_some_and(|(id, _)| id != r.id),
-            write == Some(false) && ran > 1,
-            write.is_some() && row.is_some() && ran == 0,
-            write == Some(false) && r.outcome == ClientOutcome::Rejected && ran > 0,
-            match workload.kind {
-                WorkloadKind::BoundedStaleness(bound) => older(r.sent - TimeSpan(bound.0 + PROTOCOL_SLACK.0)),
-                _ => false,
-            },
-            workload.kind == WorkloadKind::ReadYourWrites && known.is_some_and(older),
-        ];
-        for (n, _) in violated.iter().enumerate().filter(|(_, b)| **b) {
-            report.violations[n] += 1;
-            report.first_by_rule.entry(n).or_insert(r.id);
+    rows
+}
+
+fn session_writes(store: &StoreModel, records: &[StatementRecord]) -> SessionWrites {
+    let mut writes = SessionWrites::new();
+    for record in records {
+        let kind = store.workloads[record.workload].kind;
+        let is_write = matches!(kind, WorkloadKind::Write { .. });
+        if let (true, ClientOutcome::Row { position, .. }) = (is_write, record.outcome) {
+            let session = writes.entry((record.group, record.session)).or_default();
+            session.push((record.answered, position));
         }
     }
-    report
+    writes
+}
+
+/// Which of [`VIOLATIONS`] a record shows.
+fn violated_rules(
+    store: &StoreModel,
+    writes: &SessionWrites,
+    record: &StatementRecord,
+) -> [bool; VIOLATIONS.len()] {
+    let workload = &store.workloads[record.workload];
+    let executions = store.effects.get(&record.id).map_or(0, Vec::len);
+    let row = match record.outcome {
+        ClientOutcome::Row { id, position } => Some((id, position)),
+        _ => None,
+    };
+    let session = writes.get(&(record.group, record.session)).into_iter().flatten();
+    let last_written = session
+        .filter(|(answered, _)| *answered < record.sent)
+        .map(|(_, position)| *position)
+        .max();
+    let is_older_than = |least: Timestamp| row.is_some_and(|(_, position)| position < least);
+    let deduplicated = match workload.kind {
+        WorkloadKind::Write { deduplicated } => Some(deduplicated),
+        _ => None,
+    };
+    let has_answer = record.outcome != ClientOutcome::NoAnswer;
+    let longest = TimeSpan(workload.timeout.0 + PROTOCOL_SLACK.0);
+    [
+        !has_answer,
+        has_answer && record.answered - record.sent > longest,
+        record.has_trailing_bytes,
+        row.is_some_and(|(id, _)| id != record.id),
+        deduplicated == Some(false) && executions > 1,
+        deduplicated.is_some() && row.is_some() && executions == 0,
+        deduplicated == Some(false) && record.outcome == ClientOutcome::Rejected && executions > 0,
+        match workload.kind {
+            WorkloadKind::BoundedStaleness(bound) => {
+                is_older_than(record.sent - TimeSpan(bound.0 + PROTOCOL_SLACK.0))
+            }
+            _ => false,
+        },
+        workload.kind == WorkloadKind::ReadYourWrites && last_written.is_some_and(is_older_than),
+    ]
 }
 
 impl CheckReport {
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -4,7 +4,7 @@
 use crate::checker::{ClientOutcome, StatementRecord};
 use crate::member::{lock, pause, SharedStore};
 use crate::store_model::WorkloadKind;
-use crate::wire::{decode_value, message, read, start_session, wall_clock_now};
+use crate::wire::{decode_value, read, start_session, wall_clock_now, ClientStatement};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -94,15 +94,16 @@
             let w = &store.workloads[arrival.workload];
             (w.name, w.kind, w.timeout)
         };
-        let (id, group, key) = (arrival.id, arrival.group, arrival.session);
-        let head = format!("/* id={id:x},c={name},d={},cluster={group} */", timeout.0 / 1000);
-        let text = match kind {
-            WorkloadKind::Write { .. } => {
-                format!("{head} INSERT INTO rows (handle, blob) VALUES ('s{key}', 'x') RETURNING blob\0")
-            }
-            _ => format!("{head} SELECT blob FROM rows WHERE handle = 's{key}'\0"),
-        };
-        let query = message(b'Q', text.as_bytes());
+        let query = ClientStatement {
+            id: arrival.id,
+            workload: name,
+            timeout,
+            group: arrival.group,
+            session: arrival.session,
+            is_write: matches!(kind, WorkloadKind::Write { .. }),
+            is_retry: false,
+        }
+        .encode();
         let mut sent = wall_clock_now();
         let mut outcome = ClientOutcome::ConnectionRefused;
         // A connection that ended before the statement was read is no answer: it is sent once more on a new one. That
@@ -127,15 +128,15 @@
                 }
                 Err(_) => ClientOutcome::NoAnswer,
             };
-            if outcome != ClientOutcome::NoAnswer || lock(&self.store).has_received(id) {
+            if outcome != ClientOutcome::NoAnswer || lock(&self.store).has_received(arrival.id) {
                 break;
             }
         }
         self.records.push(StatementRecord {
-            id,
+            id: arrival.id,
             workload: arrival.workload,
-            group,
-            session: key,
+            group: arrival.group,
+            session: arrival.session,
             due,
             sent,
             answered: wall_clock_now(),
--- a/crates/testbed/src/member.rs
+++ b/crates/testbed/src/member.rs
@@ -2,24 +2,27 @@
 
 use crate::store_model::{Reply, StoreModel};
 use crate::wire::{encode_value, error, message, parse_statement, read, row, status, wall_clock_now};
-use asterlatch::time::TimeSpan;
+use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::Duration;
 
+/// The store model that all threads of a test bed share.
 pub type SharedStore = Arc<Mutex<StoreModel>>;
 
+/// Locks the store, also after a thread panicked while it held the lock.
 pub fn lock(store: &SharedStore) -> MutexGuard<'_, StoreModel> {
     store.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// Blocks the thread for this long.
 pub fn pause(span: TimeSpan) {
     thread::sleep(Duration::from_micros(span.0));
 }
 
-/// Starts a member; says where it listens.
+/// Starts a member; returns the address at which it listens.
 pub fn start(store: &SharedStore, member: u32) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -30,14 +33,15 @@
                 return;
             }
             let store = store.clone();
-            // A connection that breaks ends its thread, and says nothing to anybody.
-            thread::spawn(move || drop(speak(stream, &store, member)));
+            // A connection that breaks ends its thread and is reported nowhere.
+            thread::spawn(move || drop(serve(stream, &store, member)));
         }
     });
     Ok(address)
 }
 
-fn speak(mut stream: TcpStream, store: &SharedStore, member: u32) -> io::Result<()> {
+/// Serves one connection until it ends.
+fn serve(mut stream: TcpStream, store: &SharedStore, member: u32) -> io::Result<()> {
     stream.set_nodelay(true)?;
     {
         let mut store = lock(store);
@@ -54,55 +58,61 @@
         if kind != b'Q' {
             return Ok(());
         }
-        let now = wall_clock_now();
         let text = String::from_utf8_lossy(&body);
-        let text = text.trim_end_matches('\0');
-        if text.starts_with("SHOW") || text.starts_with("SELECT 1") {
-            let status = lock(store).health_check(now, member);
-            let Some((position, is_primary)) = status else {
-                read(&mut stream, true)?;
-                return Ok(());
-            };
-            let seconds = position.0 as f64 / 1e6;
-            let report = format!("x0={seconds:.3},x1={}", u8::from(is_primary));
-            stream.write_all(&[row(report.as_bytes()), ready.clone()].concat())?;
-            continue;
-        }
-        let (statement, outcome) = {
-            let mut store = lock(store);
-            let names: Vec<_> = store.workloads.iter().map(|w| w.name).collect();
-            let Some(statement) = parse_statement(text, &names) else {
-                stream.write_all(&[error("08P01", "no statement of this form"), ready.clone()].concat())?;
-                continue;
-            };
-            (statement, store.execute(now, member, &statement))
-        };
-        pause(outcome.delay);
-        let (is_primary, position) = {
-            let store = lock(store);
-            let now = wall_clock_now();
-            (store.is_primary(now, member), store.position(now, member))
-        };
-        let rank = status("rank", if is_primary { "source" } else { "copy" });
-        let response = match outcome.reply {
-            Reply::Row { position } => {
-                let as_of = status("as_of", &(position.0 / 1000).to_string());
-                [row(&encode_value(statement.id, position)), as_of].concat()
-            }
-            Reply::NoPrimary => error("25006", "this is no primary"),
-            Reply::Behind => [
-                error("72000", "too far behind"),
-                status("as_of", &(position.0 / 1000).to_string()),
-            ]
-            .concat(),
-            Reply::Failed => error("XX000", "something went wrong"),
-            Reply::ConnectionLost | Reply::Refused => return Ok(()),
-            Reply::NoAnswer => {
-                // Until whoever waits gives up.
+        match respond(text.trim_end_matches('\0'), store, member) {
+            Response::Send(bytes) => stream.write_all(&[bytes, ready.clone()].concat())?,
+            Response::Close => return Ok(()),
+            Response::Silence => {
+                // Until the client gives up.
                 read(&mut stream, true)?;
                 return Ok(());
             }
+        }
+    }
+}
+
+enum Response {
+    /// These messages, then `ReadyForQuery`.
+    Send(Vec<u8>),
+    Close,
+    /// Nothing, with the connection left open.
+    Silence,
+}
+
+/// Answers one query; blocks for as long as its execution takes.
+fn respond(text: &str, store: &SharedStore, member: u32) -> Response {
+    let now = wall_clock_now();
+    if text.starts_with("SHOW") || text.starts_with("SELECT 1") {
+        let Some((position, is_primary)) = lock(store).health_check(now, member) else {
+            return Response::Silence;
         };
-        stream.write_all(&[response, rank, ready.clone()].concat())?;
+        let seconds = position.0 as f64 / 1e6;
+        let report = format!("x0={seconds:.3},x1={}", u8::from(is_primary));
+        return Response::Send(row(report.as_bytes()));
     }
+    let (statement, outcome) = {
+        let mut store = lock(store);
+        let names: Vec<_> = store.workloads.iter().map(|w| w.name).collect();
+        let Some(statement) = parse_statement(text, &names) else {
+            return Response::Send(error("08P01", "no statement of this form"));
+        };
+        (statement, store.execute(now, member, &statement))
+    };
+    pause(outcome.delay);
+    let (is_primary, position) = {
+        let store = lock(store);
+        let now = wall_clock_now();
+        (store.is_primary(now, member), store.position(now, member))
+    };
+    let as_of = |position: Timestamp| status("as_of", &(position.0 / 1000).to_string());
+    let answer = match outcome.reply {
+        Reply::Row { position } => [row(&encode_value(statement.id, position)), as_of(position)].concat(),
+        Reply::NoPrimary => error("25006", "this is no primary"),
+        Reply::Behind => [error("72000", "too far behind"), as_of(position)].concat(),
+        Reply::Failed => error("XX000", "something went wrong"),
+        Reply::ConnectionLost | Reply::Refused => return Response::Close,
+        Reply::NoAnswer => return Response::Silence,
+    };
+    let rank = status("rank", if is_primary { "source" } else { "copy" });
+    Response::Send([answer, rank].concat())
 }
--- a/crates/testbed/src/roaming_clients.rs
+++ b/crates/testbed/src/roaming_clients.rs
@@ -6,7 +6,7 @@
 use crate::load_generator::answer;
 use crate::member::{lock, pause, SharedStore};
 use crate::store_model::WorkloadKind;
-use crate::wire::{message, start_session, wall_clock_now};
+use crate::wire::{start_session, wall_clock_now, ClientStatement};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Write};
@@ -47,6 +47,13 @@
 /// Between a rejection and the next try.
 const RETRY_BACKOFF: TimeSpan = TimeSpan::millis(20);
 const MAX_ATTEMPTS: usize = 4;
+/// With less time than this left, no attempt begins.
+const MIN_ATTEMPT_TIME: TimeSpan = TimeSpan::millis(5);
+/// Between two rounds in which every driver refused a connection.
+const REFUSED_BACKOFF: TimeSpan = TimeSpan::millis(5);
+const MAX_CONNECT_WAIT: Duration = Duration::from_millis(200);
+/// A driver's answer may take the protocol's slack; a client listens a little beyond.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(300);
 
 pub struct Load(Vec<JoinHandle<Vec<RoamingRecord>>>);
 
@@ -119,91 +126,101 @@
     fn execute(&mut self, arrival: &Arrival, due: Timestamp) -> RoamingRecord {
         let (name, kind, timeout) = {
             let store = lock(&self.store);
-            let w = &store.workloads[arrival.workload];
-            (w.name, w.kind, w.timeout)
+            let workload = &store.workloads[arrival.workload];
+            (workload.name, workload.kind, workload.timeout)
         };
         let until = wall_clock_now() + timeout;
-        let writes = matches!(kind, WorkloadKind::Write { .. });
+        let is_write = matches!(kind, WorkloadKind::Write { .. });
         let count = self.drivers.len();
-        let home = arrival.session as usize % count;
-        let roams = self.rng.u32(0..1000) < self.behavior.roam_per_mille;
-        let mut driver = if roams { self.rng.usize(0..count) } else { home };
-        let abandons_first = writes && self.rng.u32(0..1000) < self.behavior.abandon_per_mille;
+        let mut driver = self.first_driver(arrival);
+        let abandons_first = is_write && self.rng.u32(0..1000) < self.behavior.abandon_per_mille;
         let mut attempts: Vec<Attempt> = Vec::new();
-        let (mut outcome, mut sent, mut refused) = (ClientOutcome::ConnectionRefused, wall_clock_now(), 0);
-        while attempts.len() < MAX_ATTEMPTS && wall_clock_now() + TimeSpan::millis(5) < until {
+        let mut record = StatementRecord {
+            id: arrival.id,
+            workload: arrival.workload,
+            group: arrival.group,
+            session: arrival.session,
+            due,
+            sent: wall_clock_now(),
+            answered: due,
+            outcome: ClientOutcome::ConnectionRefused,
+            has_trailing_bytes: false,
+        };
+        let mut refused = 0;
+        while attempts.len() < MAX_ATTEMPTS && wall_clock_now() + MIN_ATTEMPT_TIME < until {
             let remaining = until - wall_clock_now();
             let wait = Duration::from_micros(remaining.0.max(1000));
-            let Ok(mut stream) = self.connect(driver, wait.min(Duration::from_millis(200))) else {
+            let Ok(stream) = self.connect(driver, wait.min(MAX_CONNECT_WAIT)) else {
                 // Nothing was sent there.
                 driver = (driver + 1) % count;
                 refused += 1;
                 if refused % count == 0 {
-                    pause(TimeSpan::millis(5));
+                    pause(REFUSED_BACKOFF);
                 }
                 continue;
             };
-            let again = if attempts.is_empty() { "" } else { ",r=1" };
-            let (id, group, key) = (arrival.id, arrival.group, arrival.session);
-            let head = format!(
-                "/* id={id:x},c={name},d={},cluster={group}{again} */",
-                remaining.0 / 1000
-            );
-            let text = if writes {
-                format!("{head} INSERT INTO rows (handle, blob) VALUES ('s{key}', 'x') RETURNING blob\0")
-            } else {
-                format!("{head} SELECT blob FROM rows WHERE handle = 's{key}'\0")
+            let statement = ClientStatement {
+                id: arrival.id,
+                workload: name,
+                timeout: remaining,
+                group: arrival.group,
+                session: arrival.session,
+                is_write,
+                is_retry: !attempts.is_empty(),
             };
-            let abandons = abandons_first && attempts.is_empty();
-            // A driver's answer may take its slack, and is looked for a little beyond.
-            let listen = Duration::from_micros(remaining.0 + 300_000);
-            let _ = stream.set_read_timeout(Some(listen));
-            sent = wall_clock_now();
-            let query = message(b'Q', text.as_bytes());
-            let asked = stream.write_all(&query);
-            if abandons {
-                // Whatever comes of it is lost.
-                pause(TimeSpan(self.rng.u64(0..MAX_ABANDON_DELAY_US)));
-            }
-            let answer_result = asked.and_then(|()| {
-                if abandons {
-                    Err(ErrorKind::TimedOut.into())
-                } else {
-                    answer(&mut stream)
-                }
-            });
-            outcome = match answer_result {
-                Ok(outcome) => {
-                    self.idle_connections.insert(driver, stream);
-                    outcome
-                }
-                Err(_) => ClientOutcome::NoAnswer,
-            };
-            attempts.push(Attempt {
-                driver: driver as u32 + 1,
-                sent,
-                ended: wall_clock_now(),
-                outcome,
-                abandoned: abandons,
-            });
-            match outcome {
+            let abandoned = abandons_first && attempts.is_empty();
+            let attempt = self.attempt(driver, stream, statement, abandoned);
+            record.sent = attempt.sent;
+            record.outcome = attempt.outcome;
+            attempts.push(attempt);
+            match attempt.outcome {
                 ClientOutcome::NoAnswer => {}
                 ClientOutcome::Rejected => pause(RETRY_BACKOFF),
                 _ => break,
             }
             driver = (driver + 1 + self.rng.usize(0..count)) % count;
         }
-        let record = StatementRecord {
-            id: arrival.id,
-            workload: arrival.workload,
-            group: arrival.group,
-            session: arrival.session,
-            due,
+        record.answered = wall_clock_now();
+        RoamingRecord { record, attempts }
+    }
+
+    /// The session's own driver, or any for a client that roams.
+    fn first_driver(&mut self, arrival: &Arrival) -> usize {
+        let count = self.drivers.len();
+        if self.rng.u32(0..1000) < self.behavior.roam_per_mille {
+            return self.rng.usize(0..count);
+        }
+        arrival.session as usize % count
+    }
+
+    /// Sends a statement and waits for its answer, unless the client is to abandon it.
+    fn attempt(
+        &mut self,
+        driver: usize,
+        mut stream: TcpStream,
+        statement: ClientStatement,
+        abandoned: bool,
+    ) -> Attempt {
+        let listen = Duration::from_micros(statement.timeout.0) + LATE_ANSWER_WAIT;
+        let _ = stream.set_read_timeout(Some(listen));
+        let sent = wall_clock_now();
+        let written = stream.write_all(&statement.encode());
+        let outcome = if abandoned {
+            pause(TimeSpan(self.rng.u64(0..MAX_ABANDON_DELAY_US)));
+            ClientOutcome::NoAnswer
+        } else {
+            let answer = written.and_then(|()| answer(&mut stream));
+            if answer.is_ok() {
+                self.idle_connections.insert(driver, stream);
+            }
+            answer.unwrap_or(ClientOutcome::NoAnswer)
+        };
+        Attempt {
+            driver: driver as u32 + 1,
             sent,
-            answered: wall_clock_now(),
+            ended: wall_clock_now(),
             outcome,
-            has_trailing_bytes: false,
-        };
-        RoamingRecord { record, attempts }
+            abandoned,
+        }
     }
 }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -93,3 +93,42 @@
         min_position: Timestamp(0) + TimeSpan::millis(after),
     })
 }
+
+/// A client's statement, as its query names it.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientStatement {
+    /// Names the statement over all attempts.
+    pub id: u64,
+    /// Name of its workload.
+    pub workload: &'static str,
+    /// How long the client still waits.
+    pub timeout: TimeSpan,
+    pub group: u32,
+    /// Also the key that is read or written.
+    pub session: u32,
+    pub is_write: bool,
+    /// An attempt after the first.
+    pub is_retry: bool,
+}
+
+impl ClientStatement {
+    /// The query message.
+    pub fn encode(&self) -> Vec<u8> {
+        let ClientStatement {
+            id,
+            workload,
+            group,
+            session,
+            ..
+        } = self;
+        let milliseconds = self.timeout.0 / 1000;
+        let again = if self.is_retry { ",r=1" } else { "" };
+        let head = format!("/* id={id:x},c={workload},d={milliseconds},cluster={group}{again} */");
+        let text = if self.is_write {
+            format!("{head} INSERT INTO rows (handle, blob) VALUES ('s{session}', 'x') RETURNING blob\0")
+        } else {
+            format!("{head} SELECT blob FROM rows WHERE handle = 's{session}'\0")
+        };
+        message(b'Q', text.as_bytes())
+    }
+}
