--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -1,18 +1,24 @@
-//! When clients ask, and for what: an open stream, which doesn't wait for answers.
+//! Open-loop arrivals: statements become due at a rate that doesn't depend on answers.
 
 use crate::store_model::Workload;
 use asterlatch::time::TimeSpan;
 
+/// A statement that is due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
+    /// Due time from the begin of the load.
     pub at: TimeSpan,
+    /// Unique over all seeds.
     pub id: u64,
+    /// Index into the workloads.
     pub workload: usize,
+    /// From 1.
     pub group: u32,
+    /// Client session, from 0.
     pub session: u32,
 }
 
-/// Independent arrivals at a steady rate, by seed.
+/// Poisson arrivals at a constant rate; the same seed gives the same arrivals.
 pub struct Arrivals {
     rng: fastrand::Rng,
     shares: Vec<f64>,
@@ -24,7 +30,7 @@
 }
 
 impl Arrivals {
-    /// `rate` a second, for that long.
+    /// `rate` statements a second until `until`, over groups `1..=groups`.
     pub fn new(workloads: &[Workload], rate: f64, groups: u32, until: TimeSpan, seed: u64) -> Arrivals {
         Arrivals {
             rng: fastrand::Rng::with_seed(seed),
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -1,4 +1,4 @@
-//! Holds what clients were told against what members did.
+//! Compares what clients were told with what members executed.
 
 use crate::store_model::{StoreModel, WorkloadKind};
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -6,43 +6,56 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
+/// What a client knows of its statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
     /// A row that names the statement which it was made for, and a position.
-    Row { id: u64, position: Timestamp },
-    /// Not executed, or harmless to repeat.
+    Row {
+        /// The statement that the row was made for.
+        id: u64,
+        /// Log position of its data.
+        position: Timestamp,
+    },
+    /// Reported as not executed, or as safe to retry.
     Rejected,
     /// It may have been executed.
     Aborted,
-    /// The connection ended, or nothing came in time and long after.
+    /// The connection ended, or no answer came in time or long after.
     NoAnswer,
-    /// No connection could be had.
+    /// No connection was accepted.
     ConnectionRefused,
 }
 
 /// One statement as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementRecord {
+    /// Names the statement over all attempts.
     pub id: u64,
+    /// Index into the workloads.
     pub workload: usize,
+    /// From 1.
     pub group: u32,
+    /// Client session, from 0.
     pub session: u32,
-    /// When it was due to be asked, when it was, and when its answer had come.
+    /// When it was to be sent.
     pub due: Timestamp,
+    /// When it was last sent.
     pub sent: Timestamp,
+    /// When its answer had come.
     pub answered: Timestamp,
+    /// What the client was told.
     pub outcome: ClientOutcome,
-    /// Bytes came behind the final answer.
+    /// Bytes came after the final answer.
     pub has_trailing_bytes: bool,
 }
 
-/// The protocol's slack.
+/// Tolerance of the protocol for late answers and stale reads.
 const PROTOCOL_SLACK: TimeSpan = TimeSpan::millis(50);
 
-/// The place of what sessions wrote among the breaches.
+/// Index in [`VIOLATIONS`] of reads older than what their session wrote.
 pub const STALE_SESSION_READ: usize = 8;
 
-/// What was broken, in the order of the rules.
+/// Violations, in the order of the rules.
 pub const VIOLATIONS: [&str; 9] = [
     "lost: no final answer",
     "late: answered after its time",
@@ -55,29 +68,43 @@
     "stale: older than what its session wrote",
 ];
 
+/// Counts of one workload's statements by outcome.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkloadSummary {
+    /// Name of the workload.
     pub name: &'static str,
+    /// All of its statements.
     pub asked: u64,
+    /// Answered with a row.
     pub completed: u64,
+    /// Reported as not executed.
     pub rejected: u64,
+    /// Reported as possibly executed.
     pub aborted: u64,
+    /// Without any answer.
     pub lost: u64,
+    /// Without any connection.
     pub refused: u64,
-    /// Milliseconds from when it was due: half, 99 of 100, and all.
+    /// Median, 99th percentile and maximum in milliseconds, from the due time.
     pub latencies: [f64; 3],
 }
 
+/// Result of a check.
 #[derive(Clone, Debug, Default)]
 pub struct CheckReport {
+    /// One for each workload.
     pub rows: Vec<WorkloadSummary>,
+    /// Count by rule, in the order of [`VIOLATIONS`].
     pub violations: [u64; VIOLATIONS.len()],
-    /// The first of each kind.
+    /// The id of the first statement that violated each rule.
     pub first_by_rule: BTreeMap<usize, u64>,
-    /// Executions that went to members long after their drain was told.
+    /// Executions at members that had been listed as draining for longer than the grace.
     pub executions_after_drain: u64,
+    /// Executions at all members.
     pub executions: u64,
+    /// Connections that members accepted.
     pub connections: u64,
+    /// Health checks that members received.
     pub health_checks: u64,
 }
 
@@ -85,9 +112,9 @@
     [0.5, 0.99, 1.0].map(|q| latencies.value_at_quantile(q) as f64 / 1000.0)
 }
 
-/// Times of answers that were rows, from when their statements were due, in microseconds.
+/// Latencies of statements answered with a row, from their due times, in microseconds.
 pub fn latencies<'a>(records: impl IntoIterator<Item = &'a StatementRecord>) -> Histogram<u64> {
-    // Three digits over any time that a client waits.
+    // Three significant digits over any time that a client waits.
     let mut latencies = Histogram::new_with_bounds(1, 100_000_000, 3).expect("three digits are had");
     for r in records {
         if matches!(r.outcome, ClientOutcome::Row { .. }) {
@@ -202,15 +229,17 @@
 }
 
 impl CheckReport {
-    /// Rules broken.
+    /// Violations of all rules.
     pub fn violation_count(&self) -> u64 {
         self.violations.iter().sum::<u64>() + self.executions_after_drain
     }
 
+    /// Statements answered with a row.
     pub fn completed(&self) -> u64 {
         self.rows.iter().map(|r| r.completed).sum()
     }
 
+    /// All statements.
     pub fn asked(&self) -> u64 {
         self.rows.iter().map(|r| r.asked).sum()
     }
--- a/crates/testbed/src/cluster/evaluate.rs
+++ b/crates/testbed/src/cluster/evaluate.rs
@@ -7,7 +7,7 @@
 use crate::store_model::{StoreModel, WorkloadKind};
 use asterlatch::time::TimeSpan;
 
-/// A driver that was stopped or killed isn't held to answers for so long around that.
+/// Missing answers of a stopped or killed driver are excused for this long before and after.
 const OUTAGE_MARGIN: TimeSpan = TimeSpan::millis(1500);
 
 /// Whether an attempt ran while its driver was out, or close to that.
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -22,20 +22,28 @@
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 
-/// What is put up.
+/// What a run starts, and under which load and faults.
 #[derive(Clone, Debug)]
 pub struct ClusterPlan {
+    /// Processes of the program.
     pub drivers: u32,
+    /// Groups of members.
     pub groups: u32,
+    /// Replicas in each group, beside its primary.
     pub replicas: u32,
+    /// Faults, from the begin of the load.
     pub script: FaultScript,
-    /// Drivers tell each other; else each is alone.
+    /// Whether drivers share state by gossip.
     pub gossip_enabled: bool,
+    /// Length of the load.
     pub seconds: f64,
     /// Statements a second.
     pub rate: f64,
+    /// Clients, each with one statement at a time.
     pub clients: usize,
+    /// How clients use several drivers.
     pub behavior: RoamingBehavior,
+    /// Of arrivals, clients and link proxies.
     pub seed: u64,
 }
 
@@ -44,27 +52,30 @@
 pub struct Outage {
     /// From 1.
     pub driver: u32,
+    /// When the fault began.
     pub from: Timestamp,
     /// When the driver served again.
     pub until: Timestamp,
 }
 
+/// A running cluster; dropping it kills its processes and ends the threads of members and discovery.
 pub struct Cluster {
+    /// What members store and execute.
     pub store: SharedStore,
     script: FaultScript,
     folder: PathBuf,
     program: PathBuf,
     processes: Vec<DriverProcess>,
-    /// What befell whom, as it came to be.
+    /// Faults of processes, as they were carried out.
     pub observed_outages: Vec<Outage>,
     _link_proxies: Vec<Link>,
-    /// Where members and discovery listen.
+    /// Addresses of members and discovery, to wake their threads at the end.
     listeners: Vec<SocketAddr>,
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // Or hundreds of plays in one process leave thousands of threads, and each fork copies what they hold.
+        // Otherwise hundreds of runs in one process leave thousands of threads, and each fork copies their memory.
         lock(&self.store).is_shut_down = true;
         for listener in &self.listeners {
             let _ = TcpStream::connect(listener);
@@ -78,7 +89,7 @@
     }
 }
 
-/// Puts a fleet up, plays the script under load, and judges.
+/// Starts a cluster, applies the script under load, and checks all records.
 pub fn run(program: &Path, plan: &ClusterPlan) -> io::Result<RunReport> {
     let mut cluster = Cluster::start(program, plan)?;
     if plan.gossip_enabled {
--- a/crates/testbed/src/cluster/observe.rs
+++ b/crates/testbed/src/cluster/observe.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 impl Cluster {
-    /// Waits until all drivers hold that all others are there and that they have caught up.
+    /// Waits until each driver lists all others as present and caught up.
     pub fn await_membership(&self) -> io::Result<()> {
         let end = Instant::now() + START_TIMEOUT;
         while !self.is_membership_complete()? {
@@ -36,7 +36,7 @@
         Ok(true)
     }
 
-    /// What a driver says of what is shared.
+    /// Output of the program's `fleet WHAT` about a driver.
     pub fn query_status(&self, number: u32, what: &str) -> io::Result<Value> {
         let output = Command::new(&self.program)
             .args(["fleet", what, "--json", "--control"])
@@ -48,7 +48,7 @@
         })
     }
 
-    /// How long until all copies are equal, once nothing new comes.
+    /// How long it takes until all copies are equal once no change comes; `None` if longer than `most`.
     pub fn await_equal_copies(&self, most: Duration) -> io::Result<Option<Duration>> {
         let waiting_since = Instant::now();
         while waiting_since.elapsed() < most {
@@ -66,13 +66,13 @@
         Ok(None)
     }
 
-    /// Processor time of all that run now, in seconds, as the system counts it.
+    /// Processor time of all running drivers, in seconds.
     pub(super) fn cpu_seconds(&self) -> f64 {
         let of = |p: &DriverProcess| -> Option<f64> {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", p.child.as_ref()?.id())).ok()?;
             let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
             let ticks = |n: usize| fields.get(n)?.parse::<f64>().ok();
-            // User and system time, the 14th and 15th field, in hundredths.
+            // Fields 14 and 15: user and system time, in hundredths of a second.
             Some((ticks(11)? + ticks(12)?) / 100.0)
         };
         self.processes.iter().filter_map(of).sum()
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -37,6 +37,7 @@
         self.folder.join(format!("d{number}.{end}"))
     }
 
+    /// Addresses of all drivers, in the order of their numbers.
     pub fn listens(&self) -> Vec<SocketAddr> {
         self.processes.iter().map(|p| p.listen).collect()
     }
--- a/crates/testbed/src/cluster/report.rs
+++ b/crates/testbed/src/cluster/report.rs
@@ -3,45 +3,58 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
-/// What became of statements whose client had no answer at one driver and repeated them at another.
+/// Non-idempotent writes that a client retried at another driver after one gave no answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryCounts {
+    /// All of them.
     pub retried: u64,
-    /// Of those that had run when they were repeated.
+    /// Those that had been executed when they were retried.
     pub executed_before_retry: u64,
+    /// Reported as possibly executed.
     pub reported_in_doubt: u64,
+    /// Reported as not executed.
     pub reported_not_executed: u64,
+    /// Answered with a row.
     pub completed: u64,
-    /// Told that nothing ran where something had.
+    /// Reported as not executed although they were.
     pub false_reports: u64,
-    /// Ran twice.
+    /// Executed twice.
     pub executed_twice: u64,
 }
 
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
+    /// Table of the checker's report.
     pub summary: String,
-    /// Rules broken, by name.
+    /// Count of violations by rule.
     pub violations: BTreeMap<&'static str, u64>,
+    /// Retries of non-idempotent writes.
     pub retries: RetryCounts,
+    /// All statements.
     pub asked: u64,
+    /// Answered with a row.
     pub completed: u64,
+    /// Reported as not executed.
     pub rejected: u64,
+    /// Reported as possibly executed.
     pub aborted: u64,
+    /// Share of all reads, from 0 to 1.
     pub reads_at_primaries: f64,
-    /// Session reads at another driver than the write's that were older than that write.
+    /// Session reads older than a write of their session at another driver; no violation.
     pub stale_roaming_reads: u64,
-    /// Datagram bytes a driver and second.
+    /// Datagram bytes that a driver sends a second.
     pub gossip_bytes_per_second: f64,
-    /// Until all copies were equal, in seconds.
+    /// Time until all copies were equal; `None` if they never were.
     pub convergence_seconds: Option<f64>,
-    /// Processor time of all drivers that lived to the end, in seconds.
+    /// Processor time of all drivers that ran at the end.
     pub cpu_seconds: f64,
-    /// What drivers counted, summed over those that lived to the end.
+    /// Counters, summed over the drivers' last logs.
     pub counters: BTreeMap<String, u64>,
 }
 
 impl RunReport {
+    /// Whether no rule was violated.
     pub fn all_rules_kept(&self) -> bool {
         self.violations.is_empty()
     }
--- a/crates/testbed/src/cluster/setup.rs
+++ b/crates/testbed/src/cluster/setup.rs
@@ -16,10 +16,10 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Fleets that this process has put up.
+/// Clusters that this process has started.
 static CLUSTERS_STARTED: AtomicU32 = AtomicU32::new(0);
 
-/// Each driver has an address of its own, in each play: while it is down, its ports are nobody else's.
+/// An address of its own for each driver of each cluster, so that nobody else takes its ports while it is down.
 fn driver_address(cluster_index: u32, number: u32) -> String {
     let id = std::process::id().wrapping_mul(97).wrapping_add(cluster_index);
     format!("127.{}.{}.{number}:0", 20 + id % 200, id / 200 % 250)
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback: members, discovery, and the built program between them and its clients.
+//! A deployment on loopback: members, discovery, and one process of the built program.
 
 use crate::discovery;
 use crate::fault_script::FaultScript;
@@ -15,20 +15,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// One process of the program with members and discovery; dropping it ends the process.
 pub struct Deployment {
+    /// What members store and execute.
     pub store: SharedStore,
+    /// Where the program listens.
     pub listen: SocketAddr,
+    /// Holds configuration and logs.
     pub folder: PathBuf,
     driver: PathBuf,
-    /// The program that each upgrade starts in place of the one before, which is next then; without it the same.
+    /// Another build: each upgrade changes over to it and makes the former build the next. `None` for the same build.
     pub next: Option<PathBuf>,
     child: Option<Child>,
-    /// Of the process that serves.
+    /// Process id of the serving process; 0 after its end.
     pid: u32,
     logs: u32,
 }
 
-/// A driver's configuration: its name, where it listens and where discovery is, what it knows, and how many there are.
+/// A driver's configuration, with the endpoint list that it starts with and the count of drivers.
 pub fn driver_config(
     store: &SharedStore,
     (name, listen, discovery): (&str, SocketAddr, SocketAddr),
@@ -74,7 +78,7 @@
     })
 }
 
-/// Whether a program at this address answers.
+/// Succeeds if a program at this address answers.
 pub fn check_serving(listen: SocketAddr) -> io::Result<()> {
     let mut stream = TcpStream::connect(listen)?;
     stream.set_read_timeout(Some(START_TIMEOUT))?;
@@ -83,11 +87,11 @@
     read(&mut stream, true).map(drop)
 }
 
-/// How long a program may take to begin.
+/// How long a program may take until it serves.
 pub const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Deployment {
-    /// Puts members and discovery up and starts the program, whose log and files lie in `folder`.
+    /// Starts members, discovery and the program, whose logs and files lie in `folder`.
     pub fn start(
         driver: &Path,
         folder: &Path,
@@ -111,7 +115,7 @@
         let times =
             "upgrade(hello = 5s, ready = 5s, taken = 1s, probation = 500ms, beat = 100ms, silence = 2s)\n";
         std::fs::write(folder.join("operators.latch"), times)?;
-        let mut scene = Deployment {
+        let mut deployment = Deployment {
             store,
             listen,
             folder: folder.to_owned(),
@@ -121,8 +125,8 @@
             pid: 0,
             logs: 0,
         };
-        scene.begin()?;
-        Ok(scene)
+        deployment.begin()?;
+        Ok(deployment)
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -158,7 +162,7 @@
         Ok(())
     }
 
-    /// Has a new process take over; what was said of it.
+    /// Hands over to a new process; returns the output of the program's `upgrade`.
     pub fn upgrade(&mut self) -> io::Result<String> {
         if let Some(next) = &mut self.next {
             std::mem::swap(&mut self.driver, next);
@@ -174,7 +178,7 @@
         if !output.status.success() {
             return Err(io::Error::other(text));
         }
-        // The former process ends by itself; the new one is nobody's child then but the system's.
+        // The predecessor ends by itself; the successor isn't a child of this process.
         if let Some(mut child) = self.child.take() {
             child.wait()?;
         }
@@ -187,9 +191,9 @@
         Ok(text)
     }
 
-    /// Tells whichever process serves to leave, and waits for its end.
+    /// Has the serving process drain, and waits for its end.
     pub fn end(&mut self) {
-        // The number is given back to the system with the process.
+        // The system may reuse the id after the process has ended.
         let pid = std::mem::take(&mut self.pid);
         let _ = Command::new("kill").arg(pid.to_string()).status();
         if let Some(mut child) = self.child.take() {
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of members over HTTP: whole, and as a watch that waits for something newer.
+//! Discovery over HTTP: the complete endpoint list, and a watch that waits for a newer version.
 
 use crate::fault_script::DriverFault;
 use crate::member::{lock, SharedStore};
@@ -11,9 +11,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Where each member listens, by number.
 pub type Addresses = BTreeMap<u32, SocketAddr>;
 
-/// The list as it stands now. Its version grows with each change that the script makes to it.
+/// The endpoint list at this moment; its index grows with each change that the script makes.
 pub fn endpoint_list(store: &SharedStore, addresses: &Addresses) -> Value {
     let store = lock(store);
     let now = wall_clock_now();
@@ -40,7 +41,7 @@
     json!({"index": index, "snapshot": true, "endpoints": endpoints})
 }
 
-/// Discovery for one of several drivers (from 1; 0 where there is one only), which may be kept from news.
+/// Starts discovery for one driver (from 1; 0 if there is only one); the script may stall it.
 pub fn start(store: &SharedStore, addresses: &Addresses, driver: u32) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -96,7 +97,7 @@
             thread::sleep(Duration::from_millis(5));
             list = endpoint_list(store, addresses);
         }
-        // Kept from news: neither a call nor a watch that stood before has an answer.
+        // While stalled, neither a poll nor a watch that was open before is answered.
         while is_discovery_stalled(store, driver) {
             thread::sleep(Duration::from_millis(5));
         }
--- a/crates/testbed/src/fault_script/mod.rs
+++ b/crates/testbed/src/fault_script/mod.rs
@@ -54,27 +54,48 @@
 pub enum FaultEvent {
     /// A member's fault.
     Member {
+        /// Who has the fault.
         target: Target,
+        /// Which fault.
         fault: MemberFault,
+        /// Begin.
         from: TimeSpan,
+        /// End, exclusive.
         until: TimeSpan,
     },
     /// The group's primary changes.
-    PrimaryChange { group: u32, to: u32, at: TimeSpan },
+    PrimaryChange {
+        /// From 1.
+        group: u32,
+        /// The new primary.
+        to: u32,
+        /// When it takes over.
+        at: TimeSpan,
+    },
     /// A fault of one process of the program, numbered from 1.
     Driver {
+        /// From 1.
         driver: u32,
+        /// Which fault.
         fault: DriverFault,
+        /// Begin.
         from: TimeSpan,
+        /// End, exclusive.
         until: TimeSpan,
     },
     /// A fault of the links between processes of the program; an empty list means all of them.
     Link {
+        /// Senders; empty for all drivers.
         from_drivers: Vec<u32>,
+        /// Receivers; empty for all drivers.
         to_drivers: Vec<u32>,
+        /// Whether the fault also holds from receivers to senders.
         both_ways: bool,
+        /// Which fault.
         fault: LinkFault,
+        /// Begin.
         from: TimeSpan,
+        /// End, exclusive.
         until: TimeSpan,
     },
 }
@@ -112,9 +133,13 @@
 /// All faults of a link in one direction, taken together: the largest of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkState {
+    /// All datagrams are dropped.
     pub cut: bool,
+    /// Each datagram is delayed by this much.
     pub delay: TimeSpan,
+    /// Datagrams dropped of a thousand.
     pub loss_per_mille: u32,
+    /// Datagrams with a flipped bit of a thousand.
     pub corruption_per_mille: u32,
 }
 
@@ -127,7 +152,9 @@
 pub struct ScheduledDriverFault {
     /// From 1.
     pub driver: u32,
+    /// Which fault.
     pub fault: DriverFault,
+    /// Begin.
     pub from: TimeSpan,
     /// Exclusive.
     pub until: TimeSpan,
--- a/crates/testbed/src/fault_script/parse.rs
+++ b/crates/testbed/src/fault_script/parse.rs
@@ -20,7 +20,7 @@
     /// A word that should be a time span.
     #[error("'{0}' is no span like 50ms or 1.5s")]
     InvalidSpan(String),
-    /// A span that is negative or longer than [`MAX_SPAN_US`].
+    /// A span that is negative or longer than a day.
     #[error("'{0}' is out of bounds")]
     SpanOutOfBounds(String),
     /// A word that should be a number.
--- a/crates/testbed/src/link_proxy.rs
+++ b/crates/testbed/src/link_proxy.rs
@@ -1,5 +1,4 @@
-//! Links between drivers: each pair's datagrams go through sockets of the laboratory, which cut, slow, lose and garble them
-//! as the script says.
+//! Link proxies: the datagrams of each pair of drivers pass through sockets that drop, delay and corrupt them by script.
 
 use crate::fault_script::LinkState;
 use crate::member::{lock, SharedStore};
@@ -13,9 +12,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// Ends the link's threads when it is dropped.
+/// A running proxy between two drivers; dropping it ends its threads.
 pub struct Link {
-    /// Where the first finds the second, and where the second finds the first.
+    /// Address at which the first driver finds the second, and the reverse.
     pub at: (SocketAddr, SocketAddr),
     ends: Arc<AtomicBool>,
 }
@@ -26,7 +25,7 @@
     }
 }
 
-/// How often a link looks whether anything is due.
+/// How long a receive waits before datagrams that are due are sent.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Between drivers `n`, whose own sockets are at `own`.
@@ -40,7 +39,7 @@
     let (near, far) = (bind()?, bind()?);
     let at = (near.local_addr()?, far.local_addr()?);
     let ends = Arc::new(AtomicBool::new(false));
-    // What comes in at one leaves from the other, so that each sees the address that it knows.
+    // A datagram received on one socket is sent from the other, so that each driver sees the address that it knows.
     let ways = [
         (near.try_clone()?, far.try_clone()?, n.0, n.1, own.1),
         (far, near, n.1, n.0, own.0),
@@ -66,7 +65,7 @@
                     }
                 }
                 while let Some(due) = waiting.first_entry().filter(|e| e.key().0 <= now) {
-                    // A driver that is down hears nothing.
+                    // A driver that is down receives nothing.
                     let _ = by.send_to(&due.remove(), to);
                 }
             }
@@ -75,7 +74,7 @@
     Ok(Link { at, ends })
 }
 
-/// What comes through of a datagram.
+/// The datagram as it arrives, or `None` if it is lost.
 fn transmit(rng: &mut fastrand::Rng, state: LinkState, bytes: &[u8]) -> Option<Vec<u8>> {
     if state.cut || rng.u32(0..1000) < state.loss_per_mille {
         return None;
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -1,4 +1,4 @@
-//! Clients that ask whenever an arrival is due, whether or not others still wait.
+//! Open-loop clients of one driver: a statement is sent when it is due, whether or not others still wait.
 
 use crate::arrivals::{Arrival, Arrivals};
 use crate::checker::{ClientOutcome, StatementRecord};
@@ -12,12 +12,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Beyond its patience a client listens on for so long, to tell late answers from none.
+/// How long a client listens after its timeout, to tell late answers from missing ones.
 const LATE_ANSWER_WAIT: TimeSpan = TimeSpan::millis(1000);
 
+/// A running load.
 pub struct Load(Vec<JoinHandle<Vec<StatementRecord>>>);
 
-/// Asks at this address; times of arrivals count from `from`.
+/// Starts `clients` threads; due times of arrivals count from `from`.
 pub fn start(
     store: &SharedStore,
     address: SocketAddr,
@@ -49,7 +50,7 @@
 }
 
 impl Load {
-    /// All that was told, by when it was due.
+    /// Waits for all clients; records by due time.
     pub fn finish(self) -> Vec<StatementRecord> {
         let ended = self.0.into_iter().filter_map(|client| client.join().ok());
         let mut all: Vec<StatementRecord> = ended.flatten().collect();
@@ -66,7 +67,7 @@
 }
 
 impl Client {
-    /// Whether anything came behind the last answer.
+    /// Notes whether bytes came after the last answer.
     fn check_trailing_bytes(&mut self) {
         let Some(stream) = &self.idle_connection else {
             return;
@@ -106,8 +107,7 @@
         .encode();
         let mut sent = wall_clock_now();
         let mut outcome = ClientOutcome::ConnectionRefused;
-        // A connection that ended before the statement was read is no answer: it is sent once more on a new one. That
-        // it wasn't read is for the store to say, which has never seen it.
+        // If the connection ended and no member received the statement, it is sent once more on a new connection.
         for again in [false, true] {
             let idle_connection = self.idle_connection.take().filter(|_| !again);
             let until = wall_clock_now() + timeout;
@@ -146,7 +146,7 @@
     }
 }
 
-/// The one final answer, up to where the next statement may follow.
+/// Reads the final answer, up to `ReadyForQuery`.
 pub fn answer(stream: &mut TcpStream) -> io::Result<ClientOutcome> {
     let mut outcome = None;
     loop {
--- a/crates/testbed/src/roaming_clients.rs
+++ b/crates/testbed/src/roaming_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that have several drivers to ask: each session mostly stays with one, and whoever gets no answer, or is told
-//! to come again, repeats the same statement at another.
+//! Clients of several drivers: a session mostly stays with one; a statement that was rejected or got no answer is retried
+//! at another.
 
 use crate::arrivals::{Arrival, Arrivals};
 use crate::checker::{ClientOutcome, StatementRecord};
@@ -15,36 +15,42 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// One of a client's tries.
+/// One attempt of a statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attempt {
     /// From 1.
     pub driver: u32,
+    /// When the statement was sent.
     pub sent: Timestamp,
+    /// When its answer had come or the client gave up.
     pub ended: Timestamp,
+    /// What the client was told.
     pub outcome: ClientOutcome,
-    /// The client went away before its time was over.
+    /// The client left before its timeout.
     pub abandoned: bool,
 }
 
+/// A statement and all of its attempts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoamingRecord {
+    /// The statement as its client saw it in the end.
     pub record: StatementRecord,
+    /// In the order in which they were sent.
     pub attempts: Vec<Attempt>,
 }
 
-/// How clients behave, in thousandths.
+/// How clients use several drivers.
 #[derive(Clone, Copy, Debug)]
 pub struct RoamingBehavior {
-    /// Ask at another driver than their session's.
+    /// Statements of a thousand that are sent to a random driver instead of their session's.
     pub roam_per_mille: u32,
-    /// Go away from a write soon after they have sent it, and repeat it elsewhere.
+    /// Writes of a thousand that are abandoned soon after they were sent, and retried elsewhere.
     pub abandon_per_mille: u32,
 }
 
-/// A hasty client goes away within this, in microseconds: its write may lie unread, be out, or be done by then.
+/// Longest time until a write is abandoned, in microseconds: by then it may be unread, in flight or executed.
 const MAX_ABANDON_DELAY_US: u64 = 5000;
-/// Between a rejection and the next try.
+/// Between a rejection and the next attempt.
 const RETRY_BACKOFF: TimeSpan = TimeSpan::millis(20);
 const MAX_ATTEMPTS: usize = 4;
 /// With less time than this left, no attempt begins.
@@ -55,8 +61,10 @@
 /// A driver's answer may take the protocol's slack; a client listens a little beyond.
 const LATE_ANSWER_WAIT: Duration = Duration::from_millis(300);
 
+/// A running load.
 pub struct Load(Vec<JoinHandle<Vec<RoamingRecord>>>);
 
+/// Starts `clients` threads; due times of arrivals count from `from`.
 pub fn start(
     store: &SharedStore,
     drivers: &[SocketAddr],
@@ -89,6 +97,7 @@
 }
 
 impl Load {
+    /// Waits for all clients; records by due time.
     pub fn finish(self) -> Vec<RoamingRecord> {
         let ended = self.0.into_iter().filter_map(|client| client.join().ok());
         let mut all: Vec<RoamingRecord> = ended.flatten().collect();
@@ -108,7 +117,7 @@
 impl Client {
     fn connect(&mut self, driver: usize, wait: Duration) -> io::Result<TcpStream> {
         if let Some(stream) = self.idle_connections.remove(&driver) {
-            // One that its driver has closed meanwhile is known by its end.
+            // A readable idle connection was closed by its driver.
             stream.set_nonblocking(true)?;
             let ended = !matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
             stream.set_nonblocking(false)?;
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,6 +1,6 @@
 //! Named fault scripts for a cluster, and how many drivers each needs.
 
-/// Scenes by name: what they are for, and what befalls whom. The fleet has five drivers.
+/// Scenarios for five drivers: name and fault script.
 pub const SCENARIOS: [(&str, &str); 14] = [
     ("calm", "0s link 1 to 2 slow 0ms for 1ms"),
     ("killed", "1s driver 2 is killed for 2s"),
@@ -33,12 +33,13 @@
     ),
 ];
 
-/// The same with so many drivers that each sees little: what they do together.
+/// Enough drivers that each sees little of the load by itself.
 pub const WIDE_DRIVERS: u32 = 12;
+/// Scenarios for [`WIDE_DRIVERS`] drivers or more.
 pub const WIDE_SCENARIOS: [(&str, &str); 7] = [
     ("silent", "1s member 2 hangs for 3s"),
     ("silent-lossy", "0s links lose 50% for 6s\n1s member 2 hangs for 3s"),
-    // Whoever holds the turn to ask member 2, a stopped or killed one is followed by another.
+    // Whichever driver holds the lease on checking member 2, another follows when it is stopped or killed.
     (
         "holder",
         "500ms member 2 is down for 4s\n1s driver 1 stops for 2s\n1s driver 2 stops for 2s\n1s driver 3 stops for 2s\n1s driver 4 stops for 2s\n2s driver 5 is killed for 1s\n2s driver 6 is killed for 1s",
@@ -47,7 +48,7 @@
         "third",
         "1s driver 1 is killed for 2s\n1s driver 2 is killed for 2s\n1s driver 3 is killed for 2s\n1s driver 4 is killed for 2s",
     ),
-    // Four come late, and four others go.
+    // Four start late, and three others leave.
     (
         "grows-and-shrinks",
         "0s driver 9 is killed for 2s\n0s driver 10 is killed for 2s\n0s driver 11 is killed for 2s\n0s driver 12 is killed for 2s\n3s driver 1 is killed for 2s\n3s driver 2 is killed for 2s\n3s driver 3 is killed for 2s",
@@ -62,7 +63,7 @@
     ),
 ];
 
-/// Every scene: its name, how many drivers it has, and its script; `drivers` for those that leave it open.
+/// Each scenario's name, count of drivers (`drivers` where it leaves that open) and fault script.
 pub fn scenarios(drivers: u32) -> impl Iterator<Item = (&'static str, u32, &'static str)> {
     let narrow = SCENARIOS
         .into_iter()
--- a/crates/testbed/src/store_model.rs
+++ b/crates/testbed/src/store_model.rs
@@ -1,47 +1,53 @@
-//! The store that members stand for: groups with a primary and replicas, positions, and every effect that was had.
+//! Model of the replicated store: groups with a primary and replicas, log positions, and the effects of all writes.
 
 use crate::fault_script::{FaultScript, MemberFault};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How long after it was listed a draining member may still be sent something, and the protocol's slack.
+/// How long after it was listed a draining member may still get statements, with the protocol's tolerance.
 const DRAIN_GRACE: TimeSpan = TimeSpan::millis(2050);
 
-/// What a cold member bears, as the drivers' settings say it: work within this span, this many times of what it bears by
-/// then, which grows from a part of a warm one's within this time.
+/// A member in slow start is overloaded, as the drivers' settings define it, by work within this window that exceeds
+/// `OVERLOAD_MULTIPLE` times its capacity, which grows from `INITIAL_CAPACITY_FRACTION` to all within `WARM_UP_TIME`.
 const OVERLOAD_WINDOW: TimeSpan = TimeSpan::millis(2000);
 const OVERLOAD_MULTIPLE: f64 = 4.0;
 const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
 const WARM_UP_TIME: TimeSpan = TimeSpan::millis(3000);
-/// A warm member has one core, as the drivers take it to have at least.
+/// Least capacity of a member after slow start, as the drivers assume it.
 const MIN_CAPACITY_CORES: f64 = 1.0;
 
-/// What a workload's statements are.
+/// What a workload's statements need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkloadKind {
+    /// A read that any replica may answer, however old its data.
     AnyReplica,
-    /// Data may be this old.
+    /// A read of data that is at most this old.
     BoundedStaleness(TimeSpan),
-    /// Sees what its session wrote.
+    /// A read that sees what its session wrote.
     ReadYourWrites,
-    /// A write; whether the store drops repeats of the same id.
+    /// A write.
     Write {
+        /// Whether a second execution of the same id has no effect.
         deduplicated: bool,
     },
 }
 
+/// A class of statements with the same needs.
 #[derive(Clone, Debug)]
 pub struct Workload {
+    /// Its name in the configuration.
     pub name: &'static str,
+    /// What its statements need.
     pub kind: WorkloadKind,
-    /// Of all statements.
+    /// Share of all statements.
     pub share: f64,
-    /// How long its clients wait.
+    /// How long clients wait.
     pub timeout: TimeSpan,
+    /// How long an execution takes.
     pub service_time: TimeSpan,
 }
 
-/// As a ledger might have them; balances may be 800 ms old, a payment must never run twice.
+/// Workloads as a ledger might have them: balances may be 800 ms old, a payment must never be executed twice.
 pub fn workloads() -> Vec<Workload> {
     let row = |name, kind, share, timeout, service_time| Workload {
         name,
@@ -77,69 +83,83 @@
     ]
 }
 
-/// What a client asks a member through whoever stands between.
+/// A statement as a member receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Statement {
+    /// Names the statement over all attempts.
     pub id: u64,
+    /// Index into the workloads.
     pub workload: usize,
-    /// The position that it must see.
+    /// Log position that a read must see.
     pub min_position: Timestamp,
 }
 
+/// How a member answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A row that was read, or a write's, at this position.
-    Row { position: Timestamp },
-    /// No primary, so nothing was written.
+    /// A row that was read or written.
+    Row {
+        /// Log position of the data.
+        position: Timestamp,
+    },
+    /// The member is no primary; nothing was written.
     NoPrimary,
-    /// Its log is too far behind.
+    /// The member's log is too far behind.
     Behind,
-    /// Something went wrong; nobody knows how far it came.
+    /// An error that leaves open whether the statement was executed.
     Failed,
-    /// It ran, and the connection ends.
+    /// Executed, then the connection is closed.
     ConnectionLost,
-    /// No answer will ever come.
+    /// Never answered.
     NoAnswer,
-    /// The connection ends before anything.
+    /// The connection is closed before execution.
     Refused,
 }
 
-/// What a member does with a statement, and how long that takes.
+/// A member's answer to a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExecutionOutcome {
+    /// The answer.
     pub reply: Reply,
+    /// From the statement's arrival to its answer.
     pub delay: TimeSpan,
 }
 
-/// One run of a write: where, and when.
+/// One execution of a write: member and time.
 pub type Effect = (u32, Timestamp);
 
+/// State of all members, shared by everything that runs.
 pub struct StoreModel {
+    /// Faults, with times from `started_at`.
     pub script: FaultScript,
+    /// Begin of the load.
     pub started_at: Timestamp,
-    /// Who listens for it ends at the next connection.
+    /// Listening threads end at their next connection.
     pub is_shut_down: bool,
+    /// All workloads, in the order of their indexes.
     pub workloads: Vec<Workload>,
     groups: u32,
     replicas: u32,
-    /// Members turn away reads that they are too far behind for; else they answer from what they have.
+    /// Members reject reads that they are too far behind for; otherwise they answer with the data they have.
     pub rejects_stale_reads: bool,
-    /// Usual lag of a replica.
+    /// Replication lag without a fault.
     lag: TimeSpan,
-    /// By statement.
+    /// Executions of each write, by statement id.
     pub effects: BTreeMap<u64, Vec<Effect>>,
     /// Executions of reads that went to a primary and to a replica, by tenth of a second.
     pub reads: BTreeMap<u64, (u32, u32)>,
-    /// Executions that came, and connections that were opened.
-    /// Executions that came to members which had been listed as draining for longer than the grace.
+    /// Executions at members that had been listed as draining for longer than the grace.
     pub executions_after_drain: u64,
-    /// Executions that pushed a cold member over, or would have; and what came to each member lately.
+    /// Executions that overloaded a member in slow start.
     pub overloads_while_warming_up: u64,
     recent_work: BTreeMap<u32, VecDeque<(Timestamp, TimeSpan)>>,
-    /// Statements that came to any member.
+    /// Ids of statements that any member received.
     received: BTreeSet<u64>,
+    /// Executions at all members.
     pub executions: u64,
+    /// Connections that members accepted.
     pub connections: u64,
+    /// Health checks that members received.
     pub health_checks: u64,
 }
 
@@ -167,28 +187,33 @@
         }
     }
 
+    /// All members' numbers.
     pub fn members(&self) -> impl Iterator<Item = u32> {
         1..=self.groups * (self.replicas + 1)
     }
 
+    /// Whether a statement came to any member.
     pub fn has_received(&self, id: u64) -> bool {
         self.received.contains(&id)
     }
 
+    /// Count of groups.
     pub fn groups(&self) -> u32 {
         self.groups
     }
 
-    /// Groups are numbered from 1 as well.
+    /// The member's group, from 1.
     pub fn group(&self, member: u32) -> u32 {
         (member - 1) / (self.replicas + 1) + 1
     }
 
+    /// The group's primary at `now`.
     pub fn primary(&self, now: Timestamp, group: u32) -> u32 {
         let first = (group - 1) * (self.replicas + 1) + 1;
         self.script.primary(now - self.started_at, group, first).0
     }
 
+    /// Whether the member is its group's primary at `now`.
     pub fn is_primary(&self, now: Timestamp, member: u32) -> bool {
         self.primary(now, self.group(member)) == member
     }
@@ -204,43 +229,47 @@
         self.faults(now, member).any(|f| f == fault)
     }
 
+    /// Whether the member closes all connections at `now`.
     pub fn is_down(&self, now: Timestamp, member: u32) -> bool {
         self.has_fault(now, member, MemberFault::Down)
     }
 
+    /// Whether discovery lists the member as draining at `now`.
     pub fn is_draining(&self, now: Timestamp, member: u32) -> bool {
         self.has_fault(now, member, MemberFault::Draining)
     }
 
-    /// A primary stands at the present, a replica behind it.
+    /// Log position: the present at a primary, behind it at a replica; in complete milliseconds.
     pub fn position(&self, now: Timestamp, member: u32) -> Timestamp {
         let since = now - self.started_at;
         let lags = self
             .script
             .faults(since, member, None)
             .filter_map(|(f, from)| match f {
-                // What was applied stays applied: the log stands still until it is as far behind as that.
+                // Applied records stay applied: the position stands still until the lag is reached.
                 MemberFault::Lagging(by) => Some((now - by).max(self.started_at + from - self.lag)),
                 _ => None,
             });
         let behind = lags.min().unwrap_or(now - self.lag);
-        // Whole milliseconds, as they are told.
+        // Complete milliseconds, as members report them.
         let at = if self.is_primary(now, member) { now } else { behind };
         Timestamp(at.0 / 1000 * 1000)
     }
 
+    /// Counts a health check; the member's position and whether it is primary, or `None` if it doesn't answer.
     pub fn health_check(&mut self, now: Timestamp, member: u32) -> Option<(Timestamp, bool)> {
         self.health_checks += 1;
         let hangs = self.has_fault(now, member, MemberFault::Unresponsive);
         (!hangs).then(|| (self.position(now, member), self.is_primary(now, member)))
     }
 
+    /// When the member was last restarted, up to `now`.
     pub fn last_start(&self, now: Timestamp, member: u32) -> Option<Timestamp> {
         let last_start = self.script.last_start(now - self.started_at, member);
         last_start.map(|at| self.started_at + at)
     }
 
-    /// Counts work, and whether a cold member falls over under it: measured by what warm ones carry on the mean.
+    /// Adds work to a member, and counts an overload in slow start: its capacity follows the mean load of other members.
     fn record_load(&mut self, now: Timestamp, member: u32, service_time: TimeSpan) {
         for queue in self.recent_work.values_mut() {
             while queue
@@ -268,7 +297,7 @@
         self.overloads_while_warming_up += u64::from(sum(&member) as f64 > bears);
     }
 
-    /// A member has the whole of a statement.
+    /// Executes a complete statement at a member.
     pub fn execute(&mut self, now: Timestamp, member: u32, statement: &Statement) -> ExecutionOutcome {
         self.executions += 1;
         self.received.insert(statement.id);
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,4 +1,4 @@
-//! What is spoken: messages of PostgreSQL's protocol, and the comment that heads a statement.
+//! Messages of PostgreSQL's protocol, and the comment at the head of a statement.
 
 use crate::store_model::Statement;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -6,20 +6,21 @@
 use std::net::TcpStream;
 use std::time::SystemTime;
 
-/// As machines of a deployment read it.
+/// The system's clock, in microseconds since 1970.
 pub fn wall_clock_now() -> Timestamp {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     Timestamp(since.unwrap_or_default().as_micros() as u64)
 }
 
+/// A message: its kind, its length and its body.
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// No message of a laboratory is longer.
+/// Longest message in a test bed.
 const MAX_MESSAGE_BYTES: usize = 1 << 24;
 
-/// The next message, behind its kind where it has one.
+/// Reads the next message: its kind (0 without `has_kind`) and its body.
 pub fn read(stream: &mut TcpStream, has_kind: bool) -> io::Result<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     let from = usize::from(!has_kind);
@@ -34,7 +35,7 @@
     Ok((head[0], body))
 }
 
-/// A startup message, and all that comes up to the first word that it is ready.
+/// Sends the startup message and reads up to the first `ReadyForQuery`.
 pub fn start_session(stream: &mut TcpStream) -> io::Result<()> {
     let fields = b"user\0api\0database\0ledger\0\0";
     let mut startup = (fields.len() as u32 + 8).to_be_bytes().to_vec();
@@ -45,10 +46,12 @@
     Ok(())
 }
 
+/// An `ErrorResponse`.
 pub fn error(code: &str, text: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{code}\0M{text}\0\0").as_bytes())
 }
 
+/// A `ParameterStatus`.
 pub fn status(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
@@ -68,18 +71,19 @@
     .concat()
 }
 
-/// The value that a stand-in gives for a statement: for whom it was made, and at what position.
+/// The value that a member returns: the statement that it was made for, and its log position.
 pub fn encode_value(id: u64, position: Timestamp) -> Vec<u8> {
     format!("{id:x}@{}", position.0 / 1000).into_bytes()
 }
 
+/// The statement's id and the position in a value, or `None` if it is no such value.
 pub fn decode_value(value: &[u8]) -> Option<(u64, Timestamp)> {
     let (id, ms) = std::str::from_utf8(value).ok()?.split_once('@')?;
     let at = Timestamp(0) + TimeSpan::millis(ms.parse().ok()?);
     Some((u64::from_str_radix(id, 16).ok()?, at))
 }
 
-/// The statement that a comment heads; `names` are the workloads'.
+/// Parses a statement by its head comment; `names` are those of the workloads, by index.
 pub fn parse_statement(text: &str, names: &[&str]) -> Option<Statement> {
     let comment = text.trim_start().strip_prefix("/*")?.split("*/").next()?;
     let field = |name: &str| {
@@ -103,9 +107,11 @@
     pub workload: &'static str,
     /// How long the client still waits.
     pub timeout: TimeSpan,
+    /// From 1.
     pub group: u32,
     /// Also the key that is read or written.
     pub session: u32,
+    /// Whether it writes the key; otherwise it reads it.
     pub is_write: bool,
     /// An attempt after the first.
     pub is_retry: bool,
