--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -4,6 +4,7 @@
 use crate::checker::{check, StatementRecord};
 use crate::cluster::{self, ClusterPlan};
 use crate::deployment::Deployment;
+use crate::error::{Error, Result};
 use crate::fault_script::FaultScript;
 use crate::load_generator;
 use crate::member::lock;
@@ -11,7 +12,6 @@
 use crate::wire::wall_clock_now;
 use asterlatch::time::{TimeSpan, Timestamp};
 use clap::Args;
-use std::io;
 use std::path::{Path, PathBuf};
 
 /// What every command puts up.
@@ -29,7 +29,7 @@
 }
 
 impl SetupArguments {
-    pub(super) fn driver(&self) -> io::Result<PathBuf> {
+    pub(super) fn driver(&self) -> Result<PathBuf> {
         match &self.driver {
             Some(path) => Ok(path.clone()),
             None => Ok(std::env::current_exe()?.with_file_name("asterlatch")),
@@ -78,7 +78,7 @@
 
 impl LoadArguments {
     /// Starts one process of the program under this script.
-    pub(super) fn deploy(&self, script: FaultScript) -> io::Result<Deployment> {
+    pub(super) fn deploy(&self, script: FaultScript) -> Result<Deployment> {
         let folder = std::env::temp_dir().join(format!("asterlatch-lab-{}", std::process::id()));
         Deployment::start(
             &self.basis.driver()?,
@@ -105,8 +105,11 @@
 }
 
 /// Reads a fault script's text; an error names the file.
-pub(super) fn read_script(path: &Path) -> io::Result<String> {
-    std::fs::read_to_string(path).map_err(|e| io::Error::other(format!("{}: {e}", path.display())))
+pub(super) fn read_script(path: &Path) -> Result<String> {
+    std::fs::read_to_string(path).map_err(|source| Error::ReadScript {
+        path: path.to_owned(),
+        source,
+    })
 }
 
 /// Ends the program and prints the check of all records; whether all rules were kept.
@@ -120,12 +123,12 @@
 
 impl FleetArguments {
     /// The plan of a run with this fault script.
-    fn plan(&self, drivers: u32, text: &str, seed: u64) -> io::Result<ClusterPlan> {
+    fn plan(&self, drivers: u32, text: &str, seed: u64) -> Result<ClusterPlan> {
         Ok(ClusterPlan {
             drivers,
             groups: self.basis.groups,
             replicas: self.basis.replicas,
-            script: FaultScript::parse(text).map_err(io::Error::other)?,
+            script: FaultScript::parse(text)?,
             gossip_enabled: !self.alone,
             seconds: self.seconds,
             rate: self.rate,
@@ -139,7 +142,7 @@
     }
 
     /// Runs one cluster.
-    pub(super) fn run(&self, drivers: u32, text: &str, seed: u64) -> io::Result<cluster::RunReport> {
+    pub(super) fn run(&self, drivers: u32, text: &str, seed: u64) -> Result<cluster::RunReport> {
         cluster::run(&self.basis.driver()?, &self.plan(drivers, text, seed)?)
     }
 }
--- a/crates/testbed/src/cli/demo.rs
+++ b/crates/testbed/src/cli/demo.rs
@@ -1,8 +1,8 @@
 //! `demo`: one process of the program under load, with a few faults of each kind.
 
 use super::arguments::{conclude, read_script, LoadArguments};
+use crate::error::Result;
 use crate::fault_script::FaultScript;
-use std::io;
 use std::path::Path;
 
 const DEMO_FAULTS: &str = "
@@ -16,12 +16,12 @@
 9s primary of 3 loses answers for 100ms
 ";
 
-pub(super) fn run(common: &LoadArguments, seconds: f64, script: Option<&Path>) -> io::Result<bool> {
+pub(super) fn run(common: &LoadArguments, seconds: f64, script: Option<&Path>) -> Result<bool> {
     let text = match script {
         Some(path) => read_script(path)?,
         None => DEMO_FAULTS.to_owned(),
     };
-    let script = FaultScript::parse(&text).map_err(io::Error::other)?;
+    let script = FaultScript::parse(&text)?;
     println!(
         "{} groups of {} members, {} statements a second for {seconds} s; faults:",
         common.basis.groups,
--- a/crates/testbed/src/cli/fleet.rs
+++ b/crates/testbed/src/cli/fleet.rs
@@ -1,19 +1,21 @@
 //! `fleet`: a cluster of several processes under one scenario or script.
 
 use super::arguments::{read_script, FleetArguments};
+use crate::error::{Error, Result};
 use crate::scenario::scenarios;
-use std::io;
 use std::path::Path;
 
 /// Runs the cluster under `script`, or else under the named scenario; whether all rules were kept.
-pub(super) fn run(arguments: &FleetArguments, scene: &str, script: Option<&Path>) -> io::Result<bool> {
+pub(super) fn run(arguments: &FleetArguments, scene: &str, script: Option<&Path>) -> Result<bool> {
     let (drivers, text) = match script {
         Some(path) => (arguments.drivers, read_script(path)?),
         None => {
             let found = scenarios(arguments.drivers).find(|(name, ..)| *name == scene);
             let names: Vec<_> = scenarios(0).map(|(name, ..)| name).collect();
-            let (_, drivers, text) =
-                found.ok_or_else(|| io::Error::other(format!("no scene '{scene}': {}", names.join(", "))))?;
+            let (_, drivers, text) = found.ok_or_else(|| Error::UnknownScenario {
+                name: scene.to_owned(),
+                known: names.join(", "),
+            })?;
             (drivers, text.to_owned())
         }
     };
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -6,10 +6,10 @@
 mod trial_fleet;
 mod upgrade;
 
+use crate::error::Result;
 use arguments::{FleetArguments, LoadArguments};
 use asterlatch::time::TimeSpan;
 use clap::{CommandFactory, FromArgMatches, Parser, Subcommand};
-use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use upgrade::UpgradeOptions;
@@ -102,7 +102,7 @@
 }
 
 /// Runs a command; whether all rules were kept.
-fn run(command: Command) -> io::Result<bool> {
+fn run(command: Command) -> Result<bool> {
     match command {
         Command::Fleet {
             arguments,
--- a/crates/testbed/src/cli/trial_fleet.rs
+++ b/crates/testbed/src/cli/trial_fleet.rs
@@ -2,13 +2,13 @@
 
 use super::arguments::FleetArguments;
 use crate::cluster::RunReport;
+use crate::error::{Error, Result};
 use crate::scenario::scenarios;
-use std::io;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Mutex;
 
 /// Runs `jobs` clusters at once over the scenarios named in `only`, or all; whether all rules were kept in each.
-pub(super) fn run(arguments: &FleetArguments, seeds: u64, jobs: usize, only: &[String]) -> io::Result<bool> {
+pub(super) fn run(arguments: &FleetArguments, seeds: u64, jobs: usize, only: &[String]) -> Result<bool> {
     let is_selected = |name: &str| only.is_empty() || only.iter().any(|o| o == name);
     let selected: Vec<_> = scenarios(arguments.drivers)
         .filter(|(name, ..)| is_selected(name))
@@ -21,7 +21,7 @@
     let runs = Mutex::new(runs.collect::<Vec<_>>().into_iter());
     let (passed, failed) = (AtomicU32::new(0), AtomicU32::new(0));
     let next = || runs.lock().ok()?.next();
-    let work = || -> io::Result<()> {
+    let work = || -> Result<()> {
         while let Some(((name, drivers, text), seed)) = next() {
             let report = arguments.run(*drivers, text, seed)?;
             print_line(name, seed, &report);
@@ -32,12 +32,10 @@
     };
     std::thread::scope(|scope| {
         let workers: Vec<_> = (0..jobs.max(1)).map(|_| scope.spawn(work)).collect();
-        let ends = workers.into_iter().map(|worker| {
-            worker
-                .join()
-                .unwrap_or_else(|_| Err(io::Error::other("a play panicked")))
-        });
-        ends.collect::<io::Result<()>>()
+        let ends = workers
+            .into_iter()
+            .map(|worker| worker.join().unwrap_or(Err(Error::RunPanicked)));
+        ends.collect::<Result<()>>()
     })?;
     let (passed, failed) = (passed.into_inner(), failed.into_inner());
     println!("{passed} passed, {failed} failed");
--- a/crates/testbed/src/cli/upgrade.rs
+++ b/crates/testbed/src/cli/upgrade.rs
@@ -3,11 +3,11 @@
 use super::arguments::{conclude, LoadArguments};
 use crate::checker::{latencies, StatementRecord};
 use crate::deployment::Deployment;
+use crate::error::Result;
 use crate::fault_script::FaultScript;
 use crate::member::{lock, pause};
 use crate::wire::wall_clock_now;
 use asterlatch::time::{TimeSpan, Timestamp};
-use std::io;
 use std::path::PathBuf;
 
 /// What is done how often.
@@ -68,8 +68,8 @@
 }
 
 /// Runs the upgrades under load and prints what clients noticed; whether all rules were kept.
-pub(super) fn run(common: &LoadArguments, options: UpgradeOptions) -> io::Result<bool> {
-    let script = FaultScript::parse(&fault_text(common, &options)).map_err(io::Error::other)?;
+pub(super) fn run(common: &LoadArguments, options: UpgradeOptions) -> Result<bool> {
+    let script = FaultScript::parse(&fault_text(common, &options))?;
     let mut deployment = common.deploy(script)?;
     deployment.next = options.next.clone();
     let seconds = f64::from(options.count) * options.period() + 0.5;
@@ -102,11 +102,7 @@
 }
 
 /// Upgrades or restarts one after the other; when each began and had ended.
-fn run_upgrades(
-    deployment: &mut Deployment,
-    options: &UpgradeOptions,
-    from: Timestamp,
-) -> io::Result<Vec<Span>> {
+fn run_upgrades(deployment: &mut Deployment, options: &UpgradeOptions, from: Timestamp) -> Result<Vec<Span>> {
     let mut spans = Vec::new();
     for n in 0..options.count {
         let at = from + options.begin_of(n) + options.calm_before;
--- a/crates/testbed/src/cluster/driver_faults.rs
+++ b/crates/testbed/src/cluster/driver_faults.rs
@@ -1,12 +1,12 @@
 //! Applies the fault script to driver processes, and ends them.
 
 use super::{Cluster, Outage};
+use crate::error::Result;
 use crate::fault_script::{DriverFault, FaultScript};
 use crate::member::pause;
 use crate::wire::wall_clock_now;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
-use std::io;
 use std::process::Command;
 
 /// The begin or the end of a driver's fault.
@@ -52,7 +52,7 @@
     }
 
     /// Kills, stops and restarts drivers as the script says, with times counted from `from`; returns after the last step.
-    pub(super) fn apply_driver_faults(&mut self, from: Timestamp, script: &FaultScript) -> io::Result<()> {
+    pub(super) fn apply_driver_faults(&mut self, from: Timestamp, script: &FaultScript) -> Result<()> {
         let mut open: BTreeMap<u32, Timestamp> = BTreeMap::new();
         for step in fault_steps(script, self.processes.len()) {
             pause((from + step.at) - wall_clock_now());
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    fn begin_fault(&mut self, driver: u32, fault: DriverFault) -> io::Result<()> {
+    fn begin_fault(&mut self, driver: u32, fault: DriverFault) -> Result<()> {
         match fault {
             DriverFault::Killed | DriverFault::RestartedOnDiskOf(_) | DriverFault::LaterBuild => {
                 self.signal(driver, "KILL");
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    fn end_fault(&mut self, driver: u32, fault: DriverFault) -> io::Result<()> {
+    fn end_fault(&mut self, driver: u32, fault: DriverFault) -> Result<()> {
         match fault {
             DriverFault::RestartedOnDiskOf(other) => {
                 let log_of = |number| self.path(number, "state").join("shared.log");
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -9,6 +9,7 @@
 
 use crate::arrivals::Arrivals;
 use crate::deployment::START_TIMEOUT;
+use crate::error::Result;
 use crate::fault_script::FaultScript;
 use crate::link_proxy::Link;
 use crate::member::{lock, SharedStore};
@@ -18,7 +19,6 @@
 use evaluate::evaluate;
 use process::DriverProcess;
 pub use report::{RetryCounts, RunReport};
-use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 
@@ -90,7 +90,7 @@
 }
 
 /// Starts a cluster, applies the script under load, and checks all records.
-pub fn run(program: &Path, plan: &ClusterPlan) -> io::Result<RunReport> {
+pub fn run(program: &Path, plan: &ClusterPlan) -> Result<RunReport> {
     let mut cluster = Cluster::start(program, plan)?;
     if plan.gossip_enabled {
         cluster.await_membership()?;
@@ -121,7 +121,7 @@
 }
 
 /// Gossip traffic since `from`, and how long the copies take to become equal.
-fn measure_gossip(cluster: &Cluster, drivers: u32, from: Timestamp, run: &mut RunReport) -> io::Result<()> {
+fn measure_gossip(cluster: &Cluster, drivers: u32, from: Timestamp, run: &mut RunReport) -> Result<()> {
     let seconds = (wall_clock_now() - from).ratio(TimeSpan::millis(1000));
     let mut bytes = 0.0;
     for number in 1..=drivers {
--- a/crates/testbed/src/cluster/observe.rs
+++ b/crates/testbed/src/cluster/observe.rs
@@ -2,26 +2,26 @@
 
 use super::{Cluster, DriverProcess};
 use crate::deployment::START_TIMEOUT;
+use crate::error::{Error, Result};
 use serde_json::Value;
-use std::io;
 use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
 
 impl Cluster {
     /// Waits until each driver lists all others as present and caught up.
-    pub fn await_membership(&self) -> io::Result<()> {
+    pub fn await_membership(&self) -> Result<()> {
         let end = Instant::now() + START_TIMEOUT;
         while !self.is_membership_complete()? {
             if Instant::now() > end {
-                return Err(io::Error::other("the drivers don't find each other"));
+                return Err(Error::MembershipTimeout);
             }
             thread::sleep(Duration::from_millis(20));
         }
         Ok(())
     }
 
-    fn is_membership_complete(&self) -> io::Result<bool> {
+    fn is_membership_complete(&self) -> Result<bool> {
         for process in &self.processes {
             let status = self.query_status(process.number, "status")?;
             let rows = status["drivers"].as_array().cloned().unwrap_or_default();
@@ -37,22 +37,24 @@
     }
 
     /// Output of the program's `fleet WHAT` about a driver.
-    pub fn query_status(&self, number: u32, what: &str) -> io::Result<Value> {
+    pub fn query_status(&self, number: u32, what: &str) -> Result<Value> {
         let output = Command::new(&self.program)
             .args(["fleet", what, "--json", "--control"])
             .arg(self.path(number, "control"))
             .output()?;
-        serde_json::from_slice(&output.stdout).map_err(|e| {
-            let said = String::from_utf8_lossy(&output.stderr).into_owned();
-            io::Error::other(format!("fleet {what} of driver {number}: {e} {said}"))
+        serde_json::from_slice(&output.stdout).map_err(|source| Error::InvalidStatus {
+            command: what.to_owned(),
+            driver: number,
+            source,
+            stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
         })
     }
 
     /// How long it takes until all copies are equal once no change comes; `None` if longer than `most`.
-    pub fn await_equal_copies(&self, most: Duration) -> io::Result<Option<Duration>> {
+    pub fn await_equal_copies(&self, most: Duration) -> Result<Option<Duration>> {
         let waiting_since = Instant::now();
         while waiting_since.elapsed() < most {
-            let marks: io::Result<Vec<Value>> = self
+            let marks: Result<Vec<Value>> = self
                 .processes
                 .iter()
                 .map(|p| Ok(self.query_status(p.number, "facts")?["copy"].clone()))
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -2,6 +2,7 @@
 
 use super::Cluster;
 use crate::deployment::{check_serving, START_TIMEOUT};
+use crate::error::{Error, Result};
 use crate::fault_script::DriverFault;
 use std::fs::File;
 use std::io;
@@ -53,7 +54,7 @@
         .sum()
     }
 
-    pub(super) fn spawn_driver(&mut self, number: u32) -> io::Result<()> {
+    pub(super) fn spawn_driver(&mut self, number: u32) -> Result<()> {
         let starts = self.processes[number as usize - 1].starts + 1;
         let log = File::create(self.path(number, &format!("{starts}.log")))?;
         let mut command = Command::new(&self.program);
@@ -76,21 +77,26 @@
             .stdout(log.try_clone()?)
             .stderr(log)
             .spawn()
-            .map_err(|e| io::Error::other(format!("{}: {e}", self.program.display())))?;
+            .map_err(|source| Error::StartProgram {
+                program: self.program.clone(),
+                source,
+            })?;
         let process = &mut self.processes[number as usize - 1];
         process.child = Some(child);
         process.starts = starts;
         Ok(())
     }
 
-    pub(super) fn await_serving(&self, number: u32) -> io::Result<()> {
+    pub(super) fn await_serving(&self, number: u32) -> Result<()> {
         let end = Instant::now() + START_TIMEOUT;
         while let Err(e) = check_serving(self.processes[number as usize - 1].listen) {
             if Instant::now() > end {
                 let log = std::fs::read_to_string(self.path(number, "1.log")).unwrap_or_default();
-                return Err(io::Error::other(format!(
-                    "driver {number} doesn't serve: {e}\n{log}"
-                )));
+                return Err(Error::DriverNotServing {
+                    driver: number,
+                    source: e,
+                    log,
+                });
             }
             thread::sleep(Duration::from_millis(2));
         }
--- a/crates/testbed/src/cluster/setup.rs
+++ b/crates/testbed/src/cluster/setup.rs
@@ -4,6 +4,7 @@
 use super::{Cluster, ClusterPlan};
 use crate::deployment::driver_config;
 use crate::discovery;
+use crate::error::Result;
 use crate::fault_script::FaultScript;
 use crate::link_proxy::{self, Link};
 use crate::member::{self, lock, SharedStore};
@@ -35,7 +36,7 @@
 }
 
 impl GossipLinks {
-    fn start(store: &SharedStore, plan: &ClusterPlan, cluster_index: u32) -> io::Result<GossipLinks> {
+    fn start(store: &SharedStore, plan: &ClusterPlan, cluster_index: u32) -> Result<GossipLinks> {
         let own: Vec<SocketAddr> = (1..=plan.drivers)
             .map(|n| UdpSocket::bind(driver_address(cluster_index, n))?.local_addr())
             .collect::<io::Result<_>>()?;
@@ -76,7 +77,7 @@
 
 impl Cluster {
     /// Starts all processes and waits until each answers.
-    pub fn start(program: &Path, plan: &ClusterPlan) -> io::Result<Cluster> {
+    pub fn start(program: &Path, plan: &ClusterPlan) -> Result<Cluster> {
         let cluster_index = CLUSTERS_STARTED.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("asterlatch-fleet-{}-{cluster_index}", std::process::id()));
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -1,6 +1,7 @@
 //! A deployment on loopback: members, discovery, and one process of the built program.
 
 use crate::discovery;
+use crate::error::{Error, Result};
 use crate::fault_script::FaultScript;
 use crate::member::{self, lock, SharedStore};
 use crate::store_model::{StoreModel, WorkloadKind};
@@ -98,7 +99,7 @@
         (groups, replicas): (u32, u32),
         script: FaultScript,
         rejects_stale_reads: bool,
-    ) -> io::Result<Deployment> {
+    ) -> Result<Deployment> {
         std::fs::create_dir_all(folder)?;
         let mut store = StoreModel::new(groups, replicas, script, wall_clock_now());
         store.rejects_stale_reads = rejects_stale_reads;
@@ -134,7 +135,7 @@
     }
 
     /// Starts the program, and waits until it answers.
-    pub fn begin(&mut self) -> io::Result<()> {
+    pub fn begin(&mut self) -> Result<()> {
         self.logs += 1;
         let log = File::create(self.path(&format!("driver-{}.log", self.logs)))?;
         let child = Command::new(&self.driver)
@@ -149,13 +150,16 @@
             .stdout(log.try_clone()?)
             .stderr(log)
             .spawn()
-            .map_err(|e| io::Error::other(format!("{}: {e}", self.driver.display())))?;
+            .map_err(|source| Error::StartProgram {
+                program: self.driver.clone(),
+                source,
+            })?;
         self.pid = child.id();
         self.child = Some(child);
         let end = Instant::now() + START_TIMEOUT;
         while let Err(e) = check_serving(self.listen) {
             if Instant::now() > end {
-                return Err(io::Error::other(format!("the program doesn't serve: {e}")));
+                return Err(Error::ProgramNotServing(e));
             }
             thread::sleep(Duration::from_millis(2));
         }
@@ -163,7 +167,7 @@
     }
 
     /// Hands over to a new process; returns the output of the program's `upgrade`.
-    pub fn upgrade(&mut self) -> io::Result<String> {
+    pub fn upgrade(&mut self) -> Result<String> {
         if let Some(next) = &mut self.next {
             std::mem::swap(&mut self.driver, next);
         }
@@ -176,7 +180,7 @@
             .output()?;
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         if !output.status.success() {
-            return Err(io::Error::other(text));
+            return Err(Error::UpgradeFailed(text));
         }
         // The predecessor ends by itself; the successor isn't a child of this process.
         if let Some(mut child) = self.child.take() {
@@ -187,7 +191,7 @@
             .nth(1)
             .and_then(|t| t.split_whitespace().next());
         let number = number.and_then(|n| n.parse().ok());
-        self.pid = number.ok_or_else(|| io::Error::other(format!("names no process: {text}")))?;
+        self.pid = number.ok_or_else(|| Error::UnnamedSuccessor(text.clone()))?;
         Ok(text)
     }
 
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod cluster;
 pub mod deployment;
 pub mod discovery;
+pub mod error;
 pub mod fault_script;
 pub mod link_proxy;
 pub mod load_generator;
