--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -37,14 +37,14 @@
 
 fn play(scene: &str, gossip_enabled: bool) -> RunReport {
     let _permit = ScenePermit::acquire();
-    let (_, drivers, text) = scenarios(5)
-        .find(|(name, ..)| *name == scene)
+    let scenario = scenarios(5)
+        .find(|scenario| scenario.name == scene)
         .expect("is a scene");
     let plan = ClusterPlan {
-        drivers,
+        drivers: scenario.drivers,
         groups: 2,
         replicas: 2,
-        script: FaultScript::parse(text).expect("can be read"),
+        script: FaultScript::parse(scenario.script).expect("can be read"),
         gossip_enabled,
         seconds: 5.0,
         rate: 150.0,
@@ -82,7 +82,7 @@
 
         #[test]
         fn all_scenes_are_played() {
-            assert_eq!(vec![$($scene),*], scenarios(5).map(|(name, ..)| name).collect::<Vec<_>>());
+            assert_eq!(vec![$($scene),*], scenarios(5).map(|scenario| scenario.name).collect::<Vec<_>>());
         }
     };
 }
--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -3,7 +3,7 @@
 use crate::arrivals::Arrivals;
 use crate::checker::{check, StatementRecord};
 use crate::cluster::{self, ClusterPlan};
-use crate::deployment::Deployment;
+use crate::deployment::{Deployment, Topology};
 use crate::error::{Error, Result};
 use crate::fault_script::FaultScript;
 use crate::load_generator;
@@ -80,13 +80,11 @@
     /// Starts one process of the program under this script.
     pub(super) fn deploy(&self, script: FaultScript) -> Result<Deployment> {
         let folder = std::env::temp_dir().join(format!("asterlatch-lab-{}", std::process::id()));
-        Deployment::start(
-            &self.basis.driver()?,
-            &folder,
-            (self.basis.groups, self.basis.replicas),
-            script,
-            !self.unchecked,
-        )
+        let topology = Topology {
+            groups: self.basis.groups,
+            replicas: self.basis.replicas,
+        };
+        Deployment::start(&self.basis.driver()?, &folder, topology, script, !self.unchecked)
     }
 
     /// Starts the load; returns it with its begin.
--- a/crates/testbed/src/cli/fleet.rs
+++ b/crates/testbed/src/cli/fleet.rs
@@ -10,13 +10,13 @@
     let (drivers, text) = match script {
         Some(path) => (arguments.drivers, read_script(path)?),
         None => {
-            let found = scenarios(arguments.drivers).find(|(name, ..)| *name == scene);
-            let names: Vec<_> = scenarios(0).map(|(name, ..)| name).collect();
-            let (_, drivers, text) = found.ok_or_else(|| Error::UnknownScenario {
+            let found = scenarios(arguments.drivers).find(|scenario| scenario.name == scene);
+            let names: Vec<_> = scenarios(0).map(|scenario| scenario.name).collect();
+            let scenario = found.ok_or_else(|| Error::UnknownScenario {
                 name: scene.to_owned(),
                 known: names.join(", "),
             })?;
-            (drivers, text.to_owned())
+            (scenario.drivers, scenario.script.to_owned())
         }
     };
     println!(
--- a/crates/testbed/src/cli/trial_fleet.rs
+++ b/crates/testbed/src/cli/trial_fleet.rs
@@ -11,7 +11,7 @@
 pub(super) fn run(arguments: &FleetArguments, seeds: u64, jobs: usize, only: &[String]) -> Result<bool> {
     let is_selected = |name: &str| only.is_empty() || only.iter().any(|o| o == name);
     let selected: Vec<_> = scenarios(arguments.drivers)
-        .filter(|(name, ..)| is_selected(name))
+        .filter(|scenario| is_selected(scenario.name))
         .collect();
     let seeds = arguments.basis.seed..arguments.basis.seed + seeds;
     // Scenario by scenario: an idle worker takes the next.
@@ -22,9 +22,9 @@
     let (passed, failed) = (AtomicU32::new(0), AtomicU32::new(0));
     let next = || runs.lock().ok()?.next();
     let work = || -> Result<()> {
-        while let Some(((name, drivers, text), seed)) = next() {
-            let report = arguments.run(*drivers, text, seed)?;
-            print_line(name, seed, &report);
+        while let Some((scenario, seed)) = next() {
+            let report = arguments.run(scenario.drivers, scenario.script, seed)?;
+            print_line(scenario.name, seed, &report);
             let count = if report.all_rules_kept() { &passed } else { &failed };
             count.fetch_add(1, Ordering::Relaxed);
         }
--- a/crates/testbed/src/cli/upgrade.rs
+++ b/crates/testbed/src/cli/upgrade.rs
@@ -6,6 +6,7 @@
 use crate::error::Result;
 use crate::fault_script::FaultScript;
 use crate::member::{lock, pause};
+use crate::store_model::ReadCounts;
 use crate::wire::wall_clock_now;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::path::PathBuf;
@@ -129,30 +130,28 @@
     let is_within = |at: &Timestamp| spans.iter().any(|(begin, end)| (*begin..*end).contains(at));
     let own = latencies(records.iter().filter(|record| is_within(&record.due)));
     let quantile = |q| own.value_at_quantile(q) as f64 / 1000.0;
-    let (primary, replica) = count_reads(deployment, from, is_within);
+    let reads = count_reads(deployment, from, is_within);
     println!(
         "{name:<10} {:>7} answered, p50 {:>6.1} ms, p99 {:>6.1} ms, most {:>6.1} ms, reads at primaries {:.2} %",
         own.len(),
         quantile(0.5),
         quantile(0.99),
         quantile(1.0),
-        100.0 * f64::from(primary) / f64::from((primary + replica).max(1))
+        100.0 * reads.primary_share()
     );
 }
 
-/// Reads that primaries and replicas executed at times that are within.
+/// Reads executed at times that are within.
 fn count_reads(
     deployment: &Deployment,
     from: Timestamp,
     is_within: impl Fn(&Timestamp) -> bool,
-) -> (u32, u32) {
+) -> ReadCounts {
     let store = lock(&deployment.store);
-    let mut sum = (0, 0);
-    for (tenth, (primary, replica)) in &store.reads {
-        if is_within(&(from + TimeSpan::millis(tenth * 100))) {
-            sum.0 += primary;
-            sum.1 += replica;
-        }
-    }
-    sum
+    let time_of = |tenth: u64| from + TimeSpan::millis(tenth * 100);
+    let within = store
+        .reads
+        .iter()
+        .filter(|(tenth, _)| is_within(&time_of(**tenth)));
+    within.map(|(_, counts)| *counts).sum()
 }
--- a/crates/testbed/src/cluster/evaluate.rs
+++ b/crates/testbed/src/cluster/evaluate.rs
@@ -4,7 +4,7 @@
 use crate::checker::{check, CheckReport, ClientOutcome, StatementRecord, STALE_SESSION_READ, VIOLATIONS};
 use crate::member::lock;
 use crate::roaming_clients::{Attempt, RoamingRecord};
-use crate::store_model::{StoreModel, WorkloadKind};
+use crate::store_model::{ReadCounts, StoreModel, WorkloadKind};
 use asterlatch::time::TimeSpan;
 
 /// Missing answers of a stopped or killed driver are excused for this long before and after.
@@ -45,8 +45,7 @@
     run.completed = report.completed();
     run.rejected = report.rows.iter().map(|r| r.rejected).sum();
     run.aborted = report.rows.iter().map(|r| r.aborted).sum();
-    let reads = store.reads.values().fold((0, 0), |(p, r), (a, b)| (p + a, r + b));
-    run.reads_at_primaries = f64::from(reads.0) / f64::from((reads.0 + reads.1).max(1));
+    run.reads_at_primaries = store.reads.values().copied().sum::<ReadCounts>().primary_share();
     run.summary = report.to_string();
 }
 
@@ -103,7 +102,7 @@
         .effects
         .get(&roaming.record.id)
         .map_or(&[][..], Vec::as_slice);
-    let had_executed = effects.iter().any(|(_, at)| *at <= retry.sent);
+    let had_executed = effects.iter().any(|effect| effect.at <= retry.sent);
     retries.retried += 1;
     retries.executed_before_retry += u64::from(had_executed);
     retries.executed_twice += u64::from(effects.len() > 1);
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -13,7 +13,7 @@
 use crate::fault_script::FaultScript;
 use crate::link_proxy::Link;
 use crate::member::{lock, SharedStore};
-use crate::roaming_clients::{self, RoamingBehavior};
+use crate::roaming_clients::{self, RoamingBehavior, RoamingOptions};
 use crate::wire::wall_clock_now;
 use asterlatch::time::{TimeSpan, Timestamp};
 use evaluate::evaluate;
@@ -103,8 +103,12 @@
         (store.workloads.clone(), TimeSpan((plan.seconds * 1e6) as u64))
     };
     let arrivals = Arrivals::new(&workloads, plan.rate, plan.groups, until, plan.seed);
-    let terms = (plan.clients, plan.behavior, plan.seed);
-    let load = roaming_clients::start(&cluster.store, &cluster.listens(), arrivals, from, terms);
+    let options = RoamingOptions {
+        clients: plan.clients,
+        behavior: plan.behavior,
+        seed: plan.seed,
+    };
+    let load = roaming_clients::start(&cluster.store, &cluster.listens(), arrivals, from, options);
     cluster.apply_driver_faults(from, &plan.script)?;
     let records = load.finish();
     let mut run = RunReport {
--- a/crates/testbed/src/cluster/setup.rs
+++ b/crates/testbed/src/cluster/setup.rs
@@ -2,7 +2,7 @@
 
 use super::process::DriverProcess;
 use super::{Cluster, ClusterPlan};
-use crate::deployment::driver_config;
+use crate::deployment::{driver_config, DriverIdentity};
 use crate::discovery;
 use crate::error::Result;
 use crate::fault_script::FaultScript;
@@ -106,7 +106,12 @@
             cluster.listeners.push(discovery);
             let known = discovery::endpoint_list(&cluster.store, &addresses);
             let name = format!("d{number}");
-            let config = driver_config(&cluster.store, (&name, listen, discovery), known, plan.drivers);
+            let identity = DriverIdentity {
+                name: &name,
+                listen,
+                discovery,
+            };
+            let config = driver_config(&cluster.store, identity, known, plan.drivers);
             std::fs::write(cluster.path(number, "json"), config.to_string())?;
             std::fs::write(cluster.path(number, "latch"), links.operators_file(number, plan))?;
             cluster.processes.push(DriverProcess {
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -33,13 +33,28 @@
     logs: u32,
 }
 
+/// What tells a driver's configuration from others'.
+#[derive(Clone, Copy, Debug)]
+pub struct DriverIdentity<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Where it listens.
+    pub listen: SocketAddr,
+    /// Where its discovery is.
+    pub discovery: SocketAddr,
+}
+
+/// Size of the replicated store.
+#[derive(Clone, Copy, Debug)]
+pub struct Topology {
+    /// Groups of members.
+    pub groups: u32,
+    /// Replicas in each group, beside its primary.
+    pub replicas: u32,
+}
+
 /// A driver's configuration, with the endpoint list that it starts with and the count of drivers.
-pub fn driver_config(
-    store: &SharedStore,
-    (name, listen, discovery): (&str, SocketAddr, SocketAddr),
-    known: Value,
-    drivers: u32,
-) -> Value {
+pub fn driver_config(store: &SharedStore, identity: DriverIdentity, known: Value, drivers: u32) -> Value {
     let (workloads, rejects_stale_reads) = {
         let store = lock(store);
         (store.workloads.clone(), store.rejects_stale_reads)
@@ -58,7 +73,8 @@
         })
         .collect();
     json!({
-        "name": name, "listen": listen.to_string(), "discovery": discovery.to_string(), "seed": name.bytes().map(u64::from).sum::<u64>().to_string(),
+        "name": identity.name, "listen": identity.listen.to_string(),
+        "discovery": identity.discovery.to_string(), "seed": identity.name.bytes().map(u64::from).sum::<u64>().to_string(),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": known,
         "settings": {
@@ -96,12 +112,12 @@
     pub fn start(
         driver: &Path,
         folder: &Path,
-        (groups, replicas): (u32, u32),
+        topology: Topology,
         script: FaultScript,
         rejects_stale_reads: bool,
     ) -> Result<Deployment> {
         std::fs::create_dir_all(folder)?;
-        let mut store = StoreModel::new(groups, replicas, script, wall_clock_now());
+        let mut store = StoreModel::new(topology.groups, topology.replicas, script, wall_clock_now());
         store.rejects_stale_reads = rejects_stale_reads;
         let store = Arc::new(Mutex::new(store));
         let members: Vec<u32> = lock(&store).members().collect();
@@ -111,7 +127,12 @@
         // Bound for a moment, so that the system picks the port.
         let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         let known = discovery::endpoint_list(&store, &addresses);
-        let config = driver_config(&store, ("lab", listen, discovery), known, 1);
+        let identity = DriverIdentity {
+            name: "lab",
+            listen,
+            discovery,
+        };
+        let config = driver_config(&store, identity, known, 1);
         std::fs::write(folder.join("config.json"), config.to_string())?;
         let times =
             "upgrade(hello = 5s, ready = 5s, taken = 1s, probation = 500ms, beat = 100ms, silence = 2s)\n";
--- a/crates/testbed/src/link_proxy.rs
+++ b/crates/testbed/src/link_proxy.rs
@@ -28,10 +28,29 @@
 /// How long a receive waits before datagrams that are due are sent.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Between drivers `n`, whose own sockets are at `own`.
+/// Longer datagrams are cut off.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+
+/// One direction of a link.
+struct Direction {
+    sender: u32,
+    receiver: u32,
+    /// Where the sender's datagrams arrive.
+    inbound: UdpSocket,
+    /// From where they are sent on.
+    outbound: UdpSocket,
+    /// The receiver's own socket.
+    to: SocketAddr,
+    rng: fastrand::Rng,
+}
+
+/// Starts a proxy between two drivers, whose own sockets are at `own`.
+///
+/// # Errors
+/// A socket can't be opened.
 pub fn start(
     store: &SharedStore,
-    n: (u32, u32),
+    drivers: (u32, u32),
     own: (SocketAddr, SocketAddr),
     seed: u64,
 ) -> io::Result<Link> {
@@ -39,39 +58,62 @@
     let (near, far) = (bind()?, bind()?);
     let at = (near.local_addr()?, far.local_addr()?);
     let ends = Arc::new(AtomicBool::new(false));
+    let rng = |sender: u32, receiver: u32, index: u64| {
+        fastrand::Rng::with_seed(seed ^ (u64::from(sender) << 32 | u64::from(receiver)) ^ index)
+    };
     // A datagram received on one socket is sent from the other, so that each driver sees the address that it knows.
-    let ways = [
-        (near.try_clone()?, far.try_clone()?, n.0, n.1, own.1),
-        (far, near, n.1, n.0, own.0),
+    let directions = [
+        Direction {
+            sender: drivers.0,
+            receiver: drivers.1,
+            inbound: near.try_clone()?,
+            outbound: far.try_clone()?,
+            to: own.1,
+            rng: rng(drivers.0, drivers.1, 0),
+        },
+        Direction {
+            sender: drivers.1,
+            receiver: drivers.0,
+            inbound: far,
+            outbound: near,
+            to: own.0,
+            rng: rng(drivers.1, drivers.0, 1),
+        },
     ];
-    for (k, (from, by, one, other, to)) in ways.into_iter().enumerate() {
-        from.set_read_timeout(Some(POLL_INTERVAL))?;
+    for direction in directions {
+        direction.inbound.set_read_timeout(Some(POLL_INTERVAL))?;
         let (store, ends) = (store.clone(), ends.clone());
-        let mut rng = fastrand::Rng::with_seed(seed ^ (u64::from(one) << 32 | u64::from(other)) ^ k as u64);
-        thread::spawn(move || {
-            let mut waiting: BTreeMap<(Timestamp, u64), Vec<u8>> = BTreeMap::new();
-            let (mut buffer, mut count) = ([0; 2048], 0);
-            while !ends.load(Ordering::Acquire) {
-                let came = from.recv(&mut buffer);
-                let now = wall_clock_now();
-                if let Ok(length) = came {
-                    let state = {
-                        let store = lock(&store);
-                        store.script.link_state(now - store.started_at, one, other)
-                    };
-                    if let Some(bytes) = transmit(&mut rng, state, &buffer[..length]) {
-                        count += 1;
-                        waiting.insert((now + state.delay, count), bytes);
-                    }
-                }
-                while let Some(due) = waiting.first_entry().filter(|e| e.key().0 <= now) {
-                    // A driver that is down receives nothing.
-                    let _ = by.send_to(&due.remove(), to);
+        thread::spawn(move || direction.run(&store, &ends));
+    }
+    Ok(Link { at, ends })
+}
+
+impl Direction {
+    /// Forwards datagrams until the link ends.
+    fn run(mut self, store: &SharedStore, ends: &AtomicBool) {
+        let mut waiting: BTreeMap<(Timestamp, u64), Vec<u8>> = BTreeMap::new();
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        let mut count = 0;
+        while !ends.load(Ordering::Acquire) {
+            let received = self.inbound.recv(&mut buffer);
+            let now = wall_clock_now();
+            if let Ok(length) = received {
+                let state = {
+                    let store = lock(store);
+                    let since = now - store.started_at;
+                    store.script.link_state(since, self.sender, self.receiver)
+                };
+                if let Some(bytes) = transmit(&mut self.rng, state, &buffer[..length]) {
+                    count += 1;
+                    waiting.insert((now + state.delay, count), bytes);
                 }
             }
-        });
+            while let Some(due) = waiting.first_entry().filter(|e| e.key().0 <= now) {
+                // A driver that is down receives nothing.
+                let _ = self.outbound.send_to(&due.remove(), self.to);
+            }
+        }
     }
-    Ok(Link { at, ends })
 }
 
 /// The datagram as it arrives, or `None` if it is lost.
--- a/crates/testbed/src/roaming_clients.rs
+++ b/crates/testbed/src/roaming_clients.rs
@@ -61,16 +61,27 @@
 /// A driver's answer may take the protocol's slack; a client listens a little beyond.
 const LATE_ANSWER_WAIT: Duration = Duration::from_millis(300);
 
+/// How many clients there are, and how they behave.
+#[derive(Clone, Copy, Debug)]
+pub struct RoamingOptions {
+    /// Threads, each with one statement at a time.
+    pub clients: usize,
+    /// How they use several drivers.
+    pub behavior: RoamingBehavior,
+    /// Of their random choices.
+    pub seed: u64,
+}
+
 /// A running load.
 pub struct Load(Vec<JoinHandle<Vec<RoamingRecord>>>);
 
-/// Starts `clients` threads; due times of arrivals count from `from`.
+/// Starts the clients; due times of arrivals count from `from`.
 pub fn start(
     store: &SharedStore,
     drivers: &[SocketAddr],
     arrivals: Arrivals,
     from: Timestamp,
-    (clients, behavior, seed): (usize, RoamingBehavior, u64),
+    options: RoamingOptions,
 ) -> Load {
     let arrivals = Arc::new(Mutex::new(arrivals));
     let client = |n: usize| {
@@ -80,8 +91,8 @@
                 drivers,
                 store,
                 idle_connections: BTreeMap::new(),
-                rng: fastrand::Rng::with_seed(seed << 16 | n as u64),
-                behavior,
+                rng: fastrand::Rng::with_seed(options.seed << 16 | n as u64),
+                behavior: options.behavior,
             };
             let next = || arrivals.lock().unwrap_or_else(PoisonError::into_inner).next();
             let mut all = Vec::new();
@@ -93,7 +104,7 @@
             all
         })
     };
-    Load((0..clients).map(client).collect())
+    Load((0..options.clients).map(client).collect())
 }
 
 impl Load {
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -63,13 +63,28 @@
     ),
 ];
 
-/// Each scenario's name, count of drivers (`drivers` where it leaves that open) and fault script.
-pub fn scenarios(drivers: u32) -> impl Iterator<Item = (&'static str, u32, &'static str)> {
-    let narrow = SCENARIOS
-        .into_iter()
-        .map(move |(name, text)| (name, drivers, text));
-    let wide = WIDE_SCENARIOS
-        .into_iter()
-        .map(move |(name, text)| (name, drivers.max(WIDE_DRIVERS), text));
+/// All scenarios, with `drivers` processes where the scenario leaves that open.
+pub fn scenarios(drivers: u32) -> impl Iterator<Item = Scenario> {
+    let narrow = SCENARIOS.into_iter().map(move |(name, script)| Scenario {
+        name,
+        drivers,
+        script,
+    });
+    let wide = WIDE_SCENARIOS.into_iter().map(move |(name, script)| Scenario {
+        name,
+        drivers: drivers.max(WIDE_DRIVERS),
+        script,
+    });
     narrow.chain(wide)
 }
+
+/// A named fault script for a cluster.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Scenario {
+    /// As on the command line.
+    pub name: &'static str,
+    /// Processes of the program.
+    pub drivers: u32,
+    /// Text of the fault script.
+    pub script: &'static str,
+}
--- a/crates/testbed/src/store_model.rs
+++ b/crates/testbed/src/store_model.rs
@@ -125,8 +125,44 @@
     pub delay: TimeSpan,
 }
 
-/// One execution of a write: member and time.
-pub type Effect = (u32, Timestamp);
+/// One execution of a write.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Effect {
+    /// Where.
+    pub member: u32,
+    /// When.
+    pub at: Timestamp,
+}
+
+/// Reads that members executed.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReadCounts {
+    /// At primaries.
+    pub primary: u32,
+    /// At replicas.
+    pub replica: u32,
+}
+
+impl ReadCounts {
+    /// Sum of both.
+    pub fn total(self) -> u32 {
+        self.primary + self.replica
+    }
+
+    /// Share of reads at primaries, from 0 to 1; 0 without any read.
+    pub fn primary_share(self) -> f64 {
+        f64::from(self.primary) / f64::from(self.total().max(1))
+    }
+}
+
+impl std::iter::Sum for ReadCounts {
+    fn sum<I: Iterator<Item = ReadCounts>>(counts: I) -> ReadCounts {
+        counts.fold(ReadCounts::default(), |sum, counts| ReadCounts {
+            primary: sum.primary + counts.primary,
+            replica: sum.replica + counts.replica,
+        })
+    }
+}
 
 /// State of all members, shared by everything that runs.
 pub struct StoreModel {
@@ -147,7 +183,7 @@
     /// Executions of each write, by statement id.
     pub effects: BTreeMap<u64, Vec<Effect>>,
     /// Executions of reads that went to a primary and to a replica, by tenth of a second.
-    pub reads: BTreeMap<u64, (u32, u32)>,
+    pub reads: BTreeMap<u64, ReadCounts>,
     /// Executions at members that had been listed as draining for longer than the grace.
     pub executions_after_drain: u64,
     /// Executions that overloaded a member in slow start.
@@ -302,8 +338,8 @@
         self.executions += 1;
         self.received.insert(statement.id);
         self.record_load(now, member, self.workloads[statement.workload].service_time);
-        let is_draining = self.script.faults(now - self.started_at, member, None);
-        let late = is_draining
+        let member_faults = self.script.faults(now - self.started_at, member, None);
+        let late = member_faults
             .filter(|(f, from)| *f == MemberFault::Draining && now - (self.started_at + *from) > DRAIN_GRACE);
         self.executions_after_drain += u64::from(late.count() > 0);
         let faults: Vec<MemberFault> = self.faults(now, member).collect();
@@ -313,10 +349,8 @@
             _ => None,
         });
         let workload = &self.workloads[statement.workload];
-        let (kind, delay) = (
-            workload.kind,
-            TimeSpan(workload.service_time.0 + delays.max().unwrap_or_default().0),
-        );
+        let kind = workload.kind;
+        let delay = TimeSpan(workload.service_time.0 + delays.max().unwrap_or_default().0);
         let end = |reply| ExecutionOutcome { reply, delay };
         if faults.contains(&MemberFault::Unresponsive) {
             return end(Reply::NoAnswer);
@@ -330,12 +364,16 @@
             }
             let effects = self.effects.entry(statement.id).or_default();
             if !deduplicated || effects.is_empty() {
-                effects.push((member, now));
+                effects.push(Effect { member, at: now });
             }
         } else {
             let since = (now - self.started_at).0 / 100_000;
-            let (primary, replica) = self.reads.entry(since).or_default();
-            *(if is_primary { primary } else { replica }) += 1;
+            let reads = self.reads.entry(since).or_default();
+            if is_primary {
+                reads.primary += 1;
+            } else {
+                reads.replica += 1;
+            }
             let needed = match kind {
                 WorkloadKind::BoundedStaleness(bound) => now - bound,
                 WorkloadKind::ReadYourWrites => statement.min_position,
--- a/crates/testbed/tests/models/checker.rs
+++ b/crates/testbed/tests/models/checker.rs
@@ -3,7 +3,7 @@
 use crate::{at, START};
 use asterlatch_testbed::checker::{check, ClientOutcome, StatementRecord, VIOLATIONS};
 use asterlatch_testbed::fault_script::FaultScript;
-use asterlatch_testbed::store_model::StoreModel;
+use asterlatch_testbed::store_model::{Effect, StoreModel};
 
 // Indexes into the workloads.
 const BOUNDED: usize = 0;
@@ -62,7 +62,16 @@
     ];
     for (name, record, ran, broken) in cases {
         let mut store = StoreModel::new(1, 1, FaultScript::default(), START);
-        store.effects.insert(1, vec![(1, at(1001)); ran]);
+        store.effects.insert(
+            1,
+            vec![
+                Effect {
+                    member: 1,
+                    at: at(1001)
+                };
+                ran
+            ],
+        );
         let report = check(&store, &[record]);
         let found: Vec<usize> = (0..VIOLATIONS.len())
             .filter(|n| report.violations[*n] > 0)
@@ -86,7 +95,13 @@
     ];
     for (group, session, answered, position, stale) in sessions {
         let mut store = StoreModel::new(2, 1, FaultScript::default(), START);
-        store.effects.insert(7, vec![(1, at(975))]);
+        store.effects.insert(
+            7,
+            vec![Effect {
+                member: 1,
+                at: at(975),
+            }],
+        );
         let (sent, outcome) = (at(970), row(7, 975));
         let write = StatementRecord {
             id: 7,
