--- a/crates/testbed/src/cli/upgrade.rs
+++ b/crates/testbed/src/cli/upgrade.rs
@@ -110,7 +110,7 @@
         pause(at - wall_clock_now());
         if options.restart {
             deployment.end();
-            deployment.begin()?;
+            deployment.start_program()?;
         } else {
             deployment.upgrade()?;
         }
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -108,7 +108,13 @@
         behavior: plan.behavior,
         seed: plan.seed,
     };
-    let load = roaming_clients::start(&cluster.store, &cluster.listens(), arrivals, from, options);
+    let load = roaming_clients::start(
+        &cluster.store,
+        &cluster.listen_addresses(),
+        arrivals,
+        from,
+        options,
+    );
     cluster.apply_driver_faults(from, &plan.script)?;
     let records = load.finish();
     let mut run = RunReport {
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -39,7 +39,7 @@
     }
 
     /// Addresses of all drivers, in the order of their numbers.
-    pub fn listens(&self) -> Vec<SocketAddr> {
+    pub fn listen_addresses(&self) -> Vec<SocketAddr> {
         self.processes.iter().map(|p| p.listen).collect()
     }
 
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -147,7 +147,7 @@
             pid: 0,
             logs: 0,
         };
-        deployment.begin()?;
+        deployment.start_program()?;
         Ok(deployment)
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Starts the program, and waits until it answers.
-    pub fn begin(&mut self) -> Result<()> {
+    pub fn start_program(&mut self) -> Result<()> {
         self.logs += 1;
         let log = File::create(self.path(&format!("driver-{}.log", self.logs)))?;
         let child = Command::new(&self.driver)
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,16 +1,22 @@
 //! Discovery over HTTP: the complete endpoint list, and a watch that waits for a newer version.
 
 use crate::fault_script::DriverFault;
-use crate::member::{lock, SharedStore};
+use crate::member::{listen, lock, SharedStore};
 use crate::wire::wall_clock_now;
 use asterlatch::time::TimeSpan;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Between two looks at the script.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Longest wait of a watch.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+
 /// Where each member listens, by number.
 pub type Addresses = BTreeMap<u32, SocketAddr>;
 
@@ -25,7 +31,8 @@
         .next_endpoint_list_change(at)
         .filter(|n| *n <= now - store.started_at)
     {
-        (at, index) = (next, index + 1);
+        at = next;
+        index += 1;
     }
     let entry = |(member, address): (&u32, &SocketAddr)| {
         let zone = if member % 2 == 0 { "heredia" } else { "cartago" };
@@ -43,19 +50,8 @@
 
 /// Starts discovery for one driver (from 1; 0 if there is only one); the script may stall it.
 pub fn start(store: &SharedStore, addresses: &Addresses, driver: u32) -> io::Result<SocketAddr> {
-    let listener = TcpListener::bind("127.0.0.1:0")?;
-    let address = listener.local_addr()?;
-    let (store, addresses) = (store.clone(), addresses.clone());
-    thread::spawn(move || {
-        for stream in listener.incoming().flatten() {
-            if lock(&store).is_shut_down {
-                return;
-            }
-            let (store, addresses) = (store.clone(), addresses.clone());
-            thread::spawn(move || drop(answer(stream, &store, &addresses, driver)));
-        }
-    });
-    Ok(address)
+    let (shared, addresses) = (store.clone(), addresses.clone());
+    listen(store, move |stream| serve(stream, &shared, &addresses, driver))
 }
 
 fn is_discovery_stalled(store: &SharedStore, driver: u32) -> bool {
@@ -67,18 +63,54 @@
     )
 }
 
-fn answer(mut stream: TcpStream, store: &SharedStore, addresses: &Addresses, driver: u32) -> io::Result<()> {
+/// Answers polls and watches on one connection until it ends.
+fn serve(mut stream: TcpStream, store: &SharedStore, addresses: &Addresses, driver: u32) -> io::Result<()> {
     let mut lines = BufReader::new(stream.try_clone()?);
-    loop {
+    while let Some(request) = Request::read(&mut lines)? {
+        let until = Instant::now() + request.wait;
+        let mut list = endpoint_list(store, addresses);
+        while request.is_waiting_for_newer(&list) && Instant::now() < until {
+            thread::sleep(POLL_INTERVAL);
+            list = endpoint_list(store, addresses);
+        }
+        // While stalled, neither a poll nor a watch that was open before is answered.
+        while is_discovery_stalled(store, driver) {
+            thread::sleep(POLL_INTERVAL);
+        }
+        if request.is_waiting_for_newer(&list) {
+            list["endpoints"] = json!([]);
+            list["snapshot"] = json!(false);
+        }
+        let body = list.to_string();
+        let length = body.len();
+        write!(
+            stream,
+            "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}"
+        )?;
+    }
+    Ok(())
+}
+
+/// A request's query.
+struct Request {
+    /// The index that the client has, if it watches.
+    after: Option<u64>,
+    /// How long a watch waits for a newer index.
+    wait: Duration,
+}
+
+impl Request {
+    /// Reads a request up to the empty line behind its headers; `None` at the connection's end.
+    fn read(lines: &mut impl BufRead) -> io::Result<Option<Request>> {
         let mut first = String::new();
         if lines.read_line(&mut first)? == 0 {
-            return Ok(());
+            return Ok(None);
         }
         let mut line = first.clone();
         while line.trim() != "" {
             line.clear();
             if lines.read_line(&mut line)? == 0 {
-                return Ok(());
+                return Ok(None);
             }
         }
         let path = first.split(' ').nth(1).unwrap_or_default();
@@ -87,29 +119,16 @@
             let fields = query.split('&').filter_map(|f| f.split_once('='));
             fields
                 .filter(|(n, _)| *n == name)
-                .find_map(|(_, v)| v.parse().ok())
+                .find_map(|(_, value)| value.parse().ok())
         };
-        let until = Instant::now() + Duration::from_millis(field("wait_ms").unwrap_or(0).min(60_000));
-        let mut list = endpoint_list(store, addresses);
-        while field("after").is_some_and(|after| list["index"].as_u64() <= Some(after))
-            && Instant::now() < until
-        {
-            thread::sleep(Duration::from_millis(5));
-            list = endpoint_list(store, addresses);
-        }
-        // While stalled, neither a poll nor a watch that was open before is answered.
-        while is_discovery_stalled(store, driver) {
-            thread::sleep(Duration::from_millis(5));
-        }
-        if field("after").is_some_and(|after| list["index"].as_u64() <= Some(after)) {
-            list["endpoints"] = json!([]);
-            list["snapshot"] = json!(false);
-        }
-        let body = list.to_string();
-        let length = body.len();
-        write!(
-            stream,
-            "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}"
-        )?;
+        Ok(Some(Request {
+            after: field("after"),
+            wait: Duration::from_millis(field("wait_ms").unwrap_or(0)).min(MAX_WAIT),
+        }))
+    }
+
+    fn is_waiting_for_newer(&self, list: &Value) -> bool {
+        self.after
+            .is_some_and(|after| list["index"].as_u64() <= Some(after))
     }
 }
--- a/crates/testbed/src/member.rs
+++ b/crates/testbed/src/member.rs
@@ -24,6 +24,15 @@
 
 /// Starts a member; returns the address at which it listens.
 pub fn start(store: &SharedStore, member: u32) -> io::Result<SocketAddr> {
+    let shared = store.clone();
+    listen(store, move |stream| serve(stream, &shared, member))
+}
+
+/// Listens on a free port of loopback, with a thread a connection, until the store is shut down.
+pub(crate) fn listen(
+    store: &SharedStore,
+    serve: impl Fn(TcpStream) -> io::Result<()> + Clone + Send + 'static,
+) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     let store = store.clone();
@@ -32,9 +41,9 @@
             if lock(&store).is_shut_down {
                 return;
             }
-            let store = store.clone();
+            let serve = serve.clone();
             // A connection that breaks ends its thread and is reported nowhere.
-            thread::spawn(move || drop(serve(stream, &store, member)));
+            thread::spawn(move || drop(serve(stream)));
         }
     });
     Ok(address)
--- a/crates/testbed/src/store_model.rs
+++ b/crates/testbed/src/store_model.rs
@@ -317,20 +317,36 @@
             .entry(member)
             .or_default()
             .push_back((now, service_time));
-        let cold = |m: u32| self.last_start(now, m).filter(|at| now - *at < WARM_UP_TIME);
-        let Some(last_start) = cold(member) else { return };
-        let sum = |m: &u32| {
-            self.recent_work
-                .get(m)
-                .map_or(0, |q| q.iter().map(|(_, w)| w.0).sum::<u64>())
-        };
-        let warm: Vec<u32> = self.members().filter(|m| cold(*m).is_none()).collect();
-        let carried =
-            warm.iter().map(sum).sum::<u64>() as f64 / warm.len().max(1) as f64 / OVERLOAD_WINDOW.0 as f64;
-        let warmth = INITIAL_CAPACITY_FRACTION
-            + (1.0 - INITIAL_CAPACITY_FRACTION) * (now - last_start).ratio(WARM_UP_TIME);
-        let bears = carried.max(MIN_CAPACITY_CORES) * warmth * OVERLOAD_MULTIPLE * OVERLOAD_WINDOW.0 as f64;
-        self.overloads_while_warming_up += u64::from(sum(&member) as f64 > bears);
+        if let Some(capacity) = self.slow_start_capacity(now, member) {
+            let limit = capacity * OVERLOAD_MULTIPLE * OVERLOAD_WINDOW.0 as f64;
+            let is_overloaded = self.work_in_window(member) as f64 > limit;
+            self.overloads_while_warming_up += u64::from(is_overloaded);
+        }
+    }
+
+    /// When a member that is in slow start at `now` was restarted.
+    fn slow_start_begin(&self, now: Timestamp, member: u32) -> Option<Timestamp> {
+        self.last_start(now, member).filter(|at| now - *at < WARM_UP_TIME)
+    }
+
+    /// Microseconds of work that a member got within the window.
+    fn work_in_window(&self, member: u32) -> u64 {
+        let work = self.recent_work.get(&member);
+        work.map_or(0, |work| work.iter().map(|(_, time)| time.0).sum())
+    }
+
+    /// Capacity, in cores, of a member in slow start; `None` for any other.
+    fn slow_start_capacity(&self, now: Timestamp, member: u32) -> Option<f64> {
+        let begin = self.slow_start_begin(now, member)?;
+        let warm: Vec<u32> = self
+            .members()
+            .filter(|other| self.slow_start_begin(now, *other).is_none())
+            .collect();
+        let total: u64 = warm.iter().map(|other| self.work_in_window(*other)).sum();
+        let mean_load = total as f64 / warm.len().max(1) as f64 / OVERLOAD_WINDOW.0 as f64;
+        let progress = (now - begin).ratio(WARM_UP_TIME);
+        let fraction = INITIAL_CAPACITY_FRACTION + (1.0 - INITIAL_CAPACITY_FRACTION) * progress;
+        Some(mean_load.max(MIN_CAPACITY_CORES) * fraction)
     }
 
     /// Executes a complete statement at a member.
