--- a/Makefile
+++ b/Makefile
@@ -11,6 +11,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --lib --no-deps --locked
 
 # Stand-in members, discovery and clients around the built program, ten seconds of load with faults, and a judge.
 demo: build
