--- a/crates/driver/src/program/phases.rs
+++ b/crates/driver/src/program/phases.rs
@@ -70,6 +70,11 @@
 }
 
 impl Phases {
+    /// The current phase.
+    pub fn phase(&self) -> Phase {
+        self.phase
+    }
+
     /// Goes one phase on, if it is time for that.
     pub fn advance(&mut self, now: Timestamp, seen: &Seen) -> Option<Phase> {
         if seen.open_statements > 0 {
--- /dev/null
+++ b/crates/driver/src/program/serve/check.rs
@@ -0,0 +1,37 @@
+//! `asterlatch check`.
+
+use crate::program::config::Config;
+use crate::program::operators;
+use std::net::TcpListener;
+
+/// Checks whether this configuration and this operators' file could be served, by everything that serving needs of them,
+/// and prints a summary. It binds the listen address for a moment.
+///
+/// # Errors
+/// If the operators' file is faulty or the listen address can't be bound.
+pub fn check(config: &Config, operators_file: Option<&str>) -> Result<(), String> {
+    if let Some(path) = operators_file {
+        check_operators_file(config, path)?;
+    }
+    let address = config.listen;
+    TcpListener::bind(address).map_err(|e| format!("{address}: {e}"))?;
+    let members = config.known.as_ref().map_or(0, |list| list.entries.len());
+    let (settings, _) = &config.settings;
+    let workloads = settings.workloads.len();
+    println!("{}: {workloads} workloads, {members} members known", config.name);
+    Ok(())
+}
+
+/// Prints warnings on standard error.
+fn check_operators_file(config: &Config, path: &str) -> Result<(), String> {
+    let outcome = operators::read(path, operators::machine(config));
+    let text = outcome.text();
+    let text = text.trim_end();
+    if outcome.meaning.is_none() {
+        return Err(format!("the operators' file is faulty\n{text}"));
+    }
+    if !text.is_empty() {
+        eprintln!("{text}");
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -0,0 +1,168 @@
+//! What the process does between the event loop's waits: signals, reloads, upgrades, phases.
+
+use super::deferred_services::DeferredServices;
+use crate::program::config::Config;
+use crate::program::counters;
+use crate::program::log::{log, Log};
+use crate::program::operators::{self, Operators};
+use crate::program::phases::{Phase, Phases, Seen};
+use crate::program::upgrade::{Takeover, Upgrades};
+use crate::routing::event_loop::EventLoop;
+use crate::routing::events::ControlEvent;
+use asterlatch::time::Timestamp;
+use asterlatch_config::registry::Machine;
+
+/// Everything that steers the event loop from outside. Only the event loop's thread uses it.
+pub(super) struct ControlLoop<'a, F> {
+    pub(super) config: &'a Config,
+    /// Reads the configuration again.
+    pub(super) load_config: F,
+    /// Limits of the machine that the operators' file is checked against.
+    pub(super) machine: Machine,
+    /// The side of a successor, while its predecessor is there.
+    pub(super) takeover: Option<Takeover>,
+    /// The side of a predecessor.
+    pub(super) upgrades: Upgrades,
+    pub(super) operators: Operators,
+    pub(super) phases: Phases,
+    pub(super) services: DeferredServices<'a>,
+    pub(super) is_shutting_down: bool,
+}
+
+impl<F: Fn() -> Result<Config, String>> ControlLoop<'_, F> {
+    /// Does what is due, and returns when to run again at the latest; `None` once the process has stopped.
+    pub(super) fn advance_to(
+        &mut self,
+        event_loop: &mut EventLoop<Log>,
+        now: Timestamp,
+    ) -> Option<Timestamp> {
+        for event in event_loop.take_control_events() {
+            self.on_control_event(event_loop, now, event);
+        }
+        self.operators
+            .steer(event_loop, &mut self.phases, now, self.machine);
+        self.upgrades.bound(self.operators.upgrade_times);
+        let may_begin = self.may_begin_upgrade();
+        self.upgrades.steer(event_loop, now, may_begin);
+        self.is_shutting_down |= self.upgrades.is_over;
+        self.advance_takeover(event_loop, now);
+        let takeover_at = self
+            .takeover
+            .as_ref()
+            .map_or(Timestamp(u64::MAX), |takeover| takeover.next_at(now));
+        if self.advance_phases(event_loop, now) == Phase::Stopped {
+            return None;
+        }
+        let deadlines = [
+            self.phases.next_at(now),
+            self.operators.next_at(),
+            self.upgrades.next_at(),
+            takeover_at,
+        ];
+        deadlines.into_iter().min()
+    }
+
+    /// Not before the predecessor has left, nor in shutdown.
+    fn may_begin_upgrade(&self) -> bool {
+        self.takeover.is_none() && !self.is_shutting_down
+    }
+
+    fn on_control_event(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, event: ControlEvent) {
+        match event {
+            ControlEvent::Shutdown => {
+                self.upgrades.leave(event_loop, now);
+                self.is_shutting_down = true;
+            }
+            ControlEvent::Upgrade if self.may_begin_upgrade() => self.upgrades.asked(event_loop, now),
+            ControlEvent::Upgrade => log!(
+                event_loop.observer,
+                now,
+                "upgrade",
+                "not begun: this process is on probation, or leaves"
+            ),
+            ControlEvent::ReportMetrics => report_metrics(event_loop, now),
+            ControlEvent::Reload => self.reload(event_loop, now),
+            ControlEvent::WakeUp => {}
+        }
+    }
+
+    /// Reads the configuration again; one that can't be read in whole changes nothing. The operators' file follows.
+    fn reload(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        match (self.load_config)() {
+            Ok(newer) => {
+                self.machine = operators::machine(&newer);
+                apply_config(event_loop, now, self.config, &newer);
+            }
+            Err(error) => {
+                event_loop.metrics.reloads_failed += 1;
+                log!(
+                    event_loop.observer,
+                    now,
+                    "configuration",
+                    "kept as it was: {error}"
+                );
+            }
+        }
+        self.operators.changed(self.machine);
+    }
+
+    /// Once the predecessor has left, what belongs to one process starts here.
+    fn advance_takeover(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        let Some(takeover) = &mut self.takeover else {
+            return;
+        };
+        takeover.steer(event_loop, now);
+        if takeover.is_over() {
+            self.takeover = None;
+            self.services.start_late(event_loop, now);
+        }
+    }
+
+    /// Enters all phases that are due, and returns the last one.
+    fn advance_phases(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) -> Phase {
+        let seen = Seen {
+            told_to_leave: self.is_shutting_down,
+            listening: event_loop.is_listening(),
+            listener_closed: event_loop.is_listener_closed(),
+            // Clients that still wait to be sent to a successor are held here.
+            open_clients: event_loop.open_clients() + self.upgrades.pending(),
+            open_statements: event_loop.open_statements(),
+        };
+        while let Some(phase) = self.phases.advance(now, &seen) {
+            let name = &self.config.name;
+            log!(event_loop.observer, now, "phase", "{name} is {}", phase.name());
+            match phase {
+                Phase::Draining { .. } => event_loop.begin_drain(),
+                Phase::Stopped => event_loop.leave_gossip(),
+                Phase::Starting | Phase::Serving | Phase::Leaving { .. } => {}
+            }
+        }
+        self.phases.phase()
+    }
+}
+
+/// Puts in force what of a newer configuration doesn't need a restart, and logs the rest.
+fn apply_config(event_loop: &mut EventLoop<Log>, now: Timestamp, config: &Config, newer: &Config) {
+    event_loop.metrics.reloads += 1;
+    event_loop.set_config(now, newer.runtime);
+    let unchanged = config.kept(newer);
+    let note = if unchanged.is_empty() {
+        String::new()
+    } else {
+        format!("; kept until the next start: {}", unchanged.join(", "))
+    };
+    let discovery = newer.runtime.discovery;
+    log!(
+        event_loop.observer,
+        now,
+        "configuration",
+        "read again, discovery at {discovery}{note}"
+    );
+}
+
+/// Logs all metrics in one line.
+pub(super) fn report_metrics(event_loop: &mut EventLoop<Log>, now: Timestamp) {
+    event_loop.metrics.log_lines_left_out = event_loop.observer.left_out;
+    let line = counters::line(&event_loop.metrics);
+    log!(event_loop.observer, now, "counters", "{line}");
+}
--- /dev/null
+++ b/crates/driver/src/program/serve/deferred_services.rs
@@ -0,0 +1,104 @@
+//! Gossip and the control socket, which belong to one process of the service at a time.
+
+use super::startup::Startup;
+use crate::program::config::Config;
+use crate::program::log::{log, Log};
+use crate::program::operators::Given;
+use crate::program::sharing::{self, Line, Shares};
+use crate::program::upgrade::{self, Ask};
+use crate::routing::event_loop::EventLoop;
+use crate::routing::events::Event;
+use crate::transport::clock::Clock;
+use asterlatch::time::Timestamp;
+use asterlatch_config::meaning::Meaning;
+use std::path::Path;
+use std::sync::mpsc::Sender;
+
+/// The control socket before it listens.
+struct PendingControlSocket<'a> {
+    path: &'a Path,
+    upgrade_requests: Sender<Ask>,
+}
+
+/// Gossip and the control socket. A successor starts them once its predecessor has left: while that may have to serve
+/// on, it keeps its name among the other drivers and its socket.
+pub(super) struct DeferredServices<'a> {
+    config: &'a Config,
+    clock: Clock,
+    queue: Sender<Event>,
+    shares: Option<Shares>,
+    state_folder: Option<&'a Path>,
+    control_socket: Option<PendingControlSocket<'a>>,
+}
+
+impl<'a> DeferredServices<'a> {
+    /// Nothing is started yet.
+    pub(super) fn new(
+        startup: &Startup<'a>,
+        meaning: &Meaning,
+        given: &'a Given,
+        control_path: Option<&'a Path>,
+        upgrade_requests: Sender<Ask>,
+    ) -> DeferredServices<'a> {
+        DeferredServices {
+            config: startup.config,
+            clock: startup.clock,
+            queue: startup.queue.clone(),
+            shares: Shares::of(meaning),
+            state_folder: given.state.as_deref(),
+            control_socket: control_path.map(|path| PendingControlSocket {
+                path,
+                upgrade_requests,
+            }),
+        }
+    }
+
+    /// Tells the event loop that gossip starts later, if this driver takes part in it.
+    pub(super) fn defer(&self, event_loop: &mut EventLoop<Log>) {
+        if self.shares.is_some() {
+            event_loop.defer_gossip();
+        }
+    }
+
+    /// Starts both.
+    ///
+    /// # Errors
+    /// If either can't be started; the control socket is left out if gossip fails.
+    pub(super) fn start(&mut self, event_loop: &mut EventLoop<Log>) -> Result<(), String> {
+        let gossip = self.start_gossip(event_loop)?;
+        self.start_control_socket(gossip)
+    }
+
+    /// Starts both in a process that already serves: failures are logged.
+    pub(super) fn start_late(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        let gossip = self.start_gossip(event_loop).unwrap_or_else(|error| {
+            log!(event_loop.observer, now, "fleet", "nothing is shared: {error}");
+            None
+        });
+        if let Err(error) = self.start_control_socket(gossip) {
+            log!(
+                event_loop.observer,
+                now,
+                "upgrade",
+                "no further one can be asked for: {error}"
+            );
+        }
+    }
+
+    fn start_gossip(&self, event_loop: &mut EventLoop<Log>) -> Result<Option<Line>, String> {
+        let Some(shares) = &self.shares else {
+            return Ok(None);
+        };
+        let queue = self.queue.clone();
+        let (gossip, line) = sharing::start(shares, self.config, self.clock, queue, self.state_folder)?;
+        event_loop.join_gossip(gossip);
+        Ok(Some(line))
+    }
+
+    fn start_control_socket(&mut self, gossip: Option<Line>) -> Result<(), String> {
+        let Some(socket) = self.control_socket.take() else {
+            return Ok(());
+        };
+        upgrade::control(socket.path, self.queue.clone(), socket.upgrade_requests, gossip)
+    }
+}
--- /dev/null
+++ b/crates/driver/src/program/serve/startup.rs
@@ -0,0 +1,89 @@
+//! Makes the event loop and its listener.
+
+use super::connectors::connectors;
+use crate::program::config::Config;
+use crate::program::log::{log, Log};
+use crate::program::upgrade::{Resumed, Takeover};
+use crate::protocol::client_session::ClientSession;
+use crate::routing::event_loop::{EventLoop, EventLoopOptions};
+use crate::routing::events::Event;
+use crate::routing::limits::Limits;
+use crate::routing::runtime_config::MemoryBudgets;
+use crate::transport::clock::Clock;
+use crate::transport::io_journal::IoJournalWriter;
+use crate::transport::listener;
+use std::net::TcpListener;
+use std::sync::mpsc::Sender;
+
+/// What the parts of the process are made of.
+pub(super) struct Startup<'a> {
+    pub(super) config: &'a Config,
+    pub(super) clock: Clock,
+    /// Queue of the event loop.
+    pub(super) queue: Sender<Event>,
+    pub(super) memory: MemoryBudgets,
+    /// Records the I/O of clients while a predecessor may have to go on with them.
+    pub(super) journal: Option<IoJournalWriter>,
+}
+
+impl Startup<'_> {
+    /// An event loop that goes on from the predecessor's state, or starts with the configured endpoint list.
+    pub(super) fn event_loop(&self, limits: Limits, resumed: Option<Resumed>) -> EventLoop<Log> {
+        let options = EventLoopOptions {
+            seed: self.config.seed,
+            connectors: connectors(self),
+            journal: self.journal.clone(),
+            config: self.config.runtime,
+            limits,
+            memory: self.memory.clone(),
+        };
+        let (settings, decoding) = &self.config.settings;
+        let now = self.clock.now();
+        let mut event_loop = EventLoop::new(settings, decoding.clone(), options, now, Log::default());
+        if let Some(resumed) = resumed {
+            event_loop.resume(self.clock.now(), settings, resumed.learned);
+        } else if let Some(list) = &self.config.known {
+            event_loop.start_with_list(self.clock.now(), list);
+        }
+        event_loop
+    }
+
+    /// The predecessor's listener, else a new one.
+    pub(super) fn bind_or_inherit(&self, takeover: Option<&mut Takeover>) -> Result<TcpListener, String> {
+        let address = self.config.listen;
+        match takeover.and_then(Takeover::listener) {
+            Some(listener) => Ok(listener),
+            None => TcpListener::bind(address).map_err(|e| format!("{address}: {e}")),
+        }
+    }
+
+    /// Accepts clients, at first none if `is_paused`.
+    pub(super) fn listen(
+        &self,
+        event_loop: &mut EventLoop<Log>,
+        listener: TcpListener,
+        is_paused: bool,
+    ) -> Result<(), String> {
+        let memory = self.memory.clients.clone();
+        let session_memory = memory.clone();
+        let journal = self.journal.clone();
+        let new_session =
+            move |id| ClientSession::new(id, session_memory.clone()).with_journal(journal.clone());
+        let listening = listener::listen::<_, Event>(
+            listener,
+            is_paused,
+            self.queue.clone(),
+            (self.clock, memory),
+            new_session,
+        );
+        event_loop.attach_listener(listening.map_err(|e| format!("{}: {e}", self.config.listen))?);
+        Ok(())
+    }
+
+    /// Logs lines, each under its topic.
+    pub(super) fn log_all(&self, event_loop: &mut EventLoop<Log>, lines: &[(&'static str, String)]) {
+        for (topic, line) in lines {
+            log!(event_loop.observer, self.clock.now(), topic, "{line}");
+        }
+    }
+}
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -10,7 +10,8 @@
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::{CoServingMessage, CoServingState};
 use asterlatch_handover::message::HandoverMessage;
-pub use control::{control, request};
+pub use control::{control, request, Ask};
+pub use handover::Resumed;
 pub use new::{inherited, Takeover};
 pub use old::Upgrades;
 
