--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -2,7 +2,7 @@
 
 use asterlatch_driver::program::config::{self, Config};
 use asterlatch_driver::program::log::{self, Format};
-use asterlatch_driver::program::{commands, operators, recover, serve, sharing, upgrade};
+use asterlatch_driver::program::{commands, control_socket, operators, recover, serve, sharing};
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -119,7 +119,7 @@
             load(&config).and_then(|c| serve::check(&c, operators.as_deref()))
         }
         Command::Config(command) => return ExitCode::from(commands::run(&command)),
-        Command::Upgrade { control, to } => match upgrade::request(&control, &to) {
+        Command::Upgrade { control, to } => match control_socket::request(&control, &to) {
             Ok(true) => Ok(()),
             Ok(false) => return ExitCode::FAILURE,
             Err(fault) => Err(fault),
--- a/crates/driver/src/program/mod.rs
+++ b/crates/driver/src/program/mod.rs
@@ -2,9 +2,8 @@
 
 pub mod commands;
 pub mod config;
+pub mod control_socket;
 pub mod counters;
-mod keeping;
-mod kept;
 pub mod log;
 pub mod operators;
 pub mod phases;
@@ -12,4 +11,5 @@
 pub mod serve;
 pub mod sharing;
 pub mod signals;
+mod snapshot_writer;
 pub mod upgrade;
--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -1,8 +1,8 @@
 //! `asterlatch recover`: reads what a driver has kept, and says what its next start would trust of that, and why. Nothing is
 //! written, and no service is asked.
 
-use super::keeping;
 use super::sharing::written;
+use super::snapshot_writer;
 use crate::transport::clock::Clock;
 use asterlatch_gossip::snapshot::{self, SnapshotError};
 use asterlatch_recovery::report::{self, RecoveryReport, StoredRecord};
@@ -11,8 +11,8 @@
 
 /// What a start on this folder would make of it, for the driver of this name, or for whoever the copy says it is.
 fn look(folder: &Path, name: Option<&str>, clock: &Clock) -> Result<(Value, RecoveryReport), String> {
-    let bytes =
-        keeping::read(folder)?.ok_or_else(|| format!("{}: nothing was ever kept there", folder.display()))?;
+    let bytes = snapshot_writer::read(folder)?
+        .ok_or_else(|| format!("{}: nothing was ever kept there", folder.display()))?;
     let whose = snapshot::read_owner(&bytes);
     let owner = whose.clone().unwrap_or_default();
     let read = snapshot::read(&bytes, &owner.fleet, name.unwrap_or(&owner.name));
--- a/crates/driver/src/program/serve/deferred_services.rs
+++ b/crates/driver/src/program/serve/deferred_services.rs
@@ -2,10 +2,10 @@
 
 use super::startup::Startup;
 use crate::program::config::Config;
+use crate::program::control_socket::{self, Ask};
 use crate::program::log::{log, Log};
 use crate::program::operators::Given;
 use crate::program::sharing::{self, Line, Shares};
-use crate::program::upgrade::{self, Ask};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::Event;
 use crate::transport::clock::Clock;
@@ -99,6 +99,6 @@
         let Some(socket) = self.control_socket.take() else {
             return Ok(());
         };
-        upgrade::control(socket.path, self.queue.clone(), socket.upgrade_requests, gossip)
+        control_socket::control(socket.path, self.queue.clone(), socket.upgrade_requests, gossip)
     }
 }
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -1,7 +1,7 @@
 //! The thread that speaks with other drivers: carries datagrams to the engine of `asterlatch-gossip` and out of it, and its
 //! news to the event loop. It keeps no statement waiting: the event loop speaks to it by words, and hears by its own queue.
 
-use super::keeping::{self, Job};
+use super::snapshot_writer::{self, Job};
 use crate::program::config::Config;
 use crate::program::operators::registry;
 use crate::routing::events::Event;
@@ -225,7 +225,7 @@
 
 /// What a former life of this driver has kept.
 fn former(folder: &Path, settings: &NodeSettings) -> Former {
-    match keeping::read(folder) {
+    match snapshot_writer::read(folder) {
         Ok(None) => Former::default(),
         Ok(Some(bytes)) => {
             let read = snapshot::read(&bytes, &settings.fleet, &settings.name);
@@ -268,7 +268,7 @@
 struct Keeping {
     keeper: SnapshotSchedule,
     jobs: SyncSender<Job>,
-    done: Receiver<keeping::Done>,
+    done: Receiver<snapshot_writer::Done>,
     writer: Option<snapshot::SnapshotEncoder>,
 }
 
@@ -283,7 +283,7 @@
         };
         Ok(Keeping {
             keeper: SnapshotSchedule::new(now, every),
-            jobs: keeping::start(folder, told)?,
+            jobs: snapshot_writer::start(folder, told)?,
             done,
             writer: None,
         })
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -1,19 +1,18 @@
 //! Carries out what the two sides of a takeover decide. All waiting is done on threads beside the event loop's.
 
-pub mod control;
-mod handover;
-pub mod new;
-pub mod old;
+mod handover_state;
+pub mod predecessor;
+mod retained_clients;
+pub mod successor;
 
 use super::log::Log;
 use crate::routing::event_loop::EventLoop;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::co_serving::{CoServingMessage, CoServingState};
 use asterlatch_handover::message::HandoverMessage;
-pub use control::{control, request, Ask};
-pub use handover::Resumed;
-pub use new::{inherited, Takeover};
-pub use old::Upgrades;
+pub use handover_state::Resumed;
+pub use predecessor::Upgrades;
+pub use successor::{inherited, Takeover};
 
 /// Names the descriptor of the socket to the former process, where there is one.
 pub const VARIABLE: &str = "ASTERLATCH_TAKEOVER";
--- a/crates/driver/src/program/upgrade/old.rs
+++ b/crates/driver/src/program/upgrade/predecessor.rs
@@ -1,9 +1,9 @@
 //! The side that serves: starts and kills the new process, sends state, listener, clients and connections.
 
-use super::control::Ask;
-use super::handover::written;
+use super::handover_state::written;
+use super::retained_clients::Kept;
 use super::{bind, words, VARIABLE};
-use crate::program::kept::Kept;
+use crate::program::control_socket::Ask;
 use crate::program::log::{log, Log};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::{ControlEvent, Event};
--- a/crates/driver/src/program/upgrade/new.rs
+++ b/crates/driver/src/program/upgrade/successor.rs
@@ -1,6 +1,6 @@
 //! The side of the new process: takes state, listener and clients over, and writes down what it does on probation.
 
-use super::handover::{read, Resumed};
+use super::handover_state::{read, Resumed};
 use super::{bind, words, VARIABLE};
 use crate::program::config::Config;
 use crate::program::log::{log, Log};
