--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -113,16 +113,18 @@
                 state: operators.state,
                 strict: operators.strict,
             };
-            load(&config).and_then(|c| serve::serve(c, || load(&config), &given, control.as_deref()))
+            load(&config).and_then(|c| {
+                serve::serve(c, || load(&config), &given, control.as_deref()).map_err(|e| e.to_string())
+            })
         }
         Command::Check { config, operators } => {
-            load(&config).and_then(|c| serve::check(&c, operators.as_deref()))
+            load(&config).and_then(|c| serve::check(&c, operators.as_deref()).map_err(|e| e.to_string()))
         }
         Command::Config(command) => return ExitCode::from(commands::run(&command)),
-        Command::Upgrade { control, to } => match control_socket::request(&control, &to) {
+        Command::Upgrade { control, to } => match control_socket::request_upgrade(&control, &to) {
             Ok(true) => Ok(()),
             Ok(false) => return ExitCode::FAILURE,
-            Err(fault) => Err(fault),
+            Err(error) => Err(error.to_string()),
         },
         Command::Fleet { what, control, json } => match sharing::request(&control, what, json) {
             Ok(true) => Ok(()),
--- a/crates/driver/src/program/control_socket.rs
+++ b/crates/driver/src/program/control_socket.rs
@@ -1,99 +1,167 @@
-//! The socket at which upgrades and the fleet's state are asked for.
+//! The control socket: operators ask it for upgrades and for the state of the fleet, one line a connection.
 
 use crate::program::sharing::{Line, Show, What};
 use crate::routing::events::{ControlEvent, Event};
-use std::io::{self, BufRead, BufReader, Write};
+use std::fs::Permissions;
+use std::io::{self, BufRead, BufReader, Read, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::Sender;
 use std::time::Duration;
+use thiserror::Error;
 
-/// Who asks for an upgrade: to which program, and whom to tell.
-pub struct Ask {
-    pub binary: PathBuf,
-    pub reply: UnixStream,
+/// Whoever sends no request delays those behind it by no more than this.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest request in bytes.
+const MAX_REQUEST: u64 = 4096;
+/// Only the process's user may connect.
+const SOCKET_MODE: u32 = 0o600;
+
+/// The control socket can't be opened or used.
+#[derive(Debug, Error)]
+#[error("{}: {source}", path.display())]
+pub struct ControlSocketError {
+    path: PathBuf,
+    source: io::Error,
+}
+
+impl ControlSocketError {
+    fn at(path: &Path) -> impl Fn(io::Error) -> ControlSocketError + '_ {
+        |source| ControlSocketError {
+            path: path.to_owned(),
+            source,
+        }
+    }
+}
+
+/// A request for an upgrade.
+pub struct UpgradeRequest {
+    /// Program of the successor.
+    pub program: PathBuf,
+    /// Connection on which the progress is reported, a line each.
+    pub requester: UnixStream,
 }
 
-/// Listens for `asterlatch upgrade` at this path. Only who runs as this process's user may ask.
-pub fn control(
+/// Where requests go.
+struct RequestHandler {
+    queue: Sender<Event>,
+    upgrade_requests: Sender<UpgradeRequest>,
+    /// Set if this driver takes part in gossip.
+    gossip: Option<Line>,
+}
+
+/// Listens at this path on a thread of its own, for processes of this user. Upgrade requests wake the event loop by
+/// `queue`; questions about the fleet go to the gossip thread.
+///
+/// # Errors
+/// If the socket can't be made at this path or the thread can't be started.
+pub fn listen(
     path: &Path,
     queue: Sender<Event>,
-    asks: Sender<Ask>,
-    fleet: Option<Line>,
-) -> Result<(), String> {
-    let told = |e: io::Error| format!("{}: {e}", path.display());
-    // What a former process left there, or still holds: its own stands without the name.
+    upgrade_requests: Sender<UpgradeRequest>,
+    gossip: Option<Line>,
+) -> Result<(), ControlSocketError> {
+    let handler = RequestHandler {
+        queue,
+        upgrade_requests,
+        gossip,
+    };
+    bind(path)
+        .and_then(|listener| spawn(listener, handler))
+        .map_err(ControlSocketError::at(path))
+}
+
+fn bind(path: &Path) -> io::Result<UnixListener> {
+    // A former process may have left its socket there, or may still listen: without the name nobody reaches it.
     match std::fs::remove_file(path) {
-        Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(told(e)),
+        Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
     }
-    let listener = UnixListener::bind(path).map_err(told)?;
-    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(told)?;
-    let own = rustix::process::getuid();
-    let take = move || {
+    let listener = UnixListener::bind(path)?;
+    std::fs::set_permissions(path, Permissions::from_mode(SOCKET_MODE))?;
+    Ok(listener)
+}
+
+fn spawn(listener: UnixListener, handler: RequestHandler) -> io::Result<()> {
+    let own_user = rustix::process::getuid();
+    let serve_all = move || {
         for stream in listener.incoming().flatten() {
             let peer = rustix::net::sockopt::socket_peercred(&stream);
-            if peer.map_or(true, |p| p.uid != own) {
-                continue;
-            }
-            // Who says nothing holds up only who asks after it, and not for long.
-            let _ = stream.set_read_timeout(Some(Duration::from_secs(2)));
-            let Ok(reader) = stream.try_clone() else { continue };
-            let mut line = String::new();
-            let read = BufReader::new(io::Read::take(reader, 4096)).read_line(&mut line);
-            if read.is_err() {
-                continue;
-            }
-            let line = line.trim_end_matches('\n');
-            let taken = match line.split_once(' ') {
-                Some(("upgrade", binary)) => {
-                    let ask = Ask {
-                        binary: PathBuf::from(binary),
-                        reply: stream,
-                    };
-                    asks.send(ask).is_ok() && queue.send(Event::Control(ControlEvent::WakeUp)).is_ok()
-                }
-                Some(("fleet", wish)) => {
-                    show(wish, stream, fleet.as_ref());
-                    true
-                }
-                _ => true,
-            };
-            if !taken {
+            if peer.is_ok_and(|peer| peer.uid == own_user) && !handler.serve(stream) {
                 return;
             }
         }
     };
-    let thread = std::thread::Builder::new().name("control".to_owned());
-    thread.spawn(take).map(drop).map_err(told)
+    std::thread::Builder::new()
+        .name("control".to_owned())
+        .spawn(serve_all)?;
+    Ok(())
 }
 
-/// `status table`, `facts json` and the like: answered by the thread that speaks with other drivers.
-fn show(wish: &str, mut reply: UnixStream, fleet: Option<&Line>) {
-    let (what, form) = wish.split_once(' ').unwrap_or((wish, "table"));
-    match (What::named(what), fleet) {
-        (Some(what), Some(fleet)) => {
-            let json = form == "json";
-            fleet.show(Show { what, json, reply });
+impl RequestHandler {
+    /// Reads one request and passes it on; whether the event loop is still there.
+    fn serve(&self, stream: UnixStream) -> bool {
+        let Ok(request) = read_request(&stream) else {
+            return true;
+        };
+        match request.split_once(' ') {
+            Some(("upgrade", program)) => self.request_upgrade(program, stream),
+            Some(("fleet", arguments)) => {
+                self.show_fleet(arguments, stream);
+                true
+            }
+            _ => true,
         }
-        (_, None) => drop(writeln!(
-            reply,
-            "failed: nothing is shared with other drivers: shared.port of the operators' file is 0"
-        )),
-        (None, _) => drop(writeln!(reply, "failed: '{what}' is not known here")),
     }
+
+    fn request_upgrade(&self, program: &str, requester: UnixStream) -> bool {
+        let request = UpgradeRequest {
+            program: PathBuf::from(program),
+            requester,
+        };
+        self.upgrade_requests.send(request).is_ok()
+            && self.queue.send(Event::Control(ControlEvent::WakeUp)).is_ok()
+    }
+
+    /// `status table`, `facts json` and the like, which the gossip thread answers.
+    fn show_fleet(&self, arguments: &str, mut reply: UnixStream) {
+        let (name, format) = arguments.split_once(' ').unwrap_or((arguments, "table"));
+        let answer = match (What::named(name), &self.gossip) {
+            (Some(what), Some(gossip)) => {
+                let json = format == "json";
+                return gossip.show(Show { what, json, reply });
+            }
+            (_, None) => {
+                "failed: nothing is shared with other drivers: shared.port of the operators' file is 0"
+                    .to_owned()
+            }
+            (None, Some(_)) => format!("failed: '{name}' is not known here"),
+        };
+        let _ = writeln!(reply, "{answer}");
+    }
+}
+
+fn read_request(stream: &UnixStream) -> io::Result<String> {
+    let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
+    let mut line = String::new();
+    BufReader::new(stream.try_clone()?.take(MAX_REQUEST)).read_line(&mut line)?;
+    line.truncate(line.trim_end_matches('\n').len());
+    Ok(line)
 }
 
-/// Asks a running service for an upgrade, prints what becomes of it; whether it was done.
-pub fn request(control: &Path, binary: &Path) -> Result<bool, String> {
-    let told = |e: io::Error| format!("{}: {e}", control.display());
-    let mut stream = UnixStream::connect(control).map_err(told)?;
-    let binary = std::path::absolute(binary).map_err(|e| format!("{}: {e}", binary.display()))?;
-    writeln!(stream, "upgrade {}", binary.display()).map_err(told)?;
+/// Asks the service at this control socket for an upgrade to `program`, prints its progress, and returns whether it
+/// succeeded.
+///
+/// # Errors
+/// If the service can't be reached or `program` is no path.
+pub fn request_upgrade(control: &Path, program: &Path) -> Result<bool, ControlSocketError> {
+    let mut stream = UnixStream::connect(control).map_err(ControlSocketError::at(control))?;
+    let program = std::path::absolute(program).map_err(ControlSocketError::at(program))?;
+    writeln!(stream, "upgrade {}", program.display()).map_err(ControlSocketError::at(control))?;
     let mut last = String::new();
     for line in BufReader::new(stream).lines() {
-        last = line.map_err(told)?;
+        last = line.map_err(ControlSocketError::at(control))?;
         println!("{last}");
     }
     Ok(last.starts_with("done"))
--- a/crates/driver/src/program/serve/check.rs
+++ b/crates/driver/src/program/serve/check.rs
@@ -1,5 +1,6 @@
 //! `asterlatch check`.
 
+use super::ServeError;
 use crate::program::config::Config;
 use crate::program::operators;
 use std::net::TcpListener;
@@ -9,12 +10,12 @@
 ///
 /// # Errors
 /// If the operators' file is faulty or the listen address can't be bound.
-pub fn check(config: &Config, operators_file: Option<&str>) -> Result<(), String> {
+pub fn check(config: &Config, operators_file: Option<&str>) -> Result<(), ServeError> {
     if let Some(path) = operators_file {
         check_operators_file(config, path)?;
     }
     let address = config.listen;
-    TcpListener::bind(address).map_err(|e| format!("{address}: {e}"))?;
+    TcpListener::bind(address).map_err(|source| ServeError::Listener { address, source })?;
     let members = config.known.as_ref().map_or(0, |list| list.entries.len());
     let (settings, _) = &config.settings;
     let workloads = settings.workloads.len();
@@ -23,12 +24,14 @@
 }
 
 /// Prints warnings on standard error.
-fn check_operators_file(config: &Config, path: &str) -> Result<(), String> {
+fn check_operators_file(config: &Config, path: &str) -> Result<(), ServeError> {
     let outcome = operators::read(path, operators::machine(config));
     let text = outcome.text();
     let text = text.trim_end();
     if outcome.meaning.is_none() {
-        return Err(format!("the operators' file is faulty\n{text}"));
+        return Err(ServeError::Operators(format!(
+            "the operators' file is faulty\n{text}"
+        )));
     }
     if !text.is_empty() {
         eprintln!("{text}");
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -6,7 +6,7 @@
 use crate::program::log::{log, Log};
 use crate::program::operators::{self, Operators};
 use crate::program::phases::{Phase, Phases, Seen};
-use crate::program::upgrade::{Takeover, Upgrades};
+use crate::program::upgrade::{PredecessorRole, SuccessorRole};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::ControlEvent;
 use asterlatch::time::Timestamp;
@@ -20,9 +20,9 @@
     /// Limits of the machine that the operators' file is checked against.
     pub(super) machine: Machine,
     /// The side of a successor, while its predecessor is there.
-    pub(super) takeover: Option<Takeover>,
+    pub(super) successor: Option<SuccessorRole>,
     /// The side of a predecessor.
-    pub(super) upgrades: Upgrades,
+    pub(super) predecessor: PredecessorRole,
     pub(super) operators: Operators,
     pub(super) phases: Phases,
     pub(super) services: DeferredServices<'a>,
@@ -41,39 +41,41 @@
         }
         self.operators
             .steer(event_loop, &mut self.phases, now, self.machine);
-        self.upgrades.bound(self.operators.upgrade_times);
+        self.predecessor.set_timeouts(self.operators.upgrade_times);
         let may_begin = self.may_begin_upgrade();
-        self.upgrades.steer(event_loop, now, may_begin);
-        self.is_shutting_down |= self.upgrades.is_over;
-        self.advance_takeover(event_loop, now);
-        let takeover_at = self
-            .takeover
+        self.predecessor.advance_to(event_loop, now, may_begin);
+        self.is_shutting_down |= self.predecessor.has_handed_over();
+        self.advance_successor(event_loop, now);
+        let successor_at = self
+            .successor
             .as_ref()
-            .map_or(Timestamp(u64::MAX), |takeover| takeover.next_at(now));
+            .map_or(Timestamp(u64::MAX), |successor| successor.next_at(now));
         if self.advance_phases(event_loop, now) == Phase::Stopped {
             return None;
         }
         let deadlines = [
             self.phases.next_at(now),
             self.operators.next_at(),
-            self.upgrades.next_at(),
-            takeover_at,
+            self.predecessor.next_at(),
+            successor_at,
         ];
         deadlines.into_iter().min()
     }
 
     /// Not before the predecessor has left, nor in shutdown.
     fn may_begin_upgrade(&self) -> bool {
-        self.takeover.is_none() && !self.is_shutting_down
+        self.successor.is_none() && !self.is_shutting_down
     }
 
     fn on_control_event(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, event: ControlEvent) {
         match event {
             ControlEvent::Shutdown => {
-                self.upgrades.leave(event_loop, now);
+                self.predecessor.on_shutdown(event_loop, now);
                 self.is_shutting_down = true;
             }
-            ControlEvent::Upgrade if self.may_begin_upgrade() => self.upgrades.asked(event_loop, now),
+            ControlEvent::Upgrade if self.may_begin_upgrade() => {
+                self.predecessor.upgrade_to_own_program(event_loop, now)
+            }
             ControlEvent::Upgrade => log!(
                 event_loop.observer,
                 now,
@@ -107,13 +109,13 @@
     }
 
     /// Once the predecessor has left, what belongs to one process starts here.
-    fn advance_takeover(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
-        let Some(takeover) = &mut self.takeover else {
+    fn advance_successor(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        let Some(successor) = &mut self.successor else {
             return;
         };
-        takeover.steer(event_loop, now);
-        if takeover.is_over() {
-            self.takeover = None;
+        successor.advance_to(event_loop, now);
+        if successor.is_complete() {
+            self.successor = None;
             self.services.start_late(event_loop, now);
         }
     }
@@ -125,7 +127,7 @@
             listening: event_loop.is_listening(),
             listener_closed: event_loop.is_listener_closed(),
             // Clients that still wait to be sent to a successor are held here.
-            open_clients: event_loop.open_clients() + self.upgrades.pending(),
+            open_clients: event_loop.open_clients() + self.predecessor.unsent_connections(),
             open_statements: event_loop.open_statements(),
         };
         while let Some(phase) = self.phases.advance(now, &seen) {
--- a/crates/driver/src/program/serve/deferred_services.rs
+++ b/crates/driver/src/program/serve/deferred_services.rs
@@ -1,8 +1,9 @@
 //! Gossip and the control socket, which belong to one process of the service at a time.
 
 use super::startup::Startup;
+use super::ServeError;
 use crate::program::config::Config;
-use crate::program::control_socket::{self, Ask};
+use crate::program::control_socket::{self, UpgradeRequest};
 use crate::program::log::{log, Log};
 use crate::program::operators::Given;
 use crate::program::sharing::{self, Line, Shares};
@@ -17,7 +18,7 @@
 /// The control socket before it listens.
 struct PendingControlSocket<'a> {
     path: &'a Path,
-    upgrade_requests: Sender<Ask>,
+    upgrade_requests: Sender<UpgradeRequest>,
 }
 
 /// Gossip and the control socket. A successor starts them once its predecessor has left: while that may have to serve
@@ -38,7 +39,7 @@
         meaning: &Meaning,
         given: &'a Given,
         control_path: Option<&'a Path>,
-        upgrade_requests: Sender<Ask>,
+        upgrade_requests: Sender<UpgradeRequest>,
     ) -> DeferredServices<'a> {
         DeferredServices {
             config: startup.config,
@@ -64,7 +65,7 @@
     ///
     /// # Errors
     /// If either can't be started; the control socket is left out if gossip fails.
-    pub(super) fn start(&mut self, event_loop: &mut EventLoop<Log>) -> Result<(), String> {
+    pub(super) fn start(&mut self, event_loop: &mut EventLoop<Log>) -> Result<(), ServeError> {
         let gossip = self.start_gossip(event_loop)?;
         self.start_control_socket(gossip)
     }
@@ -85,20 +86,22 @@
         }
     }
 
-    fn start_gossip(&self, event_loop: &mut EventLoop<Log>) -> Result<Option<Line>, String> {
+    fn start_gossip(&self, event_loop: &mut EventLoop<Log>) -> Result<Option<Line>, ServeError> {
         let Some(shares) = &self.shares else {
             return Ok(None);
         };
         let queue = self.queue.clone();
-        let (gossip, line) = sharing::start(shares, self.config, self.clock, queue, self.state_folder)?;
+        let (gossip, line) = sharing::start(shares, self.config, self.clock, queue, self.state_folder)
+            .map_err(ServeError::Gossip)?;
         event_loop.join_gossip(gossip);
         Ok(Some(line))
     }
 
-    fn start_control_socket(&mut self, gossip: Option<Line>) -> Result<(), String> {
+    fn start_control_socket(&mut self, gossip: Option<Line>) -> Result<(), ServeError> {
         let Some(socket) = self.control_socket.take() else {
             return Ok(());
         };
-        control_socket::control(socket.path, self.queue.clone(), socket.upgrade_requests, gossip)
+        control_socket::listen(socket.path, self.queue.clone(), socket.upgrade_requests, gossip)?;
+        Ok(())
     }
 }
--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -7,19 +7,23 @@
 mod connectors;
 mod control_loop;
 mod deferred_services;
+mod error;
 mod startup;
 
 use super::config::Config;
+use super::log::Log;
 use super::operators::{self, InForce, Operators};
 use super::phases::Phases;
 use super::signals;
-use super::upgrade::{self, Takeover, Upgrades};
+use super::upgrade::{PredecessorRole, SuccessorRole};
+use crate::routing::event_loop::EventLoop;
 use crate::routing::handover::CoServing;
 use crate::transport;
 use crate::transport::clock::Clock;
 pub use check::check;
 use control_loop::{report_metrics, ControlLoop};
 use deferred_services::DeferredServices;
+pub use error::ServeError;
 use startup::Startup;
 use std::path::Path;
 use std::sync::mpsc::channel;
@@ -33,19 +37,26 @@
     load_config: impl Fn() -> Result<Config, String>,
     given: &operators::Given,
     control_path: Option<&Path>,
-) -> Result<(), String> {
+) -> Result<(), ServeError> {
     let machine = operators::machine(&config);
-    let start = operators::start(given, machine)?;
+    let start = operators::start(given, machine).map_err(ServeError::Operators)?;
     let settings = InForce::of(&start.meaning);
-    let mut takeover = upgrade::inherited(settings.takeover.1)?;
+    let mut successor = SuccessorRole::from_environment(settings.takeover.1)?;
     transport::coroutines::start(settings.stacks);
-    let resumed = takeover.as_mut().map(|t| t.load(&config)).transpose()?;
+    let resumed = successor
+        .as_mut()
+        .map(|successor| successor.load(&config))
+        .transpose()?;
     let clock = resumed
         .as_ref()
         .map_or_else(Clock::start, |resumed| resumed.clock);
-    let journal = takeover.as_mut().map(Takeover::witness).transpose()?.flatten();
+    let journal = successor
+        .as_mut()
+        .map(SuccessorRole::open_journal)
+        .transpose()?
+        .flatten();
     let (queue, events) = channel();
-    signals::forward(queue.clone()).map_err(|e| format!("signals: {e}"))?;
+    signals::forward(queue.clone()).map_err(ServeError::Signals)?;
     let startup = Startup {
         config: &config,
         memory: config.runtime.memory_budgets(&settings.limits),
@@ -54,38 +65,35 @@
         journal,
     };
     let mut event_loop = startup.event_loop(settings.limits, resumed);
-    let listener = startup.bind_or_inherit(takeover.as_mut())?;
-    // Everything that could fail is made by now, so the predecessor may hand over.
-    if let Some(takeover) = &mut takeover {
-        takeover.commit()?;
-        takeover.follow(startup.queue.clone())?;
-        // The predecessor may have dispatched requests since it wrote its state, so they count from the start.
-        event_loop.set_co_serving(clock.now(), CoServing::WithPredecessor);
+    let listener = startup.bind_or_inherit(successor.as_mut())?;
+    if let Some(successor) = &mut successor {
+        commit_handover(successor, &startup, &mut event_loop)?;
     }
     let (upgrade_requests, upgrade_request_receiver) = channel();
-    let upgrades = Upgrades::new(
+    let predecessor = PredecessorRole::new(
         config.settings_text,
         startup.queue.clone(),
         upgrade_request_receiver,
     );
     let mut services = DeferredServices::new(&startup, &start.meaning, given, control_path, upgrade_requests);
-    if takeover.is_some() {
+    if successor.is_some() {
         services.defer(&mut event_loop);
     } else {
         services.start(&mut event_loop)?;
     }
-    startup.listen(&mut event_loop, listener, takeover.is_some())?;
+    startup.listen(&mut event_loop, listener, successor.is_some())?;
     let mut phases = Phases::default();
     operators::take_over(&mut event_loop, &mut phases, &settings);
     startup.log_all(&mut event_loop, &start.lines);
-    let operators = Operators::new(given, start, settings.takeover.0, startup.queue.clone())?;
+    let operators = Operators::new(given, start, settings.takeover.0, startup.queue.clone())
+        .map_err(ServeError::Operators)?;
     drop(startup);
     let mut control_loop = ControlLoop {
         config: &config,
         load_config,
         machine,
-        takeover,
-        upgrades,
+        successor,
+        predecessor,
         operators,
         phases,
         services,
@@ -97,3 +105,16 @@
     report_metrics(&mut event_loop, clock.now());
     Ok(())
 }
+
+/// Everything that could fail is made by now, so the predecessor may hand over.
+fn commit_handover(
+    successor: &mut SuccessorRole,
+    startup: &Startup,
+    event_loop: &mut EventLoop<Log>,
+) -> Result<(), ServeError> {
+    successor.commit()?;
+    successor.spawn_reader(startup.queue.clone())?;
+    // The predecessor may have dispatched requests since it wrote its state, so they count from the start.
+    event_loop.set_co_serving(startup.clock.now(), CoServing::WithPredecessor);
+    Ok(())
+}
--- a/crates/driver/src/program/serve/startup.rs
+++ b/crates/driver/src/program/serve/startup.rs
@@ -1,9 +1,10 @@
 //! Makes the event loop and its listener.
 
 use super::connectors::connectors;
+use super::ServeError;
 use crate::program::config::Config;
 use crate::program::log::{log, Log};
-use crate::program::upgrade::{Resumed, Takeover};
+use crate::program::upgrade::{ResumedService, SuccessorRole};
 use crate::protocol::client_session::ClientSession;
 use crate::routing::event_loop::{EventLoop, EventLoopOptions};
 use crate::routing::events::Event;
@@ -28,7 +29,7 @@
 
 impl Startup<'_> {
     /// An event loop that goes on from the predecessor's state, or starts with the configured endpoint list.
-    pub(super) fn event_loop(&self, limits: Limits, resumed: Option<Resumed>) -> EventLoop<Log> {
+    pub(super) fn event_loop(&self, limits: Limits, resumed: Option<ResumedService>) -> EventLoop<Log> {
         let options = EventLoopOptions {
             seed: self.config.seed,
             connectors: connectors(self),
@@ -49,11 +50,14 @@
     }
 
     /// The predecessor's listener, else a new one.
-    pub(super) fn bind_or_inherit(&self, takeover: Option<&mut Takeover>) -> Result<TcpListener, String> {
+    pub(super) fn bind_or_inherit(
+        &self,
+        successor: Option<&mut SuccessorRole>,
+    ) -> Result<TcpListener, ServeError> {
         let address = self.config.listen;
-        match takeover.and_then(Takeover::listener) {
+        match successor.and_then(SuccessorRole::take_listener) {
             Some(listener) => Ok(listener),
-            None => TcpListener::bind(address).map_err(|e| format!("{address}: {e}")),
+            None => TcpListener::bind(address).map_err(|source| ServeError::Listener { address, source }),
         }
     }
 
@@ -63,7 +67,7 @@
         event_loop: &mut EventLoop<Log>,
         listener: TcpListener,
         is_paused: bool,
-    ) -> Result<(), String> {
+    ) -> Result<(), ServeError> {
         let memory = self.memory.clients.clone();
         let session_memory = memory.clone();
         let journal = self.journal.clone();
@@ -76,7 +80,9 @@
             (self.clock, memory),
             new_session,
         );
-        event_loop.attach_listener(listening.map_err(|e| format!("{}: {e}", self.config.listen))?);
+        let address = self.config.listen;
+        let listening = listening.map_err(|source| ServeError::Listener { address, source })?;
+        event_loop.attach_listener(listening);
         Ok(())
     }
 
--- a/crates/driver/src/program/upgrade/handover_state.rs
+++ b/crates/driver/src/program/upgrade/handover_state.rs
@@ -1,4 +1,4 @@
-//! What goes from one process to the next: what was learned, and by which clock.
+//! The state that goes from a predecessor to its successor: what the policy has learned, the members, and the clock.
 
 use crate::program::log::Log;
 use crate::routing::event_loop::{EventLoop, ResumedState};
@@ -6,64 +6,97 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::codec::monotonic_micros;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// Of what is written out, beside the version of the takeover itself.
+/// Version of the serialized state, beside the version of the handover protocol.
 const FORM: u32 = 2;
 
-/// What goes from one process to the next. Points in time count from the former one's clock, which goes along with the
-/// machine's: no reading of a wall clock is believed.
+/// The serialized state; `postcard` is positional, so the order of the fields is fixed. Timestamps count from the
+/// predecessor's clock, which advances with the machine's monotonic clock: no wall clock is relied on.
 #[derive(Serialize, Deserialize)]
-struct Handover {
+struct HandoverState {
     form: u32,
+    /// The predecessor's clock when it wrote this.
     now: Timestamp,
-    machine: TimeSpan,
-    /// The deployment's settings by which ids of workloads mean something.
-    settings: u64,
-    module: Vec<u8>,
+    /// The machine's monotonic clock at the same moment.
+    monotonic: TimeSpan,
+    /// Hash of the deployment's settings, which give ids of workloads their meaning.
+    settings_hash: u64,
+    policy: Vec<u8>,
     members: Vec<u8>,
 }
 
-pub fn written(
+/// Why a successor can't go on from its predecessor's state.
+#[derive(Debug, Error)]
+pub enum HandoverStateError {
+    /// The bytes are no serialized state.
+    #[error("the state can't be read: {0}")]
+    Unreadable(#[source] postcard::Error),
+    /// The predecessor writes another form.
+    #[error("the state has form {form}, not {FORM}")]
+    FormMismatch {
+        /// Form that the predecessor writes.
+        form: u32,
+    },
+    /// The predecessor serves with other settings.
+    #[error("the deployment's settings have changed: only a new start takes those over")]
+    SettingsChanged,
+    /// The policy's part can't be deserialized.
+    #[error("what was learned can't be read: {0}")]
+    PolicyUnreadable(#[source] postcard::Error),
+    /// The members' part can't be deserialized.
+    #[error("the members can't be read: {0}")]
+    MembersUnreadable(#[source] postcard::Error),
+    /// The state arrived without the listener.
+    #[error("no listener came")]
+    ListenerMissing,
+}
+
+/// Serializes the state of a service that runs with settings of this hash.
+///
+/// # Errors
+/// If a part can't be serialized.
+pub(super) fn serialize(
     event_loop: &EventLoop<Log>,
     now: Timestamp,
-    settings: u64,
+    settings_hash: u64,
 ) -> Result<Vec<u8>, postcard::Error> {
     let learned = event_loop.learned_state();
-    let handover = Handover {
+    let state = HandoverState {
         form: FORM,
         now,
-        machine: TimeSpan(monotonic_micros()),
-        settings,
-        module: postcard::to_stdvec(learned.policy)?,
+        monotonic: TimeSpan(monotonic_micros()),
+        settings_hash,
+        policy: postcard::to_stdvec(learned.policy)?,
         members: postcard::to_stdvec(learned.members)?,
     };
-    postcard::to_stdvec(&handover)
+    postcard::to_stdvec(&state)
 }
 
-/// What a new process goes on from.
-pub struct Resumed {
+/// What a successor goes on from.
+pub struct ResumedService {
+    /// Continues the predecessor's clock.
     pub clock: Clock,
+    /// What the predecessor has learned.
     pub learned: ResumedState,
 }
 
-pub fn read(bytes: &[u8], settings: u64) -> Result<Resumed, String> {
-    let handover: Handover =
-        postcard::from_bytes(bytes).map_err(|e| format!("the state can't be read: {e}"))?;
-    if handover.form != FORM {
-        return Err(format!("the state has form {}, not {FORM}", handover.form));
+/// Reads a predecessor's state in a process that runs with settings of this hash.
+///
+/// # Errors
+/// If the state is unreadable, of another form or of other settings.
+pub(super) fn deserialize(bytes: &[u8], settings_hash: u64) -> Result<ResumedService, HandoverStateError> {
+    let state: HandoverState = postcard::from_bytes(bytes).map_err(HandoverStateError::Unreadable)?;
+    if state.form != FORM {
+        return Err(HandoverStateError::FormMismatch { form: state.form });
     }
-    if handover.settings != settings {
-        return Err("the deployment's settings have changed: only a new start takes those over".to_owned());
+    if state.settings_hash != settings_hash {
+        return Err(HandoverStateError::SettingsChanged);
     }
-    let module = postcard::from_bytes(&handover.module);
-    let members = postcard::from_bytes(&handover.members);
-    let module = module.map_err(|e| format!("what was learned can't be read: {e}"))?;
-    let members = members.map_err(|e| format!("the members can't be read: {e}"))?;
-    Ok(Resumed {
-        clock: Clock::resume(handover.now, handover.machine, TimeSpan(monotonic_micros())),
-        learned: ResumedState {
-            policy: module,
-            members,
-        },
+    let policy = postcard::from_bytes(&state.policy).map_err(HandoverStateError::PolicyUnreadable)?;
+    let members = postcard::from_bytes(&state.members).map_err(HandoverStateError::MembersUnreadable)?;
+    Ok(ResumedService {
+        clock: Clock::resume(state.now, state.monotonic, TimeSpan(monotonic_micros())),
+        learned: ResumedState { policy, members },
     })
 }
--- a/crates/driver/src/program/upgrade/predecessor.rs
+++ b/crates/driver/src/program/upgrade/predecessor.rs
@@ -1,292 +1,299 @@
-//! The side that serves: starts and kills the new process, sends state, listener, clients and connections.
+//! The predecessor's role: starts and kills a successor, and sends it state, listener, clients and member connections.
 
-use super::handover_state::written;
-use super::retained_clients::Kept;
-use super::{bind, words, VARIABLE};
-use crate::program::control_socket::Ask;
+use super::co_serving;
+use super::handover_state::serialize;
+use super::retained_clients::RetainedClients;
+use super::successor_process::{EventLoopLink, SuccessorProcess};
+use crate::program::control_socket::UpgradeRequest;
 use crate::program::log::{log, Log};
 use crate::routing::event_loop::EventLoop;
-use crate::routing::events::{ControlEvent, Event};
-use crate::routing::handover::{CoServing, TransferredConnection};
+use crate::routing::events::Event;
+use crate::routing::handover::{CoServing, TransferredClient, TransferredConnection};
 use asterlatch::time::Timestamp;
-use asterlatch_handover::capacity_check;
+use asterlatch_handover::capacity_check::{check_capacity, ResourceUsage};
 use asterlatch_handover::co_serving::CoServingState;
-use asterlatch_handover::codec::{send, FrameReader, Received};
 use asterlatch_handover::message::{ClientState, HandoverMessage};
-use asterlatch_handover::predecessor::{self, Predecessor, Progress, StartError};
-use rustix::event::EventfdFlags;
-use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
-use std::ffi::OsString;
+use asterlatch_handover::predecessor::{self, Action, Phase, Predecessor, Progress, StartError};
+use rustix::event::{eventfd, EventfdFlags};
+use std::fs;
 use std::io::{self, Write};
-use std::os::fd::{AsFd, AsRawFd, OwnedFd};
+use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
-use std::path::{Path, PathBuf};
-use std::process::Command;
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::mpsc::{channel, Receiver, SendError, Sender};
+use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
-use std::thread::JoinHandle;
 
-/// The side that serves.
-pub struct Upgrades {
+/// One upgrade after another, as the process sees them that serves. Only the event loop's thread uses it.
+pub struct PredecessorRole {
     machine: Predecessor,
-    queue: Sender<Event>,
-    tell: Sender<predecessor::Event>,
-    heard: Receiver<predecessor::Event>,
-    asks: Receiver<Ask>,
-    /// Says what goes to the new process, and its end, while there is one.
-    link: Option<Link>,
-    /// Connections of clients that are the new process's on probation, and what it does with them.
-    kept: Kept,
-    /// By which the new process tells that the ledger isn't whole.
-    given_up: Option<OwnedFd>,
-    handed: u64,
-    /// What the new process was told that binds both.
-    joint: CoServingState,
-    /// Messages with a client or a member's connection that have not left yet.
-    pending: Arc<AtomicUsize>,
-    child: Option<OwnedFd>,
-    pid: u32,
-    binary: PathBuf,
-    reply: Option<UnixStream>,
-    settings: u64,
-    /// The service is another process's: this one is to leave.
-    pub is_over: bool,
+    link: EventLoopLink,
+    events: Receiver<predecessor::Event>,
+    requests: Receiver<UpgradeRequest>,
+    /// The successor started last.
+    successor: Option<SuccessorProcess>,
+    /// Clients that the successor serves on probation.
+    retained_clients: RetainedClients,
+    /// Event descriptor by which the successor reports that its I/O journal is incomplete.
+    journal_abandoned: Option<OwnedFd>,
+    last_transfer_id: u64,
+    co_serving: CoServingState,
+    unsent_connections: Arc<AtomicUsize>,
+    /// Program of the current or last upgrade.
+    program: PathBuf,
+    /// Whoever asked for the current upgrade, to report its progress to.
+    requester: Option<UnixStream>,
+    settings_hash: u64,
+    has_handed_over: bool,
 }
 
-impl Upgrades {
-    pub fn new(settings: u64, queue: Sender<Event>, asks: Receiver<Ask>) -> Upgrades {
-        let (tell, heard) = channel();
-        Upgrades {
+impl PredecessorRole {
+    /// No upgrade is under way. `queue` wakes the event loop; `requests` come from the control socket.
+    pub fn new(
+        settings_hash: u64,
+        queue: Sender<Event>,
+        requests: Receiver<UpgradeRequest>,
+    ) -> PredecessorRole {
+        let (event_sender, events) = channel();
+        let unsent_connections = Arc::<AtomicUsize>::default();
+        PredecessorRole {
             machine: Predecessor::new(predecessor::Timeouts::default()),
-            queue,
-            tell,
-            heard,
-            asks,
-            link: None,
-            kept: Kept::default(),
-            given_up: None,
-            handed: 0,
-            joint: CoServingState::default(),
-            pending: Arc::default(),
-            child: None,
-            pid: 0,
-            binary: PathBuf::new(),
-            reply: None,
-            settings,
-            is_over: false,
+            link: EventLoopLink {
+                events: event_sender,
+                queue,
+                unsent_connections: unsent_connections.clone(),
+            },
+            events,
+            requests,
+            successor: None,
+            retained_clients: RetainedClients::default(),
+            journal_abandoned: None,
+            last_transfer_id: 0,
+            co_serving: CoServingState::default(),
+            unsent_connections,
+            program: PathBuf::new(),
+            requester: None,
+            settings_hash,
+            has_handed_over: false,
         }
     }
 
-    /// An upgrade to this very program, as it lies on disk now.
-    pub fn asked(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
-        let binary = std::env::args_os().next().map(PathBuf::from);
-        self.ask(event_loop, now, binary.unwrap_or_default(), None);
+    /// Begins an upgrade to this very program, as it is on disk now.
+    pub fn upgrade_to_own_program(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        let program = std::env::args_os().next().map(PathBuf::from);
+        self.begin_upgrade(event_loop, now, program.unwrap_or_default(), None);
     }
 
-    fn ask(
-        &mut self,
-        event_loop: &mut EventLoop<Log>,
-        now: Timestamp,
-        binary: PathBuf,
-        reply: Option<UnixStream>,
-    ) {
-        if let Err(why) = capacity_check::check_capacity(&Upgrades::measure(event_loop)) {
-            log!(event_loop.observer, now, "upgrade", "not begun: {why}");
-            reply.map(|mut r| writeln!(r, "failed: {why}"));
-            return;
-        }
-        let effects = self.machine.on_event(now, predecessor::Event::UpgradeRequested);
-        if effects.contains(&predecessor::Action::Report(Progress::Busy)) {
-            // Whoever asked before is still to be told of that one.
-            log!(
-                event_loop.observer,
-                now,
-                "upgrade",
-                "not begun: another one is under way"
-            );
-            reply.map(|mut r| writeln!(r, "failed: another upgrade is under way"));
-            return;
-        }
-        (self.binary, self.reply) = (binary, reply);
-        self.carry_out(event_loop, now, effects);
-    }
-
-    /// What both processes would have and need. What the kernel doesn't tell is taken for nothing.
-    fn measure(event_loop: &EventLoop<Log>) -> capacity_check::ResourceUsage {
-        let held = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
-        let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-        let pages: u64 = pages.split(' ').nth(1).and_then(|p| p.parse().ok()).unwrap_or(0);
-        let usage = event_loop.process_usage();
-        let capacity = event_loop.process_capacity();
-        capacity_check::ResourceUsage {
-            descriptor_limit: capacity.descriptors,
-            open_descriptors: held,
-            client_connections: usage.clients,
-            memory_limit: capacity.memory as u64,
-            resident_memory: pages * rustix::param::page_size() as u64,
-            message_memory: usage.memory as u64,
-        }
-    }
-
-    /// Has the other process know what binds both.
-    fn tell_joint(&mut self, event_loop: &mut EventLoop<Log>) {
-        // Else they are for the side that took over to tell.
-        if self.machine.is_co_serving() {
-            let told = words(event_loop, &mut self.joint);
-            told.into_iter().for_each(|m| self.say(m, Vec::new()));
-        }
+    /// The process is asked to shut down.
+    pub fn on_shutdown(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        self.on_event(event_loop, now, predecessor::Event::ShutdownRequested);
     }
 
-    /// The process is told to leave.
-    pub fn leave(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
-        self.take(event_loop, now, predecessor::Event::ShutdownRequested);
+    /// Sets the timeouts of phases that begin from now on.
+    pub fn set_timeouts(&mut self, timeouts: predecessor::Timeouts) {
+        self.machine.timeouts = timeouts;
     }
 
-    pub fn steer(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, may_begin: bool) {
-        while let Ok(Ask { binary, reply }) = self.asks.try_recv() {
+    /// Handles requests, what arrived from the successor and what is due. Requests are refused unless `may_begin`.
+    pub fn advance_to(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, may_begin: bool) {
+        while let Ok(UpgradeRequest { program, requester }) = self.requests.try_recv() {
             if may_begin {
-                self.ask(event_loop, now, binary, Some(reply));
+                self.begin_upgrade(event_loop, now, program, Some(requester));
             } else {
-                let _ = writeln!(&reply, "failed: this process is on probation, or leaves");
+                reply(
+                    Some(&requester),
+                    "failed: this process is on probation, or leaves",
+                );
             }
         }
-        while let Ok(input) = self.heard.try_recv() {
-            if let predecessor::Event::Message(HandoverMessage::CoServing(words)) = &input {
-                let answer = bind(event_loop, now, &mut self.joint, words);
-                answer.into_iter().for_each(|m| self.say(m, Vec::new()));
-            }
-            if let predecessor::Event::Message(HandoverMessage::ConnectionMissing(handed)) = &input {
-                self.kept.missing(*handed);
-                event_loop.metrics.clients_cut += 1;
-            }
-            self.take(event_loop, now, input);
+        while let Ok(event) = self.events.try_recv() {
+            self.on_successor_event(event_loop, now, event);
         }
         if self.machine.next_deadline() <= now {
-            self.take(event_loop, now, predecessor::Event::TimerElapsed);
+            self.on_event(event_loop, now, predecessor::Event::TimerElapsed);
         }
+        self.move_member_connections(event_loop);
         self.move_clients(event_loop, now);
-        self.tell_joint(event_loop);
+        self.send_co_serving(event_loop);
     }
 
+    /// When [`PredecessorRole::advance_to`] has something to do.
     pub fn next_at(&self) -> Timestamp {
         self.machine.next_deadline()
     }
 
-    /// From the next phase on.
-    pub fn bound(&mut self, times: predecessor::Timeouts) {
-        self.machine.timeouts = times;
+    /// Number of client and member connections that are queued for the successor and not sent yet.
+    pub fn unsent_connections(&self) -> usize {
+        self.unsent_connections.load(Ordering::Acquire)
+    }
+
+    /// The service is the successor's: this process is to shut down.
+    pub fn has_handed_over(&self) -> bool {
+        self.has_handed_over
     }
 
-    fn take(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, input: predecessor::Event) {
-        let effects = self.machine.on_event(now, input);
-        self.carry_out(event_loop, now, effects);
+    fn begin_upgrade(
+        &mut self,
+        event_loop: &mut EventLoop<Log>,
+        now: Timestamp,
+        program: PathBuf,
+        requester: Option<UnixStream>,
+    ) {
+        if let Err(error) = check_capacity(&resource_usage(event_loop)) {
+            log!(event_loop.observer, now, "upgrade", "not begun: {error}");
+            reply(requester.as_ref(), &format!("failed: {error}"));
+            return;
+        }
+        let actions = self.machine.on_event(now, predecessor::Event::UpgradeRequested);
+        if actions.contains(&Action::Report(Progress::Busy)) {
+            // The current upgrade's requester stays.
+            log!(
+                event_loop.observer,
+                now,
+                "upgrade",
+                "not begun: another one is under way"
+            );
+            reply(requester.as_ref(), "failed: another upgrade is under way");
+            return;
+        }
+        self.program = program;
+        self.requester = requester;
+        self.carry_out(event_loop, now, actions);
     }
 
-    fn carry_out(
+    fn on_successor_event(
         &mut self,
         event_loop: &mut EventLoop<Log>,
         now: Timestamp,
-        effects: Vec<predecessor::Action>,
+        event: predecessor::Event,
     ) {
-        for effect in effects {
-            match effect {
-                predecessor::Action::StartSuccessor => self.start(),
-                predecessor::Action::SendState => match written(event_loop, now, self.settings) {
-                    Ok(bytes) => match self.beside(event_loop) {
-                        Ok(beside) => self.say(HandoverMessage::State(bytes), beside),
-                        // It isn't told anything, and is known by that.
-                        Err(e) => log!(event_loop.observer, now, "upgrade", "no descriptors to send: {e}"),
-                    },
-                    Err(e) => log!(
-                        event_loop.observer,
-                        now,
-                        "upgrade",
-                        "the state can't be written out: {e}"
-                    ),
-                },
-                predecessor::Action::Send(message) => self.say(message, Vec::new()),
-                predecessor::Action::StartCoServing => {
-                    self.joint = CoServingState::default();
+        match &event {
+            predecessor::Event::Message(HandoverMessage::CoServing(messages)) => {
+                let answer = co_serving::on_messages(event_loop, now, &mut self.co_serving, messages);
+                if let Some(answer) = answer {
+                    self.send(answer, Vec::new());
+                }
+            }
+            predecessor::Event::Message(HandoverMessage::ConnectionMissing(transfer_id)) => {
+                self.retained_clients.cancel_transfer(*transfer_id);
+                event_loop.metrics.clients_cut += 1;
+            }
+            _ => {}
+        }
+        self.on_event(event_loop, now, event);
+    }
+
+    fn on_event(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, event: predecessor::Event) {
+        let actions = self.machine.on_event(now, event);
+        self.carry_out(event_loop, now, actions);
+    }
+
+    fn carry_out(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::StartSuccessor => self.start_successor(),
+                Action::SendState => self.send_state(event_loop, now),
+                Action::Send(message) => self.send(message, Vec::new()),
+                Action::StartCoServing => {
+                    self.co_serving = CoServingState::default();
                     event_loop.set_co_serving(now, CoServing::WithSuccessor);
                 }
-                predecessor::Action::StopAccepting => event_loop.set_accepting(false),
-                predecessor::Action::ResumeServingAlone => {
+                Action::StopAccepting => event_loop.set_accepting(false),
+                Action::ResumeServingAlone => {
                     event_loop.set_co_serving(now, CoServing::Alone);
                     event_loop.metrics.in_flight_at_peer_process = 0;
                     event_loop.set_accepting(true);
                 }
-                predecessor::Action::MoveClients => event_loop.begin_handover(),
-                predecessor::Action::ReclaimClients => self.take_back(event_loop, now),
-                predecessor::Action::KillSuccessor => self.kill(),
-                predecessor::Action::Drain => {
-                    self.kept.clear();
-                    self.is_over = true;
+                Action::MoveClients => event_loop.begin_handover(),
+                Action::ReclaimClients => self.reclaim_clients(event_loop, now),
+                Action::KillSuccessor => {
+                    if let Some(successor) = &self.successor {
+                        successor.kill();
+                    }
+                }
+                Action::Drain => {
+                    self.retained_clients.clear();
+                    self.has_handed_over = true;
                 }
-                predecessor::Action::Report(told) => self.told(event_loop, now, &told),
+                Action::Report(progress) => self.report(event_loop, now, &progress),
             }
         }
     }
 
-    fn told(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, told: &Progress) {
-        let text = match told {
-            Progress::Requested => format!("begun, to {} as process {}", self.binary.display(), self.pid),
-            Progress::Busy => "not begun: another one is under way, or this process leaves".to_owned(),
-            Progress::Committed => "the new process could serve and is told to".to_owned(),
-            Progress::Done => "done, the service is the new process's".to_owned(),
-            Progress::Failed(why) => format!("failed, this process serves on: {why}"),
-        };
-        log!(event_loop.observer, now, "upgrade", "{text}");
-        if let Some(reply) = &mut self.reply {
-            // Whoever asked may have gone.
-            let _ = writeln!(reply, "{text}");
-        }
-        if matches!(told, Progress::Busy | Progress::Done | Progress::Failed(_)) {
-            self.reply = None;
+    fn start_successor(&mut self) {
+        match SuccessorProcess::start(&self.program, &self.link) {
+            Ok(successor) => self.successor = Some(successor),
+            Err(error) => {
+                let error = StartError {
+                    program: self.program.clone(),
+                    cause: error.to_string(),
+                };
+                self.link.notify(predecessor::Event::StartFailed(error));
+            }
         }
     }
 
-    fn say(&self, message: HandoverMessage, beside: Vec<OwnedFd>) {
-        if let Some(link) = &self.link {
-            let _ = link.send((message, beside));
+    /// Sends state and descriptors. If they can't be had nothing is sent, and the successor's timeout ends the upgrade.
+    fn send_state(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        let state = match serialize(event_loop, now, self.settings_hash) {
+            Ok(state) => state,
+            Err(error) => {
+                log!(
+                    event_loop.observer,
+                    now,
+                    "upgrade",
+                    "the state can't be written out: {error}"
+                );
+                return;
+            }
+        };
+        match self.open_descriptors(event_loop) {
+            Ok(descriptors) => self.send(HandoverMessage::State(state), descriptors),
+            Err(error) => log!(
+                event_loop.observer,
+                now,
+                "upgrade",
+                "no descriptors to send: {error}"
+            ),
         }
     }
 
-    /// Listener, ledger, and what the ledger is given up with.
-    fn beside(&mut self, event_loop: &EventLoop<Log>) -> io::Result<Vec<OwnedFd>> {
-        let link = self.link.as_mut().ok_or(io::ErrorKind::NotConnected)?;
+    /// What goes along with the state: the listener, the I/O journal's socket, and the event descriptor by which the
+    /// successor abandons the journal. The journal is read from now on.
+    fn open_descriptors(&mut self, event_loop: &EventLoop<Log>) -> io::Result<Vec<OwnedFd>> {
+        let successor = self.successor.as_ref().ok_or(io::ErrorKind::NotConnected)?;
         let listener = event_loop
             .listener_descriptor()
             .ok_or(io::ErrorKind::NotConnected)?;
         let (ours, theirs) = UnixStream::pair()?;
-        let flags = EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK;
-        let given_up = rustix::event::eventfd(0, flags)?;
-        let copy = given_up.try_clone()?;
-        // As much as its clients may fill here, they may fill there.
-        self.kept = Kept::new(event_loop.client_memory_capacity());
-        link.follow(self.kept.follow(ours)?);
-        self.given_up = Some(given_up);
-        Ok(vec![listener.into(), theirs.into(), copy])
+        let abandoned = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
+        let abandoned_copy = abandoned.try_clone()?;
+        // The successor's clients may take as much memory here as they may take there.
+        self.retained_clients = RetainedClients::new(event_loop.client_memory_capacity());
+        successor.add_journal_reader(self.retained_clients.spawn_journal_reader(ours)?);
+        self.journal_abandoned = Some(abandoned);
+        Ok(vec![listener.into(), theirs.into(), abandoned_copy])
     }
 
-    /// The new process is dead; its clients go on here.
-    fn take_back(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
-        let Some(given_up) = self.given_up.take() else {
+    /// Goes on with the clients of the dead successor.
+    fn reclaim_clients(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        let Some(abandoned) = self.journal_abandoned.take() else {
             return;
         };
-        let back = self.kept.take_back(&given_up);
-        let (count, cut) = (back.clients.len(), back.cut);
+        let reclaimed = self.retained_clients.reclaim(&abandoned);
+        let count = reclaimed.clients.len();
+        let cut = reclaimed.cut;
         event_loop.metrics.clients_taken_back += count as u64;
         event_loop.metrics.clients_cut += cut;
-        for moved in back.clients {
-            event_loop.adopt_client(now, moved);
+        for client in reclaimed.clients {
+            event_loop.adopt_client(now, client);
         }
-        match back.fault {
-            Some(why) => log!(
+        match reclaimed.incomplete {
+            Some(reason) => log!(
                 event_loop.observer,
                 now,
                 "upgrade",
-                "{cut} clients cut off, for the ledger isn't whole: {why}"
+                "{cut} clients cut off, for the ledger isn't whole: {reason}"
             ),
             None => log!(
                 event_loop.observer,
@@ -297,165 +304,116 @@
         }
     }
 
-    /// Clients that are on their way.
-    pub fn pending(&self) -> usize {
-        self.pending.load(Ordering::Acquire)
+    /// Reports to the log and to the requester, which the upgrade's end lets go.
+    fn report(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, progress: &Progress) {
+        let text = self.progress_text(progress);
+        log!(event_loop.observer, now, "upgrade", "{text}");
+        reply(self.requester.as_ref(), &text);
+        if matches!(progress, Progress::Busy | Progress::Done | Progress::Failed(_)) {
+            self.requester = None;
+        }
     }
 
-    /// Sends those on that are to go on in the new process; where there is none any more they stay.
-    fn move_clients(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
-        let takes = matches!(
-            self.machine.phase,
-            predecessor::Phase::Standby | predecessor::Phase::Done
-        );
-        // Where nobody takes them they end: another is opened as one is needed.
-        for TransferredConnection { member, stream } in event_loop.take_transferred_connections() {
-            if takes {
-                self.pending.fetch_add(1, Ordering::AcqRel);
-                self.say(HandoverMessage::MemberConnection(member), vec![stream.into()]);
-            }
-        }
-        for moved in event_loop.take_transferred_clients() {
-            if !takes {
-                event_loop.adopt_client(now, moved);
-                continue;
+    fn progress_text(&self, progress: &Progress) -> String {
+        match progress {
+            Progress::Requested => {
+                let pid = self.successor.as_ref().map_or(0, |successor| successor.pid);
+                format!("begun, to {} as process {pid}", self.program.display())
             }
-            self.handed += 1;
-            let client = ClientState {
-                transfer_id: self.handed,
-                startup_complete: moved.session.startup_complete,
-                has_sent_statement: moved.is_active,
-                bytes_to_skip: moved.session.bytes_to_skip as u64,
-                input: moved.session.input,
-            };
-            self.kept.hand_over(client.clone(), &moved.stream);
-            self.pending.fetch_add(1, Ordering::AcqRel);
-            self.say(
-                HandoverMessage::ClientConnection(client),
-                vec![moved.stream.into()],
-            );
+            Progress::Busy => "not begun: another one is under way, or this process leaves".to_owned(),
+            Progress::Committed => "the new process could serve and is told to".to_owned(),
+            Progress::Done => "done, the service is the new process's".to_owned(),
+            Progress::Failed(error) => format!("failed, this process serves on: {error}"),
         }
     }
 
-    fn kill(&self) {
-        if let Some(child) = &self.child {
-            // One that is gone already needs no signal.
-            let _ = pidfd_send_signal(child, Signal::KILL);
+    /// Whether the successor takes clients and connections.
+    fn can_move_connections(&self) -> bool {
+        matches!(self.machine.phase, Phase::Standby | Phase::Done)
+    }
+
+    /// Idle connections that no successor takes are closed; others are opened as they are needed.
+    fn move_member_connections(&mut self, event_loop: &mut EventLoop<Log>) {
+        let can_move = self.can_move_connections();
+        for TransferredConnection { member, stream } in event_loop.take_transferred_connections() {
+            if can_move {
+                self.send_connection(HandoverMessage::MemberConnection(member), stream.into());
+            }
         }
     }
 
-    fn start(&mut self) {
-        let begun = begin(&self.binary, &self.tell, &self.queue, &self.pending);
-        match begun {
-            Ok((pid, child, link)) => (self.pid, self.child, self.link) = (pid, Some(child), Some(link)),
-            Err(e) => {
-                let error = StartError {
-                    program: self.binary.clone(),
-                    cause: e.to_string(),
-                };
-                let _ = self.tell.send(predecessor::Event::StartFailed(error));
-                let _ = self.queue.send(Event::Control(ControlEvent::WakeUp));
+    /// Clients that no successor takes stay here.
+    fn move_clients(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        let can_move = self.can_move_connections();
+        for client in event_loop.take_transferred_clients() {
+            if can_move {
+                self.move_client(client);
+            } else {
+                event_loop.adopt_client(now, client);
             }
         }
     }
-}
 
-type Beside = (HandoverMessage, Vec<OwnedFd>);
+    fn move_client(&mut self, client: TransferredClient) {
+        self.last_transfer_id += 1;
+        let state = ClientState {
+            transfer_id: self.last_transfer_id,
+            startup_complete: client.session.startup_complete,
+            has_sent_statement: client.is_active,
+            bytes_to_skip: client.session.bytes_to_skip as u64,
+            input: client.session.input,
+        };
+        self.retained_clients
+            .begin_transfer(state.clone(), &client.stream);
+        self.send_connection(HandoverMessage::ClientConnection(state), client.stream.into());
+    }
+
+    fn send_connection(&self, message: HandoverMessage, connection: OwnedFd) {
+        self.unsent_connections.fetch_add(1, Ordering::AcqRel);
+        self.send(message, vec![connection]);
+    }
 
-/// What goes to the new process, and the thread that reads its ledger.
-struct Link {
-    messages: Sender<Beside>,
-    ledgers: Sender<JoinHandle<()>>,
+    /// Tells the successor what both must know. Unless both serve, that is left for whoever takes over.
+    fn send_co_serving(&mut self, event_loop: &mut EventLoop<Log>) {
+        if !self.machine.is_co_serving() {
+            return;
+        }
+        if let Some(message) = co_serving::next_message(event_loop, &mut self.co_serving) {
+            self.send(message, Vec::new());
+        }
+    }
+
+    fn send(&self, message: HandoverMessage, descriptors: Vec<OwnedFd>) {
+        if let Some(successor) = &self.successor {
+            successor.send(message, descriptors);
+        }
+    }
 }
 
-impl Link {
-    fn send(&self, message: Beside) -> Result<(), SendError<Beside>> {
-        self.messages.send(message)
+/// Writes a line to whoever asked for an upgrade, and may have gone since.
+fn reply(requester: Option<&UnixStream>, line: &str) {
+    if let Some(mut requester) = requester {
+        let _ = writeln!(requester, "{line}");
     }
+}
 
-    /// The new process's end is told only when all it wrote was read.
-    fn follow(&self, ledger: JoinHandle<()>) {
-        let _ = self.ledgers.send(ledger);
+/// What both processes would need and what they may take. What the kernel doesn't tell counts as zero.
+fn resource_usage(event_loop: &EventLoop<Log>) -> ResourceUsage {
+    let usage = event_loop.process_usage();
+    let capacity = event_loop.process_capacity();
+    ResourceUsage {
+        descriptor_limit: capacity.descriptors,
+        open_descriptors: fs::read_dir("/proc/self/fd").map_or(0, Iterator::count),
+        client_connections: usage.clients,
+        memory_limit: capacity.memory as u64,
+        resident_memory: resident_pages() * rustix::param::page_size() as u64,
+        message_memory: usage.memory as u64,
     }
 }
 
-/// Starts the new process with this one's arguments, and the threads that talk to it.
-fn begin(
-    binary: &Path,
-    tell: &Sender<predecessor::Event>,
-    queue: &Sender<Event>,
-    pending: &Arc<AtomicUsize>,
-) -> io::Result<(u32, OwnedFd, Link)> {
-    let (ours, theirs) = UnixStream::pair()?;
-    // Theirs alone outlives the change of program. Nothing else is started here meanwhile.
-    rustix::io::fcntl_setfd(&theirs, rustix::io::FdFlags::empty())?;
-    let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
-    let mut command = Command::new(binary);
-    command
-        .args(arguments)
-        .env(VARIABLE, theirs.as_raw_fd().to_string());
-    let mut child = command.spawn()?;
-    drop(theirs);
-    let number = child.id();
-    let pid = i32::try_from(number).ok().and_then(Pid::from_raw);
-    let descriptor = pid.map(|pid| pidfd_open(pid, PidfdFlags::empty()));
-    let descriptor = match descriptor {
-        Some(Ok(descriptor)) => descriptor,
-        other => {
-            // It couldn't be killed for certain later.
-            child.kill()?;
-            child.wait()?;
-            return Err(other
-                .and_then(Result::err)
-                .map_or(io::Error::other("no process"), Into::into));
-        }
-    };
-    let (messages, to_say) = channel::<Beside>();
-    let (ledgers, ledger) = channel::<JoinHandle<()>>();
-    let socket = ours.try_clone()?;
-    let (unsent, woken) = (pending.clone(), queue.clone());
-    let say = move || {
-        for (message, descriptors) in to_say {
-            let beside: Vec<_> = descriptors.iter().map(AsFd::as_fd).collect();
-            // One that doesn't hear is known by its end, or by its silence.
-            let _ = send(&socket, &message, &beside);
-            if matches!(
-                message,
-                HandoverMessage::ClientConnection(_) | HandoverMessage::MemberConnection(_)
-            ) {
-                unsent.fetch_sub(1, Ordering::AcqRel);
-                let _ = woken.send(Event::Control(ControlEvent::WakeUp));
-            }
-        }
-    };
-    let (tell, queue) = (tell.clone(), queue.clone());
-    let hear = move || {
-        let mut reader = FrameReader::new(ours);
-        loop {
-            let input = match reader.read() {
-                Received::Message(message, _) => predecessor::Event::Message(message),
-                Received::Invalid(_) => predecessor::Event::InvalidFrame,
-                Received::Closed => break,
-            };
-            let garbled = input == predecessor::Event::InvalidFrame;
-            if tell.send(input).is_err()
-                || queue.send(Event::Control(ControlEvent::WakeUp)).is_err()
-                || garbled
-            {
-                break;
-            }
-        }
-        // A closed socket is no end: only the kernel's word is.
-        let _ = child.wait();
-        ledger.try_iter().for_each(|reads| drop(reads.join()));
-        let _ = tell.send(predecessor::Event::SuccessorExited);
-        let _ = queue.send(Event::Control(ControlEvent::WakeUp));
-    };
-    std::thread::Builder::new()
-        .name("takeover".to_owned())
-        .spawn(say)?;
-    std::thread::Builder::new()
-        .name("takeover".to_owned())
-        .spawn(hear)?;
-    Ok((number, descriptor, Link { messages, ledgers }))
+/// Second field of `/proc/self/statm`.
+fn resident_pages() -> u64 {
+    let fields = fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let pages = fields.split(' ').nth(1);
+    pages.and_then(|pages| pages.parse().ok()).unwrap_or(0)
 }
--- a/crates/driver/src/program/upgrade/retained_clients.rs
+++ b/crates/driver/src/program/upgrade/retained_clients.rs
@@ -1,4 +1,5 @@
-//! Copies of the connections of clients that another process serves on probation, with the ledger of what it does.
+//! What a predecessor retains of the clients that a successor serves on probation: copies of their connections, and the
+//! replay state of the successor's I/O journal. If the successor dies, the predecessor goes on with them.
 
 use crate::routing::handover::TransferredClient;
 use crate::transport::io_journal::is_abandoned;
@@ -10,164 +11,204 @@
 };
 use asterlatch_handover::message::ClientState;
 use std::collections::BTreeMap;
+use std::io;
 use std::net::{Shutdown, TcpStream};
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 
-#[derive(Default)]
-struct Table {
-    /// None where nothing is known of the clients any more.
-    ledger: Option<JournalReplay>,
-    /// Each with what the kernel had counted of it when the other process began.
-    sockets: BTreeMap<ConnectionKey, (TcpStream, SocketByteCounts)>,
-    broken: Option<ReplayError>,
+/// A copy of a client's connection.
+struct RetainedSocket {
+    stream: TcpStream,
+    /// What the kernel had counted when the successor began with it.
+    initial_counts: SocketByteCounts,
 }
 
-impl Table {
-    fn give_up(&mut self, broken: ReplayError) {
-        (self.ledger, self.broken) = (None, Some(broken));
-        self.sockets.clear();
+impl RetainedSocket {
+    /// What the kernel has counted since the successor began with it; `None` if that can't be told.
+    fn counts_since(&self) -> Option<SocketByteCounts> {
+        let total = counts(&self.stream).ok()?;
+        Some(SocketByteCounts {
+            read: total.read.checked_sub(self.initial_counts.read)?,
+            written: total.written.checked_sub(self.initial_counts.written)?,
+        })
     }
 }
 
-/// One for each new process.
-#[derive(Clone, Default)]
-pub struct Kept(Arc<Mutex<Table>>);
-
-/// What was had back.
 #[derive(Default)]
-pub struct TakenBack {
-    pub clients: Vec<TransferredClient>,
-    /// Those to whom nothing whole could be said any more.
-    pub cut: u64,
-    /// Why nobody was, where the ledger was not whole.
-    pub fault: Option<String>,
+struct Table {
+    /// `None` once nothing is known of the clients any more.
+    replay: Option<JournalReplay>,
+    sockets: BTreeMap<ConnectionKey, RetainedSocket>,
+    error: Option<ReplayError>,
 }
 
-impl Kept {
-    pub fn new(most: usize) -> Kept {
-        let kept = Kept::default();
-        kept.table().ledger = Some(JournalReplay::new(most));
-        kept
-    }
-
-    fn table(&self) -> MutexGuard<'_, Table> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+impl Table {
+    /// Forgets all clients: what the journal says of them is incomplete.
+    fn abandon(&mut self, error: ReplayError) {
+        self.replay = None;
+        self.error = Some(error);
+        self.sockets.clear();
     }
 
-    /// A client goes to the other process; where no copy of its connection can be had it will be cut.
-    pub fn hand_over(&self, client: ClientState, stream: &TcpStream) {
-        let mut table = self.table();
-        let table = &mut *table;
-        let Some(ledger) = &mut table.ledger else { return };
+    fn begin_transfer(&mut self, client: ClientState, stream: &TcpStream) {
+        let Some(replay) = &mut self.replay else { return };
         let key = ConnectionKey::Transfer(client.transfer_id);
-        if let Err(broken) = ledger.begin_transfer(client) {
-            return table.give_up(broken);
+        if let Err(error) = replay.begin_transfer(client) {
+            return self.abandon(error);
         }
-        // Nobody reads or writes it in this moment.
-        if let (Ok(copy), Ok(base)) = (stream.try_clone(), counts(stream)) {
-            table.sockets.insert(key, (copy, base));
+        // Neither process reads or writes the connection now, so the counts hold.
+        if let (Ok(stream), Ok(initial_counts)) = (stream.try_clone(), counts(stream)) {
+            let socket = RetainedSocket {
+                stream,
+                initial_counts,
+            };
+            self.sockets.insert(key, socket);
         }
     }
 
-    /// One that the other process could not hold: its client sees the end, and comes again.
-    pub fn missing(&self, handed: u64) {
-        let mut table = self.table();
-        if let Some(ledger) = &mut table.ledger {
-            ledger.cancel_transfer(handed);
+    fn cancel_transfer(&mut self, transfer_id: u64) {
+        if let Some(replay) = &mut self.replay {
+            replay.cancel_transfer(transfer_id);
         }
-        table.sockets.remove(&ConnectionKey::Transfer(handed));
+        self.sockets.remove(&ConnectionKey::Transfer(transfer_id));
     }
 
-    fn take(&self, record: JournalRecord, descriptor: Option<OwnedFd>) {
-        let mut table = self.table();
-        let table = &mut *table;
-        let Some(ledger) = &mut table.ledger else { return };
+    fn apply(&mut self, record: JournalRecord, descriptor: Option<OwnedFd>) {
+        let Some(replay) = &mut self.replay else { return };
         match record {
             JournalRecord::Accepted { client } => {
                 if let Some(descriptor) = descriptor {
-                    let socket = (TcpStream::from(descriptor), SocketByteCounts::default());
-                    table.sockets.insert(ConnectionKey::Client(client), socket);
+                    let socket = RetainedSocket {
+                        stream: TcpStream::from(descriptor),
+                        initial_counts: SocketByteCounts::default(),
+                    };
+                    self.sockets.insert(ConnectionKey::Client(client), socket);
+                }
+            }
+            JournalRecord::Adopted { client, transfer_id } => {
+                if let Some(socket) = self.sockets.remove(&ConnectionKey::Transfer(transfer_id)) {
+                    self.sockets.insert(ConnectionKey::Client(client), socket);
                 }
             }
-            JournalRecord::Adopted {
-                client,
-                transfer_id: handed,
-            } => {
-                let socket = table.sockets.remove(&ConnectionKey::Transfer(handed));
-                table
-                    .sockets
-                    .extend(socket.map(|s| (ConnectionKey::Client(client), s)));
+            JournalRecord::Closed { client } => {
+                self.sockets.remove(&ConnectionKey::Client(client));
             }
-            JournalRecord::Closed { client } => drop(table.sockets.remove(&ConnectionKey::Client(client))),
             _ => {}
         }
-        if let Err(broken) = ledger.apply(record) {
-            table.give_up(broken);
+        if let Err(error) = replay.apply(record) {
+            self.abandon(error);
         }
     }
+}
+
+/// The clients that one successor serves; clones share them. The event loop's thread transfers and reclaims clients, the
+/// journal's reader applies records. Dropping the last clone closes the copies.
+#[derive(Clone, Default)]
+pub(super) struct RetainedClients(Arc<Mutex<Table>>);
+
+/// What is left of a dead successor's clients.
+#[derive(Default)]
+pub(super) struct Reclaimed {
+    /// Clients that can go on here.
+    pub(super) clients: Vec<TransferredClient>,
+    /// Number of clients that were cut off, since no consistent answer to them is possible.
+    pub(super) cut: u64,
+    /// Why none can go on, if the journal was incomplete; as operators read it.
+    pub(super) incomplete: Option<String>,
+}
+
+impl RetainedClients {
+    /// No clients; the replay state may take so many bytes.
+    pub(super) fn new(memory_limit: usize) -> RetainedClients {
+        let table = Table {
+            replay: Some(JournalReplay::new(memory_limit)),
+            ..Table::default()
+        };
+        RetainedClients(Arc::new(Mutex::new(table)))
+    }
 
-    /// Reads on a thread of its own for as long as the other process writes.
-    pub fn follow(&self, socket: UnixStream) -> std::io::Result<JoinHandle<()>> {
-        let kept = self.clone();
-        let read = move || {
+    fn table(&self) -> MutexGuard<'_, Table> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// A client is sent to the successor. It is cut off on reclaim if its connection can't be copied.
+    pub(super) fn begin_transfer(&self, client: ClientState, stream: &TcpStream) {
+        self.table().begin_transfer(client, stream);
+    }
+
+    /// The successor had no descriptor for this client, whose connection therefore ends.
+    pub(super) fn cancel_transfer(&self, transfer_id: u64) {
+        self.table().cancel_transfer(transfer_id);
+    }
+
+    /// Reads the journal on a thread of its own, which ends with the successor's end of the socket.
+    ///
+    /// # Errors
+    /// If the thread can't be started.
+    pub(super) fn spawn_journal_reader(&self, socket: UnixStream) -> io::Result<JoinHandle<()>> {
+        let clients = self.clone();
+        let read_all = move || {
             let mut reader = FrameReader::<JournalRecord>::new(socket);
             loop {
                 match reader.read() {
-                    Received::Message(record, beside) => kept.take(record, beside.into_iter().next()),
-                    Received::Invalid(_) => kept.table().give_up(ReplayError::Inconsistent),
+                    Received::Message(record, descriptors) => {
+                        clients.table().apply(record, descriptors.into_iter().next());
+                    }
+                    Received::Invalid(_) => clients.table().abandon(ReplayError::Inconsistent),
                     Received::Closed => return,
                 }
             }
         };
-        std::thread::Builder::new().name("ledger".to_owned()).spawn(read)
+        std::thread::Builder::new()
+            .name("ledger".to_owned())
+            .spawn(read_all)
     }
 
-    /// The other process has the service for good.
-    pub fn clear(&self) {
+    /// Forgets all clients: the service is the successor's.
+    pub(super) fn clear(&self) {
         *self.table() = Table::default();
     }
 
-    /// The other process is dead and all it wrote was read: what becomes of its clients.
-    pub fn take_back(&self, given_up: &OwnedFd) -> TakenBack {
-        let Table {
-            ledger,
-            mut sockets,
-            broken,
-        } = std::mem::take(&mut *self.table());
-        let mut back = TakenBack {
-            fault: broken.map(|b| format!("{b:?}")),
-            ..TakenBack::default()
+    /// Takes the clients back. The successor must be dead and its journal read to the end; `abandoned` is the event
+    /// descriptor by which it reports that it stopped writing the journal.
+    pub(super) fn reclaim(&self, abandoned: &OwnedFd) -> Reclaimed {
+        let table = std::mem::take(&mut *self.table());
+        let Some(replay) = table.replay else {
+            return Reclaimed {
+                incomplete: table.error.map(|error| format!("{error:?}")),
+                ..Reclaimed::default()
+            };
         };
-        let Some(ledger) = ledger else { return back };
-        if is_abandoned(given_up) {
-            back.fault = Some("the new process couldn't write it on".to_owned());
-            back.cut = sockets.len() as u64;
-            return back;
+        if is_abandoned(abandoned) {
+            return Reclaimed {
+                clients: Vec::new(),
+                cut: table.sockets.len() as u64,
+                incomplete: Some("the new process couldn't write it on".to_owned()),
+            };
         }
-        let since = |key| {
-            let (socket, base): &(TcpStream, SocketByteCounts) = sockets.get(&key)?;
-            let all = counts(socket).ok()?;
-            Some(SocketByteCounts {
-                read: all.read.checked_sub(base.read)?,
-                written: all.written.checked_sub(base.written)?,
-            })
-        };
-        for RecoveredClient { key, recovery } in ledger.recover_clients(since) {
-            match (recovery, sockets.remove(&key)) {
-                (ClientRecovery::Resume { client, verdicts }, Some((stream, _))) => {
-                    back.clients
-                        .push(TransferredClient::new(client, None, stream, verdicts));
-                }
-                (_, socket) => {
-                    back.cut += 1;
-                    // Its client sees that no more comes.
-                    socket.map(|(stream, _)| stream.shutdown(Shutdown::Both));
+        recover(replay, table.sockets)
+    }
+}
+
+fn recover(replay: JournalReplay, mut sockets: BTreeMap<ConnectionKey, RetainedSocket>) -> Reclaimed {
+    let mut reclaimed = Reclaimed::default();
+    let counts_since = |key| sockets.get(&key).and_then(RetainedSocket::counts_since);
+    for RecoveredClient { key, recovery } in replay.recover_clients(counts_since) {
+        match (recovery, sockets.remove(&key)) {
+            (ClientRecovery::Resume { client, verdicts }, Some(socket)) => {
+                let client = TransferredClient::new(client, None, socket.stream, verdicts);
+                reclaimed.clients.push(client);
+            }
+            (_, socket) => {
+                reclaimed.cut += 1;
+                if let Some(socket) = socket {
+                    // Copies elsewhere would keep the connection open.
+                    let _ = socket.stream.shutdown(Shutdown::Both);
                 }
             }
         }
-        back
     }
+    reclaimed
 }
--- a/crates/driver/src/program/upgrade/successor.rs
+++ b/crates/driver/src/program/upgrade/successor.rs
@@ -1,7 +1,8 @@
-//! The side of the new process: takes state, listener and clients over, and writes down what it does on probation.
+//! The successor's role: takes state, listener and clients over from a predecessor, and records on probation what it does
+//! with the clients.
 
-use super::handover_state::{read, Resumed};
-use super::{bind, words, VARIABLE};
+use super::handover_state::{deserialize, HandoverStateError, ResumedService};
+use super::{co_serving, SOCKET_VARIABLE};
 use crate::program::config::Config;
 use crate::program::log::{log, Log};
 use crate::routing::event_loop::EventLoop;
@@ -13,256 +14,279 @@
 use asterlatch_handover::codec::{monotonic_micros, send, FrameReader, Received};
 use asterlatch_handover::io_journal::StatementVerdicts;
 use asterlatch_handover::message::HandoverMessage;
-use asterlatch_handover::successor::{self, Successor};
+use asterlatch_handover::successor::{self, AbortReason, Action, Successor};
+use std::ffi::OsStr;
+use std::io;
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{FromRawFd, OwnedFd};
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
+use thiserror::Error;
 
-/// What comes from the former process while this one serves.
-enum Heard {
-    Word(successor::Event),
-    Moved(TransferredClient),
-    Member(u32, TcpStream),
+/// Standard input, output and error come first; no socket is passed as one of them.
+const FIRST_PASSED_DESCRIPTOR: i32 = 3;
+/// Longest wait for a message; the deadline is checked again after it.
+const MAX_WAIT_MICROS: u64 = 60_000_000;
+
+/// Why this process can't take over. It exits, and the predecessor serves on if it still runs.
+#[derive(Debug, Error)]
+pub enum SuccessorError {
+    /// The environment variable holds no number of a descriptor.
+    #[error("{SOCKET_VARIABLE} names no descriptor")]
+    InvalidDescriptor,
+    /// The passed descriptor can't be used.
+    #[error("{SOCKET_VARIABLE}: {0}")]
+    PassedSocket(#[source] io::Error),
+    /// The handover was aborted.
+    #[error(transparent)]
+    Aborted(#[from] AbortReason),
+    /// The I/O journal's socket can't be used.
+    #[error("ledger: {0}")]
+    Journal(#[source] io::Error),
+    /// The predecessor's messages can't be read on a thread of their own.
+    #[error("takeover: {0}")]
+    Reader(#[source] io::Error),
+}
+
+/// What the reader's thread passes on from the predecessor.
+enum PredecessorEvent {
+    Protocol(successor::Event),
+    Client(TransferredClient),
+    MemberConnection { member: u32, stream: TcpStream },
 }
 
-/// The side of the new process.
-pub struct Takeover {
+impl PredecessorEvent {
+    /// Nothing follows this event.
+    fn is_last(&self) -> bool {
+        matches!(self, PredecessorEvent::Protocol(event) if ends_connection(event))
+    }
+}
+
+fn ends_connection(event: &successor::Event) -> bool {
+    matches!(
+        event,
+        successor::Event::InvalidFrame | successor::Event::PredecessorExited
+    )
+}
+
+/// The I/O journal's socket, and the event descriptor that tells the predecessor of its end.
+struct JournalDescriptors {
+    socket: UnixStream,
+    abandoned: OwnedFd,
+}
+
+/// A handover as the successor sees it. The calls come in the order of the methods here, all on the event loop's thread.
+pub struct SuccessorRole {
     machine: Successor,
     socket: UnixStream,
+    /// Reads the socket until [`SuccessorRole::spawn_reader`] moves it to a thread.
     reader: Option<FrameReader>,
-    heard: Option<Receiver<Heard>>,
-    /// The former process is gone.
-    ended: bool,
+    events: Option<Receiver<PredecessorEvent>>,
+    has_predecessor_exited: bool,
     listener: Option<TcpListener>,
-    /// To write the ledger into, and to give it up with.
-    ledger: Option<(UnixStream, OwnedFd)>,
-    witness: Option<IoJournalWriter>,
-    joint: CoServingState,
-    started: Timestamp,
-}
-
-/// Takes the socket to the former process, where this one was started to take over.
-pub fn inherited(times: successor::Timeouts) -> Result<Option<Takeover>, String> {
-    let Some(number) = std::env::var_os(VARIABLE) else {
-        return Ok(None);
-    };
-    // No process that this one starts is to think it was named this.
-    std::env::remove_var(VARIABLE);
-    let number: Option<i32> = number.to_str().and_then(|n| n.parse().ok()).filter(|n| *n > 2);
-    let number = number.ok_or_else(|| format!("{VARIABLE} names no descriptor"))?;
-    // SAFETY: the former process opened it for this one, and nothing here has used that number: it is the first thing
-    // that a process does.
-    let socket = unsafe { UnixStream::from_raw_fd(number) };
-    let prepared = rustix::io::fcntl_setfd(&socket, rustix::io::FdFlags::CLOEXEC);
-    prepared.map_err(|e| format!("{VARIABLE}: {e}"))?;
-    let reader = socket.try_clone().map_err(|e| format!("{VARIABLE}: {e}"))?;
-    Ok(Some(Takeover {
-        machine: Successor::new(times),
-        socket,
-        reader: Some(FrameReader::new(reader)),
-        heard: None,
-        ended: false,
-        listener: None,
-        ledger: None,
-        witness: None,
-        joint: CoServingState::default(),
-        started: Timestamp(monotonic_micros()),
-    }))
+    journal_descriptors: Option<JournalDescriptors>,
+    /// Set until the journal ends.
+    journal: Option<IoJournalWriter>,
+    co_serving: CoServingState,
+    started_at: Timestamp,
 }
 
-impl Takeover {
-    /// Until it serves the machine's clock will do.
-    fn machine_now(&self) -> Timestamp {
-        Timestamp(monotonic_micros())
-    }
-
-    fn say(&self, message: &HandoverMessage) {
-        // A former process that is gone is known by its end.
-        let _ = send(&self.socket, message, &[]);
+impl SuccessorRole {
+    /// The role that the environment gives this process, if a predecessor started it. It must be called once, before
+    /// the process opens any descriptor or starts a thread.
+    ///
+    /// # Errors
+    /// If the variable names no descriptor, or one that can't be used.
+    pub fn from_environment(timeouts: successor::Timeouts) -> Result<Option<SuccessorRole>, SuccessorError> {
+        let Some(value) = std::env::var_os(SOCKET_VARIABLE) else {
+            return Ok(None);
+        };
+        // Processes that this one starts must not inherit it.
+        std::env::remove_var(SOCKET_VARIABLE);
+        let descriptor = parse_descriptor(&value).ok_or(SuccessorError::InvalidDescriptor)?;
+        // SAFETY: the predecessor opened the descriptor for this process. Nothing else here owns that number, as this
+        // runs before anything is opened.
+        let socket = unsafe { UnixStream::from_raw_fd(descriptor) };
+        rustix::io::fcntl_setfd(&socket, rustix::io::FdFlags::CLOEXEC)
+            .map_err(|errno| SuccessorError::PassedSocket(errno.into()))?;
+        let reader = socket.try_clone().map_err(SuccessorError::PassedSocket)?;
+        Ok(Some(SuccessorRole {
+            machine: Successor::new(timeouts),
+            socket,
+            reader: Some(FrameReader::new(reader)),
+            events: None,
+            has_predecessor_exited: false,
+            listener: None,
+            journal_descriptors: None,
+            journal: None,
+            co_serving: CoServingState::default(),
+            started_at: monotonic_now(),
+        }))
     }
 
-    /// Says hello, and waits for state and listener.
-    pub fn load(&mut self, config: &Config) -> Result<Resumed, String> {
-        let now = self.machine_now();
-        let mut effects = self.machine.on_event(now, successor::Event::Started);
+    /// Sends the hello, and waits for state and listener.
+    ///
+    /// # Errors
+    /// If the handover is aborted.
+    pub fn load(&mut self, config: &Config) -> Result<ResumedService, SuccessorError> {
+        let mut actions = self.on_event(successor::Event::Started);
         loop {
-            for effect in std::mem::take(&mut effects) {
-                match effect {
-                    successor::Action::Send(message) => self.say(&message),
-                    successor::Action::LoadState(bytes) => {
-                        match (read(&bytes, config.settings_text), &self.listener) {
-                            (Ok(resumed), Some(_)) => return Ok(resumed),
-                            (Ok(_), None) => effects.extend(self.loaded(Err("no listener came".to_owned()))),
-                            (Err(why), _) => effects.extend(self.loaded(Err(why))),
+            for action in std::mem::take(&mut actions) {
+                match action {
+                    Action::Send(message) => self.send(&message),
+                    Action::LoadState(bytes) => match self.load_state(&bytes, config) {
+                        Ok(resumed) => return Ok(resumed),
+                        Err(error) => {
+                            let reason = error.to_string();
+                            actions.extend(self.on_event(successor::Event::LoadFailed { reason }));
                         }
-                    }
-                    successor::Action::Abort(why) => return Err(why.to_string()),
-                    successor::Action::StartServing
-                    | successor::Action::StartAccepting
-                    | successor::Action::Report(_) => {}
+                    },
+                    Action::Abort(reason) => return Err(reason.into()),
+                    Action::StartServing | Action::StartAccepting | Action::Report(_) => {}
                 }
             }
-            if effects.is_empty() {
-                effects = self.wait();
+            if actions.is_empty() {
+                actions = self.wait();
             }
         }
     }
 
-    fn loaded(&mut self, result: Result<(), String>) -> Vec<successor::Action> {
-        let now = self.machine_now();
-        let event = match result {
-            Ok(()) => successor::Event::Loaded,
-            Err(reason) => successor::Event::LoadFailed { reason },
-        };
-        self.machine.on_event(now, event)
-    }
-
-    pub fn listener(&mut self) -> Option<TcpListener> {
-        self.listener.take()
+    fn load_state(&self, bytes: &[u8], config: &Config) -> Result<ResumedService, HandoverStateError> {
+        let resumed = deserialize(bytes, config.settings_text)?;
+        if self.listener.is_none() {
+            return Err(HandoverStateError::ListenerMissing);
+        }
+        Ok(resumed)
     }
 
-    /// Writes down what is done here, for as long as the former process may have to go on with it.
-    pub fn witness(&mut self) -> Result<Option<IoJournalWriter>, String> {
-        let made = self
-            .ledger
-            .take()
-            .map(|(socket, end)| IoJournalWriter::new(socket, end));
-        self.witness = made.transpose().map_err(|e| format!("ledger: {e}"))?;
-        Ok(self.witness.clone())
+    /// The writer of the I/O journal, which runs for as long as the predecessor may have to go on with the clients.
+    ///
+    /// # Errors
+    /// If the journal's socket can't be used.
+    pub fn open_journal(&mut self) -> Result<Option<IoJournalWriter>, SuccessorError> {
+        if let Some(descriptors) = self.journal_descriptors.take() {
+            let writer = IoJournalWriter::new(descriptors.socket, descriptors.abandoned);
+            self.journal = Some(writer.map_err(SuccessorError::Journal)?);
+        }
+        Ok(self.journal.clone())
     }
 
-    /// The next word of the former process, its end, or its silence.
-    fn wait(&mut self) -> Vec<successor::Action> {
-        let wait = self.machine.next_deadline() - self.machine_now();
-        let timeout = Duration::from_micros(wait.0.clamp(1, 60_000_000));
-        let _ = self.socket.set_read_timeout(Some(timeout));
-        let Some(reader) = &mut self.reader else {
-            return Vec::new();
-        };
-        let input = match reader.read() {
-            Received::Message(message, descriptors) => {
-                let mut beside = descriptors.into_iter();
-                if let (Some(listener), Some(ledger), Some(given_up)) =
-                    (beside.next(), beside.next(), beside.next())
-                {
-                    self.listener = Some(listener.into());
-                    self.ledger = Some((ledger.into(), given_up));
-                }
-                successor::Event::Message(message)
-            }
-            Received::Invalid(_) => successor::Event::InvalidFrame,
-            // A silence ends the reading as well; the rules tell them apart by the time.
-            Received::Closed if self.machine.next_deadline() <= self.machine_now() => {
-                successor::Event::TimerElapsed
-            }
-            Received::Closed => successor::Event::PredecessorExited,
-        };
-        let now = self.machine_now();
-        self.machine.on_event(now, input)
+    /// Takes the predecessor's listener.
+    pub fn take_listener(&mut self) -> Option<TcpListener> {
+        self.listener.take()
     }
 
-    /// Says that this process could serve, and waits until it is to.
-    pub fn commit(&mut self) -> Result<(), String> {
-        let mut effects = self.loaded(Ok(()));
+    /// Reports that this process can serve, and waits for the commit.
+    ///
+    /// # Errors
+    /// If the handover is aborted.
+    pub fn commit(&mut self) -> Result<(), SuccessorError> {
+        let mut actions = self.on_event(successor::Event::Loaded);
         loop {
-            let mut serves = false;
-            for effect in std::mem::take(&mut effects) {
-                match effect {
-                    successor::Action::Send(message) => self.say(&message),
-                    successor::Action::StartServing => serves = true,
-                    successor::Action::Abort(why) => return Err(why.to_string()),
-                    successor::Action::LoadState(_)
-                    | successor::Action::StartAccepting
-                    | successor::Action::Report(_) => {}
+            let mut is_committed = false;
+            for action in std::mem::take(&mut actions) {
+                match action {
+                    Action::Send(message) => self.send(&message),
+                    Action::StartServing => is_committed = true,
+                    Action::Abort(reason) => return Err(reason.into()),
+                    Action::LoadState(_) | Action::StartAccepting | Action::Report(_) => {}
                 }
             }
-            if serves {
+            if is_committed {
                 return Ok(());
             }
-            effects = self.wait();
+            actions = self.wait();
         }
     }
 
-    /// From now on the former process is listened to on a thread of its own.
-    pub fn follow(&mut self, queue: Sender<Event>) -> Result<(), String> {
+    /// Reads the predecessor's messages on a thread of their own from now on. It wakes the event loop by `queue`, and ends
+    /// with the predecessor's end of the socket.
+    ///
+    /// # Errors
+    /// If the thread can't be started.
+    pub fn spawn_reader(&mut self, queue: Sender<Event>) -> Result<(), SuccessorError> {
         let _ = self.socket.set_read_timeout(None);
-        let (tell, heard) = channel();
-        self.heard = Some(heard);
-        let Some(mut reader) = self.reader.take() else {
+        let (sender, receiver) = channel();
+        self.events = Some(receiver);
+        let Some(reader) = self.reader.take() else {
             return Ok(());
         };
-        let socket = self.socket.try_clone().map_err(|e| format!("takeover: {e}"))?;
-        let hear = move || loop {
-            let heard = match reader.read() {
-                Received::Message(HandoverMessage::ClientConnection(client), descriptors) => {
-                    let Some(stream) = descriptors.into_iter().next() else {
-                        // The kernel drops what a process has no descriptor for.
-                        let _ = send(
-                            &socket,
-                            &HandoverMessage::ConnectionMissing(client.transfer_id),
-                            &[],
-                        );
-                        continue;
-                    };
-                    let (handed, verdicts) = (Some(client.transfer_id), StatementVerdicts::default());
-                    Heard::Moved(TransferredClient::new(client, handed, stream.into(), verdicts))
-                }
-                Received::Message(HandoverMessage::MemberConnection(member), descriptors) => {
-                    let Some(stream) = descriptors.into_iter().next() else {
-                        continue;
-                    };
-                    Heard::Member(member, TcpStream::from(stream))
-                }
-                Received::Message(message, _) => Heard::Word(successor::Event::Message(message)),
-                Received::Invalid(_) => Heard::Word(successor::Event::InvalidFrame),
-                Received::Closed => Heard::Word(successor::Event::PredecessorExited),
-            };
-            let last = matches!(
-                heard,
-                Heard::Word(successor::Event::InvalidFrame | successor::Event::PredecessorExited)
-            );
-            if tell.send(heard).is_err() || queue.send(Event::Control(ControlEvent::WakeUp)).is_err() || last
-            {
-                return;
+        let socket = self.socket.try_clone().map_err(SuccessorError::Reader)?;
+        std::thread::Builder::new()
+            .name("takeover".to_owned())
+            .spawn(move || read_all(reader, &socket, &sender, &queue))
+            .map_err(SuccessorError::Reader)?;
+        Ok(())
+    }
+
+    /// Handles what arrived from the predecessor and what is due.
+    pub fn advance_to(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        let mut actions = Vec::new();
+        let monotonic = monotonic_now();
+        while let Some(Ok(event)) = self.events.as_ref().map(Receiver::try_recv) {
+            actions.extend(self.on_predecessor_event(event_loop, now, monotonic, event));
+        }
+        if self.machine.next_deadline() <= monotonic {
+            actions.extend(self.machine.on_event(monotonic, successor::Event::TimerElapsed));
+        }
+        self.check_journal(event_loop, now);
+        for action in actions {
+            self.carry_out(event_loop, now, monotonic, action);
+        }
+        if !self.has_predecessor_exited {
+            if let Some(message) = co_serving::next_message(event_loop, &mut self.co_serving) {
+                self.send(&message);
             }
-        };
-        let thread = std::thread::Builder::new().name("takeover".to_owned());
-        thread.spawn(hear).map(drop).map_err(|e| format!("takeover: {e}"))
+        }
+        // Only now: the predecessor was notified that the service is not its own any more.
+        if self.machine.phase == successor::Phase::Serving {
+            if let Some(journal) = self.journal.take() {
+                journal.stop();
+            }
+        }
     }
 
-    pub fn steer(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
-        let mut effects = Vec::new();
-        let machine_now = self.machine_now();
-        while let Some(Ok(heard)) = self.heard.as_ref().map(Receiver::try_recv) {
-            match heard {
-                Heard::Moved(moved) => event_loop.adopt_client(now, moved),
-                Heard::Member(member, stream) => event_loop.adopt_member_connection(now, member, stream),
-                Heard::Word(successor::Event::Message(HandoverMessage::CoServing(words))) => {
-                    let answer = bind(event_loop, now, &mut self.joint, &words);
-                    answer.iter().for_each(|m| self.say(m));
+    fn on_predecessor_event(
+        &mut self,
+        event_loop: &mut EventLoop<Log>,
+        now: Timestamp,
+        monotonic: Timestamp,
+        event: PredecessorEvent,
+    ) -> Vec<Action> {
+        match event {
+            PredecessorEvent::Client(client) => event_loop.adopt_client(now, client),
+            PredecessorEvent::MemberConnection { member, stream } => {
+                event_loop.adopt_member_connection(now, member, stream);
+            }
+            PredecessorEvent::Protocol(successor::Event::Message(HandoverMessage::CoServing(messages))) => {
+                let answer = co_serving::on_messages(event_loop, now, &mut self.co_serving, &messages);
+                if let Some(answer) = answer {
+                    self.send(&answer);
                 }
-                Heard::Word(input) => {
-                    if matches!(
-                        input,
-                        successor::Event::InvalidFrame | successor::Event::PredecessorExited
-                    ) {
-                        self.ended = true;
-                        // Nothing of the former one is out any more.
-                        event_loop.set_co_serving(now, CoServing::Alone);
-                        event_loop.metrics.in_flight_at_peer_process = 0;
-                        log!(event_loop.observer, now, "upgrade", "the former process has left");
-                    }
-                    effects.extend(self.machine.on_event(machine_now, input));
+            }
+            PredecessorEvent::Protocol(event) => {
+                if ends_connection(&event) {
+                    self.on_predecessor_exited(event_loop, now);
                 }
+                return self.machine.on_event(monotonic, event);
             }
         }
-        if self.machine.next_deadline() <= machine_now {
-            effects.extend(self.machine.on_event(machine_now, successor::Event::TimerElapsed));
-        }
-        let given_up = self.witness.take_if(|w| !w.is_on());
-        if given_up.is_some() {
+        Vec::new()
+    }
+
+    fn on_predecessor_exited(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        self.has_predecessor_exited = true;
+        // It has no executions in flight any more.
+        event_loop.set_co_serving(now, CoServing::Alone);
+        event_loop.metrics.in_flight_at_peer_process = 0;
+        log!(event_loop.observer, now, "upgrade", "the former process has left");
+    }
+
+    /// Lets go of a journal that had to be abandoned.
+    fn check_journal(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        let abandoned = self.journal.take_if(|journal| !journal.is_on());
+        if abandoned.is_some() {
             log!(
                 event_loop.observer,
                 now,
@@ -270,42 +294,141 @@
                 "the ledger is given up: the former process doesn't read it"
             );
         }
-        for effect in effects {
-            match effect {
-                successor::Action::Send(message) => self.say(&message),
-                successor::Action::StartAccepting => event_loop.set_accepting(true),
-                successor::Action::Report(text) => {
-                    let took = (machine_now - self.started).0 / 1000;
-                    log!(
-                        event_loop.observer,
-                        now,
-                        "upgrade",
-                        "{text}, {took} ms after this process began"
-                    );
-                }
-                _ => {}
+    }
+
+    fn carry_out(
+        &mut self,
+        event_loop: &mut EventLoop<Log>,
+        now: Timestamp,
+        monotonic: Timestamp,
+        action: Action,
+    ) {
+        match action {
+            Action::Send(message) => self.send(&message),
+            Action::StartAccepting => event_loop.set_accepting(true),
+            Action::Report(progress) => {
+                let elapsed_ms = (monotonic - self.started_at).0 / 1000;
+                log!(
+                    event_loop.observer,
+                    now,
+                    "upgrade",
+                    "{progress}, {elapsed_ms} ms after this process began"
+                );
             }
-        }
-        if !self.ended {
-            let told = words(event_loop, &mut self.joint);
-            told.iter().for_each(|m| self.say(m));
-        }
-        // Whoever is proven, or alone, answers for its clients itself; not before the former one was told so.
-        if self.machine.phase == successor::Phase::Serving {
-            self.witness.take().inspect(IoJournalWriter::stop);
+            Action::LoadState(_) | Action::StartServing | Action::Abort(_) => {}
         }
     }
 
-    /// In the service's own time.
+    /// When [`SuccessorRole::advance_to`] has something to do, by the service's clock.
     pub fn next_at(&self, now: Timestamp) -> Timestamp {
         match self.machine.next_deadline() {
             Timestamp(u64::MAX) => Timestamp(u64::MAX),
-            at => now + (at - self.machine_now()),
+            at => now + (at - monotonic_now()),
         }
     }
 
-    /// The service is this process's alone, and no client is to come from the former one any more.
-    pub fn is_over(&self) -> bool {
-        self.ended && self.machine.phase == successor::Phase::Serving
+    /// The service is this process's own, and the predecessor has exited: no client comes from it any more.
+    pub fn is_complete(&self) -> bool {
+        self.has_predecessor_exited && self.machine.phase == successor::Phase::Serving
+    }
+
+    fn on_event(&mut self, event: successor::Event) -> Vec<Action> {
+        self.machine.on_event(monotonic_now(), event)
     }
+
+    fn send(&self, message: &HandoverMessage) {
+        // A predecessor that has exited is noticed by the end of its socket.
+        let _ = send(&self.socket, message, &[]);
+    }
+
+    /// Waits for the predecessor's next message, its exit, or the deadline.
+    fn wait(&mut self) -> Vec<Action> {
+        let wait = self.machine.next_deadline() - monotonic_now();
+        let timeout = Duration::from_micros(wait.0.clamp(1, MAX_WAIT_MICROS));
+        let _ = self.socket.set_read_timeout(Some(timeout));
+        let Some(reader) = &mut self.reader else {
+            return Vec::new();
+        };
+        let event = match reader.read() {
+            Received::Message(message, descriptors) => {
+                self.take_descriptors(descriptors);
+                successor::Event::Message(message)
+            }
+            Received::Invalid(_) => successor::Event::InvalidFrame,
+            // A read that times out is reported like the end of the socket.
+            Received::Closed if self.machine.next_deadline() <= monotonic_now() => {
+                successor::Event::TimerElapsed
+            }
+            Received::Closed => successor::Event::PredecessorExited,
+        };
+        self.on_event(event)
+    }
+
+    /// Those that come with the state: the listener, the journal's socket and its event descriptor.
+    fn take_descriptors(&mut self, descriptors: Vec<OwnedFd>) {
+        let mut descriptors = descriptors.into_iter();
+        if let (Some(listener), Some(journal), Some(abandoned)) =
+            (descriptors.next(), descriptors.next(), descriptors.next())
+        {
+            self.listener = Some(listener.into());
+            self.journal_descriptors = Some(JournalDescriptors {
+                socket: journal.into(),
+                abandoned,
+            });
+        }
+    }
+}
+
+/// The handover's clock, which both processes share.
+fn monotonic_now() -> Timestamp {
+    Timestamp(monotonic_micros())
+}
+
+fn parse_descriptor(value: &OsStr) -> Option<i32> {
+    let descriptor = value.to_str()?.parse().ok()?;
+    (descriptor >= FIRST_PASSED_DESCRIPTOR).then_some(descriptor)
+}
+
+/// Passes on what the predecessor sends, until it ends or the event loop is gone.
+fn read_all(
+    mut reader: FrameReader,
+    socket: &UnixStream,
+    events: &Sender<PredecessorEvent>,
+    queue: &Sender<Event>,
+) {
+    loop {
+        let Some(event) = next_event(&mut reader, socket) else {
+            continue;
+        };
+        let is_last = event.is_last();
+        if events.send(event).is_err() || queue.send(Event::Control(ControlEvent::WakeUp)).is_err() || is_last
+        {
+            return;
+        }
+    }
+}
+
+/// Waits for the predecessor's next message; `None` for a connection whose descriptor is missing: the kernel drops those
+/// that exceed the process's limit.
+fn next_event(reader: &mut FrameReader, socket: &UnixStream) -> Option<PredecessorEvent> {
+    let event = match reader.read() {
+        Received::Message(HandoverMessage::ClientConnection(client), descriptors) => {
+            let transfer_id = client.transfer_id;
+            let Some(stream) = descriptors.into_iter().next() else {
+                let _ = send(socket, &HandoverMessage::ConnectionMissing(transfer_id), &[]);
+                return None;
+            };
+            let verdicts = StatementVerdicts::default();
+            let client = TransferredClient::new(client, Some(transfer_id), stream.into(), verdicts);
+            PredecessorEvent::Client(client)
+        }
+        Received::Message(HandoverMessage::MemberConnection(member), descriptors) => {
+            let stream = descriptors.into_iter().next()?.into();
+            PredecessorEvent::MemberConnection { member, stream }
+        }
+        Received::Message(message, _) => PredecessorEvent::Protocol(successor::Event::Message(message)),
+        Received::Invalid(_) => PredecessorEvent::Protocol(successor::Event::InvalidFrame),
+        Received::Closed => PredecessorEvent::Protocol(successor::Event::PredecessorExited),
+    };
+    Some(event)
 }
