--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -3,7 +3,7 @@
 
 use super::config::Config;
 use super::log::{log, Log};
-use super::phases::{Phases, Times};
+use super::phases::{Phases, PhaseDurations};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::{ControlEvent, Event};
 use crate::routing::limits::{CrowdedIdleTimeout, Limits, Share, WorkloadLimits};
@@ -33,7 +33,7 @@
 pub struct InForce {
     pub limits: Limits,
     pub workloads: BTreeMap<String, WorkloadLimits>,
-    pub times: Times,
+    pub times: PhaseDurations,
     pub stacks: CoroutineStacks,
     pub lines_a_second: u32,
     /// Of the process that serves, and of one that takes over.
@@ -75,7 +75,7 @@
             initial_backoff: call("first_pause"),
             max_backoff: call("longest_pause"),
         };
-        let times = Times {
+        let times = PhaseDurations {
             arrivals: span("phases", "arrivals"),
             linger: span("phases", "linger"),
             longest_drain: span("phases", "longest_drain"),
@@ -477,7 +477,7 @@
 pub fn take_over(event_loop: &mut EventLoop<Log>, phases: &mut Phases, force: &InForce) {
     event_loop.set_limits(force.limits, &force.workloads);
     event_loop.observer.lines_a_second = force.lines_a_second;
-    phases.times = force.times;
+    phases.durations = force.times;
 }
 
 fn written(told: &Told) -> String {
--- a/crates/driver/src/program/phases.rs
+++ b/crates/driver/src/program/phases.rs
@@ -2,23 +2,30 @@
 
 use asterlatch::time::{TimeSpan, Timestamp};
 
+/// A phase of the process; each follows the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Phase {
+    /// The listener is not open yet.
     #[default]
     Starting,
+    /// Clients are accepted and served.
     Serving,
-    /// Told to leave: clients still arrive for a while, and are served.
+    /// Shutdown was requested: clients that still arrive for a while are served.
     Leaving {
+        /// When it was requested.
         since: Timestamp,
     },
-    /// No client is taken any more; each goes after the answer it waits for.
+    /// No client is accepted any more; each is closed after the answer that it waits for.
     Draining {
+        /// When the drain began.
         since: Timestamp,
     },
+    /// The process exits.
     Stopped,
 }
 
 impl Phase {
+    /// The phase as the log names it.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -30,21 +37,21 @@
     }
 }
 
-/// The times of the phases, which the operators may set.
+/// Durations of the phases, which operators may set.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
-    /// How long clients may still arrive once the process was told to leave.
+pub struct PhaseDurations {
+    /// How long clients are still accepted after shutdown was requested.
     pub arrivals: TimeSpan,
-    /// How long a client that has its answer, and doesn't read it, is waited for; and since the last statement was
-    /// open, for the next one of a row may be on its way to the event loop.
+    /// How long a drain waits for a client that doesn't read its answer. It counts from the last open statement, since
+    /// the next statement of a client may be on its way to the event loop.
     pub linger: TimeSpan,
-    /// A drain is never longer.
+    /// Longest drain.
     pub longest_drain: TimeSpan,
 }
 
-impl Default for Times {
-    fn default() -> Times {
-        Times {
+impl Default for PhaseDurations {
+    fn default() -> PhaseDurations {
+        PhaseDurations {
             arrivals: TimeSpan::millis(450),
             linger: TimeSpan::millis(1000),
             longest_drain: TimeSpan::millis(25 * 3_600_000),
@@ -52,20 +59,27 @@
     }
 }
 
+/// State machine of the phases.
 #[derive(Default)]
 pub struct Phases {
     phase: Phase,
-    pub times: Times,
+    /// Durations in force; they may change at any time.
+    pub durations: PhaseDurations,
     /// When a statement was last seen open.
-    busy_at: Timestamp,
+    last_busy_at: Timestamp,
 }
 
 /// What the phases depend on.
-pub struct Seen {
-    pub told_to_leave: bool,
-    pub listening: bool,
-    pub listener_closed: bool,
+pub struct ProcessState {
+    /// The process is asked to shut down, or a successor has taken over.
+    pub is_shutting_down: bool,
+    /// The listener was opened.
+    pub is_listening: bool,
+    /// The listener is closed again.
+    pub is_listener_closed: bool,
+    /// Clients of this process, those included that are being sent to a successor.
     pub open_clients: usize,
+    /// Statements without a final answer.
     pub open_statements: usize,
 }
 
@@ -75,33 +89,35 @@
         self.phase
     }
 
-    /// Goes one phase on, if it is time for that.
-    pub fn advance(&mut self, now: Timestamp, seen: &Seen) -> Option<Phase> {
-        if seen.open_statements > 0 {
-            self.busy_at = now;
+    /// Enters the next phase if that is due, and returns it.
+    pub fn advance(&mut self, now: Timestamp, state: &ProcessState) -> Option<Phase> {
+        if state.open_statements > 0 {
+            self.last_busy_at = now;
         }
         let next = match self.phase {
-            Phase::Starting if seen.listening => Phase::Serving,
-            Phase::Serving if seen.told_to_leave => Phase::Leaving { since: now },
-            Phase::Leaving { since } if now - since >= self.times.arrivals => Phase::Draining { since: now },
-            Phase::Draining { .. } if seen.listener_closed && seen.open_clients == 0 => Phase::Stopped,
-            Phase::Draining { since } if now >= self.lingers_until(since) => Phase::Stopped,
+            Phase::Starting if state.is_listening => Phase::Serving,
+            Phase::Serving if state.is_shutting_down => Phase::Leaving { since: now },
+            Phase::Leaving { since } if now - since >= self.durations.arrivals => {
+                Phase::Draining { since: now }
+            }
+            Phase::Draining { .. } if state.is_listener_closed && state.open_clients == 0 => Phase::Stopped,
+            Phase::Draining { since } if now >= self.linger_deadline(since) => Phase::Stopped,
             _ => return None,
         };
         self.phase = next;
         Some(next)
     }
 
-    fn lingers_until(&self, draining_since: Timestamp) -> Timestamp {
-        let lingers = draining_since.max(self.busy_at) + self.times.linger;
-        lingers.min(draining_since + self.times.longest_drain)
+    fn linger_deadline(&self, draining_since: Timestamp) -> Timestamp {
+        let deadline = draining_since.max(self.last_busy_at) + self.durations.linger;
+        deadline.min(draining_since + self.durations.longest_drain)
     }
 
-    /// When time alone takes it on.
+    /// When the next phase is due by time alone.
     pub fn next_at(&self, now: Timestamp) -> Timestamp {
         match self.phase {
-            Phase::Leaving { since } => since + self.times.arrivals,
-            Phase::Draining { since } if now < self.lingers_until(since) => self.lingers_until(since),
+            Phase::Leaving { since } => since + self.durations.arrivals,
+            Phase::Draining { since } if now < self.linger_deadline(since) => self.linger_deadline(since),
             _ => Timestamp(u64::MAX),
         }
     }
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -5,7 +5,7 @@
 use crate::program::counters;
 use crate::program::log::{log, Log};
 use crate::program::operators::{self, Operators};
-use crate::program::phases::{Phase, Phases, Seen};
+use crate::program::phases::{Phase, Phases, ProcessState};
 use crate::program::upgrade::{PredecessorRole, SuccessorRole};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::ControlEvent;
@@ -122,15 +122,15 @@
 
     /// Enters all phases that are due, and returns the last one.
     fn advance_phases(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) -> Phase {
-        let seen = Seen {
-            told_to_leave: self.is_shutting_down,
-            listening: event_loop.is_listening(),
-            listener_closed: event_loop.is_listener_closed(),
+        let state = ProcessState {
+            is_shutting_down: self.is_shutting_down,
+            is_listening: event_loop.is_listening(),
+            is_listener_closed: event_loop.is_listener_closed(),
             // Clients that still wait to be sent to a successor are held here.
             open_clients: event_loop.open_clients() + self.predecessor.unsent_connections(),
             open_statements: event_loop.open_statements(),
         };
-        while let Some(phase) = self.phases.advance(now, &seen) {
+        while let Some(phase) = self.phases.advance(now, &state) {
             let name = &self.config.name;
             log!(event_loop.observer, now, "phase", "{name} is {}", phase.name());
             match phase {
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -5,7 +5,7 @@
 use asterlatch_driver::program::config;
 use asterlatch_driver::program::log::Log;
 use asterlatch_driver::program::operators::{registry, InForce};
-use asterlatch_driver::program::phases::{Phase, Phases, Seen, Times};
+use asterlatch_driver::program::phases::{Phase, Phases, ProcessState, PhaseDurations};
 use asterlatch_driver::routing::limits::{Limits, Share};
 use asterlatch_driver::transport::coroutines::CoroutineStacks;
 use asterlatch_handover::{predecessor, successor};
@@ -48,18 +48,18 @@
     for (name, steps) in cases {
         let (mut phases, mut phase) = (Phases::default(), Phase::Starting);
         if name.ends_with("drain is cut") {
-            phases.times.longest_drain = TimeSpan::millis(3000);
+            phases.durations.longest_drain = TimeSpan::millis(3000);
         }
-        for (ms, told_to_leave, listener_closed, open_clients, open_statements, expected) in steps {
-            let listening = true;
-            let seen = Seen {
-                told_to_leave,
-                listening,
-                listener_closed,
+        for (ms, is_shutting_down, is_listener_closed, open_clients, open_statements, expected) in steps {
+            let is_listening = true;
+            let state = ProcessState {
+                is_shutting_down,
+                is_listening,
+                is_listener_closed,
                 open_clients,
                 open_statements,
             };
-            while let Some(next) = phases.advance(at(ms), &seen) {
+            while let Some(next) = phases.advance(at(ms), &state) {
                 phase = next;
             }
             assert_eq!(phase, expected, "{name} at {ms}");
@@ -117,7 +117,7 @@
     assert_eq!(force.limits, Limits::default());
     assert_eq!(
         (force.times, force.stacks),
-        (Times::default(), CoroutineStacks::default())
+        (PhaseDurations::default(), CoroutineStacks::default())
     );
     assert_eq!(
         force.takeover,
