--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -1,9 +1,10 @@
 //! The routing service on real sockets: `asterlatch serve`.
 
-use asterlatch_driver::program::config::{self, Config};
+use asterlatch_driver::program::config::{self, Config, ConfigError};
 use asterlatch_driver::program::log::{self, Format};
 use asterlatch_driver::program::{commands, control_socket, operators, recover, serve, sharing};
 use clap::{Args, Parser, Subcommand};
+use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -18,7 +19,7 @@
     command: Command,
 }
 
-/// What the operators own.
+/// The operators' file, and what a faulty one leads to.
 #[derive(Args)]
 struct OperatorsArguments {
     /// The operators' file
@@ -32,6 +33,16 @@
     strict: bool,
 }
 
+impl From<OperatorsArguments> for operators::Given {
+    fn from(arguments: OperatorsArguments) -> operators::Given {
+        operators::Given {
+            file: arguments.operators,
+            state: arguments.state,
+            strict: arguments.strict,
+        }
+    }
+}
+
 #[derive(Subcommand)]
 enum Command {
     /// Serve clients until told to leave (SIGTERM); SIGUSR1 prints the counters, SIGHUP reads the configuration again
@@ -95,12 +106,21 @@
     Version,
 }
 
-fn load(path: &str) -> Result<Config, String> {
+fn load_config(path: &str) -> Result<Config, ConfigError> {
     config::load(path, |variable| std::env::var(variable).ok())
 }
 
-fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+/// Exit code of a command that asked a running service, which has answered already.
+fn exit_code(succeeded: bool) -> ExitCode {
+    if succeeded {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
+    match command {
         Command::Serve {
             config,
             operators,
@@ -108,40 +128,28 @@
             log_format,
         } => {
             log::start(log_format);
-            let given = operators::Given {
-                file: operators.operators,
-                state: operators.state,
-                strict: operators.strict,
-            };
-            load(&config).and_then(|c| {
-                serve::serve(c, || load(&config), &given, control.as_deref()).map_err(|e| e.to_string())
-            })
+            let load = || load_config(&config);
+            serve::serve(load()?, load, &operators.into(), control.as_deref())?;
         }
         Command::Check { config, operators } => {
-            load(&config).and_then(|c| serve::check(&c, operators.as_deref()).map_err(|e| e.to_string()))
+            serve::check(&load_config(&config)?, operators.as_deref())?;
         }
-        Command::Config(command) => return ExitCode::from(commands::run(&command)),
-        Command::Upgrade { control, to } => match control_socket::request_upgrade(&control, &to) {
-            Ok(true) => Ok(()),
-            Ok(false) => return ExitCode::FAILURE,
-            Err(error) => Err(error.to_string()),
-        },
-        Command::Fleet { what, control, json } => match sharing::request(&control, what, json) {
-            Ok(true) => Ok(()),
-            Ok(false) => return ExitCode::FAILURE,
-            Err(fault) => Err(fault),
-        },
-        Command::Recover { folder, name, json } => recover::run(&folder, name.as_deref(), json),
-        Command::Version => {
-            println!("asterlatch {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
+        Command::Config(command) => return Ok(ExitCode::from(commands::run(&command))),
+        Command::Upgrade { control, to } => {
+            return Ok(exit_code(control_socket::request_upgrade(&control, &to)?));
         }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("asterlatch: {fault}");
-            ExitCode::FAILURE
+        Command::Fleet { what, control, json } => {
+            return Ok(exit_code(sharing::request(&control, what, json)?));
         }
+        Command::Recover { folder, name, json } => recover::run(&folder, name.as_deref(), json)?,
+        Command::Version => println!("asterlatch {}", env!("CARGO_PKG_VERSION")),
     }
+    Ok(ExitCode::SUCCESS)
+}
+
+fn main() -> ExitCode {
+    run(Arguments::parse().command).unwrap_or_else(|error| {
+        eprintln!("asterlatch: {error}");
+        ExitCode::FAILURE
+    })
 }
--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -1,4 +1,4 @@
-//! What a driver is told at its start.
+//! The configuration file: a JSON object that `asterlatch serve` reads at its start, and in part again on SIGHUP.
 
 use crate::protocol::endpoint_list::{self, EndpointList};
 use crate::protocol::statement_comment::hash_id;
@@ -6,83 +6,186 @@
 use asterlatch::interface::Settings;
 use asterlatch_settings::{Decoding, Pairs};
 use serde_json::Value;
+use std::io;
 use std::net::SocketAddr;
+use thiserror::Error;
 
+/// Memory limit if the file gives none.
+const DEFAULT_MEMORY_MB: u64 = 192;
+/// Descriptor limit if the file gives none.
+const DEFAULT_SOCKETS: u64 = 1024;
+const BYTES_PER_MB: usize = 1024 * 1024;
+
+/// A configuration that can be served.
 pub struct Config {
+    /// Name of this driver; empty if none is given.
     pub name: String,
+    /// Address at which clients connect.
     pub listen: SocketAddr,
+    /// What a reload changes.
     pub runtime: RuntimeConfig,
+    /// Seed of the policy's random decisions.
     pub seed: u64,
-    pub known: Option<EndpointList>,
-    pub settings: (Settings, Decoding),
-    /// The same for the same text of the settings.
-    pub settings_text: u64,
+    /// Endpoint list to start with, before discovery answers.
+    pub known_endpoints: Option<EndpointList>,
+    /// The deployment's settings for the policy.
+    pub settings: Settings,
+    /// The deployment's settings for decoding statements.
+    pub decoding: Decoding,
+    /// Hash of the settings' text; equal texts have equal hashes.
+    pub settings_hash: u64,
 }
 
-/// Where nothing else is said.
-const MEMORY_MB: u64 = 192;
-const SOCKETS: u64 = 1024;
+/// The configuration file can't be served.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The file can't be read.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// What the operating system reports.
+        source: io::Error,
+    },
+    /// The file is no JSON.
+    #[error("{path}: {source}")]
+    InvalidJson {
+        /// The file.
+        path: String,
+        /// Place and cause.
+        source: serde_json::Error,
+    },
+    /// A value is missing or wrong.
+    #[error("{path}: {source}")]
+    InvalidValue {
+        /// The file.
+        path: String,
+        /// Which one.
+        source: ValueError,
+    },
+}
 
-/// The seed is read as a hexadecimal number where it is one, and is hashed otherwise.
-fn seed(text: &str) -> u64 {
-    u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_id(text))
+/// A value of the configuration is missing or wrong.
+#[derive(Debug, PartialEq, Eq, Error)]
+pub enum ValueError {
+    /// Neither the file nor the environment has it.
+    #[error("neither '{name}' nor {variable} is given")]
+    Missing {
+        /// Key in the file.
+        name: &'static str,
+        /// Environment variable that stands in for it.
+        variable: &'static str,
+    },
+    /// It is no IP address with a port.
+    #[error("'{name}' is no address: {text}")]
+    InvalidAddress {
+        /// Key in the file.
+        name: &'static str,
+        /// What is given.
+        text: String,
+    },
+    /// The file has no settings.
+    #[error("no settings")]
+    SettingsMissing,
+    /// The settings can't be read.
+    #[error("{0}")]
+    InvalidSettings(String),
+    /// No statement could be served.
+    #[error("the settings name no workload")]
+    WorkloadsMissing,
 }
 
-/// Reads the file at `path`; the environment's words on name and addresses stand where the file has none.
-pub fn load(path: &str, environment: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    let text = std::fs::read(path).map_err(|e| format!("{path}: {e}"))?;
-    let value: Value = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
-    read(&value, environment).map_err(|e| format!("{path}: {e}"))
+/// Reads the file at `path`. `environment` returns the value of a variable; it stands in for a name and addresses that the
+/// file doesn't have.
+///
+/// # Errors
+/// If the file can't be read, or a value is missing or wrong.
+pub fn load(path: &str, environment: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+    let text = std::fs::read(path).map_err(|source| ConfigError::Unreadable {
+        path: path.to_owned(),
+        source,
+    })?;
+    let value = serde_json::from_slice(&text).map_err(|source| ConfigError::InvalidJson {
+        path: path.to_owned(),
+        source,
+    })?;
+    read(&value, environment).map_err(|source| ConfigError::InvalidValue {
+        path: path.to_owned(),
+        source,
+    })
 }
 
-pub fn read(value: &Value, environment: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    let text = |name: &str, variable: &str| {
-        let given = value.get(name).and_then(Value::as_str).map(str::to_owned);
-        let given = given.or_else(|| environment(variable));
-        given.ok_or_else(|| format!("neither '{name}' nor {variable} is given"))
-    };
-    let address = |name: &str, variable: &str| {
-        let text = text(name, variable)?;
-        text.parse()
-            .map_err(|_| format!("'{name}' is no address: {text}"))
-    };
-    let limit = |name: &str, absent: u64| {
-        let limit = value
-            .get("limits")
-            .and_then(|l| l.get(name))
-            .and_then(Value::as_u64);
-        limit.unwrap_or(absent) as usize
-    };
-    let settings = value.get("settings").ok_or("no settings")?;
-    let settings_text = hash_id(&settings.to_string());
-    let settings = Pairs::from_json(settings).and_then(|pairs| asterlatch_settings::read(&pairs))?;
-    if settings.0.workloads.is_empty() {
-        return Err("the settings name no workload".to_owned());
+/// Reads a configuration from the file's JSON value; `environment` as in [`load`].
+///
+/// # Errors
+/// If a value is missing or wrong.
+pub fn read(value: &Value, environment: impl Fn(&str) -> Option<String>) -> Result<Config, ValueError> {
+    let file = ConfigFile { value, environment };
+    let settings_value = value.get("settings").ok_or(ValueError::SettingsMissing)?;
+    let (settings, decoding) = Pairs::from_json(settings_value)
+        .and_then(|pairs| asterlatch_settings::read(&pairs))
+        .map_err(ValueError::InvalidSettings)?;
+    if settings.workloads.is_empty() {
+        return Err(ValueError::WorkloadsMissing);
     }
     Ok(Config {
-        name: text("name", "RELAY_NAME").unwrap_or_default(),
-        listen: address("listen", "RELAY_LISTEN")?,
+        name: file.text("name", "RELAY_NAME").unwrap_or_default(),
+        listen: file.address("listen", "RELAY_LISTEN")?,
         runtime: RuntimeConfig {
-            discovery: address("discovery", "RELAY_DISCOVERY")?,
-            max_memory: limit("memory_mb", MEMORY_MB) * 1024 * 1024,
-            max_descriptors: limit("sockets", SOCKETS),
+            discovery: file.address("discovery", "RELAY_DISCOVERY")?,
+            max_memory: file.limit("memory_mb", DEFAULT_MEMORY_MB) * BYTES_PER_MB,
+            max_descriptors: file.limit("sockets", DEFAULT_SOCKETS),
         },
-        seed: seed(value.get("seed").and_then(Value::as_str).unwrap_or_default()),
-        known: value.get("known").and_then(endpoint_list::from_value),
+        seed: parse_seed(value.get("seed").and_then(Value::as_str).unwrap_or_default()),
+        known_endpoints: value.get("known").and_then(endpoint_list::from_value),
         settings,
-        settings_text,
+        decoding,
+        settings_hash: hash_id(&settings_value.to_string()),
     })
 }
 
+/// The file's value, with the environment that stands in for some of it.
+struct ConfigFile<'a, E> {
+    value: &'a Value,
+    environment: E,
+}
+
+impl<E: Fn(&str) -> Option<String>> ConfigFile<'_, E> {
+    fn text(&self, name: &'static str, variable: &'static str) -> Result<String, ValueError> {
+        let given = self.value.get(name).and_then(Value::as_str);
+        given
+            .map(str::to_owned)
+            .or_else(|| (self.environment)(variable))
+            .ok_or(ValueError::Missing { name, variable })
+    }
+
+    fn address(&self, name: &'static str, variable: &'static str) -> Result<SocketAddr, ValueError> {
+        let text = self.text(name, variable)?;
+        text.parse()
+            .map_err(|_| ValueError::InvalidAddress { name, text })
+    }
+
+    fn limit(&self, name: &str, default: u64) -> usize {
+        let limits = self.value.get("limits");
+        let limit = limits.and_then(|limits| limits.get(name)).and_then(Value::as_u64);
+        limit.unwrap_or(default) as usize
+    }
+}
+
+/// A seed is a hexadecimal number; other texts are hashed.
+fn parse_seed(text: &str) -> u64 {
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_id(text))
+}
+
 impl Config {
-    /// What of a newer configuration only a new start takes over: the module is made for its settings.
-    pub fn kept(&self, newer: &Config) -> Vec<&'static str> {
-        let kept = [
+    /// Keys whose values differ in `newer` and only a restart takes over.
+    pub fn changes_requiring_restart(&self, newer: &Config) -> Vec<&'static str> {
+        let keys = [
             ("name", self.name != newer.name),
             ("listen", self.listen != newer.listen),
-            ("settings", self.settings_text != newer.settings_text),
+            ("settings", self.settings_hash != newer.settings_hash),
         ];
-        let changed = kept.into_iter().filter(|(_, changed)| *changed);
-        changed.map(|(name, _)| name).collect()
+        let changed = keys.into_iter().filter(|(_, is_changed)| *is_changed);
+        changed.map(|(key, _)| key).collect()
     }
 }
--- a/crates/driver/src/program/counters.rs
+++ b/crates/driver/src/program/counters.rs
@@ -1,11 +1,12 @@
-//! The counters as one line.
+//! The metrics as one line of the log.
 
 use crate::routing::metrics::Metrics;
 
+/// All metrics as `name=value`, separated by spaces.
 pub fn line(metrics: &Metrics) -> String {
     let pairs: Vec<_> = metrics
         .named()
-        .map(|(name, count)| format!("{name}={count}"))
+        .map(|(name, value)| format!("{name}={value}"))
         .collect();
     pairs.join(" ")
 }
--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -3,7 +3,7 @@
 
 use super::config::Config;
 use super::log::{log, Log};
-use super::phases::{Phases, PhaseDurations};
+use super::phases::{PhaseDurations, Phases};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::{ControlEvent, Event};
 use crate::routing::limits::{CrowdedIdleTimeout, Limits, Share, WorkloadLimits};
--- a/crates/driver/src/program/serve/check.rs
+++ b/crates/driver/src/program/serve/check.rs
@@ -16,8 +16,11 @@
     }
     let address = config.listen;
     TcpListener::bind(address).map_err(|source| ServeError::Listener { address, source })?;
-    let members = config.known.as_ref().map_or(0, |list| list.entries.len());
-    let (settings, _) = &config.settings;
+    let members = config
+        .known_endpoints
+        .as_ref()
+        .map_or(0, |list| list.entries.len());
+    let settings = &config.settings;
     let workloads = settings.workloads.len();
     println!("{}: {workloads} workloads, {members} members known", config.name);
     Ok(())
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -1,7 +1,7 @@
 //! What the process does between the event loop's waits: signals, reloads, upgrades, phases.
 
 use super::deferred_services::DeferredServices;
-use crate::program::config::Config;
+use crate::program::config::{Config, ConfigError};
 use crate::program::counters;
 use crate::program::log::{log, Log};
 use crate::program::operators::{self, Operators};
@@ -29,7 +29,7 @@
     pub(super) is_shutting_down: bool,
 }
 
-impl<F: Fn() -> Result<Config, String>> ControlLoop<'_, F> {
+impl<F: Fn() -> Result<Config, ConfigError>> ControlLoop<'_, F> {
     /// Does what is due, and returns when to run again at the latest; `None` once the process has stopped.
     pub(super) fn advance_to(
         &mut self,
@@ -147,7 +147,7 @@
 fn apply_config(event_loop: &mut EventLoop<Log>, now: Timestamp, config: &Config, newer: &Config) {
     event_loop.metrics.reloads += 1;
     event_loop.set_config(now, newer.runtime);
-    let unchanged = config.kept(newer);
+    let unchanged = config.changes_requiring_restart(newer);
     let note = if unchanged.is_empty() {
         String::new()
     } else {
--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -10,7 +10,7 @@
 mod error;
 mod startup;
 
-use super::config::Config;
+use super::config::{Config, ConfigError};
 use super::log::Log;
 use super::operators::{self, InForce, Operators};
 use super::phases::Phases;
@@ -34,7 +34,7 @@
 /// If the process can't start; once it serves it doesn't fail.
 pub fn serve(
     config: Config,
-    load_config: impl Fn() -> Result<Config, String>,
+    load_config: impl Fn() -> Result<Config, ConfigError>,
     given: &operators::Given,
     control_path: Option<&Path>,
 ) -> Result<(), ServeError> {
@@ -71,7 +71,7 @@
     }
     let (upgrade_requests, upgrade_request_receiver) = channel();
     let predecessor = PredecessorRole::new(
-        config.settings_text,
+        config.settings_hash,
         startup.queue.clone(),
         upgrade_request_receiver,
     );
--- a/crates/driver/src/program/serve/startup.rs
+++ b/crates/driver/src/program/serve/startup.rs
@@ -38,12 +38,13 @@
             limits,
             memory: self.memory.clone(),
         };
-        let (settings, decoding) = &self.config.settings;
+        let settings = &self.config.settings;
+        let decoding = self.config.decoding.clone();
         let now = self.clock.now();
-        let mut event_loop = EventLoop::new(settings, decoding.clone(), options, now, Log::default());
+        let mut event_loop = EventLoop::new(settings, decoding, options, now, Log::default());
         if let Some(resumed) = resumed {
             event_loop.resume(self.clock.now(), settings, resumed.learned);
-        } else if let Some(list) = &self.config.known {
+        } else if let Some(list) = &self.config.known_endpoints {
             event_loop.start_with_list(self.clock.now(), list);
         }
         event_loop
--- a/crates/driver/src/program/sharing.rs
+++ b/crates/driver/src/program/sharing.rs
@@ -157,7 +157,7 @@
         DatagramSocket::bind(address, addresses).map_err(|e| format!("shared.port: {address}: {e}"))?;
     let settings = NodeSettings {
         // Drivers of other deployments, or with other settings, have nothing to tell this one.
-        fleet: format!("{:016x}", config.settings_text),
+        fleet: format!("{:016x}", config.settings_hash),
         name: config.name.clone(),
         dialect: match std::env::var_os(LATER_WIRE) {
             Some(_) => Dialect::Later,
@@ -183,7 +183,7 @@
     };
     let teller = line.clone();
     let peers = shares.others.iter().enumerate().filter(|(_, o)| o.asked);
-    let rules = &config.settings.0;
+    let rules = &config.settings;
     let terms = GossipSettings {
         overload_window: rules.overload_window,
         overload_multiple: rules.overload_multiple,
--- a/crates/driver/src/program/upgrade/successor.rs
+++ b/crates/driver/src/program/upgrade/successor.rs
@@ -153,7 +153,7 @@
     }
 
     fn load_state(&self, bytes: &[u8], config: &Config) -> Result<ResumedService, HandoverStateError> {
-        let resumed = deserialize(bytes, config.settings_text)?;
+        let resumed = deserialize(bytes, config.settings_hash)?;
         if self.listener.is_none() {
             return Err(HandoverStateError::ListenerMissing);
         }
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -43,7 +43,7 @@
 
 /// Every value of the file by its key; the settings stand with their own crate, here only their hash.
 fn described_config(config: &Config) -> String {
-    let known = config.known.as_ref().expect("a list is known");
+    let known = config.known_endpoints.as_ref().expect("a list is known");
     let mut text = lines(&[
         ("name", config.name.clone()),
         ("listen", config.listen.to_string()),
@@ -51,11 +51,8 @@
         ("seed", config.seed.to_string()),
         ("limits.memory_mb in bytes", config.runtime.max_memory.to_string()),
         ("limits.sockets", config.runtime.max_descriptors.to_string()),
-        ("settings' hash", config.settings_text.to_string()),
-        (
-            "settings' workloads",
-            config.settings.0.workloads.len().to_string(),
-        ),
+        ("settings' hash", config.settings_hash.to_string()),
+        ("settings' workloads", config.settings.workloads.len().to_string()),
         ("known.index", known.index.to_string()),
         ("known.snapshot", known.is_complete.to_string()),
         ("known.endpoints left out", known.skipped.to_string()),
@@ -159,8 +156,8 @@
 #[test]
 fn configuration_read_again_is_no_change() {
     let (first, second) = (config(), config());
-    assert_eq!(first.kept(&second), Vec::<&str>::new());
-    assert_eq!(first.settings_text, second.settings_text);
+    assert_eq!(first.changes_requiring_restart(&second), Vec::<&str>::new());
+    assert_eq!(first.settings_hash, second.settings_hash);
 }
 
 #[test]
--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -131,7 +131,7 @@
         2u32,
         1_010_000_000u64,
         1000u64,
-        config.settings_text,
+        config.settings_hash,
         learned,
         members,
     );
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -5,7 +5,7 @@
 use asterlatch_driver::program::config;
 use asterlatch_driver::program::log::Log;
 use asterlatch_driver::program::operators::{registry, InForce};
-use asterlatch_driver::program::phases::{Phase, Phases, ProcessState, PhaseDurations};
+use asterlatch_driver::program::phases::{Phase, PhaseDurations, Phases, ProcessState};
 use asterlatch_driver::routing::limits::{Limits, Share};
 use asterlatch_driver::transport::coroutines::CoroutineStacks;
 use asterlatch_handover::{predecessor, successor};
