--- /dev/null
+++ b/crates/driver/src/program/commands/generations.rs
@@ -0,0 +1,112 @@
+//! Commands on stored generations of the operators' file: history, rollback.
+
+use super::CommandOutput;
+use crate::program::operators::registry;
+use asterlatch_config::meaning::{changes, Meaning};
+use asterlatch_config::shelf;
+use asterlatch_config::store::{Store, Stored};
+use std::io;
+use std::path::Path;
+use thiserror::Error;
+
+/// Digits of a generation's hash that are shown.
+const SHOWN_HASH_DIGITS: usize = 12;
+/// Fewest generations that a rollback leaves: the one it stores and the one before.
+const MIN_RETAINED: i64 = 2;
+
+/// Why a command on stored generations fails.
+#[derive(Debug, Error)]
+pub(super) enum GenerationsError {
+    #[error(transparent)]
+    Folder(#[from] io::Error),
+    #[error("it holds {available} changes to go back by, not {steps}")]
+    TooFewChanges { available: usize, steps: usize },
+    #[error("generation {number} is damaged")]
+    Damaged { number: u64 },
+    #[error("generation {number} can't be read here: {cause}")]
+    Unreadable { number: u64, cause: String },
+}
+
+pub(super) fn output(folder: &Path, result: Result<String, GenerationsError>) -> CommandOutput {
+    match result {
+        Ok(text) => CommandOutput::success(text),
+        Err(error) => CommandOutput::failure(format!("asterlatch: {}: {error}\n", folder.display())),
+    }
+}
+
+/// Unlike the store itself this makes no folder that isn't there.
+fn open_existing(folder: &Path) -> io::Result<Store> {
+    std::fs::read_dir(folder)?;
+    Store::open(folder)
+}
+
+/// One line a generation, the newest first.
+pub(super) fn history(folder: &Path) -> Result<String, GenerationsError> {
+    let generations = open_existing(folder)?.all()?;
+    let lines = generations.iter().enumerate().map(|(index, generation)| {
+        let older = &generations[index + 1..];
+        history_line(generation, older)
+    });
+    Ok(lines.collect())
+}
+
+fn history_line(generation: &Stored, older: &[Stored]) -> String {
+    let number = generation.number;
+    match &generation.canonical {
+        Err(damage) => format!("{number} damaged: it {}\n", damage.reason()),
+        Ok(canonical) => {
+            let previous = older.iter().find_map(|stored| stored.canonical.as_ref().ok());
+            let change = describe_change(previous.map(String::as_str), canonical);
+            let hash = generation.hash().unwrap_or_default();
+            let shown_hash = &hash[..SHOWN_HASH_DIGITS.min(hash.len())];
+            format!("{number} {shown_hash} {change}\n")
+        }
+    }
+}
+
+/// What changed from the previous readable generation to this one.
+fn describe_change(previous: Option<&str>, canonical: &str) -> String {
+    let new = match Meaning::from_canonical(registry(), canonical) {
+        Ok((settings, _)) => settings,
+        Err(error) => return format!("can't be read here: {error}"),
+    };
+    let previous = previous.map(|canonical| Meaning::from_canonical(registry(), canonical));
+    let Some(Ok((old, _))) = previous else {
+        return "the oldest kept".to_owned();
+    };
+    let changes = changes(registry(), &old, &new);
+    if changes.is_empty() {
+        return "the same again".to_owned();
+    }
+    let texts: Vec<_> = changes.iter().map(|change| change.written(registry())).collect();
+    texts.join("; ")
+}
+
+/// Stores the generation again as the newest one that lies so many changes back.
+pub(super) fn rollback(folder: &Path, steps: usize) -> Result<String, GenerationsError> {
+    let store = open_existing(folder)?;
+    let generations = store.all()?;
+    let number = rollback_target(&generations, steps)?;
+    let canonical = generations
+        .iter()
+        .find(|generation| generation.number == number)
+        .and_then(|generation| generation.canonical.as_ref().ok())
+        .ok_or(GenerationsError::Damaged { number })?;
+    let (settings, _) = Meaning::from_canonical(registry(), canonical)
+        .map_err(|cause| GenerationsError::Unreadable { number, cause })?;
+    let retained = settings.amount(registry(), "activation", "kept");
+    let stored = store.keep(0, canonical, retained.max(MIN_RETAINED) as usize, |_| ())?;
+    Ok(format!("generation {number} is stored again as {stored}\n"))
+}
+
+fn rollback_target(generations: &[Stored], steps: usize) -> Result<u64, GenerationsError> {
+    let readable: Vec<_> = generations
+        .iter()
+        .filter_map(|generation| Some((generation.number, generation.hash()?)))
+        .collect();
+    shelf::back(&readable, steps).ok_or_else(|| {
+        let pairs = readable.windows(2);
+        let available = pairs.filter(|pair| pair[0].1 != pair[1].1).count();
+        GenerationsError::TooFewChanges { available, steps }
+    })
+}
