--- a/crates/driver/src/program/log.rs
+++ b/crates/driver/src/program/log.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error, so many a topic and second, with a count of those left out. `tracing` carries
-//! them; what a line looks like is decided here, once for the process.
+//! The log: lines on standard error, a bounded number of each topic a second, with a count of those suppressed. `tracing`
+//! carries them; their form is decided here, once for the process.
 
 use crate::routing::event_loop::Observer;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -14,6 +14,8 @@
 use tracing_subscriber::registry::LookupSpan;
 
 /// How lines are written.
+// Doc comments of the variants are printed by `--help`, so `Text` has none.
+#[allow(missing_docs)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, clap::ValueEnum)]
 pub enum Format {
     #[default]
@@ -22,55 +24,61 @@
     Json,
 }
 
-/// Lines of each topic within a second, where the operators say nothing.
-const LINES_A_SECOND: u32 = 5;
+/// Lines of each topic a second, where operators set nothing.
+const DEFAULT_LINES_PER_SECOND: u32 = 5;
+/// The time over which lines are counted.
+const RATE_WINDOW: TimeSpan = TimeSpan::millis(1000);
 
+/// Limits the rate of each topic's lines. Each thread that logs by the macro `log!` needs one of its own.
 pub struct Log {
-    topics: BTreeMap<&'static str, Topic>,
-    pub lines_a_second: u32,
-    /// All that were ever left out.
-    pub left_out: u64,
+    topics: BTreeMap<&'static str, TopicRate>,
+    /// Lines of each topic a second; it may change at any time.
+    pub lines_per_second: u32,
+    /// Number of lines that were suppressed so far, of all topics.
+    pub suppressed_lines: u64,
 }
 
 impl Default for Log {
     fn default() -> Log {
         Log {
             topics: BTreeMap::new(),
-            lines_a_second: LINES_A_SECOND,
-            left_out: 0,
+            lines_per_second: DEFAULT_LINES_PER_SECOND,
+            suppressed_lines: 0,
         }
     }
 }
 
 #[derive(Default)]
-struct Topic {
-    since: Timestamp,
+struct TopicRate {
+    window_began_at: Timestamp,
     lines: u32,
-    left_out: u64,
+    /// Lines suppressed since the last admitted one.
+    suppressed: u64,
 }
 
 impl Log {
-    /// Whether a line may go out, and how many were left out before it.
+    /// Whether a line of this topic may be written; if so, how many were suppressed since the topic's last line.
     pub fn admit(&mut self, now: Timestamp, topic: &'static str) -> Option<u64> {
-        let t = self.topics.entry(topic).or_default();
-        if now - t.since >= TimeSpan::millis(1000) {
-            (t.since, t.lines) = (now, 0);
+        let rate = self.topics.entry(topic).or_default();
+        if now - rate.window_began_at >= RATE_WINDOW {
+            rate.window_began_at = now;
+            rate.lines = 0;
         }
-        t.lines += 1;
-        if t.lines > self.lines_a_second {
-            t.left_out += 1;
-            self.left_out += 1;
+        rate.lines += 1;
+        if rate.lines > self.lines_per_second {
+            rate.suppressed += 1;
+            self.suppressed_lines += 1;
             return None;
         }
-        Some(std::mem::take(&mut t.left_out))
+        Some(std::mem::take(&mut rate.suppressed))
     }
 }
 
-/// The one way to the log. The text is put together only for lines that go out: a flood costs a look at the count.
+/// Writes a line under a topic, if its rate admits it. Only then is the text formatted, so a flood of lines costs little.
 macro_rules! log {
     ($log:expr, $now:expr, $topic:expr, $($text:tt)*) => {
-        if let Some(left_out) = $log.admit($now, $topic) {
-            ::tracing::info!(topic = $topic, left_out, "{}", format_args!($($text)*));
+        if let Some(suppressed) = $log.admit($now, $topic) {
+            ::tracing::info!(topic = $topic, suppressed, "{}", format_args!($($text)*));
         }
     };
 }
@@ -82,28 +90,28 @@
     }
 }
 
-/// Sets up how this process writes its lines. A failed write to standard error is no reason to stop serving.
+/// Sets the form of this process's lines; later calls change nothing. Lines that can't be written are lost.
 pub fn start(format: Format) {
     let subscriber = tracing_subscriber::fmt()
         .with_writer(io::stderr)
         .log_internal_errors(false)
-        .event_format(Lines(format))
+        .event_format(LineFormatter(format))
         .finish();
-    // Only a second call fails, which changes nothing.
+    // Fails if a subscriber is set already.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
-struct Lines(Format);
+struct LineFormatter(Format);
 
 /// What a line is made of.
 #[derive(Default)]
-struct Parts {
+struct Line {
     topic: String,
     text: String,
-    left_out: u64,
+    suppressed: u64,
 }
 
-impl Visit for Parts {
+impl Visit for Line {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         if field.name() == "message" {
             let _ = write!(self.text, "{value:?}");
@@ -117,43 +125,43 @@
     }
 
     fn record_u64(&mut self, field: &Field, value: u64) {
-        if field.name() == "left_out" {
-            self.left_out = value;
+        if field.name() == "suppressed" {
+            self.suppressed = value;
         }
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Lines
+impl<S, N> FormatEvent<S, N> for LineFormatter
 where
     S: tracing::Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut out: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut parts = Parts::default();
-        event.record(&mut parts);
-        let line = match self.0 {
-            Format::Text => text_line(&parts),
-            Format::Json => json_line(&parts, SystemTime::now()),
+        let mut line = Line::default();
+        event.record(&mut line);
+        let text = match self.0 {
+            Format::Text => text_line(&line),
+            Format::Json => json_line(&line, SystemTime::now()),
         };
-        writeln!(out, "{line}")
+        writeln!(out, "{text}")
     }
 }
 
-fn text_line(parts: &Parts) -> String {
-    let note = match parts.left_out {
+fn text_line(line: &Line) -> String {
+    let note = match line.suppressed {
         0 => String::new(),
-        left_out => format!(" ({left_out} lines left out)"),
+        suppressed => format!(" ({suppressed} lines left out)"),
     };
-    format!("asterlatch: {}: {}{note}", parts.topic, parts.text)
+    format!("asterlatch: {}: {}{note}", line.topic, line.text)
 }
 
-fn json_line(parts: &Parts, at: SystemTime) -> String {
-    let at = at.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let line = serde_json::json!({
-        "unix_ms": at.as_millis() as u64,
-        "topic": parts.topic,
-        "message": parts.text,
-        "left_out": parts.left_out,
+fn json_line(line: &Line, at: SystemTime) -> String {
+    let since_epoch = at.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let object = serde_json::json!({
+        "unix_ms": since_epoch.as_millis() as u64,
+        "topic": line.topic,
+        "message": line.text,
+        "left_out": line.suppressed,
     });
-    line.to_string()
+    object.to_string()
 }
--- a/crates/driver/src/program/operators.rs
+++ b/crates/driver/src/program/operators.rs
@@ -476,7 +476,7 @@
 
 pub fn take_over(event_loop: &mut EventLoop<Log>, phases: &mut Phases, force: &InForce) {
     event_loop.set_limits(force.limits, &force.workloads);
-    event_loop.observer.lines_a_second = force.lines_a_second;
+    event_loop.observer.lines_per_second = force.lines_a_second;
     phases.durations = force.times;
 }
 
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -164,7 +164,7 @@
 
 /// Logs all metrics in one line.
 pub(super) fn report_metrics(event_loop: &mut EventLoop<Log>, now: Timestamp) {
-    event_loop.metrics.log_lines_left_out = event_loop.observer.left_out;
+    event_loop.metrics.log_lines_left_out = event_loop.observer.suppressed_lines;
     let line = counters::line(&event_loop.metrics);
     log!(event_loop.observer, now, "counters", "{line}");
 }
--- a/crates/driver/src/program/serve/deferred_services.rs
+++ b/crates/driver/src/program/serve/deferred_services.rs
@@ -54,20 +54,23 @@
         }
     }
 
-    /// Tells the event loop that gossip starts later, if this driver takes part in it.
-    pub(super) fn defer(&self, event_loop: &mut EventLoop<Log>) {
-        if self.shares.is_some() {
-            event_loop.defer_gossip();
-        }
-    }
-
-    /// Starts both.
+    /// Starts both, or leaves that to [`DeferredServices::start_late`] if this process has a predecessor.
     ///
     /// # Errors
     /// If either can't be started; the control socket is left out if gossip fails.
-    pub(super) fn start(&mut self, event_loop: &mut EventLoop<Log>) -> Result<(), ServeError> {
-        let gossip = self.start_gossip(event_loop)?;
-        self.start_control_socket(gossip)
+    pub(super) fn start_or_defer(
+        &mut self,
+        event_loop: &mut EventLoop<Log>,
+        has_predecessor: bool,
+    ) -> Result<(), ServeError> {
+        if !has_predecessor {
+            let gossip = self.start_gossip(event_loop)?;
+            return self.start_control_socket(gossip);
+        }
+        if self.shares.is_some() {
+            event_loop.defer_gossip();
+        }
+        Ok(())
     }
 
     /// Starts both in a process that already serves: failures are logged.
--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -50,11 +50,10 @@
     let clock = resumed
         .as_ref()
         .map_or_else(Clock::start, |resumed| resumed.clock);
-    let journal = successor
-        .as_mut()
-        .map(SuccessorRole::open_journal)
-        .transpose()?
-        .flatten();
+    let journal = match &mut successor {
+        Some(successor) => successor.open_journal()?,
+        None => None,
+    };
     let (queue, events) = channel();
     signals::forward(queue.clone()).map_err(ServeError::Signals)?;
     let startup = Startup {
@@ -76,11 +75,7 @@
         upgrade_request_receiver,
     );
     let mut services = DeferredServices::new(&startup, &start.meaning, given, control_path, upgrade_requests);
-    if successor.is_some() {
-        services.defer(&mut event_loop);
-    } else {
-        services.start(&mut event_loop)?;
-    }
+    services.start_or_defer(&mut event_loop, successor.is_some())?;
     startup.listen(&mut event_loop, listener, successor.is_some())?;
     let mut phases = Phases::default();
     operators::take_over(&mut event_loop, &mut phases, &settings);
@@ -99,9 +94,8 @@
         services,
         is_shutting_down: false,
     };
-    event_loop.run(&events, clock, |event_loop, now| {
-        control_loop.advance_to(event_loop, now)
-    });
+    let control = |event_loop: &mut EventLoop<Log>, now| control_loop.advance_to(event_loop, now);
+    event_loop.run(&events, clock, control);
     report_metrics(&mut event_loop, clock.now());
     Ok(())
 }
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -125,7 +125,7 @@
     );
     assert_eq!(
         (force.lines_a_second, force.workloads.len()),
-        (Log::default().lines_a_second, 0)
+        (Log::default().lines_per_second, 0)
     );
     // Two thirds and a quarter as they were before they could be set, for any machine with less than a million descriptors.
     let limits = Limits::default();
