--- a/crates/driver/src/program/operators/in_force.rs
+++ b/crates/driver/src/program/operators/in_force.rs
@@ -1,7 +1,7 @@
 //! The settings that a meaning of the operators' file puts in force.
 
 use super::registry;
-use crate::program::phases::Times;
+use crate::program::phases::PhaseDurations;
 use crate::routing::limits::{CrowdedIdleTimeout, Limits, Share, WorkloadLimits};
 use crate::transport::coroutines::CoroutineStacks;
 use asterlatch::time::TimeSpan;
@@ -29,7 +29,7 @@
     /// Of single workloads, by name.
     pub workloads: BTreeMap<String, WorkloadLimits>,
     /// Of the process's phases.
-    pub times: Times,
+    pub times: PhaseDurations,
     /// Of the coroutine runtime; takes effect at the start only.
     pub stacks: CoroutineStacks,
     /// Log lines a topic and second.
@@ -133,7 +133,7 @@
         InForce {
             limits: amounts.limits(),
             workloads: amounts.workloads(),
-            times: Times {
+            times: PhaseDurations {
                 arrivals: amounts.span("phases", "arrivals"),
                 linger: amounts.span("phases", "linger"),
                 longest_drain: amounts.span("phases", "longest_drain"),
--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -343,8 +343,8 @@
 /// Applies settings to the running process.
 pub fn take_over(event_loop: &mut EventLoop<Log>, phases: &mut Phases, force: &InForce) {
     event_loop.set_limits(force.limits, &force.workloads);
-    event_loop.observer.lines_a_second = force.lines_a_second;
-    phases.times = force.times;
+    event_loop.observer.lines_per_second = force.lines_a_second;
+    phases.durations = force.times;
 }
 
 fn describe(told: &Told) -> String {
