--- a/crates/driver/tests/operators.rs
+++ b/crates/driver/tests/operators.rs
@@ -90,6 +90,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn a_start_with_a_faulty_file_serves_on_the_generation_kept_last() {
     let (folder, member) = (Folder::new("state"), member(Manner::Answers));
     let state = folder.path("kept");
--- a/crates/driver/tests/protocol/client_session.rs
+++ b/crates/driver/tests/protocol/client_session.rs
@@ -27,6 +27,7 @@
 /// What is begun and not ended: said once a message, and ended with a word; who has asked before and begun nothing goes
 /// without one, for any would be taken for the answer of a statement on its way.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn client_message_not_ended_in_time_closes_connection() {
     let half = |bytes: &[u8]| bytes[..bytes.len() / 2].to_vec();
     let after = |bytes: &[u8]| [&greeted()[..], bytes].concat();
--- a/crates/driver/tests/protocol/discovery.rs
+++ b/crates/driver/tests/protocol/discovery.rs
@@ -3,6 +3,7 @@
 use crate::harness::*;
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn endpoint_lists_are_read_or_rejected() {
     let whole = |status, body: &[u8], taken, keep| Response::Complete {
         status,
--- a/crates/driver/tests/protocol/member_connection.rs
+++ b/crates/driver/tests/protocol/member_connection.rs
@@ -58,6 +58,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn member_answers_are_classified() {
     let ready = message(b'Z', b"I");
     let answer = [described(1), row(b"v"), message(b'C', b"SELECT 1\0")].concat();
--- a/crates/driver/tests/routing/harness.rs
+++ b/crates/driver/tests/routing/harness.rs
@@ -22,8 +22,8 @@
 use std::rc::Rc;
 use std::sync::mpsc::{channel, Receiver, TryRecvError};
 
-pub const START: Timestamp = Timestamp(1_767_225_600_000_000);
-pub const SETTINGS: &str = r#"{"categories":[
+pub(crate) const START: Timestamp = Timestamp(1_767_225_600_000_000);
+pub(crate) const SETTINGS: &str = r#"{"categories":[
  {"name":"view","idempotency":"retryable","objective_us":500000,"worth":1.0,"late_worth":0.2},
  {"name":"post","idempotency":"fragile","objective_us":1200000,"worth":3.0,"late_worth":0.3},
  {"name":"old view","idempotency":"retryable","objective_us":500000,"worth":1.0,"late_worth":0.2}],
@@ -31,32 +31,32 @@
  "limits":{"cancel":true,"probes":true,"try_limit":10,"conn_idle_us":30000000,"connect_timeout_us":250000,
  "max_retry_after_us":500000},"report":{"fields":["x0","x1"],"how":"on_probe"},"tick_us":5000,"zones":["a"]}"#;
 
-pub struct Quiet;
+pub(crate) struct Quiet;
 
 impl Observer for Quiet {
     fn log(&mut self, _now: Timestamp, _topic: &'static str, _text: Arguments) {}
 }
 
 /// Connections to members by number: the address, and the commands that it receives.
-pub type Dialled = Rc<RefCell<BTreeMap<u32, (String, Receiver<MemberCommand>)>>>;
-pub type Called = Rc<RefCell<Vec<(DiscoveryRequest, Receiver<Infallible>)>>>;
+pub(crate) type Dialled = Rc<RefCell<BTreeMap<u32, (String, Receiver<MemberCommand>)>>>;
+pub(crate) type Called = Rc<RefCell<Vec<(DiscoveryRequest, Receiver<Infallible>)>>>;
 
-pub struct Harness {
-    pub event_loop: EventLoop<Quiet>,
-    pub now: Timestamp,
-    pub dialled: Dialled,
-    pub called: Called,
-    pub clients: BTreeMap<u32, Receiver<ClientCommand>>,
+pub(crate) struct Harness {
+    pub(crate) event_loop: EventLoop<Quiet>,
+    pub(crate) now: Timestamp,
+    pub(crate) dialled: Dialled,
+    pub(crate) called: Called,
+    pub(crate) clients: BTreeMap<u32, Receiver<ClientCommand>>,
     /// Connections that are established.
-    pub up: BTreeSet<u32>,
-    pub asked: u32,
+    pub(crate) up: BTreeSet<u32>,
+    pub(crate) asked: u32,
     /// The budget for what clients send.
-    pub room: MemoryBudget,
+    pub(crate) room: MemoryBudget,
     /// The error number with which the next dial fails.
-    pub fault: Rc<RefCell<Option<i32>>>,
+    pub(crate) fault: Rc<RefCell<Option<i32>>>,
 }
 
-pub fn entry(name: &str, status: EndpointStatus, is_primary: bool) -> Endpoint {
+pub(crate) fn entry(name: &str, status: EndpointStatus, is_primary: bool) -> Endpoint {
     Endpoint {
         name: name.to_owned(),
         address: format!("10.0.0.{}:5432", name.len()),
@@ -69,7 +69,7 @@
     }
 }
 
-pub fn list(index: u64, entries: Vec<Endpoint>) -> EndpointList {
+pub(crate) fn list(index: u64, entries: Vec<Endpoint>) -> EndpointList {
     EndpointList {
         index,
         is_complete: true,
@@ -79,7 +79,7 @@
 }
 
 /// A primary at 10.0.0.1 and a replica at 10.0.0.2.
-pub fn group() -> EndpointList {
+pub(crate) fn group() -> EndpointList {
     let (primary, replica) = (
         entry("p", EndpointStatus::Serving, true),
         entry("rr", EndpointStatus::Serving, false),
@@ -87,25 +87,25 @@
     list(1, vec![primary, replica])
 }
 
-pub const PRIMARY: &str = "10.0.0.1:5432";
-pub const REPLICA: &str = "10.0.0.2:5432";
+pub(crate) const PRIMARY: &str = "10.0.0.1:5432";
+pub(crate) const REPLICA: &str = "10.0.0.2:5432";
 
 impl Harness {
-    pub fn new(settings: &str, sockets: usize, memory: usize) -> Harness {
+    pub(crate) fn new(settings: &str, sockets: usize, memory: usize) -> Harness {
         let mut harness = Harness::empty(settings, sockets, memory);
         harness.event_loop.apply_endpoint_list(START, &group());
         harness.begin()
     }
 
     /// An event loop that starts with a known list.
-    pub fn knowing(settings: &str, sockets: usize, memory: usize) -> Harness {
+    pub(crate) fn knowing(settings: &str, sockets: usize, memory: usize) -> Harness {
         let mut harness = Harness::empty(settings, sockets, memory);
         harness.event_loop.start_with_list(START, &group());
         harness.advance(0);
         harness
     }
 
-    pub fn empty(settings: &str, sockets: usize, memory: usize) -> Harness {
+    pub(crate) fn empty(settings: &str, sockets: usize, memory: usize) -> Harness {
         let (dialled, called, fault) = (Dialled::default(), Called::default(), Rc::new(RefCell::new(None)));
         let (d, c, f) = (dialled.clone(), called.clone(), fault.clone());
         let config = RuntimeConfig {
@@ -156,7 +156,7 @@
     }
 
     /// Answers the initial health checks.
-    pub fn begin(self) -> Harness {
+    pub(crate) fn begin(self) -> Harness {
         let mut harness = self;
         harness.advance(0);
         // The initial health checks are of no interest to the tests.
@@ -174,7 +174,7 @@
         harness
     }
 
-    pub fn advance(&mut self, ms: u64) {
+    pub(crate) fn advance(&mut self, ms: u64) {
         let end = self.now + TimeSpan::millis(ms);
         while self.event_loop.next_at() <= end {
             self.now = self.now.max(self.event_loop.next_at());
@@ -185,7 +185,7 @@
     }
 
     /// Applies a change of the endpoint list.
-    pub fn change_endpoint(&mut self, entry: Endpoint) {
+    pub(crate) fn change_endpoint(&mut self, entry: Endpoint) {
         let (is_complete, change) = (false, list(2, vec![entry]));
         self.event_loop.apply_endpoint_list(
             self.now,
@@ -196,11 +196,11 @@
         );
     }
 
-    pub fn member_event(&mut self, event: MemberEvent) {
+    pub(crate) fn member_event(&mut self, event: MemberEvent) {
         self.event_loop.on_event(self.now, Event::Member(event));
     }
 
-    pub fn reply(&mut self, connection: u32, reply: Reply, is_primary: Option<bool>) {
+    pub(crate) fn reply(&mut self, connection: u32, reply: Reply, is_primary: Option<bool>) {
         let (at, report) = (self.now, None);
         let status = ReplicaStatus {
             position: Some(at),
@@ -215,7 +215,7 @@
         });
     }
 
-    pub fn connect_client(&mut self, id: u32) {
+    pub(crate) fn connect_client(&mut self, id: u32) {
         let (sender, told) = channel();
         self.clients.insert(id, told);
         self.event_loop.on_event(
@@ -224,12 +224,12 @@
         );
     }
 
-    pub fn send_statement(&mut self, client: u32, fields: &str) {
+    pub(crate) fn send_statement(&mut self, client: u32, fields: &str) {
         self.asked += 1;
         self.send_statement_with_id(client, self.asked, fields);
     }
 
-    pub fn send_statement_with_id(&mut self, client: u32, id: u32, fields: &str) {
+    pub(crate) fn send_statement_with_id(&mut self, client: u32, id: u32, fields: &str) {
         let text = format!("/* id={id},{fields} */ SELECT blob FROM rows WHERE handle = 'k'");
         let (number, at) = (0, self.now);
         let text = StatementText::new(&text, &self.room).expect("has room");
@@ -244,7 +244,7 @@
     }
 
     /// What the client has received since the last call, in short.
-    pub fn received(&self, client: u32) -> String {
+    pub(crate) fn received(&self, client: u32) -> String {
         let words = self.clients[&client].try_iter().map(|say| match say {
             ClientCommand::HandOver => "handed over".to_owned(),
             ClientCommand::Answer(_, FinalAnswer::Rows(rows)) => {
@@ -269,14 +269,14 @@
     }
 
     /// The connection that was opened last, and its address.
-    pub fn last_opened(&self) -> (u32, String) {
+    pub(crate) fn last_opened(&self) -> (u32, String) {
         let dialled = self.dialled.borrow();
         let (id, (address, _)) = dialled.last_key_value().expect("one was opened");
         (*id, address.clone())
     }
 
     /// The connection on which a statement was just sent, and its address; opened connections are established first.
-    pub fn dispatched(&mut self) -> Option<(u32, String)> {
+    pub(crate) fn dispatched(&mut self) -> Option<(u32, String)> {
         let opened: Vec<_> = self.dialled.borrow().keys().copied().collect();
         for connection in opened {
             if self.up.insert(connection) {
@@ -287,7 +287,7 @@
     }
 
     /// The same, without establishing any connection.
-    pub fn query_written(&self) -> Option<(u32, String)> {
+    pub(crate) fn query_written(&self) -> Option<(u32, String)> {
         let dialled = self.dialled.borrow();
         let found = dialled.iter().rev().find_map(|(id, (address, told))| {
             let MemberCommand::Query(query) = told.try_recv().ok()? else {
@@ -299,21 +299,21 @@
         found
     }
 
-    pub fn is_open(&self, connection: u32) -> bool {
+    pub(crate) fn is_open(&self, connection: u32) -> bool {
         let dialled = self.dialled.borrow();
         !matches!(dialled[&connection].1.try_recv(), Err(TryRecvError::Disconnected))
     }
 }
 
-pub const VIEW: &str = "c=view,d=900,cluster=1";
-pub const POST: &str = "c=post,d=3000,cluster=1";
+pub(crate) const VIEW: &str = "c=view,d=900,cluster=1";
+pub(crate) const POST: &str = "c=post,d=3000,cluster=1";
 
-pub fn with_client() -> Harness {
+pub(crate) fn with_client() -> Harness {
     let mut harness = Harness::new(SETTINGS, 1024, 192 << 20);
     harness.connect_client(1);
     harness
 }
 
-pub fn rows(value: &str) -> Reply {
+pub(crate) fn rows(value: &str) -> Reply {
     Reply::Rows(value.as_bytes().to_vec())
 }
--- a/crates/driver/tests/routing/statements.rs
+++ b/crates/driver/tests/routing/statements.rs
@@ -38,6 +38,7 @@
 /// What happened on a member's connection, what the client of a write receives within 100 ms, and whether the write was
 /// retried.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn write_is_retried_only_if_not_executed() {
     enum Came {
         Error(&'static str),
@@ -150,6 +151,7 @@
 /// An answer, the close of its connection, the statement's deadline and the client's close may all be due at once: in any
 /// order the client receives one answer, and what follows changes nothing.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn events_in_any_order_give_one_final_answer() {
     #[derive(Clone, Copy, Debug, PartialEq)]
     enum Comes {
--- a/crates/driver/tests/stand/mod.rs
+++ b/crates/driver/tests/stand/mod.rs
@@ -12,17 +12,17 @@
 use std::time::{Duration, Instant};
 
 /// Long enough for the busiest machine; nothing here waits for it to pass.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
 
-pub use asterlatch_lab::wire::message;
+pub(crate) use asterlatch_lab::wire::message;
 use asterlatch_lab::wire::{read, row, status};
 
-pub fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
+pub(crate) fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     read(stream, true).ok()
 }
 
 /// Each at an address of its own, so that no port is anybody else's once it is let go.
-pub fn listener() -> (TcpListener, SocketAddr) {
+pub(crate) fn listener() -> (TcpListener, SocketAddr) {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     let host = format!(
@@ -37,26 +37,26 @@
 
 /// A process that is being started holds whatever is open in this one for a moment: an address that is let go just
 /// then would still be taken.
-pub static STARTS: Mutex<()> = Mutex::new(());
+pub(crate) static STARTS: Mutex<()> = Mutex::new(());
 
 /// An address that nobody listens at.
-pub fn free_address() -> SocketAddr {
+pub(crate) fn free_address() -> SocketAddr {
     let _alone = STARTS.lock().unwrap_or_else(PoisonError::into_inner);
     listener().1
 }
 
-pub fn start(command: &mut Command) -> Child {
+pub(crate) fn start(command: &mut Command) -> Child {
     let _alone = STARTS.lock().unwrap_or_else(PoisonError::into_inner);
     command.spawn().expect("starts")
 }
 
 /// The row that a member has for a statement with the word 'large' in it: some of them are more than a kernel keeps for
 /// who doesn't read.
-pub const LARGE: usize = 2 << 20;
+pub(crate) const LARGE: usize = 2 << 20;
 
 /// What a member does with a statement.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Manner {
+pub(crate) enum Manner {
     Answers,
     Closes,
     /// Answers when the test says so.
@@ -65,20 +65,20 @@
 
 /// A member that answers each probe as a primary would. Tells which statements came, and when a connection with
 /// a statement on it was ended by the other side.
-pub struct Member {
-    pub address: SocketAddr,
-    pub came: Receiver<String>,
-    pub go: Sender<()>,
+pub(crate) struct Member {
+    pub(crate) address: SocketAddr,
+    pub(crate) came: Receiver<String>,
+    pub(crate) go: Sender<()>,
 }
 
 impl Member {
     /// The next statement that came, or that one was ended.
-    pub fn told(&self) -> String {
+    pub(crate) fn told(&self) -> String {
         self.came.recv_timeout(PATIENCE).expect("something comes")
     }
 }
 
-pub fn member(manner: Manner) -> Member {
+pub(crate) fn member(manner: Manner) -> Member {
     let (listener, address) = listener();
     let (tell, came) = channel();
     let (go, wait) = channel();
@@ -92,7 +92,7 @@
     Member { address, came, go }
 }
 
-pub fn speak(
+pub(crate) fn speak(
     mut stream: TcpStream,
     manner: Manner,
     tell: &Sender<String>,
@@ -140,7 +140,7 @@
 }
 
 /// What discovery is asked.
-pub fn read_head(stream: &mut TcpStream) -> std::io::Result<String> {
+pub(crate) fn read_head(stream: &mut TcpStream) -> std::io::Result<String> {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut byte)?;
@@ -151,7 +151,7 @@
 
 /// A program with little memory, thirty clients that it has greeted, and the beginning of a message that each could send:
 /// together they would fill that memory.
-pub fn short_of_memory(name: &str, member: SocketAddr) -> (Program, Vec<TcpStream>, Vec<u8>) {
+pub(crate) fn short_of_memory(name: &str, member: SocketAddr) -> (Program, Vec<TcpStream>, Vec<u8>) {
     let small = described(free_address(), silent_discovery(), member)
         .replace(r#""memory_mb":192"#, r#""memory_mb":4"#);
     let process = serve_described(name, &small);
@@ -161,20 +161,20 @@
 }
 
 /// Discovery that stays silent, as it does while it is down: the list that the driver knows must do.
-pub fn silent_discovery() -> SocketAddr {
+pub(crate) fn silent_discovery() -> SocketAddr {
     let (listener, address) = listener();
     thread::spawn(move || listener.incoming().collect::<Vec<_>>());
     address
 }
 
-pub fn config(name: &str, text: &str) -> PathBuf {
+pub(crate) fn config(name: &str, text: &str) -> PathBuf {
     let file = format!("asterlatch-{}-{name}.json", std::process::id());
     let path = std::env::temp_dir().join(file);
     std::fs::write(&path, text).expect("temporary files can be written");
     path
 }
 
-pub fn program(command: &str, path: &PathBuf) -> Command {
+pub(crate) fn program(command: &str, path: &PathBuf) -> Command {
     let mut program = Command::new(env!("CARGO_BIN_EXE_asterlatch"));
     program
         .arg(command)
@@ -199,7 +199,7 @@
     program
 }
 
-pub fn described(listen: SocketAddr, discovery: SocketAddr, member: SocketAddr) -> String {
+pub(crate) fn described(listen: SocketAddr, discovery: SocketAddr, member: SocketAddr) -> String {
     format!(
         r#"{{"name":"t","listen":"{listen}","discovery":"{discovery}","seed":"7",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},
@@ -214,28 +214,28 @@
     )
 }
 
-pub struct Program {
-    pub child: Child,
-    pub listen: SocketAddr,
-    pub path: PathBuf,
+pub(crate) struct Program {
+    pub(crate) child: Child,
+    pub(crate) listen: SocketAddr,
+    pub(crate) path: PathBuf,
 }
 
-pub fn serve(name: &str, member: SocketAddr) -> Program {
+pub(crate) fn serve(name: &str, member: SocketAddr) -> Program {
     // Bound for a moment, so that the system picks the port.
     let listen = free_address();
     serve_at(listen, name, member)
 }
 
-pub fn serve_at(listen: SocketAddr, name: &str, member: SocketAddr) -> Program {
+pub(crate) fn serve_at(listen: SocketAddr, name: &str, member: SocketAddr) -> Program {
     serve_described(name, &described(listen, silent_discovery(), member))
 }
 
 /// Starts the program, and waits until it listens.
-pub fn serve_described(name: &str, text: &str) -> Program {
+pub(crate) fn serve_described(name: &str, text: &str) -> Program {
     serve_with(name, text, &[])
 }
 
-pub fn serve_with(name: &str, text: &str, arguments: &[&str]) -> Program {
+pub(crate) fn serve_with(name: &str, text: &str, arguments: &[&str]) -> Program {
     let path = config(name, text);
     let value: serde_json::Value = serde_json::from_str(text).expect("is JSON");
     let listen = value["listen"]
@@ -253,14 +253,14 @@
 }
 
 impl Program {
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let command = format!("kill -{name} {}", self.child.id());
         let sent = start(Command::new("sh").arg("-c").arg(command)).wait();
         assert!(sent.is_ok_and(|s| s.success()));
     }
 
     /// Waits for its end; says whether that was a good one, and what it wrote.
-    pub fn finish(mut self) -> (bool, String) {
+    pub(crate) fn finish(mut self) -> (bool, String) {
         let mut log = String::new();
         self.child
             .stderr
@@ -273,7 +273,7 @@
         (good, log)
     }
 
-    pub fn client(&self) -> TcpStream {
+    pub(crate) fn client(&self) -> TcpStream {
         let mut stream = TcpStream::connect(self.listen).expect("listens");
         stream.set_read_timeout(Some(PATIENCE)).expect("is set");
         let fields = b"user\0api\0database\0ledger\0\0";
@@ -305,7 +305,7 @@
 }
 
 /// The messages up to the next that says ready or to the end: kinds, errors with their code, and the row.
-pub fn answer(stream: &mut TcpStream) -> (String, Vec<u8>) {
+pub(crate) fn answer(stream: &mut TcpStream) -> (String, Vec<u8>) {
     let (mut said, mut row) = (Vec::new(), Vec::new());
     while let Some((kind, body)) = read_message(stream) {
         match kind {
@@ -329,12 +329,12 @@
     (said.join(" "), row)
 }
 
-pub fn ask(stream: &mut TcpStream, workload: &str) -> String {
+pub(crate) fn ask(stream: &mut TcpStream, workload: &str) -> String {
     ask_for(stream, workload, 25_000, "x")
 }
 
 /// Asks for this key and waits for so many milliseconds.
-pub fn ask_for(stream: &mut TcpStream, workload: &str, left: u32, key: &str) -> String {
+pub(crate) fn ask_for(stream: &mut TcpStream, workload: &str, left: u32, key: &str) -> String {
     let text = format!(
         "/* id=1f,c={workload},d={left},cluster=1,k=7 */ SELECT blob FROM rows WHERE handle = '{key}'"
     );
@@ -345,27 +345,27 @@
 }
 
 /// A program with an operators' file, whose log is read as it comes.
-pub struct Operated {
-    pub program: Program,
-    pub file: PathBuf,
-    pub lines: Receiver<String>,
+pub(crate) struct Operated {
+    pub(crate) program: Program,
+    pub(crate) file: PathBuf,
+    pub(crate) lines: Receiver<String>,
 }
 
 /// A folder of its own, gone at the end.
-pub struct Folder(pub PathBuf);
+pub(crate) struct Folder(pub PathBuf);
 
 impl Folder {
-    pub fn new(name: &str) -> Folder {
+    pub(crate) fn new(name: &str) -> Folder {
         let path = std::env::temp_dir().join(format!("asterlatch-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).expect("is made");
         Folder(path)
     }
 
-    pub fn path(&self, name: &str) -> String {
+    pub(crate) fn path(&self, name: &str) -> String {
         self.0.join(name).to_str().expect("is text").to_owned()
     }
 
-    pub fn write(&self, name: &str, text: &str) -> String {
+    pub(crate) fn write(&self, name: &str, text: &str) -> String {
         std::fs::write(self.0.join(name), text).expect("is written");
         self.path(name)
     }
@@ -377,7 +377,7 @@
     }
 }
 
-pub fn operated(name: &str, member: SocketAddr, arguments: &[&str]) -> Operated {
+pub(crate) fn operated(name: &str, member: SocketAddr, arguments: &[&str]) -> Operated {
     let text = described(free_address(), silent_discovery(), member);
     let mut program = serve_with(name, &text, arguments);
     let stderr = program.child.stderr.take().expect("piped");
@@ -399,7 +399,7 @@
 
 impl Operated {
     /// Replaces the file and has it read.
-    pub fn change(&self, text: &str) {
+    pub(crate) fn change(&self, text: &str) {
         let beside = self.file.with_extension("new");
         std::fs::write(&beside, text).expect("is written");
         std::fs::rename(&beside, &self.file).expect("is renamed");
@@ -407,7 +407,7 @@
     }
 
     /// Reads the log up to a line that holds these words.
-    pub fn told(&self, words: &str) -> String {
+    pub(crate) fn told(&self, words: &str) -> String {
         let end = Instant::now() + PATIENCE;
         let mut seen = String::new();
         while let Ok(line) = self
--- a/crates/driver/tests/upgrade.rs
+++ b/crates/driver/tests/upgrade.rs
@@ -459,6 +459,7 @@
 /// A new process that dies on probation takes nobody along: the former one goes on with its clients, and answers what that
 /// one had taken as honestly as can be known.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn clients_of_a_new_process_that_dies_are_taken_back() {
     let member = member(Manner::Waits);
     let times = TIMES.replace("probation = 200ms", "probation = 10min");
@@ -1033,6 +1034,7 @@
 /// connections along; whatever was answered ran once, nothing ran twice, and whoever is left serves.
 #[test]
 #[ignore = "long: make trial-faults"]
+#[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn kills_at_random_points_double_nothing() {
     let seed = std::env::var("SEED")
         .ok()
--- a/crates/driver/tests/versions.rs
+++ b/crates/driver/tests/versions.rs
@@ -209,6 +209,7 @@
 /// While two processes of one driver serve, neither knows what the other has sent: a question is answered so, and a repeat
 /// that comes to the new one is in doubt, for it can't ask.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn during_an_upgrade_nothing_is_called_untouched() {
     let times = "\nupgrade(hello = 5s, ready = 5s, probation = 10min, beat = 50ms, silence = 2s";
     let more = format!(", window = 1s){times}");
