--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Share of the importance that the statement has by its tenant's quota, of which each driver has an even part.
+    /// Share of its importance that a statement keeps by its tenant's quota, which drivers share evenly.
     fn quota_share(&mut self, statement: &Statement) -> f64 {
         let Some(quota) = self.settings.tenant_quotas.get(statement.tenant) else {
             return 1.0;
@@ -78,8 +78,8 @@
         (1.0 / density.max(1e-12)) as u64
     }
 
-    /// Whether a member admits the statement. Many drivers with few samples each would otherwise overload a member
-    /// together. What is worth little for its work is left out first, reads at the primary before writes.
+    /// Whether a member admits the statement: many drivers with few samples each could overload it together.
+    /// What is worth little for its work is left out first, reads at the primary before writes.
     pub(super) fn admits(&self, member: usize, statement: &StatementState) -> bool {
         let is_primary = self.groups[statement.group].primary == Some(member);
         let threshold = if is_primary && !self.settings.needs_primary(statement.workload) {
@@ -111,7 +111,7 @@
         true
     }
 
-    /// Rule: work on an answer that has no value any more takes capacity from others, and so does waiting for one that
+    /// Rule: work on an answer without value takes capacity from others, and so does waiting for one that
     /// can't come in time.
     pub(super) fn give_up_worthless(&mut self) -> bool {
         let due = self.statement_timers.expired(self.now);
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -6,7 +6,7 @@
 
 /// Longest backoff after a failed poll, as a share of the time within which the list must be polled.
 const POLL_BACKOFF_SHARE: f64 = 0.1;
-/// Backoff after the first failure in a row, as a part of the longest: while no poll is open, changes are missed.
+/// Backoff after the first failure in a row, as a part of the longest: changes are missed meanwhile.
 const FIRST_BACKOFF: f64 = 1.0 / 16.0;
 
 /// Failed polls in a row.
@@ -19,7 +19,7 @@
 }
 
 impl RoutingPolicy {
-    /// A poll failed or a watch broke: poll again after a backoff that grows with failures in a row, with jitter.
+    /// A poll failed or a watch broke: the next poll follows after a backoff with jitter.
     pub fn on_poll_failed(&mut self, now: Timestamp) -> Actions {
         self.set_now(now);
         let longest = self.settings.poll_within * POLL_BACKOFF_SHARE;
--- a/src/policy/evidence.rs
+++ b/src/policy/evidence.rs
@@ -8,8 +8,8 @@
 use crate::time::{TimeSpan, Timestamp};
 
 impl RoutingPolicy {
-    /// Takes a member's report into account that is `age` old; one that it gave to this driver itself has no age. The
-    /// newest evidence of a role wins by the position it was given at, not by when it arrived: a primary stands at the
+    /// Takes a member's report of this age into account; one that it gave to this driver itself has none. Of
+    /// roles the evidence at the latest position wins, not the one that arrived last: a primary stands at the
     /// present, so one that acted as primary at a later position has taken over since.
     pub(crate) fn learn_status(
         &mut self,
@@ -70,8 +70,8 @@
         self.members[place].adjust_limit(self.now, is_completed, typical, few_samples);
     }
 
-    /// Whether an answer may be passed on: not one that itself shows older data than the read allowed when it was
-    /// dispatched. A primary that stalled and was deposed meanwhile answers with what it had.
+    /// Whether an answer may be passed on: not one that shows older data than the read allowed at its
+    /// dispatch. A primary that stalled and was deposed meanwhile answers with what it had.
     pub fn accepts_answer(&self, statement: u32, attempt: u8, status: ReplicaStatus) -> bool {
         let Some(execution) = self.in_flight.get(statement, attempt) else {
             return true;
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -37,8 +37,8 @@
         self.unscheduled_members.push(place);
     }
 
-    /// Rule: sets the next check of a member that something has changed about. Checking all members instead would cost
-    /// each input the more, the larger the fleet.
+    /// Rule: sets the next check of a member that something has changed about. Checking all members instead
+    /// would cost each input the more, the larger the fleet.
     pub(super) fn schedule_member_check(&mut self) -> bool {
         let Some(place) = self.unscheduled_members.pop() else {
             return false;
@@ -58,8 +58,9 @@
         true
     }
 
-    /// Rule: a member that leaves executions unanswered is ejected, whatever the reason: a hang, a cut link, an unlisted
-    /// death. A lone long statement may be taken for that; the health check that follows soon readmits the member.
+    /// Rule: a member that leaves executions unanswered is ejected, whatever the reason: a hang, a cut link,
+    /// a crash. A lone long statement may be taken for that; the health check that follows soon readmits the
+    /// member.
     pub(super) fn check_member(&mut self) -> bool {
         let Some(place) = self.member_timers.expired(self.now) else {
             return false;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! Every decision of the routing service: which statements are admitted, which member executes them, what is retried,
-//! which members are health-checked, and when the endpoint list is polled.
+//! Every decision of the routing service: which statements are admitted, which member executes them, what is
+//! retried, which members are health-checked, and when the endpoint list is polled.
 //!
-//! A host owns one [`RoutingPolicy`] per driver instance, calls one method per input and carries out the returned
+//! A host owns one [`RoutingPolicy`] per driver, calls one method per input and carries out the returned
 //! [`Actions`]. After each input the `RULES` run in order, from the first one again, until none applies.
 
 mod admission;
@@ -19,8 +19,8 @@
 
 /// A wake-up later than this shows that the driver itself was stalled.
 const STALL: TimeSpan = TimeSpan::millis(50);
-/// Completed executions a member, within the overload window, below which a driver can't tell a member's concurrency
-/// limit and admits a share of statements instead.
+/// Completed executions a member, within the overload window, below which a driver can't tell concurrency
+/// limits and admits a share of statements instead.
 const FEW_SAMPLES: usize = 5;
 
 /// A condition with its effect; returns whether it applied.
@@ -87,8 +87,8 @@
         self.throughput.len() < FEW_SAMPLES * self.members.len()
     }
 
-    /// Sets the clock. While this driver was stalled itself no member left anything unanswered, and latencies that end
-    /// then say little.
+    /// Sets the clock. While this driver was stalled itself no member left anything unanswered, and latencies
+    /// that end then say little.
     pub(crate) fn set_now(&mut self, now: Timestamp) {
         if now - self.planned_wake_up.unwrap_or(now) > STALL {
             for member in self.members.all_mut() {
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -1,5 +1,6 @@
-//! Which member executes a waiting statement: the primary for writes and fresh reads, otherwise by round robin a replica
-//! whose known log position covers the read, and the primary where no replica is ready. Departures are marked.
+//! Which member executes a waiting statement: the primary for writes and fresh reads, otherwise by round
+//! robin a replica whose known log position covers the read, and the primary where none is ready. Departures
+//! are marked.
 
 use super::retry::PRIMARY_WAIT;
 use super::RoutingPolicy;
@@ -11,7 +12,7 @@
 
 /// New connections are avoided while establishing one costs this part of the SLO time more than usual.
 const EXPENSIVE_CONNECTION: f64 = 0.15;
-/// A driver stays with its own replica while that has at least this part of the best admission share of its group.
+/// A driver stays with its own replica while that has this part of the best admission share of its group.
 const STICKINESS: f64 = 0.7;
 
 /// What came of a waiting statement.
@@ -120,8 +121,8 @@
         selected
     }
 
-    /// Where a write goes while no primary is known: after a backoff to the next member, but never with the second half
-    /// of its executions, which are kept for the primary.
+    /// Where a write goes while no primary is known: after a backoff to the next member, but never with the
+    /// second half of its executions, which are kept for the primary.
     fn guess_primary(&mut self, id: u32) -> Option<usize> {
         let statement = &self.statements[&id];
         let has_waited = statement.attempts > 0 || statement.backoff_until > Timestamp(0);
@@ -143,8 +144,8 @@
         let eligible_primary = group.primary.filter(|p| self.is_eligible(*p, statement));
         let has_ready_replica = group.members.iter().any(|m| self.is_ready_replica(*m, statement));
         let replica = self.choose_replica(statement);
-        // Departure: where all ready replicas are at their limits the primary takes reads too, up to half of its limit
-        // where a driver fills that alone, or its own work would find no place.
+        // Departure: where all ready replicas are at their limits the primary takes reads too, up to half of
+        // its limit where a driver fills that alone, or its own work would find no place.
         let is_reserved = |member: &Member| {
             let is_half_full = member.in_flight as f64 >= member.concurrency_limit / 2.0;
             has_ready_replica && !self.has_few_samples() && is_half_full
@@ -185,8 +186,8 @@
             .or_else(|| group.next_round_robin(takes))
     }
 
-    /// Departure: before a read waits, a replica whose lag was last reported long ago may be tried, where members check
-    /// reads.
+    /// Departure: where members check reads, a replica whose lag was last reported long ago may be tried
+    /// before a read waits.
     fn choose_unverified_replica(&self, statement: &StatementState) -> Option<usize> {
         if !self.members_check(statement) {
             return None;
@@ -258,9 +259,9 @@
         member.state == MemberState::Ready || (member.state == MemberState::Gone && may_be_up)
     }
 
-    /// Whether the known log position proves a member ready for a read. Where members check reads themselves, the lag last
-    /// reported is carried forward: a wrong guess costs one rejected execution, which corrects it, while waiting for proof
-    /// would leave out current replicas that have not reported for a while.
+    /// Whether the known log position proves a member ready for a read. Where members check reads themselves,
+    /// the lag last reported is carried forward: a wrong guess costs one rejected execution, which corrects
+    /// it; waiting for proof would leave out current replicas that have not reported for a while.
     pub(super) fn covers(&self, member: usize, statement: &StatementState) -> bool {
         let required = match self.workload(statement).freshness {
             Freshness::Any => return true,
@@ -275,8 +276,8 @@
             || (self.members_check(statement) && member.status_at.is_none_or(lag_covers))
     }
 
-    /// Whether members reject this read where they are too far behind. They can check only what a statement carries: what
-    /// its session has written only where its age is carried.
+    /// Whether members reject this read where they are too far behind. They can check only what it carries:
+    /// what its session has written only where its age is carried.
     pub(super) fn members_check(&self, statement: &StatementState) -> bool {
         let is_session_read = self.workload(statement).freshness == Freshness::Session;
         self.settings.members_check_reads && (!is_session_read || self.settings.session_age_carried)
@@ -292,13 +293,13 @@
         if needs_connection && self.avoids_new_connections() && self.has_few_samples() {
             return false;
         }
-        // A draining process gets no new clients: its peer, always at the limit, would delay its last statements.
+        // A draining process gets no new clients: its peer, at the limit, would delay its last statements.
         let ignores_peer = self.yields_to_peer && member.in_flight == 0;
         let peer = if ignores_peer { 0 } else { member.peer_in_flight };
         ((member.in_flight + peer) as f64) < member.concurrency_limit
     }
 
-    /// Rule: an overdue execution at an unresponsive replica is cancelled where another replica can still answer in time.
+    /// Rule: an overdue execution at an unresponsive replica is cancelled where another can answer in time.
     pub(super) fn leave_silent_zone(&mut self) -> bool {
         if !self.settings.cancel_allowed || !self.has_few_samples() {
             return false;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -3,7 +3,7 @@
 use super::RoutingPolicy;
 use crate::interface::*;
 use crate::state::*;
-use crate::time::TimeSpan;
+use crate::time::{TimeSpan, Timestamp};
 
 /// A write is sent to a member after this even if no primary is known.
 pub(super) const PRIMARY_WAIT: TimeSpan = TimeSpan::millis(250);
@@ -19,8 +19,8 @@
 }
 
 impl RoutingPolicy {
-    /// Whether a statement may be executed now: for the first time, or again after an attempt of this driver or of
-    /// another one. Bounds its dispatch to the deduplication window.
+    /// Whether a statement may be executed now: for the first time, or after an attempt of this driver or
+    /// another. Bounds its dispatch to the deduplication window.
     pub(super) fn may_execute(&mut self, id: u32) -> bool {
         let Some(statement) = self.statements.get_mut(&id) else {
             return false;
@@ -96,8 +96,8 @@
         true
     }
 
-    /// Cancels a statement's executions: work for a client that no longer waits delays others. Where members take no
-    /// cancellations, what was not sent yet is given up all the same.
+    /// Cancels a statement's executions: work for a client that no longer waits delays others. Where members
+    /// take no cancellations, what was not sent yet is given up all the same.
     pub(super) fn cancel_executions(&mut self, id: u32) {
         let allowed = self.settings.cancel_allowed;
         let cancelled = self
@@ -106,9 +106,10 @@
         self.request_cancellations(cancelled);
     }
 
-    /// Whether an execution may still be sent, now that its connection is established. Its end, a drain, the end of the
-    /// deduplication window or a position that no longer covers it may forbid that. If it may, it counts as sent now.
-    pub fn may_dispatch(&mut self, now: crate::time::Timestamp, statement: u32, attempt: u8) -> bool {
+    /// Whether an execution may still be sent, now that its connection is established. Its end, a drain, the
+    /// end of the deduplication window or a position that doesn't cover it may forbid that. Otherwise it
+    /// counts as sent now.
+    pub fn may_dispatch(&mut self, now: Timestamp, statement: u32, attempt: u8) -> bool {
         self.now = now;
         let execution = self.in_flight.get(statement, attempt).filter(|e| !e.is_cancelled);
         let Some((member, state)) = execution.map(|e| e.member).zip(self.statements.get(&statement)) else {
