--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -15,11 +15,12 @@
 use super::operators::{self, InForce, Operators};
 use super::phases::Phases;
 use super::signals;
-use super::upgrade::{PredecessorRole, SuccessorRole};
+use super::upgrade::{PredecessorRole, ResumedService, SuccessorRole};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::handover::CoServing;
 use crate::transport;
 use crate::transport::clock::Clock;
+use crate::transport::io_journal::IoJournalWriter;
 pub use check::check;
 use control_loop::{report_metrics, ControlLoop};
 use deferred_services::DeferredServices;
@@ -43,17 +44,8 @@
     let settings = InForce::of(&start.meaning);
     let mut successor = SuccessorRole::from_environment(settings.handover.successor)?;
     transport::coroutines::start(settings.stacks);
-    let resumed = successor
-        .as_mut()
-        .map(|successor| successor.load(&config))
-        .transpose()?;
-    let clock = resumed
-        .as_ref()
-        .map_or_else(Clock::start, |resumed| resumed.clock);
-    let journal = match &mut successor {
-        Some(successor) => successor.open_journal()?,
-        None => None,
-    };
+    let inherited = Inheritance::load(successor.as_mut(), &config)?;
+    let clock = inherited.clock;
     let (queue, events) = channel();
     signals::forward(queue.clone()).map_err(ServeError::Signals)?;
     let startup = Startup {
@@ -61,9 +53,9 @@
         memory: config.runtime.memory_budgets(&settings.limits),
         clock,
         queue,
-        journal,
+        journal: inherited.journal,
     };
-    let mut event_loop = startup.event_loop(settings.limits, resumed);
+    let mut event_loop = startup.event_loop(settings.limits, inherited.resumed);
     let listener = startup.bind_or_inherit(successor.as_mut())?;
     if let Some(successor) = &mut successor {
         commit_handover(successor, &startup, &mut event_loop)?;
@@ -99,6 +91,32 @@
     Ok(())
 }
 
+/// What a process goes on from; without a predecessor only a new clock.
+struct Inheritance {
+    resumed: Option<ResumedService>,
+    clock: Clock,
+    /// Runs while the predecessor may have to go on with the clients.
+    journal: Option<IoJournalWriter>,
+}
+
+impl Inheritance {
+    fn load(successor: Option<&mut SuccessorRole>, config: &Config) -> Result<Inheritance, ServeError> {
+        let Some(successor) = successor else {
+            return Ok(Inheritance {
+                resumed: None,
+                clock: Clock::start(),
+                journal: None,
+            });
+        };
+        let resumed = successor.load(config)?;
+        Ok(Inheritance {
+            clock: resumed.clock,
+            resumed: Some(resumed),
+            journal: successor.open_journal()?,
+        })
+    }
+}
+
 /// Everything that could fail is made by now, so the predecessor may hand over.
 fn commit_handover(
     successor: &mut SuccessorRole,
