--- a/crates/driver/src/program/gossip/mod.rs
+++ b/crates/driver/src/program/gossip/mod.rs
@@ -101,7 +101,7 @@
     fn node_settings(&self, config: &Config) -> NodeSettings {
         let speaks_later = std::env::var_os(LATER_WIRE).is_some();
         NodeSettings {
-            fleet: format!("{:016x}", config.settings_text),
+            fleet: format!("{:016x}", config.settings_hash),
             name: config.name.clone(),
             dialect: if speaks_later {
                 Dialect::Later
@@ -120,7 +120,7 @@
         now: Timestamp,
         handle: GossipHandle,
     ) -> Gossip {
-        let rules = &config.settings.0;
+        let rules = &config.settings;
         let settings = GossipSettings {
             overload_window: rules.overload_window,
             overload_multiple: rules.overload_multiple,
--- a/crates/driver/src/program/mod.rs
+++ b/crates/driver/src/program/mod.rs
@@ -2,10 +2,9 @@
 
 pub mod commands;
 pub mod config;
+pub mod control_socket;
 pub mod counters;
-
 pub mod gossip;
-mod kept;
 pub mod log;
 pub mod operators;
 pub mod phases;
--- /dev/null
+++ b/crates/driver/src/program/serve/mod.rs
@@ -0,0 +1,131 @@
+//! `asterlatch serve` and `asterlatch check`: puts the parts of the process together and runs them.
+//!
+//! [`serve`] makes everything that could fail before it takes clients. The calling thread then runs the event loop, with
+//! [`control_loop`] ahead of each of its waits.
+
+mod check;
+mod connectors;
+mod control_loop;
+mod deferred_services;
+mod error;
+mod startup;
+
+use super::config::{Config, ConfigError};
+use super::log::Log;
+use super::operators::{self, InForce, Operators};
+use super::phases::Phases;
+use super::signals;
+use super::upgrade::{PredecessorRole, ResumedService, SuccessorRole};
+use crate::routing::event_loop::EventLoop;
+use crate::routing::handover::CoServing;
+use crate::transport;
+use crate::transport::clock::Clock;
+use crate::transport::io_journal::IoJournalWriter;
+pub use check::check;
+use control_loop::{report_metrics, ControlLoop};
+use deferred_services::DeferredServices;
+pub use error::ServeError;
+use startup::Startup;
+use std::path::Path;
+use std::sync::mpsc::channel;
+
+/// Serves until shutdown or until a successor has taken over. `load_config` reads the configuration again for a reload.
+///
+/// # Errors
+/// If the process can't start; once it serves it doesn't fail.
+pub fn serve(
+    config: Config,
+    load_config: impl Fn() -> Result<Config, ConfigError>,
+    given: &operators::Given,
+    control_path: Option<&Path>,
+) -> Result<(), ServeError> {
+    let machine = operators::machine(&config);
+    let start = operators::start(given, machine)?;
+    let settings = InForce::of(&start.meaning);
+    let mut successor = SuccessorRole::from_environment(settings.handover.successor)?;
+    transport::coroutines::start(settings.stacks);
+    let inherited = Inheritance::load(successor.as_mut(), &config)?;
+    let clock = inherited.clock;
+    let (queue, events) = channel();
+    signals::forward(queue.clone()).map_err(ServeError::Signals)?;
+    let startup = Startup {
+        config: &config,
+        memory: config.runtime.memory_budgets(&settings.limits),
+        clock,
+        queue,
+        journal: inherited.journal,
+    };
+    let mut event_loop = startup.event_loop(settings.limits, inherited.resumed);
+    let listener = startup.bind_or_inherit(successor.as_mut())?;
+    if let Some(successor) = &mut successor {
+        commit_handover(successor, &startup, &mut event_loop)?;
+    }
+    let (upgrade_requests, upgrade_request_receiver) = channel();
+    let predecessor = PredecessorRole::new(
+        config.settings_hash,
+        startup.queue.clone(),
+        upgrade_request_receiver,
+    );
+    let mut services = DeferredServices::new(&startup, &start.meaning, given, control_path, upgrade_requests);
+    services.start_or_defer(&mut event_loop, successor.is_some())?;
+    startup.listen(&mut event_loop, listener, successor.is_some())?;
+    let mut phases = Phases::default();
+    operators::take_over(&mut event_loop, &mut phases, &settings);
+    startup.log_all(&mut event_loop, &start.lines);
+    let operators = Operators::new(given, start, settings.handover.predecessor, startup.queue.clone())?;
+    drop(startup);
+    let mut control_loop = ControlLoop {
+        config: &config,
+        load_config,
+        machine,
+        successor,
+        predecessor,
+        operators,
+        phases,
+        services,
+        is_shutting_down: false,
+    };
+    let control = |event_loop: &mut EventLoop<Log>, now| control_loop.advance_to(event_loop, now);
+    event_loop.run(&events, clock, control);
+    report_metrics(&mut event_loop, clock.now());
+    Ok(())
+}
+
+/// What a process goes on from; without a predecessor only a new clock.
+struct Inheritance {
+    resumed: Option<ResumedService>,
+    clock: Clock,
+    /// Runs while the predecessor may have to go on with the clients.
+    journal: Option<IoJournalWriter>,
+}
+
+impl Inheritance {
+    fn load(successor: Option<&mut SuccessorRole>, config: &Config) -> Result<Inheritance, ServeError> {
+        let Some(successor) = successor else {
+            return Ok(Inheritance {
+                resumed: None,
+                clock: Clock::start(),
+                journal: None,
+            });
+        };
+        let resumed = successor.load(config)?;
+        Ok(Inheritance {
+            clock: resumed.clock,
+            resumed: Some(resumed),
+            journal: successor.open_journal()?,
+        })
+    }
+}
+
+/// Everything that could fail is made by now, so the predecessor may hand over.
+fn commit_handover(
+    successor: &mut SuccessorRole,
+    startup: &Startup,
+    event_loop: &mut EventLoop<Log>,
+) -> Result<(), ServeError> {
+    successor.commit()?;
+    successor.spawn_reader(startup.queue.clone())?;
+    // The predecessor may have dispatched requests since it wrote its state, so they count from the start.
+    event_loop.set_co_serving(startup.clock.now(), CoServing::WithPredecessor);
+    Ok(())
+}
--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Five processes of the built program with faults between them: the laboratory's scenes, judged over all of them together.
+//! Five processes of the built program with faults between them: the test bed's scenarios, checked over all of them together.
 
 use asterlatch_testbed::cluster::{run, ClusterPlan, RunReport};
 use asterlatch_testbed::fault_script::FaultScript;
