--- a/crates/driver/tests/stand/mod.rs
+++ b/crates/driver/tests/stand/mod.rs
@@ -15,10 +15,10 @@
 pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
 
 pub(crate) use asterlatch_testbed::wire::message;
-use asterlatch_testbed::wire::{read, row, status};
+use asterlatch_testbed::wire::{self, data_row, parameter_status};
 
 pub(crate) fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
-    read(stream, true).ok()
+    wire::read_message(stream, true).ok()
 }
 
 /// Each at an address of its own, so that no port is anybody else's once it is let go.
@@ -98,7 +98,7 @@
     tell: &Sender<String>,
     wait: &Mutex<Receiver<()>>,
 ) -> Option<()> {
-    read(&mut stream, false).ok()?;
+    wire::read_message(&mut stream, false).ok()?;
     let ready = message(b'Z', b"I");
     stream
         .write_all(&[message(b'R', &[0; 4]), ready.clone()].concat())
@@ -133,8 +133,8 @@
                 }
             }
         }
-        let rank = status("rank", "source");
-        let answer = [row(value), rank, ready.clone()];
+        let rank = parameter_status("rank", "source");
+        let answer = [data_row(value), rank, ready.clone()];
         stream.write_all(&answer.concat()).ok()?;
     }
 }
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -5,7 +5,7 @@
 use crate::fault_script::FaultScript;
 use crate::member::{self, lock, SharedStore};
 use crate::store_model::{StoreModel, WorkloadKind};
-use crate::wire::{message, read, start_session, wall_clock_now};
+use crate::wire::{message, read_message, start_session, wall_clock_now};
 use serde_json::{json, Value};
 use std::fs::File;
 use std::io::{self, Write};
@@ -101,7 +101,7 @@
     stream.set_read_timeout(Some(START_TIMEOUT))?;
     start_session(&mut stream)?;
     stream.write_all(&message(b'Q', b"\0"))?;
-    read(&mut stream, true).map(drop)
+    read_message(&mut stream, true).map(drop)
 }
 
 /// How long a program may take until it serves.
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -4,7 +4,7 @@
 use crate::checker::{ClientOutcome, StatementRecord};
 use crate::member::{lock, pause, SharedStore};
 use crate::store_model::WorkloadKind;
-use crate::wire::{decode_value, read, start_session, wall_clock_now, ClientStatement};
+use crate::wire::{decode_value, read_message, start_session, wall_clock_now, ClientStatement};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -150,7 +150,7 @@
 pub fn answer(stream: &mut TcpStream) -> io::Result<ClientOutcome> {
     let mut outcome = None;
     loop {
-        let (kind, body) = read(stream, true)?;
+        let (kind, body) = read_message(stream, true)?;
         match kind {
             b'D' => {
                 let row = body.get(6..).and_then(decode_value);
--- a/crates/testbed/src/member.rs
+++ b/crates/testbed/src/member.rs
@@ -1,7 +1,10 @@
 //! Members on loopback sockets, each with a port of its own, and one thread a connection.
 
 use crate::store_model::{Reply, StoreModel};
-use crate::wire::{encode_value, error, message, parse_statement, read, row, status, wall_clock_now};
+use crate::wire::{
+    data_row, encode_value, error_response, message, parameter_status, parse_statement, read_message,
+    wall_clock_now,
+};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -59,11 +62,11 @@
             return Ok(());
         }
     }
-    read(&mut stream, false)?;
+    read_message(&mut stream, false)?;
     let ready = message(b'Z', b"I");
     stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat())?;
     loop {
-        let (kind, body) = read(&mut stream, true)?;
+        let (kind, body) = read_message(&mut stream, true)?;
         if kind != b'Q' {
             return Ok(());
         }
@@ -73,7 +76,7 @@
             Response::Close => return Ok(()),
             Response::Silence => {
                 // Until the client gives up.
-                read(&mut stream, true)?;
+                read_message(&mut stream, true)?;
                 return Ok(());
             }
         }
@@ -97,13 +100,13 @@
         };
         let seconds = position.0 as f64 / 1e6;
         let report = format!("x0={seconds:.3},x1={}", u8::from(is_primary));
-        return Response::Send(row(report.as_bytes()));
+        return Response::Send(data_row(report.as_bytes()));
     }
     let (statement, outcome) = {
         let mut store = lock(store);
         let names: Vec<_> = store.workloads.iter().map(|w| w.name).collect();
         let Some(statement) = parse_statement(text, &names) else {
-            return Response::Send(error("08P01", "no statement of this form"));
+            return Response::Send(error_response("08P01", "no statement of this form"));
         };
         (statement, store.execute(now, member, &statement))
     };
@@ -113,15 +116,17 @@
         let now = wall_clock_now();
         (store.is_primary(now, member), store.position(now, member))
     };
-    let as_of = |position: Timestamp| status("as_of", &(position.0 / 1000).to_string());
+    let as_of = |position: Timestamp| parameter_status("as_of", &(position.0 / 1000).to_string());
     let answer = match outcome.reply {
-        Reply::Row { position } => [row(&encode_value(statement.id, position)), as_of(position)].concat(),
-        Reply::NoPrimary => error("25006", "this is no primary"),
-        Reply::Behind => [error("72000", "too far behind"), as_of(position)].concat(),
-        Reply::Failed => error("XX000", "something went wrong"),
+        Reply::Row { position } => {
+            [data_row(&encode_value(statement.id, position)), as_of(position)].concat()
+        }
+        Reply::NoPrimary => error_response("25006", "this is no primary"),
+        Reply::Behind => [error_response("72000", "too far behind"), as_of(position)].concat(),
+        Reply::Failed => error_response("XX000", "something went wrong"),
         Reply::ConnectionLost | Reply::Refused => return Response::Close,
         Reply::NoAnswer => return Response::Silence,
     };
-    let rank = status("rank", if is_primary { "source" } else { "copy" });
+    let rank = parameter_status("rank", if is_primary { "source" } else { "copy" });
     Response::Send([answer, rank].concat())
 }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -21,7 +21,7 @@
 const MAX_MESSAGE_BYTES: usize = 1 << 24;
 
 /// Reads the next message: its kind (0 without `has_kind`) and its body.
-pub fn read(stream: &mut TcpStream, has_kind: bool) -> io::Result<(u8, Vec<u8>)> {
+pub fn read_message(stream: &mut TcpStream, has_kind: bool) -> io::Result<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     let from = usize::from(!has_kind);
     stream.read_exact(&mut head[from..])?;
@@ -42,22 +42,22 @@
     startup.extend((3u32 << 16).to_be_bytes());
     startup.extend(fields);
     stream.write_all(&startup)?;
-    while read(stream, true)?.0 != b'Z' {}
+    while read_message(stream, true)?.0 != b'Z' {}
     Ok(())
 }
 
 /// An `ErrorResponse`.
-pub fn error(code: &str, text: &str) -> Vec<u8> {
+pub fn error_response(code: &str, text: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{code}\0M{text}\0\0").as_bytes())
 }
 
 /// A `ParameterStatus`.
-pub fn status(name: &str, value: &str) -> Vec<u8> {
+pub fn parameter_status(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
 /// A row of one binary column.
-pub fn row(value: &[u8]) -> Vec<u8> {
+pub fn data_row(value: &[u8]) -> Vec<u8> {
     let mut column = 1u16.to_be_bytes().to_vec();
     column.extend(b"blob\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
     let mut row = 1u16.to_be_bytes().to_vec();
