--- a/crates/driver/tests/closes.rs
+++ b/crates/driver/tests/closes.rs
@@ -43,7 +43,7 @@
 /// All of it lies at the driver before that reads any of it, and it reads less at once than there is: closed over the rest
 /// the connection would be reset.
 #[test]
-fn what_a_client_sent_beyond_an_error_does_not_reset_the_connection() {
+fn close_input_behind_error_does_not_reset_connection() {
     let member = member(Manner::Answers);
     let process = serve("behind", member.address);
     let junk = [b'x'; 100 * 1024];
@@ -64,7 +64,7 @@
 
 /// It sees our end and goes on sending all the same: neither for ever, nor in whatever amount.
 #[test]
-fn who_sends_on_behind_our_end_is_reset_in_the_end() {
+fn close_client_that_keeps_sending_is_reset() {
     let member = member(Manner::Answers);
     let process = serve("behind-more", member.address);
     let mut client = process.client();
@@ -77,7 +77,7 @@
 /// A client that rests until it is told, and asks then; one that has come and said nothing yet; one in the middle of a
 /// message.
 #[test]
-fn what_comes_behind_our_end_is_never_sent_on() {
+fn close_input_after_our_end_is_not_forwarded() {
     let member = member(Manner::Waits);
     let process = serve("leaves-at-once", member.address);
     let (mut busy, mut resting, mut writing) = (process.client(), process.client(), process.client());
@@ -115,7 +115,7 @@
 
 /// Signals that cross each other and a statement that is out: it is answered, the process ends well, and takes nothing new.
 #[test]
-fn signals_that_cross_lose_no_answer() {
+fn shutdown_with_crossing_signals_loses_no_answer() {
     for signals in [
         &["TERM", "TERM"][..],
         &["HUP", "TERM"],
@@ -138,7 +138,7 @@
 
 /// An answer is half written when the process is told to leave: its client gets all of it, and then the end.
 #[test]
-fn an_answer_that_is_half_written_is_written_to_its_end() {
+fn shutdown_partly_written_answer_is_completed() {
     let member = member(Manner::Answers);
     let folder = Folder::new("half-written");
     // The test may be held up for as long as it likes.
@@ -160,7 +160,7 @@
 
 /// Told to leave with no list yet: what is asked for is refused by a word, and the process ends well.
 #[test]
-fn a_process_that_leaves_before_its_first_list_answers_what_it_took() {
+fn shutdown_before_first_endpoint_list_answers_accepted_statements() {
     let text = described(free_address(), silent_discovery(), free_address());
     let (head, tail) = text.split_once(r#""known":"#).expect("knows a list");
     let (_, tail) = tail.split_once("]},").expect("has an end");
@@ -177,7 +177,7 @@
 
 /// The client has sent so much ahead that it isn't read any further, and goes.
 #[test]
-fn a_client_that_leaves_unread_has_its_execution_called_off() {
+fn client_disconnect_with_unread_input_cancels_execution() {
     let member = member(Manner::Waits);
     let process = serve("leaves-unread", member.address);
     for ahead in [20 * 1024, 60 * 1024] {
@@ -196,7 +196,7 @@
 /// A start with nobody else there: discovery and the only member say nothing, and clients come at once. It is ready, and what
 /// is asked for ends in its time.
 #[test]
-fn a_process_is_ready_while_all_others_are_silent() {
+fn start_unresponsive_dependencies_process_is_ready() {
     let process = serve("silent-others", silent_discovery());
     for workload in ["view", "post"] {
         let mut client = process.client();
@@ -207,7 +207,7 @@
 
 /// Those for whom there is no memory are told so, and get to read it.
 #[test]
-fn who_finds_no_memory_is_told() {
+fn client_memory_exhausted_is_rejected_with_error() {
     let member = member(Manner::Answers);
     let (_process, mut clients, part) = short_of_memory("no-memory", member.address);
     clients.iter_mut().for_each(|c| drop(c.write_all(&part)));
@@ -230,7 +230,7 @@
 
 /// Discovery says no length: its answer is whole where it ends the connection, and none where that is reset.
 #[test]
-fn a_list_that_is_reset_on_its_way_is_none() {
+fn endpoint_list_reset_in_transfer_is_ignored() {
     let (old, new) = (member(Manner::Answers), member(Manner::Answers));
     let (discovery, at) = listener();
     let process = serve_described("list-reset", &described(free_address(), at, old.address));
--- a/crates/driver/tests/kept.rs
+++ b/crates/driver/tests/kept.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_was_known_is_known_again_after_a_kill() {
+fn snapshot_after_kill_is_restored() {
     let stage = Stage::new("kill", None);
     stage
         .operated
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_damaged_copy_is_told_in_one_line_and_serves_as_far_as_it_is_whole() {
+fn snapshot_damaged_is_logged_and_used_up_to_the_damage() {
     #[allow(clippy::type_complexity)]
     let table: [(&str, fn(&mut Vec<u8>), &str); 5] = [
         ("torn", |b| b.truncate(b.len() - 3), "ends within a record"),
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_month_old_copy_and_one_of_another_driver_are_not_used() {
+fn snapshot_too_old_or_of_another_driver_is_not_used() {
     let stage = Stage::new("old", None);
     assert_eq!(stage.ask(1), "T D C Z");
     stage.await_kept(2);
@@ -190,7 +190,7 @@
 
 /// A limit on the size of files stands for a full disk: nothing is kept, everything is served, and it heals by itself.
 #[test]
-fn a_full_disk_costs_durability_and_no_statement() {
+fn snapshot_full_disk_fails_no_statement() {
     let stage = Stage::new("full", None);
     assert_eq!(stage.ask(1), "T D C Z");
     stage.await_kept(2);
@@ -224,7 +224,7 @@
 
 /// The folder is taken away, or something else stands in its place.
 #[test]
-fn a_folder_that_vanishes_is_made_again_when_that_can_be() {
+fn snapshot_vanished_folder_is_recreated() {
     let stage = Stage::new("gone", None);
     assert_eq!(stage.ask(1), "T D C Z");
     stage.await_kept(2);
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_copy_needs_a_folder() {
+fn snapshot_without_folder_fails_at_start() {
     let folder = Folder::new("kept-none");
     let file = folder.write("o.latch", "shared(port = 9, keep = 1s)\n");
     let member = member(Manner::Answers);
@@ -266,7 +266,7 @@
 
 /// A look at the disk before a start says what the start then says, changes nothing, and names what is wrong.
 #[test]
-fn a_dry_run_says_what_a_start_would_trust() {
+fn recover_reports_what_a_start_would_use() {
     let recover = |folder: &str, more: &[&str]| {
         let arguments = [&["recover", folder, "--json"][..], more].concat();
         let output = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
--- a/crates/driver/tests/operators.rs
+++ b/crates/driver/tests/operators.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn an_operators_file_is_taken_over_live_and_a_faulty_one_changes_nothing() {
+fn operators_reload_valid_file_applies_invalid_changes_nothing() {
     let (folder, member) = (Folder::new("live"), member(Manner::Answers));
     let file = folder.write("o.latch", "workload(\"view\", longest = 256B)\n");
     let operated = operated("live", member.address, &["--operators", &file]);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_change_that_turns_clients_away_is_gone_back_from_once() {
+fn generation_rejecting_clients_is_rolled_back_once() {
     let (folder, member) = (Folder::new("back"), member(Manner::Answers));
     let terms = "activation(probation = 1h, margin = 1%, least = 3)\n";
     let file = folder.write("o.latch", terms);
@@ -91,7 +91,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
-fn a_start_with_a_faulty_file_serves_on_the_generation_kept_last() {
+fn start_invalid_operators_file_uses_newest_stored_generation() {
     let (folder, member) = (Folder::new("state"), member(Manner::Answers));
     let state = folder.path("kept");
     let good = "workload(\"view\", longest = 256B)\nactivation(probation = 0s)\n";
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn the_commands_for_files_keep_their_exit_codes() {
+fn config_commands_exit_codes_are_fixed() {
     let folder = Folder::new("commands");
     let plain = folder.write("plain.latch", "clients(rest = 9s)\n");
     let same = folder.write("same.latch", "clients( rest=9000ms )");
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn the_log_can_be_objects() {
+fn log_format_json_writes_one_object_per_line() {
     let member = member(Manner::Answers);
     let text = described(free_address(), silent_discovery(), member.address);
     let program = serve_with("json", &text, &["--log-format", "json"]);
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn phases_follow_one_another() {
+fn phases_advance_in_order() {
     // Milliseconds, told to leave, listener closed, open clients and statements, the phase from then on.
     #[rustfmt::skip]
     let cases = [
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_log_is_limited_by_topic_and_second() {
+fn log_admit_limits_lines_by_topic_and_second() {
     let mut log = Log::default();
     let mut admitted = |ms, topic| log.admit(at(ms), topic);
     for n in 0..20 {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn the_environment_stands_in_for_missing_addresses() {
+fn config_read_missing_address_comes_from_environment() {
     let settings = r#""settings":{"categories":[{"name":"v"}],"family_info":{"freshness":["loose"]}}"#;
     let given = r#""listen":"127.0.0.1:1","discovery":"127.0.0.1:2""#;
     #[rustfmt::skip]
@@ -112,7 +112,7 @@
 
 /// Without a file, and with an empty one, the service uses its own defaults.
 #[test]
-fn the_settings_defaults_are_the_figures_of_the_service() {
+fn applied_settings_of_defaults_equal_program_defaults() {
     let force = InForce::of(&Meaning::default_of(registry()));
     assert_eq!(force.limits, Limits::default());
     assert_eq!(
--- a/crates/driver/tests/program.rs
+++ b/crates/driver/tests/program.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_read_and_the_counters() {
+fn program_read_then_sigusr1_answers_and_logs_metrics() {
     let member = member(Manner::Answers);
     let mut process = serve("reads", member.address);
     let mut client = process.client();
@@ -40,7 +40,7 @@
 /// Against a client that asks on and on and reads nothing: it must not fill the memory, nor keep others waiting,
 /// nor lose an answer.
 #[test]
-fn a_client_that_reads_nothing_is_not_read_either() {
+fn session_client_not_reading_is_not_read() {
     const MOST: usize = 48 << 20;
     let member = member(Manner::Answers);
     let process = serve("floods", member.address);
@@ -73,7 +73,7 @@
 
 /// Against clients that each begin a large statement and don't end it: together they would fill a small memory.
 #[test]
-fn unfinished_messages_fill_no_more_than_their_room() {
+fn client_memory_unfinished_messages_stay_within_budget() {
     let member = member(Manner::Answers);
     let (process, mut clients, part) = short_of_memory("unfinished", member.address);
     // A client that was ended already may not take its part any more.
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_member_that_closes_early_fails_a_write_once() {
+fn write_member_closes_early_fails_once() {
     let member = member(Manner::Closes);
     let process = serve("closes", member.address);
     let mut client = process.client();
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_execution_called_off() {
+fn client_disconnect_cancels_execution() {
     let member = member(Manner::Waits);
     let process = serve("leaves", member.address);
     let mut client = process.client();
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn what_was_taken_is_answered_before_the_program_leaves() {
+fn shutdown_accepted_statements_are_answered_first() {
     let member = member(Manner::Waits);
     let process = serve("sigterm", member.address);
     let (mut client, mut idle) = (process.client(), process.client());
@@ -152,7 +152,7 @@
 /// SIGHUP ends a process that doesn't mind it. A file that is half there changes nothing, one that names another
 /// discovery has it called at once, and a statement that is out meanwhile is answered.
 #[test]
-fn the_configuration_is_read_again_on_sighup() {
+fn sighup_changed_configuration_is_reloaded() {
     let member = member(Manner::Waits);
     let mut process = serve("sighup", member.address);
     let mut client = process.client();
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn what_cannot_be_served_is_said_in_one_line() {
+fn start_invalid_configuration_fails_with_one_line() {
     let (taken, address) = listener();
     let free = free_address();
     let good = described(free, free, free);
--- a/crates/driver/tests/upgrade.rs
+++ b/crates/driver/tests/upgrade.rs
@@ -294,14 +294,14 @@
 }
 
 #[test]
-fn upgrades_under_load_lose_and_double_nothing() {
+fn upgrades_under_load_lose_and_duplicate_nothing() {
     upgrades("few", 3);
 }
 
 /// `make trial-upgrade`: long, so not among the tests that always run.
 #[test]
 #[ignore = "long: make trial-upgrade"]
-fn twenty_upgrades_under_load() {
+fn upgrade_twenty_times_under_load_loses_nothing() {
     let (all, under_load) = upgrades("many", 20);
     let rate = all.completed as f64 / under_load.as_secs_f64();
     println!("{} statements, {rate:.0} a second", all.completed);
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn a_new_process_that_cannot_serve_changes_nothing() {
+fn upgrade_successor_unable_to_serve_changes_nothing() {
     let member = member(Manner::Answers);
     let stage = Stage::new("unfit", &member, &TIMES.replace("= 2s", "= 300ms"));
     let script = |name: &str, text: &str| {
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn one_upgrade_at_a_time_and_a_process_that_leaves_takes_the_new_one_along() {
+fn upgrade_second_request_is_refused_and_shutdown_ends_successor() {
     let member = member(Manner::Answers);
     let stage = Stage::new("second", &member, &TIMES.replace("hello = 2s", "hello = 10min"));
     let hang = stage.folder.write("hang", "#!/bin/sh\nexec sleep 1000\n");
@@ -384,7 +384,7 @@
 
 /// What was taken before the handover is answered by who took it, once, however late.
 #[test]
-fn a_write_in_flight_at_the_handover_gets_its_one_answer() {
+fn handover_write_in_flight_is_answered_once() {
     let member = member(Manner::Waits);
     let mut stage = Stage::new("flight", &member, TIMES);
     let mut client = stage.operated.program.client();
@@ -413,7 +413,7 @@
 
 /// A process that dies or hangs on probation: whoever is left serves on.
 #[test]
-fn whoever_is_left_serves_on() {
+fn handover_process_dies_or_hangs_other_serves() {
     let long = TIMES.replace("probation = 200ms", "probation = 1h");
     for (signal, to_new, told) in [
         (
@@ -460,7 +460,7 @@
 /// one had taken as honestly as can be known.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
-fn clients_of_a_new_process_that_dies_are_taken_back() {
+fn handover_successor_dies_clients_are_reclaimed() {
     let member = member(Manner::Waits);
     let times = TIMES.replace("probation = 200ms", "probation = 10min");
     let stage = Stage::new("back", &member, &times);
@@ -536,7 +536,7 @@
 
 /// A former process that hangs must not hold up the new one's clients, nor go on with them on old knowledge.
 #[test]
-fn a_ledger_that_nobody_reads_is_given_up() {
+fn io_journal_without_reader_is_abandoned() {
     let member = member(Manner::Answers);
     let times = TIMES
         .replace("probation = 200ms", "probation = 10min")
@@ -569,7 +569,7 @@
 
 /// Clients between two statements move, with what was read from them and not taken, and notice nothing.
 #[test]
-fn clients_move_with_what_they_have_sent() {
+fn handover_clients_move_with_unread_input() {
     let member = member(Manner::Answers);
     let mut stage = Stage::new("move", &member, TIMES);
     let listen = stage.operated.program.listen;
@@ -668,7 +668,7 @@
 
 /// A drain that only one of both is told binds the other as well, whichever it was.
 #[test]
-fn a_drain_told_to_either_process_binds_both() {
+fn co_serving_drain_of_either_process_binds_both() {
     for to_new in [true, false] {
         let member = member(Manner::Answers);
         let times = TIMES.replace("probation = 200ms", "probation = 10min");
@@ -718,7 +718,7 @@
 
 /// What either process has out counts at the other, whichever began it.
 #[test]
-fn what_either_process_has_out_is_told_to_the_other() {
+fn co_serving_in_flight_counts_are_exchanged() {
     for out_at_new in [false, true] {
         let member = member(Manner::Waits);
         let times = TIMES.replace("probation = 200ms", "probation = 10min");
@@ -758,7 +758,7 @@
 
 /// Who reads slowly keeps its answers, from the process that has them, and goes on in the other one behind the last.
 #[test]
-fn a_slow_reader_has_its_answers_whole_across_an_upgrade() {
+fn handover_slow_reader_gets_complete_answers() {
     let member = member(Manner::Answers);
     let mut stage = Stage::new("slow", &member, TIMES);
     let mut slow = stage.operated.program.client();
@@ -785,7 +785,7 @@
 /// A process that dies in the middle of an answer: its client can't be told anything whole any more and ends, once and
 /// without a second answer; one whose answer is whole with the kernel reads that, and goes on.
 #[test]
-fn a_client_with_half_an_answer_is_cut_and_one_with_a_whole_one_goes_on() {
+fn reclaim_partial_answer_is_cut_complete_answer_resumes() {
     let member = member(Manner::Answers);
     let times = TIMES.replace("probation = 200ms", "probation = 10min");
     let stage = Stage::new("half", &member, &times);
@@ -836,7 +836,7 @@
 
 /// Newcomers on probation come by way of the former process; where that one hangs or leaves, the new one takes them itself.
 #[test]
-fn newcomers_find_whoever_is_left_to_accept_them() {
+fn handover_new_clients_reach_the_remaining_process() {
     for (signal, words) in [
         ("STOP", "accepts, for the predecessor is unresponsive"),
         ("TERM", "accepts, for the predecessor drains"),
@@ -870,7 +870,7 @@
 /// A new process that may hold fewer descriptors: who finds no place there is let go and comes again, nobody waits for
 /// an answer that can't come; and one that has closed its own direction is let go as ever.
 #[test]
-fn clients_that_the_new_process_cannot_hold_are_let_go() {
+fn handover_clients_beyond_descriptor_limit_are_closed() {
     let member = member(Manner::Answers);
     let mut stage = Stage::new(
         "few-descriptors",
@@ -917,7 +917,7 @@
 
 /// SIGHUP to either process in the middle of an upgrade reads its files again, and changes nothing of the upgrade.
 #[test]
-fn a_reload_in_the_middle_changes_nothing_of_the_upgrade() {
+fn handover_reload_during_upgrade_changes_nothing() {
     let member = member(Manner::Answers);
     let mut stage = Stage::new(
         "reload",
@@ -941,7 +941,7 @@
 
 /// What both processes together would need is known before anything is begun.
 #[test]
-fn an_upgrade_without_room_for_two_is_refused_with_its_figures() {
+fn upgrade_without_capacity_for_two_is_refused_with_usage() {
     let member = member(Manner::Answers);
     let mut stage = Stage::new("room", &member, TIMES);
     let path = stage.operated.program.path.clone();
@@ -969,7 +969,7 @@
 
 /// A storm of handshakes at each upgrade is spared: idle connections to members move as well.
 #[test]
-fn idle_connections_to_members_move() {
+fn handover_idle_member_connections_move() {
     let member = member(Manner::Waits);
     let mut stage = Stage::new("idle", &member, TIMES);
     let mut clients: Vec<_> = (0..5).map(|_| stage.operated.program.client()).collect();
@@ -1001,7 +1001,7 @@
 /// A row of statements sent ahead keeps its order: what was taken is answered where it was taken, the rest where the
 /// client goes on.
 #[test]
-fn rows_keep_their_order_across_the_move() {
+fn handover_pipelined_statements_keep_their_order() {
     let member = member(Manner::Waits);
     let mut stage = Stage::new("row", &member, TIMES);
     let mut client = stage.operated.program.client();
@@ -1035,7 +1035,7 @@
 #[test]
 #[ignore = "long: make trial-faults"]
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
-fn kills_at_random_points_double_nothing() {
+fn handover_random_kills_duplicate_nothing() {
     let seed = std::env::var("SEED")
         .ok()
         .and_then(|s| s.parse().ok())
--- a/crates/driver/tests/versions.rs
+++ b/crates/driver/tests/versions.rs
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_later_version_is_understood_as_far_as_both_go() {
+fn gossip_later_version_is_understood_in_common_part() {
     let (folder, operated, _member, mut later) = beside("next", 2, "");
     let there =
         |e: &GossipNode| e.membership.peers()[0].state == PeerState::Alive && !e.anti_entropy.is_behind();
@@ -171,7 +171,7 @@
 
 /// A version that is too old to be understood is counted, and whoever speaks it stays unheard.
 #[test]
-fn a_version_that_is_not_understood_is_passed_over() {
+fn gossip_unknown_version_is_ignored() {
     let (folder, _operated, _member, mut older) = beside("old", 0, "");
     let control = folder.path("control");
     let counted =
@@ -210,7 +210,7 @@
 /// that comes to the new one is in doubt, for it can't ask.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
-fn during_an_upgrade_nothing_is_called_untouched() {
+fn upgrade_in_progress_never_reports_not_executed() {
     let times = "\nupgrade(hello = 5s, ready = 5s, probation = 10min, beat = 50ms, silence = 2s";
     let more = format!(", window = 1s){times}");
     let (folder, operated, _member, mut other) = beside("upgrade", 1, &more);
