--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -87,32 +87,32 @@
     };
 }
 played! {
-    nothing_befalls_anybody: "calm",
-    one_is_killed_and_comes_back: "killed",
-    a_link_is_cut_one_way: "one-way",
-    a_split_with_a_primary_change: "split",
-    a_drain_that_one_never_heard_of: "drain",
-    a_drain_told_on_one_side_of_a_split: "drain-in-a-split",
-    ids_in_doubt_while_one_is_stopped_and_one_is_killed: "doubt",
-    links_that_lose_garble_and_are_slow: "lossy",
-    clocks_that_are_an_hour_off_to_either_side: "clocks",
-    two_copies_of_one_disk: "one-disk",
-    one_is_paused: "paused",
-    members_that_are_cold: "cold",
-    a_rolling_restart: "rolling",
-    builds_of_two_versions_of_the_wire: "two-wires",
-    a_member_that_hangs_is_known_to_all: "silent",
-    the_same_while_half_of_all_words_are_lost: "silent-lossy",
-    whoever_holds_a_turn_is_followed: "holder",
-    a_third_is_killed_at_once: "third",
-    a_fleet_that_grows_and_shrinks: "grows-and-shrinks",
-    a_zone_that_comes_back_cold: "zone-cold",
-    lists_that_contradict_each_other: "lists-differ",
+    fleet_without_faults_keeps_all_rules: "calm",
+    fleet_driver_killed_and_restarted_keeps_all_rules: "killed",
+    fleet_link_cut_one_way_keeps_all_rules: "one-way",
+    fleet_split_with_primary_change_keeps_all_rules: "split",
+    fleet_drain_unknown_to_one_driver_is_kept: "drain",
+    fleet_drain_known_to_one_side_of_split_is_kept: "drain-in-a-split",
+    fleet_indeterminate_ids_with_stopped_and_killed_drivers_run_once: "doubt",
+    fleet_lossy_garbling_slow_links_keep_all_rules: "lossy",
+    fleet_clocks_an_hour_off_keep_all_rules: "clocks",
+    fleet_two_copies_of_one_disk_keep_all_rules: "one-disk",
+    fleet_paused_driver_keeps_all_rules: "paused",
+    fleet_warming_members_stay_within_budget: "cold",
+    fleet_rolling_restart_keeps_all_rules: "rolling",
+    fleet_two_wire_versions_keep_all_rules: "two-wires",
+    fleet_hanging_member_is_known_to_all: "silent",
+    fleet_hanging_member_with_half_of_datagrams_lost_is_known: "silent-lossy",
+    fleet_lost_lease_holder_is_succeeded: "holder",
+    fleet_third_of_drivers_killed_keeps_all_rules: "third",
+    fleet_growing_and_shrinking_keeps_all_rules: "grows-and-shrinks",
+    fleet_zone_returning_cold_stays_within_budget: "zone-cold",
+    fleet_contradicting_lists_keep_all_rules: "lists-differ",
 }
 
 /// A member is lost while its turn's holder is stopped or killed: it is asked all the same, by one for all.
 #[test]
-fn a_lost_member_is_asked_by_one_for_all() {
+fn fleet_lost_member_is_checked_by_lease_holder() {
     let (shared, alone) = (holds("holder"), play("holder", false));
     let count = |o: &RunReport, name: &str| o.counters.get(name).copied().unwrap_or(0);
     assert!(count(&shared, "health_checks_left_to_peers") > 20, "{shared}");
@@ -125,7 +125,7 @@
 
 /// The same without word between them: or the scenes above would prove nothing.
 #[test]
-fn alone_they_double_payments_and_miss_drains() {
+fn drivers_without_gossip_duplicate_payments_and_miss_drains() {
     let outcome = play("drain", false);
     assert!(outcome.retries.executed_twice > 0, "{outcome}");
     let late = outcome.violations.get("drains: sent long after it was told");
--- a/crates/driver/tests/transport.rs
+++ b/crates/driver/tests/transport.rs
@@ -58,7 +58,7 @@
 
 /// What the system held back would go down with a reset behind it.
 #[test]
-fn no_socket_holds_small_writes_back() {
+fn sockets_send_small_writes_at_once() {
     start(CoroutineStacks::default());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("is bound");
