--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -1,7 +1,7 @@
 //! `asterlatch serve` and `asterlatch check`: puts the parts of the process together and runs them.
 //!
 //! [`serve`] makes everything that could fail before it takes clients. The calling thread then runs the event loop, with
-//! [`control_loop`] ahead of each of its waits.
+//! the control loop ahead of each of its waits.
 
 mod check;
 mod connectors;
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -1,5 +1,5 @@
-//! Carries out what the state machines of `asterlatch-handover` decide: [`predecessor`] starts a successor and hands over
-//! to it, [`successor`] takes over from a predecessor.
+//! Carries out what the state machines of `asterlatch-handover` decide: the predecessor's role starts a successor and hands over
+//! to it, the successor's role takes over from a predecessor.
 //!
 //! Both roles are used by the event loop's thread alone, which never waits in them once it serves. Threads of their own
 //! read and write the sockets; they queue what arrives and wake the event loop.
