--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -33,6 +33,23 @@
     network
 }
 
+/// A header for a datagram to the first driver that passes for one sent just now by a driver which has caught up.
+fn header_to_first(network: &Network, name: String, incarnation: u64) -> codec::DatagramHeader {
+    codec::DatagramHeader {
+        name,
+        incarnation,
+        sent: network.local_time(0),
+        known_incarnation: 0,
+        caught_up: true,
+    }
+}
+
+/// Whether the driver has reported that it ignores its first peer.
+fn ignores_its_first_peer(driver: &Driver) -> bool {
+    let is_report = |output: &NodeOutput| matches!(output, NodeOutput::PeerIgnored { peer: 0, .. });
+    driver.outputs.iter().any(is_report)
+}
+
 #[test]
 fn observed_with_clocks_apart_reaches_all_within_a_second() {
     let mut network = started_network(5, 1);
@@ -204,13 +221,7 @@
 #[test]
 fn datagram_under_a_foreign_name_is_rejected_and_reported() {
     let mut network = started_network(3, 8);
-    let header = codec::DatagramHeader {
-        name: name(2),
-        incarnation: 7,
-        sent: network.local_time(0),
-        known_incarnation: 0,
-        caught_up: true,
-    };
+    let header = header_to_first(&network, name(2), 7);
     let record = record_message(drain("m9", 9, ListedState::Gone));
     let bytes = codec::Dialect::Current.encode("test", &header, &[record]);
     // From the address of d1.
@@ -235,10 +246,7 @@
         .map(|conflict| conflict.kind)
         .collect();
     assert_eq!(kinds, [conflict::ConflictKind::ForeignAddress]);
-    assert!(d
-        .outputs
-        .iter()
-        .any(|o| matches!(o, NodeOutput::PeerIgnored { peer: 0, .. })));
+    assert!(ignores_its_first_peer(d));
     // Another fleet's are nothing at all, and so is what is garbled.
     let before = network.drivers[0].node.metrics.malformed;
     let other = codec::Dialect::Current.encode("elsewhere", &header, &[]);
@@ -251,13 +259,7 @@
 #[test]
 fn datagrams_beyond_the_rate_limit_ignore_only_that_peer() {
     let mut network = started_network(3, 9);
-    let header = codec::DatagramHeader {
-        name: name(1),
-        incarnation: 100,
-        sent: network.local_time(0),
-        known_incarnation: 0,
-        caught_up: true,
-    };
+    let header = header_to_first(&network, name(1), 100);
     for n in 0..3000u64 {
         let items: Vec<_> = (0..30)
             .map(|m| record_message(session(n * 100 + m + 1, 5)))
@@ -272,10 +274,7 @@
         );
     }
     let d = &network.drivers[0];
-    assert!(d
-        .outputs
-        .iter()
-        .any(|o| matches!(o, NodeOutput::PeerIgnored { peer: 0, .. })));
+    assert!(ignores_its_first_peer(d));
     assert!(d.node.metrics.ignored > 1000);
     network.observe(2, drain("m1", 3, ListedState::Draining));
     network.run(seconds(2));
