--- a/crates/driver/src/program/phases.rs
+++ b/crates/driver/src/program/phases.rs
@@ -1,6 +1,6 @@
 //! The phases of the process, from start to exit.
 
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::{TimeSpan, Timestamp, MAX_WRITE_DELAY};
 
 /// A phase of the process; each follows the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -37,6 +37,38 @@
     }
 }
 
+/// Time from SIGTERM to SIGKILL on the platform, beyond the longest time that clients wait.
+const KILL_GRACE: TimeSpan = TimeSpan::millis(700);
+/// Longest client wait that the platform grants a shutdown.
+const MAX_COUNTED_WAIT: TimeSpan = TimeSpan::millis(3000);
+/// Time before SIGKILL by which the process exits: its signal may be handled 50 ms late, a write may be held up
+/// ([`MAX_WRITE_DELAY`]), and the exit itself takes time.
+const EXIT_RESERVE: TimeSpan = TimeSpan::millis(250);
+/// Time between the last final answer and the exit, in which clients are written to and closed.
+const CLOSE_TIME: TimeSpan = TimeSpan::millis(150);
+const _: () = assert!(EXIT_RESERVE.0 >= MAX_WRITE_DELAY.0);
+
+/// What a shutdown has to keep to, whatever members and clients do.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShutdownSchedule {
+    /// Every statement has its final answer by then.
+    pub last_answer_at: Timestamp,
+    /// The process exits at this time at the latest.
+    pub exit_at: Timestamp,
+}
+
+impl ShutdownSchedule {
+    /// The schedule of a shutdown that was requested then, where clients wait for so long at most.
+    pub fn new(requested_at: Timestamp, longest_client_wait: TimeSpan) -> ShutdownSchedule {
+        let kill_at = requested_at + longest_client_wait.min(MAX_COUNTED_WAIT) + KILL_GRACE;
+        let exit_at = kill_at - EXIT_RESERVE;
+        ShutdownSchedule {
+            last_answer_at: exit_at - CLOSE_TIME,
+            exit_at,
+        }
+    }
+}
+
 /// Durations of the phases, which operators may set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PhaseDurations {
@@ -65,6 +97,8 @@
     phase: Phase,
     /// Durations in force; they may change at any time.
     pub durations: PhaseDurations,
+    /// End of a requested shutdown, where the deployment states how long clients wait.
+    exit_at: Option<Timestamp>,
     /// When a statement was last seen open.
     last_busy_at: Timestamp,
 }
@@ -89,6 +123,11 @@
         self.phase
     }
 
+    /// The process exits at this time at the latest.
+    pub fn limit_shutdown(&mut self, exit_at: Timestamp) {
+        self.exit_at = Some(exit_at);
+    }
+
     /// Enters the next phase if that is due, and returns it.
     pub fn advance(&mut self, now: Timestamp, state: &ProcessState) -> Option<Phase> {
         if state.open_statements > 0 {
@@ -110,7 +149,8 @@
 
     fn linger_deadline(&self, draining_since: Timestamp) -> Timestamp {
         let deadline = draining_since.max(self.last_busy_at) + self.durations.linger;
-        deadline.min(draining_since + self.durations.longest_drain)
+        let deadline = deadline.min(draining_since + self.durations.longest_drain);
+        self.exit_at.map_or(deadline, |exit_at| deadline.min(exit_at))
     }
 
     /// When the next phase is due by time alone.
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -5,7 +5,7 @@
 use crate::program::counters;
 use crate::program::log::{log, Log};
 use crate::program::operators::{self, Operators};
-use crate::program::phases::{Phase, Phases, ProcessState};
+use crate::program::phases::{Phase, Phases, ProcessState, ShutdownSchedule};
 use crate::program::upgrade::{PredecessorRole, SuccessorRole};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::ControlEvent;
@@ -71,7 +71,7 @@
         match event {
             ControlEvent::Shutdown => {
                 self.predecessor.on_shutdown(event_loop, now);
-                self.is_shutting_down = true;
+                self.begin_shutdown(event_loop, now);
             }
             ControlEvent::Upgrade if self.may_begin_upgrade() => {
                 self.predecessor.upgrade_to_own_program(event_loop, now)
@@ -88,6 +88,16 @@
         }
     }
 
+    /// A second request changes nothing.
+    fn begin_shutdown(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+        let is_first = !std::mem::replace(&mut self.is_shutting_down, true);
+        if let Some(longest_wait) = self.config.settings.longest_client_wait.filter(|_| is_first) {
+            let schedule = ShutdownSchedule::new(now, longest_wait);
+            self.phases.limit_shutdown(schedule.exit_at);
+            event_loop.begin_shutdown(now, schedule.last_answer_at);
+        }
+    }
+
     /// Reads the configuration again; one that can't be read in whole changes nothing. The operators' file follows.
     fn reload(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         match (self.load_config)() {
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -5,7 +5,7 @@
 use asterlatch_driver::program::config;
 use asterlatch_driver::program::log::Log;
 use asterlatch_driver::program::operators::{registry, InForce};
-use asterlatch_driver::program::phases::{Phase, PhaseDurations, Phases, ProcessState};
+use asterlatch_driver::program::phases::{Phase, PhaseDurations, Phases, ProcessState, ShutdownSchedule};
 use asterlatch_driver::routing::limits::{Limits, Share};
 use asterlatch_driver::transport::coroutines::CoroutineStacks;
 use asterlatch_handover::{predecessor, successor};
@@ -71,6 +71,35 @@
     }
 }
 
+#[test]
+fn shutdown_schedule_ends_before_the_kill_whatever_clients_wait() {
+    // (longest client wait, SIGKILL after SIGTERM; milliseconds)
+    for (wait, kill) in [(10, 710), (100, 800), (1000, 1700), (3000, 3700), (10_000, 3700)] {
+        let schedule = ShutdownSchedule::new(at(0), TimeSpan::millis(wait));
+        assert!(schedule.exit_at + TimeSpan::millis(200) <= at(kill), "{wait}");
+        assert!(schedule.last_answer_at < schedule.exit_at, "{wait}");
+        // A statement that came with the signal has its whole time, where the platform grants that.
+        assert!(schedule.last_answer_at >= at(wait.min(3000)), "{wait}");
+        // A client that neither reads nor goes, and a statement that is never answered, hold nothing up.
+        let mut phases = Phases::default();
+        phases.limit_shutdown(schedule.exit_at);
+        let mut exited_at = None;
+        for ms in 0..kill {
+            let state = ProcessState {
+                is_shutting_down: true,
+                is_listening: true,
+                is_listener_closed: true,
+                open_clients: 1,
+                open_statements: 1,
+            };
+            while let Some(phase) = phases.advance(at(ms), &state) {
+                exited_at = (phase == Phase::Stopped).then_some(at(ms));
+            }
+        }
+        assert_eq!(exited_at, Some(schedule.exit_at), "{wait}");
+    }
+}
+
 #[test]
 fn log_admit_limits_lines_by_topic_and_second() {
     let mut log = Log::default();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,6 +8,7 @@
 //! | `categories.N.name` | name of a workload | `Decoding::workloads` |
 //! | `categories.N.worth`, `.late_worth` | value of an answer, share of a late one | `importance`, `late_share` |
 //! | `categories.N.objective_us` | SLO time | `slo_time` |
+//! | `categories.N.give_up_us` | how long clients wait | `longest_client_wait` |
 //! | `categories.N.idempotency` | `retryable`, `dedup` or `fragile` | `retry_safety` |
 //! | `categories.N.key_scope`, `.window_us` | where and how long further executions are dropped | `deduplication_scope`, `deduplication_window` |
 //! | `family_info.freshness` | by workload: `loose`, `recent`, `own_writes`, `latest` or `update` | `freshness` |
@@ -269,6 +270,7 @@
         let key = format!("parties.{index}.quota_per_s");
         tenant_quotas.push(pairs.value(&key, f64::INFINITY)?);
     }
+    let longest_client_wait = longest_client_wait(pairs, workloads.len())?;
     let has_retry_after = pairs.flag("limits.retry_after", true)?;
     Ok(Settings {
         driver_count: pairs.value("peers_total", 1u32)?.max(1),
@@ -294,9 +296,20 @@
         } else {
             TimeSpan(0)
         },
+        longest_client_wait,
     })
 }
 
+/// The longest time for which clients of any workload wait, where that is stated for any.
+fn longest_client_wait(pairs: &Pairs, workloads: usize) -> Result<Option<TimeSpan>, SettingsError> {
+    let mut longest = TimeSpan(0);
+    for index in 0..workloads {
+        let key = format!("categories.{index}.give_up_us");
+        longest = longest.max(pairs.span(&key, TimeSpan(0))?);
+    }
+    Ok(Some(longest).filter(|longest| *longest > TimeSpan(0)))
+}
+
 fn read_decoding(pairs: &Pairs, workloads: usize) -> Result<Decoding, SettingsError> {
     let fields = pairs.list("report.fields");
     let reported = pairs.text("report.how") != Some("off");
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -184,7 +184,7 @@
 pub struct Departure {
     /// Id of the statement.
     pub statement: u32,
-    /// The client has closed its side only, and may still read the final answer.
+    /// The client has closed its side, as far as is known, and may still read the final answer.
     pub awaits_answer: bool,
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -59,16 +59,17 @@
         self.run_rules()
     }
 
-    /// Clients have left, or closed their side. All that left together are known before anything is decided: what one of
-    /// them frees must not go to another.
+    /// Clients have left, or closed their side: nothing more is sent of their statements, and who may still read has a final
+    /// answer. All that left together are known before anything is decided: what one of them frees must not go to another.
     pub fn on_departures(&mut self, now: Timestamp, departures: &[Departure]) -> Actions {
         self.set_now(now);
-        for departure in departures.iter().filter(|departure| !departure.awaits_answer) {
-            self.cancel_executions(departure.statement);
-            self.forget(departure.statement);
-        }
-        for departure in departures.iter().filter(|departure| departure.awaits_answer) {
-            self.stop_attempts(departure.statement);
+        for departure in departures {
+            if departure.awaits_answer {
+                self.finish(departure.statement);
+            } else {
+                self.cancel_executions(departure.statement);
+                self.forget(departure.statement);
+            }
         }
         self.run_rules()
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -54,28 +54,13 @@
             });
         }
         let attempts_used_up = statement.attempts >= self.settings.max_executions;
-        let is_client_leaving = statement.is_client_leaving;
-        if is_client_leaving || attempts_used_up || !self.may_execute(end.statement) {
+        if !self.may_execute(end.statement) || attempts_used_up {
             return self.finish(end.statement);
         }
         self.prepare_retry(end, execution.member);
         self.enqueue(end.statement);
     }
 
-    /// Its client has closed its side: nothing more is sent of the statement. What a member has of it may still be answered;
-    /// otherwise it has its final answer now.
-    pub(super) fn stop_attempts(&mut self, id: u32) {
-        let is_sent = self
-            .in_flight
-            .of_statement(id)
-            .any(|e| !e.is_connecting && !e.is_cancelled);
-        match self.statements.get_mut(&id) {
-            Some(statement) if is_sent => statement.is_client_leaving = true,
-            Some(_) => self.finish(id),
-            None => {}
-        }
-    }
-
     /// Excludes the member that failed, or starts a backoff where none is left to try.
     fn prepare_retry(&mut self, end: &ExecutionEnd, member: usize) {
         let statement = self.statements.get_mut(&end.statement).expect("still open");
@@ -140,8 +125,7 @@
         let deadline = state.dispatch_deadline.min(state.answer_deadline);
         let is_late = now - execution.dispatched_at > LATE_CONNECTION;
         let is_within_budget = !is_late || self.is_within_warm_up_budget(execution, state);
-        let is_wanted = now < deadline && !state.is_client_leaving;
-        if !is_ready || !self.is_available(member) || !is_within_budget || !is_wanted {
+        if !is_ready || !self.is_available(member) || !is_within_budget || now >= deadline {
             return false;
         }
         if is_late {
--- a/src/state/statement.rs
+++ b/src/state/statement.rs
@@ -59,8 +59,6 @@
     pub(crate) excluded_members: Vec<usize>,
     /// It isn't dispatched before this.
     pub(crate) backoff_until: Timestamp,
-    /// Its client has closed its side: what was sent may still be answered, and nothing more is sent.
-    pub(crate) is_client_leaving: bool,
     /// Its place in the group's queues, while it waits.
     pub(crate) queue_priority: Option<QueuePriority>,
 }
