--- a/crates/driver/src/protocol/client_events.rs
+++ b/crates/driver/src/protocol/client_events.rs
@@ -50,6 +50,11 @@
         /// Its protocol state.
         standing: ClientTransferState,
     },
+    /// The client has closed its side while statements are open: it has left, or waits for their answers.
+    InputEnded {
+        /// Id of the client.
+        client: u32,
+    },
     /// Our side of the connection was closed, and the client's is still open.
     HalfClosed {
         /// Id of the client.
--- a/crates/driver/src/protocol/client_session.rs
+++ b/crates/driver/src/protocol/client_session.rs
@@ -3,7 +3,7 @@
 use super::client_events::{ClientCommand, ClientEvent, ClientTransferState, FinalAnswer, StatementText};
 use super::messages::{self, NextMessage, HEADER_LENGTH};
 use super::startup::{self, Startup};
-use super::statement_comment::{OUT_OF_MEMORY, TOO_LARGE};
+use super::statement_comment::{CLIENT_LEFT, OUT_OF_MEMORY, TOO_LARGE, TOO_MANY_CONNECTIONS};
 use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use crate::transport::io_journal::IoJournalWriter;
 use crate::transport::memory_budget::MemoryBudget;
@@ -43,6 +43,10 @@
     /// It is handed over to another process, and takes no further statement here.
     is_handing_over: bool,
     has_partial_message: bool,
+    /// The client has closed its side: nothing that is read from now on is forwarded.
+    has_left: bool,
+    /// Everything that it sent before was read.
+    is_all_read: bool,
     /// Bytes of an oversized query that are still to be skipped.
     bytes_to_skip: usize,
     /// In the order of the statements' numbers.
@@ -75,6 +79,8 @@
             has_sent_query: false,
             is_handing_over: false,
             has_partial_message: false,
+            has_left: false,
+            is_all_read: false,
             bytes_to_skip: 0,
             pipeline: VecDeque::new(),
             first_number: 0,
@@ -245,6 +251,8 @@
             messages::put(&mut answer, b'I', &[]);
             messages::put_ready(&mut answer);
             self.push_answered(end, answer);
+        } else if self.has_left {
+            self.push_answered(end, FinalAnswer::from(CLIENT_LEFT).into_bytes());
         } else if let Some(text) = StatementText::new(text, &self.budget) {
             let number = self.first_number.wrapping_add(self.pipeline.len() as u32);
             self.pipeline.push_back(PipelinedStatement { end, answer: None });
@@ -287,11 +295,35 @@
         open.answer = Some(answer.into_bytes());
         self.write_answers(out);
         // Whether the connection ends now is decided by `on_input`, which follows: a statement may be here already.
-        if self.pipeline.is_empty() {
+        if self.pipeline.is_empty() && !self.has_left {
             self.become_idle(at, out);
         }
     }
 
+    /// Nothing more can come of a client that has closed its side and has all its answers.
+    fn close_if_left(&mut self, out: &mut Output) {
+        if self.has_left && self.is_all_read && self.pipeline.is_empty() && self.state != State::Closed {
+            self.close(out);
+        }
+    }
+
+    /// Rejects a connection for which there is no place. Statements that were read meanwhile have an answer each.
+    fn reject(&mut self, out: &mut Output) {
+        let open = self
+            .pipeline
+            .iter_mut()
+            .filter(|statement| statement.answer.is_none());
+        for statement in open {
+            statement.answer = Some(FinalAnswer::from(TOO_MANY_CONNECTIONS).into_bytes());
+        }
+        if self.pipeline.is_empty() {
+            self.close_with_error("53300", "too many connections", out);
+        } else {
+            self.write_answers(out);
+            self.close(out);
+        }
+    }
+
     /// Whether it drains and the client waits for nothing.
     fn may_close(&self) -> bool {
         let is_idle = !self.has_partial_message && self.pipeline.is_empty();
@@ -412,6 +444,7 @@
         input.drain(..used);
         self.consumed += used as u64;
         self.update_partial_message(input.len(), at, out);
+        self.close_if_left(out);
         self.close_if_draining(out);
     }
 
@@ -430,10 +463,24 @@
             ClientCommand::TimeOut | ClientCommand::Reject if self.is_handing_over => {}
             ClientCommand::TimeOut | ClientCommand::Reject if self.state == State::Closed => {}
             ClientCommand::TimeOut => self.on_timeout(out),
-            ClientCommand::Reject => self.close_with_error("53300", "too many connections", out),
+            ClientCommand::Reject => self.reject(out),
         }
     }
 
+    fn on_input_ended(&mut self, is_all_read: bool, out: &mut Output) -> bool {
+        let owes_answers = !self.pipeline.is_empty() || !out.bytes.is_empty();
+        if self.state != State::Ready || !owes_answers {
+            return false;
+        }
+        if !self.has_left && !self.pipeline.is_empty() {
+            out.events.push(ClientEvent::InputEnded { client: self.client });
+        }
+        self.has_left = true;
+        self.is_all_read = is_all_read;
+        self.close_if_left(out);
+        true
+    }
+
     fn on_memory_exhausted(&mut self, out: &mut Output) {
         out.events.push(ClientEvent::OutOfMemory);
         self.close_with_error("53300", "no memory is left for the message", out);
--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -38,6 +38,8 @@
     is_active: bool,
     /// It was rejected on arrival, so no statement of it is accepted.
     is_rejected: bool,
+    /// It has closed its side: it waits for the answers to what is open, or has left.
+    has_left: bool,
 }
 
 /// What becomes of clients between two statements.
@@ -135,6 +137,7 @@
             wait: None,
             is_active: false,
             is_rejected: admission == Admission::Rejected,
+            has_left: false,
         };
         self.open.insert(id, client);
         self.set_wait(id, Some((Wait::FirstStatement, now)));
@@ -307,6 +310,26 @@
         }
     }
 
+    /// The client has closed its side. Returns its open statements when that is news.
+    pub fn on_input_ended(&mut self, id: u32) -> Vec<u32> {
+        let client = self.open.get_mut(&id).filter(|client| !client.has_left);
+        let Some(client) = client else {
+            return Vec::new();
+        };
+        client.has_left = true;
+        client.open_statements.clone()
+    }
+
+    /// Whether the client has closed its side.
+    pub fn has_left(&self, id: u32) -> bool {
+        self.open.get(&id).is_some_and(|client| client.has_left)
+    }
+
+    /// Whether the client is connected.
+    pub fn contains(&self, id: u32) -> bool {
+        self.open.contains_key(&id)
+    }
+
     /// Removes a client whose connection is closed or transferred, and returns its open statements.
     pub fn remove(&mut self, id: u32) -> Vec<u32> {
         self.set_wait(id, None);
--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -5,18 +5,26 @@
 use crate::protocol::replica_status;
 use crate::protocol::statement_comment::{self, StatementComment, StatementError};
 use crate::routing::clients::Admission;
+use crate::routing::events::Event;
 use crate::routing::execution_outcomes;
 use crate::routing::handover::TransferredClient;
 use crate::routing::members::session_key;
 use crate::routing::statements::{NewStatement, OpenedStatement, StatementOrigin};
 use crate::transport::connection::ConnectionHandle;
 use crate::transport::listener::AcceptEvent;
-use asterlatch::interface::Statement;
+use asterlatch::interface::{Departure, Statement};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use std::io;
 
 impl<O: Observer> EventLoop<O> {
+    /// The process shuts down: every statement has its final answer by then.
+    pub fn begin_shutdown(&mut self, now: Timestamp, last_answer_at: Timestamp) {
+        let actions = self.policy.on_shutdown(now, last_answer_at);
+        self.carry_out(now, actions);
+        self.notify_policy_of_ends(now);
+    }
+
     /// Accepts no more clients, and disconnects each between two statements.
     pub fn begin_drain(&mut self) {
         self.is_draining = true;
@@ -85,19 +93,80 @@
                     verdicts: StatementVerdicts::default(),
                 });
             }
-            ClientEvent::Closed { client } => self.on_client_closed(now, client),
+            ClientEvent::InputEnded { .. } | ClientEvent::Closed { .. } => {
+                let departures = self.departures_of(&event);
+                self.withdraw(now, &departures);
+            }
         }
     }
 
-    fn on_client_closed(&mut self, now: Timestamp, client: u32) {
-        self.handover.on_client_closed(client);
-        for statement in self.clients.remove(client) {
-            if self.statements.remove(statement).is_none() {
-                continue;
+    /// Handles all clients of a batch of events that leave. Those that arrive in the same batch have their turn later.
+    pub(super) fn on_departures_in(&mut self, now: Timestamp, batch: &[Event]) {
+        let mut departures = Vec::new();
+        for event in batch {
+            match event {
+                Event::Client(event) if self.is_known_departure(event) => {
+                    departures.extend(self.departures_of(event));
+                }
+                _ => {}
             }
-            self.metrics.withdrawn += 1;
-            let actions = self.policy.on_statement_withdrawn(now, statement);
-            self.carry_out(now, actions);
+        }
+        self.withdraw(now, &departures);
+    }
+
+    fn is_known_departure(&self, event: &ClientEvent) -> bool {
+        match event {
+            ClientEvent::InputEnded { client } | ClientEvent::Closed { client } => {
+                self.clients.contains(*client)
+            }
+            _ => false,
+        }
+    }
+
+    /// The open statements of a client that leaves. One whose connection is closed is forgotten.
+    fn departures_of(&mut self, event: &ClientEvent) -> Vec<Departure> {
+        let (statements, awaits_answer) = match event {
+            ClientEvent::InputEnded { client } => (self.clients.on_input_ended(*client), true),
+            ClientEvent::Closed { client } => {
+                self.handover.on_client_closed(*client);
+                (self.clients.remove(*client), false)
+            }
+            _ => return Vec::new(),
+        };
+        let departures = statements.into_iter().map(|statement| Departure {
+            statement,
+            awaits_answer,
+        });
+        departures.collect()
+    }
+
+    fn withdraw(&mut self, now: Timestamp, departures: &[Departure]) {
+        let is_open = |departure: &&Departure| self.statements.contains(departure.statement);
+        let open: Vec<Departure> = departures.iter().filter(is_open).copied().collect();
+        if open.is_empty() {
+            return;
+        }
+        for departure in open.iter().filter(|departure| !departure.awaits_answer) {
+            self.statements.remove(departure.statement);
+        }
+        self.metrics.withdrawn += open.len() as u64;
+        let actions = self.policy.on_departures(now, &open);
+        self.carry_out(now, actions);
+        for departure in open.iter().filter(|departure| departure.awaits_answer) {
+            self.answer_deferred(departure.statement);
+        }
+        self.notify_policy_of_ends(now);
+    }
+
+    /// Answers a statement that the policy does not know yet, because other drivers are still asked about it.
+    fn answer_deferred(&mut self, statement: u32) {
+        let answer = if self.statements.is_client_retry_safe(statement) {
+            execution_outcomes::rejected(TimeSpan(0))
+        } else {
+            execution_outcomes::aborted()
+        };
+        if self.statements.contains(statement) {
+            self.answer(statement, answer);
         }
     }
 
@@ -111,6 +180,10 @@
         if !self.clients.on_statement(origin.client) || self.answer_by_verdict(origin) {
             return;
         }
+        if self.clients.has_left(origin.client) {
+            let command = ClientCommand::Answer(origin.number, statement_comment::CLIENT_LEFT.into());
+            return self.clients.send(origin.client, command);
+        }
         let fields = statement_comment::parse(&text.text);
         let length = text.text.len();
         match fields.and_then(|fields| Ok((self.workload_of(&fields, length)?, fields))) {
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -195,13 +195,23 @@
         let mut handled = 0;
         let mut next = first;
         while let Some(event) = next {
-            handled += 1;
-            self.on_event(clock.now(), event);
+            let batch: Vec<Event> = std::iter::once(event).chain(events.try_iter()).collect();
+            handled += batch.len() as u64;
+            self.on_events(batch, || clock.now());
             next = events.try_recv().ok();
         }
         self.metrics.queue_longest = self.metrics.queue_longest.max(handled);
     }
 
+    /// Handles a batch of events in their order, but that clients that leave go first: whatever one of them frees must not
+    /// go to another whose end is in the batch as well.
+    pub fn on_events(&mut self, batch: Vec<Event>, now: impl Fn() -> Timestamp) {
+        self.on_departures_in(now(), &batch);
+        for event in batch {
+            self.on_event(now(), event);
+        }
+    }
+
     /// When [`EventLoop::advance_to`] has something to do.
     pub fn next_at(&self) -> Timestamp {
         let times = [
--- a/crates/driver/src/transport/connection/coroutine.rs
+++ b/crates/driver/src/transport/connection/coroutine.rs
@@ -43,6 +43,8 @@
     read_at: Timestamp,
     out: ConnectionOutput<H::Event>,
     has_unreported_writes: bool,
+    /// The peer has closed its side, and all before that was read.
+    is_input_ended: bool,
     /// Bytes dropped since our side was closed.
     lingering: Option<usize>,
     /// For the bytes of `input` and `out`.
@@ -89,14 +91,18 @@
     }
 
     fn read(&mut self) -> Flow {
-        if !self.wants_input() {
-            let has_left = self.handler.is_server() && self.has_hung_up();
-            return if has_left { Flow::Close } else { Flow::Wait };
+        if self.is_input_ended || !self.wants_input() {
+            return self.watch_unread_peer();
         }
         match self.read_into_input() {
             Ok(0) => {
                 self.handler.on_peer_closed(&self.input, &mut self.out);
-                Flow::Close
+                self.is_input_ended = self.handler.on_input_ended(true, &mut self.out);
+                if self.is_input_ended {
+                    Flow::Wait
+                } else {
+                    Flow::Close
+                }
             }
             Ok(_) => {
                 self.read_at = self.clock.now();
@@ -128,12 +134,26 @@
         })
     }
 
-    /// Whether the peer has closed or reset the connection, whatever is unread before that.
-    fn has_hung_up(&self) -> bool {
+    /// Detects that a client leaves while it is not read, whatever is unread before that.
+    fn watch_unread_peer(&mut self) -> Flow {
+        if !self.handler.is_server() {
+            return Flow::Wait;
+        }
+        let events = self.poll_peer();
+        if events.intersects(PollFlags::HUP | PollFlags::ERR) {
+            return Flow::Close;
+        }
+        let closes_its_side = events.contains(PollFlags::RDHUP) && !self.is_input_ended;
+        if closes_its_side && !self.handler.on_input_ended(false, &mut self.out) {
+            return Flow::Close;
+        }
+        Flow::Wait
+    }
+
+    fn poll_peer(&self) -> PollFlags {
         let mut fds = [PollFd::new(self.io.inner(), PollFlags::RDHUP)];
         let at_once = Timespec::default();
-        let events = poll(&mut fds, Some(&at_once)).map_or(PollFlags::empty(), |_| fds[0].revents());
-        events.intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+        poll(&mut fds, Some(&at_once)).map_or(PollFlags::empty(), |_| fds[0].revents())
     }
 
     /// Closes our side. What was written before is the peer's to read.
@@ -418,6 +438,7 @@
         read_at: clock.now(),
         out,
         has_unreported_writes: false,
+        is_input_ended: false,
         lingering: None,
         reservation: budget.empty_reservation(),
     };
--- a/crates/driver/src/transport/connection/mod.rs
+++ b/crates/driver/src/transport/connection/mod.rs
@@ -62,6 +62,12 @@
     fn on_command(&mut self, command: Self::Command, at: Timestamp, out: &mut ConnectionOutput<Self::Event>);
     /// The peer has closed its side without a reset: nothing follows the unused `_input`.
     fn on_peer_closed(&mut self, _input: &[u8], _out: &mut ConnectionOutput<Self::Event>) {}
+    /// A peer whose requests are answered here has closed its side, as one does that has left, or one that only waits for
+    /// answers; `is_all_read` tells whether everything before that was read. Returns whether the connection stays open
+    /// until the handler closes it; it may be called again.
+    fn on_input_ended(&mut self, _is_all_read: bool, _out: &mut ConnectionOutput<Self::Event>) -> bool {
+        false
+    }
     /// All that the socket held was read.
     fn on_all_read(&mut self, _out: &mut ConnectionOutput<Self::Event>) {}
     /// Whether the peer sends requests that are answered here. Such a connection is closed gracefully: our side first,
--- a/crates/driver/tests/closes.rs
+++ b/crates/driver/tests/closes.rs
@@ -193,6 +193,49 @@
     }
 }
 
+/// The client closes its side and waits: by its end alone it can't be told from one that has left, so nothing more is begun
+/// for it, and it has its final answer.
+#[test]
+fn client_half_closed_gets_its_final_answer() {
+    let member = member(Manner::Waits);
+    let process = serve("half-closes", member.address);
+    for (workload, expected) in [("view", "E53300 Z"), ("post", "E40003 Z")] {
+        let mut client = process.client();
+        ask(&mut client, workload);
+        assert!(member.told().contains(&format!("c={workload}")));
+        client.shutdown(Shutdown::Write).expect("is open");
+        assert_eq!(answer(&mut client).0, expected);
+        assert_eq!(rest(&mut client), (Vec::new(), "end".to_owned()));
+        assert_eq!(member.told(), "ended");
+    }
+}
+
+/// A member hangs through the whole of a shutdown: the process answers and exits before it would be killed.
+#[test]
+fn shutdown_member_hangs_process_exits_before_the_kill() {
+    for (wait, kill) in [(100, 800), (10_000, 3700)] {
+        let member = member(Manner::Waits);
+        let text = described(free_address(), silent_discovery(), member.address).replace(
+            r#""worth":1.0,"#,
+            &format!(r#""worth":1.0,"give_up_us":{wait}000,"#),
+        );
+        let process = serve_described(&format!("hangs-{wait}"), &text);
+        let mut client = process.client();
+        ask(&mut client, "post");
+        member.told();
+        let requested_at = Instant::now();
+        process.signal("TERM");
+        assert_eq!(answer(&mut client).0, "E40003 Z", "{wait}");
+        ends_well(process, client);
+        let limit = Duration::from_millis(kill);
+        assert!(
+            requested_at.elapsed() < limit,
+            "{wait}: {:?}",
+            requested_at.elapsed()
+        );
+    }
+}
+
 /// A start with nobody else there: discovery and the only member say nothing, and clients come at once. It is ready, and what
 /// is asked for ends in its time.
 #[test]
--- a/crates/driver/tests/protocol/client_session.rs
+++ b/crates/driver/tests/protocol/client_session.rs
@@ -311,3 +311,66 @@
         assert!(!session.wants_input(0));
     }
 }
+
+/// A client that closes its side has an answer to each statement that was read, those included for which the pipeline had no
+/// place yet; then the connection ends.
+#[test]
+fn on_input_ended_every_statement_read_is_answered() {
+    for ahead in [1, 2, 16, 20] {
+        let (mut session, mut out) = (session(1 << 20), ConnectionOutput::default());
+        let mut input = [greeted(), query("SELECT 1").repeat(ahead)].concat();
+        session.on_input(&mut input, AT, &mut out);
+        out.bytes.clear();
+        assert!(session.on_input_ended(true, &mut out), "answers are owed");
+        assert!(session.on_input_ended(true, &mut out), "said once");
+        assert_eq!(client_news(&out.events).matches("input ended").count(), 1);
+        let open = ahead.min(16) as u32;
+        for number in 0..open {
+            assert!(!out.close, "{number} of {ahead}");
+            let rejected = FinalAnswer::Error {
+                code: "53300",
+                message: "m",
+                retry_after_ms: None,
+            };
+            session.on_command(ClientCommand::Answer(number, rejected), AT, &mut out);
+            session.on_input(&mut input, AT, &mut out);
+        }
+        assert_eq!(spoken(&out.bytes).matches("E53300 Z").count(), ahead);
+        assert!(out.close);
+    }
+}
+
+#[test]
+fn on_input_ended_without_open_statements_closes() {
+    for bytes in [
+        Vec::new(),
+        greeted(),
+        [greeted(), query("a")[..4].to_vec()].concat(),
+    ] {
+        let (mut session, mut out) = (session(1 << 20), ConnectionOutput::default());
+        session.on_input(&mut bytes.clone(), AT, &mut out);
+        out.bytes.clear();
+        assert!(!session.on_input_ended(true, &mut out));
+    }
+    // What is still to be written is written first.
+    let (mut session, mut out) = (session(1 << 20), ConnectionOutput::default());
+    session.on_input(&mut greeted(), AT, &mut out);
+    assert!(session.on_input_ended(true, &mut out) && out.close);
+}
+
+/// A client may send statements with its startup, before it is known that there is no place for it.
+#[test]
+fn reject_answers_every_statement_that_was_read() {
+    for ahead in [0, 1, 3] {
+        let (mut session, mut out) = (session(1 << 20), ConnectionOutput::default());
+        session.on_input(
+            &mut [greeted(), query("SELECT 1").repeat(ahead)].concat(),
+            AT,
+            &mut out,
+        );
+        out.bytes.clear();
+        session.on_command(ClientCommand::Reject, AT, &mut out);
+        assert_eq!(spoken(&out.bytes).matches("E53300").count(), ahead.max(1));
+        assert!(out.close);
+    }
+}
--- a/crates/driver/tests/protocol/harness.rs
+++ b/crates/driver/tests/protocol/harness.rs
@@ -86,6 +86,7 @@
         client_events::ClientEvent::Malformed => "malformed".to_owned(),
         client_events::ClientEvent::Oversized => "oversized".to_owned(),
         client_events::ClientEvent::OutOfMemory => "no room".to_owned(),
+        client_events::ClientEvent::InputEnded { .. } => "input ended".to_owned(),
         client_events::ClientEvent::HalfClosed { .. } => "half closed".to_owned(),
         client_events::ClientEvent::Closed { .. } => "gone".to_owned(),
     });
--- a/crates/driver/tests/routing/main.rs
+++ b/crates/driver/tests/routing/main.rs
@@ -2,6 +2,7 @@
 
 mod clients;
 mod configuration;
+mod departures;
 mod discovery;
 mod harness;
 mod members;
