--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -8,9 +8,11 @@
 use crate::fault_script::FaultScript;
 use crate::load_generator;
 use crate::member::lock;
+use crate::program_under_test::ProgramUnderTest;
 use crate::roaming_clients::RoamingBehavior;
 use crate::wire::wall_clock_now;
 use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch_fault_injection::{CallFault, ClockShift, FaultPlan};
 use clap::Args;
 use std::path::{Path, PathBuf};
 
@@ -61,6 +63,44 @@
     pub(super) alone: bool,
 }
 
+/// Faults of the program's own system calls and wall clock.
+#[derive(Args)]
+struct FaultArguments {
+    /// System calls of the program that fail, as `accept,socket=EMFILE`; `all` for each of them.
+    #[arg(long, value_parser = FaultPlan::parse_calls)]
+    fail_calls: Option<Vec<CallFault>>,
+    /// Each of them fails every so many-th time.
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..))]
+    every: u32,
+    /// So many failures of each of them at most.
+    #[arg(long)]
+    at_most: Option<u32>,
+    /// Seconds that the program's wall clock is ahead; negative if it is behind.
+    #[arg(long, default_value_t = 0, allow_negative_numbers = true)]
+    clock_offset: i64,
+    /// Milliseconds after its start from which the clock is off.
+    #[arg(long, default_value_t = 0)]
+    clock_after: u64,
+    /// Milliseconds after its start until which the clock is off; without it for good.
+    #[arg(long)]
+    clock_until: Option<u64>,
+}
+
+impl FaultArguments {
+    fn plan(&self) -> FaultPlan {
+        FaultPlan {
+            calls: self.fail_calls.clone().unwrap_or_default(),
+            every: self.every,
+            most: self.at_most,
+            clock: ClockShift {
+                offset_s: self.clock_offset,
+                after_ms: self.clock_after,
+                until_ms: self.clock_until,
+            },
+        }
+    }
+}
+
 #[derive(Args)]
 pub(super) struct LoadArguments {
     #[command(flatten)]
@@ -71,12 +111,22 @@
     /// Members answer reads from what they have, however old that is.
     #[arg(long)]
     pub(super) unchecked: bool,
+    #[command(flatten)]
+    faults: FaultArguments,
     /// How many may wait for an answer at once.
     #[arg(long, default_value_t = 96)]
     pub(super) clients: usize,
 }
 
 impl LoadArguments {
+    /// The program in this file, with the faults that are asked for.
+    pub(super) fn program(&self, file: &Path) -> ProgramUnderTest {
+        ProgramUnderTest {
+            faults: self.faults.plan(),
+            ..file.into()
+        }
+    }
+
     /// Starts one process of the program under this script.
     pub(super) fn deploy(&self, script: FaultScript) -> Result<Deployment> {
         let folder = std::env::temp_dir().join(format!("asterlatch-lab-{}", std::process::id()));
@@ -84,7 +134,8 @@
             groups: self.basis.groups,
             replicas: self.basis.replicas,
         };
-        Deployment::start(&self.basis.driver()?, &folder, topology, script, !self.unchecked)
+        let program = self.program(&self.basis.driver()?);
+        Deployment::start(program, &folder, topology, script, !self.unchecked)
     }
 
     /// Starts the load; returns it with its begin.
--- a/crates/testbed/src/cli/upgrade.rs
+++ b/crates/testbed/src/cli/upgrade.rs
@@ -72,7 +72,7 @@
 pub(super) fn run(common: &LoadArguments, options: UpgradeOptions) -> Result<bool> {
     let script = FaultScript::parse(&fault_text(common, &options))?;
     let mut deployment = common.deploy(script)?;
-    deployment.next = options.next.clone();
+    deployment.next = options.next.as_ref().map(|file| common.program(file));
     let seconds = f64::from(options.count) * options.period() + 0.5;
     let (load, from) = common.start_load(&deployment, seconds);
     lock(&deployment.store).started_at = from;
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -4,6 +4,7 @@
 use crate::error::{Error, Result};
 use crate::fault_script::FaultScript;
 use crate::member::{self, lock, SharedStore};
+use crate::program_under_test::ProgramUnderTest;
 use crate::store_model::{StoreModel, WorkloadKind};
 use crate::wire::{message, read_message, start_session, wall_clock_now};
 use serde_json::{json, Value};
@@ -24,9 +25,9 @@
     pub listen: SocketAddr,
     /// Holds configuration and logs.
     pub folder: PathBuf,
-    driver: PathBuf,
+    driver: ProgramUnderTest,
     /// Another build: each upgrade changes over to it and makes the former build the next. `None` for the same build.
-    pub next: Option<PathBuf>,
+    pub next: Option<ProgramUnderTest>,
     child: Option<Child>,
     /// Process id of the serving process; 0 after its end.
     pid: u32,
@@ -110,7 +111,7 @@
 impl Deployment {
     /// Starts members, discovery and the program, whose logs and files lie in `folder`.
     pub fn start(
-        driver: &Path,
+        driver: impl Into<ProgramUnderTest>,
         folder: &Path,
         topology: Topology,
         script: FaultScript,
@@ -141,7 +142,7 @@
             store,
             listen,
             folder: folder.to_owned(),
-            driver: driver.to_owned(),
+            driver: driver.into(),
             next: None,
             child: None,
             pid: 0,
@@ -159,7 +160,9 @@
     pub fn start_program(&mut self) -> Result<()> {
         self.logs += 1;
         let log = File::create(self.path(&format!("driver-{}.log", self.logs)))?;
-        let child = Command::new(&self.driver)
+        let child = self
+            .driver
+            .command()?
             .arg("serve")
             .arg("--config")
             .arg(self.path("config.json"))
@@ -172,7 +175,7 @@
             .stderr(log)
             .spawn()
             .map_err(|source| Error::StartProgram {
-                program: self.driver.clone(),
+                program: self.driver.file.clone(),
                 source,
             })?;
         self.pid = child.id();
@@ -192,12 +195,12 @@
         if let Some(next) = &mut self.next {
             std::mem::swap(&mut self.driver, next);
         }
-        let output = Command::new(&self.driver)
+        let output = Command::new(&self.driver.file)
             .arg("upgrade")
             .arg("--control")
             .arg(self.path("control"))
             .arg("--to")
-            .arg(&self.driver)
+            .arg(&self.driver.file)
             .output()?;
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         if !output.status.success() {
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -37,6 +37,12 @@
         /// What starting it gave.
         source: io::Error,
     },
+    /// The shared object with the faults isn't there.
+    #[error("{path}: not built; cargo build -p asterlatch-fault-preload")]
+    NoPreload {
+        /// Where it should be.
+        path: PathBuf,
+    },
     /// The only process of a deployment didn't serve in time.
     #[error("the program doesn't serve: {0}")]
     ProgramNotServing(#[source] io::Error),
