--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -14,7 +14,7 @@
 use super::log::Log;
 use super::operators::{self, InForce, Operators};
 use super::phases::Phases;
-use super::signals;
+use super::signals::BlockedSignals;
 use super::upgrade::{PredecessorRole, ResumedService, SuccessorRole};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::handover::CoServing;
@@ -39,6 +39,8 @@
     given: &operators::Given,
     control_path: Option<&Path>,
 ) -> Result<(), ServeError> {
+    // Before any thread is started.
+    let signals = BlockedSignals::block().map_err(ServeError::Signals)?;
     let machine = operators::machine(&config);
     let start = operators::start(given, machine)?;
     let settings = InForce::of(&start.meaning);
@@ -47,7 +49,7 @@
     let inherited = Inheritance::load(successor.as_mut(), &config)?;
     let clock = inherited.clock;
     let (queue, events) = channel();
-    signals::forward(queue.clone()).map_err(ServeError::Signals)?;
+    signals.forward(queue.clone()).map_err(ServeError::Signals)?;
     let startup = Startup {
         config: &config,
         memory: config.runtime.memory_budgets(&settings.limits),
--- a/crates/driver/src/program/signals.rs
+++ b/crates/driver/src/program/signals.rs
@@ -1,36 +1,67 @@
 //! Signals, as control events of the event loop: SIGTERM and SIGINT shut down, SIGUSR1 logs the metrics, SIGHUP reloads
 //! the configuration, SIGUSR2 upgrades to the same program.
+//!
+//! They are blocked on every thread, and one thread takes them from the kernel with `sigwait`. There is no handler and no
+//! pipe between a handler and that thread, so no call that fails can lose a signal.
 
 use crate::routing::events::{ControlEvent, Event};
-use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1, SIGUSR2};
-use signal_hook::iterator::Signals;
+use nix::sys::signal::{SigSet, Signal};
 use std::io;
 use std::sync::mpsc::Sender;
+use std::time::Duration;
 
-/// Handles these signals from now on, on a thread of its own that ends with the event loop.
-///
-/// # Errors
-/// If the handlers can't be installed or the thread can't be started.
-pub fn forward(queue: Sender<Event>) -> io::Result<()> {
-    let mut signals = Signals::new([SIGHUP, SIGINT, SIGTERM, SIGUSR1, SIGUSR2])?;
-    let forward_all = move || {
-        for signal in signals.forever() {
-            if queue.send(Event::Control(control_event(signal))).is_err() {
-                return;
+/// The signals that are taken.
+const SIGNALS: [Signal; 5] = [
+    Signal::SIGHUP,
+    Signal::SIGINT,
+    Signal::SIGTERM,
+    Signal::SIGUSR1,
+    Signal::SIGUSR2,
+];
+
+/// Time between two waits of which the first failed, which `sigwait` documents for invalid signals alone.
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
+
+/// Signals that wait with the kernel until [`BlockedSignals::forward`] takes them.
+pub struct BlockedSignals(SigSet);
+
+impl BlockedSignals {
+    /// Blocks the signals on this thread and on those that it starts later. To be called before any other thread exists:
+    /// the kernel gives a signal to any thread that doesn't block it, and that would end the process.
+    ///
+    /// # Errors
+    /// If the kernel refuses it.
+    pub fn block() -> io::Result<BlockedSignals> {
+        let signals: SigSet = SIGNALS.into_iter().collect();
+        signals.thread_block()?;
+        Ok(BlockedSignals(signals))
+    }
+
+    /// Turns them into events from now on, on a thread of its own that ends with the event loop.
+    ///
+    /// # Errors
+    /// If the thread can't be started.
+    pub fn forward(&self, queue: Sender<Event>) -> io::Result<()> {
+        let signals = self.0;
+        let forward_all = move || loop {
+            match signals.wait() {
+                Ok(signal) if queue.send(Event::Control(control_event(signal))).is_err() => return,
+                Ok(_) => {}
+                Err(_) => std::thread::sleep(RETRY_PAUSE),
             }
-        }
-    };
-    std::thread::Builder::new()
-        .name("signals".to_owned())
-        .spawn(forward_all)?;
-    Ok(())
+        };
+        std::thread::Builder::new()
+            .name("signals".to_owned())
+            .spawn(forward_all)?;
+        Ok(())
+    }
 }
 
-fn control_event(signal: i32) -> ControlEvent {
+fn control_event(signal: Signal) -> ControlEvent {
     match signal {
-        SIGUSR1 => ControlEvent::ReportMetrics,
-        SIGUSR2 => ControlEvent::Upgrade,
-        SIGHUP => ControlEvent::Reload,
+        Signal::SIGUSR1 => ControlEvent::ReportMetrics,
+        Signal::SIGUSR2 => ControlEvent::Upgrade,
+        Signal::SIGHUP => ControlEvent::Reload,
         _ => ControlEvent::Shutdown,
     }
 }
--- a/crates/driver/tests/stand/mod.rs
+++ b/crates/driver/tests/stand/mod.rs
@@ -14,6 +14,8 @@
 /// Long enough for the busiest machine; nothing here waits for it to pass.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
 
+use asterlatch_fault_injection::FaultPlan;
+use asterlatch_testbed::program_under_test::inject;
 pub(crate) use asterlatch_testbed::wire::message;
 use asterlatch_testbed::wire::{self, data_row, parameter_status};
 
@@ -236,13 +238,29 @@
 }
 
 pub(crate) fn serve_with(name: &str, text: &str, arguments: &[&str]) -> Program {
+    serve_faulty(name, text, arguments, &FaultPlan::default())
+}
+
+/// These system calls fail, without an end, each every so many-th time.
+pub(crate) fn failing(calls: &str, every: u32) -> FaultPlan {
+    FaultPlan {
+        calls: FaultPlan::parse_calls(calls).expect("is a list of calls"),
+        every,
+        ..FaultPlan::default()
+    }
+}
+
+/// Starts the program, of which these system calls fail, and waits until it listens.
+pub(crate) fn serve_faulty(name: &str, text: &str, arguments: &[&str], faults: &FaultPlan) -> Program {
     let path = config(name, text);
     let value: serde_json::Value = serde_json::from_str(text).expect("is JSON");
     let listen = value["listen"]
         .as_str()
         .and_then(|l| l.parse().ok())
         .expect("is given");
-    let child = start(program("serve", &path).args(arguments));
+    let mut command = program("serve", &path);
+    inject(&mut command, faults).expect("cargo has built the shared object");
+    let child = start(command.args(arguments));
     let process = Program { child, listen, path };
     let end = Instant::now() + PATIENCE;
     while TcpStream::connect(listen).is_err() {
@@ -293,6 +311,20 @@
     }
 }
 
+impl Program {
+    /// Waits for its end, while something else reads its log; says whether that was a good one.
+    pub(crate) fn ends_well(&mut self) -> bool {
+        let end = Instant::now() + PATIENCE;
+        loop {
+            if let Some(status) = self.child.try_wait().expect("is a child") {
+                return status.success();
+            }
+            assert!(Instant::now() < end, "the program doesn't end");
+            thread::sleep(Duration::from_millis(2));
+        }
+    }
+}
+
 impl Drop for Program {
     fn drop(&mut self) {
         let _ = self.child.kill();
@@ -378,8 +410,17 @@
 }
 
 pub(crate) fn operated(name: &str, member: SocketAddr, arguments: &[&str]) -> Operated {
+    operated_faulty(name, member, arguments, &FaultPlan::default())
+}
+
+pub(crate) fn operated_faulty(
+    name: &str,
+    member: SocketAddr,
+    arguments: &[&str],
+    faults: &FaultPlan,
+) -> Operated {
     let text = described(free_address(), silent_discovery(), member);
-    let mut program = serve_with(name, &text, arguments);
+    let mut program = serve_faulty(name, &text, arguments, faults);
     let stderr = program.child.stderr.take().expect("piped");
     let (tell, lines) = channel();
     thread::spawn(move || {
