--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -4,12 +4,11 @@
 use crate::deployment::{check_serving, START_TIMEOUT};
 use crate::error::{Error, Result};
 use crate::fault_script::DriverFault;
+use crate::program_under_test::ProgramUnderTest;
 use std::fs::File;
-use std::io;
 use std::net::SocketAddr;
-use std::os::unix::process::CommandExt;
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Stdio};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -22,17 +21,6 @@
     pub(super) runs_later_build: bool,
 }
 
-/// Has the system kill the child when this process ends, however it ends.
-fn kill_with_parent(command: &mut Command) {
-    // SAFETY: the closure makes one system call between fork and exec, which touches no memory.
-    unsafe {
-        command.pre_exec(|| {
-            let signal = Some(rustix::process::Signal::KILL);
-            rustix::process::set_parent_process_death_signal(signal).map_err(io::Error::from)
-        });
-    }
-}
-
 impl Cluster {
     pub(super) fn path(&self, number: u32, end: &str) -> PathBuf {
         self.folder.join(format!("d{number}.{end}"))
@@ -57,8 +45,7 @@
     pub(super) fn spawn_driver(&mut self, number: u32) -> Result<()> {
         let starts = self.processes[number as usize - 1].starts + 1;
         let log = File::create(self.path(number, &format!("{starts}.log")))?;
-        let mut command = Command::new(&self.program);
-        kill_with_parent(&mut command);
+        let mut command = ProgramUnderTest::from(&self.program).command()?;
         if self.processes[number as usize - 1].runs_later_build {
             command.env("ASTERLATCH_LAB_LATER_WIRE", "1");
         }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -18,6 +18,7 @@
 pub mod link_proxy;
 pub mod load_generator;
 pub mod member;
+pub mod process_guard;
 pub mod program_under_test;
 pub mod roaming_clients;
 pub mod scenario;
--- a/crates/testbed/src/program_under_test.rs
+++ b/crates/testbed/src/program_under_test.rs
@@ -1,6 +1,7 @@
 //! The built program, and the faults that it is started with.
 
 use crate::error::{Error, Result};
+use crate::process_guard;
 use asterlatch_fault_injection::FaultPlan;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -33,12 +34,13 @@
 }
 
 impl ProgramUnderTest {
-    /// A command that starts it.
+    /// A command that starts it; the process ends with the test bed.
     ///
     /// # Errors
-    /// If the shared object with the faults isn't there.
+    /// If the guard can't be started, or the shared object with the faults isn't there.
     pub fn command(&self) -> Result<Command> {
         let mut command = Command::new(&self.file);
+        process_guard::end_with_this_process(&mut command)?;
         inject(&mut command, &self.faults)?;
         Ok(command)
     }
