--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -11,6 +11,7 @@
 use crate::routing::statements::{NewStatement, OpenedStatement, StatementOrigin};
 use crate::transport::connection::ConnectionHandle;
 use crate::transport::listener::AcceptEvent;
+use crate::transport::socket_errors;
 use asterlatch::interface::Statement;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
@@ -47,8 +48,11 @@
         let text = format_args!("a client could not be accepted: {error}");
         self.observer.log(now, "accept", text);
         self.acceptor.on_failed(now + self.limits.accept_backoff);
-        let is_evicted = self.clients.evict_one(now);
-        self.metrics.clients_evicted += u64::from(is_evicted);
+        // A place that becomes free helps against nothing else than a lack of descriptors.
+        if socket_errors::is_out_of_descriptors(error) {
+            let is_evicted = self.clients.evict_one(now);
+            self.metrics.clients_evicted += u64::from(is_evicted);
+        }
     }
 
     pub(super) fn on_client_event(&mut self, now: Timestamp, event: ClientEvent) {
--- a/crates/driver/tests/failing_calls.rs
+++ b/crates/driver/tests/failing_calls.rs
@@ -53,3 +53,25 @@
         );
     }
 }
+
+/// Nobody is closed for an error that says nothing about descriptors.
+#[test]
+fn client_is_not_evicted_where_accept_fails_for_lack_of_memory() {
+    let member = member(Manner::Answers);
+    for (error, are_evicted) in [("ENOBUFS", false), ("ENOMEM", false), ("EMFILE", true)] {
+        let driver = serve_faulty(
+            "accept-fails",
+            &described(free_address(), silent_discovery(), member.address),
+            &[],
+            &failing(&format!("accept={error}"), 2),
+        );
+        let clients: Vec<_> = (0..5).map(|_| driver.client()).collect();
+        driver.signal("TERM");
+        let (is_good, log) = driver.finish();
+        assert!(is_good, "{log}");
+        let is_counted = |name: &str| !log.contains(&format!("{name}=0 "));
+        assert!(is_counted("accepts_failed"), "{log}");
+        assert_eq!(is_counted("clients_evicted"), are_evicted, "{error}: {log}");
+        drop(clients);
+    }
+}
