--- a/crates/driver/src/routing/execution_outcomes.rs
+++ b/crates/driver/src/routing/execution_outcomes.rs
@@ -3,8 +3,10 @@
 use super::metrics::Metrics;
 use crate::protocol::client_events::FinalAnswer;
 use crate::protocol::member_connection::Reply;
+use crate::transport::socket_errors;
 use asterlatch::interface::{Answer, ExecutionOutcome};
 use asterlatch::time::TimeSpan;
+use std::io;
 
 /// SQLSTATE codes by which a member rejects a statement before execution.
 const READ_ONLY_TRANSACTION: &str = "25006";
@@ -26,6 +28,16 @@
     }
 }
 
+/// The outcome of an execution for which no connection could be opened. What this host lacks says nothing about the member:
+/// a member must not be ejected for it.
+pub fn of_failed_dial(error: &io::Error) -> ExecutionOutcome {
+    if socket_errors::is_local_failure(error) {
+        ExecutionOutcome::NotSent
+    } else {
+        ExecutionOutcome::NoConnection
+    }
+}
+
 /// The outcome of an execution whose connection closed; `written` if all of the query was written before.
 pub fn of_closed_connection(written: bool) -> ExecutionOutcome {
     if written {
--- a/crates/driver/src/routing/member_requests/mod.rs
+++ b/crates/driver/src/routing/member_requests/mod.rs
@@ -2,6 +2,7 @@
 
 mod request;
 
+use super::execution_outcomes;
 use super::limits::Share;
 use crate::protocol::member_connection::MemberCommand;
 use crate::transport::connection::ConnectionHandle;
@@ -65,9 +66,6 @@
     limits: ConnectionLimits,
 }
 
-/// Linux's error numbers ENFILE and EMFILE: a lack of descriptors, which says nothing about the member.
-const OUT_OF_DESCRIPTORS: [i32; 2] = [23, 24];
-
 impl MemberRequests {
     /// A table without connections.
     pub fn new(dial: DialMember, limits: ConnectionLimits) -> MemberRequests {
@@ -163,10 +161,8 @@
             self.evict_oldest_idle()?;
         }
         let connection = self.pool.next_id();
-        let line = (self.dial)(connection, address).map_err(|error| match error.raw_os_error() {
-            Some(code) if OUT_OF_DESCRIPTORS.contains(&code) => ExecutionOutcome::NotSent,
-            _ => ExecutionOutcome::NoConnection,
-        })?;
+        let line =
+            (self.dial)(connection, address).map_err(|error| execution_outcomes::of_failed_dial(&error))?;
         self.pool.add(connection, member, address, line);
         Ok(connection)
     }
--- a/crates/driver/tests/routing/members.rs
+++ b/crates/driver/tests/routing/members.rs
@@ -122,8 +122,24 @@
 }
 
 #[test]
-fn descriptor_shortage_does_not_count_against_the_member() {
-    for (code, ended) in [(24, "never_sent"), (111, "no_connection")] {
+fn failure_of_this_host_does_not_count_against_the_member() {
+    let own = [
+        libc::EMFILE,
+        libc::ENFILE,
+        libc::ENOBUFS,
+        libc::ENOMEM,
+        libc::EADDRNOTAVAIL,
+        libc::ENETUNREACH,
+        libc::EAGAIN,
+        libc::ENOSPC,
+        libc::EPERM,
+    ];
+    let of_member = [libc::ECONNREFUSED, libc::ETIMEDOUT, libc::EHOSTUNREACH];
+    let own = own.map(|code| (code, "never_sent"));
+    for (code, ended) in own
+        .into_iter()
+        .chain(of_member.map(|code| (code, "no_connection")))
+    {
         let mut harness = with_client();
         harness.connect_client(2);
         harness.send_statement(2, POST);
@@ -132,7 +148,11 @@
         harness.send_statement(1, POST);
         let metrics = &harness.event_loop.metrics;
         let counts = (metrics.ended_never_sent, metrics.ended_no_connection);
-        assert_eq!(counts, if ended == "never_sent" { (1, 0) } else { (0, 1) });
+        assert_eq!(
+            counts,
+            if ended == "never_sent" { (1, 0) } else { (0, 1) },
+            "{code}"
+        );
         assert_eq!(harness.received(1), "");
     }
 }
