--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -9,7 +9,6 @@
 use super::log::{log, Log};
 use super::phases::Phases;
 use crate::routing::event_loop::EventLoop;
-use crate::routing::events::Event;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::generations::{Difference, Effect, Generation, Generations, Told};
 use asterlatch_config::host;
@@ -22,9 +21,10 @@
 pub use start::{start, Given, Start, StartLine};
 use std::io;
 use std::path::PathBuf;
-use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::mpsc::{Receiver, Sender};
 use std::sync::OnceLock;
-use worker::{Done, Job, Worker};
+pub use worker::WorkerHandle;
+use worker::{Done, Job};
 
 /// Log topic of decisions on the file. Diagnostics have a topic of their own, so that a long list of them can't use up the
 /// lines of the one that matters.
@@ -155,24 +155,17 @@
         given: &Given,
         start: Start,
         upgrade_times: predecessor::Timeouts,
-        queue: Sender<Event>,
-    ) -> Result<Operators, OperatorsError> {
+        worker: WorkerHandle,
+    ) -> Operators {
         let canonical = start.meaning.canonical(registry());
         let digest = hash(&canonical);
         let number = start.number;
         let most = most_stored(&start.meaning);
         let generations = Generations::new(number, digest, start.meaning, difference, probation_terms);
-        let (sender, results) = channel();
-        let worker = given.file.clone().map(|file| Worker {
-            file,
-            state: given.state.clone(),
-            results: sender,
-            queue,
-        });
         let operators = Operators {
             generations,
-            jobs: worker.map(Worker::start).transpose()?,
-            results,
+            jobs: worker.jobs,
+            results: worker.results,
             reading: Reading::Idle,
             stores_generations: given.state.is_some(),
             highest_fill: [0; WANTS.len()],
@@ -180,7 +173,7 @@
             upgrade_times,
         };
         operators.store(number, canonical, most);
-        Ok(operators)
+        operators
     }
 
     fn store(&self, number: u64, canonical: String, most: usize) {
--- a/crates/driver/src/program/operators/worker.rs
+++ b/crates/driver/src/program/operators/worker.rs
@@ -1,7 +1,7 @@
 //! Reads the operators' file and stores generations on a thread of its own: a large file or a slow disk must not delay
 //! statements.
 
-use super::{read, registry, OperatorsError};
+use super::{read, registry, Given, OperatorsError};
 use crate::routing::events::{ControlEvent, Event};
 use asterlatch_config::generations::Read;
 use asterlatch_config::meaning::{hash, Meaning};
@@ -9,7 +9,7 @@
 use asterlatch_config::report;
 use asterlatch_config::store::Store;
 use std::path::PathBuf;
-use std::sync::mpsc::{channel, Sender};
+use std::sync::mpsc::{channel, Receiver, Sender};
 
 /// Work for the thread.
 pub(super) enum Job {
@@ -51,17 +51,44 @@
     },
 }
 
+/// The owner's end of the thread.
+pub struct WorkerHandle {
+    /// `None` without an operators' file: there is no thread.
+    pub(super) jobs: Option<Sender<Job>>,
+    pub(super) results: Receiver<Done>,
+}
+
+impl WorkerHandle {
+    /// Starts the thread if there is an operators' file; it ends with this handle or with the event loop.
+    ///
+    /// # Errors
+    /// If the thread can't be started.
+    pub fn start(given: &Given, queue: &Sender<Event>) -> Result<WorkerHandle, OperatorsError> {
+        let (sender, results) = channel();
+        let worker = given.file.clone().map(|file| Worker {
+            file,
+            state: given.state.clone(),
+            results: sender,
+            queue: queue.clone(),
+        });
+        Ok(WorkerHandle {
+            jobs: worker.map(Worker::start).transpose()?,
+            results,
+        })
+    }
+}
+
 /// The thread's own state.
-pub(super) struct Worker {
-    pub(super) file: String,
-    pub(super) state: Option<PathBuf>,
-    pub(super) results: Sender<Done>,
-    pub(super) queue: Sender<Event>,
+struct Worker {
+    file: String,
+    state: Option<PathBuf>,
+    results: Sender<Done>,
+    queue: Sender<Event>,
 }
 
 impl Worker {
     /// Starts the thread; it ends with the returned sender or with the event loop.
-    pub(super) fn start(self) -> Result<Sender<Job>, OperatorsError> {
+    fn start(self) -> Result<Sender<Job>, OperatorsError> {
         let (sender, jobs) = channel();
         let run = move || {
             for job in jobs {
--- a/crates/driver/src/program/serve/deferred_services.rs
+++ b/crates/driver/src/program/serve/deferred_services.rs
@@ -1,5 +1,6 @@
 //! Gossip and the control socket, which belong to one process of the service at a time.
 
+use super::start_retry::StartRetry;
 use super::startup::Startup;
 use super::ServeError;
 use crate::program::config::Config;
@@ -62,10 +63,11 @@
         &mut self,
         event_loop: &mut EventLoop<Log>,
         has_predecessor: bool,
+        retry: &StartRetry,
     ) -> Result<(), ServeError> {
         if !has_predecessor {
-            let gossip = self.start_gossip(event_loop)?;
-            return self.start_control_socket(gossip);
+            let gossip = retry.run(|| self.start_gossip(event_loop))?;
+            return retry.run(|| self.start_control_socket(gossip.clone()));
         }
         if self.gossip.is_some() {
             event_loop.defer_gossip();
@@ -99,11 +101,12 @@
         Ok(Some(started.handle))
     }
 
-    fn start_control_socket(&mut self, gossip: Option<GossipHandle>) -> Result<(), ServeError> {
-        let Some(socket) = self.control_socket.take() else {
+    fn start_control_socket(&self, gossip: Option<GossipHandle>) -> Result<(), ServeError> {
+        let Some(socket) = &self.control_socket else {
             return Ok(());
         };
-        control_socket::listen(socket.path, self.queue.clone(), socket.upgrade_requests, gossip)?;
+        let upgrade_requests = socket.upgrade_requests.clone();
+        control_socket::listen(socket.path, self.queue.clone(), upgrade_requests, gossip)?;
         Ok(())
     }
 }
--- a/crates/driver/src/program/serve/error.rs
+++ b/crates/driver/src/program/serve/error.rs
@@ -11,6 +11,9 @@
 /// Why the process can't serve.
 #[derive(Debug, Error)]
 pub enum ServeError {
+    /// Shutdown was requested before the process served.
+    #[error("shut down before it served")]
+    ShutDown,
     /// The operators' file or its stored generations can't be used.
     #[error(transparent)]
     Operators(#[from] OperatorsError),
--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -8,13 +8,14 @@
 mod control_loop;
 mod deferred_services;
 mod error;
+mod start_retry;
 mod startup;
 
 use super::config::{Config, ConfigError};
 use super::log::Log;
 use super::operators::{self, InForce, Operators};
 use super::phases::Phases;
-use super::signals::BlockedSignals;
+use super::signals::{BlockedSignals, ShutdownRequest};
 use super::upgrade::{PredecessorRole, ResumedService, SuccessorRole};
 use crate::routing::event_loop::EventLoop;
 use crate::routing::handover::CoServing;
@@ -25,6 +26,7 @@
 use control_loop::{report_metrics, ControlLoop};
 use deferred_services::DeferredServices;
 pub use error::ServeError;
+use start_retry::StartRetry;
 use startup::Startup;
 use std::path::Path;
 use std::sync::mpsc::channel;
@@ -32,24 +34,41 @@
 /// Serves until shutdown or until a successor has taken over. `load_config` reads the configuration again for a reload.
 ///
 /// # Errors
-/// If the process can't start; once it serves it doesn't fail.
+/// If the process can't start; once it serves it doesn't fail. What may pass by itself is tried again for a while.
 pub fn serve(
     config: Config,
     load_config: impl Fn() -> Result<Config, ConfigError>,
     given: &operators::Given,
     control_path: Option<&Path>,
+) -> Result<(), ServeError> {
+    match start_and_run(config, load_config, given, control_path) {
+        Err(ServeError::ShutDown) => Ok(()),
+        result => result,
+    }
+}
+
+fn start_and_run(
+    config: Config,
+    load_config: impl Fn() -> Result<Config, ConfigError>,
+    given: &operators::Given,
+    control_path: Option<&Path>,
 ) -> Result<(), ServeError> {
     // Before any thread is started.
     let signals = BlockedSignals::block().map_err(ServeError::Signals)?;
+    let shutdown = ShutdownRequest::default();
+    let retry = StartRetry::new(shutdown.clone());
+    let (queue, events) = channel();
+    retry.run(|| {
+        let forwarding = signals.forward(queue.clone(), shutdown.clone());
+        forwarding.map_err(ServeError::Signals)
+    })?;
     let machine = operators::machine(&config);
-    let start = operators::start(given, machine)?;
+    let start = retry.run(|| Ok(operators::start(given, machine)?))?;
     let settings = InForce::of(&start.meaning);
     let mut successor = SuccessorRole::from_environment(settings.handover.successor)?;
     transport::coroutines::start(settings.stacks);
     let inherited = Inheritance::load(successor.as_mut(), &config)?;
     let clock = inherited.clock;
-    let (queue, events) = channel();
-    signals.forward(queue.clone()).map_err(ServeError::Signals)?;
     let startup = Startup {
         config: &config,
         memory: config.runtime.memory_budgets(&settings.limits),
@@ -57,8 +76,9 @@
         queue,
         journal: inherited.journal,
     };
+    // Before members are dialled, for a retry takes its time.
+    let listener = retry.run(|| startup.bind_or_inherit(successor.as_mut()))?;
     let mut event_loop = startup.event_loop(settings.limits, inherited.resumed);
-    let listener = startup.bind_or_inherit(successor.as_mut())?;
     if let Some(successor) = &mut successor {
         commit_handover(successor, &startup, &mut event_loop)?;
     }
@@ -69,12 +89,13 @@
         upgrade_request_receiver,
     );
     let mut services = DeferredServices::new(&startup, &start.meaning, given, control_path, upgrade_requests);
-    services.start_or_defer(&mut event_loop, successor.is_some())?;
-    startup.listen(&mut event_loop, listener, successor.is_some())?;
+    services.start_or_defer(&mut event_loop, successor.is_some(), &retry)?;
+    startup.listen(&mut event_loop, listener, successor.is_some(), &retry)?;
     let mut phases = Phases::default();
     operators::take_over(&mut event_loop, &mut phases, &settings);
     startup.log_all(&mut event_loop, &start.lines);
-    let operators = Operators::new(given, start, settings.handover.predecessor, startup.queue.clone())?;
+    let worker = retry.run(|| Ok(operators::WorkerHandle::start(given, &startup.queue)?))?;
+    let operators = Operators::new(given, start, settings.handover.predecessor, worker);
     drop(startup);
     let mut control_loop = ControlLoop {
         config: &config,
--- a/crates/driver/src/program/serve/startup.rs
+++ b/crates/driver/src/program/serve/startup.rs
@@ -1,6 +1,7 @@
 //! Makes the event loop and its listener.
 
 use super::connectors::connectors;
+use super::start_retry::StartRetry;
 use super::ServeError;
 use crate::program::config::Config;
 use crate::program::log::{log, Log};
@@ -69,21 +70,26 @@
         event_loop: &mut EventLoop<Log>,
         listener: TcpListener,
         is_paused: bool,
+        retry: &StartRetry,
     ) -> Result<(), ServeError> {
+        let address = self.config.listen;
+        let mut unregistered = Some(listener);
+        let io = retry.run(|| {
+            let registered = listener::register(&mut unregistered);
+            registered.map_err(|source| ServeError::Listener { address, source })
+        })?;
         let memory = self.memory.clients.clone();
         let session_memory = memory.clone();
         let journal = self.journal.clone();
         let new_session =
             move |id| ClientSession::new(id, session_memory.clone()).with_journal(journal.clone());
         let listening = listener::listen::<_, Event>(
-            listener,
+            io,
             is_paused,
             self.queue.clone(),
             (self.clock, memory),
             new_session,
         );
-        let address = self.config.listen;
-        let listening = listening.map_err(|source| ServeError::Listener { address, source })?;
         event_loop.attach_listener(listening);
         Ok(())
     }
--- a/crates/driver/src/program/signals.rs
+++ b/crates/driver/src/program/signals.rs
@@ -8,6 +8,7 @@
 use nix::sys::signal::{SigSet, Signal};
 use std::io;
 use std::sync::mpsc::Sender;
+use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
 /// The signals that are taken.
@@ -22,6 +23,27 @@
 /// Time between two waits of which the first failed, which `sigwait` documents for invalid signals alone.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
+/// Whether shutdown was requested, for those who wait before the event loop runs. Clones share it.
+#[derive(Clone, Default)]
+pub struct ShutdownRequest(Arc<(Mutex<bool>, Condvar)>);
+
+impl ShutdownRequest {
+    fn set(&self) {
+        let (is_requested, changed) = &*self.0;
+        *is_requested.lock().unwrap_or_else(PoisonError::into_inner) = true;
+        changed.notify_all();
+    }
+
+    /// Waits until shutdown is requested, at most for so long; returns whether it is.
+    pub fn wait(&self, timeout: Duration) -> bool {
+        let (is_requested, changed) = &*self.0;
+        let locked = is_requested.lock().unwrap_or_else(PoisonError::into_inner);
+        let waited = changed.wait_timeout_while(locked, timeout, |is_requested| !*is_requested);
+        let (is_requested, _) = waited.unwrap_or_else(PoisonError::into_inner);
+        *is_requested
+    }
+}
+
 /// Signals that wait with the kernel until [`BlockedSignals::forward`] takes them.
 pub struct BlockedSignals(SigSet);
 
@@ -37,16 +59,22 @@
         Ok(BlockedSignals(signals))
     }
 
-    /// Turns them into events from now on, on a thread of its own that ends with the event loop.
+    /// Turns them into events from now on, on a thread of its own that ends with the event loop, and sets `shutdown`.
     ///
     /// # Errors
     /// If the thread can't be started.
-    pub fn forward(&self, queue: Sender<Event>) -> io::Result<()> {
+    pub fn forward(&self, queue: Sender<Event>, shutdown: ShutdownRequest) -> io::Result<()> {
         let signals = self.0;
         let forward_all = move || loop {
-            match signals.wait() {
-                Ok(signal) if queue.send(Event::Control(control_event(signal))).is_err() => return,
-                Ok(_) => {}
+            match signals.wait().map(control_event) {
+                Ok(event) => {
+                    if matches!(event, ControlEvent::Shutdown) {
+                        shutdown.set();
+                    }
+                    if queue.send(Event::Control(event)).is_err() {
+                        return;
+                    }
+                }
                 Err(_) => std::thread::sleep(RETRY_PAUSE),
             }
         };
--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -165,24 +165,34 @@
     }
 }
 
-/// Starts to accept clients, each with a handler of its own. With `is_paused` another process accepts from the same
-/// socket at first.
+/// A listener that is registered with the event loop.
+pub struct RegisteredListener(Arc<CoIo<TcpListener>>);
+
+/// Registers the listener with the event loop, and takes it. After a failure it is still there, for another attempt.
 ///
 /// # Errors
-/// If the listener can't be registered with the event loop.
+/// If the kernel has no memory for it, the user watches as many descriptors as the host allows, or there is no listener.
+pub fn register(listener: &mut Option<TcpListener>) -> io::Result<RegisteredListener> {
+    let unregistered = listener.as_ref().ok_or(io::ErrorKind::NotConnected)?;
+    let registered = CoIo::new(unregistered.try_clone()?)?;
+    *listener = None;
+    Ok(RegisteredListener(Arc::new(registered)))
+}
+
+/// Starts to accept clients, each with a handler of its own. With `is_paused` another process accepts from the same
+/// socket at first.
 pub fn listen<H, M>(
-    listener: TcpListener,
+    listener: RegisteredListener,
     is_paused: bool,
     queue: Sender<M>,
     (clock, budget): (Clock, MemoryBudget),
     handler: impl Fn(u32) -> H + Send + 'static,
-) -> io::Result<ListenerHandle>
+) -> ListenerHandle
 where
     H: ConnectionHandler,
     M: From<H::Event> + From<AcceptEvent<H::Command>> + Send + 'static,
 {
-    let io = CoIo::new(listener).map_err(|_| io::Error::other("listener not registered"))?;
-    let io = Arc::new(io);
+    let RegisteredListener(io) = listener;
     let is_closing = Arc::new(AtomicBool::new(false));
     let is_paused = Arc::new(AtomicBool::new(is_paused));
     let handle = ListenerHandle {
@@ -203,5 +213,5 @@
         unregistered: None,
     };
     may::go!(move || acceptor.run::<H>());
-    Ok(handle)
+    handle
 }
--- a/crates/driver/tests/stand/mod.rs
+++ b/crates/driver/tests/stand/mod.rs
@@ -250,6 +250,14 @@
     }
 }
 
+/// These system calls fail, the first of each so many times.
+pub(crate) fn failing_first(calls: &str, most: u32) -> FaultPlan {
+    FaultPlan {
+        most: Some(most),
+        ..failing(calls, 1)
+    }
+}
+
 /// Starts the program, of which these system calls fail, and waits until it listens.
 pub(crate) fn serve_faulty(name: &str, text: &str, arguments: &[&str], faults: &FaultPlan) -> Program {
     let path = config(name, text);
@@ -312,6 +320,21 @@
 }
 
 impl Program {
+    /// Waits until SIGTERM no longer ends the process before it can tell anybody.
+    pub(crate) fn await_blocked_signals(&self) {
+        let end = Instant::now() + PATIENCE;
+        loop {
+            let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("runs");
+            let blocked = status.lines().find_map(|line| line.strip_prefix("SigBlk:"));
+            let mask = blocked.and_then(|mask| u64::from_str_radix(mask.trim(), 16).ok());
+            if mask.expect("is told") & (1 << (libc::SIGTERM - 1)) != 0 {
+                return;
+            }
+            assert!(Instant::now() < end, "signals are never blocked");
+            thread::sleep(Duration::from_millis(1));
+        }
+    }
+
     /// Waits for its end, while something else reads its log; says whether that was a good one.
     pub(crate) fn ends_well(&mut self) -> bool {
         let end = Instant::now() + PATIENCE;
