--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -12,7 +12,7 @@
 use crate::roaming_clients::RoamingBehavior;
 use crate::wire::wall_clock_now;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_fault_injection::{CallFault, ClockShift, FaultPlan};
+use asterlatch_fault_injection::{CallFault, ClockShift, FaultPlan, PlanError};
 use clap::Args;
 use std::path::{Path, PathBuf};
 
@@ -63,12 +63,20 @@
     pub(super) alone: bool,
 }
 
+/// One argument's list, which clap would else take for an argument that is given several times.
+#[derive(Clone, Default)]
+struct CallList(Vec<CallFault>);
+
+fn parse_calls(text: &str) -> std::result::Result<CallList, PlanError> {
+    FaultPlan::parse_calls(text).map(CallList)
+}
+
 /// Faults of the program's own system calls and wall clock.
 #[derive(Args)]
 struct FaultArguments {
     /// System calls of the program that fail, as `accept,socket=EMFILE`; `all` for each of them.
-    #[arg(long, value_parser = FaultPlan::parse_calls)]
-    fail_calls: Option<Vec<CallFault>>,
+    #[arg(long, value_parser = parse_calls)]
+    fail_calls: Option<CallList>,
     /// Each of them fails every so many-th time.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..))]
     every: u32,
@@ -89,7 +97,7 @@
 impl FaultArguments {
     fn plan(&self) -> FaultPlan {
         FaultPlan {
-            calls: self.fail_calls.clone().unwrap_or_default(),
+            calls: self.fail_calls.clone().unwrap_or_default().0,
             every: self.every,
             most: self.at_most,
             clock: ClockShift {
