--- a/crates/driver/src/transport/connection/coroutine.rs
+++ b/crates/driver/src/transport/connection/coroutine.rs
@@ -419,8 +419,8 @@
     H: ConnectionHandler,
     M: From<H::Event> + Send + 'static,
 {
-    // Without it small writes leave later, which is better than a connection that is closed.
-    let _ = io.inner().set_nodelay(true);
+    // Where it fails for good small writes leave later, which is better than a connection that is closed.
+    let _ = socket_errors::repeat_option(|| io.inner().set_nodelay(true));
     handler.on_socket(io.inner());
     let (sender, commands) = channel();
     let waker = io.waker();
@@ -480,7 +480,7 @@
     resume_owned(socket.into(), false, handler, queue, (clock, budget), Vec::new())
 }
 
-/// As [`run`], for a caller that owns the handle itself.
+/// Runs a handler on a connection as for a client that is accepted, for a caller that owns the handle itself.
 ///
 /// # Errors
 /// If the connection can't be registered with the event loop.
--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -12,6 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
+use std::time::Duration;
 
 /// What a listener reports to its owner.
 pub enum AcceptEvent<C> {
@@ -73,9 +74,13 @@
     unregistered: Option<TcpStream>,
 }
 
+/// Pause before another attempt after a failure that isn't a lack of descriptors: clients in the kernel's queue wait for it.
+const REPEAT_PAUSE: Duration = Duration::from_millis(5);
+
 /// What follows an attempt to accept.
 enum Flow {
     Wait,
+    Pause,
     Continue,
     End,
 }
@@ -92,6 +97,7 @@
                 Flow::Wait => {
                     self.io.wait_io();
                 }
+                Flow::Pause => may::coroutine::sleep(REPEAT_PAUSE),
                 Flow::Continue => {}
                 Flow::End => break,
             }
@@ -123,7 +129,7 @@
                 NextStep::Wait if is_closing => Flow::End,
                 NextStep::Wait => Flow::Wait,
                 NextStep::Repeat => Flow::Continue,
-                // Another attempt at once would only spin, the owner asks for one later.
+                // Another attempt at once would only spin.
                 NextStep::RepeatLater | NextStep::GiveUp => self.report_failure::<H::Command>(e),
             },
         }
@@ -133,8 +139,14 @@
     where
         M: From<AcceptEvent<C>>,
     {
+        // The owner has a descriptor closed, and asks for another attempt then.
+        let waits_for_owner = socket_errors::is_out_of_descriptors(&error);
         let _ = self.queue.send(AcceptEvent::Failed(error).into());
-        Flow::Wait
+        if waits_for_owner {
+            Flow::Wait
+        } else {
+            Flow::Pause
+        }
     }
 
     /// Starts the connection of a client. One that can't be registered is kept, and registered with the next attempt: it
--- a/crates/driver/src/transport/socket_errors.rs
+++ b/crates/driver/src/transport/socket_errors.rs
@@ -209,6 +209,24 @@
     }
 }
 
+/// Attempts to set an option of a socket.
+const MOST_OPTION_ATTEMPTS: usize = 8;
+
+/// Sets an option of a socket, and again at once where it fails for a lack that passes, but not for ever.
+///
+/// # Errors
+/// The last attempt's.
+pub fn repeat_option(mut set: impl FnMut() -> io::Result<()>) -> io::Result<()> {
+    let mut result = set();
+    for _ in 1..MOST_OPTION_ATTEMPTS {
+        match &result {
+            Err(error) if socket_option(error).is_passing => result = set(),
+            _ => break,
+        }
+    }
+    result
+}
+
 /// Whether an attempt to connect failed by this host alone, at whichever of `socket`, `connect` and `epoll_ctl`: then
 /// nothing was sent, and it says nothing about the peer.
 pub fn is_local_failure(error: &io::Error) -> bool {
--- a/crates/driver/tests/failing_demo.rs
+++ b/crates/driver/tests/failing_demo.rs
@@ -55,7 +55,7 @@
 
 #[test]
 fn rules_hold_while_system_calls_fail() {
-    for every in [3, 7] {
+    for every in [2, 7] {
         let (violations, asked) = play(every);
         assert!(asked > 0);
         assert_eq!(violations, 0, "each call fails every {every}th time");
--- a/crates/driver/tests/socket_errors.rs
+++ b/crates/driver/tests/socket_errors.rs
@@ -1,8 +1,8 @@
 //! Each row of the table of Linux's errors, by call.
 
 use asterlatch_driver::transport::socket_errors::{
-    accept, connect, epoll, is_local_failure, is_out_of_descriptors, listen, receive, send, send_message,
-    socket, socket_option, NextStep, Origin, SocketError,
+    accept, connect, epoll, is_local_failure, is_out_of_descriptors, listen, receive, repeat_option, send,
+    send_message, socket, socket_option, NextStep, Origin, SocketError,
 };
 use libc::*;
 use std::io;
@@ -139,3 +139,25 @@
         assert!(!is_local_failure(&of(number)), "{number}");
     }
 }
+
+#[test]
+fn option_is_set_again_where_the_failure_passes() {
+    // The error, failures before a success, attempts made, and whether the last one succeeds.
+    for (number, failures, expected, succeeds) in [
+        (ENOBUFS, 0, 1, true),
+        (ENOBUFS, 3, 4, true),
+        (ENOMEM, 100, 8, false),
+        (EINVAL, 1, 1, false),
+    ] {
+        let mut attempts = 0;
+        let result = repeat_option(|| {
+            attempts += 1;
+            if attempts > failures {
+                Ok(())
+            } else {
+                Err(io::Error::from_raw_os_error(number))
+            }
+        });
+        assert_eq!((attempts, result.is_ok()), (expected, succeeds), "{number}");
+    }
+}
