--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -5,12 +5,14 @@
 use super::connection::{self, ConnectionHandle, ConnectionHandler};
 use super::event_registration;
 use super::memory_budget::MemoryBudget;
+use super::socket_errors::{self, NextStep};
 use may::io::{CoIo, WaitIo, WaitIoWaker};
-use std::io::{self, ErrorKind};
-use std::net::TcpListener;
+use std::io;
+use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
+use std::time::Duration;
 
 /// What a listener reports to its owner.
 pub enum AcceptEvent<C> {
@@ -68,11 +70,17 @@
     budget: MemoryBudget,
     handler: F,
     last_id: u32,
+    /// Accepted, but not registered with the event loop yet: the kernel had no memory for it.
+    unregistered: Option<TcpStream>,
 }
 
+/// Pause before another attempt after a failure that isn't a lack of descriptors: clients in the kernel's queue wait for it.
+const REPEAT_PAUSE: Duration = Duration::from_millis(5);
+
 /// What follows an attempt to accept.
 enum Flow {
     Wait,
+    Pause,
     Continue,
     End,
 }
@@ -89,6 +97,7 @@
                 Flow::Wait => {
                     self.io.wait_io();
                 }
+                Flow::Pause => may::coroutine::sleep(REPEAT_PAUSE),
                 Flow::Continue => {}
                 Flow::End => break,
             }
@@ -102,6 +111,9 @@
         M: From<H::Event> + From<AcceptEvent<H::Command>> + Send + 'static,
         F: Fn(u32) -> H,
     {
+        if let Some(stream) = self.unregistered.take() {
+            return self.serve(stream);
+        }
         let is_closing = self.is_closing.load(Ordering::Acquire);
         if self.is_paused.load(Ordering::Acquire) {
             if !is_closing {
@@ -112,29 +124,47 @@
             return Flow::End;
         }
         match self.io.inner().accept() {
-            Ok((stream, _)) => {
-                self.serve(stream);
-                Flow::Continue
-            }
-            Err(e) if e.kind() == ErrorKind::WouldBlock && is_closing => Flow::End,
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Flow::Wait,
-            Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
-                Flow::Continue
-            }
-            Err(e) => {
-                // Out of descriptors, most likely: another attempt at once would only spin.
-                let _ = self.queue.send(AcceptEvent::Failed(e).into());
-                Flow::Wait
-            }
+            Ok((stream, _)) => self.serve(stream),
+            Err(e) => match socket_errors::accept(&e).next {
+                NextStep::Wait if is_closing => Flow::End,
+                NextStep::Wait => Flow::Wait,
+                NextStep::Repeat => Flow::Continue,
+                // Another attempt at once would only spin.
+                NextStep::RepeatLater | NextStep::GiveUp => self.report_failure::<H::Command>(e),
+            },
+        }
+    }
+
+    fn report_failure<C>(&mut self, error: io::Error) -> Flow
+    where
+        M: From<AcceptEvent<C>>,
+    {
+        // The owner has a descriptor closed, and asks for another attempt then.
+        let waits_for_owner = socket_errors::is_out_of_descriptors(&error);
+        let _ = self.queue.send(AcceptEvent::Failed(error).into());
+        if waits_for_owner {
+            Flow::Wait
+        } else {
+            Flow::Pause
         }
     }
 
-    fn serve<H>(&mut self, stream: std::net::TcpStream)
+    /// Starts the connection of a client. One that can't be registered is kept, and registered with the next attempt: it
+    /// is accepted, so it may not be closed without an answer.
+    fn serve<H>(&mut self, stream: TcpStream) -> Flow
     where
         H: ConnectionHandler,
         M: From<H::Event> + From<AcceptEvent<H::Command>> + Send + 'static,
         F: Fn(u32) -> H,
     {
+        let io = match connection::register(stream) {
+            Ok(io) => io,
+            Err(error) => {
+                let reported = io::Error::other(error.to_string());
+                self.unregistered = Some(error.into_data());
+                return self.report_failure::<H::Command>(reported);
+            }
+        };
         self.last_id = self.last_id.wrapping_add(1);
         let id = self.last_id;
         let announce = |handle| {
@@ -142,30 +172,39 @@
         };
         let context = (self.clock, &self.budget);
         let handler = (self.handler)(id);
-        if let Err(e) = connection::run(stream, true, handler, &self.queue, context, announce) {
-            let _ = self.queue.send(AcceptEvent::Failed(e).into());
-        }
+        connection::run(io, true, handler, &self.queue, context, Vec::new(), announce);
+        Flow::Continue
     }
 }
 
-/// Starts to accept clients, each with a handler of its own. With `is_paused` another process accepts from the same
-/// socket at first.
+/// A listener that is registered with the event loop.
+pub struct RegisteredListener(Arc<CoIo<TcpListener>>);
+
+/// Registers the listener with the event loop, and takes it. After a failure it is still there, for another attempt.
 ///
 /// # Errors
-/// If the listener can't be registered with the event loop.
+/// If the kernel has no memory for it, the user watches as many descriptors as the host allows, or there is no listener.
+pub fn register(listener: &mut Option<TcpListener>) -> io::Result<RegisteredListener> {
+    let unregistered = listener.as_ref().ok_or(io::ErrorKind::NotConnected)?;
+    let registered = CoIo::new(unregistered.try_clone()?)?;
+    *listener = None;
+    Ok(RegisteredListener(Arc::new(registered)))
+}
+
+/// Starts to accept clients, each with a handler of its own. With `is_paused` another process accepts from the same
+/// socket at first.
 pub fn listen<H, M>(
-    listener: TcpListener,
+    listener: RegisteredListener,
     is_paused: bool,
     queue: Sender<M>,
     (clock, budget): (Clock, MemoryBudget),
     handler: impl Fn(u32) -> H + Send + 'static,
-) -> io::Result<ListenerHandle>
+) -> ListenerHandle
 where
     H: ConnectionHandler,
     M: From<H::Event> + From<AcceptEvent<H::Command>> + Send + 'static,
 {
-    let io = CoIo::new(listener).map_err(|_| io::Error::other("listener not registered"))?;
-    let io = Arc::new(io);
+    let RegisteredListener(io) = listener;
     let is_closing = Arc::new(AtomicBool::new(false));
     let is_paused = Arc::new(AtomicBool::new(is_paused));
     let handle = ListenerHandle {
@@ -183,7 +222,8 @@
         budget,
         handler,
         last_id: 0,
+        unregistered: None,
     };
     may::go!(move || acceptor.run::<H>());
-    Ok(handle)
+    handle
 }
