--- a/crates/driver/src/protocol/replica_status.rs
+++ b/crates/driver/src/protocol/replica_status.rs
@@ -1,7 +1,7 @@
 //! Positions, roles and load reports in the words of members.
 
 use asterlatch::interface::ReplicaStatus;
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::RemoteTimestamp;
 
 /// Parameter with the log position of an answer.
 pub const POSITION: &str = "as_of";
@@ -20,13 +20,13 @@
 }
 
 /// A Unix time in whole milliseconds; zero and what is out of range stand for none.
-pub fn unix_timestamp(milliseconds: u64) -> Option<Timestamp> {
+pub fn unix_timestamp(milliseconds: u64) -> Option<RemoteTimestamp> {
     let is_valid = milliseconds > 0 && milliseconds < u64::MAX / 1000;
-    is_valid.then(|| Timestamp(0) + TimeSpan::millis(milliseconds))
+    is_valid.then(|| RemoteTimestamp::from_millis(milliseconds))
 }
 
 /// A log position, as a Unix time in milliseconds.
-pub fn parse_position(text: &str) -> Option<Timestamp> {
+pub fn parse_position(text: &str) -> Option<RemoteTimestamp> {
     text.parse().ok().and_then(unix_timestamp)
 }
 
--- a/crates/driver/src/routing/event_loop/actions.rs
+++ b/crates/driver/src/routing/event_loop/actions.rs
@@ -122,8 +122,10 @@
                 RequestKind::HealthCheck => {
                     let is_answered = end.outcome == ExecutionOutcome::Completed;
                     self.metrics.health_checks_answered += u64::from(is_answered);
+                    // Up to now rather than up to the answer, so that the time at which it was sent is exact.
+                    let latency = now - end.request.started_at;
                     self.policy
-                        .on_health_check(now, member, is_answered, end.latency, end.status)
+                        .on_health_check(now, member, is_answered, latency, end.status)
                 }
             };
             self.carry_out(now, actions);
--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -187,9 +187,6 @@
             is_client_retry_safe: properties.is_client_retry_safe,
         });
         self.clients.add_statement(origin.client, id);
-        let last_write = fields
-            .required_position_ms
-            .and_then(replica_status::unix_timestamp);
         let statement = Statement {
             id,
             workload,
@@ -200,7 +197,9 @@
             time_left: deadline - now,
             expected_work: None,
             prior_attempt: None,
-            session_write_age: last_write.map(|last_write| now - last_write),
+            session_position: fields
+                .required_position_ms
+                .and_then(replica_status::unix_timestamp),
         };
         if let Some(statement) = self.check_prior_attempts(now, fields.id_hash, statement, deadline) {
             let actions = self.policy.on_statement(now, &statement);
--- a/crates/driver/src/routing/event_loop/discovery.rs
+++ b/crates/driver/src/routing/event_loop/discovery.rs
@@ -4,7 +4,7 @@
 use crate::protocol::discovery_watch::{DiscoveryEvent, DiscoveryMessage};
 use crate::protocol::endpoint_list::EndpointList;
 use asterlatch::interface::{MemberEntry, MemberState};
-use asterlatch::time::Timestamp;
+use asterlatch::time::{RemoteTimestamp, Timestamp};
 
 impl<O: Observer> EventLoop<O> {
     /// Retries a request that has timed out, and makes the next one that is due.
@@ -85,7 +85,7 @@
     fn close_drained_members(&mut self, entries: &[MemberEntry]) {
         for entry in entries.iter().filter(|entry| entry.state != MemberState::Ready) {
             self.member_requests.close_idle(entry.id);
-            let started_ms = entry.started_at.map_or(0, |at| at.0 / 1000);
+            let started_ms = entry.started_at.map_or(0, RemoteTimestamp::as_millis);
             if let Some(name) = self.members.name(entry.id) {
                 self.handover.add_drained_member(name, started_ms);
             }
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -7,7 +7,7 @@
 };
 use crate::routing::member_requests::AttemptId;
 use asterlatch::interface::{MemberEntry, MemberUpdate};
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use asterlatch_gossip::membership::{PeerState, PeerStateChange};
 use asterlatch_gossip::node::NodeOutput;
 use asterlatch_gossip::record::{ListedState, Record};
@@ -265,7 +265,7 @@
 
     fn on_session_record(&mut self, session: u64, position_ms: u64) {
         if self.records_sessions {
-            let position = Timestamp(0) + TimeSpan::millis(position_ms);
+            let position = RemoteTimestamp::from_millis(position_ms);
             self.policy.on_session_position(session, position);
         }
     }
--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -13,7 +13,7 @@
 use asterlatch::interface::{
     ExecutionOutcome, MemberEntry, MemberShare, MemberState, ReplicaStatus, WarmingMember,
 };
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use asterlatch_coordination::lease::Lease;
 use asterlatch_gossip::membership::{PeerState, PeerStateChange};
 use asterlatch_gossip::node::{NodeInput, NodeOutput, Observation};
@@ -301,7 +301,7 @@
             if let Some(name) = members.name(entry.id) {
                 let member = DrainedMember {
                     name: name.to_owned(),
-                    started_ms: entry.started_at.map_or(0, |at| at.0 / 1000),
+                    started_ms: entry.started_at.map_or(0, RemoteTimestamp::as_millis),
                 };
                 self.announce_state(member, entry.state);
             }
--- a/crates/driver/src/routing/gossip/status_batch.rs
+++ b/crates/driver/src/routing/gossip/status_batch.rs
@@ -2,7 +2,7 @@
 
 use crate::routing::members::{MemberDirectory, MemberIdentity};
 use asterlatch::interface::ReplicaStatus;
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use asterlatch_gossip::node::Observation;
 use asterlatch_gossip::record::{ObservedRecord, Record};
 use std::collections::BTreeMap;
@@ -35,10 +35,6 @@
     due_at: Option<Timestamp>,
 }
 
-fn to_ms(at: Timestamp) -> u64 {
-    at.0 / 1000
-}
-
 impl StatusBatch {
     pub(super) fn new(tick: TimeSpan) -> StatusBatch {
         StatusBatch {
@@ -62,7 +58,7 @@
         if status == ReplicaStatus::default() {
             return;
         }
-        let position = status.position.map_or(0, to_ms);
+        let position = status.position.map_or(0, RemoteTimestamp::as_millis);
         let batched = self.statuses.entry(member).or_default();
         batched.reported_at = now;
         let record = &mut batched.record;
@@ -77,11 +73,11 @@
     }
 
     /// Adds the position of a session's write.
-    pub(super) fn add_session(&mut self, now: Timestamp, session: u64, position: Timestamp) {
+    pub(super) fn add_session(&mut self, now: Timestamp, session: u64, position: RemoteTimestamp) {
         if session == 0 || self.sessions.len() >= MAX_SESSIONS {
             return;
         }
-        let position = to_ms(position);
+        let position = position.as_millis();
         self.sessions.push(ObservedRecord {
             record: Record::Session { session, position },
             observed_at: now,
@@ -124,7 +120,7 @@
 /// What another driver's record of a member amounts to: its newest role with the position of that, and its newest
 /// position.
 pub fn statuses(record: MemberStatusRecord) -> Vec<ReplicaStatus> {
-    let at = |ms: u64| Some(Timestamp(0) + TimeSpan::millis(ms));
+    let at = |ms: u64| Some(RemoteTimestamp::from_millis(ms));
     let role_at = record.primary_at.max(record.replica_at);
     let mut all = Vec::new();
     if role_at > 0 {
--- a/crates/driver/tests/protocol/harness.rs
+++ b/crates/driver/tests/protocol/harness.rs
@@ -1,7 +1,7 @@
 //! What the tests of the protocols share: imports, messages, and readable forms of what is written.
 
 pub(crate) use asterlatch::interface::ReplicaStatus;
-pub(crate) use asterlatch::time::{TimeSpan, Timestamp};
+pub(crate) use asterlatch::time::{RemoteTimestamp, Timestamp};
 pub(crate) use asterlatch_driver::protocol::client_events::{self, ClientCommand, FinalAnswer};
 pub(crate) use asterlatch_driver::protocol::client_session::ClientSession;
 pub(crate) use asterlatch_driver::protocol::endpoint_list::{self, EndpointStatus};
--- a/crates/driver/tests/protocol/messages.rs
+++ b/crates/driver/tests/protocol/messages.rs
@@ -29,7 +29,7 @@
 
 #[test]
 fn positions_are_rounded_down() {
-    let at = |ms: u64| Some(Timestamp(0) + TimeSpan::millis(ms));
+    let at = |ms: u64| Some(RemoteTimestamp::from_millis(ms));
     let seen = |position, is_primary| ReplicaStatus { position, is_primary };
     #[rustfmt::skip]
     let cases = [
--- a/crates/driver/tests/routing/harness.rs
+++ b/crates/driver/tests/routing/harness.rs
@@ -1,7 +1,7 @@
 //! The event loop with a clock and channels in place of sockets.
 
 use asterlatch::interface::ReplicaStatus;
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use asterlatch_driver::protocol::client_events::{ClientCommand, ClientEvent, FinalAnswer, StatementText};
 use asterlatch_driver::protocol::endpoint_list::{Endpoint, EndpointList, EndpointStatus};
 use asterlatch_driver::protocol::member_connection::{MemberCommand, MemberEvent, Reply};
@@ -155,6 +155,11 @@
         }
     }
 
+    /// The members' clock. The event loop's own time line is an hour ahead of it.
+    pub(crate) fn remote_now(&self) -> RemoteTimestamp {
+        RemoteTimestamp(self.now.0) - TimeSpan::millis(3_600_000)
+    }
+
     /// Answers the initial health checks.
     pub(crate) fn begin(self) -> Harness {
         let mut harness = self;
@@ -203,7 +208,7 @@
     pub(crate) fn reply(&mut self, connection: u32, reply: Reply, is_primary: Option<bool>) {
         let (at, report) = (self.now, None);
         let status = ReplicaStatus {
-            position: Some(at),
+            position: Some(self.remote_now()),
             is_primary,
         };
         self.member_event(MemberEvent::Replied {
--- a/crates/driver/tests/routing/statements.rs
+++ b/crates/driver/tests/routing/statements.rs
@@ -119,7 +119,7 @@
         harness.send_statement(1, VIEW);
         let (connection, first) = harness.dispatched().expect("is sent");
         let status = ReplicaStatus {
-            position: Some(harness.now - TimeSpan::millis(behind)),
+            position: Some(harness.remote_now() - TimeSpan::millis(behind)),
             is_primary: None,
         };
         let (reply, at, report) = (rows("old"), harness.now, None);
--- a/crates/simhost/src/decode.rs
+++ b/crates/simhost/src/decode.rs
@@ -3,7 +3,7 @@
 use crate::error::RecordError;
 use crate::wire::Fields;
 use asterlatch::interface::*;
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use asterlatch_settings::Decoding;
 
 /// Bits of a statement's record.
@@ -33,12 +33,17 @@
         state,
         listed_as_primary,
         capacity: f64::from(capacity),
-        started_at: (started > 0).then_some(Timestamp(started)),
+        started_at: (started > 0).then_some(RemoteTimestamp(started)),
     })
 }
 
-/// A statement; `workloads` is the number of workloads.
-pub(crate) fn statement(fields: &mut Fields, workloads: usize) -> Result<Statement, RecordError> {
+/// A statement that is received now; `workloads` is the number of workloads. The simulator has one clock for all, so the
+/// position of the session's last write is as old as that write.
+pub(crate) fn statement(
+    fields: &mut Fields,
+    workloads: usize,
+    now: Timestamp,
+) -> Result<Statement, RecordError> {
     let id = fields.u32()?;
     let workload = fields.u8()?;
     let tenant = fields.u32()?;
@@ -66,7 +71,7 @@
         time_left: TimeSpan(time_left.into()),
         expected_work: has_expected_work.then_some(TimeSpan(expected_work.into())),
         prior_attempt: None,
-        session_write_age: (write_age_ms > 0.0).then_some(write_age),
+        session_position: (write_age_ms > 0.0).then_some(RemoteTimestamp((now - write_age).0)),
     })
 }
 
@@ -117,8 +122,9 @@
     // Rounded down to the last whole millisecond: the wire's short floats may have rounded up.
     let milliseconds = |seconds: f64| (seconds * 1000.0 - 0.5).max(0.0) as u64;
     let seconds = value(decoding.position_field).filter(|seconds| *seconds > 0.0);
+    let epoch = RemoteTimestamp(decoding.epoch.0);
     Ok(ReplicaStatus {
-        position: seconds.map(|s| decoding.epoch + TimeSpan::millis(milliseconds(s))),
+        position: seconds.map(|s| epoch + TimeSpan::millis(milliseconds(s))),
         is_primary: value(decoding.role_field).map(|role| role == 1.0),
     })
 }
@@ -127,8 +133,9 @@
 fn noted_status(note: u32, decoding: &Decoding) -> ReplicaStatus {
     let milliseconds = u64::from(note / 4);
     let has_position = milliseconds > 0 && decoding.positions;
+    let epoch = RemoteTimestamp(decoding.epoch.0);
     ReplicaStatus {
-        position: has_position.then(|| decoding.epoch + TimeSpan::millis(milliseconds)),
+        position: has_position.then(|| epoch + TimeSpan::millis(milliseconds)),
         is_primary: match note % 4 {
             1 => Some(true),
             2 => Some(false),
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -133,8 +133,10 @@
         let length = fields.u32()? as usize;
         let text = std::str::from_utf8(fields.take(length)?)?;
         let (settings, decoding) = asterlatch_settings::read(&Pairs::from_text(text)?)?;
+        let mut policy = RoutingPolicy::new(&settings, seed, now);
+        policy.set_shared_clock();
         let instance = Instance {
-            policy: RoutingPolicy::new(&settings, seed, now),
+            policy,
             workloads: settings.workloads.len(),
             decoding,
             timer: None,
@@ -164,7 +166,7 @@
             event::STATEMENT_WITHDRAWN => instance.policy.on_statement_withdrawn(now, fields.u32()?),
             event::ENDPOINT_LIST => instance.on_endpoint_list(&self.lists, fields, now)?,
             event::STATEMENT => {
-                let statement = decode::statement(fields, instance.workloads)?;
+                let statement = decode::statement(fields, instance.workloads, now)?;
                 instance.policy.on_statement(now, &statement)
             }
             event::TIMER => {
--- a/src/driver/capacity.rs
+++ b/src/driver/capacity.rs
@@ -17,7 +17,7 @@
     /// Time before which a warming member gets nothing; zero for a warm one.
     pub(crate) fn blocked_until(&self, place: usize) -> Timestamp {
         let member = &self.members[place];
-        let fraction = member.warm_up_fraction(self.now, &self.settings);
+        let fraction = self.warm_up_fraction(place, self.now);
         if fraction >= 1.0 {
             return Timestamp(0);
         }
@@ -48,11 +48,15 @@
         self.zones.is_silent(zone, &mut dispatched, self.now, longest)
     }
 
-    /// Whether a write of this session is in flight: it may have committed though its answer is late or lost.
+    /// Whether a write of this session is in flight, or has ended at an unknown position: it may have committed though its
+    /// answer is late or lost.
     pub(crate) fn may_be_writing(&self, session: u64) -> bool {
         if self.settings.session_age_carried || session == 0 {
             return false;
         }
+        if self.unplaced_commit_at.is_some() {
+            return true;
+        }
         let is_write = |workload: usize| self.settings.workloads[workload].freshness == Freshness::Write;
         let mut sent = self.in_flight.values().filter(|e| !e.is_connecting);
         sent.any(|e| e.session == session && is_write(e.workload))
--- a/src/driver/endpoint_list.rs
+++ b/src/driver/endpoint_list.rs
@@ -24,12 +24,16 @@
         for entry in entries {
             self.learn_entry(entry);
         }
+        if is_complete {
+            let starts = entries.iter().filter_map(|entry| entry.started_at);
+            self.remote_clock.observe_starts(now, starts);
+        }
         let referenced = self.referenced_members();
         let places = self.members.all_places();
         let (available, unavailable): (Vec<_>, Vec<_>) = places.partition(|m| self.is_available(*m));
         let capacity = |m: &usize| {
             let member = &self.members[*m];
-            member.capacity * member.warm_up_fraction(self.now, &self.settings)
+            member.capacity * self.warm_up_fraction(*m, self.now)
         };
         self.available_capacity = available.iter().map(capacity).sum();
         for place in unavailable {
@@ -53,6 +57,9 @@
         if is_new || entry.started_at > member.started_at {
             // It may be warming up, and is no longer primary whatever it was.
             member.started_at = entry.started_at;
+            if entry.started_at.is_some() {
+                self.listed_at.insert(entry.id, self.now);
+            }
             member.concurrency_limit = self.fleet.initial_limit();
             member.ejected = false;
             member.drained = false;
@@ -96,6 +103,8 @@
             group.members.retain(|m| *m != place);
             self.member_timers.reschedule(place, member.next_check_at, None);
             let id = self.members.remove(place);
+            self.listed_at.remove(&id);
+            self.remote_clock.forget(id);
             self.actions.removed_members.push(id);
         }
     }
--- a/src/driver/learning.rs
+++ b/src/driver/learning.rs
@@ -6,7 +6,7 @@
 use crate::interface::*;
 use crate::policy::definitely_not_executed;
 use crate::state::*;
-use crate::time::{TimeSpan, Timestamp};
+use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 
 impl RoutingPolicy {
     /// The execution no longer counts against its member's limit.
@@ -46,14 +46,19 @@
     }
 
     /// Remembers where a session's write was committed, where statements don't carry its age. A write without a reported
-    /// position, or whose answer was lost, is taken to have committed by now.
+    /// position, or whose answer was lost, is taken to have committed by now; while no remote time is known for that, no
+    /// replica is taken to show any session's writes.
     pub(crate) fn learn_commit(&mut self, execution: &InFlightExecution, end: &ExecutionEnd) {
         let is_write = self.settings.workloads[execution.workload].freshness == Freshness::Write;
         if !is_write || self.settings.session_age_carried || definitely_not_executed(end.outcome) {
             return;
         }
         let session = execution.session;
-        let position = end.status.position.unwrap_or(self.now);
+        let committed_by = end.status.position.or(self.remote_clock.latest(self.now));
+        let Some(position) = committed_by else {
+            self.unplaced_commit_at = Some(self.now);
+            return;
+        };
         self.sessions.record(session, position, MOST_SESSIONS);
         // Its open reads must see the write too, for they may be dispatched after it.
         for statement in self.statements.values_mut() {
@@ -73,15 +78,14 @@
     }
 
     /// Log position that a session read must see.
-    pub(crate) fn required_position(&self, statement: &Statement) -> Timestamp {
+    pub(crate) fn required_position(&self, statement: &Statement) -> RemoteTimestamp {
         if self.settings.workloads[statement.workload].freshness != Freshness::Session {
-            return Timestamp(0);
+            return RemoteTimestamp(0);
         }
         if !self.settings.session_age_carried {
             return self.sessions.required(statement.session);
         }
-        let age = statement.session_write_age;
-        age.map_or(Timestamp(0), |age| self.now - age)
+        statement.session_position.unwrap_or_default()
     }
 
     /// The member is alive. What it left unanswered while it was ejected is lost or stuck, and takes no capacity.
--- a/src/driver/mod.rs
+++ b/src/driver/mod.rs
@@ -11,6 +11,7 @@
 use crate::fleet_share::FleetShare;
 use crate::interface::*;
 use crate::policy::PollFailures;
+use crate::remote_clock::RemoteClock;
 use crate::replica_preference::ReplicaPreference;
 use crate::state::*;
 use crate::time::{TimeSpan, Timestamp};
@@ -34,6 +35,17 @@
     #[serde(skip)]
     pub(crate) preference: ReplicaPreference,
     pub(crate) now: Timestamp,
+    #[serde(skip)]
+    pub(crate) remote_clock: RemoteClock,
+    /// When the current start of a member was first listed, by the member's id.
+    #[serde(skip)]
+    pub(crate) listed_at: BTreeMap<u32, Timestamp>,
+    /// When this process took over what was learned.
+    #[serde(skip)]
+    pub(crate) resumed_at: Timestamp,
+    /// When a session's write last ended at an unknown position, until a remote time is known for that.
+    #[serde(skip)]
+    pub(crate) unplaced_commit_at: Option<Timestamp>,
     pub(crate) rng: SeededRng,
     pub(crate) typical: TypicalLatencies,
     pub(crate) zones: ZoneHealth,
--- a/src/driver/peer_updates.rs
+++ b/src/driver/peer_updates.rs
@@ -3,9 +3,11 @@
 use super::{RoutingPolicy, MOST_SESSIONS};
 use crate::fleet_share::FleetShare;
 use crate::interface::{Actions, MemberState, MemberUpdate, Settings};
+use crate::policy::StatusSource;
+use crate::remote_clock::{RemoteClock, StampedAnswer};
 use crate::replica_preference::ReplicaPreference;
 use crate::state::WarmUpBudget;
-use crate::time::Timestamp;
+use crate::time::{RemoteTimestamp, Timestamp};
 use std::collections::BTreeSet;
 
 impl RoutingPolicy {
@@ -40,7 +42,7 @@
             MemberUpdate::Unresponsive(until) => member.unresponsive_until = until,
             MemberUpdate::AdmissionShare(share) if few_samples => member.admission_share = share,
             MemberUpdate::AdmissionShare(_) => {}
-            MemberUpdate::Status(age, status) => self.learn_status(place, status, age, age),
+            MemberUpdate::Status(age, status) => self.learn_status(place, status, StatusSource::Peer { age }),
             MemberUpdate::Draining(started_at) => self.drain(place, started_at),
         }
         self.changed_groups.insert(self.members[place].group);
@@ -49,7 +51,7 @@
     }
 
     /// The instance of a member that started then drains; a later instance does not.
-    fn drain(&mut self, place: usize, started_at: Option<Timestamp>) {
+    fn drain(&mut self, place: usize, started_at: Option<RemoteTimestamp>) {
         let member = &mut self.members[place];
         if member.started_at <= started_at && member.state == MemberState::Ready {
             member.state = MemberState::Draining;
@@ -74,9 +76,31 @@
             ..learned
         };
         policy.unscheduled_members = policy.members.reset_in_flight(idle_handed_over, now);
+        policy.resumed_at = now;
+        policy.relearn_remote_time();
         policy
     }
 
+    /// The relation of the members' clock to the time line isn't handed over, but when members reported their positions is.
+    fn relearn_remote_time(&mut self) {
+        for (member, state) in self.members.iter() {
+            if let Some(received_at) = state.status_at {
+                self.remote_clock.observe(&StampedAnswer {
+                    member,
+                    stamp: state.position,
+                    received_at,
+                    stamped_after: None,
+                });
+            }
+        }
+    }
+
+    /// The host's time line is the clock that members stamp with, as in a simulator. On sockets it is not: how the two
+    /// relate is learned from answers.
+    pub fn set_shared_clock(&mut self) {
+        self.remote_clock = RemoteClock::shared();
+    }
+
     /// Sets the drivers that are there beside this one, by keys that are the same at all of them, and the size of the
     /// fleet. Returns whether the drivers have changed.
     pub fn set_fleet_drivers(&mut self, own: u64, others: &BTreeSet<u64>, fleet_size: u32) -> bool {
@@ -85,7 +109,7 @@
     }
 
     /// Another driver reports where a session's last write was committed.
-    pub fn on_session_position(&mut self, session: u64, position: Timestamp) {
+    pub fn on_session_position(&mut self, session: u64, position: RemoteTimestamp) {
         self.sessions.record(session, position, MOST_SESSIONS);
     }
 }
--- a/src/driver/views.rs
+++ b/src/driver/views.rs
@@ -9,12 +9,12 @@
     pub fn warming_members(&self, now: Timestamp) -> Vec<WarmingMember> {
         let window_middle = now - self.settings.overload_window * 0.5;
         let warming = self.members.all_places().filter(|place| {
-            let fraction = self.members[*place].warm_up_fraction(now, &self.settings);
+            let fraction = self.warm_up_fraction(*place, now);
             fraction < 1.0
         });
         let view = |place: usize| WarmingMember {
             member: self.members[place].id,
-            warm_up_fraction: self.members[place].warm_up_fraction(window_middle, &self.settings),
+            warm_up_fraction: self.warm_up_fraction(place, window_middle),
             carried_load: self.carried_load(place),
         };
         warming.map(view).collect()
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
 //! Inputs and outputs of the decision rules: what a host reports and what it is asked to do. Nothing here decides.
 
-use crate::time::{TimeSpan, Timestamp};
+use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// Whether a workload's statements may be executed more than once.
@@ -83,7 +83,7 @@
     pub over_quota_share: f64,
     /// Members reject reads that they are too far behind for.
     pub members_check_reads: bool,
-    /// Session reads carry the age of the session's last write; otherwise this driver remembers its writes.
+    /// Session reads carry the position of the session's last write; otherwise this driver remembers its writes.
     pub session_age_carried: bool,
     /// The endpoint list must be polled; otherwise discovery pushes it.
     pub poll_endpoint_list: bool,
@@ -149,8 +149,8 @@
     pub time_left: TimeSpan,
     /// Expected execution time, where clients state it.
     pub expected_work: Option<TimeSpan>,
-    /// Age of the session's last write, where statements carry it.
-    pub session_write_age: Option<TimeSpan>,
+    /// Log position of the session's last write, where statements carry it.
+    pub session_position: Option<RemoteTimestamp>,
     /// An attempt by another driver that may have been executed.
     pub prior_attempt: Option<PriorAttempt>,
 }
@@ -161,7 +161,7 @@
     /// Number of executions that the peer process of this driver has in flight there.
     InFlight(usize),
     /// The instance of the member that started then is draining or gone.
-    Draining(Option<Timestamp>),
+    Draining(Option<RemoteTimestamp>),
     /// The member's own status, received by another driver this long ago.
     Status(TimeSpan, ReplicaStatus),
     /// Work that this driver may send to a warming member until then, given what all others send.
@@ -205,7 +205,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicaStatus {
     /// Log position (LSN), as the time of the newest commit that it contains.
-    pub position: Option<Timestamp>,
+    pub position: Option<RemoteTimestamp>,
     /// Whether the member acts as primary.
     pub is_primary: Option<bool>,
 }
@@ -269,7 +269,7 @@
     /// Capacity relative to other members.
     pub capacity: f64,
     /// Time of its last start, where that is recent.
-    pub started_at: Option<Timestamp>,
+    pub started_at: Option<RemoteTimestamp>,
 }
 
 /// A member that is warming up, as this driver sees it.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,6 +6,7 @@
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`interface`], [`time`] | inputs, outputs and clock types |
+//! | [`remote_clock`] | relates members' timestamps to the driver's own time line, by evidence |
 //! | [`policy`] | every decision: admission, replica selection, retries, health checks, endpoint list |
 //! | `state` | what a driver remembers: statements, members, groups, queues, estimators |
 //! | `concurrency_limit`, `slow_start`, [`zone_health`] | estimates of what members and zones sustain |
@@ -17,6 +18,7 @@
 pub mod fleet_share;
 pub mod interface;
 pub mod policy;
+pub mod remote_clock;
 pub mod replica_preference;
 mod slow_start;
 mod state;
--- a/src/policy/evidence.rs
+++ b/src/policy/evidence.rs
@@ -4,29 +4,69 @@
 use crate::concurrency_limit::{AdmissionSample, MOST_LATENCY_RATIO};
 use crate::interface::ExecutionOutcome::*;
 use crate::interface::*;
+use crate::remote_clock::StampedAnswer;
 use crate::state::*;
-use crate::time::{TimeSpan, Timestamp};
+use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 
-impl RoutingPolicy {
-    /// Takes a member's report of this age into account; one that it gave to this driver itself has none. Of
-    /// roles the evidence at the latest position wins, not the one that arrived last: a primary stands at the
-    /// present, so one that acted as primary at a later position has taken over since.
-    pub(crate) fn learn_status(
-        &mut self,
-        place: usize,
-        status: ReplicaStatus,
+/// Where a member's status comes from.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum StatusSource {
+    /// The member reported it to this driver.
+    Member {
+        /// Time from the dispatch to the report.
         latency: TimeSpan,
+        /// If the member stamped its position while it executed: time of the dispatch, or earlier.
+        stamped_after: Option<Timestamp>,
+    },
+    /// Another driver passes it on, which received it this long ago.
+    Peer {
+        /// Age of the report.
         age: TimeSpan,
-    ) {
+    },
+}
+
+impl StatusSource {
+    /// Time by which the member had reported, at the earliest.
+    fn reported_after(self, now: Timestamp) -> Timestamp {
+        match self {
+            StatusSource::Member { latency, .. } => now - latency,
+            StatusSource::Peer { age } => now - age,
+        }
+    }
+}
+
+impl RoutingPolicy {
+    /// Takes a member's report into account. Of roles the evidence at the latest position wins, not the one that arrived
+    /// last: a primary stands at the present, so one that acted as primary at a later position has taken over since.
+    pub(crate) fn learn_status(&mut self, place: usize, status: ReplicaStatus, source: StatusSource) {
+        let reported_after = source.reported_after(self.now);
+        let reported_at = match source {
+            StatusSource::Member { .. } => self.now,
+            StatusSource::Peer { .. } => reported_after,
+        };
         let member = &mut self.members[place];
-        let group = &mut self.groups[member.group];
         // Its own report is news whatever it says; one from others only where it says more.
-        let is_own = age == TimeSpan(0);
+        let is_own = matches!(source, StatusSource::Member { .. });
         if let Some(position) = status.position.filter(|p| is_own || *p > member.position) {
             member.position = member.position.max(position);
-            member.status_at = Some(self.now - age);
+            member.status_at = Some(reported_at);
         }
-        let at = status.position.unwrap_or(self.now - latency);
+        self.learn_role(place, status, reported_after);
+        self.learn_remote_time(place, status, source);
+    }
+
+    /// A report without a position counts as of the remote time at which it was asked for; where that is unknown, the
+    /// last report counts.
+    fn learn_role(&mut self, place: usize, status: ReplicaStatus, reported_after: Timestamp) {
+        let clock = &self.remote_clock;
+        let asked_at = clock.latest(reported_after).or(clock.earliest(reported_after));
+        let latest_now = clock.latest(self.now);
+        let member = &mut self.members[place];
+        let group = &mut self.groups[member.group];
+        // Nobody has acted as primary in the future, whatever another process believed.
+        group.primary_position =
+            latest_now.map_or(group.primary_position, |now| group.primary_position.min(now));
+        let at = status.position.or(asked_at).unwrap_or(group.primary_position);
         if status.is_primary == Some(true) && at >= group.primary_position {
             member.reported_replica = false;
             group.primary_position = at;
@@ -45,6 +85,39 @@
         }
     }
 
+    /// Relates the members' clock to this driver's time line by what a member has reported to this driver itself.
+    fn learn_remote_time(&mut self, place: usize, status: ReplicaStatus, source: StatusSource) {
+        let (Some(stamp), StatusSource::Member { stamped_after, .. }) = (status.position, source) else {
+            return;
+        };
+        let member = &self.members[place];
+        let is_primary = self.groups[member.group].primary == Some(place) && status.is_primary != Some(false);
+        let answer = StampedAnswer {
+            member: member.id,
+            stamp,
+            received_at: self.now,
+            stamped_after: stamped_after.filter(|_| is_primary),
+        };
+        let was_known = self.remote_clock.latest(self.now).is_some();
+        self.remote_clock.observe(&answer);
+        if let Some(latest) = self.remote_clock.latest(self.now).filter(|_| !was_known) {
+            self.on_remote_time_known(latest);
+        }
+    }
+
+    /// An upper bound of the remote time is known: reads that waited for one may be placed, and commits whose position was
+    /// not reported get one.
+    fn on_remote_time_known(&mut self, latest: RemoteTimestamp) {
+        let unplaced = self.unplaced_commit_at.take();
+        let unplaced = unplaced.and_then(|at| self.remote_clock.latest(at));
+        let oldest = unplaced.unwrap_or_default();
+        self.sessions.clamp_all(oldest, latest);
+        for statement in self.statements.values_mut().filter(|s| s.session > 0) {
+            statement.required_position = statement.required_position.max(oldest);
+        }
+        self.changed_groups.extend(0..self.groups.len());
+    }
+
     /// Adjusts limits, admission shares and estimates by an execution of this driver.
     pub(super) fn learn_from_execution(&mut self, execution: &InFlightExecution, end: &ExecutionEnd) {
         let place = execution.member;
@@ -77,12 +150,18 @@
             return true;
         };
         let required = match self.settings.workloads[execution.workload].freshness {
-            Freshness::Bounded(bound) => execution.dispatched_at - bound,
+            // Before any evidence the answer itself is the first, and nothing shows that it is old.
+            Freshness::Bounded(bound) => {
+                let clock = &self.remote_clock;
+                let at = execution.dispatched_at;
+                let dispatched_at = clock.latest(at).or(clock.earliest(at));
+                dispatched_at.unwrap_or_default() - bound
+            }
             Freshness::Session => {
                 let statement = self.statements.get(&statement);
-                statement.map_or(Timestamp(0), |s| s.required_position)
+                statement.map_or(RemoteTimestamp(0), |s| s.required_position)
             }
-            Freshness::Any | Freshness::Fresh | Freshness::Write => Timestamp(0),
+            Freshness::Any | Freshness::Fresh | Freshness::Write => RemoteTimestamp(0),
         };
         status.position.is_none_or(|position| position >= required)
     }
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -1,12 +1,13 @@
 //! Which members are ejected as outliers, and which are health-checked when.
 
+use super::evidence::StatusSource;
 use super::RoutingPolicy;
 use crate::concurrency_limit::UNANSWERED_LIMIT;
 use crate::interface::*;
 use crate::time::{TimeSpan, Timestamp};
 
 impl RoutingPolicy {
-    /// A health check of a member has ended after `latency`; `status` counts only if it was answered.
+    /// A health check of a member has ended, `latency` before now at the latest was it sent; `status` counts only if it was answered.
     pub fn on_health_check(
         &mut self,
         now: Timestamp,
@@ -21,7 +22,11 @@
             self.unscheduled_members.push(place);
             if is_answered {
                 self.readmit(place);
-                self.learn_status(place, status, latency, TimeSpan(0));
+                let source = StatusSource::Member {
+                    latency,
+                    stamped_after: Some(now - latency),
+                };
+                self.learn_status(place, status, source);
             }
         }
         self.run_rules()
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,8 +13,10 @@
 
 pub use crate::driver::RoutingPolicy;
 use crate::interface::*;
+use crate::state::InFlightExecution;
 use crate::time::{TimeSpan, Timestamp};
 pub(crate) use endpoint_list::PollFailures;
+pub(crate) use evidence::StatusSource;
 pub use retry::definitely_not_executed;
 
 /// A wake-up later than this shows that the driver itself was stalled.
@@ -66,7 +68,7 @@
             if !execution.abandoned {
                 self.learn_from_execution(&execution, end);
             }
-            self.learn_status(execution.member, end.status, end.latency, TimeSpan(0));
+            self.learn_status(execution.member, end.status, self.status_source(&execution, end));
             self.learn_commit(&execution, end);
             if end.is_answered {
                 self.forget(end.statement);
@@ -76,6 +78,17 @@
         self.run_rules()
     }
 
+    /// A deduplicated write may answer with the commit of an earlier execution, so its position is no stamp of this one.
+    fn status_source(&self, execution: &InFlightExecution, end: &ExecutionEnd) -> StatusSource {
+        let workload = &self.settings.workloads[execution.workload];
+        let is_stamped =
+            workload.freshness != Freshness::Write || workload.retry_safety != RetrySafety::Deduplicated;
+        StatusSource::Member {
+            latency: end.latency,
+            stamped_after: is_stamped.then_some(execution.dispatched_at),
+        }
+    }
+
     /// Time has passed; call it at the latest at [`Actions::wake_up_at`].
     pub fn advance_to(&mut self, now: Timestamp) -> Actions {
         self.set_now(now);
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -7,7 +7,7 @@
 use crate::concurrency_limit::UNANSWERED_LIMIT;
 use crate::interface::*;
 use crate::state::*;
-use crate::time::Timestamp;
+use crate::time::{RemoteTimestamp, Timestamp};
 use crate::zone_health::overdue_before;
 
 /// New connections are avoided while establishing one costs this part of the SLO time more than usual.
@@ -73,7 +73,7 @@
         let group = &mut self.groups[statement.group];
         let has_primary = group.primary.is_some();
         let is_like_others =
-            statement.excluded_members.is_empty() && statement.required_position == Timestamp(0);
+            statement.excluded_members.is_empty() && statement.required_position == RemoteTimestamp(0);
         if statement.backoff_until > self.now {
             group.needs_primary |= !has_primary;
             return Placement::Skipped;
@@ -261,17 +261,25 @@
 
     /// Whether the known log position proves a member ready for a read. Where members check reads themselves,
     /// the lag last reported is carried forward: a wrong guess costs one rejected execution, which corrects
-    /// it; waiting for proof would leave out current replicas that have not reported for a while.
+    /// it; waiting for proof would leave out current replicas that have not reported for a while. Before any
+    /// evidence of the members' clock nothing proves a replica fresh, nor does a position from the future.
     pub(super) fn covers(&self, member: usize, statement: &StatementState) -> bool {
         let required = match self.workload(statement).freshness {
             Freshness::Any => return true,
             Freshness::Fresh | Freshness::Write => return false,
-            Freshness::Bounded(bound) => self.now - bound,
+            Freshness::Bounded(bound) => match self.remote_clock.latest(self.now) {
+                Some(latest) => latest - bound,
+                None => return self.members_check(statement),
+            },
             Freshness::Session if self.may_be_writing(statement.session) => return false,
             Freshness::Session => statement.required_position,
         };
         let member = &self.members[member];
-        let lag_covers = |at: Timestamp| self.now - (at - member.position) >= required;
+        let latest = self.remote_clock.latest(self.now);
+        if latest.is_some_and(|latest| member.position > latest) {
+            return self.members_check(statement);
+        }
+        let lag_covers = |at: Timestamp| member.position + (self.now - at) >= required;
         member.position >= required
             || (self.members_check(statement) && member.status_at.is_none_or(lag_covers))
     }
--- a/src/state/group.rs
+++ b/src/state/group.rs
@@ -2,7 +2,7 @@
 
 use super::{MemberTable, QueuePriority};
 use crate::replica_preference::{Replica, ReplicaPreference};
-use crate::time::Timestamp;
+use crate::time::{RemoteTimestamp, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
     /// Place of the primary, while one is known.
     pub(crate) primary: Option<usize>,
     /// Newest log position at which a member acted as primary.
-    pub(crate) primary_position: Timestamp,
+    pub(crate) primary_position: RemoteTimestamp,
     /// Index into `members` of the replica chosen last.
     pub(crate) round_robin_index: usize,
     /// Indices into `members` of the replicas, in this driver's order of preference.
--- a/src/state/member_table.rs
+++ b/src/state/member_table.rs
@@ -1,7 +1,7 @@
 //! Members of all groups and what is known of each.
 
 use crate::interface::MemberState;
-use crate::time::{TimeSpan, Timestamp};
+use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
@@ -91,9 +91,9 @@
     /// Reported as unresponsive by other drivers until then.
     unresponsive_until: Timestamp = Timestamp(0);
     /// Time of its last start, where known.
-    started_at: Option<Timestamp> = None;
+    started_at: Option<RemoteTimestamp> = None;
     /// Known log position.
-    position: Timestamp = Timestamp(0);
+    position: RemoteTimestamp = RemoteTimestamp(0);
     /// Time at which that was reported.
     status_at: Option<Timestamp> = None;
     /// It last reported that it is a replica.
--- a/src/state/statement.rs
+++ b/src/state/statement.rs
@@ -1,6 +1,6 @@
 //! An open statement.
 
-use crate::time::{TimeSpan, Timestamp};
+use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 
 /// Place of a waiting statement in its group's queues: the least is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,7 +32,7 @@
     /// Key of its session; zero if it has none.
     pub(crate) session: u64,
     /// Log position that a session read must see.
-    pub(crate) required_position: Timestamp,
+    pub(crate) required_position: RemoteTimestamp,
     /// Expected execution time, where clients state it.
     pub(crate) expected_work: Option<TimeSpan>,
     /// Value of its answer.
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,11 +1,12 @@
-//! Clock types of the decision rules: points in time and differences between them, kept apart by type.
+//! Clock types of the decision rules: points in time by two clocks and differences between them, kept apart by type.
 //!
-//! Both count microseconds. All arithmetic saturates, so a clock that steps back yields zero instead of a panic.
+//! All count microseconds. All arithmetic saturates, so a clock that steps back yields zero instead of a panic.
+//! [`RemoteClock`](crate::remote_clock::RemoteClock) relates the two clocks.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Mul, Sub};
 
-/// A point in time in microseconds of the host's clock.
+/// A point in time in microseconds of the host's monotonic clock, whose origin means nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Timestamp(pub u64);
 
@@ -13,6 +14,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TimeSpan(pub u64);
 
+/// A point in time in microseconds of Unix time, by the clock that members and discovery share: a log position, a start of
+/// a member. The host's own wall clock may differ from it by any amount.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct RemoteTimestamp(pub u64);
+
+impl RemoteTimestamp {
+    /// Unix time in whole milliseconds; saturates at the latest timestamp.
+    pub const fn from_millis(milliseconds: u64) -> RemoteTimestamp {
+        RemoteTimestamp(milliseconds.saturating_mul(1000))
+    }
+
+    /// Unix time in milliseconds, rounded down.
+    pub const fn as_millis(self) -> u64 {
+        self.0 / 1000
+    }
+}
+
 impl TimeSpan {
     /// A span of whole milliseconds; saturates at the longest span.
     pub const fn millis(milliseconds: u64) -> TimeSpan {
@@ -47,6 +65,28 @@
     }
 }
 
+impl Add<TimeSpan> for RemoteTimestamp {
+    type Output = RemoteTimestamp;
+    fn add(self, span: TimeSpan) -> RemoteTimestamp {
+        RemoteTimestamp(self.0.saturating_add(span.0))
+    }
+}
+
+impl Sub<TimeSpan> for RemoteTimestamp {
+    type Output = RemoteTimestamp;
+    fn sub(self, span: TimeSpan) -> RemoteTimestamp {
+        RemoteTimestamp(self.0.saturating_sub(span.0))
+    }
+}
+
+/// The time since an earlier point; zero if `earlier` is in fact the later one.
+impl Sub for RemoteTimestamp {
+    type Output = TimeSpan;
+    fn sub(self, earlier: RemoteTimestamp) -> TimeSpan {
+        TimeSpan(self.0.saturating_sub(earlier.0))
+    }
+}
+
 impl Add for TimeSpan {
     type Output = TimeSpan;
     fn add(self, other: TimeSpan) -> TimeSpan {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use asterlatch::interface::*;
 use asterlatch::policy::RoutingPolicy;
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
 
 pub(crate) const READ: usize = 0;
 pub(crate) const BOUNDED: usize = 1;
@@ -19,6 +19,11 @@
     Timestamp(1_000_000_000) + ms(n)
 }
 
+/// The members' clock, which the driver shares unless a test says otherwise.
+pub(crate) fn remote(n: u64) -> RemoteTimestamp {
+    RemoteTimestamp(at(n).0)
+}
+
 pub(crate) fn settings() -> Settings {
     let row = |freshness, repeat| WorkloadSettings {
         importance: 1.0,
@@ -85,7 +90,7 @@
     standing(id, MemberState::Draining)
 }
 
-pub(crate) fn started(id: u32, when: Timestamp) -> MemberEntry {
+pub(crate) fn started(id: u32, when: RemoteTimestamp) -> MemberEntry {
     let (started, plain) = (Some(when), member(id));
     MemberEntry {
         started_at: started,
@@ -131,6 +136,7 @@
 
 pub(crate) fn bench(settings: &Settings, members: u32) -> Bench {
     let mut driver = RoutingPolicy::new(settings, 5, at(0));
+    driver.set_shared_clock();
     let entries: Vec<_> = (1..=members).map(member).collect();
     driver.on_endpoint_list(at(0), &entries, true);
     Bench {
@@ -238,7 +244,7 @@
 
 pub(crate) fn seen(position: u64, primary: bool) -> ReplicaStatus {
     ReplicaStatus {
-        position: Some(at(position)),
+        position: Some(remote(position)),
         is_primary: Some(primary),
     }
 }
--- a/tests/member_updates.rs
+++ b/tests/member_updates.rs
@@ -14,7 +14,7 @@
     primary: Option<bool>,
 ) -> Actions {
     let sighting = ReplicaStatus {
-        position: position.map(at),
+        position: position.map(remote),
         is_primary: primary,
     };
     b.driver
@@ -94,11 +94,11 @@
     b.see(9_000, 1, 9_000, true);
     b.see(9_000, 2, 8_990, false);
     assert_eq!(b.goes(9_001, SESSION), [2], "nothing written is known");
-    b.driver.on_session_position(9, at(8_995));
+    b.driver.on_session_position(9, remote(8_995));
     assert_eq!(b.goes(9_002, SESSION), [1], "the replica isn't that far");
     b.see(9_010, 2, 9_000, false);
     assert_eq!(b.goes(9_011, SESSION), [2]);
-    b.driver.on_session_position(9, at(8_000));
+    b.driver.on_session_position(9, remote(8_000));
     assert_eq!(b.goes(9_012, SESSION), [2], "an older word undoes nothing");
 }
 
@@ -155,7 +155,7 @@
     let settings = with(|s| s.gone_is_advice = false);
     let cold = |allowed: Option<(u64, u64)>| {
         let mut b = bench(&settings, 1);
-        b.told(0, started(1, at(0)));
+        b.told(0, started(1, remote(0)));
         if let Some((work, until)) = allowed {
             let (work, until) = (ms(work), at(until));
             b.driver
@@ -175,7 +175,7 @@
     assert_eq!(cold(Some((450, 2))), alone, "it isn't known any more");
     // When it isn't, what went out before is still its debt.
     let mut b = bench(&settings, 1);
-    b.told(0, started(1, at(0)));
+    b.told(0, started(1, remote(0)));
     let (work, until) = (ms(450), at(50));
     b.driver
         .on_member_update(at(1), 1, MemberUpdate::WarmUpBudget { work, until });
--- a/tests/peer_process.rs
+++ b/tests/peer_process.rs
@@ -56,7 +56,7 @@
 fn sent_cold(yields: bool) -> (usize, usize, usize) {
     let settings = settings();
     let mut alone = bench(&settings, 1);
-    let told = |b: &mut Bench| b.told(1, started(1, at(0)));
+    let told = |b: &mut Bench| b.told(1, started(1, remote(0)));
     told(&mut alone);
     let (mut old, mut new) = (bench(&settings, 1), bench(&settings, 1));
     [&mut old, &mut new].into_iter().for_each(|b| drop(told(b)));
@@ -104,9 +104,9 @@
 fn warming_member_after_peer_start_is_charged_as_if_just_used() {
     let settings = settings();
     let mut b = bench(&settings, 1);
-    b.told(1, started(1, at(0)));
+    b.told(1, started(1, remote(0)));
     let mut quiet = bench(&settings, 1);
-    quiet.told(1, started(1, at(0)));
+    quiet.told(1, started(1, remote(0)));
     // Long after, a debt is paid off; one that is new again isn't.
     b.driver.set_peer_process(at(5000), false);
     assert!(b.goes(5001, WRITE).is_empty());
@@ -118,11 +118,11 @@
     // (started here, started there; whether it binds)
     let table = [
         (None, None, true),
-        (None, Some(at(10)), true),
-        (Some(at(10)), Some(at(10)), true),
+        (None, Some(remote(10)), true),
+        (Some(remote(10)), Some(remote(10)), true),
         // It has started anew since.
-        (Some(at(10)), None, false),
-        (Some(at(10)), Some(at(9)), false),
+        (Some(remote(10)), None, false),
+        (Some(remote(10)), Some(remote(9)), false),
     ];
     for (here, there, binds) in table {
         let s = with(|s| s.cold_start_fraction = 1.0);
--- a/tests/replica_preference.rs
+++ b/tests/replica_preference.rs
@@ -220,6 +220,7 @@
             s.members_check_reads = false;
         });
         let mut driver = RoutingPolicy::new(&settings, seed, at(0));
+        driver.set_shared_clock();
         driver.on_endpoint_list(at(0), &[1, 2, 3, 4].map(member), true);
         let see = |driver: &mut RoutingPolicy, now: u64, m: u32, position: u64| {
             driver.on_health_check(at(now), m, true, ms(1), seen(position, m == 1));
--- a/tests/replica_selection.rs
+++ b/tests/replica_selection.rs
@@ -136,6 +136,7 @@
     for (drivers, checks, probes) in table {
         let change = |s: &mut Settings| (s.driver_count, s.members_check_reads) = (drivers, checks);
         let mut driver = asterlatch::policy::RoutingPolicy::new(&with(change), 1, at(0));
+        driver.set_shared_clock();
         let r = driver.on_endpoint_list(at(0), &[member(1), member(2), member(3)], true);
         assert_eq!(r.health_checks.len(), probes, "{drivers} {checks}");
         let r = driver.on_statement(at(1), &statement(1, BOUNDED, 2000));
@@ -369,7 +370,7 @@
 
 #[test]
 fn gone_or_restarted_primary_is_cleared() {
-    for mut entry in [drained(1), started(1, at(5))] {
+    for mut entry in [drained(1), started(1, remote(5))] {
         let mut b = bench(&settings(), 2);
         b.see(1, 1, 1, true);
         entry.listed_as_primary = false;
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -3,7 +3,7 @@
 mod common;
 use asterlatch::interface::*;
 use asterlatch::policy::RoutingPolicy;
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use common::{ms, settings, with};
 use std::collections::BTreeMap;
 
@@ -34,7 +34,13 @@
     ExecutionOutcome::ConnectionLost,
 ];
 
-fn entry(id: u32, standing: MemberState, started: Option<Timestamp>) -> MemberEntry {
+/// A driver whose time line is the members' clock, as this world has one clock only.
+fn with_shared_clock(mut driver: RoutingPolicy) -> RoutingPolicy {
+    driver.set_shared_clock();
+    driver
+}
+
+fn entry(id: u32, standing: MemberState, started: Option<RemoteTimestamp>) -> MemberEntry {
     MemberEntry {
         id,
         fleet_key: u64::from(id),
@@ -51,7 +57,7 @@
     fn new(settings: &Settings, seed: u64) -> World {
         let now = Timestamp(1_000_000_000);
         let mut world = World {
-            drivers: vec![RoutingPolicy::new(settings, seed, now)],
+            drivers: vec![with_shared_clock(RoutingPolicy::new(settings, seed, now))],
             chance: fastrand::Rng::with_seed(seed),
             now,
             next: 0,
@@ -68,6 +74,10 @@
         world
     }
 
+    fn remote_now(&self) -> RemoteTimestamp {
+        RemoteTimestamp(self.now.0)
+    }
+
     fn all(&mut self, input: impl Fn(&mut RoutingPolicy, Timestamp) -> Actions) {
         self.inputs += 1;
         let now = self.now;
@@ -98,7 +108,7 @@
         let settled = ending == ExecutionOutcome::Completed && self.open.remove(&stmt).is_some();
         let lag = ms(self.chance.u64(0..400));
         let sighting = ReplicaStatus {
-            position: self.chance.bool().then_some(self.now - lag),
+            position: self.chance.bool().then_some(self.remote_now() - lag),
             is_primary: Some(member < 3),
         };
         let sighting = if ending == ExecutionOutcome::Completed {
@@ -132,7 +142,10 @@
                     session: self.chance.u64(1..50),
                     is_client_retry: self.chance.u8(0..10) == 0,
                     time_left: ms(self.chance.u64(50..2000)),
-                    session_write_age: self.chance.bool().then(|| ms(self.chance.u64(0..500))),
+                    session_position: self
+                        .chance
+                        .bool()
+                        .then(|| self.remote_now() - ms(self.chance.u64(0..500))),
                     ..Statement::default()
                 };
                 self.open.insert(self.next, 0);
@@ -148,7 +161,7 @@
             75..85 if !self.probes.is_empty() => {
                 let member = self.probes.swap_remove(0);
                 let ok = self.chance.u8(0..5) > 0;
-                let position = Some(self.now - ms(self.chance.u64(0..200)));
+                let position = Some(self.remote_now() - ms(self.chance.u64(0..200)));
                 let sighting = ReplicaStatus {
                     position,
                     is_primary: Some(member < 3),
@@ -164,7 +177,7 @@
             87 => {
                 // One at a time drains and comes back cold.
                 let told = match self.draining.take() {
-                    Some(id) => entry(id, MemberState::Ready, Some(self.now)),
+                    Some(id) => entry(id, MemberState::Ready, Some(self.remote_now())),
                     None => {
                         let id = self.chance.u32(3..MEMBERS);
                         self.draining = Some(id);
@@ -214,9 +227,9 @@
             bytes,
             "nothing is lost on the way"
         );
-        world
-            .drivers
-            .push(RoutingPolicy::resume(learned, &settings, true, world.now));
+        world.drivers.push(with_shared_clock(RoutingPolicy::resume(
+            learned, &settings, true, world.now,
+        )));
         // The first look of the one that goes on must change nothing either: both are told the time.
         world.all(RoutingPolicy::advance_to);
         let from = world.inputs;
@@ -236,7 +249,7 @@
     let bytes = postcard::to_stdvec(&world.drivers[0]).expect("can be written");
     let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("can be read");
     let later = world.now + ms(60_000);
-    let mut next = RoutingPolicy::resume(learned, &settings, false, later);
+    let mut next = with_shared_clock(RoutingPolicy::resume(learned, &settings, false, later));
     let results = next.advance_to(later);
     assert!(results.answers.is_empty() && results.executions.is_empty() && results.cancellations.is_empty());
     // What ends for the other is none of its business.
@@ -304,7 +317,7 @@
     let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("can be read");
     assert_eq!(postcard::to_stdvec(&learned).expect("can be written"), bytes);
     let now = Timestamp(1_010_000_000);
-    let mut next = RoutingPolicy::resume(learned, &fleet_with_quotas(), false, now);
+    let mut next = with_shared_clock(RoutingPolicy::resume(learned, &fleet_with_quotas(), false, now));
     let mut taken = |id, workload, group| {
         let statement = Statement {
             id,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -221,10 +221,11 @@
             let s = with(|s| s.driver_count = drivers);
             let mut b = bench(&s, 3);
             b.driver = asterlatch::policy::RoutingPolicy::new(&s, u64::from(seed), at(0));
+            b.driver.set_shared_clock();
             b.driver.on_endpoint_list(at(0), &[member(1), member(2)], true);
             for now in (0..6000).step_by(gap) {
                 if now == 4000 {
-                    b.told(now, started(3, at(now) - ms(age)));
+                    b.told(now, started(3, remote(now) - ms(age)));
                 }
                 let went = b.run_by(now, READ, |_| Completed);
                 sent += went.iter().filter(|m| **m == 3).count();
@@ -243,7 +244,7 @@
         let mut sent = 0;
         for now in (0..5000).step_by(10) {
             if now == 3000 {
-                b.told(now, started(2, at(now) - ms(3000)));
+                b.told(now, started(2, remote(now) - ms(3000)));
             }
             let (id, r) = b.take(now, READ);
             for e in r.executions {
@@ -279,10 +280,10 @@
         if let Some((position, when)) = told {
             b.see(when, 2, position, false);
         }
-        let (written_ago, plain) = (ago.map(ms), statement(1, workload, 1000));
+        let written_at = ago.map(|ago| remote(now) - ms(ago));
         let stmt = Statement {
-            session_write_age: written_ago,
-            ..plain
+            session_position: written_at,
+            ..statement(1, workload, 1000)
         };
         let r = b.driver.on_statement(at(now), &stmt);
         assert_eq!(sent_to(&r), [expected], "row {n}");
@@ -306,7 +307,7 @@
         b.see(1, 1, 1, true);
         let (id, _) = b.take(50, WRITE);
         let mut sighting = seen(0, true);
-        sighting.position = commit.map(at);
+        sighting.position = commit.map(remote);
         b.end_seen(150, id, 0, 1, Completed, sighting);
         b.see(160, 2, told, false);
         assert_eq!(b.goes(161, SESSION), [expected], "{commit:?} {told}");
@@ -395,13 +396,13 @@
         b.see(990, 1, 990, true);
         b.see(990, 2, 990, false);
         let stmt = Statement {
-            session_write_age: wrote.map(|w| ms(1000 - w)),
+            session_position: wrote.map(remote),
             ..statement(7, workload, 2000)
         };
         let r = b.driver.on_statement(at(1000), &stmt);
         assert_eq!(r.executions.len(), 1);
         let seen = ReplicaStatus {
-            position: shows.map(at),
+            position: shows.map(remote),
             is_primary: Some(true),
         };
         assert_eq!(
@@ -440,7 +441,7 @@
         let (id, _) = b.take(50, WRITE);
         b.end_seen(150, id, 0, 1, Completed, seen(100, true));
         let read = Statement {
-            session_write_age: carried.then_some(ms(61)),
+            session_position: carried.then_some(remote(100)),
             ..statement(77, SESSION, 2000)
         };
         let r = b.driver.on_statement(at(161), &read);
@@ -453,7 +454,7 @@
     let many: Vec<_> = (1..=400).map(member).collect();
     let mut second = member(2);
     second.listed_as_primary = true;
-    let back = [started(1, at(2)), started(1, at(1))];
+    let back = [started(1, remote(2)), started(1, remote(1))];
     // (the lists told one after another, whole or not; where a write then goes)
     type List<'a> = (&'a [MemberEntry], bool);
     let table: [(&[List], &[u32]); 7] = [
