--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -131,13 +131,13 @@
     }
 }
 
-/// Assesses all stored records when the wall clock shows `now`.
+/// Assesses all stored records. What the wall clock shows `now` is only reported: no assessment depends on it.
 pub fn classify(records: impl IntoIterator<Item = StoredRecord>, now: Timestamp) -> Classified {
     let mut rows: BTreeMap<RowKey, RowTotals> = BTreeMap::new();
     let mut classified = Classified::default();
     let report = &mut classified.report;
     for StoredRecord { record, written_at } in records {
-        let assessment = assess(&record, written_at, now);
+        let assessment = assess(&record);
         let key = RowKey {
             kind: record.kind(),
             usability: assessment.usability,
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -1,9 +1,10 @@
 //! How far a stored record is trusted.
 //!
-//! An ordered list of rules decides; the first one that applies wins. Each rule errs on the safe side,
-//! because nobody can tell how long the machine was down.
+//! An ordered list of rules decides; the first one that applies wins. Nobody can tell how long the machine was down: its
+//! wall clock may have been set meanwhile, in either direction. So no rule asks how old a record is, and each is safe for
+//! any age: what binds counts as received just now, what only helps as received long ago.
 
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::TimeSpan;
 use asterlatch_gossip::record::{ListedState, Record, RecordKind};
 
 /// What a stored record may be used for.
@@ -31,31 +32,15 @@
     }
 }
 
-/// The wall clock now, compared with the time at which a record was written.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WallClock {
-    /// It advanced by this, as far as it can be believed.
-    Advanced(TimeSpan),
-    /// It shows an earlier time, as after a battery failure: how much time passed is unknown.
-    WentBack,
-}
-
-impl WallClock {
-    fn compare(written_at: Timestamp, now: Timestamp) -> WallClock {
-        if written_at <= now {
-            WallClock::Advanced(now - written_at)
-        } else {
-            WallClock::WentBack
-        }
-    }
-}
+/// Age that a record counts as which only helps, as a share of the time for which its kind is kept.
+const HINT_AGE_SHARE: f64 = 0.5;
 
 /// What the rules decide on a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assessment {
     /// What the record may be used for.
     pub usability: Usability,
-    /// How old it counts as; nothing where it isn't used.
+    /// How old it counts as, whatever clocks show; nothing where it isn't used.
     pub age: Option<TimeSpan>,
     /// The rule that decided, as operators read it.
     pub reason: &'static str,
@@ -64,7 +49,6 @@
 /// A record that the rules look at.
 struct Candidate<'a> {
     record: &'a Record,
-    clock: WallClock,
 }
 
 impl Candidate<'_> {
@@ -72,12 +56,6 @@
         self.record.kind() == kind
     }
 
-    /// Whether it is known to be older than records of its kind are stored for.
-    fn is_expired(&self) -> bool {
-        let lifetime = self.record.kind().time_to_live();
-        matches!(self.clock, WallClock::Advanced(age) if age >= lifetime)
-    }
-
     fn is_listed_ready(&self) -> bool {
         let Record::Drain { state, .. } = self.record else {
             return false;
@@ -94,7 +72,7 @@
 }
 
 /// In this order; the last one applies to whatever is left.
-const RULES: [Rule; 10] = [
+const RULES: [Rule; 8] = [
     Rule {
         reason: "leases, late executions and shares ended with the incarnation that sent them",
         applies: |candidate| !candidate.record.kind().is_persistent(),
@@ -105,11 +83,6 @@
         applies: |candidate| candidate.has_kind(RecordKind::Driver),
         usability: Usability::Never,
     },
-    Rule {
-        reason: "older than records of its kind are stored for",
-        applies: |candidate| candidate.is_expired(),
-        usability: Usability::Never,
-    },
     Rule {
         reason: "a member listed as ready binds nothing, the endpoint list says it anew",
         applies: |candidate| candidate.is_listed_ready(),
@@ -130,11 +103,6 @@
         applies: |candidate| candidate.has_kind(RecordKind::WarmUp),
         usability: Usability::Immediate,
     },
-    Rule {
-        reason: "a member's position an unknown time ago proves nothing",
-        applies: |candidate| candidate.has_kind(RecordKind::Member) && candidate.clock == WallClock::WentBack,
-        usability: Usability::Never,
-    },
     Rule {
         reason: "a position is a bound, and a role is nobody's until the member has reported: it may have lost its last log",
         applies: |candidate| candidate.has_kind(RecordKind::Member),
@@ -149,18 +117,17 @@
     usability: Usability::Never,
 };
 
-/// What a record that was written at `written_at` by the wall clock may be used for when that clock shows
-/// `now`.
-pub fn assess(record: &Record, written_at: Timestamp, now: Timestamp) -> Assessment {
-    let clock = WallClock::compare(written_at, now);
-    let candidate = Candidate { record, clock };
+/// What a stored record may be used for.
+pub fn assess(record: &Record) -> Assessment {
+    let candidate = Candidate { record };
     let rule = RULES.iter().find(|rule| (rule.applies)(&candidate));
     let rule = rule.unwrap_or(&UNKNOWN_KIND);
-    let age = match clock {
-        _ if rule.usability == Usability::Never => None,
-        WallClock::Advanced(age) => Some(age),
+    let age = match rule.usability {
+        Usability::Never => None,
         // As if it were received just now, so that it binds for as long as it can.
-        WallClock::WentBack => Some(TimeSpan(0)),
+        Usability::Immediate | Usability::LowerBound => Some(TimeSpan(0)),
+        // Old, so that it proves nobody alive, and gone before long.
+        Usability::AfterMemberReport => Some(record.kind().time_to_live() * HINT_AGE_SHARE),
     };
     Assessment {
         usability: rule.usability,
