--- a/src/driver/peer_updates.rs
+++ b/src/driver/peer_updates.rs
@@ -77,10 +77,22 @@
         };
         policy.unscheduled_members = policy.members.reset_in_flight(idle_handed_over, now);
         policy.resumed_at = now;
+        policy.forget_future_roles();
         policy.relearn_remote_time();
         policy
     }
 
+    /// A role that was reported without a position counted by the other process's idea of the members' time. No member has
+    /// acted as primary at a position that none of its group has reported.
+    fn forget_future_roles(&mut self) {
+        for place in 0..self.groups.len() {
+            let group = &mut self.groups[place];
+            let positions = group.members.iter().map(|member| self.members[*member].position);
+            let newest = positions.max().unwrap_or_default();
+            group.primary_position = group.primary_position.min(newest);
+        }
+    }
+
     /// The relation of the members' clock to the time line isn't handed over, but when members reported their positions is.
     fn relearn_remote_time(&mut self) {
         for (member, state) in self.members.iter() {
