--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -372,6 +372,27 @@
     }
 }
 
+/// A member's status goes from driver to driver with its age; what the clocks of the two show is of no account.
+#[test]
+fn drivers_with_different_clocks_agree() {
+    for here in OFFSETS {
+        for there in OFFSETS {
+            let mut teller = Driver::listed(&unchecked(), there);
+            teller.check(1000, 3, 990, false);
+            // By the other's monotonic clock.
+            let age = teller.at(1040) - teller.at(1000);
+            let mut driver = Driver::listed(&unchecked(), here);
+            driver.check(1030, 1, 1030, true);
+            let now = driver.at(1040);
+            let update = MemberUpdate::Status(age, status(990, false));
+            driver.policy.on_member_update(now, 3, update);
+            assert_eq!(driver.ask(1041, BOUNDED), [3], "{here} {there}");
+            assert_eq!(driver.ask(1280, BOUNDED), [3], "{here} {there}");
+            assert_eq!(driver.ask(1295, BOUNDED), [1], "{here} {there}: too old by now");
+        }
+    }
+}
+
 fn handed_over(driver: &Driver, n: u64, settings: &Settings) -> Driver {
     let bytes = postcard::to_stdvec(&driver.policy).expect("can be written");
     let learned = postcard::from_bytes(&bytes).expect("can be read");
