--- a/src/policy/evidence.rs
+++ b/src/policy/evidence.rs
@@ -8,6 +8,10 @@
 use crate::state::*;
 use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 
+/// Sessions' positions that are further ahead of the members' clock come from a process that counted by a wrong clock.
+/// Generous, as none may be lowered by an error of the estimate.
+const FUTURE_TOLERANCE: TimeSpan = TimeSpan::millis(10_000);
+
 /// Where a member's status comes from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum StatusSource {
@@ -60,12 +64,8 @@
     fn learn_role(&mut self, place: usize, status: ReplicaStatus, reported_after: Timestamp) {
         let clock = &self.remote_clock;
         let asked_at = clock.latest(reported_after).or(clock.earliest(reported_after));
-        let latest_now = clock.latest(self.now);
         let member = &mut self.members[place];
         let group = &mut self.groups[member.group];
-        // Nobody has acted as primary in the future, whatever another process believed.
-        group.primary_position =
-            latest_now.map_or(group.primary_position, |now| group.primary_position.min(now));
         let at = status.position.or(asked_at).unwrap_or(group.primary_position);
         if status.is_primary == Some(true) && at >= group.primary_position {
             member.reported_replica = false;
@@ -111,7 +111,7 @@
         let unplaced = self.unplaced_commit_at.take();
         let unplaced = unplaced.and_then(|at| self.remote_clock.latest(at));
         let oldest = unplaced.unwrap_or_default();
-        self.sessions.clamp_all(oldest, latest);
+        self.sessions.clamp_all(oldest, latest + FUTURE_TOLERANCE);
         for statement in self.statements.values_mut().filter(|s| s.session > 0) {
             statement.required_position = statement.required_position.max(oldest);
         }
@@ -144,22 +144,24 @@
     }
 
     /// Whether an answer may be passed on: not one that shows older data than the read allowed at its
-    /// dispatch. A primary that stalled and was deposed meanwhile answers with what it had.
+    /// dispatch. A primary that stalled and was deposed meanwhile answers with what it had. A token from the future is no
+    /// commit, so the present is enough for it.
     pub fn accepts_answer(&self, statement: u32, attempt: u8, status: ReplicaStatus) -> bool {
         let Some(execution) = self.in_flight.get(statement, attempt) else {
             return true;
         };
+        let clock = &self.remote_clock;
+        let dispatched_at = execution.dispatched_at;
+        let (earliest, latest) = (clock.earliest(dispatched_at), clock.latest(dispatched_at));
         let required = match self.settings.workloads[execution.workload].freshness {
             // Before any evidence the answer itself is the first, and nothing shows that it is old.
-            Freshness::Bounded(bound) => {
-                let clock = &self.remote_clock;
-                let at = execution.dispatched_at;
-                let dispatched_at = clock.latest(at).or(clock.earliest(at));
-                dispatched_at.unwrap_or_default() - bound
-            }
+            Freshness::Bounded(bound) => latest.or(earliest).unwrap_or_default() - bound,
             Freshness::Session => {
                 let statement = self.statements.get(&statement);
-                statement.map_or(RemoteTimestamp(0), |s| s.required_position)
+                let required = statement.map_or(RemoteTimestamp(0), |s| s.required_position);
+                let is_token = self.settings.session_age_carried;
+                let is_future = is_token && latest.is_some_and(|latest| required > latest);
+                earliest.filter(|_| is_future).unwrap_or(required)
             }
             Freshness::Any | Freshness::Fresh | Freshness::Write => RemoteTimestamp(0),
         };
--- a/src/remote_clock.rs
+++ b/src/remote_clock.rs
@@ -43,7 +43,7 @@
 /// Largest difference between the rates of two clocks: the most by which Linux slews a clock.
 pub const MAX_DRIFT: f64 = 0.0005;
 /// Time for which a bound stands against worse ones of the same member, at least; twice this at most.
-pub const WINDOW: TimeSpan = TimeSpan::millis(30_000);
+pub const WINDOW: TimeSpan = TimeSpan::millis(10_000);
 
 /// Granularity of remote timestamps, which are rounded down.
 const GRANULARITY: TimeSpan = TimeSpan::millis(1);
