--- a/src/remote_clock.rs
+++ b/src/remote_clock.rs
@@ -2,7 +2,7 @@
 //!
 //! # Two time lines
 //!
-//! A [`Timestamp`](crate::time::Timestamp) is a point on this driver's monotonic time line, whose origin is arbitrary. A
+//! A [`Timestamp`] is a point on this driver's monotonic time line, whose origin is arbitrary. A
 //! [`RemoteTimestamp`] is Unix time by the clock that members and discovery share: log positions, sessions' tokens and
 //! starts of members. Remote timestamps compare with one another without any clock. Only the age of one needs the relation
 //! of the two time lines, and this module estimates it. This driver's own wall clock takes no part.
