--- a/src/driver/peer_updates.rs
+++ b/src/driver/peer_updates.rs
@@ -7,9 +7,12 @@
 use crate::remote_clock::{RemoteClock, StampedAnswer};
 use crate::replica_preference::ReplicaPreference;
 use crate::state::WarmUpBudget;
-use crate::time::{RemoteTimestamp, Timestamp};
+use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use std::collections::BTreeSet;
 
+/// How far a role may count ahead of the positions that its group has reported: one reported without a position may.
+const ROLE_TOLERANCE: TimeSpan = TimeSpan::millis(1000);
+
 impl RoutingPolicy {
     /// A peer process with the same learned state serves beside this one, or is gone. With `yields` the warming members
     /// are the peer's. What either has dispatched by now isn't known here, so it counts as dispatched just now.
@@ -83,13 +86,13 @@
     }
 
     /// A role that was reported without a position counted by the other process's idea of the members' time. No member has
-    /// acted as primary at a position that none of its group has reported.
+    /// acted as primary at a position far ahead of all that its group has reported.
     fn forget_future_roles(&mut self) {
         for place in 0..self.groups.len() {
             let group = &mut self.groups[place];
             let positions = group.members.iter().map(|member| self.members[*member].position);
             let newest = positions.max().unwrap_or_default();
-            group.primary_position = group.primary_position.min(newest);
+            group.primary_position = group.primary_position.min(newest + ROLE_TOLERANCE);
         }
     }
 
