--- a/src/driver/capacity.rs
+++ b/src/driver/capacity.rs
@@ -19,10 +19,13 @@
     /// Time before which a member gets no call of this much work; zero for a warm one.
     pub(crate) fn blocked_until(&self, place: usize, work: TimeSpan) -> Timestamp {
         let member = &self.members[place];
-        if member.warm_up_fraction(self.now, &self.settings) >= 1.0 {
+        let started_at = self
+            .latest_start(place)
+            .filter(|_| self.warm_up_fraction(place, self.now) < 1.0);
+        let Some(started_at) = started_at else {
             return Timestamp(0);
-        }
-        let plan = self.warm_up_plan(place);
+        };
+        let plan = self.warm_up_plan(place, started_at);
         member.blocked_until(self.now, work, &plan, &self.settings)
     }
 
@@ -32,12 +35,13 @@
         times.filter(|at| *at > self.now).min()
     }
 
-    fn warm_up_plan(&self, place: usize) -> WarmUpPlan {
+    fn warm_up_plan(&self, place: usize, started_at: Timestamp) -> WarmUpPlan {
         let member = &self.members[place];
         let carried = self.carried_load(place);
         let is_proven = !self.has_few_samples() && member.latency_ratio < GOOD_LATENCY_RATIO;
         let window = self.settings.overload_window;
         WarmUpPlan {
+            started_at,
             window,
             allowed_load: carried * self.settings.overload_multiple * self.fleet.planned_part(),
             expected_load: carried * self.fleet.warm_up_load(is_proven),
@@ -67,11 +71,15 @@
         self.zones.is_silent(zone, &mut dispatched, self.now, longest)
     }
 
-    /// Whether a write of this session is in flight: it may have committed though its answer is late or lost.
+    /// Whether a write of this session is in flight, or has ended at an unknown position: it may have committed though its
+    /// answer is late or lost.
     pub(crate) fn may_be_writing(&self, session: u64) -> bool {
         if self.settings.session_age_carried || session == 0 {
             return false;
         }
+        if self.unplaced_commit_at.is_some() {
+            return true;
+        }
         let is_write = |workload: usize| self.settings.workloads[workload].freshness == Freshness::Write;
         let mut sent = self.in_flight.values().filter(|e| !e.is_connecting);
         sent.any(|e| e.session == session && is_write(e.workload))
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -7,6 +7,7 @@
 //! used is lost; saved budgets of many drivers would add up to a burst behind a quiet time.
 
 use crate::interface::Settings;
+use crate::policy::RoutingPolicy;
 use crate::state::{Member, WarmUpBudget};
 use crate::time::{TimeSpan, Timestamp, MAX_WRITE_DELAY};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -17,6 +18,8 @@
 /// What one driver plans to send to a member that is warming up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmUpPlan {
+    /// Time of the member's start, the latest that it may be.
+    pub(crate) started_at: Timestamp,
     /// Time within which calls count together.
     pub(crate) window: TimeSpan,
     /// Part of the load that the settings allow, times the load that a warm member carries for this driver, in cores.
@@ -44,6 +47,13 @@
         (hash + 1) as f64 / (1u64 << 53) as f64
     }
 
+    /// When the warm-up fraction reaches this value.
+    fn warmed_up_to(&self, fraction: f64, settings: &Settings) -> Timestamp {
+        let cold = settings.cold_start_fraction;
+        let part = ((fraction - cold) / (1.0 - cold)).clamp(0.0, 1.0);
+        self.started_at + settings.warm_up_time * part
+    }
+
     /// Calls of this much work that may be sent within the window, where the member's warm-up fraction is `fraction` and was
     /// `former_fraction` at the window's start.
     fn calls(&self, work: TimeSpan, fraction: f64, former_fraction: f64) -> f64 {
@@ -58,24 +68,33 @@
     }
 }
 
-impl Member {
-    /// Capacity at a time relative to full capacity, from the fraction of a cold start to 1.
-    pub(crate) fn warm_up_fraction(&self, at: Timestamp, settings: &Settings) -> f64 {
-        let Some(started_at) = self.started_at else {
-            return 1.0;
-        };
-        let cold = settings.cold_start_fraction;
-        let age = (at - started_at).ratio(settings.warm_up_time);
-        (cold + (1.0 - cold) * age).min(1.0)
+/// Capacity of a member at a time relative to its full capacity, from the fraction of a cold start to 1.
+fn fraction_at(at: Timestamp, started_at: Timestamp, settings: &Settings) -> f64 {
+    let cold = settings.cold_start_fraction;
+    let age = (at - started_at).ratio(settings.warm_up_time);
+    (cold + (1.0 - cold) * age).min(1.0)
+}
+
+impl RoutingPolicy {
+    /// Capacity of a member at a time relative to its full capacity.
+    pub(crate) fn warm_up_fraction(&self, place: usize, at: Timestamp) -> f64 {
+        let started_at = self.latest_start(place);
+        started_at.map_or(1.0, |started_at| fraction_at(at, started_at, &self.settings))
     }
 
-    /// When the warm-up fraction reaches this value.
-    fn warmed_up_to(&self, fraction: f64, settings: &Settings) -> Timestamp {
-        let cold = settings.cold_start_fraction;
-        let part = ((fraction - cold) / (1.0 - cold)).clamp(0.0, 1.0);
-        self.started_at.unwrap_or_default() + settings.warm_up_time * part
+    /// Time of a member's start, the latest that it may be; `None` if that was long ago. Before any evidence of the members'
+    /// clock it is when the start was first listed.
+    pub(crate) fn latest_start(&self, place: usize) -> Option<Timestamp> {
+        let member = &self.members[place];
+        let started_at = member.started_at?;
+        let listed_at = *self.listed_at.get(&member.id).unwrap_or(&self.resumed_at);
+        let remote_now = self.remote_clock.earliest(self.now);
+        let least_age = remote_now.map_or(TimeSpan(0), |now| now - started_at);
+        Some(listed_at.min(self.now - least_age))
     }
+}
 
+impl Member {
     /// Time before which a warming member gets no call of this much work. Where it is known what all others send, that
     /// budget binds instead of this driver's plan.
     pub(crate) fn blocked_until(
@@ -100,15 +119,15 @@
         settings: &Settings,
     ) -> Timestamp {
         let work = work.max(TimeSpan(1));
-        let fraction = self.warm_up_fraction(now, settings);
+        let fraction = fraction_at(now, plan.started_at, settings);
         let spread = WarmUpPlan::spread(plan.window);
-        let former_fraction = self.warm_up_fraction(now - spread, settings);
+        let former_fraction = fraction_at(now - spread, plan.started_at, settings);
         let calls = plan.calls(work, fraction, former_fraction);
         if calls < 1.0 {
             let by_rule = plan.fraction_for_one(work, plan.allowed_load);
             let by_expectation = plan.fraction_for_one(work, plan.expected_load);
-            let allowed_at = self.warmed_up_to(by_rule, settings) + spread;
-            return allowed_at.max(self.warmed_up_to(by_expectation, settings));
+            let allowed_at = plan.warmed_up_to(by_rule, settings) + spread;
+            return allowed_at.max(plan.warmed_up_to(by_expectation, settings));
         }
         let interval = spread * (self.warm_up_debt.ratio(work) / calls);
         // Rounded up: as many calls as planned, and no more, fit into a window.
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -7,7 +7,7 @@
 /// A driver that has served for ten seconds, and a primary that starts then.
 fn with_started_primary() -> Bench {
     let mut b = bench(&with(|s| s.overload_multiple = 100.0), 1);
-    b.told(10_000, started(1, at(10_000)));
+    b.told(10_000, started(1, remote(10_000)));
     b
 }
 
@@ -70,7 +70,7 @@
 fn blocked_until_first_window_of_a_process_has_passed() {
     // An earlier process of this driver may have spent the budget of that window.
     let mut b = bench(&with(|s| s.overload_multiple = 100.0), 1);
-    b.told(1, started(1, at(0)));
+    b.told(1, started(1, remote(0)));
     let first = first_call(&mut b, 2);
     assert!((2_000..3_000).contains(&first.sent_ms), "{}", first.sent_ms);
 }
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -6,7 +6,7 @@
 mod common;
 use asterlatch::interface::*;
 use asterlatch::policy::RoutingPolicy;
-use asterlatch::time::{TimeSpan, Timestamp};
+use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use common::{at, member, ms, started, statement, with, READ};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -127,6 +127,7 @@
 
     fn new_policy(&mut self, now: Timestamp) -> RoutingPolicy {
         let mut policy = RoutingPolicy::new(&self.settings, self.random.u64(..), now);
+        policy.set_shared_clock();
         let entries: Vec<_> = self.list.values().copied().collect();
         policy.on_endpoint_list(now, &entries, true);
         policy
@@ -214,7 +215,7 @@
                     self.announce(now, common::drained(id));
                 }
             }
-            Event::ColdStart => self.announce(now, started(COLD, now)),
+            Event::ColdStart => self.announce(now, started(COLD, RemoteTimestamp(now.0))),
             Event::Restart { driver } => {
                 let policy = self.new_policy(now);
                 let incarnation = self.drivers[driver].incarnation + 1;
