--- a/crates/driver/src/routing/discovery_requests.rs
+++ b/crates/driver/src/routing/discovery_requests.rs
@@ -2,6 +2,7 @@
 
 use super::limits::Limits;
 use crate::transport::connection::ConnectionHandle;
+use crate::transport::socket_errors;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::convert::Infallible;
 use std::io;
@@ -110,7 +111,14 @@
             wait_ms: self.limits.watch_timeout.0 / 1000,
             after: self.known_version,
         };
-        self.line = (self.dial)(request).ok();
+        match (self.dial)(request) {
+            Ok(line) => self.line = Some(line),
+            Err(error) if socket_errors::is_local_failure(&error) => {
+                // Discovery knows nothing of it, so it needs no relief: a drain must not be learned late for it.
+                self.backoff = self.limits.initial_backoff;
+            }
+            Err(_) => {}
+        }
         self.line.is_some()
     }
 
--- a/crates/driver/tests/routing/discovery.rs
+++ b/crates/driver/tests/routing/discovery.rs
@@ -1,9 +1,12 @@
 //! Requests to discovery, and the endpoint lists that it answers.
 
-use super::harness::{entry, group, list, with_client, Harness, SETTINGS, VIEW};
+use super::harness::{entry, group, list, with_client, Harness, SETTINGS, START, VIEW};
+use asterlatch::time::TimeSpan;
 use asterlatch_driver::protocol::discovery_watch::{DiscoveryEvent, DiscoveryMessage};
 use asterlatch_driver::protocol::endpoint_list::EndpointStatus;
+use asterlatch_driver::routing::discovery_requests::DiscoveryRequests;
 use asterlatch_driver::routing::events::Event;
+use asterlatch_driver::routing::limits::Limits;
 use asterlatch_driver::routing::runtime_config::RuntimeConfig;
 use std::sync::mpsc::TryRecvError;
 
@@ -174,3 +177,26 @@
         );
     }
 }
+
+/// What this host lacks to connect is no reason to spare discovery.
+#[test]
+fn failure_of_this_host_does_not_lengthen_the_backoff() {
+    let limits = Limits::default();
+    let longest_after = |code| {
+        let dial = Box::new(move |_| Err(std::io::Error::from_raw_os_error(code)));
+        let address = "10.0.1.1:80".parse().expect("is an address");
+        let mut requests = DiscoveryRequests::new(dial, address, false, limits, START);
+        let mut now = START;
+        let mut longest = TimeSpan(0);
+        for _ in 0..10 {
+            assert!(requests.take_due(now) && !requests.request(now) && !requests.on_failed(now));
+            let next = requests.next_at().expect("is tried again");
+            longest = longest.max(next - now);
+            now = next;
+        }
+        longest
+    };
+    assert_eq!(longest_after(libc::EMFILE), limits.initial_backoff);
+    assert_eq!(longest_after(libc::EADDRNOTAVAIL), limits.initial_backoff);
+    assert_eq!(longest_after(libc::ECONNREFUSED), limits.max_backoff);
+}
