--- a/crates/driver/src/transport/connection/coroutine.rs
+++ b/crates/driver/src/transport/connection/coroutine.rs
@@ -45,6 +45,8 @@
     read_at: Timestamp,
     out: ConnectionOutput<H::Event>,
     has_unreported_writes: bool,
+    /// The peer has closed its side, and all before that was read.
+    is_input_ended: bool,
     /// Bytes dropped since our side was closed.
     lingering: Option<usize>,
     /// For the bytes of `input` and `out`.
@@ -106,17 +108,18 @@
     }
 
     fn read(&mut self) -> Flow {
-        if !self.wants_input() {
-            return if self.handler.is_server() {
-                self.check_hang_up()
-            } else {
-                Flow::Wait
-            };
+        if self.is_input_ended || !self.wants_input() {
+            return self.watch_unread_peer();
         }
         match self.read_into_input() {
             Ok(0) => {
                 self.handler.on_peer_closed(&self.input, &mut self.out);
-                Flow::Close
+                self.is_input_ended = self.handler.on_input_ended(true, &mut self.out);
+                if self.is_input_ended {
+                    Flow::Wait
+                } else {
+                    Flow::Close
+                }
             }
             Ok(_) => {
                 self.read_at = self.clock.now();
@@ -149,20 +152,30 @@
         })
     }
 
-    /// Ends the connection if the peer has closed or reset it, whatever is unread before that.
-    fn check_hang_up(&self) -> Flow {
-        let mut fds = [PollFd::new(self.io.inner(), PollFlags::RDHUP)];
-        let at_once = Timespec::default();
-        if poll(&mut fds, Some(&at_once)).is_err() {
+    /// Detects that a client leaves while it is not read, whatever is unread before that.
+    fn watch_unread_peer(&mut self) -> Flow {
+        if !self.handler.is_server() {
+            return Flow::Wait;
+        }
+        let Ok(events) = self.poll_peer() else {
             // The kernel has no memory for the answer.
             return Flow::Pause;
+        };
+        if events.intersects(PollFlags::HUP | PollFlags::ERR) {
+            return Flow::Close;
         }
-        let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        if fds[0].revents().intersects(ends) {
-            Flow::Close
-        } else {
-            Flow::Wait
+        let closes_its_side = events.contains(PollFlags::RDHUP) && !self.is_input_ended;
+        if closes_its_side && !self.handler.on_input_ended(false, &mut self.out) {
+            return Flow::Close;
         }
+        Flow::Wait
+    }
+
+    fn poll_peer(&self) -> rustix::io::Result<PollFlags> {
+        let mut fds = [PollFd::new(self.io.inner(), PollFlags::RDHUP)];
+        let at_once = Timespec::default();
+        poll(&mut fds, Some(&at_once))?;
+        Ok(fds[0].revents())
     }
 
     /// Closes our side. What was written before is the peer's to read.
@@ -442,6 +455,7 @@
         read_at: clock.now(),
         out,
         has_unreported_writes: false,
+        is_input_ended: false,
         lingering: None,
         reservation: budget.empty_reservation(),
     };
