--- a/crates/driver/src/transport/connection/coroutine.rs
+++ b/crates/driver/src/transport/connection/coroutine.rs
@@ -157,7 +157,7 @@
         if !self.handler.is_server() {
             return Flow::Wait;
         }
-        let Ok(events) = self.poll_peer() else {
+        let Some(events) = self.poll_peer() else {
             // The kernel has no memory for the answer.
             return Flow::Pause;
         };
@@ -171,11 +171,12 @@
         Flow::Wait
     }
 
-    fn poll_peer(&self) -> rustix::io::Result<PollFlags> {
+    /// Ends of the connection that the kernel knows of; `None` if it could not be asked.
+    fn poll_peer(&self) -> Option<PollFlags> {
         let mut fds = [PollFd::new(self.io.inner(), PollFlags::RDHUP)];
         let at_once = Timespec::default();
-        poll(&mut fds, Some(&at_once))?;
-        Ok(fds[0].revents())
+        poll(&mut fds, Some(&at_once)).ok()?;
+        Some(fds[0].revents())
     }
 
     /// Closes our side. What was written before is the peer's to read.
