--- /dev/null
+++ b/crates/config/tests/failing_disk.rs
@@ -0,0 +1,119 @@
+//! Generations on a disk that fails for a while, at each of its calls, and a kill or a power failure at each.
+
+use asterlatch_config::keeper::{Keeper, FIRST_PAUSE, LONGEST_PAUSE};
+use asterlatch_config::shelf;
+use asterlatch_config::store::{KeepError, Store};
+use asterlatch_storage::memory::{Call, End, MemoryFileSystem, CALLS};
+use std::path::{Path, PathBuf};
+
+const FOLDER: &str = "/state";
+const MOST: usize = 2;
+
+fn path(number: u64) -> PathBuf {
+    Path::new(FOLDER).join(shelf::name(number))
+}
+
+fn store(disk: &MemoryFileSystem) -> Store<MemoryFileSystem> {
+    Store::on(disk.clone(), Path::new(FOLDER))
+}
+
+/// A disk that holds generations 0 and 1.
+fn disk() -> MemoryFileSystem {
+    let disk = MemoryFileSystem::default();
+    for text in ["oldest\n", "old\n"] {
+        store(&disk).keep(0, text, MOST, |_| ()).expect("stores");
+    }
+    disk
+}
+
+fn whole(disk: &MemoryFileSystem) -> Vec<(u64, String)> {
+    let all = store(disk).all().expect("is read");
+    let whole = all
+        .into_iter()
+        .filter_map(|one| Some((one.number, one.canonical.ok()?)));
+    whole.collect()
+}
+
+#[test]
+fn failed_folder_sync_leaves_the_generation_in_force_and_owed() {
+    let disk = disk();
+    let mut keeper = Keeper::new(store(&disk));
+    disk.fail(Call::SyncFolder, libc::EIO);
+    let error = keeper
+        .keep(2, "new\n".to_owned(), MOST)
+        .expect_err("isn't durable");
+    assert!(
+        matches!(error, KeepError::NotDurable { number: 2, .. }),
+        "{error}"
+    );
+    assert_eq!(whole(&disk)[0], (2, "new\n".to_owned()), "the next start uses it");
+    assert_eq!(whole(&disk).len(), 3, "nothing older goes before it is durable");
+    disk.mend();
+    assert_eq!(
+        keeper.retry().expect("is owed").expect("stores"),
+        2,
+        "no second number"
+    );
+    assert_eq!(keeper.pause(), None);
+    let expected = [(2, "new\n".to_owned()), (1, "old\n".to_owned())];
+    assert_eq!(whole(&disk), expected);
+    // A removal isn't synced: what comes back is older, and goes with the next.
+    disk.restart(End::PowerFailure);
+    assert_eq!(whole(&disk)[..MOST], expected);
+}
+
+#[test]
+fn generation_is_stored_again_once_the_disk_works() {
+    for call in CALLS {
+        for errno in [libc::ENOSPC, libc::EIO] {
+            let disk = disk();
+            let mut keeper = Keeper::new(store(&disk));
+            disk.fail(call, errno);
+            let first = keeper.keep(2, "new\n".to_owned(), MOST);
+            let mut pauses: Vec<_> = keeper.pause().into_iter().collect();
+            for _ in 0..9 {
+                let Some(_) = keeper.retry() else { break };
+                pauses.extend(keeper.pause());
+            }
+            assert!(pauses.is_sorted() && pauses.iter().all(|p| (FIRST_PAUSE..=LONGEST_PAUSE).contains(p)));
+            // Whatever was told, a start on what is there finds whole generations alone.
+            disk.mend();
+            let before = whole(&disk);
+            match &first {
+                Err(KeepError::NotStored(_)) => assert_eq!(before[0].1, "old\n", "{call:?}"),
+                _ => assert_eq!(before[0], (2, "new\n".to_owned()), "{call:?}"),
+            }
+            if let Some(again) = keeper.retry() {
+                assert_eq!(again.expect("stores"), 2, "{call:?}");
+            }
+            disk.restart(End::PowerFailure);
+            assert_eq!(whole(&disk)[0], (2, "new\n".to_owned()), "{call:?} {errno}");
+        }
+    }
+}
+
+#[test]
+fn kill_or_power_failure_at_any_call_leaves_a_whole_generation() {
+    for end in [End::Kill, End::PowerFailure] {
+        for at in 1.. {
+            let disk = disk();
+            disk.kill_at(at);
+            let result = store(&disk).keep(2, "new\n", MOST, |_| ());
+            let was_killed = disk.calls() >= at;
+            disk.restart(end);
+            let newest = whole(&disk)[0].clone();
+            if result.is_ok() {
+                assert_eq!(newest, (2, "new\n".to_owned()), "{end:?} at {at}");
+            }
+            assert!(["new\n", "old\n"].contains(&newest.1.as_str()), "{end:?} at {at}");
+            // The next start stores as ever, and cleans up.
+            store(&disk).keep(0, "next\n", MOST, |_| ()).expect("stores");
+            assert_eq!(whole(&disk)[0].1, "next\n", "{end:?} at {at}");
+            assert_eq!(whole(&disk).len(), MOST, "{end:?} at {at}");
+            if !was_killed {
+                assert!(at > 8, "only {at} calls were tried");
+                break;
+            }
+        }
+    }
+}
--- a/crates/driver/src/program/commands/generations.rs
+++ b/crates/driver/src/program/commands/generations.rs
@@ -4,7 +4,7 @@
 use crate::program::operators::registry;
 use asterlatch_config::meaning::{changes, Meaning};
 use asterlatch_config::shelf;
-use asterlatch_config::store::{Store, Stored};
+use asterlatch_config::store::{KeepError, Store, Stored};
 use std::io;
 use std::path::Path;
 use thiserror::Error;
@@ -19,6 +19,8 @@
 pub(super) enum GenerationsError {
     #[error(transparent)]
     Folder(#[from] io::Error),
+    #[error(transparent)]
+    Keep(#[from] KeepError),
     #[error("it holds {available} changes to go back by, not {steps}")]
     TooFewChanges { available: usize, steps: usize },
     #[error("generation {number} is damaged")]
@@ -42,12 +44,19 @@
 
 /// One line a generation, the newest first.
 pub(super) fn history(folder: &Path) -> Result<String, GenerationsError> {
-    let generations = open_existing(folder)?.all()?;
-    let lines = generations.iter().enumerate().map(|(index, generation)| {
-        let older = &generations[index + 1..];
-        history_line(generation, older)
+    let contents = open_existing(folder)?.contents()?;
+    let stored = &contents.stored;
+    let known = stored.iter().enumerate().map(|(index, generation)| {
+        let line = history_line(generation, &stored[index + 1..]);
+        (generation.number, line)
+    });
+    let unread = contents.unread.iter().map(|one| {
+        let line = format!("{} can't be read now: {}\n", one.number, one.error);
+        (one.number, line)
     });
-    Ok(lines.collect())
+    let mut lines: Vec<_> = known.chain(unread).collect();
+    lines.sort_by_key(|(number, _)| std::cmp::Reverse(*number));
+    Ok(lines.into_iter().map(|(_, line)| line).collect())
 }
 
 fn history_line(generation: &Stored, older: &[Stored]) -> String {
@@ -82,7 +91,8 @@
     texts.join("; ")
 }
 
-/// Stores the generation again as the newest one that lies so many changes back.
+/// Stores the generation again as the newest one that lies so many changes back. While any of them can't be read nothing
+/// is stored: it isn't known how many changes there are.
 pub(super) fn rollback(folder: &Path, steps: usize) -> Result<String, GenerationsError> {
     let store = open_existing(folder)?;
     let generations = store.all()?;
@@ -95,8 +105,26 @@
     let (settings, _) = Meaning::from_canonical(registry(), canonical)
         .map_err(|cause| GenerationsError::Unreadable { number, cause })?;
     let retained = settings.amount(registry(), "activation", "kept");
-    let stored = store.keep(0, canonical, retained.max(MIN_RETAINED) as usize, |_| ())?;
-    Ok(format!("generation {number} is stored again as {stored}\n"))
+    let kept = store.keep(0, canonical, retained.max(MIN_RETAINED) as usize, |_| ());
+    describe_rollback(number, kept)
+}
+
+/// Says which generation is in force for the next start, also where something behind its rename has failed.
+fn describe_rollback(from: u64, kept: Result<u64, KeepError>) -> Result<String, GenerationsError> {
+    let (stored, doubt) = match kept {
+        Ok(number) => (number, None),
+        Err(KeepError::NotStored(source)) => return Err(KeepError::NotStored(source).into()),
+        Err(KeepError::NotDurable { number, source }) => {
+            let text =
+                format!("it may be lost in a power failure, store it again once the disk works: {source}");
+            (number, Some(text))
+        }
+        Err(KeepError::OldNotLetGo { number, source }) => {
+            (number, Some(format!("older ones could not be removed: {source}")))
+        }
+    };
+    let doubt = doubt.map(|text| format!("{text}\n")).unwrap_or_default();
+    Ok(format!("generation {from} is stored again as {stored}\n{doubt}"))
 }
 
 fn rollback_target(generations: &[Stored], steps: usize) -> Result<u64, GenerationsError> {
--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -17,6 +17,7 @@
 use asterlatch_config::meaning::{changes, hash, Meaning};
 use asterlatch_config::probation::{Sample, Terms};
 use asterlatch_config::registry::{Machine, Registry, WANTS};
+use asterlatch_config::store::KeepError;
 use asterlatch_handover::predecessor;
 pub use in_force::{HandoverTimeouts, InForce};
 pub use start::{start, Given, Start, StartLine};
@@ -24,7 +25,7 @@
 use std::path::PathBuf;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::OnceLock;
-use worker::{Done, Job, Worker};
+use worker::{Done, Job, StoreReport, Worker};
 
 /// Log topic of decisions on the file. Diagnostics have a topic of their own, so that a long list of them can't use up the
 /// lines of the one that matters.
@@ -240,15 +241,9 @@
                 outcome,
                 text,
             } => (ticket, outcome, text),
-            Done::Stored { number, error } => {
-                if let Some(error) = error {
-                    log!(
-                        event_loop.observer,
-                        now,
-                        DECISIONS,
-                        "generation {number} is not stored: {error}"
-                    );
-                }
+            Done::Stored(report) => {
+                let line = describe_store(&report);
+                log!(event_loop.observer, now, DECISIONS, "{line}");
                 return;
             }
         };
@@ -347,6 +342,25 @@
     phases.durations = force.times;
 }
 
+fn describe_store(report: &StoreReport) -> String {
+    match report {
+        StoreReport::Recovered { number } => {
+            format!("generation {number} is stored now, and survives a power failure")
+        }
+        StoreReport::Failed { number, error } => match error {
+            KeepError::NotStored(source) => {
+                format!("generation {number} is not stored, and tried again: {source}")
+            }
+            KeepError::NotDurable { number, source } => format!(
+                "generation {number} is stored for the next start, but may be lost in a power failure, and is stored again: {source}"
+            ),
+            KeepError::OldNotLetGo { number, source } => {
+                format!("generation {number} is stored, older ones could not be removed: {source}")
+            }
+        },
+    }
+}
+
 fn describe(told: &Told) -> String {
     match told {
         Told::Same => "read again, it means the same".to_owned(),
--- a/crates/driver/src/program/operators/worker.rs
+++ b/crates/driver/src/program/operators/worker.rs
@@ -1,15 +1,17 @@
 //! Reads the operators' file and stores generations on a thread of its own: a large file or a slow disk must not delay
-//! statements.
+//! statements. While the disk fails, the generation kept last is stored again, later each time.
 
 use super::{read, registry, OperatorsError};
 use crate::routing::events::{ControlEvent, Event};
 use asterlatch_config::generations::Read;
+use asterlatch_config::keeper::Keeper;
 use asterlatch_config::meaning::{hash, Meaning};
 use asterlatch_config::registry::Machine;
 use asterlatch_config::report;
-use asterlatch_config::store::Store;
+use asterlatch_config::store::{KeepError, Store};
+use asterlatch_storage::OsFileSystem;
 use std::path::PathBuf;
-use std::sync::mpsc::{channel, Sender};
+use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 
 /// Work for the thread.
 pub(super) enum Job {
@@ -42,15 +44,35 @@
         /// Diagnostics, a line each.
         text: String,
     },
-    /// A generation was stored, or not.
-    Stored {
+    /// An attempt to store a generation has ended in a way that operators want to know of.
+    Stored(StoreReport),
+}
+
+/// What operators are told of storing generations.
+pub(super) enum StoreReport {
+    /// The first attempt failed.
+    Failed {
+        /// Number of the generation.
+        number: u64,
+        /// How far it came, and why no further.
+        error: KeepError,
+    },
+    /// A later attempt succeeded.
+    Recovered {
         /// Number of the generation.
         number: u64,
-        /// Why it isn't stored.
-        error: Option<String>,
     },
 }
 
+type GenerationKeeper = Keeper<OsFileSystem>;
+
+/// Whether the thread goes on.
+#[derive(Clone, Copy, PartialEq)]
+enum Flow {
+    Continue,
+    End,
+}
+
 /// The thread's own state.
 pub(super) struct Worker {
     pub(super) file: String,
@@ -63,34 +85,48 @@
     /// Starts the thread; it ends with the returned sender or with the event loop.
     pub(super) fn start(self) -> Result<Sender<Job>, OperatorsError> {
         let (sender, jobs) = channel();
-        let run = move || {
-            for job in jobs {
-                let done = self.carry_out(job);
-                if self.results.send(done).is_err() || self.wake().is_err() {
-                    return;
-                }
-            }
-        };
+        let mut keeper = self
+            .state
+            .as_deref()
+            .map(|folder| Keeper::new(Store::on(OsFileSystem, folder)));
+        let run = move || while self.step(&jobs, keeper.as_mut()) == Flow::Continue {};
         let thread = std::thread::Builder::new().name("operators".to_owned());
         thread.spawn(run).map_err(OperatorsError::Thread)?;
         Ok(sender)
     }
 
-    fn wake(&self) -> Result<(), std::sync::mpsc::SendError<Event>> {
-        self.queue.send(Event::Control(ControlEvent::WakeUp))
-    }
-
-    fn carry_out(&self, job: Job) -> Done {
-        match job {
-            Job::Read { ticket, machine } => self.read(ticket, machine),
-            Job::Store {
+    /// The next job, or another attempt to store what is owed.
+    fn step(&self, jobs: &Receiver<Job>, mut keeper: Option<&mut GenerationKeeper>) -> Flow {
+        let pause = keeper.as_ref().and_then(|keeper| keeper.pause());
+        let received = match pause {
+            Some(pause) => jobs.recv_timeout(pause),
+            None => jobs.recv().map_err(RecvTimeoutError::from),
+        };
+        let done = match received {
+            Ok(Job::Read { ticket, machine }) => Some(self.read(ticket, machine)),
+            Ok(Job::Store {
                 number,
                 canonical,
                 most,
-            } => self.store(number, &canonical, most),
+            }) => keeper
+                .as_mut()
+                .and_then(|keeper| store(keeper, number, canonical, most)),
+            Err(RecvTimeoutError::Timeout) => keeper.as_mut().and_then(|keeper| store_again(keeper)),
+            Err(RecvTimeoutError::Disconnected) => return Flow::End,
+        };
+        let Some(done) = done else {
+            return Flow::Continue;
+        };
+        match self.results.send(done).is_ok() && self.wake().is_ok() {
+            true => Flow::Continue,
+            false => Flow::End,
         }
     }
 
+    fn wake(&self) -> Result<(), std::sync::mpsc::SendError<Event>> {
+        self.queue.send(Event::Control(ControlEvent::WakeUp))
+    }
+
     fn read(&self, ticket: u64, machine: Machine) -> Done {
         let outcome = read(&self.file, machine);
         let reports = outcome.reports.iter();
@@ -109,11 +145,20 @@
             text,
         }
     }
+}
 
-    fn store(&self, number: u64, canonical: &str, most: usize) -> Done {
-        let store = self.state.as_deref().map(Store::open);
-        let stored = store.map(|s| s.and_then(|s| s.keep(number, canonical, most, |_| ())));
-        let error = stored.and_then(Result::err).map(|e| e.to_string());
-        Done::Stored { number, error }
-    }
+/// Stores a generation; `None` if there is nothing to be told.
+fn store(keeper: &mut GenerationKeeper, number: u64, canonical: String, most: usize) -> Option<Done> {
+    let error = keeper.keep(number, canonical, most).err()?;
+    Some(Done::Stored(StoreReport::Failed { number, error }))
+}
+
+/// Stores what is owed; `None` if it is owed still.
+fn store_again(keeper: &mut GenerationKeeper) -> Option<Done> {
+    let result = keeper.retry()?;
+    let number = match result {
+        Ok(number) | Err(KeepError::OldNotLetGo { number, .. }) => number,
+        Err(_) => return None,
+    };
+    Some(Done::Stored(StoreReport::Recovered { number }))
 }
