--- a/crates/config/src/store.rs
+++ b/crates/config/src/store.rs
@@ -149,10 +149,7 @@
                 Ok(stored) => contents.stored.push(stored),
                 // Removed between the two calls, by another process that let it go.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-                Err(_) => contents.stored.push(Stored {
-                    number,
-                    canonical: Err(Damage::CutShort),
-                }),
+                Err(error) => contents.unread.push(Unread { number, error }),
             }
         }
         Ok(contents)
--- a/crates/config/tests/failing_disk.rs
+++ b/crates/config/tests/failing_disk.rs
@@ -34,6 +34,31 @@
     whole.collect()
 }
 
+#[test]
+fn unreadable_generation_is_neither_damaged_nor_removed() {
+    for errno in [libc::EIO, libc::EMFILE] {
+        let disk = disk();
+        // Were it damaged, a newer whole one would let it go.
+        disk.fail_on(Call::Read, &path(1), errno);
+        let contents = store(&disk).contents().expect("the folder is read");
+        assert_eq!(contents.stored.len(), 1);
+        assert_eq!(contents.unread[0].number, 1);
+        assert_eq!(contents.newest_number(), 1, "its number is given away");
+        assert!(store(&disk).all().is_err(), "it isn't passed over unsaid");
+        assert_eq!(store(&disk).keep(0, "new\n", MOST, |_| ()).expect("stores"), 2);
+        disk.mend();
+        let expected = [
+            (2, "new\n".to_owned()),
+            (1, "old\n".to_owned()),
+            (0, "oldest\n".to_owned()),
+        ];
+        assert_eq!(whole(&disk), expected);
+        // Read again, it counts again.
+        store(&disk).keep(0, "next\n", MOST, |_| ()).expect("stores");
+        assert_eq!(whole(&disk), [(3, "next\n".to_owned()), (2, "new\n".to_owned())]);
+    }
+}
+
 #[test]
 fn failed_folder_sync_leaves_the_generation_in_force_and_owed() {
     let disk = disk();
--- a/crates/driver/src/program/operators/start.rs
+++ b/crates/driver/src/program/operators/start.rs
@@ -4,8 +4,11 @@
 use asterlatch_config::load::Outcome;
 use asterlatch_config::meaning::Meaning;
 use asterlatch_config::registry::Machine;
-use asterlatch_config::store::{Store, Stored};
+use asterlatch_config::store::{Contents, Store, Stored};
+use std::io;
 use std::path::{Path, PathBuf};
+use std::thread;
+use std::time::Duration;
 
 /// Where the operators' file and its former generations are.
 #[derive(Clone, Debug, Default)]
@@ -42,10 +45,10 @@
 pub fn start(given: &Given, machine: Machine) -> Result<Start, OperatorsError> {
     let stored = match &given.state {
         Some(folder) => stored_generations(folder)?,
-        None => Vec::new(),
+        None => Contents::default(),
     };
-    let lines = damage_lines(&stored);
-    let newest = stored.first().map_or(0, |generation| generation.number);
+    let lines = unusable_lines(&stored);
+    let newest = stored.newest_number();
     let Some(path) = &given.file else {
         return Ok(Start {
             number: newest,
@@ -55,7 +58,7 @@
     };
     let outcome = read(path, machine);
     if outcome.meaning.is_none() {
-        return start_on_stored(given, &stored, &outcome, lines);
+        return start_on_stored(given, &stored.stored, &outcome, lines);
     }
     Ok(Start {
         number: newest + 1,
@@ -64,24 +67,39 @@
     })
 }
 
-fn stored_generations(folder: &Path) -> Result<Vec<Stored>, OperatorsError> {
-    let all = Store::open(folder).and_then(|store| store.all());
-    all.map_err(|source| OperatorsError::Store {
+/// Attempts to read what the disk doesn't give at once, and the time between two.
+const READ_ATTEMPTS: u32 = 5;
+const READ_PAUSE: Duration = Duration::from_millis(100);
+
+/// The stored generations; reading is tried again where it fails, for a newer generation than those that could be read
+/// may be sound.
+fn stored_generations(folder: &Path) -> Result<Contents, OperatorsError> {
+    let read = || -> io::Result<Contents> { Store::open(folder)?.contents() };
+    let mut contents = read();
+    for _ in 1..READ_ATTEMPTS {
+        if contents.as_ref().is_ok_and(|contents| contents.unread.is_empty()) {
+            break;
+        }
+        thread::sleep(READ_PAUSE);
+        contents = read();
+    }
+    contents.map_err(|source| OperatorsError::Store {
         folder: folder.to_owned(),
         source,
     })
 }
 
-fn damage_lines(stored: &[Stored]) -> Vec<StartLine> {
-    let damaged = stored.iter().filter_map(|one| {
-        let damage = one.canonical.as_ref().err()?;
-        Some(format!(
-            "stored generation {} {}, passed over",
-            one.number,
-            damage.reason()
-        ))
+fn unusable_lines(contents: &Contents) -> Vec<StartLine> {
+    let damaged = contents.stored.iter().filter_map(|one| {
+        let reason = one.canonical.as_ref().err()?.reason();
+        Some(format!("stored generation {} {reason}, passed over", one.number))
+    });
+    let unread = contents.unread.iter().map(|one| {
+        let (number, error) = (one.number, &one.error);
+        format!("stored generation {number} can't be read now, passed over and left as it is: {error}")
     });
-    damaged.map(|text| StartLine { topic: DETAILS, text }).collect()
+    let lines = damaged.chain(unread);
+    lines.map(|text| StartLine { topic: DETAILS, text }).collect()
 }
 
 /// Starts with the newest stored generation that can be read, since the file is faulty.
--- a/crates/driver/tests/operators.rs
+++ b/crates/driver/tests/operators.rs
@@ -279,3 +279,50 @@
         "{log}"
     );
 }
+
+/// A folder in the place of a generation stands for a disk that doesn't give it.
+#[test]
+fn unreadable_generation_is_named_left_and_not_gone_past() {
+    let (folder, member) = (Folder::new("unread"), member(Manner::Answers));
+    let state = folder.path("kept");
+    let good = "workload(\"view\", longest = 256B)\nactivation(probation = 0s)\n";
+    let file = folder.write("o.latch", good);
+    let arguments = ["--operators", &file, "--state", &state];
+    let first = operated("unread1", member.address, &arguments);
+    first.change(&good.replace("256B", "300B"));
+    first.told("generation 2 is kept");
+    // The thread that stores reads the file as well: what it answers to now, it does behind that store.
+    first.change(&format!("{good}# said again\n"));
+    first.told("generation 3 is in force");
+    drop(first.program);
+    let unread = folder.0.join("kept/generation-00000000000000000009.latch.json");
+    std::fs::create_dir(&unread).expect("is made");
+    let run = |arguments: &[&str]| {
+        let output = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
+            .args(arguments)
+            .output()
+            .expect("runs");
+        let text = [output.stdout, output.stderr].concat();
+        (output.status.code(), String::from_utf8_lossy(&text).into_owned())
+    };
+    let count = || std::fs::read_dir(&state).expect("lists").count();
+    let before = count();
+    let (code, text) = run(&["config", "history", &state]);
+    assert!(
+        code == Some(0) && text.starts_with("9 can't be read now: "),
+        "{text}"
+    );
+    // How many changes there are isn't known.
+    let (code, text) = run(&["config", "rollback", &state]);
+    assert!(
+        code == Some(1) && text.contains("generation 9 can't be read now"),
+        "{text}"
+    );
+    assert_eq!(count(), before, "nothing was stored");
+    let second = operated("unread2", member.address, &arguments);
+    second.told("stored generation 9 can't be read now, passed over and left as it is");
+    second.change(&good.replace("256B", "512B"));
+    second.told("generation 11 is kept");
+    drop(second.program);
+    assert!(unread.is_dir(), "it was removed");
+}
