--- a/crates/driver/src/program/gossip/snapshot_file.rs
+++ b/crates/driver/src/program/gossip/snapshot_file.rs
@@ -2,15 +2,18 @@
 //! only the next write waits for it.
 
 use asterlatch_gossip::snapshot::WriteRequest;
-use std::fs::{File, OpenOptions};
-use std::io::{self, Write};
-use std::os::unix::fs::MetadataExt;
+use asterlatch_storage::log_file::{Former, LogFile, LogNames};
+use asterlatch_storage::OsFileSystem;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 
-/// The snapshot, and the file that is to replace it.
-const FILE_NAME: &str = "shared.log";
-const REPLACEMENT_NAME: &str = "shared.new";
+/// The snapshot, the file that is to replace it, and one that a start could not read.
+const NAMES: LogNames = LogNames {
+    log: "shared.log",
+    replacement: "shared.new",
+    unread: "shared.unread",
+};
 
 /// Bytes to be written.
 pub(super) struct WriteJob {
@@ -45,7 +48,7 @@
 /// # Errors
 /// If the file is there and can't be read.
 pub fn read(folder: &Path) -> Result<Option<Vec<u8>>, SnapshotFileError> {
-    let path = folder.join(FILE_NAME);
+    let path = folder.join(NAMES.log);
     match std::fs::read(&path) {
         Ok(bytes) => Ok(Some(bytes)),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
@@ -66,10 +69,10 @@
     // SAFETY: ignoring a signal touches no memory.
     unsafe { libc::signal(libc::SIGXFSZ, libc::SIG_IGN) };
     let (sender, jobs): (_, Receiver<WriteJob>) = sync_channel(1);
-    let mut file = SnapshotFile::new(folder);
+    let mut file = LogFile::new(OsFileSystem, folder, NAMES, Former::Read);
     let write_all = move || {
         for job in jobs {
-            let result = file.write(&job).map_err(|source| SnapshotFileError {
+            let result = write(&mut file, &job).map_err(|source| SnapshotFileError {
                 path: file.path(),
                 source,
             });
@@ -88,60 +91,9 @@
     Ok(sender)
 }
 
-struct SnapshotFile {
-    folder: PathBuf,
-    /// Open for appending, after a successful rewrite.
-    file: Option<File>,
-}
-
-impl SnapshotFile {
-    fn new(folder: &Path) -> SnapshotFile {
-        SnapshotFile {
-            folder: folder.to_owned(),
-            file: None,
-        }
-    }
-
-    fn path(&self) -> PathBuf {
-        self.folder.join(FILE_NAME)
-    }
-
-    fn write(&mut self, job: &WriteJob) -> io::Result<()> {
-        match job.request {
-            WriteRequest::Append => self.append(&job.bytes),
-            WriteRequest::Rewrite => self.rewrite(&job.bytes),
-        }
+fn write(file: &mut LogFile<OsFileSystem>, job: &WriteJob) -> io::Result<()> {
+    match job.request {
+        WriteRequest::Append => file.append(&job.bytes),
+        WriteRequest::Rewrite => file.replace(&job.bytes),
     }
-
-    fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let file = self.file.as_mut().ok_or(io::ErrorKind::NotFound)?;
-        if file.metadata()?.nlink() == 0 {
-            return Err(io::Error::other("the file was taken away"));
-        }
-        file.write_all(bytes)?;
-        file.sync_data()
-    }
-
-    /// Replaces the file by rename, so that a crash leaves the former one or the new one.
-    fn rewrite(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.file = None;
-        std::fs::create_dir_all(&self.folder)?;
-        let replacement = self.folder.join(REPLACEMENT_NAME);
-        let written = write_synced(&replacement, bytes);
-        if written.is_err() {
-            // Others may need the space.
-            let _ = std::fs::remove_file(&replacement);
-        }
-        written?;
-        std::fs::rename(&replacement, self.path())?;
-        File::open(&self.folder)?.sync_all()?;
-        self.file = Some(OpenOptions::new().append(true).open(self.path())?);
-        Ok(())
-    }
-}
-
-fn write_synced(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let mut file = File::create(path)?;
-    file.write_all(bytes)?;
-    file.sync_all()
 }
--- a/crates/storage/src/log_file.rs
+++ b/crates/storage/src/log_file.rs
@@ -17,9 +17,10 @@
 }
 
 /// Whether the log that a start has found was read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Former {
     /// It was read to its end or to its damage, or there was none: it may be replaced.
+    #[default]
     Read,
     /// The disk didn't give it: it may be sound, and is put aside.
     Unread,
