--- a/crates/driver/src/program/gossip/mod.rs
+++ b/crates/driver/src/program/gossip/mod.rs
@@ -25,6 +25,7 @@
 use asterlatch_gossip::record::ObservedRecord;
 use asterlatch_gossip::snapshot;
 use asterlatch_recovery::report::{self, Classified, StoredRecord, UsableRecord};
+use asterlatch_storage::log_file::Former;
 pub use query::{query_service, Query, QueryError, QueryKind};
 use snapshot_writer::SnapshotWriter;
 use std::io;
@@ -222,12 +223,14 @@
     let former = former.unwrap_or_default();
     let incarnation = now.0.max(former.incarnation.saturating_add(1));
     let mut node = GossipNode::new(settings, incarnation, config.seed ^ now.0, now);
+    let former_file = former.file;
     let log_lines = restore(&mut node, former, now, folder.is_some());
     let (messages, inbox) = channel();
     let waker = socket.waker();
     let handle = GossipHandle { messages, waker };
     let event_loop_side = gossip.event_loop_side(config, incarnation, now, handle.clone());
-    let writer = folder.map(|f| SnapshotWriter::start(&f, gossip.snapshot_interval, now, &handle));
+    let writer =
+        folder.map(|f| SnapshotWriter::start(&f, former_file, gossip.snapshot_interval, now, &handle));
     let thread = GossipThread {
         snapshot_writer: writer.transpose().map_err(GossipError::SnapshotThread)?,
         log_lines,
@@ -253,22 +256,26 @@
 struct FormerSnapshot {
     records: Vec<ObservedRecord>,
     incarnation: u64,
+    /// Whether the disk gave it, damaged or not.
+    file: Former,
     /// Why it can't be read, or not to its end.
     error: Option<String>,
 }
 
 fn read_former(folder: &Path, settings: &NodeSettings) -> FormerSnapshot {
-    match snapshot_file::read(folder) {
+    match snapshot_file::read_patiently(folder) {
         Ok(None) => FormerSnapshot::default(),
         Ok(Some(bytes)) => {
             let contents = snapshot::read(&bytes, &settings.fleet, &settings.name);
             FormerSnapshot {
                 records: contents.records,
                 incarnation: contents.incarnation,
+                file: Former::Read,
                 error: contents.error.map(|error| error.to_string()),
             }
         }
         Err(error) => FormerSnapshot {
+            file: Former::Unread,
             error: Some(error.to_string()),
             ..FormerSnapshot::default()
         },
--- a/crates/driver/src/program/gossip/snapshot_file.rs
+++ b/crates/driver/src/program/gossip/snapshot_file.rs
@@ -7,6 +7,8 @@
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
+use std::thread;
+use std::time::Duration;
 
 /// The snapshot, the file that is to replace it, and one that a start could not read.
 const NAMES: LogNames = LogNames {
@@ -15,6 +17,10 @@
     unread: "shared.unread",
 };
 
+/// Attempts of a start to read the snapshot, and the time between two.
+const READ_ATTEMPTS: u32 = 5;
+const READ_PAUSE: Duration = Duration::from_millis(100);
+
 /// Bytes to be written.
 pub(super) struct WriteJob {
     /// Whether they are appended or replace the file.
@@ -56,20 +62,37 @@
     }
 }
 
+/// As [`read`], again where that fails: a disk or the lack of descriptors may pass.
+///
+/// # Errors
+/// If the file is there and could not be read in any attempt. It may be sound: the first write puts it aside.
+pub(super) fn read_patiently(folder: &Path) -> Result<Option<Vec<u8>>, SnapshotFileError> {
+    let mut found = read(folder);
+    for _ in 1..READ_ATTEMPTS {
+        if found.is_ok() {
+            break;
+        }
+        thread::sleep(READ_PAUSE);
+        found = read(folder);
+    }
+    found
+}
+
 /// Starts the thread. It takes one job at a time and calls `on_written` after each, until that returns false or the sender
-/// is dropped.
+/// is dropped. A `former` snapshot that wasn't read is put aside before the first write.
 ///
 /// # Errors
 /// If the thread can't be started.
 pub(super) fn start(
     folder: &Path,
+    former: Former,
     mut on_written: impl FnMut(WriteResult) -> bool + Send + 'static,
 ) -> io::Result<SyncSender<WriteJob>> {
     // A file that may grow no further is an error like a full disk, not the end of the process.
     // SAFETY: ignoring a signal touches no memory.
     unsafe { libc::signal(libc::SIGXFSZ, libc::SIG_IGN) };
     let (sender, jobs): (_, Receiver<WriteJob>) = sync_channel(1);
-    let mut file = LogFile::new(OsFileSystem, folder, NAMES, Former::Read);
+    let mut file = LogFile::new(OsFileSystem, folder, NAMES, former);
     let write_all = move || {
         for job in jobs {
             let result = write(&mut file, &job).map_err(|source| SnapshotFileError {
--- a/crates/driver/src/program/gossip/snapshot_writer.rs
+++ b/crates/driver/src/program/gossip/snapshot_writer.rs
@@ -6,6 +6,7 @@
 use asterlatch_gossip::node::GossipNode;
 use asterlatch_gossip::record::ObservedRecord;
 use asterlatch_gossip::snapshot::{SnapshotEncoder, SnapshotSchedule, WriteRequest, WriteStatusChange};
+use asterlatch_storage::log_file::Former;
 use std::io;
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, SyncSender};
@@ -20,9 +21,11 @@
 }
 
 impl SnapshotWriter {
-    /// Starts the thread. `handle` wakes the gossip thread after each write.
+    /// Starts the thread. `former` tells whether the snapshot of the folder was read; `handle` wakes the gossip thread after
+    /// each write.
     pub(super) fn start(
         folder: &Path,
+        former: Former,
         interval: TimeSpan,
         now: Timestamp,
         handle: &GossipHandle,
@@ -36,7 +39,7 @@
         };
         Ok(SnapshotWriter {
             schedule: SnapshotSchedule::new(now, interval),
-            jobs: snapshot_file::start(folder, on_written)?,
+            jobs: snapshot_file::start(folder, former, on_written)?,
             results,
             encoder: None,
         })
--- a/crates/driver/tests/kept.rs
+++ b/crates/driver/tests/kept.rs
@@ -324,3 +324,24 @@
     );
     let _ = std::fs::remove_dir_all(copy);
 }
+
+/// A folder in the place of the snapshot stands for a disk that doesn't give it at the start.
+#[test]
+fn snapshot_unreadable_is_put_aside_and_the_next_is_kept() {
+    let folder = Folder::new("kept-unread");
+    let sound = folder.path("state/shared.log");
+    std::fs::create_dir_all(&sound).expect("is made");
+    std::fs::write(format!("{sound}/sound"), "sound").expect("is written");
+    let member = member(Manner::Answers);
+    let operated = Stage::begin("unread", &folder, &member);
+    let stage = Stage {
+        folder,
+        operated,
+        member,
+    };
+    stage.operated.told("shared.log: ");
+    assert_eq!(stage.ask(1), "T D C Z");
+    stage.await_kept(2);
+    let aside = std::fs::read(stage.folder.path("state/shared.unread/sound"));
+    assert_eq!(aside.expect("was put aside"), b"sound");
+}
