--- /dev/null
+++ b/crates/testbed/src/adverse/mod.rs
@@ -0,0 +1,258 @@
+//! Scenarios of kinds of trouble that operators judge beyond the days of their bench, with two or three drivers each.
+//!
+//! Times are compressed where the length isn't the point: a quiet time of hours is twenty seconds, an outage of discovery of
+//! minutes is as long as the pauses between two calls grow. Rules are judged by [`crate::checker`], and by the clients of
+//! [`clients`] for themselves.
+
+pub mod clients;
+
+use crate::cluster::{run_beside, ClusterPlan, Findings, RunReport, Surroundings};
+use crate::error::Result;
+use crate::fault_script::{DriverFault, FaultScript};
+use crate::roaming_clients::RoamingBehavior;
+use std::path::Path;
+
+/// Clients beside the ordinary load.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OtherClients {
+    /// None.
+    None,
+    /// They stop in the middle of a request, and stay.
+    Stopping,
+    /// Their statements have 1 to 20 ms left.
+    Hurried,
+}
+
+/// One scenario.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AdverseScenario {
+    /// As on the command line.
+    pub name: &'static str,
+    /// Processes of the program.
+    pub drivers: u32,
+    /// Length of the load.
+    pub seconds: f64,
+    /// Fault script.
+    pub script: &'static str,
+    /// Who else is there.
+    pub others: OtherClients,
+    /// Share of the ordinary load that has to be answered with a row.
+    pub min_completed: f64,
+    /// Whether discovery's lists without a length have to be used, at least half of them.
+    pub counts_lists: bool,
+}
+
+const fn scenario(name: &'static str, drivers: u32, seconds: f64, script: &'static str) -> AdverseScenario {
+    AdverseScenario {
+        name,
+        drivers,
+        seconds,
+        script,
+        others: OtherClients::None,
+        min_completed: 0.9,
+        counts_lists: false,
+    }
+}
+
+/// All scenarios; the load is that of [`plan`].
+pub const SCENARIOS: [AdverseScenario; 13] = [
+    scenario(
+        "fault-after-quiet",
+        3,
+        26.0,
+        "20s member 2 hangs for 1500ms\n20s primary of 2 loses answers for 200ms\n20200ms member 3 drains for 5s",
+    ),
+    scenario(
+        "discovery-away",
+        3,
+        26.0,
+        "1s driver 1 hears no list for 18s\n1s driver 2 hears no list for 18s\n1s driver 3 hears no list for 18s\n\
+         5s member 5 is down for 1s\n7s group 1 switches to 2\n18500ms member 3 drains for 7s",
+    ),
+    scenario(
+        "discovery-away-shortly",
+        2,
+        8.0,
+        "500ms driver 1 hears no list for 4s\n500ms driver 2 hears no list for 4s\n\
+         1s member 5 is down for 500ms\n2s group 1 switches to 2\n4s member 3 drains for 4s",
+    ),
+    scenario(
+        "discovery-slow",
+        3,
+        8.0,
+        "0s driver 1 hears lists 600ms late for 8s\n0s driver 2 hears lists 600ms late for 8s\n\
+         0s driver 3 hears lists 600ms late for 8s\n1s member 2 drains for 3s\n3s member 6 drains for 5s",
+    ),
+    scenario(
+        "discovery-crowded",
+        3,
+        8.0,
+        "0s driver 1 hears lists in turns of 150ms for 8s\n0s driver 2 hears lists in turns of 150ms for 8s\n\
+         0s driver 3 hears lists in turns of 150ms for 8s\n1s member 2 drains for 3s\n3s member 6 drains for 5s",
+    ),
+    AdverseScenario {
+        counts_lists: true,
+        ..scenario(
+            "lists-without-length",
+            2,
+            6.0,
+            "0s driver 1 hears lists without length for 6s\n0s driver 2 hears lists without length for 6s\n\
+             1s member 2 drains for 4s\n2s member 6 drains for 4s",
+        )
+    },
+    scenario(
+        "sighup-burst",
+        2,
+        6.0,
+        "1s driver 1 reloads 10 times for 1s\n1500ms driver 2 reloads 10 times for 1s\n\
+         1200ms member 2 hangs for 500ms\n3s member 3 drains for 3s",
+    ),
+    scenario(
+        "idle-closed",
+        2,
+        6.0,
+        "0s member 1 closes idle for 6s\n0s member 2 closes idle for 6s\n0s member 3 closes idle for 6s\n\
+         0s member 4 closes idle for 6s\n0s member 5 closes idle for 6s\n0s member 6 closes idle for 6s",
+    ),
+    scenario(
+        "idle-reset",
+        2,
+        6.0,
+        "1s member 1 resets idle for 2s\n1s member 2 resets idle for 2s\n1s member 3 resets idle for 2s\n\
+         1s member 4 resets idle for 2s\n1s member 5 resets idle for 2s\n1s member 6 resets idle for 2s",
+    ),
+    scenario(
+        "idle-forgotten",
+        2,
+        6.0,
+        "1s member 1 forgets idle for 2s\n1s member 2 forgets idle for 2s\n1s member 3 forgets idle for 2s\n\
+         1s member 4 forgets idle for 2s\n1s member 5 forgets idle for 2s\n1s member 6 forgets idle for 2s",
+    ),
+    AdverseScenario {
+        others: OtherClients::Stopping,
+        ..scenario("clients-stop", 3, 6.0, "1s member 2 hangs for 1s")
+    },
+    AdverseScenario {
+        others: OtherClients::Hurried,
+        ..scenario(
+            "little-time",
+            2,
+            6.0,
+            "0s member 1 drops short for 6s\n0s member 2 drops short for 6s\n0s member 3 drops short for 6s\n\
+             0s member 4 drops short for 6s\n0s member 5 drops short for 6s\n0s member 6 drops short for 6s",
+        )
+    },
+    AdverseScenario {
+        others: OtherClients::Hurried,
+        ..scenario(
+            "little-time-at-hanging-members",
+            2,
+            6.0,
+            "1s member 2 hangs for 2s\n1s member 5 hangs for 2s\n2s primary of 2 slow 15ms for 2s",
+        )
+    },
+];
+
+const GROUPS: u32 = 2;
+const REPLICAS: u32 = 2;
+const STATEMENTS_PER_SECOND: f64 = 150.0;
+const CLIENTS: usize = 24;
+const ROAMING: RoamingBehavior = RoamingBehavior {
+    roam_per_mille: 100,
+    abandon_per_mille: 0,
+};
+
+/// Rule of a scenario: too few statements were answered with a row.
+pub const TOO_FEW_COMPLETED: &str =
+    "served: fewer statements were answered with a row than the scenario asks for";
+/// Rule of a scenario: complete lists without a length were passed over.
+pub const LISTS_PASSED_OVER: &str =
+    "lists: fewer than half of the complete ones without a length were applied";
+
+/// Rule of a scenario: SIGHUP without effect.
+pub const RELOADS_MISSED: &str = "reloads: configurations that were not loaded";
+
+/// Finds a scenario by its name.
+pub fn find(name: &str) -> Option<&'static AdverseScenario> {
+    SCENARIOS.iter().find(|scenario| scenario.name == name)
+}
+
+impl AdverseScenario {
+    /// What a run starts.
+    fn plan(&self, seed: u64) -> Result<ClusterPlan> {
+        Ok(ClusterPlan {
+            drivers: self.drivers,
+            groups: GROUPS,
+            replicas: REPLICAS,
+            script: FaultScript::parse(self.script)?,
+            gossip_enabled: true,
+            seconds: self.seconds,
+            rate: STATEMENTS_PER_SECOND,
+            clients: CLIENTS,
+            behavior: ROAMING,
+            seed,
+        })
+    }
+
+    /// Runs it once, and adds its own rules to those of the checker.
+    ///
+    /// # Errors
+    /// If the test bed itself fails.
+    pub fn run(&self, program: &Path, seed: u64) -> Result<RunReport> {
+        let others = self.others;
+        let beside = move |surroundings: &Surroundings| match others {
+            OtherClients::None => Findings::default(),
+            OtherClients::Stopping => clients::stopping(surroundings),
+            OtherClients::Hurried => clients::hurried(surroundings),
+        };
+        let mut report = run_beside(program, &self.plan(seed)?, beside)?;
+        if (report.completed as f64) < self.min_completed * report.asked as f64 {
+            let missing = report.asked - report.completed;
+            report.violations.insert(TOO_FEW_COMPLETED, missing);
+        }
+        if self.counts_lists {
+            count_lists(&mut report, self.drivers);
+        }
+        self.count_reloads(&mut report)?;
+        Ok(report)
+    }
+
+    /// Each SIGHUP of the script has to be carried out.
+    fn count_reloads(&self, report: &mut RunReport) -> Result<()> {
+        let faults = FaultScript::parse(self.script)?.driver_faults();
+        let sent: u64 = faults
+            .iter()
+            .map(|scheduled| match scheduled.fault {
+                DriverFault::Reloaded(times) => u64::from(times),
+                _ => 0,
+            })
+            .sum();
+        if sent == 0 {
+            return Ok(());
+        }
+        let reloads = report.counter("reloads");
+        report
+            .notes
+            .push(format!("configurations: {sent} sent, {reloads} loaded"));
+        if reloads < sent {
+            report.violations.insert(RELOADS_MISSED, sent - reloads);
+        }
+        Ok(())
+    }
+}
+
+/// At least half of the complete lists without a length have to be applied. The list that each driver starts with counts as
+/// applied, and so does every one with a length.
+fn count_lists(report: &mut RunReport, drivers: u32) {
+    let (with, without) = (report.lists_with_length, report.lists_without_length);
+    let applied = report.counter("endpoint_lists_applied");
+    report.notes.push(format!(
+        "lists: {with} sent with length, {without} without; {drivers} known at the start, {applied} applied with them"
+    ));
+    let applied_without = applied.saturating_sub(with + u64::from(drivers));
+    if without == 0 || applied_without * 2 < without {
+        report
+            .violations
+            .insert(LISTS_PASSED_OVER, (without - applied_without.min(without)).max(1));
+    }
+}
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -1,5 +1,6 @@
 //! Command line of the test bed.
 
+mod adverse;
 mod arguments;
 mod demo;
 mod fleet;
@@ -7,7 +8,7 @@
 mod upgrade;
 
 use crate::error::Result;
-use arguments::{FleetArguments, LoadArguments};
+use arguments::{FleetArguments, LoadArguments, SetupArguments};
 use asterlatch::time::TimeSpan;
 use clap::{CommandFactory, FromArgMatches, Parser, Subcommand};
 use std::path::PathBuf;
@@ -49,6 +50,16 @@
         #[arg(long)]
         script: Option<PathBuf>,
     },
+    /// Trouble beyond the operators' bench, with two or three drivers: idle connections, discovery, clients that stop.
+    Adverse {
+        #[command(flatten)]
+        basis: SetupArguments,
+        /// Only these scenarios.
+        #[arg(long)]
+        scene: Vec<String>,
+        #[arg(long, default_value_t = 1)]
+        seeds: u64,
+    },
     /// All scenes, each with so many seeds.
     TrialFleet {
         #[command(flatten)]
@@ -115,6 +126,7 @@
             jobs,
             scene,
         } => trial_fleet::run(&arguments, seeds, jobs, &scene),
+        Command::Adverse { basis, scene, seeds } => adverse::run(&basis, seeds, &scene),
         Command::Demo {
             common,
             seconds,
--- a/crates/testbed/src/cluster/driver_faults.rs
+++ b/crates/testbed/src/cluster/driver_faults.rs
@@ -23,11 +23,25 @@
     for scheduled in script.driver_faults() {
         let acts_on_process = !matches!(
             scheduled.fault,
-            DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_)
+            DriverFault::DiscoveryStalled
+                | DriverFault::DiscoveryDelayed(_)
+                | DriverFault::DiscoveryCrowded(_)
+                | DriverFault::DiscoveryWithoutLength
+                | DriverFault::ClockOffset(_)
         );
         if !acts_on_process || scheduled.driver as usize > drivers {
             continue;
         }
+        if let DriverFault::Reloaded(times) = scheduled.fault {
+            let interval = (scheduled.until - scheduled.from).0 / u64::from(times.max(1));
+            steps.extend((0..times).map(|n| FaultStep {
+                at: TimeSpan(scheduled.from.0 + u64::from(n) * interval),
+                driver: scheduled.driver,
+                fault: scheduled.fault,
+                begins: true,
+            }));
+            continue;
+        }
         for (at, begins) in [(scheduled.from, true), (scheduled.until, false)] {
             steps.push(FaultStep {
                 at,
@@ -58,7 +72,9 @@
             pause((from + step.at) - wall_clock_now());
             if step.begins {
                 self.begin_fault(step.driver, step.fault)?;
-                open.insert(step.driver, from + step.at);
+                if !matches!(step.fault, DriverFault::Reloaded(_)) {
+                    open.insert(step.driver, from + step.at);
+                }
                 continue;
             }
             self.end_fault(step.driver, step.fault)?;
@@ -82,11 +98,32 @@
                 }
             }
             DriverFault::Stopped => self.signal(driver, "STOP"),
-            DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_) => {}
+            DriverFault::Reloaded(_) => {
+                self.change_discovery(driver)?;
+                self.signal(driver, "HUP");
+            }
+            DriverFault::DiscoveryStalled
+            | DriverFault::DiscoveryDelayed(_)
+            | DriverFault::DiscoveryCrowded(_)
+            | DriverFault::DiscoveryWithoutLength
+            | DriverFault::ClockOffset(_) => {}
         }
         Ok(())
     }
 
+    /// Writes a configuration with the other address of discovery, beside the former one and renamed over it.
+    fn change_discovery(&mut self, driver: u32) -> Result<()> {
+        let path = self.path(driver, "json");
+        let text = std::fs::read_to_string(&path)?;
+        let mut config: serde_json::Value = serde_json::from_str(&text).map_err(std::io::Error::other)?;
+        let discoveries = &mut self.processes[driver as usize - 1].discoveries;
+        discoveries.rotate_left(1);
+        config["discovery"] = discoveries[0].to_string().into();
+        let beside = self.path(driver, "json.new");
+        std::fs::write(&beside, config.to_string())?;
+        Ok(std::fs::rename(&beside, &path)?)
+    }
+
     fn end_fault(&mut self, driver: u32, fault: DriverFault) -> Result<()> {
         match fault {
             DriverFault::RestartedOnDiskOf(other) => {
@@ -101,7 +138,12 @@
                 self.signal(driver, "CONT");
                 return Ok(());
             }
-            DriverFault::DiscoveryStalled | DriverFault::ClockOffset(_) => return Ok(()),
+            DriverFault::Reloaded(_)
+            | DriverFault::DiscoveryStalled
+            | DriverFault::DiscoveryDelayed(_)
+            | DriverFault::DiscoveryCrowded(_)
+            | DriverFault::DiscoveryWithoutLength
+            | DriverFault::ClockOffset(_) => return Ok(()),
         }
         self.spawn_driver(driver)?;
         self.await_serving(driver)
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::arrivals::Arrivals;
 use crate::deployment::START_TIMEOUT;
-use crate::error::Result;
+use crate::error::{Error, Result};
 use crate::fault_script::FaultScript;
 use crate::link_proxy::Link;
 use crate::member::{lock, SharedStore};
@@ -19,6 +19,7 @@
 use evaluate::evaluate;
 use process::DriverProcess;
 pub use report::{RetryCounts, RunReport};
+use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 
@@ -89,8 +90,38 @@
     }
 }
 
+/// What other clients find beside the load.
+#[derive(Clone, Debug, Default)]
+pub struct Findings {
+    /// Count of violations by rule.
+    pub violations: BTreeMap<&'static str, u64>,
+    /// What was measured, a line each.
+    pub notes: Vec<String>,
+}
+
+/// What other clients use beside the load.
+pub struct Surroundings {
+    /// What members store and execute.
+    pub store: SharedStore,
+    /// Addresses of all drivers, in the order of their numbers.
+    pub drivers: Vec<SocketAddr>,
+    /// Length of the load, which begins now.
+    pub seconds: f64,
+    /// Of random choices.
+    pub seed: u64,
+}
+
 /// Starts a cluster, applies the script under load, and checks all records.
 pub fn run(program: &Path, plan: &ClusterPlan) -> Result<RunReport> {
+    run_beside(program, plan, |_| Findings::default())
+}
+
+/// As [`run`], with other clients on a thread beside the load.
+pub fn run_beside(
+    program: &Path,
+    plan: &ClusterPlan,
+    beside: impl FnOnce(&Surroundings) -> Findings + Send + 'static,
+) -> Result<RunReport> {
     let mut cluster = Cluster::start(program, plan)?;
     if plan.gossip_enabled {
         cluster.await_membership()?;
@@ -115,10 +146,20 @@
         from,
         options,
     );
+    let surroundings = Surroundings {
+        store: cluster.store.clone(),
+        drivers: cluster.listen_addresses(),
+        seconds: plan.seconds,
+        seed: plan.seed,
+    };
+    let others = std::thread::spawn(move || beside(&surroundings));
     cluster.apply_driver_faults(from, &plan.script)?;
     let records = load.finish();
+    let findings = others.join().map_err(|_| Error::RunPanicked)?;
     let mut run = RunReport {
         cpu_seconds: cluster.cpu_seconds(),
+        violations: findings.violations,
+        notes: findings.notes,
         ..RunReport::default()
     };
     if plan.gossip_enabled {
@@ -126,6 +167,11 @@
     }
     run.counters = cluster.terminate();
     evaluate(&cluster, &records, &mut run);
+    {
+        let store = lock(&cluster.store);
+        run.lists_with_length = store.lists_with_length;
+        run.lists_without_length = store.lists_without_length;
+    }
     let _ = std::fs::remove_dir_all(&cluster.folder);
     Ok(run)
 }
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -16,6 +16,8 @@
 pub(super) struct DriverProcess {
     pub(super) number: u32,
     pub(super) listen: SocketAddr,
+    /// Addresses of its discovery, the one that its configuration names first.
+    pub(super) discoveries: [SocketAddr; 2],
     /// `None` while it is down.
     pub(super) child: Option<Child>,
     pub(super) starts: u32,
--- a/crates/testbed/src/cluster/report.rs
+++ b/crates/testbed/src/cluster/report.rs
@@ -51,9 +51,20 @@
     pub cpu_seconds: f64,
     /// Counters, summed over the drivers' last logs.
     pub counters: BTreeMap<String, u64>,
+    /// What other clients have measured beside the load, a line each.
+    pub notes: Vec<String>,
+    /// Complete lists that discovery sent with a length, and without one.
+    pub lists_with_length: u64,
+    /// See `lists_with_length`.
+    pub lists_without_length: u64,
 }
 
 impl RunReport {
+    /// A counter, summed over the drivers' last logs.
+    pub fn counter(&self, name: &str) -> u64 {
+        self.counters.get(name).copied().unwrap_or(0)
+    }
+
     /// Whether no rule was violated.
     pub fn all_rules_kept(&self) -> bool {
         self.violations.is_empty()
@@ -89,7 +100,7 @@
     }
 
     fn write_counters(&self, f: &mut Formatter) -> fmt::Result {
-        let count = |name: &str| self.counters.get(name).copied().unwrap_or(0);
+        let count = |name: &str| self.counter(name);
         writeln!(
             f,
             "connections opened {} (first {}, busy {}, again {}), probes {}, for all {}, left to others {}, members silent by word {}",
@@ -123,6 +134,9 @@
             self.write_gossip(f)?;
         }
         self.write_counters(f)?;
+        for note in &self.notes {
+            writeln!(f, "{note}")?;
+        }
         for (what, count) in &self.violations {
             writeln!(f, "broken: {count} times {what}")?;
         }
--- a/crates/testbed/src/cluster/setup.rs
+++ b/crates/testbed/src/cluster/setup.rs
@@ -103,7 +103,8 @@
         for number in 1..=plan.drivers {
             let listen = TcpListener::bind(driver_address(cluster_index, number))?.local_addr()?;
             let discovery = discovery::start(&cluster.store, &addresses, number)?;
-            cluster.listeners.push(discovery);
+            let other_discovery = discovery::start(&cluster.store, &addresses, number)?;
+            cluster.listeners.extend([discovery, other_discovery]);
             let known = discovery::endpoint_list(&cluster.store, &addresses);
             let name = format!("d{number}");
             let identity = DriverIdentity {
@@ -117,6 +118,7 @@
             cluster.processes.push(DriverProcess {
                 number,
                 listen,
+                discoveries: [discovery, other_discovery],
                 child: None,
                 starts: 0,
                 runs_later_build: false,
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,13 +1,14 @@
 //! Discovery over HTTP: the complete endpoint list, and a watch that waits for a newer version.
 
 use crate::fault_script::DriverFault;
-use crate::member::{listen, lock, SharedStore};
+use crate::member::{listen, lock, pause, SharedStore};
 use crate::wire::wall_clock_now;
 use asterlatch::time::TimeSpan;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::sync::PoisonError;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -82,15 +83,65 @@
             list["snapshot"] = json!(false);
         }
         let body = list.to_string();
-        let length = body.len();
-        write!(
-            stream,
-            "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}"
-        )?;
+        if send(&mut stream, store, driver, &body)? == Framing::UntilClose {
+            return Ok(());
+        }
     }
     Ok(())
 }
 
+/// How a response ends.
+#[derive(Clone, Copy, PartialEq)]
+enum Framing {
+    /// By its length.
+    Length,
+    /// With its connection.
+    UntilClose,
+}
+
+/// Pieces of a slow response.
+const SLOW_PIECES: usize = 5;
+
+/// Sends a response as the script has it now.
+fn send(stream: &mut TcpStream, store: &SharedStore, driver: u32, body: &str) -> io::Result<Framing> {
+    let (faults, turn) = {
+        let store = lock(store);
+        let now = wall_clock_now() - store.started_at;
+        let faults: Vec<_> = store.script.faults_of_driver(now, driver).collect();
+        (faults, store.discovery_turn.clone())
+    };
+    let without_length = faults.contains(&DriverFault::DiscoveryWithoutLength);
+    let head = match without_length {
+        true => "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".to_owned(),
+        false => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()),
+    };
+    let response = head + body;
+    let delay = faults.iter().find_map(|fault| match fault {
+        DriverFault::DiscoveryDelayed(by) => Some(*by),
+        _ => None,
+    });
+    let own_turn = faults.iter().find_map(|fault| match fault {
+        DriverFault::DiscoveryCrowded(each) => Some(*each),
+        _ => None,
+    });
+    if let Some(each) = own_turn {
+        let _turn = turn.lock().unwrap_or_else(PoisonError::into_inner);
+        pause(each);
+    }
+    let pieces = delay.map_or(1, |_| SLOW_PIECES);
+    for piece in response.as_bytes().chunks(response.len().div_ceil(pieces)) {
+        pause(TimeSpan(delay.unwrap_or_default().0 / pieces as u64));
+        stream.write_all(piece)?;
+    }
+    let mut store = lock(store);
+    if without_length {
+        store.lists_without_length += 1;
+        return Ok(Framing::UntilClose);
+    }
+    store.lists_with_length += 1;
+    Ok(Framing::Length)
+}
+
 /// A request's query.
 struct Request {
     /// The index that the client has, if it watches.
--- a/crates/testbed/src/fault_script/mod.rs
+++ b/crates/testbed/src/fault_script/mod.rs
@@ -36,6 +36,14 @@
     Lagging(TimeSpan),
     /// Discovery lists it as draining.
     Draining,
+    /// Closes connections that have been idle for a moment.
+    ClosesIdle,
+    /// Resets a connection that was idle for a moment when a message comes on it, unread.
+    ResetsIdle,
+    /// Has forgotten a connection that was idle for a moment: what comes on it is neither executed nor answered.
+    ForgetsIdle,
+    /// Every second statement with little time left is neither executed nor answered.
+    DropsShort,
     /// Discovery lists it as started at the fault's begin, so that it is in slow start.
     WarmingUp,
 }
@@ -109,6 +117,14 @@
     Stopped,
     /// Discovery doesn't answer it.
     DiscoveryStalled,
+    /// Discovery answers it this much later, piece by piece.
+    DiscoveryDelayed(TimeSpan),
+    /// Discovery answers all that have this fault one after another, each taking this long.
+    DiscoveryCrowded(TimeSpan),
+    /// Discovery's answers to it have no length and end with their connection.
+    DiscoveryWithoutLength,
+    /// SIGHUP this many times within the span, each with a configuration that names another address of discovery.
+    Reloaded(u32),
     /// From its next start on its clock is this many seconds ahead of the others (negative: behind).
     ClockOffset(i64),
     /// SIGKILL at the begin, restarted at the end on a copy of this driver's disk.
@@ -254,6 +270,20 @@
         })
     }
 
+    /// Faults of a driver at `now`.
+    pub fn faults_of_driver(&self, now: TimeSpan, driver: u32) -> impl Iterator<Item = DriverFault> {
+        let faults = self.driver_faults().into_iter();
+        let holds = move |s: &ScheduledDriverFault| s.driver == driver && (s.from..s.until).contains(&now);
+        faults.filter(holds).map(|scheduled| scheduled.fault)
+    }
+
+    /// Whether any member ever has this fault.
+    pub fn mentions(&self, sought: MemberFault) -> bool {
+        let is_sought =
+            |event: &FaultEvent| matches!(event, FaultEvent::Member { fault, .. } if *fault == sought);
+        self.0.iter().any(is_sought)
+    }
+
     /// Faults at `now` of the link from driver `sender` to driver `receiver`.
     pub fn link_state(&self, now: TimeSpan, sender: u32, receiver: u32) -> LinkState {
         let mut state = LinkState::default();
--- a/crates/testbed/src/fault_script/parse.rs
+++ b/crates/testbed/src/fault_script/parse.rs
@@ -36,13 +36,13 @@
     #[error("a split is 'from' others")]
     SplitWithoutFrom,
     /// An unknown fault of a driver.
-    #[error("names nothing that befalls a driver: is killed, is renewed, stops, hears no list, is SPAN ahead or behind")]
+    #[error("names nothing that befalls a driver: is killed, is renewed, stops, reloads N times, hears no list, hears lists SPAN late, in turns of SPAN or without length, is SPAN ahead or behind")]
     UnknownDriverFault,
     /// An unknown fault of a link.
     #[error("names nothing that befalls a link: is cut, slow, loses, garbles")]
     UnknownLinkFault,
     /// An unknown fault of a member.
-    #[error("names no fault: slow, lags, hangs, is down, fails, loses answers, drains, starts")]
+    #[error("names no fault: slow, lags, hangs, is down, fails, loses answers, closes idle, resets idle, forgets idle, drops short, drains, starts")]
     UnknownMemberFault,
     /// An unknown subject.
     #[error("names neither member, primary, group, driver, link nor split")]
@@ -111,6 +111,10 @@
         ["is", "down", rest @ ..] => Ok((MemberFault::Down, rest)),
         ["fails", rest @ ..] => Ok((MemberFault::Failing, rest)),
         ["loses", "answers", rest @ ..] => Ok((MemberFault::DropsAnswers, rest)),
+        ["closes", "idle", rest @ ..] => Ok((MemberFault::ClosesIdle, rest)),
+        ["resets", "idle", rest @ ..] => Ok((MemberFault::ResetsIdle, rest)),
+        ["forgets", "idle", rest @ ..] => Ok((MemberFault::ForgetsIdle, rest)),
+        ["drops", "short", rest @ ..] => Ok((MemberFault::DropsShort, rest)),
         ["drains", rest @ ..] => Ok((MemberFault::Draining, rest)),
         ["starts", rest @ ..] => Ok((MemberFault::WarmingUp, rest)),
         _ => Err(ParseErrorKind::UnknownMemberFault),
@@ -130,6 +134,12 @@
             Ok((DriverFault::ClockOffset(sign * seconds), rest))
         }
         ["stops", rest @ ..] => Ok((DriverFault::Stopped, rest)),
+        ["hears", "lists", "without", "length", rest @ ..] => Ok((DriverFault::DiscoveryWithoutLength, rest)),
+        ["hears", "lists", by, "late", rest @ ..] => Ok((DriverFault::DiscoveryDelayed(span(by)?), rest)),
+        ["hears", "lists", "in", "turns", "of", each, rest @ ..] => {
+            Ok((DriverFault::DiscoveryCrowded(span(each)?), rest))
+        }
+        ["reloads", times, "times", rest @ ..] => Ok((DriverFault::Reloaded(number(times)?), rest)),
         ["hears", "no", "list", rest @ ..] => Ok((DriverFault::DiscoveryStalled, rest)),
         _ => Err(ParseErrorKind::UnknownDriverFault),
     }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -5,8 +5,9 @@
 //!
 //! [`fault_script`], [`store_model`], [`arrivals`] and [`checker`] are free of I/O. [`member`], [`discovery`],
 //! [`link_proxy`], [`load_generator`] and [`roaming_clients`] put them on sockets; [`deployment`] and [`cluster`] start one
-//! process or several of the program among them; [`cli`] is the command line.
+//! process or several of the program among them; [`adverse`] has scenarios with clients of their own; [`cli`] is the command line.
 
+pub mod adverse;
 pub mod arrivals;
 pub mod checker;
 pub mod cli;
--- a/crates/testbed/src/member.rs
+++ b/crates/testbed/src/member.rs
@@ -1,16 +1,24 @@
 //! Members on loopback sockets, each with a port of its own, and one thread a connection.
 
+use crate::fault_script::MemberFault;
 use crate::store_model::{Reply, StoreModel};
 use crate::wire::{
-    data_row, encode_value, error_response, message, parameter_status, parse_statement, read_message,
-    wall_clock_now,
+    data_row, encode_value, error_response, message, parameter_status, parse_statement, parse_timeout_ms,
+    read_message, wall_clock_now,
 };
 use asterlatch::time::{TimeSpan, Timestamp};
-use std::io::{self, Write};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
-use std::time::Duration;
+use std::time::{Duration, Instant};
+
+/// A connection counts as idle once it has had no statement for this long.
+const IDLE_AFTER: Duration = Duration::from_millis(60);
+/// Between two looks at an idle connection that may be closed.
+const IDLE_POLL: Duration = Duration::from_millis(10);
+/// Statements with at most this much time left may be dropped.
+const SHORT_MS: u64 = 20;
 
 /// The store model that all threads of a test bed share.
 pub type SharedStore = Arc<Mutex<StoreModel>>;
@@ -65,14 +73,23 @@
     read_message(&mut stream, false)?;
     let ready = message(b'Z', b"I");
     stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat())?;
+    let mut answered_at = None;
     loop {
+        match await_message(&mut stream, store, member, answered_at)? {
+            Idle::Kept => {}
+            Idle::Closed => return Ok(()),
+            Idle::Forgotten => return stream.read_to_end(&mut Vec::new()).map(drop),
+        }
         let (kind, body) = read_message(&mut stream, true)?;
         if kind != b'Q' {
             return Ok(());
         }
         let text = String::from_utf8_lossy(&body);
         match respond(text.trim_end_matches('\0'), store, member) {
-            Response::Send(bytes) => stream.write_all(&[bytes, ready.clone()].concat())?,
+            Response::Send(bytes) => {
+                stream.write_all(&[bytes, ready.clone()].concat())?;
+                answered_at = Some(Instant::now());
+            }
             Response::Close => return Ok(()),
             Response::Silence => {
                 // Until the client gives up.
@@ -83,6 +100,45 @@
     }
 }
 
+/// What becomes of a connection between two statements.
+enum Idle {
+    /// The next one is executed.
+    Kept,
+    /// The connection is closed; the system resets it if something came that wasn't read.
+    Closed,
+    /// It stays open, and nothing on it is answered.
+    Forgotten,
+}
+
+/// Waits for the next message, and leaves it unread.
+fn await_message(
+    stream: &mut TcpStream,
+    store: &SharedStore,
+    member: u32,
+    answered_at: Option<Instant>,
+) -> io::Result<Idle> {
+    let Some(answered_at) = answered_at else {
+        return Ok(Idle::Kept);
+    };
+    let closes = lock(store).script.mentions(MemberFault::ClosesIdle);
+    stream.set_read_timeout(closes.then_some(IDLE_POLL))?;
+    let has = |fault| lock(store).has_fault(wall_clock_now(), member, fault);
+    loop {
+        let peeked = stream.peek(&mut [0]);
+        let is_idle = answered_at.elapsed() >= IDLE_AFTER;
+        match peeked {
+            Ok(_) if is_idle && has(MemberFault::ResetsIdle) => return Ok(Idle::Closed),
+            Ok(_) if is_idle && has(MemberFault::ForgetsIdle) => return Ok(Idle::Forgotten),
+            Ok(_) => break,
+            Err(e) if !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return Err(e),
+            Err(_) if is_idle && has(MemberFault::ClosesIdle) => return Ok(Idle::Closed),
+            Err(_) => {}
+        }
+    }
+    stream.set_read_timeout(None)?;
+    Ok(Idle::Kept)
+}
+
 enum Response {
     /// These messages, then `ReadyForQuery`.
     Send(Vec<u8>),
@@ -108,6 +164,10 @@
         let Some(statement) = parse_statement(text, &names) else {
             return Response::Send(error_response("08P01", "no statement of this form"));
         };
+        let is_short = parse_timeout_ms(text).is_some_and(|ms| ms <= SHORT_MS);
+        if is_short && statement.id % 2 == 0 && store.has_fault(now, member, MemberFault::DropsShort) {
+            return Response::Silence;
+        }
         (statement, store.execute(now, member, &statement))
     };
     pause(outcome.delay);
--- a/crates/testbed/src/store_model.rs
+++ b/crates/testbed/src/store_model.rs
@@ -3,6 +3,7 @@
 use crate::fault_script::{FaultScript, MemberFault};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::{Arc, Mutex};
 
 /// How long after it was listed a draining member may still get statements, with the protocol's tolerance.
 const DRAIN_GRACE: TimeSpan = TimeSpan::millis(2050);
@@ -197,6 +198,12 @@
     pub connections: u64,
     /// Health checks that members received.
     pub health_checks: u64,
+    /// Held by the connection that a crowded discovery answers.
+    pub discovery_turn: Arc<Mutex<()>>,
+    /// Complete lists that discovery sent with a length, and without one.
+    pub lists_with_length: u64,
+    /// See `lists_with_length`.
+    pub lists_without_length: u64,
 }
 
 impl StoreModel {
@@ -220,6 +227,9 @@
             executions: 0,
             connections: 0,
             health_checks: 0,
+            discovery_turn: Arc::default(),
+            lists_with_length: 0,
+            lists_without_length: 0,
         }
     }
 
@@ -261,7 +271,8 @@
             .map(|(f, _)| f)
     }
 
-    fn has_fault(&self, now: Timestamp, member: u32, fault: MemberFault) -> bool {
+    /// Whether the member has this fault at `now`.
+    pub fn has_fault(&self, now: Timestamp, member: u32, fault: MemberFault) -> bool {
         self.faults(now, member).any(|f| f == fault)
     }
 
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -98,6 +98,13 @@
     })
 }
 
+/// The time that a statement's head comment leaves, in milliseconds.
+pub fn parse_timeout_ms(text: &str) -> Option<u64> {
+    let comment = text.trim_start().strip_prefix("/*")?.split("*/").next()?;
+    let mut fields = comment.trim().split(',').filter_map(|f| f.split_once('='));
+    fields.find(|(name, _)| *name == "d")?.1.parse().ok()
+}
+
 /// A client's statement, as its query names it.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientStatement {
