--- a/crates/driver/tests/adverse.rs
+++ b/crates/driver/tests/adverse.rs
@@ -1,5 +1,5 @@
 //! Trouble beyond the operators' bench around two or three processes of the built program: the test bed's adverse scenarios
-//! of a few seconds. The longer ones (`fault-after-quiet`, `discovery-away`) are run by `asterlatch-testbed adverse`.
+//! of a few seconds. The longer ones (`fault-after-quiet`, `fault-after-silence`, `discovery-away`) are run by `asterlatch-testbed adverse`.
 
 use asterlatch_testbed::adverse::{find, SCENARIOS};
 use std::path::Path;
@@ -37,6 +37,9 @@
 
 scenarios_of_seconds! {
     0 adverse_discovery_away_keeps_all_rules: "discovery-away-shortly",
+    1 adverse_discovery_refusing_keeps_all_rules: "discovery-refuses",
+    0 adverse_restarts_in_an_outage_of_discovery_keep_all_rules: "restarts-in-an-outage",
+    1 adverse_forgotten_connections_of_draining_members_keep_all_rules: "idle-forgotten-under-drain",
     1 adverse_discovery_slow_keeps_all_rules: "discovery-slow",
     0 adverse_discovery_crowded_keeps_all_rules: "discovery-crowded",
     1 adverse_lists_without_length_are_used: "lists-without-length",
--- a/crates/testbed/src/adverse/clients.rs
+++ b/crates/testbed/src/adverse/clients.rs
@@ -1,8 +1,9 @@
 //! Clients that stop in the middle of a request and stay, and clients whose statements have little time left.
 
+use crate::arrivals::Arrivals;
 use crate::checker::{check, ClientOutcome, StatementRecord, VIOLATIONS};
 use crate::cluster::{Findings, Surroundings};
-use crate::load_generator::answer;
+use crate::load_generator::{self, answer};
 use crate::member::{lock, pause};
 use crate::store_model::WorkloadKind;
 use crate::wire::{message, read_message, start_session, wall_clock_now, ClientStatement};
@@ -185,6 +186,81 @@
     judge_hurried(surroundings, &statements)
 }
 
+/// Length of the load that follows a silence.
+const BEHIND_SILENCE: TimeSpan = TimeSpan::millis(6000);
+const CLIENTS_BEHIND_SILENCE: usize = 24;
+/// Least share of it that has to be answered with a row.
+const MIN_COMPLETED_BEHIND_SILENCE: f64 = 0.9;
+
+/// Rule: too little of the load that follows a silence was answered with a row.
+pub const UNSERVED_BEHIND_SILENCE: &str = "silence: too few statements behind it were answered with a row";
+
+/// Clients that have asked once at the begin, and then nothing until the last seconds.
+pub fn silent(surroundings: &Surroundings, rate: f64) -> Findings {
+    load_at_all(
+        surroundings,
+        rate,
+        TimeSpan::millis(500),
+        surroundings.seed + 1000,
+    );
+    let silence = TimeSpan((surroundings.seconds * 1e6) as u64 - 500_000) - BEHIND_SILENCE;
+    pause(silence);
+    let loads = load_at_all(surroundings, rate, BEHIND_SILENCE, surroundings.seed + 2000);
+    let mut findings = Findings::default();
+    let (mut asked, mut completed) = (0, 0);
+    // By driver: what a session wrote at another one binds nothing.
+    for records in loads {
+        let report = check(&lock(&surroundings.store), &records);
+        asked += report.asked();
+        completed += report.completed();
+        for (rule, count) in report
+            .violations
+            .iter()
+            .enumerate()
+            .filter(|(_, count)| **count > 0)
+        {
+            *findings.violations.entry(VIOLATIONS[rule]).or_default() += count;
+        }
+    }
+    findings.notes.push(format!(
+        "behind the silence: {asked} asked, {completed} completed"
+    ));
+    if (completed as f64) < MIN_COMPLETED_BEHIND_SILENCE * asked as f64 || asked == 0 {
+        findings
+            .violations
+            .insert(UNSERVED_BEHIND_SILENCE, asked - completed);
+    }
+    findings
+}
+
+/// Puts a load on each driver; records by driver.
+fn load_at_all(
+    surroundings: &Surroundings,
+    rate: f64,
+    span: TimeSpan,
+    seed: u64,
+) -> Vec<Vec<StatementRecord>> {
+    let (workloads, groups) = {
+        let store = lock(&surroundings.store);
+        (store.workloads.clone(), store.groups())
+    };
+    let from = wall_clock_now();
+    let drivers = surroundings.drivers.iter().copied().zip(seed..);
+    let loads: Vec<load_generator::Load> = drivers
+        .map(|(address, seed)| {
+            let arrivals = Arrivals::new(&workloads, rate, groups, span, seed);
+            load_generator::start(
+                &surroundings.store,
+                address,
+                arrivals,
+                from,
+                CLIENTS_BEHIND_SILENCE,
+            )
+        })
+        .collect();
+    loads.into_iter().map(load_generator::Load::finish).collect()
+}
+
 /// A statement with little time left, as its client saw it.
 #[derive(Clone, Copy, Debug)]
 struct HurriedStatement {
--- a/crates/testbed/src/adverse/mod.rs
+++ b/crates/testbed/src/adverse/mod.rs
@@ -21,6 +21,8 @@
     Stopping,
     /// Their statements have 1 to 20 ms left.
     Hurried,
+    /// They send nothing until the last six seconds, and then as much as the ordinary load.
+    Silent,
 }
 
 /// One scenario.
@@ -32,6 +34,8 @@
     pub drivers: u32,
     /// Length of the load.
     pub seconds: f64,
+    /// Statements a second of the ordinary load.
+    pub rate: f64,
     /// Fault script.
     pub script: &'static str,
     /// Who else is there.
@@ -47,6 +51,7 @@
         name,
         drivers,
         seconds,
+        rate: STATEMENTS_PER_SECOND,
         script,
         others: OtherClients::None,
         min_completed: 0.9,
@@ -55,13 +60,25 @@
 }
 
 /// All scenarios; the load is that of [`plan`].
-pub const SCENARIOS: [AdverseScenario; 13] = [
+pub const SCENARIOS: [AdverseScenario; 17] = [
     scenario(
         "fault-after-quiet",
         3,
         26.0,
         "20s member 2 hangs for 1500ms\n20s primary of 2 loses answers for 200ms\n20200ms member 3 drains for 5s",
     ),
+    // Longer than connections to members may be idle (30 s), and than drivers keep idle clients.
+    AdverseScenario {
+        rate: 0.5,
+        others: OtherClients::Silent,
+        min_completed: 0.0,
+        ..scenario(
+            "fault-after-silence",
+            2,
+            44.0,
+            "38s member 2 hangs for 1500ms\n38s primary of 2 is down for 500ms\n38200ms member 3 drains for 5s",
+        )
+    },
     scenario(
         "discovery-away",
         3,
@@ -76,6 +93,32 @@
         "500ms driver 1 hears no list for 4s\n500ms driver 2 hears no list for 4s\n\
          1s member 5 is down for 500ms\n2s group 1 switches to 2\n4s member 3 drains for 4s",
     ),
+    scenario(
+        "discovery-refuses",
+        2,
+        8.0,
+        "500ms driver 1 is refused lists for 4s\n500ms driver 2 is refused lists for 4s\n\
+         1s member 5 is down for 500ms\n2s group 1 switches to 2\n4s member 3 drains for 4s",
+    ),
+    scenario(
+        "restarts-in-an-outage",
+        3,
+        9.0,
+        "500ms driver 1 hears no list for 4s\n500ms driver 2 hears no list for 4s\n\
+         500ms driver 3 hears no list for 4s\n1s driver 2 is killed for 300ms\n2s driver 3 is killed for 300ms\n\
+         4s member 3 drains for 5s\n4200ms driver 1 is killed for 300ms",
+    ),
+    AdverseScenario {
+        min_completed: 0.8,
+        ..scenario(
+            "idle-forgotten-under-drain",
+            2,
+            7.0,
+            "1s member 1 forgets idle for 2s\n1s member 2 forgets idle for 2s\n1s member 3 forgets idle for 2s\n\
+             1s member 4 forgets idle for 2s\n1s member 5 forgets idle for 2s\n1s member 6 forgets idle for 2s\n\
+             1500ms member 2 drains for 4s\n2s member 5 resets idle for 2s",
+        )
+    },
     scenario(
         "discovery-slow",
         3,
@@ -121,13 +164,16 @@
         "1s member 1 resets idle for 2s\n1s member 2 resets idle for 2s\n1s member 3 resets idle for 2s\n\
          1s member 4 resets idle for 2s\n1s member 5 resets idle for 2s\n1s member 6 resets idle for 2s",
     ),
-    scenario(
-        "idle-forgotten",
-        2,
-        6.0,
-        "1s member 1 forgets idle for 2s\n1s member 2 forgets idle for 2s\n1s member 3 forgets idle for 2s\n\
-         1s member 4 forgets idle for 2s\n1s member 5 forgets idle for 2s\n1s member 6 forgets idle for 2s",
-    ),
+    AdverseScenario {
+        min_completed: 0.8,
+        ..scenario(
+            "idle-forgotten",
+            2,
+            6.0,
+            "1s member 1 forgets idle for 2s\n1s member 2 forgets idle for 2s\n1s member 3 forgets idle for 2s\n\
+             1s member 4 forgets idle for 2s\n1s member 5 forgets idle for 2s\n1s member 6 forgets idle for 2s",
+        )
+    },
     AdverseScenario {
         others: OtherClients::Stopping,
         ..scenario("clients-stop", 3, 6.0, "1s member 2 hangs for 1s")
@@ -187,7 +233,7 @@
             script: FaultScript::parse(self.script)?,
             gossip_enabled: true,
             seconds: self.seconds,
-            rate: STATEMENTS_PER_SECOND,
+            rate: self.rate,
             clients: CLIENTS,
             behavior: ROAMING,
             seed,
@@ -204,6 +250,7 @@
             OtherClients::None => Findings::default(),
             OtherClients::Stopping => clients::stopping(surroundings),
             OtherClients::Hurried => clients::hurried(surroundings),
+            OtherClients::Silent => clients::silent(surroundings, STATEMENTS_PER_SECOND),
         };
         let mut report = run_beside(program, &self.plan(seed)?, beside)?;
         if (report.completed as f64) < self.min_completed * report.asked as f64 {
--- a/crates/testbed/src/cluster/driver_faults.rs
+++ b/crates/testbed/src/cluster/driver_faults.rs
@@ -24,6 +24,7 @@
         let acts_on_process = !matches!(
             scheduled.fault,
             DriverFault::DiscoveryStalled
+                | DriverFault::DiscoveryRefused
                 | DriverFault::DiscoveryDelayed(_)
                 | DriverFault::DiscoveryCrowded(_)
                 | DriverFault::DiscoveryWithoutLength
@@ -103,6 +104,7 @@
                 self.signal(driver, "HUP");
             }
             DriverFault::DiscoveryStalled
+            | DriverFault::DiscoveryRefused
             | DriverFault::DiscoveryDelayed(_)
             | DriverFault::DiscoveryCrowded(_)
             | DriverFault::DiscoveryWithoutLength
@@ -140,6 +142,7 @@
             }
             DriverFault::Reloaded(_)
             | DriverFault::DiscoveryStalled
+            | DriverFault::DiscoveryRefused
             | DriverFault::DiscoveryDelayed(_)
             | DriverFault::DiscoveryCrowded(_)
             | DriverFault::DiscoveryWithoutLength
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -55,27 +55,30 @@
     listen(store, move |stream| serve(stream, &shared, &addresses, driver))
 }
 
-fn is_discovery_stalled(store: &SharedStore, driver: u32) -> bool {
+fn has_driver_fault(store: &SharedStore, driver: u32, fault: DriverFault) -> bool {
     let store = lock(store);
-    store.script.has_driver_fault(
-        wall_clock_now() - store.started_at,
-        driver,
-        DriverFault::DiscoveryStalled,
-    )
+    let now = wall_clock_now() - store.started_at;
+    store.script.has_driver_fault(now, driver, fault)
 }
 
 /// Answers polls and watches on one connection until it ends.
 fn serve(mut stream: TcpStream, store: &SharedStore, addresses: &Addresses, driver: u32) -> io::Result<()> {
     let mut lines = BufReader::new(stream.try_clone()?);
     while let Some(request) = Request::read(&mut lines)? {
+        if has_driver_fault(store, driver, DriverFault::DiscoveryRefused) {
+            return Ok(());
+        }
         let until = Instant::now() + request.wait;
         let mut list = endpoint_list(store, addresses);
         while request.is_waiting_for_newer(&list) && Instant::now() < until {
             thread::sleep(POLL_INTERVAL);
+            if has_driver_fault(store, driver, DriverFault::DiscoveryRefused) {
+                return Ok(());
+            }
             list = endpoint_list(store, addresses);
         }
         // While stalled, neither a poll nor a watch that was open before is answered.
-        while is_discovery_stalled(store, driver) {
+        while has_driver_fault(store, driver, DriverFault::DiscoveryStalled) {
             thread::sleep(POLL_INTERVAL);
         }
         if request.is_waiting_for_newer(&list) {
--- a/crates/testbed/src/fault_script/mod.rs
+++ b/crates/testbed/src/fault_script/mod.rs
@@ -117,6 +117,8 @@
     Stopped,
     /// Discovery doesn't answer it.
     DiscoveryStalled,
+    /// Discovery closes its connections unanswered.
+    DiscoveryRefused,
     /// Discovery answers it this much later, piece by piece.
     DiscoveryDelayed(TimeSpan),
     /// Discovery answers all that have this fault one after another, each taking this long.
--- a/crates/testbed/src/fault_script/parse.rs
+++ b/crates/testbed/src/fault_script/parse.rs
@@ -36,7 +36,7 @@
     #[error("a split is 'from' others")]
     SplitWithoutFrom,
     /// An unknown fault of a driver.
-    #[error("names nothing that befalls a driver: is killed, is renewed, stops, reloads N times, hears no list, hears lists SPAN late, in turns of SPAN or without length, is SPAN ahead or behind")]
+    #[error("names nothing that befalls a driver: is killed, is renewed, stops, reloads N times, hears no list, is refused lists, hears lists SPAN late, in turns of SPAN or without length, is SPAN ahead or behind")]
     UnknownDriverFault,
     /// An unknown fault of a link.
     #[error("names nothing that befalls a link: is cut, slow, loses, garbles")]
@@ -134,6 +134,7 @@
             Ok((DriverFault::ClockOffset(sign * seconds), rest))
         }
         ["stops", rest @ ..] => Ok((DriverFault::Stopped, rest)),
+        ["is", "refused", "lists", rest @ ..] => Ok((DriverFault::DiscoveryRefused, rest)),
         ["hears", "lists", "without", "length", rest @ ..] => Ok((DriverFault::DiscoveryWithoutLength, rest)),
         ["hears", "lists", by, "late", rest @ ..] => Ok((DriverFault::DiscoveryDelayed(span(by)?), rest)),
         ["hears", "lists", "in", "turns", "of", each, rest @ ..] => {
--- a/crates/testbed/tests/models/fault_script.rs
+++ b/crates/testbed/tests/models/fault_script.rs
@@ -49,6 +49,7 @@
         ("1s member 2 resets idle for 4s", fault(Target::Member(2), MemberFault::ResetsIdle, 1000, 5000)),
         ("1s member 2 forgets idle for 4s", fault(Target::Member(2), MemberFault::ForgetsIdle, 1000, 5000)),
         ("1s member 2 drops short for 4s", fault(Target::Member(2), MemberFault::DropsShort, 1000, 5000)),
+        ("1s driver 1 is refused lists for 1s", FaultEvent::Driver { driver: 1, fault: DriverFault::DiscoveryRefused, from: ms(1000), until: ms(2000) }),
         ("1s driver 1 hears lists 60ms late for 1s", FaultEvent::Driver { driver: 1, fault: DriverFault::DiscoveryDelayed(ms(60)), from: ms(1000), until: ms(2000) }),
         ("1s driver 1 hears lists in turns of 60ms for 1s", FaultEvent::Driver { driver: 1, fault: DriverFault::DiscoveryCrowded(ms(60)), from: ms(1000), until: ms(2000) }),
         ("1s driver 1 hears lists without length for 1s", FaultEvent::Driver { driver: 1, fault: DriverFault::DiscoveryWithoutLength, from: ms(1000), until: ms(2000) }),
