--- a/src/driver/mod.rs
+++ b/src/driver/mod.rs
@@ -33,6 +33,9 @@
     pub(crate) fleet: FleetShare,
     #[serde(skip)]
     pub(crate) preference: ReplicaPreference,
+    /// When this process began to decide; zero where it continues another process's state.
+    #[serde(skip)]
+    pub(crate) created_at: Timestamp,
     pub(crate) now: Timestamp,
     pub(crate) rng: SeededRng,
     pub(crate) typical: TypicalLatencies,
@@ -63,6 +66,9 @@
     pub(crate) best_density: f64,
     /// Smoothed part of the SLO time that establishing a connection costs.
     pub(crate) connection_cost: f64,
+    /// End of a shutdown: no final answer comes later.
+    #[serde(skip)]
+    pub(crate) last_answer_at: Option<Timestamp>,
     pub(crate) poll_at: Option<Timestamp>,
     #[serde(skip)]
     pub(crate) poll_failures: PollFailures,
@@ -89,6 +95,7 @@
             settings: settings.clone(),
             fleet: FleetShare::new(settings.driver_count),
             preference: ReplicaPreference::new(seed),
+            created_at: now,
             ..RoutingPolicy::default()
         }
     }
@@ -99,6 +106,12 @@
         statement.expected_work.unwrap_or(typical)
     }
 
+    /// Work that a statement counts at a warming member. Loads are measured by latencies, so no less than that.
+    pub(crate) fn warm_up_work(&self, statement: &StatementState) -> TimeSpan {
+        let typical = self.typical.of(statement.workload);
+        self.expected_work(statement).max(typical)
+    }
+
     pub(crate) fn workload(&self, statement: &StatementState) -> &WorkloadSettings {
         &self.settings.workloads[statement.workload]
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -2,14 +2,16 @@
 
 use super::RoutingPolicy;
 use crate::interface::*;
+use crate::slow_start::LATE_CONNECTION;
 use crate::state::*;
-use crate::time::{TimeSpan, Timestamp};
+use crate::time::{TimeSpan, Timestamp, MAX_WRITE_DELAY};
 
 /// A write is sent to a member after this even if no primary is known.
 pub(super) const PRIMARY_WAIT: TimeSpan = TimeSpan::millis(250);
 /// Backoff where a retry can only go to the same members.
 const RETRY_BACKOFF: TimeSpan = TimeSpan::millis(50);
-/// Part of the deduplication window within which a retry may be dispatched; the rest is for its way.
+/// Part of the deduplication window within which a retry may be dispatched; the rest is for its way. Besides, its write may
+/// be held up by [`MAX_WRITE_DELAY`].
 const SAFE_WINDOW_PART: f64 = 0.95;
 
 /// Whether a statement was certainly not executed by an attempt that ended so.
@@ -32,6 +34,7 @@
             RetrySafety::Deduplicated => {
                 if let Some(attempt) = statement.indeterminate {
                     let window = workload.deduplication_window * SAFE_WINDOW_PART;
+                    let window = window - MAX_WRITE_DELAY;
                     statement.dispatch_deadline = attempt.dispatched_at + window;
                 }
                 self.now < statement.dispatch_deadline
@@ -112,19 +115,34 @@
     pub fn may_dispatch(&mut self, now: Timestamp, statement: u32, attempt: u8) -> bool {
         self.now = now;
         let execution = self.in_flight.get(statement, attempt).filter(|e| !e.is_cancelled);
-        let Some((member, state)) = execution.map(|e| e.member).zip(self.statements.get(&statement)) else {
+        let Some((execution, state)) = execution.zip(self.statements.get(&statement)) else {
             return false;
         };
+        let member = execution.member;
         let is_primary = self.groups[state.group].primary == Some(member);
         let goes_to_primary = is_primary || self.settings.needs_primary(state.workload);
         let is_ready = goes_to_primary || self.members_check(state) || self.covers(member, state);
         let deadline = state.dispatch_deadline.min(state.answer_deadline);
-        if !is_ready || !self.is_available(member) || now >= deadline {
+        let is_late = now - execution.dispatched_at > LATE_CONNECTION;
+        let is_within_budget = !is_late || self.is_within_warm_up_budget(execution, state);
+        if !is_ready || !self.is_available(member) || !is_within_budget || now >= deadline {
             return false;
         }
+        if is_late {
+            let work = self.warm_up_work(state);
+            self.members[member].charge_warm_up(now, work);
+        }
         let execution = self.in_flight.get_mut(statement, attempt).expect("read above");
         execution.is_connecting = false;
         execution.dispatched_at = now;
         true
     }
+
+    /// Whether a warming member may get an execution whose connection came up late. It was charged when it was decided; if
+    /// others were charged since, it would come on top of them.
+    fn is_within_warm_up_budget(&self, execution: &InFlightExecution, statement: &StatementState) -> bool {
+        let is_last_charged = self.members[execution.member].warm_up_debt_at == execution.dispatched_at;
+        let work = self.warm_up_work(statement);
+        is_last_charged || self.blocked_until(execution.member, work) <= self.now
+    }
 }
