--- a/crates/testbed/src/adverse/mod.rs
+++ b/crates/testbed/src/adverse/mod.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// All scenarios; the load is that of [`plan`].
+/// All scenarios.
 pub const SCENARIOS: [AdverseScenario; 17] = [
     scenario(
         "fault-after-quiet",
