--- a/src/replica_preference.rs
+++ b/src/replica_preference.rs
@@ -44,12 +44,16 @@
     xxh3_64_with_seed(&other.to_le_bytes(), one)
 }
 
+/// How much a driver prefers a replica before capacities count: between 0 and 1, uniform over drivers and over replicas.
+pub(crate) fn affinity(driver: u64, fleet_key: u64) -> f64 {
+    let hash = pair_hash(driver, fleet_key) >> 11;
+    (hash as f64 + 0.5) / (1u64 << 53) as f64
+}
+
 /// Rendezvous score of a pair; the least is preferred. Exponentially distributed with the capacity as its rate, so that a
 /// replica is the least of several with a probability in proportion to its capacity.
 fn score(driver: u64, replica: &Replica) -> f64 {
-    let hash = pair_hash(driver, replica.fleet_key) >> 11;
-    let uniform = (hash as f64 + 0.5) / (1u64 << 53) as f64;
-    -uniform.ln() / replica.effective_capacity()
+    -affinity(driver, replica.fleet_key).ln() / replica.effective_capacity()
 }
 
 /// Indices of the replicas by score. Equal scores would need equal hashes: keys decide then.
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -2,15 +2,15 @@
 //!
 //! A warming member falls if all drivers together send it more calls within the overload window than the settings allow it.
 //! Drivers don't see each other's calls, so each keeps a budget of its own: its part of the load, rounded at random to whole
-//! calls in the window, and spent evenly. The part is rounded once for each start of a member, and not for each window: the
+//! calls in the window, and spent evenly. The part is rounded once for a member, and not for each window: the
 //! drivers that may send within two overlapping windows are the same, whenever their statements come. A budget that isn't
 //! used is lost; saved budgets of many drivers would add up to a burst behind a quiet time.
 
 use crate::interface::Settings;
 use crate::policy::RoutingPolicy;
+use crate::replica_preference;
 use crate::state::{Member, WarmUpBudget};
 use crate::time::{TimeSpan, Timestamp, MAX_WRITE_DELAY};
-use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// An execution whose connection takes longer to come up is charged when it is sent, and needs a place in the budget then.
 pub(crate) const LATE_CONNECTION: TimeSpan = TimeSpan::millis(50);
@@ -39,12 +39,10 @@
         window + LATE_CONNECTION + MAX_WRITE_DELAY
     }
 
-    /// The draw for one start of a member, the same for as long as this driver and that start last.
+    /// The draw for a member, the same for as long as this process lasts. Who prefers a replica anyway is among the first
+    /// that may send to it: what others may send they would not use.
     pub(crate) fn rounding(seed: u64, member: &Member) -> f64 {
-        let started_at = member.started_at.unwrap_or_default();
-        let start = xxh3_64_with_seed(&started_at.0.to_le_bytes(), member.fleet_key);
-        let hash = xxh3_64_with_seed(&start.to_le_bytes(), seed) >> 11;
-        (hash + 1) as f64 / (1u64 << 53) as f64
+        1.0 - replica_preference::affinity(seed, member.fleet_key)
     }
 
     /// When the warm-up fraction reaches this value.
