--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -18,6 +18,7 @@
 use super::signals::{BlockedSignals, ShutdownRequest};
 use super::upgrade::{PredecessorRole, ResumedService, SuccessorRole};
 use crate::routing::event_loop::EventLoop;
+use crate::routing::events::Event;
 use crate::routing::handover::CoServing;
 use crate::transport;
 use crate::transport::clock::Clock;
@@ -29,7 +30,7 @@
 use start_retry::StartRetry;
 use startup::Startup;
 use std::path::Path;
-use std::sync::mpsc::channel;
+use std::sync::mpsc::{channel, Sender};
 
 /// Serves until shutdown or until a successor has taken over. `load_config` reads the configuration again for a reload.
 ///
@@ -58,10 +59,7 @@
     let shutdown = ShutdownRequest::default();
     let retry = StartRetry::new(shutdown.clone());
     let (queue, events) = channel();
-    retry.run(|| {
-        let forwarding = signals.forward(queue.clone(), shutdown.clone());
-        forwarding.map_err(ServeError::Signals)
-    })?;
+    retry.run(|| forward_signals(&signals, &queue, &shutdown))?;
     let machine = operators::machine(&config);
     let start = retry.run(|| Ok(operators::start(given, machine)?))?;
     let settings = InForce::of(&start.meaning);
@@ -114,6 +112,15 @@
     Ok(())
 }
 
+fn forward_signals(
+    signals: &BlockedSignals,
+    queue: &Sender<Event>,
+    shutdown: &ShutdownRequest,
+) -> Result<(), ServeError> {
+    let forwarding = signals.forward(queue.clone(), shutdown.clone());
+    forwarding.map_err(ServeError::Signals)
+}
+
 /// What a process goes on from; without a predecessor only a new clock.
 struct Inheritance {
     resumed: Option<ResumedService>,
--- a/crates/driver/src/protocol/client_session.rs
+++ b/crates/driver/src/protocol/client_session.rs
@@ -2,6 +2,7 @@
 
 use super::client_events::{ClientCommand, ClientEvent, ClientTransferState, FinalAnswer, StatementText};
 use super::messages::{self, NextMessage, HEADER_LENGTH};
+use super::pipeline::{AnsweredStatement, Pipeline};
 use super::startup::{self, Startup};
 use super::statement_comment::{CLIENT_LEFT, OUT_OF_MEMORY, TOO_LARGE, TOO_MANY_CONNECTIONS};
 use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
@@ -9,15 +10,12 @@
 use crate::transport::memory_budget::MemoryBudget;
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::JournalRecord;
-use std::collections::VecDeque;
 use std::net::TcpStream;
 use std::os::fd::AsFd;
 
 /// Bytes that a client may have sent ahead of an answer before its input is no longer read. What is unread when it is
 /// closed is lost, so a pipeline of usual statements fits.
 const READ_AHEAD: usize = 16 * 1024;
-/// Open statements of one client at most; further ones of a pipeline wait.
-const MAX_PIPELINE: usize = 16;
 
 #[derive(Clone, Copy, PartialEq)]
 enum State {
@@ -26,13 +24,6 @@
     Closed,
 }
 
-/// An open statement, or one whose answer waits for those before it.
-struct PipelinedStatement {
-    /// Offset of its end among all that was read.
-    end: u64,
-    answer: Option<Vec<u8>>,
-}
-
 /// The handler of a client's connection.
 pub struct ClientSession {
     client: u32,
@@ -49,10 +40,7 @@
     is_all_read: bool,
     /// Bytes of an oversized query that are still to be skipped.
     bytes_to_skip: usize,
-    /// In the order of the statements' numbers.
-    pipeline: VecDeque<PipelinedStatement>,
-    /// Number of the first statement in the pipeline.
-    first_number: u32,
+    pipeline: Pipeline,
     budget: MemoryBudget,
     /// Bytes consumed of all that was read.
     consumed: u64,
@@ -82,8 +70,7 @@
             has_left: false,
             is_all_read: false,
             bytes_to_skip: 0,
-            pipeline: VecDeque::new(),
-            first_number: 0,
+            pipeline: Pipeline::default(),
             budget,
             consumed: 0,
             message_start: 0,
@@ -201,7 +188,7 @@
                 kind: b'Q',
                 body,
                 length,
-            } if self.pipeline.len() < MAX_PIPELINE => match messages::query_text(body) {
+            } if !self.pipeline.is_full() => match messages::query_text(body) {
                 Some(text) => {
                     self.on_query(text, self.message_start + length as u64, at, out);
                     length
@@ -220,7 +207,7 @@
             NextMessage::TooLong { kind: b'Q', length } => {
                 out.events.push(ClientEvent::Oversized);
                 self.bytes_to_skip = length;
-                self.push_answered(self.message_start, FinalAnswer::from(TOO_LARGE).into_bytes());
+                self.pipeline.push_rejected(self.message_start, TOO_LARGE);
                 self.write_answers(out);
                 0
             }
@@ -237,11 +224,6 @@
         }
     }
 
-    fn push_answered(&mut self, end: u64, answer: Vec<u8>) {
-        let answer = Some(answer);
-        self.pipeline.push_back(PipelinedStatement { end, answer });
-    }
-
     /// Adds a query to the pipeline, with its answer if it needs no member.
     fn on_query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut Output) {
         self.has_sent_query = true;
@@ -250,12 +232,11 @@
             let mut answer = Vec::new();
             messages::put(&mut answer, b'I', &[]);
             messages::put_ready(&mut answer);
-            self.push_answered(end, answer);
+            self.pipeline.push_answered(end, answer);
         } else if self.has_left {
-            self.push_answered(end, FinalAnswer::from(CLIENT_LEFT).into_bytes());
+            self.pipeline.push_rejected(end, CLIENT_LEFT);
         } else if let Some(text) = StatementText::new(text, &self.budget) {
-            let number = self.first_number.wrapping_add(self.pipeline.len() as u32);
-            self.pipeline.push_back(PipelinedStatement { end, answer: None });
+            let number = self.pipeline.push_open(end);
             out.events.push(ClientEvent::Statement {
                 client: self.client,
                 number,
@@ -265,17 +246,15 @@
             });
         } else {
             out.events.push(ClientEvent::OutOfMemory);
-            self.push_answered(end, FinalAnswer::from(OUT_OF_MEMORY).into_bytes());
+            self.pipeline.push_rejected(end, OUT_OF_MEMORY);
         }
         self.write_answers(out);
     }
 
     /// Writes the answers at the front of the pipeline.
     fn write_answers(&mut self, out: &mut Output) {
-        while let Some(first) = self.pipeline.pop_front_if(|s| s.answer.is_some()) {
-            let answer = first.answer.unwrap_or_default();
-            self.record_write(answer.len(), first.end);
-            self.first_number = self.first_number.wrapping_add(1);
+        while let Some(AnsweredStatement { end, answer }) = self.pipeline.pop_answered() {
+            self.record_write(answer.len(), end);
             // Most often nothing waits to be written: then the bytes needn't be copied.
             if out.bytes.is_empty() {
                 out.bytes = answer;
@@ -286,13 +265,9 @@
     }
 
     fn on_answer(&mut self, number: u32, answer: FinalAnswer, at: Timestamp, out: &mut Output) {
-        let index = number.wrapping_sub(self.first_number) as usize;
-        // A second answer to a statement is dropped.
-        let open = self.pipeline.get_mut(index).filter(|s| s.answer.is_none());
-        let Some(open) = open.filter(|_| self.state == State::Ready) else {
+        if self.state != State::Ready || !self.pipeline.answer(number, answer) {
             return;
-        };
-        open.answer = Some(answer.into_bytes());
+        }
         self.write_answers(out);
         // Whether the connection ends now is decided by `on_input`, which follows: a statement may be here already.
         if self.pipeline.is_empty() && !self.has_left {
@@ -309,13 +284,8 @@
 
     /// Rejects a connection for which there is no place. Statements that were read meanwhile have an answer each.
     fn reject(&mut self, out: &mut Output) {
-        let open = self
-            .pipeline
-            .iter_mut()
-            .filter(|statement| statement.answer.is_none());
-        for statement in open {
-            statement.answer = Some(FinalAnswer::from(TOO_MANY_CONNECTIONS).into_bytes());
-        }
+        self.pipeline
+            .answer_all(|| FinalAnswer::from(TOO_MANY_CONNECTIONS));
         if self.pipeline.is_empty() {
             self.close_with_error("53300", "too many connections", out);
         } else {
--- a/crates/driver/src/protocol/mod.rs
+++ b/crates/driver/src/protocol/mod.rs
@@ -10,6 +10,7 @@
 pub mod http;
 pub mod member_connection;
 pub mod messages;
+mod pipeline;
 pub mod replica_status;
 pub mod startup;
 pub mod statement_comment;
--- /dev/null
+++ b/crates/driver/src/protocol/pipeline.rs
@@ -0,0 +1,89 @@
+//! Statements of one client that are open, or whose answers wait for those before them: answers keep the order of statements.
+
+use super::client_events::FinalAnswer;
+use super::statement_comment::StatementError;
+use std::collections::VecDeque;
+
+/// Open statements of one client at most; further ones of a pipeline wait unread.
+const MAX_STATEMENTS: usize = 16;
+
+struct PipelinedStatement {
+    /// Offset of its end among all that was read.
+    end: u64,
+    answer: Option<Vec<u8>>,
+}
+
+/// A statement at the front of the pipeline that has its answer.
+pub(super) struct AnsweredStatement {
+    /// Offset of its end among all that was read.
+    pub(super) end: u64,
+    /// The answer's messages.
+    pub(super) answer: Vec<u8>,
+}
+
+/// Statements in the order of their numbers.
+#[derive(Default)]
+pub(super) struct Pipeline {
+    statements: VecDeque<PipelinedStatement>,
+    /// Number of the first statement.
+    first_number: u32,
+}
+
+impl Pipeline {
+    pub(super) fn is_empty(&self) -> bool {
+        self.statements.is_empty()
+    }
+
+    /// Whether no further statement is read.
+    pub(super) fn is_full(&self) -> bool {
+        self.statements.len() >= MAX_STATEMENTS
+    }
+
+    /// Adds a statement whose answer is to come, and returns its number.
+    pub(super) fn push_open(&mut self, end: u64) -> u32 {
+        let number = self.first_number.wrapping_add(self.statements.len() as u32);
+        self.statements
+            .push_back(PipelinedStatement { end, answer: None });
+        number
+    }
+
+    /// Adds a statement that needs no member.
+    pub(super) fn push_answered(&mut self, end: u64, answer: Vec<u8>) {
+        let answer = Some(answer);
+        self.statements.push_back(PipelinedStatement { end, answer });
+    }
+
+    /// Adds a statement that is not forwarded.
+    pub(super) fn push_rejected(&mut self, end: u64, reason: StatementError) {
+        self.push_answered(end, FinalAnswer::from(reason).into_bytes());
+    }
+
+    /// Answers the statement with this number. Returns false if it is not open: a second answer is dropped.
+    pub(super) fn answer(&mut self, number: u32, answer: FinalAnswer) -> bool {
+        let index = number.wrapping_sub(self.first_number) as usize;
+        let statement = self.statements.get_mut(index);
+        let Some(open) = statement.filter(|statement| statement.answer.is_none()) else {
+            return false;
+        };
+        open.answer = Some(answer.into_bytes());
+        true
+    }
+
+    /// Answers all open statements alike.
+    pub(super) fn answer_all(&mut self, answer: impl Fn() -> FinalAnswer) {
+        let statements = self.statements.iter_mut();
+        for open in statements.filter(|statement| statement.answer.is_none()) {
+            open.answer = Some(answer().into_bytes());
+        }
+    }
+
+    /// Takes the first statement if it has its answer.
+    pub(super) fn pop_answered(&mut self) -> Option<AnsweredStatement> {
+        let first = self.statements.pop_front_if(|first| first.answer.is_some())?;
+        self.first_number = self.first_number.wrapping_add(1);
+        Some(AnsweredStatement {
+            end: first.end,
+            answer: first.answer.unwrap_or_default(),
+        })
+    }
+}
--- a/crates/driver/src/transport/connection/mod.rs
+++ b/crates/driver/src/transport/connection/mod.rs
@@ -2,14 +2,16 @@
 //! [`ConnectionHandler`]. It keeps no time: whoever holds the [`ConnectionHandle`] decides when the connection ends.
 
 mod coroutine;
+mod start;
 
 use asterlatch::time::Timestamp;
 use may::io::WaitIoWaker;
 use std::net::TcpStream;
 use std::sync::mpsc::Sender;
 
-pub use coroutine::{dial, resume_owned};
-pub(crate) use coroutine::{register, run};
+pub(crate) use coroutine::run;
+pub(crate) use start::register;
+pub use start::{dial, resume_owned};
 
 /// What a handler wants done.
 pub struct ConnectionOutput<E> {
