--- a/crates/driver/src/transport/connection/coroutine.rs
+++ b/crates/driver/src/transport/connection/coroutine.rs
@@ -4,7 +4,7 @@
 use crate::transport::clock::Clock;
 use crate::transport::event_registration;
 use crate::transport::memory_budget::{MemoryBudget, MemoryReservation};
-use crate::transport::socket_errors::{self, SocketError};
+use crate::transport::socket_errors::{self, NextStep, SocketError};
 use asterlatch::time::Timestamp;
 use may::io::{CoIo, WaitIo};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
