--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,13 +2,13 @@
 //!
 //! `load` reads files into a `meaning`, or into the `report`s of what is wrong; `registry` says what may be set;
 //! `format` writes a file in the one form; `generations` decides which meaning is in force, `probation` whether a
-//! change does harm, `shelf` what is kept of former ones. Only `load::Folder` and `store` touch files; `keeper` stores again what a failing disk didn't take.
+//! change does harm, `shelf` what is kept of former ones. Only `load::Folder` and `store` touch files; `generation_writer` stores again what a failing disk didn't take.
 
 pub mod eval;
 pub mod format;
+pub mod generation_writer;
 pub mod generations;
 pub mod host;
-pub mod keeper;
 pub mod lex;
 pub mod load;
 pub mod meaning;
--- a/crates/config/src/store.rs
+++ b/crates/config/src/store.rs
@@ -2,7 +2,7 @@
 //!
 //! A disk may fail for a while. What it doesn't give for a moment is unread, not damaged, and nothing is removed because
 //! it could not be read. A generation is in force for the next start from its rename on; that it survives a power failure
-//! is known once its folder is synced. [`crate::keeper`] writes again what isn't known to survive one.
+//! is known once its folder is synced. [`crate::generation_writer`] writes again what isn't known to survive one.
 
 use crate::meaning::hash;
 use crate::shelf::{self, Damage};
--- a/crates/config/tests/failing_disk.rs
+++ b/crates/config/tests/failing_disk.rs
@@ -1,6 +1,6 @@
 //! Generations on a disk that fails for a while, at each of its calls, and a kill or a power failure at each.
 
-use asterlatch_config::keeper::{Keeper, FIRST_PAUSE, LONGEST_PAUSE};
+use asterlatch_config::generation_writer::{GenerationWriter, FIRST_PAUSE, LONGEST_PAUSE};
 use asterlatch_config::shelf;
 use asterlatch_config::store::{KeepError, Store};
 use asterlatch_storage::memory::{Call, End, MemoryFileSystem, CALLS};
@@ -62,9 +62,9 @@
 #[test]
 fn failed_folder_sync_leaves_the_generation_in_force_and_owed() {
     let disk = disk();
-    let mut keeper = Keeper::new(store(&disk));
+    let mut writer = GenerationWriter::new(store(&disk));
     disk.fail(Call::SyncFolder, libc::EIO);
-    let error = keeper
+    let error = writer
         .keep(2, "new\n".to_owned(), MOST)
         .expect_err("isn't durable");
     assert!(
@@ -75,11 +75,11 @@
     assert_eq!(whole(&disk).len(), 3, "nothing older goes before it is durable");
     disk.mend();
     assert_eq!(
-        keeper.retry().expect("is owed").expect("stores"),
+        writer.retry().expect("is pending").expect("stores"),
         2,
         "no second number"
     );
-    assert_eq!(keeper.pause(), None);
+    assert_eq!(writer.pause(), None);
     let expected = [(2, "new\n".to_owned()), (1, "old\n".to_owned())];
     assert_eq!(whole(&disk), expected);
     // A removal isn't synced: what comes back is older, and goes with the next.
@@ -92,13 +92,13 @@
     for call in CALLS {
         for errno in [libc::ENOSPC, libc::EIO] {
             let disk = disk();
-            let mut keeper = Keeper::new(store(&disk));
+            let mut writer = GenerationWriter::new(store(&disk));
             disk.fail(call, errno);
-            let first = keeper.keep(2, "new\n".to_owned(), MOST);
-            let mut pauses: Vec<_> = keeper.pause().into_iter().collect();
+            let first = writer.keep(2, "new\n".to_owned(), MOST);
+            let mut pauses: Vec<_> = writer.pause().into_iter().collect();
             for _ in 0..9 {
-                let Some(_) = keeper.retry() else { break };
-                pauses.extend(keeper.pause());
+                let Some(_) = writer.retry() else { break };
+                pauses.extend(writer.pause());
             }
             assert!(pauses.is_sorted() && pauses.iter().all(|p| (FIRST_PAUSE..=LONGEST_PAUSE).contains(p)));
             // Whatever was told, a start on what is there finds whole generations alone.
@@ -108,7 +108,7 @@
                 Err(KeepError::NotStored(_)) => assert_eq!(before[0].1, "old\n", "{call:?}"),
                 _ => assert_eq!(before[0], (2, "new\n".to_owned()), "{call:?}"),
             }
-            if let Some(again) = keeper.retry() {
+            if let Some(again) = writer.retry() {
                 assert_eq!(again.expect("stores"), 2, "{call:?}");
             }
             disk.restart(End::PowerFailure);
--- a/crates/driver/src/program/operators/worker.rs
+++ b/crates/driver/src/program/operators/worker.rs
@@ -3,8 +3,8 @@
 
 use super::{read, registry, Given, OperatorsError};
 use crate::routing::events::{ControlEvent, Event};
+use asterlatch_config::generation_writer::GenerationWriter;
 use asterlatch_config::generations::Read;
-use asterlatch_config::keeper::Keeper;
 use asterlatch_config::meaning::{hash, Meaning};
 use asterlatch_config::registry::Machine;
 use asterlatch_config::report;
@@ -64,7 +64,7 @@
     },
 }
 
-type GenerationKeeper = Keeper<OsFileSystem>;
+type DiskWriter = GenerationWriter<OsFileSystem>;
 
 /// Whether the thread goes on.
 #[derive(Clone, Copy, PartialEq)]
@@ -112,19 +112,19 @@
     /// Starts the thread; it ends with the returned sender or with the event loop.
     fn start(self) -> Result<Sender<Job>, OperatorsError> {
         let (sender, jobs) = channel();
-        let mut keeper = self
+        let mut writer = self
             .state
             .as_deref()
-            .map(|folder| Keeper::new(Store::on(OsFileSystem, folder)));
-        let run = move || while self.step(&jobs, keeper.as_mut()) == Flow::Continue {};
+            .map(|folder| GenerationWriter::new(Store::on(OsFileSystem, folder)));
+        let run = move || while self.step(&jobs, writer.as_mut()) == Flow::Continue {};
         let thread = std::thread::Builder::new().name("operators".to_owned());
         thread.spawn(run).map_err(OperatorsError::Thread)?;
         Ok(sender)
     }
 
-    /// The next job, or another attempt to store what is owed.
-    fn step(&self, jobs: &Receiver<Job>, mut keeper: Option<&mut GenerationKeeper>) -> Flow {
-        let pause = keeper.as_ref().and_then(|keeper| keeper.pause());
+    /// The next job, or another attempt to store the pending generation.
+    fn step(&self, jobs: &Receiver<Job>, mut writer: Option<&mut DiskWriter>) -> Flow {
+        let pause = writer.as_ref().and_then(|writer| writer.pause());
         let received = match pause {
             Some(pause) => jobs.recv_timeout(pause),
             None => jobs.recv().map_err(RecvTimeoutError::from),
@@ -135,10 +135,10 @@
                 number,
                 canonical,
                 most,
-            }) => keeper
+            }) => writer
                 .as_mut()
-                .and_then(|keeper| store(keeper, number, canonical, most)),
-            Err(RecvTimeoutError::Timeout) => keeper.as_mut().and_then(|keeper| store_again(keeper)),
+                .and_then(|writer| store(writer, number, canonical, most)),
+            Err(RecvTimeoutError::Timeout) => writer.as_mut().and_then(|writer| store_again(writer)),
             Err(RecvTimeoutError::Disconnected) => return Flow::End,
         };
         let Some(done) = done else {
@@ -175,14 +175,14 @@
 }
 
 /// Stores a generation; `None` if there is nothing to be told.
-fn store(keeper: &mut GenerationKeeper, number: u64, canonical: String, most: usize) -> Option<Done> {
-    let error = keeper.keep(number, canonical, most).err()?;
+fn store(writer: &mut DiskWriter, number: u64, canonical: String, most: usize) -> Option<Done> {
+    let error = writer.keep(number, canonical, most).err()?;
     Some(Done::Stored(StoreReport::Failed { number, error }))
 }
 
-/// Stores what is owed; `None` if it is owed still.
-fn store_again(keeper: &mut GenerationKeeper) -> Option<Done> {
-    let result = keeper.retry()?;
+/// Stores the pending generation; `None` if it is still pending.
+fn store_again(writer: &mut DiskWriter) -> Option<Done> {
+    let result = writer.retry()?;
     let number = match result {
         Ok(number) | Err(KeepError::OldNotLetGo { number, .. }) => number,
         Err(_) => return None,
