--- a/crates/driver/src/program/gossip/mod.rs
+++ b/crates/driver/src/program/gossip/mod.rs
@@ -73,7 +73,7 @@
         };
         let routing = GossipSettings {
             tick: span("tick"),
-            query_timeout: span("ask"),
+            inquiry_timeout: span("ask"),
             retry_window: span("window"),
             max_recorded_statements: amount("ids") as usize,
             // The deployment's, set at the start.
@@ -134,7 +134,7 @@
         let queried = self.others.iter().enumerate().filter(|(_, other)| other.asked);
         let peers = FleetPeers {
             names: self.node.peers.clone(),
-            queried: queried.map(|(index, _)| index).collect(),
+            inquiry_peers: queried.map(|(index, _)| index).collect(),
         };
         let send = Box::new(move |command| handle.send(command));
         Gossip::new(now, settings, identity, peers, send)
--- a/crates/driver/src/program/log.rs
+++ b/crates/driver/src/program/log.rs
@@ -1,7 +1,7 @@
 //! The log: lines on standard error, a bounded number of each topic a second, with a count of those suppressed. `tracing`
 //! carries them; their form is decided here, once for the process.
 
-use crate::routing::event_loop::Observer;
+use crate::routing::event_loop::Logger;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::fmt::{self, Arguments, Write};
@@ -84,7 +84,7 @@
 }
 pub(crate) use log;
 
-impl Observer for Log {
+impl Logger for Log {
     fn log(&mut self, now: Timestamp, topic: &'static str, text: Arguments) {
         log!(self, now, topic, "{text}");
     }
--- a/crates/driver/src/program/operators/in_force.rs
+++ b/crates/driver/src/program/operators/in_force.rs
@@ -62,7 +62,7 @@
         let client = |row| self.span("clients", row);
         let discovery = |row| self.span("discovery", row);
         let crowded = |from, timeout| CrowdedIdleTimeout {
-            from: self.share("clients", from),
+            min_active_share: self.share("clients", from),
             timeout: client(timeout),
         };
         Limits {
@@ -84,8 +84,8 @@
             watch_timeout: discovery("watch"),
             watch_grace: discovery("watch_late"),
             list_timeout: discovery("list_late"),
-            initial_backoff: discovery("first_pause"),
-            max_backoff: discovery("longest_pause"),
+            initial_discovery_backoff: discovery("first_pause"),
+            max_discovery_backoff: discovery("longest_pause"),
         }
     }
 
@@ -96,7 +96,7 @@
         let limits = entries.map(|(name, amounts)| {
             let amount = |row: Option<usize>| Some(amounts.get(row?)?.as_ref()?.amount);
             let own = WorkloadLimits {
-                timeout: amount(timeout).map(|us| TimeSpan(us as u64)),
+                max_timeout: amount(timeout).map(|us| TimeSpan(us as u64)),
                 max_bytes: amount(longest).map(|bytes| bytes as usize),
             };
             (name.to_owned(), own)
--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -236,7 +236,7 @@
             } => (ticket, outcome, text),
             Done::Stored(report) => {
                 let line = describe_store(&report);
-                log!(event_loop.observer, now, DECISIONS, "{line}");
+                log!(event_loop.logger, now, DECISIONS, "{line}");
                 return;
             }
         };
@@ -246,7 +246,7 @@
             self.changed(machine);
         }
         for line in text.lines() {
-            log!(event_loop.observer, now, DETAILS, "{line}");
+            log!(event_loop.logger, now, DETAILS, "{line}");
         }
         // What was counted until now was counted before the change, also what no sample holds yet.
         self.watch(event_loop, phases, now);
@@ -313,7 +313,7 @@
                     self.store(number, meaning.canonical(registry()), most_stored(&meaning));
                 }
                 Effect::Tell(told) => {
-                    log!(event_loop.observer, now, DECISIONS, "{}", describe(&told));
+                    log!(event_loop.logger, now, DECISIONS, "{}", describe(&told));
                 }
             }
         }
@@ -331,7 +331,7 @@
 /// Applies settings to the running process.
 pub fn take_over(event_loop: &mut EventLoop<Log>, phases: &mut Phases, force: &InForce) {
     event_loop.set_limits(force.limits, &force.workloads);
-    event_loop.observer.lines_per_second = force.lines_a_second;
+    event_loop.logger.lines_per_second = force.lines_a_second;
     phases.durations = force.times;
 }
 
--- a/crates/driver/src/program/serve/connectors.rs
+++ b/crates/driver/src/program/serve/connectors.rs
@@ -44,7 +44,7 @@
             request.number,
             request.address.to_string(),
             request.wait_ms,
-            request.after,
+            request.known_version,
         );
         connection::dial::<_, Event>(request.address, watch, &queue, (clock, &memory))
     })
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -77,7 +77,7 @@
                 self.predecessor.upgrade_to_own_program(event_loop, now)
             }
             ControlEvent::Upgrade => log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "not begun: this process is on probation, or leaves"
@@ -107,12 +107,7 @@
             }
             Err(error) => {
                 event_loop.metrics.reloads_failed += 1;
-                log!(
-                    event_loop.observer,
-                    now,
-                    "configuration",
-                    "kept as it was: {error}"
-                );
+                log!(event_loop.logger, now, "configuration", "kept as it was: {error}");
             }
         }
         self.operators.changed(self.machine);
@@ -142,7 +137,7 @@
         };
         while let Some(phase) = self.phases.advance(now, &state) {
             let name = &self.config.name;
-            log!(event_loop.observer, now, "phase", "{name} is {}", phase.name());
+            log!(event_loop.logger, now, "phase", "{name} is {}", phase.name());
             match phase {
                 Phase::Draining { .. } => event_loop.begin_drain(),
                 Phase::Stopped => event_loop.leave_gossip(),
@@ -165,7 +160,7 @@
     };
     let discovery = newer.runtime.discovery;
     log!(
-        event_loop.observer,
+        event_loop.logger,
         now,
         "configuration",
         "read again, discovery at {discovery}{note}"
@@ -174,7 +169,7 @@
 
 /// Logs all metrics in one line.
 pub(super) fn report_metrics(event_loop: &mut EventLoop<Log>, now: Timestamp) {
-    event_loop.metrics.log_lines_left_out = event_loop.observer.suppressed_lines;
+    event_loop.metrics.log_lines_left_out = event_loop.logger.suppressed_lines;
     let line = counters::line(&event_loop.metrics);
-    log!(event_loop.observer, now, "counters", "{line}");
+    log!(event_loop.logger, now, "counters", "{line}");
 }
--- a/crates/driver/src/program/serve/deferred_services.rs
+++ b/crates/driver/src/program/serve/deferred_services.rs
@@ -78,12 +78,12 @@
     /// Starts both in a process that already serves: failures are logged.
     pub(super) fn start_late(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let gossip = self.start_gossip(event_loop).unwrap_or_else(|error| {
-            log!(event_loop.observer, now, "fleet", "nothing is shared: {error}");
+            log!(event_loop.logger, now, "fleet", "nothing is shared: {error}");
             None
         });
         if let Err(error) = self.start_control_socket(gossip) {
             log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "no further one can be asked for: {error}"
--- a/crates/driver/src/program/serve/startup.rs
+++ b/crates/driver/src/program/serve/startup.rs
@@ -97,7 +97,7 @@
     /// Logs lines, each under its topic.
     pub(super) fn log_all(&self, event_loop: &mut EventLoop<Log>, lines: &[StartLine]) {
         for line in lines {
-            log!(event_loop.observer, self.clock.now(), line.topic, "{}", line.text);
+            log!(event_loop.logger, self.clock.now(), line.topic, "{}", line.text);
         }
     }
 }
--- a/crates/driver/src/program/upgrade/predecessor.rs
+++ b/crates/driver/src/program/upgrade/predecessor.rs
@@ -140,7 +140,7 @@
         requester: Option<UnixStream>,
     ) {
         if let Err(error) = check_capacity(&resource_usage(event_loop)) {
-            log!(event_loop.observer, now, "upgrade", "not begun: {error}");
+            log!(event_loop.logger, now, "upgrade", "not begun: {error}");
             reply(requester.as_ref(), &format!("failed: {error}"));
             return;
         }
@@ -148,7 +148,7 @@
         if actions.contains(&Action::Report(Progress::Busy)) {
             // The current upgrade's requester stays.
             log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "not begun: another one is under way"
@@ -239,7 +239,7 @@
             Ok(state) => state,
             Err(error) => {
                 log!(
-                    event_loop.observer,
+                    event_loop.logger,
                     now,
                     "upgrade",
                     "the state can't be written out: {error}"
@@ -250,7 +250,7 @@
         match self.open_descriptors(event_loop) {
             Ok(descriptors) => self.send(HandoverMessage::State(state), descriptors),
             Err(error) => log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "no descriptors to send: {error}"
@@ -290,13 +290,13 @@
         }
         match reclaimed.incomplete {
             Some(reason) => log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "{cut} clients cut off, for the ledger isn't whole: {reason}"
             ),
             None => log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "{count} clients taken back, {cut} cut off"
@@ -307,7 +307,7 @@
     /// Reports to the log and to the requester, which the upgrade's end lets go.
     fn report(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, progress: &Progress) {
         let text = self.progress_text(progress);
-        log!(event_loop.observer, now, "upgrade", "{text}");
+        log!(event_loop.logger, now, "upgrade", "{text}");
         reply(self.requester.as_ref(), &text);
         if matches!(progress, Progress::Busy | Progress::Done | Progress::Failed(_)) {
             self.requester = None;
@@ -400,7 +400,7 @@
 /// What both processes would need and what they may take. What the kernel doesn't tell counts as zero.
 fn resource_usage(event_loop: &EventLoop<Log>) -> ResourceUsage {
     let usage = event_loop.process_usage();
-    let capacity = event_loop.process_capacity();
+    let capacity = event_loop.service_capacity();
     ResourceUsage {
         descriptor_limit: capacity.descriptors,
         open_descriptors: fs::read_dir("/proc/self/fd").map_or(0, Iterator::count),
--- a/crates/driver/src/program/upgrade/successor.rs
+++ b/crates/driver/src/program/upgrade/successor.rs
@@ -280,7 +280,7 @@
         // It has no executions in flight any more.
         event_loop.set_co_serving(now, CoServing::Alone);
         event_loop.metrics.in_flight_at_peer_process = 0;
-        log!(event_loop.observer, now, "upgrade", "the former process has left");
+        log!(event_loop.logger, now, "upgrade", "the former process has left");
     }
 
     /// Lets go of a journal that had to be abandoned.
@@ -288,7 +288,7 @@
         let abandoned = self.journal.take_if(|journal| !journal.is_on());
         if abandoned.is_some() {
             log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "the ledger is given up: the former process doesn't read it"
@@ -309,7 +309,7 @@
             Action::Report(progress) => {
                 let elapsed_ms = (monotonic - self.started_at).0 / 1000;
                 log!(
-                    event_loop.observer,
+                    event_loop.logger,
                     now,
                     "upgrade",
                     "{progress}, {elapsed_ms} ms after this process began"
--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -217,7 +217,7 @@
     fn idle_timeout(&self) -> TimeSpan {
         let active_share = self.active_count as f64 / self.max_clients as f64;
         let mut crowded = self.limits.crowded_idle_timeouts.iter();
-        let applicable = crowded.find(|crowded| active_share >= crowded.from.ratio());
+        let applicable = crowded.find(|crowded| active_share >= crowded.min_active_share.ratio());
         applicable.map_or(self.limits.client_idle_timeout, |crowded| crowded.timeout)
     }
 
--- a/crates/driver/src/routing/event_loop/actions.rs
+++ b/crates/driver/src/routing/event_loop/actions.rs
@@ -1,6 +1,6 @@
 //! Carries out what the policy decides, and notifies it of requests that have ended.
 
-use super::{EndedRequest, EventLoop, Observer};
+use super::{EndedRequest, EventLoop, Logger};
 use crate::routing::execution_outcomes;
 use crate::routing::member_requests::{AttemptId, MemberRequest, RequestKind, UnansweredRequest};
 use crate::routing::statements::NextAttempt;
@@ -9,7 +9,7 @@
 };
 use asterlatch::time::Timestamp;
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// Carries out what the policy decided, in its order.
     pub(super) fn carry_out(&mut self, now: Timestamp, actions: Actions) {
         self.policy_wakes_at = actions.wake_up_at;
--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -1,6 +1,6 @@
 //! Arrivals and events of clients, and the final answers to their statements.
 
-use super::{EventLoop, Observer};
+use super::{EventLoop, Logger};
 use crate::protocol::client_events::{ClientCommand, ClientEvent, FinalAnswer, StatementText};
 use crate::protocol::replica_status;
 use crate::protocol::statement_comment::{self, StatementComment, StatementError};
@@ -18,7 +18,7 @@
 use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use std::io;
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// The process shuts down: every statement has its final answer by then.
     pub fn begin_shutdown(&mut self, now: Timestamp, last_answer_at: Timestamp) {
         let actions = self.policy.on_shutdown(now, last_answer_at);
@@ -54,7 +54,7 @@
     pub(super) fn on_accept_failed(&mut self, now: Timestamp, error: &io::Error) {
         self.metrics.accepts_failed += 1;
         let text = format_args!("a client could not be accepted: {error}");
-        self.observer.log(now, "accept", text);
+        self.logger.log(now, "accept", text);
         self.acceptor.on_failed(now + self.limits.accept_backoff);
         // A place that becomes free helps against nothing else than a lack of descriptors.
         if socket_errors::is_out_of_descriptors(error) {
@@ -78,7 +78,7 @@
             ClientEvent::Malformed => {
                 self.metrics.clients_malformed += 1;
                 let text = format_args!("sent what is not the protocol");
-                self.observer.log(now, "client", text);
+                self.logger.log(now, "client", text);
             }
             ClientEvent::OutOfMemory => self.metrics.rejected_for_memory += 1,
             ClientEvent::Oversized => self.metrics.statements_unreadable += 1,
@@ -235,7 +235,7 @@
     fn refuse_statement(&mut self, now: Timestamp, origin: StatementOrigin, reason: StatementError) {
         self.metrics.statements_unreadable += 1;
         let text = format_args!("not routed: {}", reason.message);
-        self.observer.log(now, "statement", text);
+        self.logger.log(now, "statement", text);
         let command = ClientCommand::Answer(origin.number, reason.into());
         self.clients.send(origin.client, command);
     }
--- a/crates/driver/src/routing/event_loop/configuration.rs
+++ b/crates/driver/src/routing/event_loop/configuration.rs
@@ -1,6 +1,6 @@
 //! Changes of configuration and limits, and what the program reads of the event loop's state.
 
-use super::{EventLoop, Observer};
+use super::{EventLoop, Logger};
 use crate::routing::limits::{Limits, WorkloadLimits};
 use crate::routing::runtime_config::RuntimeConfig;
 use crate::transport::listener::ListenerHandle;
@@ -9,7 +9,7 @@
 
 /// What all processes of this service together may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ProcessCapacity {
+pub struct ServiceCapacity {
     /// Number of descriptors.
     pub descriptors: usize,
     /// Bytes of memory.
@@ -36,7 +36,7 @@
     pub idle: usize,
 }
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// Applies a changed configuration. Open connections stay: a lower limit is reached as they end.
     pub fn set_config(&mut self, now: Timestamp, config: RuntimeConfig) {
         self.config = config;
@@ -68,8 +68,8 @@
     }
 
     /// What all processes of this service together may use.
-    pub fn process_capacity(&self) -> ProcessCapacity {
-        ProcessCapacity {
+    pub fn service_capacity(&self) -> ServiceCapacity {
+        ServiceCapacity {
             descriptors: self.config.max_descriptors,
             memory: self.config.max_memory,
         }
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -1,13 +1,13 @@
 //! Leases and health checks by consensus: what the drivers of a fleet know about members together.
 
-use super::{EventLoop, Observer};
+use super::{EventLoop, Logger};
 use crate::routing::gossip::{named_shares, NamedShare};
 use asterlatch::interface::{MemberShare, MemberUpdate};
 use asterlatch::time::Timestamp;
 use asterlatch::zone_health;
 use std::collections::BTreeMap;
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// Tells the policy which drivers are present.
     pub(super) fn update_fleet(&mut self, now: Timestamp) {
         let Some(gossip) = &mut self.gossip else { return };
--- a/crates/driver/src/routing/event_loop/discovery.rs
+++ b/crates/driver/src/routing/event_loop/discovery.rs
@@ -1,17 +1,17 @@
 //! Requests to discovery and the endpoint lists that it answers.
 
-use super::{EventLoop, Observer};
+use super::{EventLoop, Logger};
 use crate::protocol::discovery_watch::{DiscoveryEvent, DiscoveryMessage};
 use crate::protocol::endpoint_list::EndpointList;
 use asterlatch::interface::{MemberEntry, MemberState};
 use asterlatch::time::{RemoteTimestamp, Timestamp};
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// Retries a request that has timed out, and makes the next one that is due.
     pub(super) fn advance_discovery_to(&mut self, now: Timestamp) {
         if self.discovery_requests.is_timed_out(now) {
             let text = format_args!("silent, calling again");
-            self.observer.log(now, "discovery", text);
+            self.logger.log(now, "discovery", text);
             self.on_discovery_failed(now);
         }
         if self.discovery_requests.take_due(now) {
@@ -47,7 +47,7 @@
             DiscoveryEvent::Unreadable => {
                 self.metrics.endpoint_lists_unreadable += 1;
                 let text = format_args!("answered what can't be read");
-                self.observer.log(now, "discovery", text);
+                self.logger.log(now, "discovery", text);
             }
             DiscoveryEvent::Closed => self.on_discovery_failed(now),
         }
@@ -72,7 +72,7 @@
         if skipped > 0 {
             self.metrics.endpoints_skipped += skipped as u64;
             let text = format_args!("{skipped} entries of the list can't be read");
-            self.observer.log(now, "discovery", text);
+            self.logger.log(now, "discovery", text);
         }
         if list.is_complete || !entries.is_empty() {
             let actions = self.policy.on_endpoint_list(now, &entries, list.is_complete);
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -1,14 +1,14 @@
 //! How a request reaches its member. On an established connection it is sent at once; if one has to be established first,
 //! the policy is asked again before anything is sent, for much may have happened meanwhile.
 
-use super::{EventLoop, Observer};
+use super::{EventLoop, Logger};
 use crate::protocol::messages;
 use crate::routing::member_requests::{Assignment, AttemptId, ConnectionUp, MemberRequest, RequestKind};
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::JournalRecord;
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// Assigns a connection to the request.
     pub(super) fn start_request(&mut self, now: Timestamp, request: MemberRequest) {
         let assignment = match self.members.address(request.member) {
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -1,6 +1,6 @@
 //! Messages of the gossip thread, and what the event loop shares with other drivers.
 
-use super::{EndedRequest, EventLoop, Observer};
+use super::{EndedRequest, EventLoop, Logger};
 use crate::protocol::replica_status;
 use crate::routing::gossip::{
     statuses, DispatchedExecution, Gossip, GossipMessage, LoadReport, MemberStatusRecord, RequestEnd,
@@ -15,7 +15,7 @@
 /// Topic of log lines about the fleet.
 const FLEET: &str = "fleet";
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// Shares with other drivers from now on, and listens to them.
     pub fn join_gossip(&mut self, gossip: Gossip) {
         self.gossip = Some(gossip);
@@ -111,7 +111,7 @@
     pub(super) fn on_gossip_message(&mut self, now: Timestamp, message: GossipMessage) {
         match message {
             GossipMessage::Output(output) => self.on_gossip_output(now, output),
-            GossipMessage::LogLine(line) => self.observer.log(now, FLEET, format_args!("{line}")),
+            GossipMessage::LogLine(line) => self.logger.log(now, FLEET, format_args!("{line}")),
         }
     }
 
@@ -134,13 +134,13 @@
                 } else {
                     "behind: it was away"
                 };
-                self.observer.log(now, FLEET, format_args!("{text}"));
+                self.logger.log(now, FLEET, format_args!("{text}"));
             }
             NodeOutput::PeerIgnored { peer, reason } => {
                 let Some(gossip) = &self.gossip else { return };
                 let name = gossip.peer_name(peer);
                 let text = format_args!("driver {name} is not listened to: {reason}");
-                self.observer.log(now, FLEET, text);
+                self.logger.log(now, FLEET, text);
             }
             NodeOutput::Send { .. } => {}
         }
@@ -160,7 +160,7 @@
             change.from.name(),
         );
         let text = format_args!("driver {name} is {to}, was {from}");
-        self.observer.log(now, FLEET, text);
+        self.logger.log(now, FLEET, text);
     }
 
     /// Applies another driver's record. Members that are not listed here are not affected.
--- a/crates/driver/src/routing/event_loop/in_doubt.rs
+++ b/crates/driver/src/routing/event_loop/in_doubt.rs
@@ -1,6 +1,6 @@
 //! Statements that another driver may have sent: what is asked of other drivers, and what they ask.
 
-use super::{EventLoop, Observer};
+use super::{EventLoop, Logger};
 use crate::routing::execution_outcomes;
 use crate::routing::gossip::StatementCheck;
 use asterlatch::interface::{PriorAttempt, Statement};
@@ -21,7 +21,7 @@
     })
 }
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// Checks whether another driver may have sent a statement. Returns it with its prior attempt, if there is one, or
     /// nothing if it is deferred until other drivers have answered.
     pub(super) fn check_prior_attempts(
--- a/crates/driver/src/routing/event_loop/members.rs
+++ b/crates/driver/src/routing/event_loop/members.rs
@@ -1,6 +1,6 @@
 //! Events of connections to members.
 
-use super::{EventLoop, Observer};
+use super::{EventLoop, Logger};
 use crate::protocol::client_events::FinalAnswer;
 use crate::protocol::member_connection::{MemberEvent, Reply};
 use crate::protocol::{messages, replica_status};
@@ -10,7 +10,7 @@
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     pub(super) fn on_member_event(&mut self, now: Timestamp, event: MemberEvent) {
         match event {
             MemberEvent::Connected { connection } => self.on_connected(now, connection),
@@ -69,7 +69,7 @@
             (Reply::Malformed, _) => {
                 self.metrics.members_malformed += 1;
                 let text = format_args!("sent what is not an answer");
-                self.observer.log(now, "member", text);
+                self.logger.log(now, "member", text);
             }
             _ => {}
         }
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -36,7 +36,7 @@
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_settings::Decoding;
-pub use configuration::{MemberCounts, ProcessCapacity, ProcessUsage};
+pub use configuration::{MemberCounts, ProcessUsage, ServiceCapacity};
 pub use peer_process::{LearnedState, ResumedState};
 use std::collections::VecDeque;
 use std::fmt::Arguments;
@@ -44,8 +44,8 @@
 use std::time::Duration;
 
 /// Receives the log lines of the event loop.
-pub trait Observer {
-    /// Logs a line under a topic; the observer may limit the rate of each topic.
+pub trait Logger {
+    /// Logs a line under a topic; the logger may limit the rate of each topic.
     fn log(&mut self, now: Timestamp, topic: &'static str, text: Arguments);
 }
 
@@ -90,7 +90,7 @@
     policy: RoutingPolicy,
     decoding: Decoding,
     /// Receives log lines.
-    pub observer: O,
+    pub logger: O,
     /// Counters and gauges.
     pub metrics: Metrics,
     workloads: Workloads,
@@ -116,14 +116,14 @@
     records_sessions: bool,
 }
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// An event loop without clients, members or listener.
     pub fn new(
         settings: &Settings,
         decoding: Decoding,
         options: EventLoopOptions,
         now: Timestamp,
-        observer: O,
+        logger: O,
     ) -> EventLoop<O> {
         let (config, limits) = (options.config, options.limits);
         let capacity = config.connection_capacity(&limits);
@@ -152,7 +152,7 @@
             config,
             limits,
             decoding,
-            observer,
+            logger,
             metrics: Metrics::default(),
             ended_requests: VecDeque::new(),
             policy_wakes_at: Some(now),
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -1,7 +1,7 @@
 //! Another process of this service that serves beside this one, as its predecessor or successor: learned state, clients
 //! and connections move between them, and some updates bind both.
 
-use super::{EventLoop, Observer};
+use super::{EventLoop, Logger};
 use crate::protocol::replica_status;
 use crate::routing::handover::{CoServing, DrainedMember, TransferredClient, TransferredConnection};
 use crate::routing::member_requests::AdoptedConnection;
@@ -29,7 +29,7 @@
     pub members: MemberDirectory,
 }
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// State that another process resumes from.
     pub fn learned_state(&self) -> LearnedState<'_> {
         LearnedState {
--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -47,7 +47,7 @@
     /// Time between two batches of observations.
     pub tick: TimeSpan,
     /// Longest time to wait for other drivers' answers about a statement.
-    pub query_timeout: TimeSpan,
+    pub inquiry_timeout: TimeSpan,
     /// Time after its first dispatch in which a client may retry a statement.
     pub retry_window: TimeSpan,
     /// Most statements that are recorded for that.
@@ -73,7 +73,7 @@
     /// Their names, by the number that the gossip node gives them.
     pub names: Vec<String>,
     /// Numbers of those that are asked about statements.
-    pub queried: Vec<usize>,
+    pub inquiry_peers: Vec<usize>,
 }
 
 /// The drivers that are present.
@@ -169,7 +169,7 @@
             peer_names: peers.names,
             present: BTreeSet::new(),
             statuses: StatusBatch::new(settings.tick),
-            prior_attempts: PriorAttempts::new(now, &settings, peers.queried),
+            prior_attempts: PriorAttempts::new(now, &settings, peers.inquiry_peers),
             in_flight: BTreeMap::new(),
             list_version: 0,
             announced_drains: BTreeSet::new(),
--- a/crates/driver/src/routing/gossip/prior_attempts.rs
+++ b/crates/driver/src/routing/gossip/prior_attempts.rs
@@ -61,7 +61,7 @@
     queries: Inquiries,
     deferred: BTreeMap<u64, DeferredStatement>,
     queried_peers: Vec<usize>,
-    query_timeout: TimeSpan,
+    inquiry_timeout: TimeSpan,
 }
 
 impl PriorAttempts {
@@ -71,7 +71,7 @@
             queries: Inquiries::default(),
             deferred: BTreeMap::new(),
             queried_peers,
-            query_timeout: settings.query_timeout,
+            inquiry_timeout: settings.inquiry_timeout,
         }
     }
 
@@ -187,7 +187,7 @@
         send: &mut SendCommand,
     ) -> StatementCheck {
         let max_wait = resolved.statement.time_left * MAX_QUERY_SHARE;
-        let timeout = self.query_timeout.min(max_wait);
+        let timeout = self.inquiry_timeout.min(max_wait);
         let Some(query) = self.queries.start(now, client_id, &self.queried_peers, timeout) else {
             return StatementCheck::New;
         };
--- a/crates/driver/src/routing/limits.rs
+++ b/crates/driver/src/routing/limits.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CrowdedIdleTimeout {
     /// Share of all places that active clients take, from which on the timeout applies.
-    pub from: Share,
+    pub min_active_share: Share,
     /// Idle time between two statements.
     pub timeout: TimeSpan,
 }
@@ -67,9 +67,9 @@
     /// How long the answer to a request without waiting may take.
     pub list_timeout: TimeSpan,
     /// Backoff after the first failed discovery request; it doubles with each further one.
-    pub initial_backoff: TimeSpan,
+    pub initial_discovery_backoff: TimeSpan,
     /// Longest backoff after a failed discovery request.
-    pub max_backoff: TimeSpan,
+    pub max_discovery_backoff: TimeSpan,
 }
 
 impl Default for Limits {
@@ -84,11 +84,11 @@
             client_idle_timeout: TimeSpan::millis(10_000),
             crowded_idle_timeouts: [
                 CrowdedIdleTimeout {
-                    from: Share(400_000),
+                    min_active_share: Share(400_000),
                     timeout: TimeSpan::millis(100),
                 },
                 CrowdedIdleTimeout {
-                    from: Share(250_000),
+                    min_active_share: Share(250_000),
                     timeout: TimeSpan::millis(2200),
                 },
             ],
@@ -99,8 +99,8 @@
             watch_timeout: TimeSpan::millis(2000),
             watch_grace: TimeSpan::millis(1000),
             list_timeout: TimeSpan::millis(1000),
-            initial_backoff: TimeSpan::millis(100),
-            max_backoff: TimeSpan::millis(2000),
+            initial_discovery_backoff: TimeSpan::millis(100),
+            max_discovery_backoff: TimeSpan::millis(2000),
         }
     }
 }
@@ -109,7 +109,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkloadLimits {
     /// Upper bound for the statement timeout of clients.
-    pub timeout: Option<TimeSpan>,
+    pub max_timeout: Option<TimeSpan>,
     /// Longest statement, in bytes.
     pub max_bytes: Option<usize>,
 }
--- a/crates/driver/src/routing/workloads.rs
+++ b/crates/driver/src/routing/workloads.rs
@@ -40,7 +40,7 @@
 
     /// Upper bound for the timeout of its statements.
     pub fn max_statement_timeout(&self, limits: &Limits) -> TimeSpan {
-        let own = self.limits.timeout.unwrap_or(limits.max_statement_timeout);
+        let own = self.limits.max_timeout.unwrap_or(limits.max_statement_timeout);
         own.min(limits.max_statement_timeout)
     }
 }
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -95,9 +95,9 @@
         ),
         ("clients.message", limits.message_timeout.0.to_string()),
         ("clients.rest", limits.client_idle_timeout.0.to_string()),
-        ("clients.filling_from", filling.from.0.to_string()),
+        ("clients.filling_from", filling.min_active_share.0.to_string()),
         ("clients.filling_rest", filling.timeout.0.to_string()),
-        ("clients.crowded_from", crowded.from.0.to_string()),
+        ("clients.crowded_from", crowded.min_active_share.0.to_string()),
         ("clients.crowded_rest", crowded.timeout.0.to_string()),
         ("clients.just_came", limits.arrival_grace.0.to_string()),
         ("clients.accept_again", limits.accept_backoff.0.to_string()),
@@ -109,8 +109,14 @@
         ("discovery.watch", limits.watch_timeout.0.to_string()),
         ("discovery.watch_late", limits.watch_grace.0.to_string()),
         ("discovery.list_late", limits.list_timeout.0.to_string()),
-        ("discovery.first_pause", limits.initial_backoff.0.to_string()),
-        ("discovery.longest_pause", limits.max_backoff.0.to_string()),
+        (
+            "discovery.first_pause",
+            limits.initial_discovery_backoff.0.to_string(),
+        ),
+        (
+            "discovery.longest_pause",
+            limits.max_discovery_backoff.0.to_string(),
+        ),
         ("phases.arrivals", force.times.arrivals.0.to_string()),
         ("phases.linger", force.times.linger.0.to_string()),
         ("phases.longest_drain", force.times.longest_drain.0.to_string()),
@@ -130,7 +136,7 @@
         ("upgrade.probation", taking.probation.0.to_string()),
     ]);
     for (name, own) in &force.workloads {
-        let timeout = own.timeout.map(|span| span.0);
+        let timeout = own.max_timeout.map(|span| span.0);
         text += &lines(&[
             ("workload", name.clone()),
             ("workload.timeout", format!("{timeout:?}")),
--- a/crates/driver/tests/routing/discovery.rs
+++ b/crates/driver/tests/routing/discovery.rs
@@ -19,7 +19,10 @@
             .on_event(harness.now, Event::from(DiscoveryMessage { request, event }))
     };
     assert_eq!(
-        (harness.called.borrow().len(), harness.called.borrow()[0].0.after),
+        (
+            harness.called.borrow().len(),
+            harness.called.borrow()[0].0.known_version
+        ),
         (1, None),
         "the complete list first"
     );
@@ -29,7 +32,11 @@
     harness.advance(99);
     assert_eq!(harness.called.borrow().len(), 1, "not without a backoff");
     harness.advance(1);
-    assert_eq!(harness.called.borrow()[1].0.after, Some(1), "only what is newer");
+    assert_eq!(
+        harness.called.borrow()[1].0.known_version,
+        Some(1),
+        "only what is newer"
+    );
     // Events of an earlier request must not end the current one, nor change the list.
     hear(&mut harness, 1, DiscoveryEvent::Closed);
     hear(&mut harness, 1, DiscoveryEvent::Listed(list(9, Vec::new())));
@@ -95,7 +102,7 @@
             .called
             .borrow()
             .iter()
-            .map(|(c, _)| (c.address, c.after))
+            .map(|(c, _)| (c.address, c.known_version))
             .collect();
         assert_eq!(
             calls[1..],
@@ -154,7 +161,7 @@
     );
     for (settings, first) in [(asks.as_str(), Some(1)), (SETTINGS, None)] {
         let mut harness = Harness::knowing(settings, 1024, 192 << 20);
-        let after = |harness: &Harness| harness.called.borrow().last().map(|(call, _)| call.after);
+        let after = |harness: &Harness| harness.called.borrow().last().map(|(call, _)| call.known_version);
         assert_eq!(after(&harness), Some(first));
         harness.event_loop.on_event(
             harness.now,
@@ -196,7 +203,10 @@
         }
         longest
     };
-    assert_eq!(longest_after(libc::EMFILE), limits.initial_backoff);
-    assert_eq!(longest_after(libc::EADDRNOTAVAIL), limits.initial_backoff);
-    assert_eq!(longest_after(libc::ECONNREFUSED), limits.max_backoff);
+    assert_eq!(longest_after(libc::EMFILE), limits.initial_discovery_backoff);
+    assert_eq!(
+        longest_after(libc::EADDRNOTAVAIL),
+        limits.initial_discovery_backoff
+    );
+    assert_eq!(longest_after(libc::ECONNREFUSED), limits.max_discovery_backoff);
 }
--- a/crates/driver/tests/routing/harness.rs
+++ b/crates/driver/tests/routing/harness.rs
@@ -6,7 +6,7 @@
 use asterlatch_driver::protocol::endpoint_list::{Endpoint, EndpointList, EndpointStatus};
 use asterlatch_driver::protocol::member_connection::{MemberCommand, MemberEvent, Reply};
 use asterlatch_driver::routing::discovery_requests::DiscoveryRequest;
-use asterlatch_driver::routing::event_loop::{Connectors, EventLoop, EventLoopOptions, Observer};
+use asterlatch_driver::routing::event_loop::{Connectors, EventLoop, EventLoopOptions, Logger};
 use asterlatch_driver::routing::events::Event;
 use asterlatch_driver::routing::limits::Limits;
 use asterlatch_driver::routing::runtime_config::RuntimeConfig;
@@ -33,7 +33,7 @@
 
 pub(crate) struct Quiet;
 
-impl Observer for Quiet {
+impl Logger for Quiet {
     fn log(&mut self, _now: Timestamp, _topic: &'static str, _text: Arguments) {}
 }
 
