--- a/crates/driver/src/program/operators/in_force.rs
+++ b/crates/driver/src/program/operators/in_force.rs
@@ -84,8 +84,8 @@
             watch_timeout: discovery("watch"),
             watch_grace: discovery("watch_late"),
             list_timeout: discovery("list_late"),
-            initial_discovery_backoff: discovery("first_pause"),
-            max_discovery_backoff: discovery("longest_pause"),
+            initial_backoff: discovery("first_pause"),
+            max_backoff: discovery("longest_pause"),
         }
     }
 
--- a/crates/driver/src/routing/discovery_requests.rs
+++ b/crates/driver/src/routing/discovery_requests.rs
@@ -58,7 +58,7 @@
             number: 0,
             times_out_at: now,
             retry_at: (!is_polled).then_some(now),
-            backoff: limits.initial_discovery_backoff,
+            backoff: limits.initial_backoff,
             known_version: None,
             is_polled,
             limits,
@@ -115,7 +115,7 @@
             Ok(line) => self.line = Some(line),
             Err(error) if socket_errors::is_local_failure(&error) => {
                 // Discovery knows nothing of it, so it needs no relief: a drain must not be learned late for it.
-                self.backoff = self.limits.initial_discovery_backoff;
+                self.backoff = self.limits.initial_backoff;
             }
             Err(_) => {}
         }
@@ -131,14 +131,14 @@
         self.address = address;
         self.line = None;
         self.known_version = None;
-        self.backoff = self.limits.initial_discovery_backoff;
+        self.backoff = self.limits.initial_backoff;
         self.retry_at = Some(now);
     }
 
     /// A list of this version arrived; the next watch has been sent on the same connection already.
     pub fn on_list(&mut self, now: Timestamp, version: u64) {
         self.times_out_at = now + self.change_timeout;
-        self.backoff = self.limits.initial_discovery_backoff;
+        self.backoff = self.limits.initial_backoff;
         self.known_version = Some(version);
     }
 
@@ -148,7 +148,7 @@
         self.line = None;
         if !self.is_polled {
             self.retry_at = Some(now + self.backoff);
-            self.backoff = (self.backoff + self.backoff).min(self.limits.max_discovery_backoff);
+            self.backoff = (self.backoff + self.backoff).min(self.limits.max_backoff);
         }
         self.is_polled
     }
--- a/crates/driver/src/routing/limits.rs
+++ b/crates/driver/src/routing/limits.rs
@@ -67,9 +67,9 @@
     /// How long the answer to a request without waiting may take.
     pub list_timeout: TimeSpan,
     /// Backoff after the first failed discovery request; it doubles with each further one.
-    pub initial_discovery_backoff: TimeSpan,
+    pub initial_backoff: TimeSpan,
     /// Longest backoff after a failed discovery request.
-    pub max_discovery_backoff: TimeSpan,
+    pub max_backoff: TimeSpan,
 }
 
 impl Default for Limits {
@@ -99,8 +99,8 @@
             watch_timeout: TimeSpan::millis(2000),
             watch_grace: TimeSpan::millis(1000),
             list_timeout: TimeSpan::millis(1000),
-            initial_discovery_backoff: TimeSpan::millis(100),
-            max_discovery_backoff: TimeSpan::millis(2000),
+            initial_backoff: TimeSpan::millis(100),
+            max_backoff: TimeSpan::millis(2000),
         }
     }
 }
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -109,14 +109,8 @@
         ("discovery.watch", limits.watch_timeout.0.to_string()),
         ("discovery.watch_late", limits.watch_grace.0.to_string()),
         ("discovery.list_late", limits.list_timeout.0.to_string()),
-        (
-            "discovery.first_pause",
-            limits.initial_discovery_backoff.0.to_string(),
-        ),
-        (
-            "discovery.longest_pause",
-            limits.max_discovery_backoff.0.to_string(),
-        ),
+        ("discovery.first_pause", limits.initial_backoff.0.to_string()),
+        ("discovery.longest_pause", limits.max_backoff.0.to_string()),
         ("phases.arrivals", force.times.arrivals.0.to_string()),
         ("phases.linger", force.times.linger.0.to_string()),
         ("phases.longest_drain", force.times.longest_drain.0.to_string()),
--- a/crates/driver/tests/routing/discovery.rs
+++ b/crates/driver/tests/routing/discovery.rs
@@ -203,10 +203,7 @@
         }
         longest
     };
-    assert_eq!(longest_after(libc::EMFILE), limits.initial_discovery_backoff);
-    assert_eq!(
-        longest_after(libc::EADDRNOTAVAIL),
-        limits.initial_discovery_backoff
-    );
-    assert_eq!(longest_after(libc::ECONNREFUSED), limits.max_discovery_backoff);
+    assert_eq!(longest_after(libc::EMFILE), limits.initial_backoff);
+    assert_eq!(longest_after(libc::EADDRNOTAVAIL), limits.initial_backoff);
+    assert_eq!(longest_after(libc::ECONNREFUSED), limits.max_backoff);
 }
