--- a/crates/driver/src/routing/clients.rs
+++ b/crates/driver/src/routing/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: admission, eviction, and timeouts of clients without an open statement.
+//! Client connections: admission, eviction, and timeouts of clients without an open statement.
 
 use super::limits::Limits;
 use crate::protocol::client_events::ClientCommand;
@@ -6,83 +6,83 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a client without an open statement is waited for.
+/// The event that a client without an open statement has to produce before its timeout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Wait {
-    /// It has not sent any statement yet.
+    /// The first statement after connecting.
     FirstStatement,
-    /// Part of a message has arrived.
+    /// The remaining bytes of a partial message.
     RestOfMessage,
     NextStatement,
-    /// Our side of the connection is shut; what the client still sends is dropped until it closes its own.
-    PeerClose,
+    /// Close of the client's side. Ours is shut down, and further input is discarded.
+    ClientClose,
 }
-const WAITS: [Wait; 4] = [
+const ALL_WAITS: [Wait; 4] = [
     Wait::FirstStatement,
     Wait::RestOfMessage,
     Wait::NextStatement,
-    Wait::PeerClose,
+    Wait::ClientClose,
 ];
 
-/// Time for a client to close its side of a connection that is shut on ours.
+/// Time for a client to close its side of a half-closed connection.
 const HALF_CLOSED_TIMEOUT: TimeSpan = TimeSpan::millis(300);
-/// Upper bound for the message timeout during a drain.
+/// Upper bound of the message timeout during a drain.
 const DRAIN_MESSAGE_TIMEOUT: TimeSpan = TimeSpan::millis(500);
 
 struct Client {
-    line: ConnectionHandle<ClientCommand>,
+    handle: ConnectionHandle<ClientCommand>,
     open_statements: Vec<u32>,
-    /// What it is waited for, and since when; `None` while it has an open statement.
+    /// The current wait and its start; `None` while a statement is open.
     wait: Option<(Wait, Timestamp)>,
-    /// It has sent at least one statement, here or at another process.
+    /// It has sent at least one statement, to this process or another one.
     is_active: bool,
-    /// It was rejected on arrival, so no statement of it is accepted.
+    /// It was rejected on admission: none of its statements are accepted.
     is_rejected: bool,
-    /// It has closed its side: it waits for the answers to what is open, or has left.
-    has_left: bool,
+    /// It has closed its sending side, and may still read the answers to its open statements.
+    is_input_ended: bool,
 }
 
-/// What becomes of clients between two statements.
+/// What happens to a client once it has no open statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mode {
+enum ServingMode {
     Serving,
-    /// They go to another process.
+    /// The client is handed over to another process.
     HandingOver,
-    /// They are disconnected.
+    /// The client is disconnected.
     Draining,
 }
 
-/// Result of the admission of a client.
+/// Result of admitting a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// There was a free place.
+    /// There was free capacity.
     Admitted,
-    /// Another client was evicted for it.
+    /// Another client was evicted to make room.
     AdmittedByEviction,
-    /// All others have open statements; it is told so before it can send anything.
+    /// No client could be evicted. The rejection is sent before the client's first statement.
     Rejected,
 }
 
-/// Number of clients disconnected by a timeout.
+/// Number of clients disconnected by timeouts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ExpiredClients {
-    /// Their first statement or the rest of a message did not arrive in time.
-    pub too_slow: u64,
-    /// They were idle between two statements.
+    /// A first statement or the rest of a message did not arrive in time.
+    pub timed_out: u64,
+    /// Idle between two statements for too long.
     pub idle: u64,
 }
 
-/// The table of clients' connections. Only the event loop uses it.
+/// The table of client connections, owned by the event loop.
 pub struct Clients {
     open: BTreeMap<u32, Client>,
-    /// Clients by what they are waited for, ordered by the start of the wait.
-    waiting: [BTreeSet<(Timestamp, u32)>; WAITS.len()],
+    /// Clients by `Wait`, ordered by its start.
+    waiting: [BTreeSet<(Timestamp, u32)>; ALL_WAITS.len()],
     active_count: usize,
     max_clients: usize,
-    /// Another process holds a descriptor for each client as well.
+    /// A peer process holds a copy of each client's descriptor, so only half of the capacity is usable.
     is_co_serving: bool,
     limits: Limits,
-    mode: Mode,
+    mode: ServingMode,
 }
 
 impl Clients {
@@ -95,17 +95,17 @@
             max_clients,
             is_co_serving: false,
             limits,
-            mode: Mode::Serving,
+            mode: ServingMode::Serving,
         }
     }
 
-    /// Changes the limits. Connected clients stay, unless a shorter timeout has already passed.
+    /// Changes the limits. Connected clients stay unless a shortened timeout has already expired.
     pub fn set_limits(&mut self, max_clients: usize, limits: Limits) {
         self.max_clients = max_clients;
         self.limits = limits;
     }
 
-    /// States whether another process serves on the same descriptors.
+    /// Sets whether a peer process serves on the same descriptors.
     pub fn set_co_serving(&mut self, is_co_serving: bool) {
         self.is_co_serving = is_co_serving;
     }
@@ -115,29 +115,29 @@
         self.open.len()
     }
 
-    /// Adds a client that the kernel has accepted. If all places are taken by clients with open statements it is
-    /// rejected before it can send anything: later, the rejection could be taken for one of a statement that runs.
-    pub fn admit(&mut self, now: Timestamp, id: u32, line: ConnectionHandle<ClientCommand>) -> Admission {
+    /// Adds an accepted client. If no connected client can be evicted, the new one is rejected before its
+    /// first statement: a later rejection could be mistaken for the answer to a statement in flight.
+    pub fn admit(&mut self, now: Timestamp, id: u32, handle: ConnectionHandle<ClientCommand>) -> Admission {
         match self.mode {
-            Mode::Serving => {}
-            Mode::HandingOver => line.send(ClientCommand::HandOver),
-            Mode::Draining => line.send(ClientCommand::Drain),
+            ServingMode::Serving => {}
+            ServingMode::HandingOver => handle.send(ClientCommand::HandOver),
+            ServingMode::Draining => handle.send(ClientCommand::Drain),
         }
         let admission = if self.open.len() < self.capacity() {
             Admission::Admitted
         } else if self.evict_one(now) {
             Admission::AdmittedByEviction
         } else {
-            line.send(ClientCommand::Reject);
+            handle.send(ClientCommand::Reject);
             Admission::Rejected
         };
         let client = Client {
-            line,
+            handle,
             open_statements: Vec::new(),
             wait: None,
             is_active: false,
             is_rejected: admission == Admission::Rejected,
-            has_left: false,
+            is_input_ended: false,
         };
         self.open.insert(id, client);
         self.set_wait(id, Some((Wait::FirstStatement, now)));
@@ -156,8 +156,8 @@
         let Some(client) = self.open.get_mut(&id) else {
             return;
         };
-        if let Some((former, since)) = std::mem::replace(&mut client.wait, wait) {
-            self.waiting[former as usize].remove(&(since, id));
+        if let Some((previous, since)) = std::mem::replace(&mut client.wait, wait) {
+            self.waiting[previous as usize].remove(&(since, id));
         }
         if let Some((wait, since)) = wait {
             self.waiting[wait as usize].insert((since, id));
@@ -168,18 +168,19 @@
         self.waiting[wait as usize].first().copied()
     }
 
-    /// Disconnects one client in favour of another: first one whose connection is shut on our side already; then one
-    /// that has not sent any statement, if it arrived long ago or with so many others that they would evict all active
-    /// clients; then the one that has been idle the longest. Returns whether there was any.
+    /// Disconnects one client to make room. In order of preference: a half-closed one; one without a first
+    /// statement, if it is past the grace period or such clients outnumber half of the capacity; the longest
+    /// idle one; any one without a first statement. Returns whether there was any.
     pub fn evict_one(&mut self, now: Timestamp) -> bool {
         if self.close_one_half_closed() {
             return true;
         }
-        let arriving = self.longest_waiting(Wait::FirstStatement);
-        let many = self.waiting[Wait::FirstStatement as usize].len() > self.max_clients / 2;
-        let silent = arriving.filter(|(since, _)| many || now - *since > self.limits.arrival_grace);
+        let without_statement = self.longest_waiting(Wait::FirstStatement);
+        let is_flooded = self.waiting[Wait::FirstStatement as usize].len() > self.max_clients / 2;
+        let past_grace =
+            without_statement.filter(|(since, _)| is_flooded || now - *since > self.limits.arrival_grace);
         let idle = self.longest_waiting(Wait::NextStatement);
-        let Some((_, id)) = silent.or(idle).or(arriving) else {
+        let Some((_, id)) = past_grace.or(idle).or(without_statement) else {
             return false;
         };
         self.disconnect(id, ClientCommand::Drain);
@@ -187,12 +188,12 @@
     }
 
     fn close_one_half_closed(&mut self) -> bool {
-        let Some((_, id)) = self.longest_waiting(Wait::PeerClose) else {
+        let Some((_, id)) = self.longest_waiting(Wait::ClientClose) else {
             return false;
         };
         self.set_wait(id, None);
         if let Some(client) = self.open.get_mut(&id) {
-            client.line.close();
+            client.handle.close();
         }
         true
     }
@@ -205,11 +206,11 @@
     fn timeout(&self, wait: Wait) -> TimeSpan {
         match wait {
             Wait::FirstStatement => self.limits.first_statement_timeout,
-            Wait::RestOfMessage if self.mode == Mode::Draining => {
+            Wait::RestOfMessage if self.mode == ServingMode::Draining => {
                 self.limits.message_timeout.min(DRAIN_MESSAGE_TIMEOUT)
             }
             Wait::RestOfMessage => self.limits.message_timeout,
-            Wait::PeerClose => HALF_CLOSED_TIMEOUT,
+            Wait::ClientClose => HALF_CLOSED_TIMEOUT,
             Wait::NextStatement => self.idle_timeout(),
         }
     }
@@ -221,27 +222,27 @@
         applicable.map_or(self.limits.client_idle_timeout, |crowded| crowded.timeout)
     }
 
-    /// When the next timeout passes.
+    /// Time of the next timeout.
     pub fn next_at(&self) -> Option<Timestamp> {
         let expires_at = |wait| Some(self.longest_waiting(wait)?.0 + self.timeout(wait));
-        WAITS.into_iter().filter_map(expires_at).min()
+        ALL_WAITS.into_iter().filter_map(expires_at).min()
     }
 
-    /// Disconnects clients whose timeout has passed.
+    /// Disconnects clients whose timeout has expired.
     pub fn close_expired(&mut self, now: Timestamp) -> ExpiredClients {
         let mut expired = ExpiredClients::default();
-        for wait in WAITS {
+        for wait in ALL_WAITS {
             while let Some(id) = self.next_expired(wait, now) {
                 match wait {
                     Wait::NextStatement => {
                         expired.idle += 1;
                         self.disconnect(id, ClientCommand::Drain);
                     }
-                    Wait::PeerClose => {
+                    Wait::ClientClose => {
                         self.close_one_half_closed();
                     }
                     Wait::FirstStatement | Wait::RestOfMessage => {
-                        expired.too_slow += 1;
+                        expired.timed_out += 1;
                         self.disconnect(id, ClientCommand::TimeOut);
                     }
                 }
@@ -255,31 +256,32 @@
         (now - since >= self.timeout(wait)).then_some(id)
     }
 
-    /// Our side of the client's connection is shut.
+    /// Starts the wait for the client's close after our side was shut down.
     pub fn on_half_closed(&mut self, id: u32, now: Timestamp) {
-        self.set_wait(id, Some((Wait::PeerClose, now)));
+        self.set_wait(id, Some((Wait::ClientClose, now)));
     }
 
-    /// The client has been between two statements since then. Before its first statement this changes nothing.
+    /// Starts the idle timeout at `since`. Ignored before the client's first statement.
     pub fn on_idle(&mut self, id: u32, since: Timestamp) {
-        if !self.is_arriving(id) {
+        if !self.awaits_first_statement(id) {
             self.set_wait(id, Some((Wait::NextStatement, since)));
         }
     }
 
-    /// Part of a message arrived then. Before the client's first statement this changes nothing.
+    /// Starts the message timeout at `since`. Ignored before the client's first statement.
     pub fn on_partial_message(&mut self, id: u32, since: Timestamp) {
-        if !self.is_arriving(id) {
+        if !self.awaits_first_statement(id) {
             self.set_wait(id, Some((Wait::RestOfMessage, since)));
         }
     }
 
-    fn is_arriving(&self, id: u32) -> bool {
+    fn awaits_first_statement(&self, id: u32) -> bool {
         let wait = self.open.get(&id).and_then(|client| client.wait);
         wait.is_some_and(|(wait, _)| wait == Wait::FirstStatement)
     }
 
-    /// The client has sent a statement. Returns whether it may be accepted.
+    /// Ends the current wait of a client that has sent a statement. Returns whether the statement may be
+    /// accepted.
     pub fn on_statement(&mut self, id: u32) -> bool {
         self.set_wait(id, None);
         self.set_active(id);
@@ -303,26 +305,26 @@
         }
     }
 
-    /// A statement of the client has its final answer.
+    /// Removes a statement that has its final answer.
     pub fn remove_statement(&mut self, id: u32, statement: u32) {
         if let Some(client) = self.open.get_mut(&id) {
             client.open_statements.retain(|open| *open != statement);
         }
     }
 
-    /// The client has closed its side. Returns its open statements when that is news.
+    /// Records that the client has closed its sending side. Returns its open statements the first time only.
     pub fn on_input_ended(&mut self, id: u32) -> Vec<u32> {
-        let client = self.open.get_mut(&id).filter(|client| !client.has_left);
+        let client = self.open.get_mut(&id).filter(|client| !client.is_input_ended);
         let Some(client) = client else {
             return Vec::new();
         };
-        client.has_left = true;
+        client.is_input_ended = true;
         client.open_statements.clone()
     }
 
-    /// Whether the client has closed its side.
-    pub fn has_left(&self, id: u32) -> bool {
-        self.open.get(&id).is_some_and(|client| client.has_left)
+    /// Whether the client has closed its sending side.
+    pub fn is_input_ended(&self, id: u32) -> bool {
+        self.open.get(&id).is_some_and(|client| client.is_input_ended)
     }
 
     /// Whether the client is connected.
@@ -340,19 +342,19 @@
         client.open_statements
     }
 
-    /// Sends a command to the client's connection, if there is one.
+    /// Sends a command to the client's connection; ignored if the client is gone.
     pub fn send(&self, id: u32, command: ClientCommand) {
         if let Some(client) = self.open.get(&id) {
-            client.line.send(command);
+            client.handle.send(command);
         }
     }
 
-    /// Whether the client has sent a statement, here or at another process.
+    /// Whether the client has sent a statement, to this process or another one.
     pub fn is_active(&self, id: u32) -> bool {
         self.open.get(&id).is_some_and(|client| client.is_active)
     }
 
-    /// Marks a client as idle that has sent statements to another process.
+    /// Marks a client as active and idle that has sent statements to another process.
     pub fn mark_active(&mut self, id: u32, now: Timestamp) {
         if self.open.contains_key(&id) {
             self.set_active(id);
@@ -360,28 +362,29 @@
         }
     }
 
-    /// Ends a handover or drain for clients that arrive from now on.
+    /// Ends a handover or drain for clients admitted from now on.
     pub fn resume_serving(&mut self) {
-        self.mode = Mode::Serving;
+        self.mode = ServingMode::Serving;
     }
 
-    /// Hands each client over to another process between two statements, including those still to arrive.
+    /// Hands over each present and future client once it has no open statement. During a drain, future
+    /// clients are disconnected instead.
     pub fn begin_handover(&mut self) {
-        if self.mode != Mode::Draining {
-            self.mode = Mode::HandingOver;
+        if self.mode != ServingMode::Draining {
+            self.mode = ServingMode::HandingOver;
         }
         self.send_to_all(|| ClientCommand::HandOver);
     }
 
-    /// Disconnects each client between two statements, including those still to arrive.
+    /// Disconnects each present and future client once it has no open statement.
     pub fn begin_drain(&mut self) {
-        self.mode = Mode::Draining;
+        self.mode = ServingMode::Draining;
         self.send_to_all(|| ClientCommand::Drain);
     }
 
     fn send_to_all(&self, command: impl Fn() -> ClientCommand) {
         for client in self.open.values() {
-            client.line.send(command());
+            client.handle.send(command());
         }
     }
 }
--- a/crates/driver/src/routing/discovery_requests.rs
+++ b/crates/driver/src/routing/discovery_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to discovery for the endpoint list: one watch at a time, with backoff after failures.
+//! Discovery requests for the endpoint list: at most one in flight, with backoff after failures.
 
 use super::limits::Limits;
 use crate::transport::connection::ConnectionHandle;
@@ -8,42 +8,42 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A request to be made.
+/// Parameters of a request.
 pub struct DiscoveryRequest {
-    /// Its number, which its events carry.
+    /// Sequence number, by which its events refer to it.
     pub number: u32,
     /// Address of discovery.
     pub address: SocketAddr,
     /// How long a watch waits for a change, in milliseconds.
     pub wait_ms: u64,
-    /// Version of the list that is known; `None` asks for the complete list.
+    /// Version after which changes are requested; `None` requests the complete list.
     pub known_version: Option<u64>,
 }
 
 /// Opens a connection to discovery for a request.
 pub type DialDiscovery = Box<dyn FnMut(DiscoveryRequest) -> io::Result<ConnectionHandle<Infallible>>>;
 
-/// The current request to discovery, and when the next one is due. Only the event loop uses it.
+/// The request in flight and the time of the next one, owned by the event loop.
 pub struct DiscoveryRequests {
     dial: DialDiscovery,
     address: SocketAddr,
-    line: Option<ConnectionHandle<Infallible>>,
-    /// Number of the last request; events of earlier ones are stale.
+    handle: Option<ConnectionHandle<Infallible>>,
+    /// Number of the latest request; events of earlier ones are stale.
     number: u32,
-    /// When an answer to the current request is overdue.
+    /// When the current request times out.
     times_out_at: Timestamp,
     retry_at: Option<Timestamp>,
     backoff: TimeSpan,
     known_version: Option<u64>,
-    /// The policy decides when to poll.
+    /// The routing policy decides when to poll. Otherwise the list is watched.
     is_polled: bool,
     limits: Limits,
-    /// Time for each further change on the current request, by the limits that it was made with.
+    /// Timeout for each further change on the current request, fixed when it was sent.
     change_timeout: TimeSpan,
 }
 
 impl DiscoveryRequests {
-    /// No request yet. If the policy does not poll, the first one is due at once.
+    /// No request is in flight. Unless the policy polls, the first one is due immediately.
     pub fn new(
         dial: DialDiscovery,
         address: SocketAddr,
@@ -54,7 +54,7 @@
         DiscoveryRequests {
             dial,
             address,
-            line: None,
+            handle: None,
             number: 0,
             times_out_at: now,
             retry_at: (!is_polled).then_some(now),
@@ -66,13 +66,13 @@
         }
     }
 
-    /// States that a list of this version is known from the start. Polling discovery costs it work, so the first poll
-    /// asks only for later changes; a watch, which costs nothing, begins with the complete list.
+    /// Sets the version of a list known at startup. The first poll requests only later changes, to spare
+    /// discovery the work; a watch starts with the complete list regardless.
     pub fn set_known_version(&mut self, version: u64) {
         self.known_version = Some(version).filter(|_| self.is_polled);
     }
 
-    /// Discovery does not know the known version: the next list has to be complete.
+    /// Makes the next request ask for the complete list, because discovery does not have the known version.
     pub fn forget_version(&mut self) {
         self.known_version = None;
     }
@@ -82,20 +82,20 @@
         self.limits = limits;
     }
 
-    /// When the current request times out or the next one is due.
+    /// Time of the current request's timeout or the next retry.
     pub fn next_at(&self) -> Option<Timestamp> {
-        let timeout = self.line.as_ref().map(|_| self.times_out_at);
+        let timeout = self.handle.as_ref().map(|_| self.times_out_at);
         timeout.into_iter().chain(self.retry_at).min()
     }
 
-    /// Whether events of this request are still of interest.
+    /// Whether this is the request in flight.
     pub fn is_current(&self, number: u32) -> bool {
-        self.line.is_some() && self.number == number
+        self.handle.is_some() && self.number == number
     }
 
-    /// Makes a request unless one is in flight. Returns false if no connection can be opened.
+    /// Sends a request unless one is in flight. Returns false if no connection can be opened.
     pub fn request(&mut self, now: Timestamp) -> bool {
-        if self.line.is_some() {
+        if self.handle.is_some() {
             return true;
         }
         self.number += 1;
@@ -112,40 +112,42 @@
             known_version: self.known_version,
         };
         match (self.dial)(request) {
-            Ok(line) => self.line = Some(line),
+            Ok(handle) => self.handle = Some(handle),
             Err(error) if socket_errors::is_local_failure(&error) => {
-                // Discovery knows nothing of it, so it needs no relief: a drain must not be learned late for it.
+                // A local failure puts no load on discovery; a longer backoff would only delay learning of
+                // drains.
                 self.backoff = self.limits.initial_backoff;
             }
             Err(_) => {}
         }
-        self.line.is_some()
+        self.handle.is_some()
     }
 
-    /// Changes the address of discovery. Versions mean nothing at any other address, so the complete list is requested
-    /// at once. The current request ends: the former discovery may stay silent until it closes.
+    /// Changes the address of discovery. Versions of the previous address are not valid at the new one, so
+    /// the complete list is requested immediately. The current request ends, because the previous address may
+    /// never respond.
     pub fn set_address(&mut self, now: Timestamp, address: SocketAddr) {
         if address == self.address {
             return;
         }
         self.address = address;
-        self.line = None;
+        self.handle = None;
         self.known_version = None;
         self.backoff = self.limits.initial_backoff;
         self.retry_at = Some(now);
     }
 
-    /// A list of this version arrived; the next watch has been sent on the same connection already.
+    /// Records a received list. The connection has already sent the next watch.
     pub fn on_list(&mut self, now: Timestamp, version: u64) {
         self.times_out_at = now + self.change_timeout;
         self.backoff = self.limits.initial_backoff;
         self.known_version = Some(version);
     }
 
-    /// Ends the current request. The next one is due after a growing backoff; if the policy polls, it decides, and true
-    /// is returned.
+    /// Ends the current request. A watch is retried after an exponential backoff. Returns whether the policy
+    /// has to be notified, because it decides when to poll.
     pub fn on_failed(&mut self, now: Timestamp) -> bool {
-        self.line = None;
+        self.handle = None;
         if !self.is_polled {
             self.retry_at = Some(now + self.backoff);
             self.backoff = (self.backoff + self.backoff).min(self.limits.max_backoff);
@@ -155,10 +157,10 @@
 
     /// Whether the current request has timed out.
     pub fn is_timed_out(&self, now: Timestamp) -> bool {
-        self.line.is_some() && self.times_out_at <= now
+        self.handle.is_some() && self.times_out_at <= now
     }
 
-    /// Whether the next request is due; true only once for each.
+    /// Whether the next request is due. Returns true once per request.
     pub fn take_due(&mut self, now: Timestamp) -> bool {
         self.retry_at.take_if(|at| *at <= now).is_some()
     }
--- a/crates/driver/src/routing/event_loop/actions.rs
+++ b/crates/driver/src/routing/event_loop/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the policy decides, and notifies it of requests that have ended.
+//! Carries out the routing policy's decisions and notifies it of ended requests.
 
 use super::{EndedRequest, EventLoop, Logger};
 use crate::routing::execution_outcomes;
@@ -9,9 +9,9 @@
 };
 use asterlatch::time::Timestamp;
 
-impl<O: Logger> EventLoop<O> {
-    /// Carries out what the policy decided, in its order.
-    pub(super) fn carry_out(&mut self, now: Timestamp, actions: Actions) {
+impl<L: Logger> EventLoop<L> {
+    /// Carries out the policy's decisions. Cancellations go first.
+    pub(super) fn execute_actions(&mut self, now: Timestamp, actions: Actions) {
         self.policy_wakes_at = actions.wake_up_at;
         for cancellation in &actions.cancellations {
             self.cancel(now, cancellation);
@@ -20,7 +20,7 @@
             self.execute(now, execution);
         }
         for answer in &actions.answers {
-            self.answer_by_policy(answer);
+            self.deliver_policy_answer(answer);
         }
         for member in &actions.health_checks {
             if self.may_check_health(now, *member) {
@@ -64,7 +64,7 @@
         self.start_request(now, request);
     }
 
-    fn answer_by_policy(&mut self, answer: &Answer) {
+    fn deliver_policy_answer(&mut self, answer: &Answer) {
         let to_client = execution_outcomes::to_client(answer);
         let is_answered = self.answer(to_client.statement, to_client.answer);
         match answer {
@@ -76,7 +76,7 @@
     /// Sends a health check to a member.
     pub(super) fn check_health(&mut self, now: Timestamp, member: u32) {
         self.metrics.health_checks_sent += 1;
-        // As long as a connection may take to be established: the settings have no other bound for a health check.
+        // The settings have no timeout for health checks.
         let deadline = now + self.decoding.connect_timeout;
         let request = MemberRequest::new(RequestKind::HealthCheck, member, now, deadline);
         self.start_request(now, request);
@@ -98,12 +98,12 @@
         });
     }
 
-    /// Notifies the policy of each ended request once, and only behind the event that ended it: its reaction must not be
-    /// carried out in the middle of what it decided before. Requests whose statement has its answer count too, for what
-    /// they tell about the member.
+    /// Notifies the policy of each ended request once, after the event that ended it: reactions must not
+    /// interleave with the decisions being carried out. Requests of answered statements are included, for
+    /// their data on the member.
     pub(super) fn notify_policy_of_ends(&mut self, now: Timestamp) {
         while let Some(end) = self.ended_requests.pop_front() {
-            self.record_end(now, &end);
+            self.record_ended_request(now, &end);
             let member = end.request.member;
             let actions = match end.request.kind {
                 RequestKind::Execution(AttemptId { statement, attempt }) => {
@@ -122,13 +122,13 @@
                 RequestKind::HealthCheck => {
                     let is_answered = end.outcome == ExecutionOutcome::Completed;
                     self.metrics.health_checks_answered += u64::from(is_answered);
-                    // Up to now rather than up to the answer, so that the time at which it was sent is exact.
+                    // Measured to `now`, so that the policy can compute the exact start time.
                     let latency = now - end.request.started_at;
                     self.policy
                         .on_health_check(now, member, is_answered, latency, end.status)
                 }
             };
-            self.carry_out(now, actions);
+            self.execute_actions(now, actions);
         }
     }
 }
--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -1,4 +1,4 @@
-//! Arrivals and events of clients, and the final answers to their statements.
+//! Accepted clients, events of client connections, and final answers to statements.
 
 use super::{EventLoop, Logger};
 use crate::protocol::client_events::{ClientCommand, ClientEvent, FinalAnswer, StatementText};
@@ -18,33 +18,33 @@
 use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use std::io;
 
-impl<O: Logger> EventLoop<O> {
-    /// The process shuts down: every statement has its final answer by then.
+impl<L: Logger> EventLoop<L> {
+    /// Prepares for shutdown: every statement gets its final answer by `last_answer_at`.
     pub fn begin_shutdown(&mut self, now: Timestamp, last_answer_at: Timestamp) {
         let actions = self.policy.on_shutdown(now, last_answer_at);
-        self.carry_out(now, actions);
+        self.execute_actions(now, actions);
         self.notify_policy_of_ends(now);
     }
 
-    /// Accepts no more clients, and disconnects each between two statements.
+    /// Stops accepting clients and disconnects each once it has no open statement.
     pub fn begin_drain(&mut self) {
         self.is_draining = true;
         self.acceptor.close();
         self.clients.begin_drain();
     }
 
-    pub(super) fn on_arrival(&mut self, now: Timestamp, arrival: AcceptEvent<ClientCommand>) {
-        match arrival {
-            AcceptEvent::Client(id, line) => self.admit_client(now, id, line),
+    pub(super) fn on_accept_event(&mut self, now: Timestamp, event: AcceptEvent<ClientCommand>) {
+        match event {
+            AcceptEvent::Client(id, handle) => self.admit_client(now, id, handle),
             AcceptEvent::Failed(error) => self.on_accept_failed(now, &error),
-            // Before this event a client may still arrive.
+            // Until this event, clients may still be accepted.
             AcceptEvent::Closed => self.acceptor.on_closed(),
         }
     }
 
-    pub(super) fn admit_client(&mut self, now: Timestamp, id: u32, line: ConnectionHandle<ClientCommand>) {
+    pub(super) fn admit_client(&mut self, now: Timestamp, id: u32, handle: ConnectionHandle<ClientCommand>) {
         self.metrics.clients_accepted += 1;
-        match self.clients.admit(now, id, line) {
+        match self.clients.admit(now, id, handle) {
             Admission::Admitted => {}
             Admission::AdmittedByEviction => self.metrics.clients_evicted += 1,
             Admission::Rejected => self.metrics.clients_rejected += 1,
@@ -56,7 +56,7 @@
         let text = format_args!("a client could not be accepted: {error}");
         self.logger.log(now, "accept", text);
         self.acceptor.on_failed(now + self.limits.accept_backoff);
-        // A place that becomes free helps against nothing else than a lack of descriptors.
+        // Eviction helps only against a lack of descriptors.
         if socket_errors::is_out_of_descriptors(error) {
             let is_evicted = self.clients.evict_one(now);
             self.metrics.clients_evicted += u64::from(is_evicted);
@@ -77,7 +77,7 @@
             ClientEvent::HalfClosed { client } => self.clients.on_half_closed(client, now),
             ClientEvent::Malformed => {
                 self.metrics.clients_malformed += 1;
-                let text = format_args!("sent what is not the protocol");
+                let text = format_args!("a client violated the protocol");
                 self.logger.log(now, "client", text);
             }
             ClientEvent::OutOfMemory => self.metrics.rejected_for_memory += 1,
@@ -88,7 +88,7 @@
                 standing,
             } => {
                 let is_active = self.clients.is_active(client);
-                // Between two statements nothing of it is open.
+                // A client is transferred between two statements, so none is open.
                 self.clients.remove(client);
                 self.handover.add_client(TransferredClient {
                     stream,
@@ -98,27 +98,28 @@
                 });
             }
             ClientEvent::InputEnded { .. } | ClientEvent::Closed { .. } => {
-                let departures = self.departures_of(&event);
-                self.withdraw(now, &departures);
+                let disconnects = self.disconnects_of(&event);
+                self.withdraw_statements(now, &disconnects);
             }
         }
     }
 
-    /// Handles all clients of a batch of events that leave. Those that arrive in the same batch have their turn later.
-    pub(super) fn on_departures_in(&mut self, now: Timestamp, batch: &[Event]) {
-        let mut departures = Vec::new();
+    /// Withdraws the statements of all clients that disconnect in a batch. Clients accepted in the same batch
+    /// are skipped; their disconnects are handled in order.
+    pub(super) fn on_disconnects_in_batch(&mut self, now: Timestamp, batch: &[Event]) {
+        let mut disconnects = Vec::new();
         for event in batch {
             match event {
-                Event::Client(event) if self.is_known_departure(event) => {
-                    departures.extend(self.departures_of(event));
+                Event::Client(event) if self.is_known_disconnect(event) => {
+                    disconnects.extend(self.disconnects_of(event));
                 }
                 _ => {}
             }
         }
-        self.withdraw(now, &departures);
+        self.withdraw_statements(now, &disconnects);
     }
 
-    fn is_known_departure(&self, event: &ClientEvent) -> bool {
+    fn is_known_disconnect(&self, event: &ClientEvent) -> bool {
         match event {
             ClientEvent::InputEnded { client } | ClientEvent::Closed { client } => {
                 self.clients.contains(*client)
@@ -127,8 +128,8 @@
         }
     }
 
-    /// The open statements of a client that leaves. One whose connection is closed is forgotten.
-    fn departures_of(&mut self, event: &ClientEvent) -> Vec<Departure> {
+    /// The open statements of a client that disconnects. A client whose connection is closed is removed.
+    fn disconnects_of(&mut self, event: &ClientEvent) -> Vec<Departure> {
         let (statements, awaits_answer) = match event {
             ClientEvent::InputEnded { client } => (self.clients.on_input_ended(*client), true),
             ClientEvent::Closed { client } => {
@@ -137,32 +138,32 @@
             }
             _ => return Vec::new(),
         };
-        let departures = statements.into_iter().map(|statement| Departure {
+        let disconnects = statements.into_iter().map(|statement| Departure {
             statement,
             awaits_answer,
         });
-        departures.collect()
+        disconnects.collect()
     }
 
-    fn withdraw(&mut self, now: Timestamp, departures: &[Departure]) {
-        let is_open = |departure: &&Departure| self.statements.contains(departure.statement);
-        let open: Vec<Departure> = departures.iter().filter(is_open).copied().collect();
+    fn withdraw_statements(&mut self, now: Timestamp, disconnects: &[Departure]) {
+        let is_open = |disconnect: &&Departure| self.statements.contains(disconnect.statement);
+        let open: Vec<Departure> = disconnects.iter().filter(is_open).copied().collect();
         if open.is_empty() {
             return;
         }
-        for departure in open.iter().filter(|departure| !departure.awaits_answer) {
-            self.statements.remove(departure.statement);
+        for disconnect in open.iter().filter(|disconnect| !disconnect.awaits_answer) {
+            self.statements.remove(disconnect.statement);
         }
         self.metrics.withdrawn += open.len() as u64;
         let actions = self.policy.on_departures(now, &open);
-        self.carry_out(now, actions);
-        for departure in open.iter().filter(|departure| departure.awaits_answer) {
-            self.answer_deferred(departure.statement);
+        self.execute_actions(now, actions);
+        for disconnect in open.iter().filter(|disconnect| disconnect.awaits_answer) {
+            self.answer_deferred(disconnect.statement);
         }
         self.notify_policy_of_ends(now);
     }
 
-    /// Answers a statement that the policy does not know yet, because other drivers are still asked about it.
+    /// Answers a statement that the policy does not know yet because an inquiry to other drivers is pending.
     fn answer_deferred(&mut self, statement: u32) {
         let answer = if self.statements.is_client_retry_safe(statement) {
             execution_outcomes::rejected(TimeSpan(0))
@@ -181,10 +182,10 @@
         text: StatementText,
         received_at: Timestamp,
     ) {
-        if !self.clients.on_statement(origin.client) || self.answer_by_verdict(origin) {
+        if !self.clients.on_statement(origin.client) || self.answer_from_verdict(origin) {
             return;
         }
-        if self.clients.has_left(origin.client) {
+        if self.clients.is_input_ended(origin.client) {
             let command = ClientCommand::Answer(origin.number, statement_comment::CLIENT_LEFT.into());
             return self.clients.send(origin.client, command);
         }
@@ -194,12 +195,12 @@
             Ok((workload, fields)) => {
                 self.accept_statement(now, origin, text, received_at, workload, &fields)
             }
-            Err(reason) => self.refuse_statement(now, origin, reason),
+            Err(reason) => self.reject_statement(now, origin, reason),
         }
     }
 
-    /// Answers a statement that a crashed process had read. Returns false if none had.
-    fn answer_by_verdict(&mut self, origin: StatementOrigin) -> bool {
+    /// Answers a statement that a crashed process had read. Returns false for any other statement.
+    fn answer_from_verdict(&mut self, origin: StatementOrigin) -> bool {
         let answer = match self.handover.take_verdict(origin.client, origin.end) {
             None | Some(StatementVerdict::Unread) => return false,
             Some(StatementVerdict::Rejected) => {
@@ -216,7 +217,7 @@
         true
     }
 
-    /// The workload of a statement that can be routed.
+    /// Index of the statement's workload, or why the statement cannot be routed.
     fn workload_of(&self, fields: &StatementComment, length: usize) -> Result<usize, StatementError> {
         if self.statements.find(fields.id_hash).is_some() {
             return Err(statement_comment::DUPLICATE_ID);
@@ -232,9 +233,9 @@
         }
     }
 
-    fn refuse_statement(&mut self, now: Timestamp, origin: StatementOrigin, reason: StatementError) {
+    fn reject_statement(&mut self, now: Timestamp, origin: StatementOrigin, reason: StatementError) {
         self.metrics.statements_unreadable += 1;
-        let text = format_args!("not routed: {}", reason.message);
+        let text = format_args!("cannot route the statement: {}", reason.message);
         self.logger.log(now, "statement", text);
         let command = ClientCommand::Answer(origin.number, reason.into());
         self.clients.send(origin.client, command);
@@ -280,11 +281,12 @@
         };
         if let Some(statement) = self.check_prior_attempts(now, fields.id_hash, statement, deadline) {
             let actions = self.policy.on_statement(now, &statement);
-            self.carry_out(now, actions);
+            self.execute_actions(now, actions);
         }
     }
 
-    /// Gives a statement its one final answer. Returns false if it has one already, or its client is gone.
+    /// Sends a statement its only final answer. Returns false if it already has one or its client has
+    /// disconnected.
     pub(super) fn answer(&mut self, statement: u32, answer: FinalAnswer) -> bool {
         let Some(origin) = self.statements.remove(statement) else {
             self.metrics.late_answers_dropped += 1;
--- a/crates/driver/src/routing/event_loop/configuration.rs
+++ b/crates/driver/src/routing/event_loop/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration and limits, and what the program reads of the event loop's state.
+//! Changes of configuration and limits, and the state that the program reads.
 
 use super::{EventLoop, Logger};
 use crate::routing::limits::{Limits, WorkloadLimits};
@@ -7,25 +7,25 @@
 use asterlatch::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// What all processes of this service together may use.
+/// Capacity of all processes of this service together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceCapacity {
     /// Number of descriptors.
     pub descriptors: usize,
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub memory: usize,
 }
 
-/// What this process uses.
+/// Resources that this process uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessUsage {
     /// Number of clients.
     pub clients: usize,
-    /// Bytes of memory reserved for clients and members.
+    /// Memory reserved for clients and members, in bytes.
     pub memory: usize,
 }
 
-/// Number of members in each table.
+/// Sizes of the tables of members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberCounts {
     /// Names that resolve to an id.
@@ -36,16 +36,16 @@
     pub idle: usize,
 }
 
-impl<O: Logger> EventLoop<O> {
-    /// Applies a changed configuration. Open connections stay: a lower limit is reached as they end.
+impl<L: Logger> EventLoop<L> {
+    /// Applies a changed configuration. Open connections beyond a lower limit stay until they close.
     pub fn set_config(&mut self, now: Timestamp, config: RuntimeConfig) {
         self.config = config;
         self.apply_limits();
         self.discovery_requests.set_address(now, config.discovery);
     }
 
-    /// Applies limits that operators have changed. They bind new connections and statements; nothing open ends for a
-    /// lower limit, but for idle times that are over by then.
+    /// Applies changed limits to new connections and statements. Open ones stay, except for idle connections
+    /// beyond a shorter timeout.
     pub fn set_limits(&mut self, limits: Limits, by_workload: &BTreeMap<String, WorkloadLimits>) {
         self.limits = limits;
         self.workloads.set_limits(by_workload);
@@ -62,12 +62,12 @@
         self.config.resize_budgets(&limits, &self.memory);
     }
 
-    /// Bytes of memory reserved for clients and members.
+    /// Memory reserved for clients and members, in bytes.
     pub fn reserved_memory(&self) -> usize {
         self.memory.clients.reserved() + self.memory.members.reserved()
     }
 
-    /// What all processes of this service together may use.
+    /// Capacity of all processes of this service together.
     pub fn service_capacity(&self) -> ServiceCapacity {
         ServiceCapacity {
             descriptors: self.config.max_descriptors,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// What this process uses.
+    /// Resources that this process uses.
     pub fn process_usage(&self) -> ProcessUsage {
         ProcessUsage {
             clients: self.clients.count(),
@@ -83,14 +83,14 @@
         }
     }
 
-    /// Bytes that clients may fill.
+    /// Capacity of the memory budget for clients, in bytes.
     pub fn client_memory_capacity(&self) -> usize {
         self.memory.clients.capacity()
     }
 
-    /// Accepts clients from this listener.
-    pub fn attach_listener(&mut self, listening: ListenerHandle) {
-        self.acceptor.attach(listening);
+    /// Takes control of the listener that accepts clients.
+    pub fn attach_listener(&mut self, listener: ListenerHandle) {
+        self.acceptor.attach(listener);
     }
 
     /// Whether a listener is attached and not closed.
@@ -98,12 +98,12 @@
         self.acceptor.is_listening()
     }
 
-    /// Whether the listener has closed, so that no more clients arrive.
+    /// Whether the listener has closed, so that no more clients are accepted.
     pub fn is_listener_closed(&self) -> bool {
         self.acceptor.is_closed()
     }
 
-    /// Number of members in each table.
+    /// Sizes of the tables of members.
     pub fn member_counts(&self) -> MemberCounts {
         let size = self.members.size();
         MemberCounts {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Number of clients.
+    /// Number of connected clients.
     pub fn open_clients(&self) -> usize {
         self.clients.count()
     }
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -1,4 +1,4 @@
-//! Leases and health checks by consensus: what the drivers of a fleet know about members together.
+//! Coordination between the drivers of a fleet: health check leases, failure consensus and load aggregate.
 
 use super::{EventLoop, Logger};
 use crate::routing::gossip::{named_shares, NamedShare};
@@ -7,16 +7,16 @@
 use asterlatch::zone_health;
 use std::collections::BTreeMap;
 
-impl<O: Logger> EventLoop<O> {
-    /// Tells the policy which drivers are present.
+impl<L: Logger> EventLoop<L> {
+    /// Updates the policy's view of the present drivers.
     pub(super) fn update_fleet(&mut self, now: Timestamp) {
         let Some(gossip) = &mut self.gossip else { return };
         let fleet = gossip.fleet_view(now);
         self.policy
-            .set_fleet_drivers(fleet.own, &fleet.others, fleet.count);
+            .set_fleet_drivers(fleet.own_key, &fleet.peer_keys, fleet.driver_count);
     }
 
-    /// Whether this driver sends a health check that its policy wants, or leaves it to the lease holder.
+    /// Whether this driver sends a health check that its policy wants, rather than the lease holder.
     pub(super) fn may_check_health(&mut self, now: Timestamp, member: u32) -> bool {
         let Some(gossip) = &mut self.gossip else {
             return true;
@@ -29,10 +29,11 @@
         may_check
     }
 
-    /// Does what is due each tick: leases, health checks for all, overdue executions, unresponsive members, load reports.
+    /// Runs a coordination round: leases, health checks for the fleet, delayed executions, unresponsive
+    /// members, shares.
     pub(super) fn coordinate(&mut self, now: Timestamp) {
         self.update_fleet(now);
-        let overdue = self.overdue_executions(now);
+        let delayed = self.delayed_executions(now);
         let shares = self.reportable_shares();
         let Some(gossip) = &mut self.gossip else { return };
         let (policy, members) = (&self.policy, &self.members);
@@ -40,8 +41,8 @@
             let member = members.find(name);
             member.is_some_and(|member| policy.wants_health_check(member))
         };
-        let round = gossip.coordinate(now, wants_health_check, &overdue, &shares);
-        // Carrying out the first of these may remove members, so all names are resolved before.
+        let round = gossip.coordinate(now, wants_health_check, &delayed, &shares);
+        // Names are resolved first, because carrying out an update may remove members.
         let mut health_checks = Vec::new();
         for name in &round.health_checks {
             health_checks.extend(self.members.find(name));
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Admission shares for the load aggregate. With many samples each driver knows enough by itself and reports none.
+    /// Admission shares for the load aggregate; none once this driver has enough samples of its own.
     fn reportable_shares(&self) -> Vec<NamedShare> {
         let has_few_samples = self.policy.has_few_samples();
         let shares = self.policy.admission_shares();
@@ -83,36 +84,36 @@
         named_shares(reportable, &self.members)
     }
 
-    /// Members at which executions of this driver are overdue, with the time at which the last of them was dispatched.
-    fn overdue_executions(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
+    /// Members with delayed executions of this driver, and when the latest of these was dispatched.
+    fn delayed_executions(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
         let before = zone_health::overdue_before(now, self.policy.longest_typical_latency());
-        let mut overdue: BTreeMap<String, Timestamp> = BTreeMap::new();
+        let mut delayed: BTreeMap<String, Timestamp> = BTreeMap::new();
         for execution in self.member_requests.executions() {
             let Some(name) = self.members.name(execution.member) else {
                 continue;
             };
             if execution.started_at < before {
-                let last = overdue.entry(name.to_owned()).or_insert(execution.started_at);
+                let last = delayed.entry(name.to_owned()).or_insert(execution.started_at);
                 *last = execution.started_at.max(*last);
             }
         }
-        overdue
+        delayed
     }
 
-    /// Another driver has an overdue execution at a member.
-    pub(super) fn on_peer_overdue(
+    /// Records another driver's report of a delayed execution at a member.
+    pub(super) fn on_peer_delayed_execution(
         &mut self,
         member: &str,
         driver: &str,
         sent_at: Timestamp,
         observed_at: Timestamp,
     ) {
-        // Members that are not listed here are not counted here.
+        // Ignores members that are not listed here.
         if self.members.find(member).is_none() {
             return;
         }
         if let Some(gossip) = &mut self.gossip {
-            gossip.on_peer_overdue(member, driver, sent_at, observed_at);
+            gossip.on_peer_delayed_execution(member, driver, sent_at, observed_at);
         }
     }
 }
--- a/crates/driver/src/routing/event_loop/discovery.rs
+++ b/crates/driver/src/routing/event_loop/discovery.rs
@@ -1,4 +1,4 @@
-//! Requests to discovery and the endpoint lists that it answers.
+//! Discovery requests and the endpoint lists that they return.
 
 use super::{EventLoop, Logger};
 use crate::protocol::discovery_watch::{DiscoveryEvent, DiscoveryMessage};
@@ -6,11 +6,11 @@
 use asterlatch::interface::{MemberEntry, MemberState};
 use asterlatch::time::{RemoteTimestamp, Timestamp};
 
-impl<O: Logger> EventLoop<O> {
-    /// Retries a request that has timed out, and makes the next one that is due.
+impl<L: Logger> EventLoop<L> {
+    /// Ends a request that has timed out and sends the next one when due.
     pub(super) fn advance_discovery_to(&mut self, now: Timestamp) {
         if self.discovery_requests.is_timed_out(now) {
-            let text = format_args!("silent, calling again");
+            let text = format_args!("request timed out; retrying");
             self.logger.log(now, "discovery", text);
             self.on_discovery_failed(now);
         }
@@ -29,11 +29,11 @@
     fn on_discovery_failed(&mut self, now: Timestamp) {
         if self.discovery_requests.on_failed(now) {
             let actions = self.policy.on_poll_failed(now);
-            self.carry_out(now, actions);
+            self.execute_actions(now, actions);
         }
     }
 
-    /// Events of a request that is over change nothing.
+    /// Handles an event of the current request; events of earlier requests are ignored.
     pub(super) fn on_discovery_message(&mut self, now: Timestamp, message: DiscoveryMessage) {
         if !self.discovery_requests.is_current(message.request) {
             return;
@@ -46,20 +46,20 @@
             DiscoveryEvent::Outdated => self.discovery_requests.forget_version(),
             DiscoveryEvent::Unreadable => {
                 self.metrics.endpoint_lists_unreadable += 1;
-                let text = format_args!("answered what can't be read");
+                let text = format_args!("cannot parse the response; the last endpoint list stays in force");
                 self.logger.log(now, "discovery", text);
             }
             DiscoveryEvent::Closed => self.on_discovery_failed(now),
         }
     }
 
-    /// Starts with a list that is known from the configuration.
+    /// Applies the endpoint list of the configuration before discovery responds.
     pub fn start_with_list(&mut self, now: Timestamp, known: &EndpointList) {
         self.discovery_requests.set_known_version(known.index);
         self.apply_endpoint_list(now, known);
     }
 
-    /// Applies a list, or changes to it. Entries that can't be read are skipped, the others apply.
+    /// Applies a complete list or changes. Entries that cannot be parsed are skipped.
     pub fn apply_endpoint_list(&mut self, now: Timestamp, list: &EndpointList) {
         self.metrics.endpoint_lists_applied += 1;
         let mut entries = Vec::with_capacity(list.entries.len());
@@ -71,17 +71,17 @@
         let skipped = list.skipped + list.entries.len() - entries.len();
         if skipped > 0 {
             self.metrics.endpoints_skipped += skipped as u64;
-            let text = format_args!("{skipped} entries of the list can't be read");
+            let text = format_args!("skipped {skipped} endpoint list entries that cannot be parsed");
             self.logger.log(now, "discovery", text);
         }
         if list.is_complete || !entries.is_empty() {
             let actions = self.policy.on_endpoint_list(now, &entries, list.is_complete);
-            self.carry_out(now, actions);
+            self.execute_actions(now, actions);
         }
         self.notify_policy_of_ends(now);
     }
 
-    /// Members that are draining or gone receive nothing more; a peer process has to know of them too.
+    /// Closes idle connections to members that are draining or gone, and records these for a peer process.
     fn close_drained_members(&mut self, entries: &[MemberEntry]) {
         for entry in entries.iter().filter(|entry| entry.state != MemberState::Ready) {
             self.member_requests.close_idle(entry.id);
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -1,15 +1,17 @@
-//! How a request reaches its member. On an established connection it is sent at once; if one has to be established first,
-//! the policy is asked again before anything is sent, for much may have happened meanwhile.
+//! Sends requests to members. If a connection has to be established first, the policy is asked again before
+//! anything is sent, because the request may have become obsolete.
 
 use super::{EventLoop, Logger};
 use crate::protocol::messages;
-use crate::routing::member_requests::{Assignment, AttemptId, ConnectionUp, MemberRequest, RequestKind};
+use crate::routing::member_requests::{
+    Assignment, AttemptId, EstablishedConnection, MemberRequest, RequestKind,
+};
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::io_journal::JournalRecord;
 
-impl<O: Logger> EventLoop<O> {
-    /// Assigns a connection to the request.
+impl<L: Logger> EventLoop<L> {
+    /// Assigns a connection to the request and sends it if that is established.
     pub(super) fn start_request(&mut self, now: Timestamp, request: MemberRequest) {
         let assignment = match self.members.address(request.member) {
             Some(address) => self.member_requests.start(now, request, address),
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Starts a request again whose connection had closed before anything was written, if the policy still wants it.
+    /// Restarts a request whose connection closed before anything was written, if the policy still wants it.
     pub(super) fn restart_request(&mut self, now: Timestamp, request: MemberRequest) {
         if self.may_dispatch(now, request.kind) {
             self.start_request(now, request);
@@ -37,7 +39,8 @@
     }
 
     pub(super) fn on_connected(&mut self, now: Timestamp, connection: u32) {
-        let ConnectionUp::Assigned(request) = self.member_requests.on_connected(connection, now) else {
+        let EstablishedConnection::Assigned(request) = self.member_requests.on_connected(connection, now)
+        else {
             return;
         };
         if self.may_dispatch(now, request.kind) {
@@ -78,7 +81,7 @@
         self.member_requests.send(connection, query);
     }
 
-    /// Records that a statement is about to be sent, if another process takes over should this one crash.
+    /// Journals a statement before it is sent, so that a process that takes over after a crash knows of it.
     fn record_in_journal(&self, statement: u32) {
         let Some(journal) = self.journal.as_ref().filter(|journal| journal.is_on()) else {
             return;
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -1,9 +1,9 @@
-//! Messages of the gossip thread, and what the event loop shares with other drivers.
+//! Messages from the gossip thread, and observations shared with other drivers.
 
 use super::{EndedRequest, EventLoop, Logger};
 use crate::protocol::replica_status;
 use crate::routing::gossip::{
-    statuses, DispatchedExecution, Gossip, GossipMessage, LoadReport, MemberStatusRecord, RequestEnd,
+    replica_statuses, DispatchedExecution, Gossip, GossipMessage, LoadReport, MemberStatusRecord, RequestEnd,
 };
 use crate::routing::member_requests::AttemptId;
 use asterlatch::interface::{MemberEntry, MemberUpdate};
@@ -12,18 +12,18 @@
 use asterlatch_gossip::node::NodeOutput;
 use asterlatch_gossip::record::{ListedState, Record};
 
-/// Topic of log lines about the fleet.
-const FLEET: &str = "fleet";
+/// Topic of log lines about other drivers.
+const FLEET_TOPIC: &str = "fleet";
 
-impl<O: Logger> EventLoop<O> {
-    /// Shares with other drivers from now on, and listens to them.
+impl<L: Logger> EventLoop<L> {
+    /// Starts sharing with other drivers.
     pub fn join_gossip(&mut self, gossip: Gossip) {
         self.gossip = Some(gossip);
         self.is_gossip_deferred = false;
     }
 
-    /// Waits for [`EventLoop::join_gossip`]: the predecessor still gossips under this driver's name, so client retries
-    /// that other drivers would have to be asked about are in doubt until then.
+    /// Defers gossip until [`EventLoop::join_gossip`], while the predecessor still gossips under this
+    /// driver's name. Client retries that require an inquiry are in doubt until then.
     pub fn defer_gossip(&mut self) {
         self.is_gossip_deferred = true;
     }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Does what is due by time.
+    /// Handles gossip work that is due by `now`.
     pub(super) fn advance_gossip_to(&mut self, now: Timestamp) {
         let Some(gossip) = &mut self.gossip else { return };
         let due = gossip.advance_to(now, &self.members);
@@ -45,9 +45,9 @@
         if due.coordination {
             self.coordinate(now);
         }
-        for query in due.expired_queries {
+        for inquiry in due.expired_inquiries {
             self.metrics.inquiries_unanswered += 1;
-            self.on_query_resolved(now, query.client_id, query.outcome);
+            self.on_inquiry_resolved(now, inquiry.client_id, inquiry.outcome);
         }
     }
 
@@ -66,10 +66,10 @@
 
     pub(super) fn update_member(&mut self, now: Timestamp, member: u32, update: MemberUpdate) {
         let actions = self.policy.on_member_update(now, member, update);
-        self.carry_out(now, actions);
+        self.execute_actions(now, actions);
     }
 
-    /// Records an execution that is dispatched.
+    /// Records an execution when it is dispatched.
     pub(super) fn record_execution(&mut self, now: Timestamp, attempt: AttemptId, member: u32) {
         let Some(gossip) = &mut self.gossip else { return };
         let Some(keys) = self.statements.keys(attempt.statement) else {
@@ -88,7 +88,7 @@
     }
 
     /// Records the end of a request.
-    pub(super) fn record_end(&mut self, now: Timestamp, end: &EndedRequest) {
+    pub(super) fn record_ended_request(&mut self, now: Timestamp, end: &EndedRequest) {
         let Some(gossip) = &mut self.gossip else { return };
         let member = end.request.member;
         let end = RequestEnd {
@@ -101,7 +101,7 @@
         gossip.on_request_ended(now, &end, self.records_sessions);
     }
 
-    /// Shares the version of an endpoint list, and its drains.
+    /// Shares the version of an endpoint list and its draining members.
     pub(super) fn share_endpoint_list(&mut self, version: u64, entries: &[MemberEntry]) {
         if let Some(gossip) = &mut self.gossip {
             gossip.on_endpoint_list(version, entries, &self.members);
@@ -111,7 +111,7 @@
     pub(super) fn on_gossip_message(&mut self, now: Timestamp, message: GossipMessage) {
         match message {
             GossipMessage::Output(output) => self.on_gossip_output(now, output),
-            GossipMessage::LogLine(line) => self.logger.log(now, FLEET, format_args!("{line}")),
+            GossipMessage::LogLine(line) => self.logger.log(now, FLEET_TOPIC, format_args!("{line}")),
         }
     }
 
@@ -121,34 +121,34 @@
                 self.metrics.records_from_peers += 1;
                 self.on_record(now, &record, observed_at);
             }
-            NodeOutput::InquiryReceived { from, inquiry } => self.on_query(now, from, inquiry),
+            NodeOutput::InquiryReceived { from, inquiry } => self.on_inquiry(now, from, inquiry),
             NodeOutput::InquiryReplied {
                 from,
                 inquiry,
                 status,
-            } => self.on_query_answer(now, from, inquiry, &status),
-            NodeOutput::PeerStateChanged(change) => self.on_presence_change(now, &change),
+            } => self.on_inquiry_reply(now, from, inquiry, &status),
+            NodeOutput::PeerStateChanged(change) => self.on_peer_state_change(now, &change),
             NodeOutput::CaughtUp(is_complete) => {
                 let text = if is_complete {
-                    "caught up"
+                    "caught up with the fleet"
                 } else {
-                    "behind: it was away"
+                    "behind the fleet after a suspension or loss of contact"
                 };
-                self.logger.log(now, FLEET, format_args!("{text}"));
+                self.logger.log(now, FLEET_TOPIC, format_args!("{text}"));
             }
             NodeOutput::PeerIgnored { peer, reason } => {
                 let Some(gossip) = &self.gossip else { return };
                 let name = gossip.peer_name(peer);
-                let text = format_args!("driver {name} is not listened to: {reason}");
-                self.logger.log(now, FLEET, text);
+                let text = format_args!("ignoring messages from driver {name}: {reason}");
+                self.logger.log(now, FLEET_TOPIC, text);
             }
             NodeOutput::Send { .. } => {}
         }
     }
 
-    fn on_presence_change(&mut self, now: Timestamp, change: &PeerStateChange) {
+    fn on_peer_state_change(&mut self, now: Timestamp, change: &PeerStateChange) {
         let Some(gossip) = &mut self.gossip else { return };
-        gossip.on_presence_change(change);
+        gossip.on_peer_state_change(change);
         self.update_fleet(now);
         let Some(gossip) = &self.gossip else { return };
         if change.to == PeerState::Down {
@@ -160,10 +160,10 @@
             change.from.name(),
         );
         let text = format_args!("driver {name} is {to}, was {from}");
-        self.logger.log(now, FLEET, text);
+        self.logger.log(now, FLEET_TOPIC, text);
     }
 
-    /// Applies another driver's record. Members that are not listed here are not affected.
+    /// Applies another driver's record. Records about unlisted members are ignored.
     fn on_record(&mut self, now: Timestamp, record: &Record, observed_at: Timestamp) {
         match record {
             Record::Member { .. } => self.on_member_record(now, record, observed_at),
@@ -187,7 +187,7 @@
                 ..
             } => {
                 let sent_at = observed_at - TimeSpan(*outstanding_us);
-                self.on_peer_overdue(member, driver, sent_at, observed_at);
+                self.on_peer_delayed_execution(member, driver, sent_at, observed_at);
             }
             Record::Load {
                 driver,
@@ -209,7 +209,7 @@
         self.notify_policy_of_ends(now);
     }
 
-    /// A record of another instance of the member says nothing about the listed one.
+    /// Applies a member's status unless it is from another instance of the member.
     fn on_member_record(&mut self, now: Timestamp, record: &Record, observed_at: Timestamp) {
         let Record::Member {
             name,
@@ -229,14 +229,14 @@
         if let Some(gossip) = &mut self.gossip {
             gossip.on_peer_answer(name, observed_at);
         }
-        // Never as new as what the member reports to this driver itself.
+        // Always older than the member's own reports to this driver.
         let age = (now - observed_at).max(TimeSpan(1));
         let reported = MemberStatusRecord {
             position: *position,
             primary_at: *primary_at,
             replica_at: *replica_at,
         };
-        for status in statuses(reported) {
+        for status in replica_statuses(reported) {
             self.update_member(now, member, MemberUpdate::Status(age, status));
         }
     }
@@ -251,7 +251,7 @@
         else {
             return;
         };
-        // A record by an older list than the one in force does not bind; by the same list, the worse state applies.
+        // Ignores records based on an older list; for the same list, the worse state applies.
         let version_in_force = self.gossip.as_ref().map_or(0, Gossip::list_version);
         let is_binding = *state != ListedState::Ready && *list_version >= version_in_force;
         let Some(member) = self.members.find(name).filter(|_| is_binding) else {
--- a/crates/driver/src/routing/event_loop/in_doubt.rs
+++ b/crates/driver/src/routing/event_loop/in_doubt.rs
@@ -1,4 +1,4 @@
-//! Statements that another driver may have sent: what is asked of other drivers, and what they ask.
+//! Statements that another driver may have dispatched: inquiries to and from other drivers.
 
 use super::{EventLoop, Logger};
 use crate::routing::execution_outcomes;
@@ -8,7 +8,7 @@
 use asterlatch_gossip::codec::InquiryId;
 use asterlatch_gossip::in_doubt::{DispatchStatus, InquiryOutcome, UNBOUNDED_AGE};
 
-/// An attempt of which neither time nor member are known.
+/// An attempt whose time and member are unknown.
 const UNKNOWN_ATTEMPT: PriorAttempt = PriorAttempt {
     age: UNBOUNDED_AGE,
     member: 0,
@@ -21,9 +21,9 @@
     })
 }
 
-impl<O: Logger> EventLoop<O> {
-    /// Checks whether another driver may have sent a statement. Returns it with its prior attempt, if there is one, or
-    /// nothing if it is deferred until other drivers have answered.
+impl<L: Logger> EventLoop<L> {
+    /// Checks whether another driver may have dispatched a statement. Returns the statement with its prior
+    /// attempt, if any; `None` if it is deferred until other drivers reply.
     pub(super) fn check_prior_attempts(
         &mut self,
         now: Timestamp,
@@ -47,25 +47,25 @@
                 self.metrics.statements_given_away += 1;
                 with_prior_attempt(statement, UNKNOWN_ATTEMPT)
             }
-            StatementCheck::Sent { age, member } => {
+            StatementCheck::Dispatched { age, member } => {
                 let prior_attempt = self.prior_attempt(age, Some(&member));
                 with_prior_attempt(statement, prior_attempt)
             }
             StatementCheck::Unknown => with_prior_attempt(statement, UNKNOWN_ATTEMPT),
-            StatementCheck::Queried => {
+            StatementCheck::InquiryStarted => {
                 self.metrics.inquiries += 1;
                 None
             }
         }
     }
 
-    /// An attempt at a member that this driver may not know.
+    /// A prior attempt at a member, which may be unknown here.
     fn prior_attempt(&self, age: TimeSpan, member: Option<&str>) -> PriorAttempt {
         let member = member.and_then(|name| self.members.find(name));
         member.map_or(UNKNOWN_ATTEMPT, |member| PriorAttempt { age, member })
     }
 
-    pub(super) fn on_query_answer(
+    pub(super) fn on_inquiry_reply(
         &mut self,
         now: Timestamp,
         from: usize,
@@ -74,18 +74,18 @@
     ) {
         let Some(gossip) = &mut self.gossip else { return };
         let client_id = inquiry.id;
-        if let Some(outcome) = gossip.on_query_answer(from, inquiry, status) {
-            self.on_query_resolved(now, client_id, outcome);
+        if let Some(outcome) = gossip.on_inquiry_reply(from, inquiry, status) {
+            self.on_inquiry_resolved(now, client_id, outcome);
         }
     }
 
-    /// What other drivers know of a deferred statement is clear.
-    pub(super) fn on_query_resolved(&mut self, now: Timestamp, client_id: u64, outcome: InquiryOutcome) {
+    /// Resumes a deferred statement with the outcome of its inquiry.
+    pub(super) fn on_inquiry_resolved(&mut self, now: Timestamp, client_id: u64, outcome: InquiryOutcome) {
         let Some(gossip) = &mut self.gossip else { return };
         let Some(deferred) = gossip.take_deferred(client_id) else {
             return;
         };
-        // Its client may be gone.
+        // Its client may have disconnected.
         if !self.statements.contains(deferred.statement.id) {
             return;
         }
@@ -102,22 +102,23 @@
             ..deferred.statement
         };
         let actions = self.policy.on_statement(now, &statement);
-        self.carry_out(now, actions);
+        self.execute_actions(now, actions);
         self.notify_policy_of_ends(now);
     }
 
-    /// Another driver asks about a statement. If it has not been sent from here it is ceded, and rejected if it is open.
-    pub(super) fn on_query(&mut self, now: Timestamp, from: usize, inquiry: InquiryId) {
+    /// Handles another driver's inquiry. A statement not dispatched here is ceded to it, and rejected if it
+    /// is open.
+    pub(super) fn on_inquiry(&mut self, now: Timestamp, from: usize, inquiry: InquiryId) {
         let Some(gossip) = &mut self.gossip else { return };
         let client_id = inquiry.id;
-        let is_ceded = gossip.answer_query(now, from, inquiry, self.handover.is_co_serving());
+        let is_ceded = gossip.reply_to_inquiry(now, from, inquiry, self.handover.is_co_serving());
         let open = self.statements.find(client_id);
         let Some(statement) = open.filter(|_| is_ceded) else {
             return;
         };
         self.metrics.statements_given_away += 1;
         let actions = self.policy.on_statement_withdrawn(now, statement);
-        self.carry_out(now, actions);
+        self.execute_actions(now, actions);
         let answer = execution_outcomes::rejected(TimeSpan(0));
         let is_answered = self.answer(statement, answer);
         self.metrics.rejected += u64::from(is_answered);
--- a/crates/driver/src/routing/event_loop/members.rs
+++ b/crates/driver/src/routing/event_loop/members.rs
@@ -1,4 +1,4 @@
-//! Events of connections to members.
+//! Events of member connections.
 
 use super::{EventLoop, Logger};
 use crate::protocol::client_events::FinalAnswer;
@@ -10,7 +10,7 @@
 use asterlatch::interface::{ExecutionOutcome, ReplicaStatus};
 use asterlatch::time::Timestamp;
 
-impl<O: Logger> EventLoop<O> {
+impl<L: Logger> EventLoop<L> {
     pub(super) fn on_member_event(&mut self, now: Timestamp, event: MemberEvent) {
         match event {
             MemberEvent::Connected { connection } => self.on_connected(now, connection),
@@ -53,7 +53,7 @@
         status: ReplicaStatus,
     ) {
         if !self.accepts_reply(&request, &reply, status) {
-            // The client does not receive it, but it was executed all the same.
+            // Withheld from the client, but the statement was executed.
             self.end_request(request, replied_at, ExecutionOutcome::Errored, status);
             self.metrics.answers_too_old += 1;
             return;
@@ -61,21 +61,21 @@
         let outcome = execution_outcomes::of_reply(&reply);
         self.end_request(request, replied_at, outcome, status);
         match (reply, request.kind) {
-            // The first complete answer goes to the client as the bytes that arrived.
+            // The bytes of the first complete answer are forwarded unchanged.
             (Reply::Rows(rows), RequestKind::Execution(id)) => {
                 let is_answered = self.answer(id.statement, FinalAnswer::Rows(rows));
                 self.metrics.completed += u64::from(is_answered);
             }
             (Reply::Malformed, _) => {
                 self.metrics.members_malformed += 1;
-                let text = format_args!("sent what is not an answer");
+                let text = format_args!("a member violated the protocol");
                 self.logger.log(now, "member", text);
             }
             _ => {}
         }
     }
 
-    /// Whether the policy accepts the data of a reply as fresh enough for its statement.
+    /// Whether the data of a reply is fresh enough for its statement.
     fn accepts_reply(&self, request: &MemberRequest, reply: &Reply, status: ReplicaStatus) -> bool {
         match (reply, request.kind) {
             (Reply::Rows(_), RequestKind::Execution(AttemptId { statement, attempt })) => {
@@ -96,7 +96,7 @@
             return;
         };
         if request.is_reused_connection && !is_written {
-            // It had closed while it was idle: nothing was sent, so this is not another execution.
+            // It had closed while idle: nothing was sent, so a restart does not count as another execution.
             self.metrics.idle_connections_stale += 1;
             return self.restart_request(now, request);
         }
@@ -105,12 +105,12 @@
         self.end_request(request, closed_at, outcome, ReplicaStatus::default());
     }
 
-    /// The status in a report, whether it came beside an answer or as the row that a health check asks for.
+    /// The status reported along with an answer or in the row of a health check.
     fn reported_status(
         &self,
         request: &MemberRequest,
         reply: &Reply,
-        beside_answer: Option<String>,
+        answer_report: Option<String>,
     ) -> ReplicaStatus {
         let row = match (request.kind, reply) {
             (RequestKind::HealthCheck, Reply::Rows(rows)) => messages::row_value(rows),
@@ -118,7 +118,7 @@
         };
         let row = row.and_then(|value| std::str::from_utf8(value).ok());
         let from_row = self.parse_report(row);
-        from_row.merge(self.parse_report(beside_answer.as_deref()))
+        from_row.merge(self.parse_report(answer_report.as_deref()))
     }
 
     fn parse_report(&self, report: Option<&str>) -> ReplicaStatus {
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -1,8 +1,8 @@
-//! The event loop: takes one event after another and dispatches it. Nothing here blocks.
+//! The event loop: dispatches one event after another and never blocks while it handles one.
 //!
-//! It owns the routing policy, which decides, and the tables of clients, statements, requests and members. Handlers stand
-//! with the source of their events: `clients`, `members`, `discovery`, `gossip`, `peer_process`. `actions` carries out what
-//! the policy decides, `dispatch` sends requests to members.
+//! It owns the routing policy and the tables of clients, statements, requests and members. Handlers are
+//! grouped by the source of their events: `clients`, `members`, `discovery`, `gossip`, `peer_process`.
+//! `actions` carries out the policy's decisions, and `dispatch` sends requests to members.
 
 mod actions;
 mod clients;
@@ -45,39 +45,39 @@
 
 /// Receives the log lines of the event loop.
 pub trait Logger {
-    /// Logs a line under a topic; the logger may limit the rate of each topic.
+    /// Logs a line under a topic. An implementation may limit the rate per topic.
     fn log(&mut self, now: Timestamp, topic: &'static str, text: Arguments);
 }
 
-/// How connections are opened and resumed.
+/// Functions that open and resume connections.
 pub struct Connectors {
-    /// To members.
+    /// Opens a connection to a member.
     pub dial_member: DialMember,
-    /// To discovery.
+    /// Opens a connection to discovery.
     pub dial_discovery: DialDiscovery,
-    /// Clients of another process.
+    /// Resumes a client of another process.
     pub adopt_client: AdoptClient,
-    /// Idle connections to members of another process.
+    /// Resumes an idle member connection of another process.
     pub adopt_member_connection: AdoptMemberConnection,
 }
 
-/// What an event loop is made of beside the deployment's settings.
+/// Options of an event loop other than the deployment's settings.
 pub struct EventLoopOptions {
     /// Seed of the policy's random decisions.
     pub seed: u64,
-    /// How connections are opened and resumed.
+    /// Functions that open and resume connections.
     pub connectors: Connectors,
-    /// Records dispatched statements, if another process takes over should this one crash.
+    /// Journal of dispatched statements, if a predecessor takes clients back should this process crash.
     pub journal: Option<IoJournalWriter>,
-    /// Configuration that may change.
+    /// Configuration that may change at run time.
     pub config: RuntimeConfig,
     /// Limits that operators may change.
     pub limits: Limits,
-    /// Memory budgets that the connections share.
+    /// Memory budgets shared with the connections.
     pub memory: MemoryBudgets,
 }
 
-/// A request that has ended, which the policy is still to be notified of.
+/// A request that has ended and that the policy has not been notified of yet.
 struct EndedRequest {
     request: MemberRequest,
     outcome: ExecutionOutcome,
@@ -85,12 +85,12 @@
     status: ReplicaStatus,
 }
 
-/// The event loop, with the policy and all tables. It runs on one thread; other threads reach it by events.
-pub struct EventLoop<O> {
+/// The event loop with the policy and all tables. It runs on one thread; other threads send it events.
+pub struct EventLoop<L> {
     policy: RoutingPolicy,
     decoding: Decoding,
-    /// Receives log lines.
-    pub logger: O,
+    /// Receiver of log lines.
+    pub logger: L,
     /// Counters and gauges.
     pub metrics: Metrics,
     workloads: Workloads,
@@ -110,21 +110,21 @@
     handover: Handover,
     journal: Option<IoJournalWriter>,
     gossip: Option<Gossip>,
-    /// The predecessor still gossips under this driver's name, so peers can't be asked yet.
+    /// The predecessor still gossips under this driver's name, so peers cannot be asked yet.
     is_gossip_deferred: bool,
-    /// Sessions' positions are recorded by drivers, for clients do not carry them.
+    /// Drivers record session positions, because clients do not carry them.
     records_sessions: bool,
 }
 
-impl<O: Logger> EventLoop<O> {
+impl<L: Logger> EventLoop<L> {
     /// An event loop without clients, members or listener.
     pub fn new(
         settings: &Settings,
         decoding: Decoding,
         options: EventLoopOptions,
         now: Timestamp,
-        logger: O,
-    ) -> EventLoop<O> {
+        logger: L,
+    ) -> EventLoop<L> {
         let (config, limits) = (options.config, options.limits);
         let capacity = config.connection_capacity(&limits);
         let connection_limits = ConnectionLimits {
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Handles events until `control` returns `None`. It runs before each wait and returns when it wants to run again
-    /// at the latest.
+    /// Handles events until `control` returns `None` or all senders are gone. `control` runs before each wait
+    /// and returns the latest time of its next run.
     pub fn run(
         &mut self,
         events: &Receiver<Event>,
@@ -183,14 +183,15 @@
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            let late = (clock.now() - next).0;
-            self.metrics.wake_up_latest_us = self.metrics.wake_up_latest_us.max(late);
+            let delay_us = (clock.now() - next).0;
+            self.metrics.wake_up_latest_us = self.metrics.wake_up_latest_us.max(delay_us);
             self.handle_queued(first, events, clock);
             self.advance_to(clock.now());
         }
     }
 
-    /// Handles all queued events before any timeout: an answer in the queue must not be taken for an overdue one.
+    /// Handles all queued events before any timeout, so that a request whose answer is in the queue does not
+    /// time out.
     fn handle_queued(&mut self, first: Option<Event>, events: &Receiver<Event>, clock: Clock) {
         let mut handled = 0;
         let mut next = first;
@@ -203,16 +204,16 @@
         self.metrics.queue_longest = self.metrics.queue_longest.max(handled);
     }
 
-    /// Handles a batch of events in their order, but that clients that leave go first: whatever one of them frees must not
-    /// go to another whose end is in the batch as well.
+    /// Handles a batch of events in order, after the client disconnects among them: capacity that one of
+    /// these frees must not go to a client whose disconnect is in the same batch.
     pub fn on_events(&mut self, batch: Vec<Event>, now: impl Fn() -> Timestamp) {
-        self.on_departures_in(now(), &batch);
+        self.on_disconnects_in_batch(now(), &batch);
         for event in batch {
             self.on_event(now(), event);
         }
     }
 
-    /// When [`EventLoop::advance_to`] has something to do.
+    /// Time of the next work for [`EventLoop::advance_to`].
     pub fn next_at(&self) -> Timestamp {
         let times = [
             self.policy_wakes_at,
@@ -228,7 +229,7 @@
     /// Handles one event.
     pub fn on_event(&mut self, now: Timestamp, event: Event) {
         match event {
-            Event::Arrival(arrival) => self.on_arrival(now, arrival),
+            Event::Accept(event) => self.on_accept_event(now, event),
             Event::Client(event) => self.on_client_event(now, event),
             Event::Member(event) => self.on_member_event(now, event),
             Event::Discovery(message) => self.on_discovery_message(now, message),
@@ -238,17 +239,17 @@
         self.notify_policy_of_ends(now);
     }
 
-    /// Does what is due at this time.
+    /// Handles everything that is due by `now`: timeouts, retries, and work of the policy and of gossip.
     pub fn advance_to(&mut self, now: Timestamp) {
         self.time_out_requests(now);
         if self.policy_wakes_at.is_some_and(|at| at <= now) {
             let actions = self.policy.advance_to(now);
-            self.carry_out(now, actions);
+            self.execute_actions(now, actions);
         }
         self.advance_gossip_to(now);
         self.member_requests.close_expired_idle(now);
         let expired = self.clients.close_expired(now);
-        self.metrics.clients_too_slow += expired.too_slow;
+        self.metrics.clients_too_slow += expired.timed_out;
         self.metrics.clients_closed_idle += expired.idle;
         self.advance_discovery_to(now);
         self.acceptor.advance_to(now);
@@ -269,7 +270,7 @@
         self.metrics.open_member_connections = self.member_requests.connection_count() as u64;
     }
 
-    /// Takes the control events received since the last call.
+    /// Takes the control events queued since the last call.
     pub fn take_control_events(&mut self) -> Vec<ControlEvent> {
         std::mem::take(&mut self.control_events)
     }
--- a/crates/driver/src/routing/event_loop/peer_process.rs
+++ b/crates/driver/src/routing/event_loop/peer_process.rs
@@ -1,5 +1,5 @@
-//! Another process of this service that serves beside this one, as its predecessor or successor: learned state, clients
-//! and connections move between them, and some updates bind both.
+//! Cooperation with a peer process, the predecessor or successor in an upgrade: transfer of learned state,
+//! clients and connections, and updates that both processes apply.
 
 use super::{EventLoop, Logger};
 use crate::protocol::replica_status;
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::net::{TcpListener, TcpStream};
 
-/// State that is handed over: what the policy has learned, and which members its ids stand for.
+/// State to hand over: what the policy has learned, and the directory that resolves its member ids.
 pub struct LearnedState<'a> {
     /// The policy.
     pub policy: &'a RoutingPolicy,
@@ -21,7 +21,7 @@
     pub members: &'a MemberDirectory,
 }
 
-/// State that another process has handed over.
+/// State handed over by another process.
 pub struct ResumedState {
     /// The policy.
     pub policy: RoutingPolicy,
@@ -29,8 +29,8 @@
     pub members: MemberDirectory,
 }
 
-impl<O: Logger> EventLoop<O> {
-    /// State that another process resumes from.
+impl<L: Logger> EventLoop<L> {
+    /// State from which another process resumes.
     pub fn learned_state(&self) -> LearnedState<'_> {
         LearnedState {
             policy: &self.policy,
@@ -45,21 +45,21 @@
         self.policy_wakes_at = Some(now);
     }
 
-    /// States whether another process serves beside this one.
+    /// Sets whether a peer process is serving.
     pub fn set_co_serving(&mut self, now: Timestamp, co_serving: CoServing) {
-        let did_co_serve = self.handover.set_co_serving(co_serving);
-        if let Some(gossip) = self.gossip.as_mut().filter(|_| did_co_serve) {
-            // The statements that the other process has sent are not recorded here.
-            gossip.forget_sent_statements(now);
+        let was_co_serving = self.handover.set_co_serving(co_serving);
+        if let Some(gossip) = self.gossip.as_mut().filter(|_| was_co_serving) {
+            // Dispatches of the peer process are not recorded here.
+            gossip.mark_dispatch_log_incomplete(now);
         }
         self.clients.set_co_serving(self.handover.is_co_serving());
         let yields = co_serving == CoServing::WithSuccessor;
         let actions = self.policy.set_peer_process(now, yields);
-        self.carry_out(now, actions);
+        self.execute_actions(now, actions);
         self.notify_policy_of_ends(now);
     }
 
-    /// Number of executions in flight by the name of their member.
+    /// Number of executions in flight by member name.
     pub fn in_flight_by_member(&self) -> BTreeMap<String, u32> {
         let mut in_flight = BTreeMap::new();
         for execution in self.member_requests.executions() {
@@ -70,7 +70,8 @@
         in_flight
     }
 
-    /// Applies an update that binds both processes. Members that are not known here receive nothing from here.
+    /// Applies an update from the peer process. Updates of unknown members are ignored: this process sends
+    /// them nothing.
     pub fn on_peer_process_message(&mut self, now: Timestamp, message: &CoServingMessage) {
         let actions = match message {
             CoServingMessage::InFlight { member, count } => {
@@ -80,7 +81,7 @@
             CoServingMessage::Acknowledged => None,
         };
         if let Some(actions) = actions {
-            self.carry_out(now, actions);
+            self.execute_actions(now, actions);
             self.notify_policy_of_ends(now);
         }
     }
@@ -99,12 +100,12 @@
         Some(self.policy.on_member_update(now, member, update))
     }
 
-    /// A descriptor of the listening socket, for another process.
+    /// Duplicates the listening socket for a peer process; `None` if there is none or `dup` fails.
     pub fn listener_descriptor(&self) -> Option<TcpListener> {
         self.acceptor.descriptor()
     }
 
-    /// Leaves new clients to another process that listens on the same socket, or accepts them again.
+    /// Accepts new clients, or leaves them to a peer process that listens on the same socket.
     pub fn set_accepting(&mut self, is_accepting: bool) {
         self.acceptor.set_paused(!is_accepting);
         if is_accepting && !self.is_draining {
@@ -112,28 +113,28 @@
         }
     }
 
-    /// Hands clients over between two statements, and idle connections to members at once.
+    /// Hands over clients once they have no open statement, and idle member connections immediately.
     pub fn begin_handover(&mut self) {
         self.clients.begin_handover();
         self.member_requests.hand_over_idle();
     }
 
-    /// Takes the clients that have left their connections to another process.
+    /// Takes the clients to be transferred to another process.
     pub fn take_transferred_clients(&mut self) -> Vec<TransferredClient> {
         self.handover.take_clients()
     }
 
-    /// Takes the idle connections to members that are left to another process.
+    /// Takes the idle member connections to be transferred to another process.
     pub fn take_transferred_connections(&mut self) -> Vec<TransferredConnection> {
         self.handover.take_connections()
     }
 
-    /// Takes the members that were listed as draining or gone while another process serves.
+    /// Takes the members that were listed as draining or gone during co-serving.
     pub fn take_drained_members(&mut self) -> Vec<DrainedMember> {
         self.handover.take_drained_members()
     }
 
-    /// Adopts an idle connection to a member, if it is still known.
+    /// Adopts an idle member connection of another process, if the member is still known.
     pub fn adopt_member_connection(&mut self, now: Timestamp, member: u32, stream: TcpStream) {
         let Some(address) = self.members.address(member) else {
             return;
@@ -151,9 +152,9 @@
     pub fn adopt_client(&mut self, now: Timestamp, client: TransferredClient) {
         let is_active = client.is_active;
         let adopted = self.handover.adopt_client(client);
-        match adopted.line {
-            Ok(line) => {
-                self.admit_client(now, adopted.id, line);
+        match adopted.handle {
+            Ok(handle) => {
+                self.admit_client(now, adopted.id, handle);
                 self.metrics.clients_adopted += 1;
                 if is_active {
                     self.clients.mark_active(adopted.id, now);
--- a/crates/driver/src/routing/events.rs
+++ b/crates/driver/src/routing/events.rs
@@ -1,4 +1,4 @@
-//! Events in the queue of the event loop.
+//! Events of the event loop's queue.
 
 use super::gossip::GossipMessage;
 use crate::protocol::client_events::{ClientCommand, ClientEvent};
@@ -6,30 +6,30 @@
 use crate::protocol::member_connection::MemberEvent;
 use crate::transport::listener::AcceptEvent;
 
-/// What operators or other threads ask of the process. The event loop only collects these for the program.
+/// Requests of operators or other threads, which the event loop queues for the program.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ControlEvent {
     /// Shut down gracefully (SIGTERM, SIGINT).
     Shutdown,
     /// Log all counters (SIGUSR1).
     ReportMetrics,
-    /// Read the configuration again (SIGHUP).
+    /// Reload the configuration (SIGHUP).
     Reload,
     /// Hand the service over to a new process (SIGUSR2).
     Upgrade,
-    /// Another thread has left something for the program outside this queue.
+    /// Another thread has work for the program outside this queue.
     WakeUp,
 }
 
-/// An event of any source.
+/// An event from any source.
 pub enum Event {
     /// The listener accepted a client, failed to, or closed.
-    Arrival(AcceptEvent<ClientCommand>),
+    Accept(AcceptEvent<ClientCommand>),
     /// From a client's connection.
     Client(ClientEvent),
     /// From a member's connection.
     Member(MemberEvent),
-    /// From a connection to discovery; events of any other than the current request are stale.
+    /// From a connection to discovery; events of requests other than the current one are stale.
     Discovery(DiscoveryMessage),
     /// For the program.
     Control(ControlEvent),
@@ -47,7 +47,7 @@
     };
 }
 event_from! {
-    AcceptEvent<ClientCommand> => Arrival,
+    AcceptEvent<ClientCommand> => Accept,
     ClientEvent => Client,
     MemberEvent => Member,
     DiscoveryMessage => Discovery,
--- a/crates/driver/src/routing/execution_outcomes.rs
+++ b/crates/driver/src/routing/execution_outcomes.rs
@@ -1,4 +1,4 @@
-//! Translates replies of members into execution outcomes, and answers of the policy into final answers for clients.
+//! Maps member replies to execution outcomes, and answers of the routing policy to final answers for clients.
 
 use super::metrics::Metrics;
 use crate::protocol::client_events::FinalAnswer;
@@ -8,14 +8,15 @@
 use asterlatch::time::TimeSpan;
 use std::io;
 
-/// SQLSTATE codes by which a member rejects a statement before execution.
+/// SQLSTATEs with which a member rejects a statement before execution.
 const READ_ONLY_TRANSACTION: &str = "25006";
 const SNAPSHOT_TOO_OLD: &str = "72000";
 const TOO_MANY_CONNECTIONS: &str = "53300";
-/// SQLSTATE code for an indeterminate outcome: statement completion unknown.
+/// SQLSTATE of an indeterminate outcome.
 const COMPLETION_UNKNOWN: &str = "40003";
 
-/// The outcome of an execution that a member replied to. Only three error codes prove that it wasn't executed.
+/// The outcome of an execution that a member replied to. Any SQLSTATE other than the three rejections leaves
+/// open whether it was executed.
 pub fn of_reply(reply: &Reply) -> ExecutionOutcome {
     match reply {
         Reply::Rows(_) => ExecutionOutcome::Completed,
@@ -28,8 +29,8 @@
     }
 }
 
-/// The outcome of an execution for which no connection could be opened. What this host lacks says nothing about the member:
-/// a member must not be ejected for it.
+/// The outcome of an execution for which no connection could be opened. A local failure, such as a lack of
+/// descriptors, must not count against the member.
 pub fn of_failed_dial(error: &io::Error) -> ExecutionOutcome {
     if socket_errors::is_local_failure(error) {
         ExecutionOutcome::NotSent
@@ -38,21 +39,21 @@
     }
 }
 
-/// The outcome of an execution whose connection closed; `written` if all of the query was written before.
-pub fn of_closed_connection(written: bool) -> ExecutionOutcome {
-    if written {
+/// The outcome of an execution whose connection closed; `is_written` if all of the query had been written.
+pub fn of_closed_connection(is_written: bool) -> ExecutionOutcome {
+    if is_written {
         ExecutionOutcome::ConnectionLost
     } else {
         ExecutionOutcome::NoConnection
     }
 }
 
-/// Whether an execution with this outcome has certainly had no effect, as the policy judges it.
+/// Whether the policy treats an execution with this outcome as not executed.
 pub fn definitely_not_executed(outcome: ExecutionOutcome) -> bool {
     asterlatch::policy::definitely_not_executed(outcome)
 }
 
-/// Counts an execution by its outcome.
+/// Increments the counter of an outcome.
 pub fn count(metrics: &mut Metrics, outcome: ExecutionOutcome) {
     let counter = match outcome {
         ExecutionOutcome::Completed => &mut metrics.ended_completed,
@@ -68,7 +69,7 @@
     *counter += 1;
 }
 
-/// A final answer to a statement that no member answered.
+/// A final answer from the routing policy rather than a member.
 pub struct StatementAnswer {
     /// Id of the statement.
     pub statement: u32,
@@ -76,7 +77,7 @@
     pub answer: FinalAnswer,
 }
 
-/// The final answer that a client receives for an answer of the policy.
+/// Converts an answer of the policy to the final answer for the client.
 pub fn to_client(answer: &Answer) -> StatementAnswer {
     match *answer {
         Answer::Rejected {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Not executed, or harmless to execute again.
+/// The error for a statement that was not executed or is safe to execute again.
 pub fn rejected(retry_after: TimeSpan) -> FinalAnswer {
     FinalAnswer::Error {
         code: TOO_MANY_CONNECTIONS,
@@ -102,7 +103,7 @@
     }
 }
 
-/// The statement may have been executed.
+/// The error for a statement that may have been executed.
 pub fn aborted() -> FinalAnswer {
     FinalAnswer::Error {
         code: COMPLETION_UNKNOWN,
--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -1,5 +1,5 @@
-//! Leases for health checks, failure consensus and load aggregate. Their rules stand in `asterlatch_coordination`; here
-//! they meet members' names, ticks and records.
+//! Health check leases, failure consensus and load aggregate: connects `asterlatch_coordination` to member
+//! names, ticks and gossip records.
 
 use super::DriverIdentity;
 use crate::routing::members::fleet_key;
@@ -13,20 +13,20 @@
 use asterlatch_gossip::record::{LoadShare, Record, MAX_LOAD_SHARES};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time between two health checks of an unresponsive member by the lease holder. Without leases, each driver checks the
-/// less often the more drivers there are.
+/// Interval between health checks of an unresponsive member by the lease holder.
 const HEALTH_CHECK_INTERVAL: TimeSpan = TimeSpan::millis(300);
-/// Time between two load reports.
+/// Interval between load reports.
 const LOAD_REPORT_INTERVAL: TimeSpan = TimeSpan::millis(500);
-/// Time after which a smaller fleet counts.
+/// Time after which a decrease of the fleet size takes effect.
 const SHRINK_DELAY: TimeSpan = TimeSpan::millis(30_000);
-/// A lease update may wait for a tick at each of two drivers before it arrives.
+/// A lease update may wait for a tick at each of two drivers before it is received.
 const TICKS_PER_LEASE_UPDATE: f64 = 2.5;
-/// Units of admission shares and of answers in load reports.
+/// Units per admission share of 1 in load reports.
 const SHARE_UNITS: f64 = 200.0;
+/// Units per answer in load reports.
 const ANSWER_UNITS: f64 = 10.0;
 
-/// A member's admission share by its name.
+/// Admission share of a member, by name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedShare {
     /// Name of the member.
@@ -35,12 +35,12 @@
     pub share: f64,
 }
 
-/// A member that the failure consensus considers unresponsive, or no longer does.
+/// A change of the failure consensus about a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnresponsiveMember {
     /// Name of the member.
     pub member: String,
-    /// Until when; zero if it is responsive again.
+    /// End of the time in which it counts as unresponsive; zero if it is responsive again.
     pub until: Timestamp,
 }
 
@@ -49,19 +49,19 @@
 pub struct LoadReport<'a> {
     /// Name of the driver.
     pub driver: &'a str,
-    /// Number of its run.
+    /// Incarnation of the driver.
     pub incarnation: u64,
-    /// Member, share and answers, in units of the record.
+    /// Share and answers by member, in the record's units.
     pub shares: &'a [LoadShare],
     /// When it was received.
     pub observed_at: Timestamp,
 }
 
-/// The result of advancing coordination.
+/// Results of a coordination round.
 pub struct CoordinationRound {
-    /// Records to be shared, with their age.
+    /// Records to share, with their age.
     pub(super) records: Vec<Observation>,
-    /// Members whose health this driver checks now for all.
+    /// Members whose health this driver checks now on behalf of the fleet.
     pub health_checks: Vec<String>,
     /// Members whose responsiveness has changed.
     pub unresponsive: Vec<UnresponsiveMember>,
@@ -76,47 +76,52 @@
     fleet_size: FleetSize,
     load_aggregate: LoadAggregate,
     next_load_report_at: Timestamp,
-    own: DriverIdentity,
-    /// Number of records that this run has shared, by which newer ones are known.
-    record_count: u64,
-    /// Members whose health checks the policy wants, and when this driver last sent one for all.
-    wanted: BTreeMap<String, Timestamp>,
+    local_driver: DriverIdentity,
+    /// Sequence number of the last record shared by this incarnation.
+    last_sequence: u64,
+    /// Members whose health checks the policy wants, and when this driver last sent one as lease holder.
+    wanted_checks: BTreeMap<String, Timestamp>,
 }
 
-/// The lease for checking the health of a member. The subject is part of gossip records.
+/// Lease subject for a member's health checks. Part of the gossip format.
 fn lease_subject(member: &str) -> String {
     format!("probe {member}")
 }
 
 impl Coordination {
-    /// `fleet_size` counts the drivers that the operators' file names, this one among them.
-    pub(super) fn new(now: Timestamp, own: &DriverIdentity, tick: TimeSpan, fleet_size: u32) -> Coordination {
+    /// `fleet_size` is the number of drivers in the operators' file, including this one.
+    pub(super) fn new(
+        now: Timestamp,
+        local_driver: &DriverIdentity,
+        tick: TimeSpan,
+        fleet_size: u32,
+    ) -> Coordination {
         let defaults = LeaseTimings::default();
         let timings = LeaseTimings {
             acquire_delay: defaults.acquire_delay.max(tick * TICKS_PER_LEASE_UPDATE),
             ..defaults
         };
-        let key = fleet_key(&own.name);
+        let key = fleet_key(&local_driver.name);
         Coordination {
-            leases: LeaseTable::new(key, own.incarnation, timings),
+            leases: LeaseTable::new(key, local_driver.incarnation, timings),
             failure_consensus: FailureConsensus::new(key, ConsensusSettings::default()),
             fleet_size: FleetSize::new(fleet_size, SHRINK_DELAY, now),
             load_aggregate: LoadAggregate::new(AggregateSettings::default()),
             next_load_report_at: now,
-            own: own.clone(),
-            record_count: 0,
-            wanted: BTreeMap::new(),
+            local_driver: local_driver.clone(),
+            last_sequence: 0,
+            wanted_checks: BTreeMap::new(),
         }
     }
 
-    /// These other drivers are present. Returns the number of drivers to count with.
-    pub(super) fn on_fleet(&mut self, now: Timestamp, others: &BTreeSet<NameHash>) -> u32 {
-        self.leases.set_peers(others);
-        self.fleet_size.update(now, others.len() as u32 + 1)
+    /// Sets the present peers and returns the resulting fleet size.
+    pub(super) fn set_peers(&mut self, now: Timestamp, peers: &BTreeSet<NameHash>) -> u32 {
+        self.leases.set_peers(peers);
+        self.fleet_size.update(now, peers.len() as u32 + 1)
     }
 
-    /// The policy wants a health check of a member. Returns whether this driver sends it; a driver that is alone always
-    /// does.
+    /// Returns whether this driver sends a health check that the policy wants, as lease holder or because it
+    /// is alone.
     pub(super) fn may_check_health(&mut self, now: Timestamp, member: &str, is_alone: bool) -> bool {
         if is_alone {
             return true;
@@ -125,27 +130,30 @@
         self.leases.request(now, &subject);
         let status = self.leases.status(now, &subject);
         let may_check = matches!(status, LeaseStatus::HeldHere | LeaseStatus::Completed);
-        let checked_at = self.wanted.entry(member.to_owned()).or_insert(Timestamp(0));
-        // A health check that the policy of the lease holder wants serves all.
+        let checked_at = self
+            .wanted_checks
+            .entry(member.to_owned())
+            .or_insert(Timestamp(0));
+        // A health check wanted by the lease holder's own policy also serves the fleet.
         if may_check {
             *checked_at = now;
         }
         may_check
     }
 
-    /// A member has answered this driver.
+    /// Records that a member has answered this driver.
     pub(super) fn on_answer(&mut self, now: Timestamp, member: &str) {
         self.failure_consensus.on_response(member, now);
         self.load_aggregate.on_answer(now, fleet_key(member));
     }
 
-    /// A member has answered another driver then.
+    /// Records that a member answered another driver at `answered_at`.
     pub(super) fn on_peer_answer(&mut self, member: &str, answered_at: Timestamp) {
         self.failure_consensus.on_response(member, answered_at);
     }
 
-    /// Another driver has an overdue execution at a member.
-    pub(super) fn on_peer_overdue(
+    /// Records another driver's report of a delayed execution at a member.
+    pub(super) fn on_peer_delayed_execution(
         &mut self,
         member: &str,
         driver: &str,
@@ -160,12 +168,12 @@
             .on_late_report(member, fleet_key(driver), report);
     }
 
-    /// A lease as another driver knows it.
+    /// Applies a lease received from another driver.
     pub(super) fn on_lease(&mut self, now: Timestamp, subject: &str, lease: Lease, age: TimeSpan) {
         self.leases.on_lease(now, subject, lease, age);
     }
 
-    /// Another driver's report of its admission shares.
+    /// Applies another driver's report of its admission shares.
     pub(super) fn on_load_report(&mut self, report: &LoadReport) {
         let driver = fleet_key(report.driver);
         for load in report.shares {
@@ -179,20 +187,21 @@
         }
     }
 
-    /// Advances everything. `wants_health_check` tells whether the policy still wants a member's health checked,
-    /// `overdue` when the last overdue execution at a member was sent, `shares` what this driver admits.
+    /// Runs a coordination round. `wants_health_check` tells whether the policy still wants a member's health
+    /// checked. `delayed` has the dispatch time of the latest delayed execution by member, `shares` this
+    /// driver's admission shares.
     pub(super) fn advance_to(
         &mut self,
         now: Timestamp,
         wants_health_check: impl Fn(&str) -> bool,
-        overdue: &BTreeMap<String, Timestamp>,
+        delayed: &BTreeMap<String, Timestamp>,
         shares: &[NamedShare],
     ) -> CoordinationRound {
         let mut records = Vec::new();
         self.release_leases(now, wants_health_check, &mut records);
         self.advance_leases(now, &mut records);
         let health_checks = self.due_health_checks(now);
-        self.share_overdue(now, overdue, &mut records);
+        self.report_delayed_executions(now, delayed, &mut records);
         let changes = self.failure_consensus.take_changes(now).into_iter();
         let unresponsive = changes
             .map(|change| UnresponsiveMember {
@@ -213,17 +222,17 @@
         }
     }
 
-    /// A health check is no longer wanted because the member has answered, or is no longer listed.
+    /// Releases the leases of members whose health checks are no longer wanted.
     fn release_leases(
         &mut self,
         now: Timestamp,
         wants_health_check: impl Fn(&str) -> bool,
         records: &mut Vec<Observation>,
     ) {
-        let wanted = self.wanted.keys();
-        let unwanted: Vec<String> = wanted.filter(|m| !wants_health_check(m)).cloned().collect();
+        let members = self.wanted_checks.keys();
+        let unwanted: Vec<String> = members.filter(|m| !wants_health_check(m)).cloned().collect();
         for member in unwanted {
-            self.wanted.remove(&member);
+            self.wanted_checks.remove(&member);
             let subject = lease_subject(&member);
             if let Some(lease) = self.leases.release(now, &subject, LeaseState::Completed) {
                 records.push(Observation::now(Record::Lease { subject, lease }));
@@ -243,7 +252,7 @@
 
     fn due_health_checks(&mut self, now: Timestamp) -> Vec<String> {
         let mut due = Vec::new();
-        for (member, checked_at) in &mut self.wanted {
+        for (member, checked_at) in &mut self.wanted_checks {
             let is_holder = self.leases.status(now, &lease_subject(member)) == LeaseStatus::HeldHere;
             if is_holder && now - *checked_at >= HEALTH_CHECK_INTERVAL {
                 *checked_at = now;
@@ -253,25 +262,25 @@
         due
     }
 
-    fn share_overdue(
+    fn report_delayed_executions(
         &mut self,
         now: Timestamp,
-        overdue: &BTreeMap<String, Timestamp>,
+        delayed: &BTreeMap<String, Timestamp>,
         records: &mut Vec<Observation>,
     ) {
-        let own = fleet_key(&self.own.name);
-        for (member, sent_at) in overdue {
+        let driver_key = fleet_key(&self.local_driver.name);
+        for (member, sent_at) in delayed {
             let report = LateReport {
                 sent_at: *sent_at,
                 reported_at: now,
             };
-            self.failure_consensus.on_late_report(member, own, report);
-            self.record_count += 1;
+            self.failure_consensus.on_late_report(member, driver_key, report);
+            self.last_sequence += 1;
             let record = Record::Unanswered {
                 member: member.clone(),
-                driver: self.own.name.clone(),
-                incarnation: self.own.incarnation,
-                sequence: self.record_count,
+                driver: self.local_driver.name.clone(),
+                incarnation: self.local_driver.incarnation,
+                sequence: self.last_sequence,
                 outstanding_us: (now - *sent_at).0,
             };
             records.push(Observation::now(record));
@@ -279,18 +288,18 @@
     }
 
     fn aggregated_shares(&self, now: Timestamp, shares: &[NamedShare]) -> Vec<NamedShare> {
-        let aggregated = shares.iter().filter_map(|own| {
-            let key = fleet_key(&own.member);
-            let share = self.load_aggregate.blended_share(now, key, own.share)?;
+        let aggregated = shares.iter().filter_map(|local| {
+            let key = fleet_key(&local.member);
+            let share = self.load_aggregate.blended_share(now, key, local.share)?;
             Some(NamedShare {
-                member: own.member.clone(),
+                member: local.member.clone(),
                 share,
             })
         });
         aggregated.collect()
     }
 
-    /// This driver's shares, if a report is due and members have answered it.
+    /// This driver's load report; `None` if it is not due or would be empty.
     fn load_report(&mut self, now: Timestamp, shares: &[NamedShare]) -> Option<Record> {
         if now < self.next_load_report_at {
             return None;
@@ -298,7 +307,7 @@
         self.next_load_report_at = now + LOAD_REPORT_INTERVAL;
         let by_key: BTreeMap<NameHash, f64> = shares
             .iter()
-            .map(|own| (fleet_key(&own.member), own.share))
+            .map(|local| (fleet_key(&local.member), local.share))
             .collect();
         let mut reported = Vec::new();
         for reportable in self.load_aggregate.reportable(now, MAX_LOAD_SHARES) {
@@ -310,11 +319,11 @@
                 });
             }
         }
-        self.record_count += 1;
+        self.last_sequence += 1;
         let report = Record::Load {
-            driver: self.own.name.clone(),
-            incarnation: self.own.incarnation,
-            sequence: self.record_count,
+            driver: self.local_driver.name.clone(),
+            incarnation: self.local_driver.incarnation,
+            sequence: self.last_sequence,
             shares: reported,
         };
         let is_empty = matches!(&report, Record::Load { shares, .. } if shares.is_empty());
--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -1,6 +1,5 @@
-//! What drivers of the fleet share, as the event loop sees it: what it has observed and the gossip thread is still to
-//! send, which statements must not be executed twice, and what the drivers know about members together. The gossip
-//! thread receives commands and is never waited for.
+//! The event loop's part in gossip: batches observations for other drivers, records statements that must not
+//! be executed twice, and coordinates with other drivers. Commands to the gossip thread never block.
 
 mod coordination;
 mod prior_attempts;
@@ -20,92 +19,92 @@
 use asterlatch_gossip::record::{ListedState, Record};
 use coordination::Coordination;
 pub use coordination::{CoordinationRound, LoadReport, NamedShare, UnresponsiveMember};
-pub use prior_attempts::{ExpiredQuery, PriorAttempts, ResolvedStatement, StatementCheck};
+pub use prior_attempts::{ExpiredInquiry, PriorAttempts, ResolvedStatement, StatementCheck};
 use slow_start::SlowStart;
 pub use slow_start::WarmUpBudget;
 use status_batch::StatusBatch;
-pub use status_batch::{statuses, MemberStatusRecord};
+pub use status_batch::{replica_statuses, MemberStatusRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A command for the gossip thread.
 pub type GossipCommand = NodeInput<'static>;
 
-/// Sends a command to the gossip thread without waiting for it.
+/// Sends a command to the gossip thread without blocking.
 pub type SendCommand = Box<dyn FnMut(GossipCommand)>;
 
 /// A message from the gossip thread.
 pub enum GossipMessage {
     /// An output of the gossip node.
     Output(NodeOutput),
-    /// A line for the log.
+    /// A log line.
     LogLine(String),
 }
 
 /// Settings of the event loop's part in gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GossipSettings {
-    /// Time between two batches of observations.
+    /// Interval between two batches of observations.
     pub tick: TimeSpan,
-    /// Longest time to wait for other drivers' answers about a statement.
+    /// Maximum time to wait for replies to an inquiry.
     pub inquiry_timeout: TimeSpan,
-    /// Time after its first dispatch in which a client may retry a statement.
+    /// Time after a statement's first dispatch in which its client may retry it.
     pub retry_window: TimeSpan,
-    /// Most statements that are recorded for that.
+    /// Maximum number of statements recorded for retries.
     pub max_recorded_statements: usize,
-    /// Time over which the load of a warming member is summed.
+    /// Window over which the load of a member that is warming up is summed.
     pub overload_window: TimeSpan,
-    /// A warming member fails when it receives more than this multiple of its capacity.
+    /// A member that is warming up fails under more than this multiple of its capacity.
     pub overload_multiple: f64,
 }
 
-/// A driver and its current run.
+/// A driver and its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DriverIdentity {
     /// Its name.
     pub name: String,
-    /// Number of its run, which grows with each start.
+    /// Incarnation number, which increases with each start.
     pub incarnation: u64,
 }
 
 /// Other drivers of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetPeers {
-    /// Their names, by the number that the gossip node gives them.
+    /// Their names, by the gossip node's index of the peer.
     pub names: Vec<String>,
-    /// Numbers of those that are asked about statements.
+    /// Indices of the peers that receive inquiries.
     pub inquiry_peers: Vec<usize>,
 }
 
-/// The drivers that are present.
+/// The drivers that are currently present.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetView {
     /// Key of this driver.
-    pub own: u64,
-    /// Keys of the others.
-    pub others: BTreeSet<u64>,
-    /// Number of drivers to count with, which falls only after a while.
-    pub count: u32,
+    pub own_key: u64,
+    /// Keys of the other present drivers.
+    pub peer_keys: BTreeSet<u64>,
+    /// Fleet size for the division of capacity, which decreases only after a delay.
+    pub driver_count: u32,
 }
 
-/// An execution of a statement that other drivers may have to know about.
+/// A dispatched execution that other drivers may need to know about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DispatchedExecution {
-    /// Which execution it is.
+    /// Identifies the execution.
     pub attempt: AttemptId,
     /// Hash of the id that its client gave the statement.
     pub client_id: u64,
     /// Key of its session; zero if it has none.
     pub session: u64,
-    /// Executing it twice may have a second effect.
+    /// Executing the statement twice may change the result.
     pub needs_deduplication: bool,
-    /// It writes.
+    /// The statement writes.
     pub is_write: bool,
 }
 
 /// The end of a request to a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestEnd<'a> {
-    /// What was requested.
+    /// Execution or health check.
     pub kind: RequestKind,
     /// Id of the member.
     pub member: u32,
@@ -113,36 +112,36 @@
     pub member_name: Option<&'a str>,
     /// How it ended.
     pub outcome: ExecutionOutcome,
-    /// What the member reported.
+    /// The status that the member reported.
     pub status: ReplicaStatus,
 }
 
-/// What is due by time.
-pub struct DueGossip {
-    /// Statements whose query was not answered in time.
-    pub expired_queries: Vec<ExpiredQuery>,
-    /// Budgets of warming members are to be computed.
+/// Gossip work that is due.
+pub struct DueGossipWork {
+    /// Inquiries that were not answered in time.
+    pub expired_inquiries: Vec<ExpiredInquiry>,
+    /// Warm-up budgets are to be computed.
     pub warm_up: bool,
-    /// Leases, failure consensus and load aggregate are to be advanced.
+    /// A coordination round is to be run.
     pub coordination: bool,
 }
 
-/// The event loop's part in gossip.
+/// State of the event loop's part in gossip.
 pub struct Gossip {
     send: SendCommand,
     tick: TimeSpan,
-    own: DriverIdentity,
+    local_driver: DriverIdentity,
     peer_names: Vec<String>,
-    /// Numbers of peers that are present.
-    present: BTreeSet<usize>,
-    statuses: StatusBatch,
+    /// Indices of the peers that are present.
+    present_peers: BTreeSet<usize>,
+    status_batch: StatusBatch,
     /// Statements that must not be executed twice.
     pub prior_attempts: PriorAttempts,
-    /// Executions in flight that other drivers may have to know about.
+    /// Executions in flight that other drivers may need to know about.
     in_flight: BTreeMap<AttemptId, DispatchedExecution>,
     /// Version of the endpoint list in force.
     list_version: u64,
-    /// Members that this driver has announced as draining.
+    /// Members that this driver has announced as draining or gone.
     announced_drains: BTreeSet<String>,
     slow_start: SlowStart,
     coordination: Coordination,
@@ -150,11 +149,11 @@
 }
 
 impl Gossip {
-    /// Nothing has been observed yet. An earlier run of this driver may have sent any statement before now.
+    /// Starts without observations. An earlier incarnation may have dispatched any statement before `now`.
     pub fn new(
         now: Timestamp,
         settings: GossipSettings,
-        own: DriverIdentity,
+        local_driver: DriverIdentity,
         peers: FleetPeers,
         send: SendCommand,
     ) -> Gossip {
@@ -162,13 +161,13 @@
         Gossip {
             send,
             tick: settings.tick,
-            slow_start: SlowStart::new(now, &own, &settings),
-            coordination: Coordination::new(now, &own, settings.tick, fleet_size),
+            slow_start: SlowStart::new(now, &local_driver, &settings),
+            coordination: Coordination::new(now, &local_driver, settings.tick, fleet_size),
             coordination_at: Some(now),
-            own,
+            local_driver,
             peer_names: peers.names,
-            present: BTreeSet::new(),
-            statuses: StatusBatch::new(settings.tick),
+            present_peers: BTreeSet::new(),
+            status_batch: StatusBatch::new(settings.tick),
             prior_attempts: PriorAttempts::new(now, &settings, peers.inquiry_peers),
             in_flight: BTreeMap::new(),
             list_version: 0,
@@ -176,10 +175,10 @@
         }
     }
 
-    /// When the next part is due.
+    /// Time of the next due work.
     pub fn next_at(&self) -> Option<Timestamp> {
         let times = [
-            self.statuses.next_at(),
+            self.status_batch.next_at(),
             self.prior_attempts.next_at(),
             self.slow_start.next_at(),
             self.coordination_at,
@@ -187,12 +186,12 @@
         times.into_iter().flatten().min()
     }
 
-    /// Sends the batch of observations if it is due, and returns what else is due.
-    pub fn advance_to(&mut self, now: Timestamp, members: &MemberDirectory) -> DueGossip {
-        let records = self.statuses.take_due(now, members);
+    /// Sends the batch of observations if it is due, and returns other due work.
+    pub fn advance_to(&mut self, now: Timestamp, members: &MemberDirectory) -> DueGossipWork {
+        let records = self.status_batch.take_due(now, members);
         self.send_observed(records);
-        DueGossip {
-            expired_queries: self.prior_attempts.take_expired(now),
+        DueGossipWork {
+            expired_inquiries: self.prior_attempts.take_expired(now),
             coordination: self.coordination_at.take_if(|at| *at <= now).is_some(),
             warm_up: self.slow_start.take_due(now),
         }
@@ -204,45 +203,45 @@
         }
     }
 
-    /// Leaves the fleet, so that other drivers need not detect it.
+    /// Leaves the fleet, so that other drivers need not detect the absence.
     pub fn leave(&mut self) {
         (self.send)(NodeInput::Leave);
     }
 
-    /// Forgets which statements were sent: another process has sent some.
-    pub fn forget_sent_statements(&mut self, now: Timestamp) {
-        self.prior_attempts.forget_sent(now);
+    /// Marks the dispatch log as incomplete before `now`, because a peer process has dispatched statements.
+    pub fn mark_dispatch_log_incomplete(&mut self, now: Timestamp) {
+        self.prior_attempts.mark_dispatch_log_incomplete(now);
     }
 
-    /// Name of a peer; empty if its number is unknown.
+    /// Name of a peer; empty if its index is unknown.
     pub fn peer_name(&self, peer: usize) -> &str {
         self.peer_names.get(peer).map_or("", String::as_str)
     }
 
-    /// A peer has appeared or disappeared.
-    pub fn on_presence_change(&mut self, change: &PeerStateChange) {
+    /// Updates the set of present peers.
+    pub fn on_peer_state_change(&mut self, change: &PeerStateChange) {
         match change.to {
             PeerState::Alive | PeerState::Suspect => {
-                self.present.insert(change.peer);
+                self.present_peers.insert(change.peer);
             }
             PeerState::Down | PeerState::NeverHeard => {
-                self.present.remove(&change.peer);
+                self.present_peers.remove(&change.peer);
             }
         }
     }
 
-    /// The drivers that are present.
+    /// The drivers that are currently present.
     pub fn fleet_view(&mut self, now: Timestamp) -> FleetView {
-        let names = self.present.iter().map(|peer| &self.peer_names[*peer]);
-        let others: BTreeSet<u64> = names.map(|name| fleet_key(name)).collect();
+        let names = self.present_peers.iter().map(|peer| &self.peer_names[*peer]);
+        let peer_keys: BTreeSet<u64> = names.map(|name| fleet_key(name)).collect();
         FleetView {
-            own: fleet_key(&self.own.name),
-            count: self.coordination.on_fleet(now, &others),
-            others,
+            own_key: fleet_key(&self.local_driver.name),
+            driver_count: self.coordination.set_peers(now, &peer_keys),
+            peer_keys,
         }
     }
 
-    /// An execution is dispatched to the member with this name, which is expected to take so long.
+    /// Records an execution dispatched to the named member, with its expected execution time.
     pub fn on_dispatched(
         &mut self,
         now: Timestamp,
@@ -255,16 +254,17 @@
         }
         if execution.needs_deduplication {
             let member = member.unwrap_or_default();
-            self.prior_attempts.on_sent(now, execution.client_id, member);
+            self.prior_attempts
+                .on_dispatched(now, execution.client_id, member);
         }
         if execution.needs_deduplication || execution.is_write {
             self.in_flight.insert(execution.attempt, execution);
         }
     }
 
-    /// A request to a member has ended. Where drivers record sessions, a write's position is shared.
+    /// Records the end of a request. If `records_sessions`, the position of a session's write is shared.
     pub fn on_request_ended(&mut self, now: Timestamp, end: &RequestEnd, records_sessions: bool) {
-        self.statuses.add_status(now, end.member, end.status);
+        self.status_batch.add_status(now, end.member, end.status);
         let is_answered = matches!(
             end.outcome,
             ExecutionOutcome::Completed
@@ -287,11 +287,11 @@
         }
         let is_written = execution.is_write && outcome == ExecutionOutcome::Completed;
         if let Some(position) = end.status.position.filter(|_| is_written && records_sessions) {
-            self.statuses.add_session(now, execution.session, position);
+            self.status_batch.add_session(now, execution.session, position);
         }
     }
 
-    /// A list of this version is in force. Its version and its drains are sent at once.
+    /// Sends the version of the list in force and its draining members without batching.
     pub fn on_endpoint_list(&mut self, version: u64, entries: &[MemberEntry], members: &MemberDirectory) {
         if self.list_version != version {
             self.list_version = version;
@@ -308,7 +308,7 @@
         }
     }
 
-    /// A ready member is announced only if other drivers may take it for draining.
+    /// Announces a member's state; `Ready` only if it was announced as draining or gone before.
     fn announce_state(&mut self, member: DrainedMember, state: MemberState) {
         let listed_state = match state {
             MemberState::Ready => ListedState::Ready,
@@ -329,64 +329,69 @@
         self.send_observed(vec![Observation::now(record)]);
     }
 
-    /// Version of the endpoint list in force; zero before the first.
+    /// Version of the endpoint list in force; zero before the first list.
     pub fn list_version(&self) -> u64 {
         self.list_version
     }
 
-    /// Computes what each warming member may receive from here, and shares what it did receive.
+    /// Computes the warm-up budgets of this driver and shares the work that it has dispatched.
     pub fn warm_up_budgets(
         &mut self,
         now: Timestamp,
         warming: &[WarmingMember],
         members: &MemberDirectory,
     ) -> Vec<WarmUpBudget> {
-        let present = self.present.iter().map(|peer| self.peer_names[*peer].as_str());
-        let present: Vec<&str> = present.collect();
-        let round = self.slow_start.compute_budgets(now, warming, members, &present);
+        let present_drivers = self
+            .present_peers
+            .iter()
+            .map(|peer| self.peer_names[*peer].as_str());
+        let present_drivers: Vec<&str> = present_drivers.collect();
+        let round = self
+            .slow_start
+            .compute_budgets(now, warming, members, &present_drivers);
         self.send_observed(round.records);
         round.budgets
     }
 
-    /// Another driver's record of what it sends to a warming member.
+    /// Applies another driver's record of its work for a member that is warming up.
     pub fn on_warm_up_record(&mut self, observed_at: Timestamp, record: &Record) {
         self.slow_start.on_record(observed_at, record);
     }
 
-    /// Whether this driver checks a member's health itself, or leaves that to the lease holder.
+    /// Whether this driver checks a member's health itself, rather than the lease holder.
     pub fn may_check_health(&mut self, now: Timestamp, member: &str) -> bool {
-        let is_alone = self.present.is_empty();
+        let is_alone = self.present_peers.is_empty();
         self.coordination.may_check_health(now, member, is_alone)
     }
 
-    /// Advances leases, failure consensus and load aggregate, and shares what changed.
+    /// Runs a coordination round of leases, failure consensus and load aggregate, and shares its records.
     pub fn coordinate(
         &mut self,
         now: Timestamp,
         wants_health_check: impl Fn(&str) -> bool,
-        overdue: &BTreeMap<String, Timestamp>,
+        delayed: &BTreeMap<String, Timestamp>,
         shares: &[NamedShare],
     ) -> CoordinationRound {
         self.coordination_at = Some(now + self.tick);
         let mut round = self
             .coordination
-            .advance_to(now, wants_health_check, overdue, shares);
+            .advance_to(now, wants_health_check, delayed, shares);
         self.send_observed(std::mem::take(&mut round.records));
         round
     }
 
-    /// A lease as another driver knows it.
+    /// Applies a lease received from another driver.
     pub fn on_lease(&mut self, now: Timestamp, subject: &str, lease: Lease, age: TimeSpan) {
         self.coordination.on_lease(now, subject, lease, age);
     }
 
-    /// Another driver has received an answer of a member then.
+    /// Records that a member answered another driver at `answered_at`.
     pub fn on_peer_answer(&mut self, member: &str, answered_at: Timestamp) {
         self.coordination.on_peer_answer(member, answered_at);
     }
 
-    /// Another driver has an overdue execution at a member.
-    pub fn on_peer_overdue(
+    /// Records another driver's report of a delayed execution at a member.
+    pub fn on_peer_delayed_execution(
         &mut self,
         member: &str,
         driver: &str,
@@ -394,10 +399,10 @@
         observed_at: Timestamp,
     ) {
         self.coordination
-            .on_peer_overdue(member, driver, sent_at, observed_at);
+            .on_peer_delayed_execution(member, driver, sent_at, observed_at);
     }
 
-    /// Another driver's report of its admission shares.
+    /// Applies another driver's report of its admission shares.
     pub fn on_load_report(&mut self, report: &LoadReport) {
         self.coordination.on_load_report(report);
     }
@@ -408,7 +413,7 @@
     }
 }
 
-/// Pairs members of the directory with their admission shares by name.
+/// Resolves the members of admission shares to names; members not in the directory are dropped.
 pub fn named_shares(shares: impl Iterator<Item = MemberShare>, members: &MemberDirectory) -> Vec<NamedShare> {
     let named = shares.filter_map(|share| {
         Some(NamedShare {
--- a/crates/driver/src/routing/gossip/prior_attempts.rs
+++ b/crates/driver/src/routing/gossip/prior_attempts.rs
@@ -1,4 +1,4 @@
-//! Statements that must not be executed twice: which this driver has sent, and what other drivers know of them.
+//! Statements that must not be executed twice: this driver's dispatches, and inquiries to other drivers.
 
 use super::{GossipSettings, SendCommand};
 use asterlatch::interface::Statement;
@@ -8,103 +8,108 @@
 use asterlatch_gossip::node::NodeInput;
 use std::collections::BTreeMap;
 
-/// Share of a statement's time that may be spent on waiting for other drivers' answers.
-const MAX_QUERY_SHARE: f64 = 0.3;
+/// Share of a statement's time left that an inquiry may take.
+const MAX_INQUIRY_TIME_SHARE: f64 = 0.3;
 
-/// What is known of a statement that a client has sent.
+/// Result of checking a statement for prior attempts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StatementCheck {
-    /// It is new, as far as is known.
+    /// No prior attempt is known.
     New,
-    /// This driver has promised another one not to send it.
+    /// This driver has promised another one not to dispatch it.
     Ceded,
-    /// An earlier attempt of it was sent this long ago, to the member with this name.
-    Sent {
-        /// Time since that attempt; an upper bound.
+    /// This driver has dispatched it before.
+    Dispatched {
+        /// Upper bound of the time since the attempt.
         age: TimeSpan,
-        /// Name of the member.
+        /// Name of the member that received it.
         member: String,
     },
-    /// It may have been sent.
+    /// It may have been dispatched.
     Unknown,
-    /// Other drivers have been asked; it is deferred until they answer.
-    Queried,
+    /// Other drivers have been asked; the statement is deferred until they reply.
+    InquiryStarted,
 }
 
-/// A query that was not answered in time.
+/// An inquiry that was not answered in time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ExpiredQuery {
+pub struct ExpiredInquiry {
     /// Hash of the id that its client gave the statement.
     pub client_id: u64,
-    /// What is to be assumed.
+    /// The outcome to assume.
     pub outcome: InquiryOutcome,
 }
 
-/// A statement that was deferred, once other drivers' knowledge of it is clear.
+/// A deferred statement whose inquiry has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct ResolvedStatement {
     /// The statement as it was accepted.
     pub statement: Statement,
-    /// End of its timeout.
+    /// End of the statement timeout.
     pub deadline: Timestamp,
 }
 
-/// A statement that waits for other drivers' answers.
+/// A statement that waits for the outcome of an inquiry.
 struct DeferredStatement {
-    query: u32,
+    inquiry_sequence: u32,
     resolved: ResolvedStatement,
 }
 
-/// Records and queries on statements that must not be executed twice.
+/// Dispatch log of, and inquiries about, statements that must not be executed twice.
 pub struct PriorAttempts {
-    sent: DispatchLog,
-    queries: Inquiries,
+    dispatch_log: DispatchLog,
+    inquiries: Inquiries,
     deferred: BTreeMap<u64, DeferredStatement>,
-    queried_peers: Vec<usize>,
+    inquiry_peers: Vec<usize>,
     inquiry_timeout: TimeSpan,
 }
 
 impl PriorAttempts {
-    pub(super) fn new(now: Timestamp, settings: &GossipSettings, queried_peers: Vec<usize>) -> PriorAttempts {
+    pub(super) fn new(now: Timestamp, settings: &GossipSettings, inquiry_peers: Vec<usize>) -> PriorAttempts {
         PriorAttempts {
-            sent: DispatchLog::new(now, settings.retry_window, settings.max_recorded_statements, true),
-            queries: Inquiries::default(),
+            dispatch_log: DispatchLog::new(
+                now,
+                settings.retry_window,
+                settings.max_recorded_statements,
+                true,
+            ),
+            inquiries: Inquiries::default(),
             deferred: BTreeMap::new(),
-            queried_peers,
+            inquiry_peers,
             inquiry_timeout: settings.inquiry_timeout,
         }
     }
 
     pub(super) fn next_at(&self) -> Option<Timestamp> {
-        self.queries.next_at()
+        self.inquiries.next_at()
     }
 
-    pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<ExpiredQuery> {
-        let expired = self.queries.take_timed_out(now).into_iter();
+    pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<ExpiredInquiry> {
+        let expired = self.inquiries.take_timed_out(now).into_iter();
         expired
-            .map(|decision| ExpiredQuery {
+            .map(|decision| ExpiredInquiry {
                 client_id: decision.id,
                 outcome: decision.outcome,
             })
             .collect()
     }
 
-    pub(super) fn forget_sent(&mut self, now: Timestamp) {
-        self.sent.forget_past(now);
+    pub(super) fn mark_dispatch_log_incomplete(&mut self, now: Timestamp) {
+        self.dispatch_log.forget_past(now);
     }
 
-    pub(super) fn on_sent(&mut self, now: Timestamp, client_id: u64, member: &str) {
-        self.sent.on_dispatch(now, client_id, member);
+    pub(super) fn on_dispatched(&mut self, now: Timestamp, client_id: u64, member: &str) {
+        self.dispatch_log.on_dispatch(now, client_id, member);
     }
 
     pub(super) fn on_not_executed(&mut self, client_id: u64) {
-        self.sent.on_not_executed(client_id);
+        self.dispatch_log.on_not_executed(client_id);
     }
 }
 
 impl super::Gossip {
-    /// Checks a statement that must not be executed twice. Other drivers are asked about client retries that this one
-    /// has not sent.
+    /// Checks a statement that must not be executed twice. Starts an inquiry about client retries that this
+    /// driver has not dispatched.
     pub fn check_statement(
         &mut self,
         now: Timestamp,
@@ -113,44 +118,45 @@
         deadline: Timestamp,
     ) -> StatementCheck {
         let prior_attempts = &mut self.prior_attempts;
-        if prior_attempts.sent.is_given_up(client_id) {
+        if prior_attempts.dispatch_log.is_given_up(client_id) {
             return StatementCheck::Ceded;
         }
-        match prior_attempts.sent.status(now, client_id) {
-            // Also where it is not marked as a retry: the first attempt may arrive behind the retry.
-            DispatchStatus::Dispatched { age, member } => return StatementCheck::Sent { age, member },
+        match prior_attempts.dispatch_log.status(now, client_id) {
+            // Even if it is not marked as a retry: the first attempt may arrive after its retry.
+            DispatchStatus::Dispatched { age, member } => return StatementCheck::Dispatched { age, member },
             _ if !statement.is_client_retry => return StatementCheck::New,
             DispatchStatus::Unknown => return StatementCheck::Unknown,
             DispatchStatus::NotExecuted => {}
         }
         let resolved = ResolvedStatement { statement, deadline };
-        prior_attempts.query(now, client_id, resolved, &mut self.send)
+        prior_attempts.start_inquiry(now, client_id, resolved, &mut self.send)
     }
 
-    /// Another driver's answer to a query. Returns the outcome once all answers allow one.
-    pub fn on_query_answer(
+    /// Handles another driver's reply to an inquiry. Returns the outcome once the replies determine it.
+    pub fn on_inquiry_reply(
         &mut self,
         from: usize,
         inquiry: InquiryId,
         status: &DispatchStatus,
     ) -> Option<InquiryOutcome> {
-        let queries = &mut self.prior_attempts.queries;
-        queries.on_reply(inquiry.id, inquiry.sequence, from, status)
+        let inquiries = &mut self.prior_attempts.inquiries;
+        inquiries.on_reply(inquiry.id, inquiry.sequence, from, status)
     }
 
-    /// Ends the query on a deferred statement, and returns that.
+    /// Ends the inquiry about a deferred statement, and returns the statement.
     pub fn take_deferred(&mut self, client_id: u64) -> Option<ResolvedStatement> {
         let deferred = self.prior_attempts.deferred.remove(&client_id)?;
         (self.send)(NodeInput::EndInquiry(InquiryId {
             id: client_id,
-            sequence: deferred.query,
+            sequence: deferred.inquiry_sequence,
         }));
         Some(deferred.resolved)
     }
 
-    /// Answers another driver's query. If this driver has not sent the statement it cedes it: true is returned, and the
-    /// statement must not be sent from here any more. What another process of this driver has sent is not known here.
-    pub fn answer_query(
+    /// Replies to another driver's inquiry. If this driver has not dispatched the statement, it cedes it and
+    /// returns true: the statement must not be dispatched from here any more. During co-serving the reply is
+    /// `Unknown`, because the peer process may have dispatched it.
+    pub fn reply_to_inquiry(
         &mut self,
         now: Timestamp,
         from: usize,
@@ -161,12 +167,12 @@
         let status = if is_co_serving {
             DispatchStatus::Unknown
         } else {
-            prior_attempts.sent.status(now, inquiry.id)
+            prior_attempts.dispatch_log.status(now, inquiry.id)
         };
         let is_ceded = status == DispatchStatus::NotExecuted;
         if is_ceded {
-            prior_attempts.sent.give_up(now, inquiry.id);
-            prior_attempts.queries.cancel(inquiry.id);
+            prior_attempts.dispatch_log.give_up(now, inquiry.id);
+            prior_attempts.inquiries.cancel(inquiry.id);
             prior_attempts.deferred.remove(&inquiry.id);
         }
         (self.send)(NodeInput::ReplyToInquiry {
@@ -179,24 +185,30 @@
 }
 
 impl PriorAttempts {
-    fn query(
+    fn start_inquiry(
         &mut self,
         now: Timestamp,
         client_id: u64,
         resolved: ResolvedStatement,
         send: &mut SendCommand,
     ) -> StatementCheck {
-        let max_wait = resolved.statement.time_left * MAX_QUERY_SHARE;
+        let max_wait = resolved.statement.time_left * MAX_INQUIRY_TIME_SHARE;
         let timeout = self.inquiry_timeout.min(max_wait);
-        let Some(query) = self.queries.start(now, client_id, &self.queried_peers, timeout) else {
+        let Some(inquiry_sequence) = self.inquiries.start(now, client_id, &self.inquiry_peers, timeout)
+        else {
             return StatementCheck::New;
         };
-        self.deferred
-            .insert(client_id, DeferredStatement { query, resolved });
+        self.deferred.insert(
+            client_id,
+            DeferredStatement {
+                inquiry_sequence,
+                resolved,
+            },
+        );
         send(NodeInput::StartInquiry(InquiryId {
             id: client_id,
-            sequence: query,
+            sequence: inquiry_sequence,
         }));
-        StatementCheck::Queried
+        StatementCheck::InquiryStarted
     }
 }
--- a/crates/driver/src/routing/gossip/slow_start.rs
+++ b/crates/driver/src/routing/gossip/slow_start.rs
@@ -1,4 +1,4 @@
-//! Budgets of members that are warming up: what all drivers together send them must not exceed their capacity.
+//! Warm-up budgets, which keep the load from all drivers on a member that is warming up within its capacity.
 
 use super::{DriverIdentity, GossipSettings};
 use crate::routing::members::{MemberDirectory, MemberIdentity};
@@ -8,35 +8,35 @@
 use asterlatch_gossip::record::Record;
 use asterlatch_gossip::slow_start::{self, MemberStart, PeerReport, WarmUpBudgets, WarmUpLoad};
 
-/// Work that this driver may send to a warming member.
+/// Work that this driver may send to a member that is warming up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUpBudget {
     /// Id of the member.
     pub member: u32,
     /// Remaining budget, as execution time.
     pub work: TimeSpan,
-    /// End of its validity.
+    /// Expiry of the budget.
     pub until: Timestamp,
 }
 
-/// Budgets, and records of what this driver has sent, with their age.
+/// Budgets, and records of the work dispatched by this driver.
 pub(super) struct WarmUpRound {
     pub(super) budgets: Vec<WarmUpBudget>,
     pub(super) records: Vec<Observation>,
 }
 
-/// Work that all drivers send to warming members.
+/// Tracks the work of all drivers for members that are warming up.
 pub(super) struct SlowStart {
-    own: DriverIdentity,
+    local_driver: DriverIdentity,
     tick: TimeSpan,
     budgets: WarmUpBudgets,
     due_at: Option<Timestamp>,
 }
 
 impl SlowStart {
-    pub(super) fn new(now: Timestamp, own: &DriverIdentity, settings: &GossipSettings) -> SlowStart {
+    pub(super) fn new(now: Timestamp, local_driver: &DriverIdentity, settings: &GossipSettings) -> SlowStart {
         SlowStart {
-            own: own.clone(),
+            local_driver: local_driver.clone(),
             tick: settings.tick,
             budgets: WarmUpBudgets::new(slow_start::WarmUpRules {
                 window: settings.overload_window,
@@ -51,19 +51,19 @@
         self.due_at
     }
 
-    /// Whether budgets are to be computed; true only once for each [`SlowStart::compute_budgets`].
+    /// Whether budgets are due. Returns true once per call of [`SlowStart::compute_budgets`].
     pub(super) fn take_due(&mut self, now: Timestamp) -> bool {
         self.due_at.take_if(|at| *at <= now).is_some()
     }
 
-    /// An execution is dispatched to a member, which is expected to take so long.
+    /// Records an execution dispatched to a member, with its expected execution time.
     pub(super) fn on_dispatched(&mut self, now: Timestamp, member: &str, expected_work: TimeSpan) {
         if self.budgets.is_warming_up(member) {
             self.budgets.on_dispatch(now, member, expected_work);
         }
     }
 
-    /// Another driver's record of what it has sent to a warming member.
+    /// Applies another driver's record of its work for a member that is warming up.
     pub(super) fn on_record(&mut self, observed_at: Timestamp, record: &Record) {
         if let Record::WarmUp {
             member,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Computes what each warming member may receive from here, given the drivers that are present.
+    /// Computes the budget for each member that is warming up, given the present drivers.
     pub(super) fn compute_budgets(
         &mut self,
         now: Timestamp,
@@ -98,7 +98,7 @@
         members: &MemberDirectory,
         present_drivers: &[&str],
     ) -> WarmUpRound {
-        // While no member is warming up, looking from time to time finds the next one.
+        // Scheduled even if no member is warming up, to detect the next one.
         self.due_at = Some(now + self.tick);
         let mut known = Vec::new();
         for warming in warming {
@@ -138,14 +138,14 @@
         round.budgets.extend(work.map(|work| WarmUpBudget {
             member: warming.member,
             work,
-            // A little longer than until the next computation.
+            // Valid beyond the next computation.
             until: now + self.tick + self.tick,
         }));
         let record = Record::WarmUp {
             member: identity.name,
             started_ms: identity.started_ms,
-            driver: self.own.name.clone(),
-            incarnation: self.own.incarnation,
+            driver: self.local_driver.name.clone(),
+            incarnation: self.local_driver.incarnation,
             sequence: report.sequence,
             work_us: report.work_us,
             carried_us: report.carried_us,
--- a/crates/driver/src/routing/gossip/status_batch.rs
+++ b/crates/driver/src/routing/gossip/status_batch.rs
@@ -1,4 +1,4 @@
-//! Statuses of members and positions of sessions, batched until the next tick.
+//! Batches member statuses and session positions until the next tick.
 
 use crate::routing::members::{MemberDirectory, MemberIdentity};
 use asterlatch::interface::ReplicaStatus;
@@ -7,10 +7,10 @@
 use asterlatch_gossip::record::{ObservedRecord, Record};
 use std::collections::BTreeMap;
 
-/// Most positions of sessions in a batch. Further ones are left out; the next write of such a session is shared again.
-const MAX_SESSIONS: usize = 4096;
+/// Maximum number of session positions in a batch. Further ones are dropped until the session's next write.
+const MAX_BATCHED_SESSIONS: usize = 4096;
 
-/// Positions and roles that a member has reported, in milliseconds of Unix time; zero means none.
+/// Positions that a member has reported, by role, in milliseconds of Unix time; zero means none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberStatusRecord {
     /// Newest position.
@@ -27,7 +27,7 @@
     record: MemberStatusRecord,
 }
 
-/// Observations that wait for the next tick.
+/// Observations batched until the next tick.
 pub(super) struct StatusBatch {
     tick: TimeSpan,
     statuses: BTreeMap<u32, BatchedStatus>,
@@ -53,7 +53,7 @@
         self.due_at = self.due_at.or(Some(now + self.tick));
     }
 
-    /// Adds what a member has reported to this driver.
+    /// Adds a status that a member has reported to this driver.
     pub(super) fn add_status(&mut self, now: Timestamp, member: u32, status: ReplicaStatus) {
         if status == ReplicaStatus::default() {
             return;
@@ -63,7 +63,7 @@
         batched.reported_at = now;
         let record = &mut batched.record;
         record.position = record.position.max(position);
-        // A role applies from the position on at which it was reported; without a position it is not shared.
+        // A role is valid from the position at which it was reported; without a position it is not shared.
         match status.is_primary {
             Some(true) => record.primary_at = record.primary_at.max(position),
             Some(false) => record.replica_at = record.replica_at.max(position),
@@ -74,7 +74,7 @@
 
     /// Adds the position of a session's write.
     pub(super) fn add_session(&mut self, now: Timestamp, session: u64, position: RemoteTimestamp) {
-        if session == 0 || self.sessions.len() >= MAX_SESSIONS {
+        if session == 0 || self.sessions.len() >= MAX_BATCHED_SESSIONS {
             return;
         }
         let position = position.as_millis();
@@ -85,7 +85,7 @@
         self.schedule(now);
     }
 
-    /// Takes the batch, if it is due, as records with their age.
+    /// Takes the batch as records with their age; empty if it is not due.
     pub(super) fn take_due(&mut self, now: Timestamp, members: &MemberDirectory) -> Vec<Observation> {
         if self.due_at.take_if(|at| *at <= now).is_none() {
             return Vec::new();
@@ -117,23 +117,23 @@
     }
 }
 
-/// What another driver's record of a member amounts to: its newest role with the position of that, and its newest
-/// position.
-pub fn statuses(record: MemberStatusRecord) -> Vec<ReplicaStatus> {
+/// Converts a member's record to statuses: its latest role with the position of that, and its latest position
+/// if newer.
+pub fn replica_statuses(record: MemberStatusRecord) -> Vec<ReplicaStatus> {
     let at = |ms: u64| Some(RemoteTimestamp::from_millis(ms));
     let role_at = record.primary_at.max(record.replica_at);
-    let mut all = Vec::new();
+    let mut statuses = Vec::new();
     if role_at > 0 {
-        all.push(ReplicaStatus {
+        statuses.push(ReplicaStatus {
             position: at(role_at),
             is_primary: Some(record.primary_at >= record.replica_at),
         });
     }
     if record.position > role_at {
-        all.push(ReplicaStatus {
+        statuses.push(ReplicaStatus {
             position: at(record.position),
             is_primary: None,
         });
     }
-    all
+    statuses
 }
--- a/crates/driver/src/routing/handover.rs
+++ b/crates/driver/src/routing/handover.rs
@@ -1,4 +1,4 @@
-//! Clients and connections on their way from or to another process of this service.
+//! Transfer of clients and member connections between processes of this service.
 
 use crate::protocol::client_events::{ClientCommand, ClientTransferState};
 use crate::protocol::member_connection::MemberCommand;
@@ -9,20 +9,21 @@
 use std::io;
 use std::net::TcpStream;
 
-/// A client on its way from one process to another.
+/// A client that is transferred between processes.
 pub struct TransferredClient {
     /// Its connection.
     pub stream: TcpStream,
-    /// What its session needs to resume.
+    /// Protocol state from which its session resumes.
     pub session: ClientTransferState,
     /// It has sent at least one statement.
     pub is_active: bool,
-    /// How statements are to be answered that a process has read which crashed.
+    /// How to answer statements that a crashed process had read.
     pub verdicts: StatementVerdicts,
 }
 
 impl TransferredClient {
-    /// A client as another process describes it; `journal_number` is its number in the I/O journal, if one is kept.
+    /// Builds a client from a handover message; `journal_number` is its number in the I/O journal, if there
+    /// is one.
     pub fn new(
         client: ClientState,
         journal_number: Option<u64>,
@@ -44,7 +45,7 @@
     }
 }
 
-/// An idle connection to a member on its way to another process.
+/// An idle member connection that is transferred to another process.
 pub struct TransferredConnection {
     /// Id of the member.
     pub member: u32,
@@ -52,46 +53,47 @@
     pub stream: TcpStream,
 }
 
-/// A member that was listed as draining or gone while two processes served.
+/// A member that was listed as draining or gone during co-serving.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainedMember {
     /// Its name.
     pub name: String,
-    /// When it had started, as Unix time in milliseconds; zero if unknown.
+    /// Time of its last start, as Unix time in milliseconds; zero if unknown.
     pub started_ms: u64,
 }
 
-/// Whether another process of this service serves on the same descriptors and memory.
+/// Whether a peer process, the predecessor or successor in an upgrade, shares descriptors and memory with
+/// this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CoServing {
-    /// No other process serves.
+    /// There is no peer process.
     Alone,
-    /// The other process is the predecessor, which will leave.
+    /// The peer process is the predecessor and will exit.
     WithPredecessor,
-    /// The other process is the successor; this one will leave.
+    /// The peer process is the successor, and this process will exit.
     WithSuccessor,
 }
 
-/// Resumes a client's connection under this number.
+/// Resumes a client's connection under the given id.
 pub type AdoptClient =
     Box<dyn FnMut(u32, TcpStream, ClientTransferState) -> io::Result<ConnectionHandle<ClientCommand>>>;
 
-/// Resumes an idle connection to a member under this number.
+/// Resumes an idle member connection under the given id.
 pub type AdoptMemberConnection =
     Box<dyn FnMut(u32, TcpStream) -> io::Result<ConnectionHandle<MemberCommand>>>;
 
-/// Numbers of adopted clients begin here, above those of accepted ones.
+/// Ids of adopted clients start here, above those of accepted ones.
 const FIRST_ADOPTED_CLIENT: u32 = 1 << 31;
 
-/// An adopted client's number and connection.
+/// Result of adopting a client.
 pub struct AdoptedClient {
-    /// Number of its connection.
+    /// Id of its connection.
     pub id: u32,
-    /// The connection, unless it could not be resumed.
-    pub line: io::Result<ConnectionHandle<ClientCommand>>,
+    /// The resumed connection, or why it could not be resumed.
+    pub handle: io::Result<ConnectionHandle<ClientCommand>>,
 }
 
-/// What is handed over to another process or adopted from one. Only the event loop uses it.
+/// State of transfers to and from other processes, owned by the event loop.
 pub struct Handover {
     adopt_client: AdoptClient,
     adopt_member_connection: AdoptMemberConnection,
@@ -100,12 +102,12 @@
     drained_members: Vec<DrainedMember>,
     clients: Vec<TransferredClient>,
     connections: Vec<TransferredConnection>,
-    /// Verdicts on statements of clients that were taken back from a crashed process.
+    /// Verdicts on statements of clients taken back from a crashed process.
     verdicts: BTreeMap<u32, StatementVerdicts>,
 }
 
 impl Handover {
-    /// Nothing is handed over yet, and no other process serves.
+    /// Starts without a peer process and without transfers.
     pub fn new(adopt_client: AdoptClient, adopt_member_connection: AdoptMemberConnection) -> Handover {
         Handover {
             adopt_client,
@@ -119,20 +121,20 @@
         }
     }
 
-    /// Whether another process serves.
+    /// Whether a peer process is serving.
     pub fn is_co_serving(&self) -> bool {
         self.co_serving != CoServing::Alone
     }
 
-    /// Changes whether another process serves, and returns whether one did before.
+    /// Sets whether a peer process serves, and returns whether one did before.
     pub fn set_co_serving(&mut self, co_serving: CoServing) -> bool {
-        let did_co_serve = self.is_co_serving();
+        let was_co_serving = self.is_co_serving();
         self.co_serving = co_serving;
         self.drained_members = Vec::new();
-        did_co_serve
+        was_co_serving
     }
 
-    /// Records a draining member for the other process, if there is one.
+    /// Records a draining member for the peer process, if there is one.
     pub fn add_drained_member(&mut self, name: &str, started_ms: u64) {
         if self.is_co_serving() {
             self.drained_members.push(DrainedMember {
@@ -147,7 +149,7 @@
         std::mem::take(&mut self.drained_members)
     }
 
-    /// Records a client that has left its connection to another process.
+    /// Records a client whose connection is to be transferred.
     pub fn add_client(&mut self, client: TransferredClient) {
         self.clients.push(client);
     }
@@ -157,7 +159,7 @@
         std::mem::take(&mut self.clients)
     }
 
-    /// Records a connection that is left to another process.
+    /// Records a member connection to be transferred.
     pub fn add_connection(&mut self, connection: TransferredConnection) {
         self.connections.push(connection);
     }
@@ -167,21 +169,21 @@
         std::mem::take(&mut self.connections)
     }
 
-    /// Resumes a client of another process under a new number. Its events are queued behind this.
+    /// Resumes a client of another process under a new id. Its events are queued after the current one.
     pub fn adopt_client(&mut self, client: TransferredClient) -> AdoptedClient {
         self.last_adopted_client = self.last_adopted_client.wrapping_add(1) | FIRST_ADOPTED_CLIENT;
         let id = self.last_adopted_client;
-        let line = (self.adopt_client)(id, client.stream, client.session);
-        if line.is_ok() && client.verdicts != StatementVerdicts::default() {
+        let handle = (self.adopt_client)(id, client.stream, client.session);
+        if handle.is_ok() && client.verdicts != StatementVerdicts::default() {
             self.verdicts.insert(id, client.verdicts);
         }
-        AdoptedClient { id, line }
+        AdoptedClient { id, handle }
     }
 
-    /// Resumes an idle connection to a member under this number.
+    /// Resumes an idle member connection under the given id.
     ///
     /// # Errors
-    /// If the connection can't be registered.
+    /// If the connection cannot be registered.
     pub fn adopt_member_connection(
         &mut self,
         id: u32,
@@ -190,8 +192,8 @@
         (self.adopt_member_connection)(id, stream)
     }
 
-    /// The verdict on a statement that ends at this offset of what its client has sent, if a crashed process had read
-    /// it.
+    /// The verdict on a statement by the offset of its end in the client's input; `None` if the client was
+    /// not taken back from a crashed process. Verdicts are dropped after the last one.
     pub fn take_verdict(&mut self, client: u32, end: u64) -> Option<StatementVerdict> {
         let verdicts = self.verdicts.get(&client)?;
         let verdict = verdicts.verdict_for(end);
@@ -201,7 +203,7 @@
         Some(verdict)
     }
 
-    /// The client's connection is closed.
+    /// Drops the verdicts of a client whose connection has closed.
     pub fn on_client_closed(&mut self, client: u32) {
         self.verdicts.remove(&client);
     }
--- a/crates/driver/src/routing/limits.rs
+++ b/crates/driver/src/routing/limits.rs
@@ -1,28 +1,27 @@
-//! Limits that operators may set: shares, times and rates. The defaults here apply where the operators' file states
-//! nothing.
+//! Limits that operators may set. The defaults apply to everything that the operators' file omits.
 
 use asterlatch::time::TimeSpan;
 
-/// A share in millionths: shares are compared and multiplied without rounding.
+/// A share in millionths, so that comparisons and products are exact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share(pub u32);
 
 impl Share {
-    /// This share of a number, rounded down.
+    /// This share of `whole`, rounded down.
     pub fn of(self, whole: usize) -> usize {
         (whole as u128 * u128::from(self.0) / 1_000_000) as usize
     }
 
-    /// The share as a number from zero to one.
+    /// The share as a fraction from 0 to 1.
     pub fn ratio(self) -> f64 {
         f64::from(self.0) / 1e6
     }
 }
 
-/// An idle timeout that applies while many places are taken by active clients.
+/// An idle timeout that applies while active clients occupy much of the capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CrowdedIdleTimeout {
-    /// Share of all places that active clients take, from which on the timeout applies.
+    /// Minimum share of active clients in the capacity for this timeout to apply.
     pub min_active_share: Share,
     /// Idle time between two statements.
     pub timeout: TimeSpan,
@@ -31,44 +30,42 @@
 /// Limits of the whole process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Descriptors kept for what is neither a client's nor a member's.
+    /// Descriptors for uses other than client and member connections.
     pub reserved_descriptors: usize,
-    /// Share of the other descriptors that is for clients. One whose statement is queued has no execution in flight.
+    /// Share of the remaining descriptors for clients. Clients may outnumber member connections, because
+    /// clients with queued statements need none.
     pub client_share: Share,
-    /// Share of the memory for what clients have sent and what they have not read yet.
+    /// Share of memory for input from clients and for answers that they have not read yet.
     pub client_memory_share: Share,
-    /// Share of the memory for incomplete answers of members.
+    /// Share of memory for incomplete answers from members.
     pub member_memory_share: Share,
-    /// From a client's arrival to its first complete statement. A client that sends nothing, or not enough, occupies a
-    /// connection that another may need.
+    /// Time from accepting a client to its first complete statement.
     pub first_statement_timeout: TimeSpan,
-    /// From the first byte of a message to its last.
+    /// Time from the first byte of a message to its last.
     pub message_timeout: TimeSpan,
-    /// Idle time of clients between two statements.
+    /// Idle time of a client between two statements.
     pub client_idle_timeout: TimeSpan,
-    /// Shorter idle times that apply from these shares of active clients on, the highest share first. Clients that ask
-    /// once and stay would otherwise keep out those that are still to ask: they may hold a share of the descriptors
-    /// only, and have to wait for it.
+    /// Shorter idle timeouts by share of active clients, the highest share first. Without them, idle clients
+    /// could occupy the capacity that new clients need.
     pub crowded_idle_timeouts: [CrowdedIdleTimeout; 2],
-    /// A client that arrived within this time may have sent its first statement already.
+    /// Time after accepting a client in which its first statement may still be in transit.
     pub arrival_grace: TimeSpan,
-    /// A failed accept is retried after this.
+    /// Delay before a failed accept is retried.
     pub accept_backoff: TimeSpan,
-    /// Upper bound for the statement timeout of clients.
+    /// Upper bound of statement timeouts that clients request.
     pub max_statement_timeout: TimeSpan,
-    /// Share of the deployment's idle timeout for which an idle connection to a member is used: what is written to one
-    /// that the member has closed counts as lost.
+    /// Share of the deployment's idle timeout for which an idle member connection is reused. It stays below
+    /// the timeout because a query written to a connection that the member has closed counts as lost.
     pub member_idle_share: Share,
-    /// How long a watch may wait for a change of the endpoint list.
+    /// Time that a watch may wait for a change of the endpoint list.
     pub watch_timeout: TimeSpan,
-    /// How much longer the answer to a watch may take. A connection may fall silent without a sign: no change of the
-    /// list arrives for the sum of both.
+    /// Additional time for the response to a watch. A dead connection goes unnoticed for the sum of both.
     pub watch_grace: TimeSpan,
-    /// How long the answer to a request without waiting may take.
+    /// Timeout of a request for the complete list.
     pub list_timeout: TimeSpan,
-    /// Backoff after the first failed discovery request; it doubles with each further one.
+    /// Backoff after the first failed discovery request; doubled after each further one.
     pub initial_backoff: TimeSpan,
-    /// Longest backoff after a failed discovery request.
+    /// Upper bound of the discovery backoff.
     pub max_backoff: TimeSpan,
 }
 
@@ -105,11 +102,11 @@
     }
 }
 
-/// Limits for the statements of one workload; `None` where the operators' file states nothing.
+/// Limits on the statements of one workload; `None` where the operators' file sets none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkloadLimits {
-    /// Upper bound for the statement timeout of clients.
+    /// Upper bound of statement timeouts that clients request.
     pub max_timeout: Option<TimeSpan>,
-    /// Longest statement, in bytes.
+    /// Maximum length of a statement in bytes.
     pub max_bytes: Option<usize>,
 }
--- a/crates/driver/src/routing/member_requests/mod.rs
+++ b/crates/driver/src/routing/member_requests/mod.rs
@@ -1,4 +1,4 @@
-//! Requests to members: executions and health checks in flight, their connections and timeouts.
+//! Requests to members: executions and health checks in flight, with their connections and timeouts.
 
 mod request;
 
@@ -11,26 +11,26 @@
 use asterlatch::interface::ExecutionOutcome;
 use asterlatch::time::{TimeSpan, Timestamp};
 pub use request::{
-    Assignment, AttemptId, ConnectionUp, InFlightExecution, MemberRequest, OpenReason, RequestKind,
+    Assignment, AttemptId, EstablishedConnection, InFlightExecution, MemberRequest, OpenReason, RequestKind,
     UnansweredRequest,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
 
-/// Opens a connection to a member at this address under this number.
+/// Opens a connection to a member under the given id.
 pub type DialMember = Box<dyn FnMut(u32, SocketAddr) -> io::Result<ConnectionHandle<MemberCommand>>>;
 
-/// Limits of the connections to members.
+/// Limits on connections to members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionLimits {
-    /// Longest time until a connection is established.
+    /// Timeout for establishing a connection.
     pub connect_timeout: TimeSpan,
-    /// Idle time after which members close connections.
+    /// Time after which members close idle connections.
     pub idle_timeout: TimeSpan,
-    /// Share of the idle timeout for which an idle connection is used.
+    /// Share of `idle_timeout` for which an idle connection is reused.
     pub idle_share: Share,
-    /// Most connections at a time.
+    /// Maximum number of connections, in use or idle.
     pub max_connections: usize,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// An idle connection that another process hands over.
+/// Member and address of an idle connection that another process hands over.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdoptedConnection {
     /// Id of the member.
@@ -49,25 +49,25 @@
     pub address: SocketAddr,
 }
 
-/// The table of requests in flight, with the connections that serve them. Only the event loop uses it.
+/// The table of requests in flight and their connections, owned by the event loop.
 pub struct MemberRequests {
     pool: ConnectionPool<MemberCommand>,
     dial: DialMember,
-    /// Requests by their connection.
+    /// Requests by connection id.
     in_flight: BTreeMap<u32, MemberRequest>,
-    /// Connections of executions.
+    /// Connection ids by execution.
     connections: BTreeMap<AttemptId, u32>,
     timeouts: BTreeSet<(Timestamp, u32)>,
-    /// Connections being established without a request, with the end of the time that they may take.
+    /// Connections being established whose request was withdrawn, with their timeouts.
     unassigned: BTreeMap<u32, Timestamp>,
     idle_lifetimes: IdleLifetimeEstimator,
-    /// Members with a connection now or earlier, and whether the last one was evicted.
-    evicted: BTreeMap<u32, bool>,
+    /// Members that have or had a connection, and whether the last one was evicted.
+    was_evicted: BTreeMap<u32, bool>,
     limits: ConnectionLimits,
 }
 
 impl MemberRequests {
-    /// A table without connections.
+    /// Creates a table without connections.
     pub fn new(dial: DialMember, limits: ConnectionLimits) -> MemberRequests {
         MemberRequests {
             pool: ConnectionPool::default(),
@@ -77,12 +77,12 @@
             timeouts: BTreeSet::new(),
             unassigned: BTreeMap::new(),
             idle_lifetimes: IdleLifetimeEstimator::default(),
-            evicted: BTreeMap::new(),
+            was_evicted: BTreeMap::new(),
             limits,
         }
     }
 
-    /// Changes the limits that may change while the process serves. Connections beyond them stay until they end.
+    /// Changes limits at run time. Connections beyond a lower limit stay until they close.
     pub fn set_limits(&mut self, max_connections: usize, idle_share: Share) {
         self.limits.max_connections = max_connections;
         self.limits.idle_share = idle_share;
@@ -98,7 +98,7 @@
         self.pool.idle_members()
     }
 
-    /// Assigns an idle connection to the request, or opens one; nothing is sent before that is established.
+    /// Assigns an idle connection to the request, or opens a new one.
     ///
     /// # Errors
     /// The outcome of the request if no connection can be opened.
@@ -139,14 +139,14 @@
         self.in_flight.insert(connection, request);
     }
 
-    /// Sends the query of the request that this connection is assigned to.
+    /// Sends the query of the request assigned to this connection.
     pub fn send(&mut self, connection: u32, query: Vec<u8>) {
         self.pool.send(connection, MemberCommand::Query(query));
     }
 
     fn open_reason(&mut self, member: u32) -> OpenReason {
         match (
-            self.evicted.insert(member, false),
+            self.was_evicted.insert(member, false),
             self.pool.has_connection(member),
         ) {
             (_, true) => OpenReason::AllBusy,
@@ -161,43 +161,43 @@
             self.evict_oldest_idle()?;
         }
         let connection = self.pool.next_id();
-        let line =
+        let handle =
             (self.dial)(connection, address).map_err(|error| execution_outcomes::of_failed_dial(&error))?;
-        self.pool.add(connection, member, address, line);
+        self.pool.add(connection, member, address, handle);
         Ok(connection)
     }
 
     fn evict_oldest_idle(&mut self) -> Result<(), ExecutionOutcome> {
         let oldest = self.pool.oldest_idle().ok_or(ExecutionOutcome::NotSent)?.id;
         let member = self.pool.member(oldest);
-        if let Some(is_evicted) = member.and_then(|member| self.evicted.get_mut(&member)) {
+        if let Some(is_evicted) = member.and_then(|member| self.was_evicted.get_mut(&member)) {
             *is_evicted = true;
         }
         self.pool.remove(oldest);
         Ok(())
     }
 
-    /// The connection is established: from now on the answer is waited for.
-    pub fn on_connected(&mut self, connection: u32, now: Timestamp) -> ConnectionUp {
+    /// Records that a connection is established. The timeout of its request now applies to the answer.
+    pub fn on_connected(&mut self, connection: u32, now: Timestamp) -> EstablishedConnection {
         if let Some(times_out_at) = self.unassigned.remove(&connection) {
             self.timeouts.remove(&(times_out_at, connection));
             self.pool.release(connection, now);
-            return ConnectionUp::Idle;
+            return EstablishedConnection::Idle;
         }
         let Some(request) = self.in_flight.get_mut(&connection) else {
-            return ConnectionUp::Unknown;
+            return EstablishedConnection::Unknown;
         };
         self.timeouts.remove(&(request.times_out_at, connection));
         request.is_connected = true;
         request.times_out_at = request.deadline;
         self.timeouts.insert((request.times_out_at, connection));
-        ConnectionUp::Assigned(*request)
+        EstablishedConnection::Assigned(*request)
     }
 
-    /// Withdraws a request of which nothing has been sent. Its connection serves another: at once if it is established,
-    /// else once it is, within its time.
+    /// Withdraws a request of which nothing has been sent. Its connection becomes idle, now or once it is
+    /// established within its timeout.
     pub fn withdraw(&mut self, connection: u32, now: Timestamp) -> Option<MemberRequest> {
-        let request = self.take(connection)?;
+        let request = self.take_request(connection)?;
         if request.is_connected {
             self.pool.release(connection, now);
         } else {
@@ -207,7 +207,7 @@
         Some(request)
     }
 
-    fn take(&mut self, connection: u32) -> Option<MemberRequest> {
+    fn take_request(&mut self, connection: u32) -> Option<MemberRequest> {
         let request = self.in_flight.remove(&connection)?;
         self.timeouts.remove(&(request.times_out_at, connection));
         if let RequestKind::Execution(attempt) = request.kind {
@@ -216,32 +216,33 @@
         Some(request)
     }
 
-    /// The complete answer has arrived, so the connection may serve again. The answer to a request that was given up
-    /// belongs to none.
+    /// Ends the request whose complete answer has arrived, and makes its connection idle. `None` if the
+    /// request was already cancelled or timed out.
     pub fn on_answered(&mut self, connection: u32, now: Timestamp) -> Option<MemberRequest> {
-        let request = self.take(connection)?;
+        let request = self.take_request(connection)?;
         self.record_reuse(&request, now, false);
         self.pool.release(connection, now);
         Some(request)
     }
 
-    /// Records whether a connection that had been idle broke at its next use.
-    pub fn record_reuse(&mut self, request: &MemberRequest, now: Timestamp, broke: bool) {
+    /// Records whether a reused connection turned out to be broken.
+    pub fn record_reuse(&mut self, request: &MemberRequest, now: Timestamp, is_broken: bool) {
         if request.is_reused_connection {
-            self.idle_lifetimes.record(now, request.idle_time, broke);
+            self.idle_lifetimes.record(now, request.idle_time, is_broken);
         }
     }
 
-    /// Closes the connection, and returns its request.
+    /// Closes the connection and returns its request.
     pub fn close(&mut self, connection: u32) -> Option<MemberRequest> {
         self.pool.remove(connection);
         if let Some(times_out_at) = self.unassigned.remove(&connection) {
             self.timeouts.remove(&(times_out_at, connection));
         }
-        self.take(connection)
+        self.take_request(connection)
     }
 
-    /// Cancels an execution: by closing its connection if the query may have been sent.
+    /// Cancels an execution. Its connection is closed if the query may have been sent, else kept for other
+    /// requests.
     pub fn cancel(&mut self, now: Timestamp, attempt: AttemptId) -> Option<UnansweredRequest> {
         let connection = *self.connections.get(&attempt)?;
         let request = self.in_flight.get(&connection);
@@ -258,8 +259,8 @@
         }
     }
 
-    /// Takes the first request whose time is up, and closes its connection. One without an established connection was
-    /// never sent.
+    /// Takes the next request that has timed out and closes its connection. Without an established
+    /// connection, the query was never sent.
     pub fn next_timed_out(&mut self, now: Timestamp) -> Option<UnansweredRequest> {
         while let Some((at, connection)) = self.timeouts.first().copied().filter(|(at, _)| *at <= now) {
             self.timeouts.remove(&(at, connection));
@@ -275,13 +276,13 @@
         None
     }
 
-    /// Closes idle connections to a member that receives nothing more.
+    /// Closes the idle connections to a member that receives no more requests.
     pub fn close_idle(&mut self, member: u32) {
-        self.evicted.remove(&member);
+        self.was_evicted.remove(&member);
         self.pool.close_idle(member);
     }
 
-    /// Executions in flight, or waiting for their connection.
+    /// Executions in flight or waiting for their connection.
     pub fn executions(&self) -> impl Iterator<Item = InFlightExecution> + '_ {
         let requests = self.in_flight.values();
         let executions = requests.filter(|request| request.kind != RequestKind::HealthCheck);
@@ -291,21 +292,22 @@
         })
     }
 
-    /// Hands all idle connections over to another process.
+    /// Commands all idle connections to be handed over to another process.
     pub fn hand_over_idle(&mut self) {
         for connection in self.pool.retire_idle() {
             self.pool.send(connection, MemberCommand::HandOver);
         }
     }
 
-    /// A connection was transferred to another process. Returns the member that it leads to.
+    /// Removes a connection that was transferred to another process, and returns its member.
     pub fn on_transferred(&mut self, connection: u32) -> Option<u32> {
         let member = self.pool.member(connection);
         self.pool.remove(connection);
         member
     }
 
-    /// Adopts an idle connection of another process. Returns false if there are too many, or `resume` fails.
+    /// Adopts an idle connection of another process. Returns false at the connection limit or if `resume`
+    /// fails.
     pub fn adopt(
         &mut self,
         now: Timestamp,
@@ -316,20 +318,20 @@
             return false;
         }
         let connection = self.pool.next_id();
-        let Ok(line) = resume(connection) else {
+        let Ok(handle) = resume(connection) else {
             return false;
         };
-        self.pool.add(connection, adopted.member, adopted.address, line);
+        self.pool.add(connection, adopted.member, adopted.address, handle);
         self.pool.release(connection, now);
         true
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for longer than allowed.
     pub fn close_expired_idle(&mut self, now: Timestamp) {
         self.pool.close_idle_since(now, self.limits.max_idle());
     }
 
-    /// When the next request times out or the next idle connection expires.
+    /// Time of the next request timeout or idle expiry.
     pub fn next_at(&self) -> Option<Timestamp> {
         let timeout = self.timeouts.first().map(|(at, _)| *at);
         let oldest_idle = self.pool.oldest_idle();
--- a/crates/driver/src/routing/member_requests/request.rs
+++ b/crates/driver/src/routing/member_requests/request.rs
@@ -1,42 +1,42 @@
-//! Requests to members and what becomes of them.
+//! Requests to members and their results.
 
 use asterlatch::interface::ExecutionOutcome;
 use asterlatch::time::{TimeSpan, Timestamp};
 
-/// An execution of a statement. Ids order by statement, then by attempt.
+/// Identifies an execution of a statement. Ordered by statement, then by attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// Id of the statement.
     pub statement: u32,
-    /// Number of the attempt, counted from zero for each statement.
+    /// Number of the attempt, from zero for each statement.
     pub attempt: u8,
 }
 
-/// What is requested of a member.
+/// The kind of a request to a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestKind {
     /// Execute a statement.
     Execution(AttemptId),
-    /// Report its status.
+    /// Check the member's health and read its status.
     HealthCheck,
 }
 
-/// A request that is in flight, or waits for its connection.
+/// A request that is in flight or waits for its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberRequest {
-    /// What is requested.
+    /// Execution or health check.
     pub kind: RequestKind,
     /// Id of the member.
     pub member: u32,
-    /// When the policy decided on it.
+    /// When the policy ordered it.
     pub started_at: Timestamp,
-    /// When the answer is no longer waited for.
+    /// When the request times out.
     pub deadline: Timestamp,
-    /// Its connection had served other requests before.
+    /// Its connection had served other requests before. Such a connection may have closed while idle.
     pub is_reused_connection: bool,
-    /// How long that connection had been idle.
+    /// Idle time of that connection before this request.
     pub(super) idle_time: TimeSpan,
-    /// When to stop waiting: for the connection first, then for the answer.
+    /// Timeout for establishing the connection, then for the answer.
     pub(super) times_out_at: Timestamp,
     pub(super) is_connected: bool,
 }
@@ -71,39 +71,39 @@
 pub struct InFlightExecution {
     /// Id of the member.
     pub member: u32,
-    /// When the policy decided on it.
+    /// When the policy ordered it.
     pub started_at: Timestamp,
 }
 
 /// Why a new connection was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenReason {
-    /// The first one to the member since it was listed or its idle connections were closed.
+    /// It is the first one to the member since that was listed or its idle connections were closed.
     First,
-    /// All others are in use.
+    /// All other connections to the member are in use.
     AllBusy,
-    /// The former one was idle for too long or has ended.
+    /// The previous one was idle for too long or has closed.
     Reopened,
-    /// The former one was closed in favour of another member's.
+    /// The previous one was closed to make room for a connection to another member.
     Evicted,
 }
 
-/// How a request starts.
+/// The connection assigned to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Assignment {
-    /// On this connection, at once.
+    /// An established connection with this id: the request can be sent immediately.
     Ready(u32),
-    /// On a connection that is being established.
+    /// A connection that is being established, and why it was opened.
     Connecting(OpenReason),
 }
 
-/// What a connection serves that has been established.
+/// What an established connection is used for.
 #[derive(Debug, PartialEq)]
-pub enum ConnectionUp {
-    /// The request that it was opened for.
+pub enum EstablishedConnection {
+    /// The request that waited for it.
     Assigned(MemberRequest),
-    /// Nothing, for that request no longer needs it: it is idle.
+    /// It is idle, because its request was withdrawn.
     Idle,
-    /// The connection is no longer in use.
+    /// The connection is not in the table.
     Unknown,
 }
--- a/crates/driver/src/routing/members.rs
+++ b/crates/driver/src/routing/members.rs
@@ -1,4 +1,4 @@
-//! The member directory: names of members, zones and workloads as the small ids that the routing policy uses.
+//! The member directory: maps names of members, zones and workloads to the integer ids of the routing policy.
 
 use crate::protocol::endpoint_list::{Endpoint, EndpointStatus};
 use crate::protocol::replica_status;
@@ -14,8 +14,8 @@
 pub struct NameTable(BTreeMap<String, usize>);
 
 impl NameTable {
-    /// Numbers these names, of which each may stand more than once.
-    pub fn of(names: &[String]) -> NameTable {
+    /// Numbers these names; duplicates get the number of their first occurrence.
+    pub fn from_names(names: &[String]) -> NameTable {
         let mut table = NameTable::default();
         for name in names {
             table.intern(name);
@@ -23,12 +23,12 @@
         table
     }
 
-    /// The number of a name that is in the table.
+    /// The number of a name; `None` if it is not in the table.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.0.get(name).copied()
     }
 
-    /// The number of a name, which is added if it is new.
+    /// The number of a name, added if it is new.
     pub fn intern(&mut self, name: &str) -> usize {
         if let Some(number) = self.find(name) {
             return number;
@@ -39,7 +39,7 @@
     }
 }
 
-/// A member's record. It is handed over to other processes: fields and their order are part of that format.
+/// A member's record. Serialized for handover: the order and types of the fields are part of the format.
 #[derive(Serialize, Deserialize)]
 struct MemberRecord {
     name: String,
@@ -48,7 +48,7 @@
     started_ms: u64,
 }
 
-/// How drivers refer to an instance of a member among themselves.
+/// Identifies an instance of a member in messages between drivers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberIdentity {
     /// Name in the endpoint list.
@@ -68,8 +68,9 @@
     pub ids: usize,
 }
 
-/// Members from their first listing until the policy removes them. Ids are never reused, so one in flight can't come to
-/// mean another member. It is handed over to other processes: fields and their order are part of that format.
+/// Members from their first listing until the policy removes them. Ids are never reused, so an id held by a
+/// request in flight cannot refer to another member. Serialized for handover: the order and types of the
+/// fields are part of the format.
 #[derive(Default, Serialize, Deserialize)]
 pub struct MemberDirectory {
     ids: BTreeMap<String, u32>,
@@ -80,10 +81,10 @@
 }
 
 impl MemberDirectory {
-    /// An empty directory; zones are numbered as the settings list them.
+    /// An empty directory; zones are numbered in the order of the settings.
     pub fn new(zones: &[String]) -> MemberDirectory {
         MemberDirectory {
-            zones: NameTable::of(zones),
+            zones: NameTable::from_names(zones),
             ..MemberDirectory::default()
         }
     }
@@ -98,7 +99,7 @@
         self.records.get(&member).map(|record| record.name.as_str())
     }
 
-    /// How other drivers know a member.
+    /// The identity of a member in messages between drivers.
     pub fn identity(&self, member: u32) -> Option<MemberIdentity> {
         let record = self.records.get(&member)?;
         Some(MemberIdentity {
@@ -108,13 +109,13 @@
         })
     }
 
-    /// Whether a member last started then, in milliseconds of Unix time.
+    /// Whether a member's last start was at `started_ms`, in milliseconds of Unix time.
     pub fn has_started_at(&self, member: u32, started_ms: u64) -> bool {
         let record = self.records.get(&member);
         record.is_some_and(|record| record.started_ms == started_ms)
     }
 
-    /// Id of the member with this name.
+    /// Id of the member with this name; `None` if it is not listed.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.ids.get(name).copied()
     }
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Removes a member that the policy no longer uses. If it is listed again it gets a new id.
+    /// Removes a member that the policy no longer uses. It gets a new id if it is listed again.
     pub fn remove(&mut self, member: u32) {
         if let Some(record) = self.records.remove(&member) {
             self.ids.remove(&record.name);
@@ -139,7 +140,7 @@
         self.groups.contains(&group)
     }
 
-    /// Adds or updates a member, and returns its entry for the policy; `None` if its address can't be read.
+    /// Adds or updates a member and returns its entry for the policy; `None` if its address cannot be parsed.
     pub fn upsert(&mut self, endpoint: &Endpoint) -> Option<MemberEntry> {
         let address = endpoint.address.parse().ok();
         let is_deleted = endpoint.status == EndpointStatus::Deleted;
@@ -147,14 +148,14 @@
             return None;
         }
         let id = self.record(endpoint, address, is_deleted);
-        // A deleted endpoint may carry little more than its name.
+        // A deleted endpoint may have no group.
         if !is_deleted {
             self.groups.insert(endpoint.group);
         }
         Some(MemberEntry {
             id,
             fleet_key: fleet_key(&endpoint.name),
-            // Names of zones in the settings have lost spaces and commas, so these lose them too.
+            // Zone names in the settings are normalized the same way.
             zone: self.zones.intern(&word(&endpoint.zone)) as u16,
             group: endpoint.group,
             state: match endpoint.status {
@@ -186,12 +187,12 @@
     }
 }
 
-/// Key of a driver or member by its name, the same at all drivers.
+/// Hash of the name of a driver or member, the same on all drivers.
 pub fn fleet_key(name: &str) -> u64 {
     hash_id(name)
 }
 
-/// Key of the session with this routing key; zero stands for no session.
+/// Hash of a session's routing key; never zero, which means no session.
 pub fn session_key(routing_key: &str) -> u64 {
     hash_id(routing_key).max(1)
 }
--- a/crates/driver/src/routing/metrics.rs
+++ b/crates/driver/src/routing/metrics.rs
@@ -1,17 +1,17 @@
-//! Counters and gauges of the event loop. Their names are those of the log line that SIGUSR1 asks for.
+//! Counters and gauges of the event loop, under the names that SIGUSR1 logs.
 
 use super::member_requests::OpenReason;
 
 macro_rules! metrics {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counters since the start of the process, and gauges where it is said.
+        /// Counters since the start of the process, unless marked as gauge or maximum.
         #[derive(Clone, Debug, Default)]
         pub struct Metrics {
             $($(#[$doc])* pub $name: u64,)*
         }
 
         impl Metrics {
-            /// All metrics with their names, in the order of the log line.
+            /// All metrics with their names, in the order in which they are logged.
             pub fn named(&self) -> impl Iterator<Item = (&'static str, u64)> {
                 [$((stringify!($name), self.$name),)*].into_iter()
             }
@@ -23,11 +23,11 @@
     clients_accepted,
     /// Accepts that failed.
     accepts_failed,
-    /// Clients rejected on arrival, for all places were taken.
+    /// Clients rejected because no client could be evicted for them.
     clients_rejected,
-    /// Clients evicted in favour of others.
+    /// Clients evicted to make room for others.
     clients_evicted,
-    /// Clients disconnected because a statement did not arrive in time.
+    /// Clients disconnected because a statement was not complete in time.
     clients_too_slow,
     /// Clients disconnected because they were idle for too long.
     clients_closed_idle,
@@ -45,43 +45,43 @@
     rejected,
     /// Statements answered as aborted.
     aborted,
-    /// Statements rejected, or clients disconnected, for lack of memory.
+    /// Statements rejected or clients disconnected for lack of memory.
     rejected_for_memory,
-    /// Executions that the policy decided on.
+    /// Executions ordered by the routing policy.
     executions_sent,
     /// Connections opened to members.
     connections_opened,
-    /// Of these, the first one to its member.
+    /// Of these, the first connection to a member.
     opened_first,
-    /// Of these, opened because all others were in use.
+    /// Of these, because all other connections were in use.
     opened_busy,
-    /// Of these, opened because the former one had expired or ended.
+    /// Of these, because the previous connection had expired or closed.
     opened_again,
-    /// Of these, opened because the former one was evicted.
+    /// Of these, because the previous connection was evicted.
     opened_crowded,
-    /// Executions that were answered.
+    /// Executions answered with rows.
     ended_completed,
-    /// Executions that were answered with an error.
+    /// Executions answered with an error.
     ended_errored,
-    /// Executions that the member rejected.
+    /// Executions rejected by the member.
     ended_rejected,
-    /// Executions without an answer in time.
+    /// Executions that timed out.
     ended_timed_out,
-    /// Executions whose connection could not be established.
+    /// Executions whose connection was not established, or was lost before all of the query was written.
     ended_no_connection,
-    /// Executions whose connection was lost behind the last byte.
+    /// Executions whose connection was lost after all of the query was written.
     ended_connection_lost,
     /// Executions that were cancelled.
     ended_cancelled,
-    /// Executions of which nothing was sent.
+    /// Executions that ended before anything was sent.
     ended_never_sent,
     /// Executions that the member was not eligible for.
     ended_missed,
-    /// Answers from data that were too old for their statement.
+    /// Answers withheld because their data was too old for the statement.
     answers_too_old,
     /// Members that violated the protocol.
     members_malformed,
-    /// Connections to members that had closed while idle.
+    /// Connections to members that turned out to have closed while idle.
     idle_connections_stale,
     /// Connections to members adopted from another process.
     connections_adopted,
@@ -89,27 +89,27 @@
     clients_adopted,
     /// Clients taken back from a crashed successor.
     clients_taken_back,
-    /// Clients that could not be taken back or handed over.
+    /// Clients disconnected because they could not be taken back or handed over.
     clients_cut,
-    /// Drains learned from the peer process.
+    /// Draining members learned from the peer process.
     drains_from_peer_process,
-    /// Executions of the peer process in flight (gauge).
+    /// Executions in flight of the peer process (gauge).
     in_flight_at_peer_process,
     /// Records received from other drivers.
     records_from_peers,
-    /// Drains learned from other drivers.
+    /// Draining members learned from other drivers.
     drains_from_peers,
-    /// Statements that other drivers were asked about.
+    /// Inquiries to other drivers about statements.
     inquiries,
-    /// Of these, with a prior attempt that may have been executed.
+    /// Of these, resolved as possibly executed.
     inquiries_in_doubt,
     /// Of these, not answered in time.
     inquiries_unanswered,
     /// Statements ceded to other drivers.
     statements_given_away,
-    /// Drivers that disappeared.
+    /// Drivers that went down.
     peers_lost,
-    /// Budgets computed for warming members.
+    /// Budgets computed for members that are warming up.
     warm_up_budgets,
     /// Statements of clients taken back that were answered as rejected.
     taken_back_rejected,
@@ -117,11 +117,11 @@
     taken_back_aborted,
     /// Health checks sent.
     health_checks_sent,
-    /// Health checks left to the lease holder.
+    /// Health checks left to another driver, the lease holder.
     health_checks_left_to_peers,
     /// Health checks sent as lease holder.
     health_checks_for_fleet,
-    /// Members found unresponsive by the failure consensus.
+    /// Members declared unresponsive by the failure consensus.
     unresponsive_by_consensus,
     /// Admission shares aggregated over the fleet.
     shares_drawn,
@@ -129,9 +129,9 @@
     health_checks_answered,
     /// Endpoint lists applied.
     endpoint_lists_applied,
-    /// Endpoint lists that could not be read.
+    /// Responses of discovery that could not be parsed.
     endpoint_lists_unreadable,
-    /// Entries of endpoint lists that could not be read.
+    /// Entries of endpoint lists that could not be parsed.
     endpoints_skipped,
     /// Requests to discovery.
     discovery_calls,
@@ -139,13 +139,13 @@
     reloads,
     /// Configurations that could not be reloaded.
     reloads_failed,
-    /// Answers to statements that had their final answer already.
+    /// Answers to statements that already had their final answer.
     late_answers_dropped,
-    /// Log lines left out by the rate limit.
+    /// Log lines suppressed by the rate limit.
     log_lines_left_out,
-    /// Most events handled in one wake-up (maximum).
+    /// Events handled in one wake-up (maximum).
     queue_longest,
-    /// Largest delay of a wake-up in microseconds (maximum).
+    /// Delay of a wake-up in microseconds (maximum).
     wake_up_latest_us,
     /// Open statements (gauge).
     open_statements,
@@ -156,7 +156,7 @@
 }
 
 impl Metrics {
-    /// Counts a connection that was opened to a member.
+    /// Counts an opened connection by its reason.
     pub fn count_opened(&mut self, reason: OpenReason) {
         self.connections_opened += 1;
         let counter = match reason {
