--- a/crates/driver/src/routing/mod.rs
+++ b/crates/driver/src/routing/mod.rs
@@ -1,7 +1,7 @@
-//! Routes statements of clients to members: the event loop and the tables that it owns.
+//! Routes client statements to members: the event loop and the tables that it owns.
 //!
-//! [`event_loop`] dispatches events to the routing policy and carries out its decisions. Each other module owns one table or
-//! one kind of state; only the event loop changes them.
+//! [`event_loop`] passes events to the routing policy and carries out its decisions. Each of the other
+//! modules has one table or kind of state, which only the event loop modifies.
 
 pub mod acceptor;
 pub mod clients;
--- a/crates/driver/src/routing/runtime_config.rs
+++ b/crates/driver/src/routing/runtime_config.rs
@@ -1,40 +1,40 @@
-//! The part of the configuration that may change while the process serves, and what follows from it.
+//! Configuration that may change at run time, and the capacities derived from it.
 
 use super::limits::Limits;
 use crate::transport::memory_budget::MemoryBudget;
 use std::net::SocketAddr;
 
-/// Configuration that may change while the process serves.
+/// Configuration that may change at run time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RuntimeConfig {
     /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Descriptors that all processes of this service together may have.
+    /// Maximum number of descriptors of all processes of this service together.
     pub max_descriptors: usize,
-    /// Bytes that all processes of this service together may have.
+    /// Maximum memory of all processes of this service together, in bytes.
     pub max_memory: usize,
 }
 
-/// Most connections of each kind.
+/// Maximum number of connections of each kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionCapacity {
-    /// Of clients; at least one.
+    /// Client connections; at least one.
     pub clients: usize,
-    /// To members.
+    /// Member connections.
     pub members: usize,
 }
 
-/// Memory for what clients and members send. Connections reserve from it on their own threads.
+/// Budgets for input from clients and members. Connections reserve memory from any thread.
 #[derive(Clone)]
 pub struct MemoryBudgets {
-    /// For what clients have sent and what they have not read yet.
+    /// Input from clients and answers that they have not read yet.
     pub clients: MemoryBudget,
-    /// For incomplete answers of members.
+    /// Incomplete answers from members.
     pub members: MemoryBudget,
 }
 
 impl RuntimeConfig {
-    /// New budgets by these limits.
+    /// Creates budgets from the limits.
     pub fn memory_budgets(&self, limits: &Limits) -> MemoryBudgets {
         MemoryBudgets {
             clients: MemoryBudget::new(limits.client_memory_share.of(self.max_memory)),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Changes budgets to these limits. What is reserved beyond them stays until it is released.
+    /// Resizes the budgets. Reservations beyond a lower limit stay until they are released.
     pub fn resize_budgets(&self, limits: &Limits, budgets: &MemoryBudgets) {
         let client_bytes = limits.client_memory_share.of(self.max_memory);
         let member_bytes = limits.member_memory_share.of(self.max_memory);
@@ -50,7 +50,7 @@
         budgets.members.set_capacity(member_bytes);
     }
 
-    /// How many connections clients and members may have.
+    /// Splits the descriptors between client and member connections.
     pub fn connection_capacity(&self, limits: &Limits) -> ConnectionCapacity {
         let reserved = limits.reserved_descriptors;
         let all = self.max_descriptors.saturating_sub(reserved).max(2);
--- a/crates/driver/src/routing/statements.rs
+++ b/crates/driver/src/routing/statements.rs
@@ -1,4 +1,4 @@
-//! Open statements: accepted, and without a final answer yet.
+//! Open statements: accepted and without a final answer.
 
 use crate::protocol::client_events::StatementText;
 use crate::protocol::messages;
@@ -7,47 +7,47 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Where a statement comes from.
+/// The client connection of a statement and its position there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementOrigin {
-    /// Number of the client's connection.
+    /// Id of the client's connection.
     pub client: u32,
-    /// Number of the statement on that connection, by which it is answered.
+    /// Number of the statement on that connection, to which its answer refers.
     pub number: u32,
-    /// Offset of its end in all bytes that this process has read from the client.
+    /// Offset of the statement's end in the input that this process has read from the client.
     pub end: u64,
 }
 
-/// A statement to be opened.
+/// A statement to insert.
 pub struct NewStatement<'a> {
-    /// Where it comes from.
+    /// Its origin.
     pub origin: StatementOrigin,
-    /// The statement as it was sent.
+    /// The text as the client sent it.
     pub text: StatementText,
     /// Fields of its comment.
     pub fields: &'a StatementComment,
     /// When it was received.
     pub received_at: Timestamp,
-    /// Upper bound for its timeout.
+    /// Upper bound of its timeout.
     pub max_timeout: TimeSpan,
     /// Index of its workload.
     pub workload: usize,
     /// Key of its session; zero if it has none.
     pub session: u64,
-    /// Its client may retry it though it may have been executed.
+    /// The client may safely retry it even if it may have been executed.
     pub is_client_retry_safe: bool,
 }
 
-/// Id and deadline of a statement that has been opened.
+/// Id and deadline of an inserted statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenedStatement {
-    /// Id within this process.
+    /// Id, unique within this process.
     pub id: u32,
-    /// End of its timeout.
+    /// End of the statement timeout.
     pub deadline: Timestamp,
 }
 
-/// What identifies a statement to other drivers.
+/// Keys that identify a statement to other drivers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementKeys {
     /// Hash of the id that its client gave it.
@@ -58,12 +58,12 @@
     pub session: u64,
 }
 
-/// The next attempt of a statement.
+/// Number and deadline of a new attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NextAttempt {
     /// Its number, counted from zero.
     pub number: u8,
-    /// When its answer is no longer waited for.
+    /// When the attempt times out.
     pub deadline: Timestamp,
 }
 
@@ -72,7 +72,7 @@
     client_id: u64,
     is_client_retry_safe: bool,
     text: StatementText,
-    /// Where the digits of the time left stand in the text.
+    /// Range of the digits of the time left in the text.
     time_left_range: Range<usize>,
     deadline: Timestamp,
     attempts: u8,
@@ -80,7 +80,7 @@
     session: u64,
 }
 
-/// The table of open statements. Only the event loop uses it.
+/// The table of open statements, owned by the event loop.
 #[derive(Default)]
 pub struct Statements {
     open: BTreeMap<u32, OpenStatement>,
@@ -99,12 +99,12 @@
         self.open.contains_key(&id)
     }
 
-    /// The open statement with this id of its client. A second one would look like a retry of it to members.
+    /// The open statement with this client id. Members would take a second one for a retry of it.
     pub fn find(&self, client_id: u64) -> Option<u32> {
         self.by_client_id.get(&client_id).copied()
     }
 
-    /// Opens a statement.
+    /// Adds a statement under a new id.
     pub fn insert(&mut self, new: NewStatement) -> OpenedStatement {
         self.last_id = self.last_id.wrapping_add(1);
         let id = self.last_id;
@@ -126,7 +126,7 @@
         OpenedStatement { id, deadline }
     }
 
-    /// What identifies a statement to other drivers.
+    /// Keys that identify the statement to other drivers.
     pub fn keys(&self, id: u32) -> Option<StatementKeys> {
         let statement = self.open.get(&id)?;
         Some(StatementKeys {
@@ -136,17 +136,18 @@
         })
     }
 
-    /// Removes a statement that has its final answer, or whose client is gone.
+    /// Removes a statement that has its final answer or whose client has disconnected.
     pub fn remove(&mut self, id: u32) -> Option<StatementOrigin> {
         let statement = self.open.remove(&id)?;
         self.by_client_id.remove(&statement.client_id);
         Some(statement.origin)
     }
 
-    /// Counts an attempt that is waited for until then, or until the statement's own deadline.
+    /// Counts a new attempt. It times out at `deadline` or at the statement's own deadline, whichever is
+    /// earlier.
     pub fn begin_attempt(&mut self, id: u32, deadline: Timestamp) -> Option<NextAttempt> {
         let statement = self.open.get_mut(&id)?;
-        // As the policy numbers them.
+        // The policy numbers attempts the same way.
         let number = statement.attempts;
         statement.attempts = number.wrapping_add(1);
         Some(NextAttempt {
@@ -155,19 +156,19 @@
         })
     }
 
-    /// Where a statement comes from.
+    /// Origin of the statement.
     pub fn origin(&self, id: u32) -> Option<StatementOrigin> {
         self.open.get(&id).map(|statement| statement.origin)
     }
 
-    /// Whether its client may retry a statement though it may have been executed.
+    /// Whether the client may safely retry the statement even if it may have been executed.
     pub fn is_client_retry_safe(&self, id: u32) -> bool {
         let statement = self.open.get(&id);
         statement.is_some_and(|statement| statement.is_client_retry_safe)
     }
 
-    /// The query for a member that is waited for until then. The time left is rounded down, so that no member works for
-    /// longer than anybody waits.
+    /// Encodes the query for a member with the time left until `deadline`, rounded down so that the member
+    /// never works past it.
     pub fn query(&self, id: u32, now: Timestamp, deadline: Timestamp) -> Option<Vec<u8>> {
         let statement = self.open.get(&id)?;
         let text = statement.text.text.as_bytes();
--- a/crates/driver/src/routing/workloads.rs
+++ b/crates/driver/src/routing/workloads.rs
@@ -1,4 +1,4 @@
-//! Workloads by name, with their properties and limits.
+//! Workloads with their properties and limits.
 
 use super::limits::{Limits, WorkloadLimits};
 use super::members::NameTable;
@@ -7,14 +7,15 @@
 use asterlatch_settings::{word, Decoding};
 use std::collections::BTreeMap;
 
-/// A workload.
+/// Properties and limits of a workload.
 pub struct Workload {
     freshness: Freshness,
-    /// A client may retry its statements though they may have been executed.
+    /// A client may safely retry its statements even if they may have been executed.
     pub is_client_retry_safe: bool,
-    /// Executing a statement twice may have a second effect, so other drivers are asked before a client retry is sent.
+    /// Executing a statement twice may change the result, so other drivers are asked before a client retry is
+    /// sent.
     pub needs_deduplication: bool,
-    /// Limits that operators have set.
+    /// Limits set by operators.
     pub limits: WorkloadLimits,
 }
 
@@ -33,34 +34,34 @@
         self.freshness == Freshness::Write
     }
 
-    /// Whether its statements belong to sessions: their writes are recorded, or their reads must see those.
+    /// Whether its statements belong to sessions: writes are recorded, and session reads must see them.
     pub fn uses_sessions(&self) -> bool {
         matches!(self.freshness, Freshness::Session | Freshness::Write)
     }
 
-    /// Upper bound for the timeout of its statements.
+    /// Upper bound of the timeout of its statements.
     pub fn max_statement_timeout(&self, limits: &Limits) -> TimeSpan {
-        let own = self.limits.max_timeout.unwrap_or(limits.max_statement_timeout);
-        own.min(limits.max_statement_timeout)
+        let timeout = self.limits.max_timeout.unwrap_or(limits.max_statement_timeout);
+        timeout.min(limits.max_statement_timeout)
     }
 }
 
-/// All workloads of the deployment, in the order of its settings.
+/// All workloads of the deployment, indexed in the order of its settings.
 pub struct Workloads {
     names: NameTable,
     all: Vec<Workload>,
 }
 
 impl Workloads {
-    /// The workloads of these settings.
+    /// Builds the table from the deployment's settings.
     pub fn new(settings: &Settings, decoding: &Decoding) -> Workloads {
         Workloads {
-            names: NameTable::of(&decoding.workloads),
+            names: NameTable::from_names(&decoding.workloads),
             all: settings.workloads.iter().map(Workload::new).collect(),
         }
     }
 
-    /// Index of the workload with this name.
+    /// Index of the workload with this name; `None` if it is unknown.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.names.find(&word(name))
     }
@@ -68,12 +69,12 @@
     /// The workload with this index.
     ///
     /// # Panics
-    /// If the index does not come from [`Workloads::find`].
+    /// If the index was not returned by [`Workloads::find`].
     pub fn get(&self, index: usize) -> &Workload {
         &self.all[index]
     }
 
-    /// Replaces all limits. Names that the deployment does not know are ignored.
+    /// Replaces the limits of all workloads. Unknown names are ignored.
     pub fn set_limits(&mut self, by_name: &BTreeMap<String, WorkloadLimits>) {
         for workload in &mut self.all {
             workload.limits = WorkloadLimits::default();
--- a/crates/driver/tests/routing/harness.rs
+++ b/crates/driver/tests/routing/harness.rs
@@ -1,4 +1,4 @@
-//! The event loop with a clock and channels in place of sockets.
+//! Test harness: the event loop with a simulated clock, and channels instead of descriptors.
 
 use asterlatch::interface::ReplicaStatus;
 use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
@@ -31,32 +31,33 @@
  "limits":{"cancel":true,"probes":true,"try_limit":10,"conn_idle_us":30000000,"connect_timeout_us":250000,
  "max_retry_after_us":500000},"report":{"fields":["x0","x1"],"how":"on_probe"},"tick_us":5000,"zones":["a"]}"#;
 
-pub(crate) struct Quiet;
+pub(crate) struct NullLogger;
 
-impl Logger for Quiet {
+impl Logger for NullLogger {
     fn log(&mut self, _now: Timestamp, _topic: &'static str, _text: Arguments) {}
 }
 
-/// Connections to members by number: the address, and the commands that it receives.
-pub(crate) type Dialled = Rc<RefCell<BTreeMap<u32, (String, Receiver<MemberCommand>)>>>;
-pub(crate) type Called = Rc<RefCell<Vec<(DiscoveryRequest, Receiver<Infallible>)>>>;
+/// Opened member connections by id, with their address and received commands. A dropped sender means closed.
+pub(crate) type MemberConnections = Rc<RefCell<BTreeMap<u32, (String, Receiver<MemberCommand>)>>>;
+/// Discovery requests in order. A dropped sender means that the connection is closed.
+pub(crate) type DiscoveryRequestLog = Rc<RefCell<Vec<(DiscoveryRequest, Receiver<Infallible>)>>>;
 
 pub(crate) struct Harness {
-    pub(crate) event_loop: EventLoop<Quiet>,
+    pub(crate) event_loop: EventLoop<NullLogger>,
     pub(crate) now: Timestamp,
-    pub(crate) dialled: Dialled,
-    pub(crate) called: Called,
+    pub(crate) member_connections: MemberConnections,
+    pub(crate) requests: DiscoveryRequestLog,
     pub(crate) clients: BTreeMap<u32, Receiver<ClientCommand>>,
-    /// Connections that are established.
-    pub(crate) up: BTreeSet<u32>,
-    pub(crate) asked: u32,
-    /// The budget for what clients send.
-    pub(crate) room: MemoryBudget,
-    /// The error number with which the next dial fails.
-    pub(crate) fault: Rc<RefCell<Option<i32>>>,
+    /// Ids of established member connections.
+    pub(crate) established: BTreeSet<u32>,
+    pub(crate) last_statement_id: u32,
+    /// Memory budget for client input.
+    pub(crate) client_memory: MemoryBudget,
+    /// OS error code with which the next dial of a member fails.
+    pub(crate) next_dial_error: Rc<RefCell<Option<i32>>>,
 }
 
-pub(crate) fn entry(name: &str, status: EndpointStatus, is_primary: bool) -> Endpoint {
+pub(crate) fn endpoint(name: &str, status: EndpointStatus, is_primary: bool) -> Endpoint {
     Endpoint {
         name: name.to_owned(),
         address: format!("10.0.0.{}:5432", name.len()),
@@ -69,7 +70,7 @@
     }
 }
 
-pub(crate) fn list(index: u64, entries: Vec<Endpoint>) -> EndpointList {
+pub(crate) fn endpoint_list(index: u64, entries: Vec<Endpoint>) -> EndpointList {
     EndpointList {
         index,
         is_complete: true,
@@ -79,58 +80,68 @@
 }
 
 /// A primary at 10.0.0.1 and a replica at 10.0.0.2.
-pub(crate) fn group() -> EndpointList {
+pub(crate) fn primary_and_replica() -> EndpointList {
     let (primary, replica) = (
-        entry("p", EndpointStatus::Serving, true),
-        entry("rr", EndpointStatus::Serving, false),
+        endpoint("p", EndpointStatus::Serving, true),
+        endpoint("rr", EndpointStatus::Serving, false),
     );
-    list(1, vec![primary, replica])
+    endpoint_list(1, vec![primary, replica])
 }
 
 pub(crate) const PRIMARY: &str = "10.0.0.1:5432";
 pub(crate) const REPLICA: &str = "10.0.0.2:5432";
 
 impl Harness {
-    pub(crate) fn new(settings: &str, sockets: usize, memory: usize) -> Harness {
-        let mut harness = Harness::empty(settings, sockets, memory);
-        harness.event_loop.apply_endpoint_list(START, &group());
-        harness.begin()
+    pub(crate) fn new(settings: &str, descriptors: usize, memory: usize) -> Harness {
+        let mut harness = Harness::without_members(settings, descriptors, memory);
+        harness
+            .event_loop
+            .apply_endpoint_list(START, &primary_and_replica());
+        harness.answer_initial_health_checks()
     }
 
-    /// An event loop that starts with a known list.
-    pub(crate) fn knowing(settings: &str, sockets: usize, memory: usize) -> Harness {
-        let mut harness = Harness::empty(settings, sockets, memory);
-        harness.event_loop.start_with_list(START, &group());
+    /// Starts with an endpoint list that is known before discovery responds.
+    pub(crate) fn with_known_list(settings: &str, descriptors: usize, memory: usize) -> Harness {
+        let mut harness = Harness::without_members(settings, descriptors, memory);
+        harness.event_loop.start_with_list(START, &primary_and_replica());
         harness.advance(0);
         harness
     }
 
-    pub(crate) fn empty(settings: &str, sockets: usize, memory: usize) -> Harness {
-        let (dialled, called, fault) = (Dialled::default(), Called::default(), Rc::new(RefCell::new(None)));
-        let (d, c, f) = (dialled.clone(), called.clone(), fault.clone());
+    pub(crate) fn without_members(settings: &str, descriptors: usize, memory: usize) -> Harness {
+        let (member_connections, requests, next_dial_error) = (
+            MemberConnections::default(),
+            DiscoveryRequestLog::default(),
+            Rc::new(RefCell::new(None)),
+        );
+        let (opened, request_log, dial_error) = (
+            member_connections.clone(),
+            requests.clone(),
+            next_dial_error.clone(),
+        );
         let config = RuntimeConfig {
-            discovery: "10.0.1.1:80".parse().expect("is an address"),
-            max_descriptors: sockets,
+            discovery: "10.0.1.1:80".parse().expect("parse the address"),
+            max_descriptors: descriptors,
             max_memory: memory,
         };
         let limits = Limits::default();
         let memory = config.memory_budgets(&limits);
         let connectors = Connectors {
-            dial_member: Box::new(move |id, address| match f.borrow_mut().take() {
+            dial_member: Box::new(move |id, address| match dial_error.borrow_mut().take() {
                 Some(code) => Err(io::Error::from_raw_os_error(code)),
                 None => {
-                    let (sender, told) = channel();
-                    d.borrow_mut().insert(id, (address.to_string(), told));
+                    let (sender, commands) = channel();
+                    opened.borrow_mut().insert(id, (address.to_string(), commands));
                     Ok(ConnectionHandle::to_channel(sender))
                 }
             }),
-            dial_discovery: Box::new(move |call| {
-                let (sender, told) = channel();
-                c.borrow_mut().push((call, told));
+            dial_discovery: Box::new(move |request| {
+                let (sender, commands) = channel();
+                request_log.borrow_mut().push((request, commands));
                 Ok(ConnectionHandle::to_channel(sender))
             }),
-            adopt_client: Box::new(|_, _, _| Err(io::Error::other("nobody comes"))),
-            adopt_member_connection: Box::new(|_, _| Err(io::Error::other("nobody comes"))),
+            adopt_client: Box::new(|_, _, _| Err(io::Error::other("no handover in this test"))),
+            adopt_member_connection: Box::new(|_, _| Err(io::Error::other("no handover in this test"))),
         };
         let options = EventLoopOptions {
             seed: 7,
@@ -140,41 +151,42 @@
             limits,
             memory: memory.clone(),
         };
-        let json = serde_json::from_str(settings).expect("is JSON");
-        let (settings, decoding) = Pairs::from_json(&json).and_then(|p| read(&p)).expect("is read");
+        let json = serde_json::from_str(settings).expect("parse the JSON");
+        let (settings, decoding) = Pairs::from_json(&json)
+            .and_then(|p| read(&p))
+            .expect("read the settings");
         Harness {
-            event_loop: EventLoop::new(&settings, decoding, options, START, Quiet),
+            event_loop: EventLoop::new(&settings, decoding, options, START, NullLogger),
             now: START,
-            dialled,
-            called,
+            member_connections,
+            requests,
             clients: BTreeMap::new(),
-            up: BTreeSet::new(),
-            asked: 0,
-            room: memory.clients,
-            fault,
+            established: BTreeSet::new(),
+            last_statement_id: 0,
+            client_memory: memory.clients,
+            next_dial_error,
         }
     }
 
-    /// The members' clock. The event loop's own time line is an hour ahead of it.
+    /// The members' clock, an hour behind the event loop's.
     pub(crate) fn remote_now(&self) -> RemoteTimestamp {
         RemoteTimestamp(self.now.0) - TimeSpan::millis(3_600_000)
     }
 
-    /// Answers the initial health checks.
-    pub(crate) fn begin(self) -> Harness {
+    /// Answers the initial health checks, so that tests start with an idle connection to each member.
+    pub(crate) fn answer_initial_health_checks(self) -> Harness {
         let mut harness = self;
         harness.advance(0);
-        // The initial health checks are of no interest to the tests.
-        let probes: Vec<_> = harness.dialled.borrow().keys().copied().collect();
-        for connection in probes {
-            harness.up.insert(connection);
+        let health_checks: Vec<_> = harness.member_connections.borrow().keys().copied().collect();
+        for connection in health_checks {
+            harness.established.insert(connection);
             harness.member_event(MemberEvent::Connected { connection });
             harness.reply(connection, Reply::Rows(Vec::new()), None);
             harness
-                .dialled
+                .member_connections
                 .borrow()
                 .get(&connection)
-                .map(|(_, told)| told.try_recv());
+                .map(|(_, commands)| commands.try_recv());
         }
         harness
     }
@@ -190,8 +202,8 @@
     }
 
     /// Applies a change of the endpoint list.
-    pub(crate) fn change_endpoint(&mut self, entry: Endpoint) {
-        let (is_complete, change) = (false, list(2, vec![entry]));
+    pub(crate) fn change_endpoint(&mut self, endpoint: Endpoint) {
+        let (is_complete, change) = (false, endpoint_list(2, vec![endpoint]));
         self.event_loop.apply_endpoint_list(
             self.now,
             &EndpointList {
@@ -221,36 +233,36 @@
     }
 
     pub(crate) fn connect_client(&mut self, id: u32) {
-        let (sender, told) = channel();
-        self.clients.insert(id, told);
+        let (sender, commands) = channel();
+        self.clients.insert(id, commands);
         self.event_loop.on_event(
             self.now,
-            Event::Arrival(AcceptEvent::Client(id, ConnectionHandle::to_channel(sender))),
+            Event::Accept(AcceptEvent::Client(id, ConnectionHandle::to_channel(sender))),
         );
     }
 
     pub(crate) fn send_statement(&mut self, client: u32, fields: &str) {
-        self.asked += 1;
-        self.send_statement_with_id(client, self.asked, fields);
+        self.last_statement_id += 1;
+        self.send_statement_with_id(client, self.last_statement_id, fields);
     }
 
     pub(crate) fn send_statement_with_id(&mut self, client: u32, id: u32, fields: &str) {
         let text = format!("/* id={id},{fields} */ SELECT blob FROM rows WHERE handle = 'k'");
         let (number, at) = (0, self.now);
-        let text = StatementText::new(&text, &self.room).expect("has room");
-        let heard = ClientEvent::Statement {
+        let text = StatementText::new(&text, &self.client_memory).expect("reserve memory for the statement");
+        let statement = ClientEvent::Statement {
             client,
             end: 0,
             number,
             text,
             at,
         };
-        self.event_loop.on_event(self.now, Event::Client(heard));
+        self.event_loop.on_event(self.now, Event::Client(statement));
     }
 
-    /// What the client has received since the last call, in short.
+    /// Summary of the commands to a client since the last call.
     pub(crate) fn received(&self, client: u32) -> String {
-        let words = self.clients[&client].try_iter().map(|say| match say {
+        let descriptions = self.clients[&client].try_iter().map(|command| match command {
             ClientCommand::HandOver => "handed over".to_owned(),
             ClientCommand::Answer(_, FinalAnswer::Rows(rows)) => {
                 format!("rows({})", String::from_utf8_lossy(&rows))
@@ -259,61 +271,66 @@
                 _,
                 FinalAnswer::Error {
                     code,
-                    retry_after_ms: hold_off_ms,
+                    retry_after_ms: delay_ms,
                     ..
                 },
-            ) => format!(
-                "{code}{}",
-                hold_off_ms.map_or(String::new(), |ms| format!("+{ms}"))
-            ),
+            ) => format!("{code}{}", delay_ms.map_or(String::new(), |ms| format!("+{ms}"))),
             ClientCommand::Drain => "drain".to_owned(),
             ClientCommand::TimeOut => "timed out".to_owned(),
             ClientCommand::Reject => "rejected".to_owned(),
         });
-        words.collect::<Vec<_>>().join(" ")
+        descriptions.collect::<Vec<_>>().join(" ")
     }
 
-    /// The connection that was opened last, and its address.
+    /// Id and address of the member connection opened last.
     pub(crate) fn last_opened(&self) -> (u32, String) {
-        let dialled = self.dialled.borrow();
-        let (id, (address, _)) = dialled.last_key_value().expect("one was opened");
+        let member_connections = self.member_connections.borrow();
+        let (id, (address, _)) = member_connections
+            .last_key_value()
+            .expect("a connection was opened");
         (*id, address.clone())
     }
 
-    /// The connection on which a statement was just sent, and its address; opened connections are established first.
-    pub(crate) fn dispatched(&mut self) -> Option<(u32, String)> {
-        let opened: Vec<_> = self.dialled.borrow().keys().copied().collect();
+    /// Establishes all opened connections, then takes a sent query like [`Harness::take_query`].
+    pub(crate) fn next_query(&mut self) -> Option<(u32, String)> {
+        let opened: Vec<_> = self.member_connections.borrow().keys().copied().collect();
         for connection in opened {
-            if self.up.insert(connection) {
+            if self.established.insert(connection) {
                 self.member_event(MemberEvent::Connected { connection });
             }
         }
-        self.query_written()
+        self.take_query()
     }
 
-    /// The same, without establishing any connection.
-    pub(crate) fn query_written(&self) -> Option<(u32, String)> {
-        let dialled = self.dialled.borrow();
-        let found = dialled.iter().rev().find_map(|(id, (address, told))| {
-            let MemberCommand::Query(query) = told.try_recv().ok()? else {
-                return None;
-            };
-            let text = String::from_utf8_lossy(&query).into_owned();
-            text.contains("SELECT blob").then(|| (*id, address.clone()))
-        });
+    /// Takes a sent query and returns the id and address of its connection.
+    pub(crate) fn take_query(&self) -> Option<(u32, String)> {
+        let member_connections = self.member_connections.borrow();
+        let found = member_connections
+            .iter()
+            .rev()
+            .find_map(|(id, (address, commands))| {
+                let MemberCommand::Query(query) = commands.try_recv().ok()? else {
+                    return None;
+                };
+                let text = String::from_utf8_lossy(&query).into_owned();
+                text.contains("SELECT blob").then(|| (*id, address.clone()))
+            });
         found
     }
 
     pub(crate) fn is_open(&self, connection: u32) -> bool {
-        let dialled = self.dialled.borrow();
-        !matches!(dialled[&connection].1.try_recv(), Err(TryRecvError::Disconnected))
+        let member_connections = self.member_connections.borrow();
+        !matches!(
+            member_connections[&connection].1.try_recv(),
+            Err(TryRecvError::Disconnected)
+        )
     }
 }
 
-pub(crate) const VIEW: &str = "c=view,d=900,cluster=1";
-pub(crate) const POST: &str = "c=post,d=3000,cluster=1";
+pub(crate) const READ: &str = "c=view,d=900,cluster=1";
+pub(crate) const WRITE: &str = "c=post,d=3000,cluster=1";
 
-pub(crate) fn with_client() -> Harness {
+pub(crate) fn harness_with_client() -> Harness {
     let mut harness = Harness::new(SETTINGS, 1024, 192 << 20);
     harness.connect_client(1);
     harness
--- a/crates/driver/tests/routing/main.rs
+++ b/crates/driver/tests/routing/main.rs
@@ -1,8 +1,8 @@
-//! The event loop, given events and a clock, without a socket.
+//! Tests of the event loop with simulated events and clock, without sockets.
 
+mod client_disconnects;
 mod clients;
 mod configuration;
-mod departures;
 mod discovery;
 mod harness;
 mod members;
--- a/crates/driver/tests/routing/members.rs
+++ b/crates/driver/tests/routing/members.rs
@@ -1,6 +1,8 @@
-//! Requests to members: connections, health checks, members that come and go.
+//! Requests to members: connections, health checks, and changes of the member list.
 
-use super::harness::{entry, list, rows, with_client, Harness, POST, PRIMARY, SETTINGS, START, VIEW};
+use super::harness::{
+    endpoint, endpoint_list, harness_with_client, rows, Harness, PRIMARY, READ, SETTINGS, START, WRITE,
+};
 use asterlatch::time::TimeSpan;
 use asterlatch_driver::protocol::client_events::ClientEvent;
 use asterlatch_driver::protocol::endpoint_list::{Endpoint, EndpointStatus};
@@ -14,18 +16,20 @@
 use std::sync::mpsc::channel;
 
 #[test]
-fn stale_idle_connection_costs_no_execution() {
-    let mut harness = with_client();
-    harness.send_statement(1, POST);
-    let (idle, _) = harness.dispatched().expect("on the connection of the probe");
+fn closed_stale_idle_connection_counts_no_execution() {
+    let mut harness = harness_with_client();
+    harness.send_statement(1, WRITE);
+    let (idle, _) = harness
+        .next_query()
+        .expect("sent on the connection of the health check");
     harness.member_event(MemberEvent::Closed {
         connection: idle,
         at: harness.now,
         written: false,
     });
-    let (fresh, at) = harness.dispatched().expect("on a new one");
+    let (fresh, address) = harness.next_query().expect("sent on a new connection");
     assert_eq!(
-        (at.as_str(), harness.event_loop.metrics.executions_sent),
+        (address.as_str(), harness.event_loop.metrics.executions_sent),
         (PRIMARY, 1)
     );
     assert!(fresh != idle && harness.received(1).is_empty());
@@ -39,63 +43,64 @@
     );
 }
 
-/// While a connection is established, the request that waits for it may become obsolete: then it is not sent, and the
-/// connection serves another.
+/// A request that becomes obsolete while its connection is established is not sent, and the connection is
+/// reused.
 #[test]
-fn request_waiting_for_its_connection_is_checked_again() {
-    let uncalled = SETTINGS.replace(r#""cancel":true"#, r#""cancel":false"#);
-    let gone = |harness: &mut Harness| {
+fn on_connected_obsolete_request_is_not_sent() {
+    let without_cancellation = SETTINGS.replace(r#""cancel":true"#, r#""cancel":false"#);
+    let disconnect_client = |harness: &mut Harness| {
         harness
             .event_loop
             .on_event(harness.now, Event::Client(ClientEvent::Closed { client: 1 }))
     };
-    let drains = |harness: &mut Harness| harness.change_endpoint(entry("p", EndpointStatus::Draining, true));
-    let missing = |harness: &mut Harness| {
-        let replica = entry("rr", EndpointStatus::Serving, false);
+    let drain =
+        |harness: &mut Harness| harness.change_endpoint(endpoint("p", EndpointStatus::Draining, true));
+    let delist = |harness: &mut Harness| {
+        let replica = endpoint("rr", EndpointStatus::Serving, false);
         harness
             .event_loop
-            .apply_endpoint_list(harness.now, &list(3, vec![replica]));
+            .apply_endpoint_list(harness.now, &endpoint_list(3, vec![replica]));
     };
-    type Comes = fn(&mut Harness);
-    // What happens meanwhile, whether the statement is sent behind it, and what its client receives at its deadline:
-    // without a primary the write is attempted elsewhere in the end.
-    let cases: [(&str, Comes, bool, Option<&str>); 5] = [
-        ("nothing", |_| {}, true, Some("40003")),
-        ("its client leaves", gone, false, Some("")),
-        ("its member drains", drains, false, None),
-        ("its member is missing", missing, false, None),
+    type Action = fn(&mut Harness);
+    // Event while connecting, whether the statement is sent afterwards, and what its client receives at its
+    // deadline; `None` if that varies, because without a primary the write may be attempted elsewhere.
+    let cases: [(&str, Action, bool, Option<&str>); 5] = [
+        ("no change", |_| {}, true, Some("40003")),
+        ("its client disconnects", disconnect_client, false, Some("")),
+        ("its member drains", drain, false, None),
+        ("its member is no longer listed", delist, false, None),
         (
-            "its time is over",
+            "it times out",
             |harness| harness.advance(245),
             false,
             Some("53300"),
         ),
     ];
-    for (name, comes, goes, told) in cases {
-        let mut harness = Harness::new(&uncalled, 1024, 192 << 20);
+    for (name, act, is_sent, expected) in cases {
+        let mut harness = Harness::new(&without_cancellation, 1024, 192 << 20);
         harness.connect_client(1);
         harness.connect_client(2);
-        harness.send_statement(2, POST);
-        let (first, _) = harness.dispatched().expect("the first is sent");
+        harness.send_statement(2, WRITE);
+        let (first, _) = harness.next_query().expect("the first statement is sent");
         harness.send_statement(1, "c=post,d=240,cluster=1");
-        let (connection, at) = harness.last_opened();
-        assert_eq!((at.as_str(), harness.query_written()), (PRIMARY, None), "{name}");
-        comes(&mut harness);
-        let over = !harness.is_open(connection);
-        assert_eq!(over, name == "its time is over", "{name}");
-        harness.up.insert(connection);
+        let (connection, addr) = harness.last_opened();
+        assert_eq!((addr.as_str(), harness.take_query()), (PRIMARY, None), "{name}");
+        act(&mut harness);
+        let is_closed = !harness.is_open(connection);
+        assert_eq!(is_closed, name == "it times out", "{name}");
+        harness.established.insert(connection);
         harness.member_event(MemberEvent::Connected { connection });
-        assert_eq!(harness.query_written().is_some(), goes, "{name}");
+        assert_eq!(harness.take_query().is_some(), is_sent, "{name}");
         harness.advance(250);
-        let said = harness.received(1);
-        assert_eq!(told.unwrap_or(&said), said, "{name}: never sent is never aborted");
-        if name == "its client leaves" {
-            assert!(harness.is_open(connection), "it is idle");
-            harness.send_statement(2, POST);
+        let received = harness.received(1);
+        assert_eq!(expected.unwrap_or(&received), received, "{name}: never aborted");
+        if name == "its client disconnects" {
+            assert!(harness.is_open(connection), "the connection becomes idle");
+            harness.send_statement(2, WRITE);
             assert_eq!(
-                harness.query_written().map(|(c, _)| c),
+                harness.take_query().map(|(c, _)| c),
                 Some(connection),
-                "and serves another"
+                "and is used for another request"
             );
         }
         harness.reply(first, rows("v"), Some(true));
@@ -103,14 +108,14 @@
     }
 }
 
-/// A connection that no request waits for any more is closed once its time is over.
+/// A connection without a request is closed if it is not established within its timeout.
 #[test]
-fn unassigned_connection_is_closed_in_time() {
-    let mut harness = with_client();
+fn withdrawn_request_unestablished_connection_times_out() {
+    let mut harness = harness_with_client();
     harness.connect_client(2);
-    harness.send_statement(2, POST);
-    harness.dispatched().expect("the first is sent");
-    harness.send_statement(1, POST);
+    harness.send_statement(2, WRITE);
+    harness.next_query().expect("the first statement is sent");
+    harness.send_statement(1, WRITE);
     let (connection, _) = harness.last_opened();
     harness
         .event_loop
@@ -118,12 +123,15 @@
     harness.advance(240);
     assert!(harness.is_open(connection));
     harness.advance(20);
-    assert!(!harness.is_open(connection), "it was never established");
+    assert!(
+        !harness.is_open(connection),
+        "the connection was never established"
+    );
 }
 
 #[test]
-fn failure_of_this_host_does_not_count_against_the_member() {
-    let own = [
+fn dial_local_failure_does_not_count_against_the_member() {
+    let local = [
         libc::EMFILE,
         libc::ENFILE,
         libc::ENOBUFS,
@@ -134,23 +142,23 @@
         libc::ENOSPC,
         libc::EPERM,
     ];
-    let of_member = [libc::ECONNREFUSED, libc::ETIMEDOUT, libc::EHOSTUNREACH];
-    let own = own.map(|code| (code, "never_sent"));
-    for (code, ended) in own
+    let remote = [libc::ECONNREFUSED, libc::ETIMEDOUT, libc::EHOSTUNREACH];
+    let local = local.map(|code| (code, "never_sent"));
+    for (code, expected) in local
         .into_iter()
-        .chain(of_member.map(|code| (code, "no_connection")))
+        .chain(remote.map(|code| (code, "no_connection")))
     {
-        let mut harness = with_client();
+        let mut harness = harness_with_client();
         harness.connect_client(2);
-        harness.send_statement(2, POST);
-        harness.dispatched().expect("the first is sent");
-        *harness.fault.borrow_mut() = Some(code);
-        harness.send_statement(1, POST);
+        harness.send_statement(2, WRITE);
+        harness.next_query().expect("the first statement is sent");
+        *harness.next_dial_error.borrow_mut() = Some(code);
+        harness.send_statement(1, WRITE);
         let metrics = &harness.event_loop.metrics;
         let counts = (metrics.ended_never_sent, metrics.ended_no_connection);
         assert_eq!(
             counts,
-            if ended == "never_sent" { (1, 0) } else { (0, 1) },
+            if expected == "never_sent" { (1, 0) } else { (0, 1) },
             "{code}"
         );
         assert_eq!(harness.received(1), "");
@@ -158,112 +166,118 @@
 }
 
 #[test]
-fn idle_connection_closes_before_the_member_closes_it() {
-    let mut harness = with_client();
-    harness.send_statement(1, VIEW);
-    let (connection, _) = harness.dispatched().expect("is sent at once");
+fn idle_connection_is_closed_before_the_member_timeout() {
+    let mut harness = harness_with_client();
+    harness.send_statement(1, READ);
+    let (connection, _) = harness.next_query().expect("the statement is sent immediately");
     harness.reply(connection, rows("v"), Some(false));
     harness.advance(20_000);
     assert!(harness.is_open(connection));
     harness.advance(9000);
-    assert!(!harness.is_open(connection), "before the 30 s of the settings");
-    // A member whose address has changed receives nothing at the former one.
-    harness.send_statement(1, POST);
-    let (connection, _) = harness.dispatched().expect("is sent at once");
+    assert!(
+        !harness.is_open(connection),
+        "before the idle timeout of 30 s in the settings"
+    );
+    // After an address change, a member receives nothing at its previous address.
+    harness.send_statement(1, WRITE);
+    let (connection, _) = harness.next_query().expect("the statement is sent immediately");
     harness.reply(connection, rows("v"), Some(true));
-    let mut moved = entry("p", EndpointStatus::Serving, true);
+    let mut moved = endpoint("p", EndpointStatus::Serving, true);
     moved.address = "10.0.0.9:5432".to_owned();
     harness.change_endpoint(moved);
-    harness.send_statement(1, POST);
+    harness.send_statement(1, WRITE);
     assert_eq!(
-        harness.dispatched().map(|(_, at)| at),
+        harness.next_query().map(|(_, address)| address),
         Some("10.0.0.9:5432".to_owned())
     );
 }
 
-/// New members replace old ones for a long time: all state of the old ones goes with them, idle connections included,
-/// and a name that is listed again is a new member.
+/// State of removed members, idle connections included, must not accumulate while members are replaced.
 #[test]
 fn member_turnover_leaves_no_state_behind() {
-    let mut harness = with_client();
-    let (mut old, mut used) = ("rr".to_owned(), Vec::new());
-    for n in 0..500 {
-        let name = format!("r{n}");
-        let at = |name: &str, status| {
-            let address = format!("10.0.{}.{}:5432", 2 + n / 200, 1 + n % 200);
+    let mut harness = harness_with_client();
+    let (mut replaced, mut used) = ("rr".to_owned(), Vec::new());
+    for round in 0..500 {
+        let name = format!("r{round}");
+        let endpoint_at = |name: &str, status| {
+            let address = format!("10.0.{}.{}:5432", 2 + round / 200, 1 + round % 200);
             Endpoint {
                 address,
-                ..entry(name, status, false)
+                ..endpoint(name, status, false)
             }
         };
-        harness.change_endpoint(at(&name, EndpointStatus::Serving));
-        harness.change_endpoint(entry(&old, EndpointStatus::Draining, false));
+        harness.change_endpoint(endpoint_at(&name, EndpointStatus::Serving));
+        harness.change_endpoint(endpoint(&replaced, EndpointStatus::Draining, false));
         harness.advance(300);
-        while let Some((connection, _)) = harness.dispatched() {
+        while let Some((connection, _)) = harness.next_query() {
             harness.reply(connection, rows("v"), Some(false));
         }
-        harness.send_statement(1, VIEW);
-        let (connection, _) = harness.dispatched().expect("is sent at once");
+        harness.send_statement(1, READ);
+        let (connection, _) = harness.next_query().expect("the statement is sent immediately");
         harness.reply(connection, rows("v"), Some(false));
         used.push(connection);
-        harness.change_endpoint(entry(&old, EndpointStatus::Deleted, false));
+        harness.change_endpoint(endpoint(&replaced, EndpointStatus::Deleted, false));
         harness.advance(50);
-        old = name;
+        replaced = name;
     }
     let MemberCounts { names, ids, idle } = harness.event_loop.member_counts();
     assert!(names <= 3 && ids <= 3 && idle <= 3, "{names} {ids} {idle}");
-    let open = used.iter().filter(|c| harness.is_open(**c)).count();
-    assert!(open <= 2, "{open} connections to members that are gone");
+    let open_count = used.iter().filter(|c| harness.is_open(**c)).count();
+    assert!(
+        open_count <= 2,
+        "{open_count} open connections to removed members"
+    );
 }
 
-/// Middleboxes may drop idle connections without a sign: a write on one of them is lost, and may have been executed.
+/// Middleboxes may drop idle connections silently: a write on one of them is lost and in doubt.
 #[test]
-fn idle_connections_that_break_shorten_the_idle_lifetime() {
-    let (hardly, long) = (TimeSpan::millis(1), TimeSpan::millis(150));
-    // (broken in a hundred of those idle for a short time, and for a long time; whether the latter is too long)
-    for (young, old, too_long) in [
+fn idle_lifetime_frequent_breaks_lower_the_limit() {
+    let (short, long) = (TimeSpan::millis(1), TimeSpan::millis(150));
+    // Broken connections per hundred after a short and after a long idle time; whether the long one is too
+    // long.
+    for (broken_after_short, broken_after_long, is_too_long) in [
         (0, 40, true),
         (5, 40, true),
         (0, 10, false),
         (30, 40, false),
         (40, 0, false),
     ] {
-        let mut ages = IdleLifetimeEstimator::default();
-        for n in 0..100 {
-            ages.record(START, hardly, n < young);
-            ages.record(START, long, n < old);
+        let mut estimator = IdleLifetimeEstimator::default();
+        for sample in 0..100 {
+            estimator.record(START, short, sample < broken_after_short);
+            estimator.record(START, long, sample < broken_after_long);
         }
-        let limit = ages.limit();
+        let limit = estimator.limit();
         assert_eq!(
-            limit.is_some_and(|l| l > hardly && l <= long),
-            too_long,
-            "{young} {old}"
+            limit.is_some_and(|limit| limit > short && limit <= long),
+            is_too_long,
+            "{broken_after_short} {broken_after_long}"
         );
-        // Not for ever: observations lose their weight with time.
-        ages.record(START + TimeSpan::millis(30_000), hardly, false);
-        assert_eq!(ages.limit(), None);
+        // Observations lose weight over time, so the limit is lifted again.
+        estimator.record(START + TimeSpan::millis(30_000), short, false);
+        assert_eq!(estimator.limit(), None);
     }
     let mut pool = ConnectionPool::default();
-    let (address, line) = (PRIMARY.parse().expect("is an address"), || {
+    let (address, new_handle) = (PRIMARY.parse().expect("parse the address"), || {
         ConnectionHandle::to_channel(channel::<MemberCommand>().0)
     });
-    for (id, since) in [(1, 0), (2, 100), (3, 200)] {
-        pool.add(id, 7, address, line());
-        pool.release(id, START + TimeSpan::millis(since));
+    for (id, idle_since) in [(1, 0), (2, 100), (3, 200)] {
+        pool.add(id, 7, address, new_handle());
+        pool.release(id, START + TimeSpan::millis(idle_since));
     }
-    let at = |ms| START + TimeSpan::millis(ms);
+    let after_ms = |ms| START + TimeSpan::millis(ms);
     assert_eq!(
-        pool.take_idle(7, address, at(150)),
+        pool.take_idle(7, address, after_ms(150)),
         Some(IdleConnection {
-            since: at(200),
+            since: after_ms(200),
             id: 3
         }),
-        "the one used last"
+        "the most recently used one"
     );
     assert_eq!(
-        (pool.take_idle(7, address, at(150)), pool.count()),
+        (pool.take_idle(7, address, after_ms(150)), pool.count()),
         (None, 1),
-        "older ones are closed"
+        "connections that were idle for too long are closed"
     );
 }
 
@@ -271,12 +285,12 @@
 fn health_check_reports_position_and_role() {
     let mut harness = Harness::new(SETTINGS, 1024, 192 << 20);
     assert!(harness.event_loop.metrics.health_checks_answered > 0);
-    let asked = messages::health_check(true);
-    assert!(asked.windows(11).any(|w| w == b"SHOW vitals"));
-    // The replica leaves an execution unanswered until it is ejected, and gets health checks until it answers.
+    let query = messages::health_check(true);
+    assert!(query.windows(11).any(|window| window == b"SHOW vitals"));
+    // A member that leaves an execution unanswered is ejected and receives health checks until it answers.
     harness.connect_client(1);
     harness.send_statement(1, "c=view,d=60000,cluster=1");
-    harness.dispatched().expect("is sent at once");
+    harness.next_query().expect("the statement is sent immediately");
     let before = harness.event_loop.metrics.health_checks_sent;
     harness.advance(3000);
     assert!(harness.event_loop.metrics.health_checks_sent > before);
