--- a/crates/driver/src/routing/event_loop/members.rs
+++ b/crates/driver/src/routing/event_loop/members.rs
@@ -58,7 +58,7 @@
             self.metrics.answers_too_old += 1;
             return;
         }
-        let outcome = execution_outcomes::of_reply(&reply);
+        let outcome = execution_outcomes::from_reply(&reply);
         self.end_request(request, replied_at, outcome, status);
         match (reply, request.kind) {
             // The bytes of the first complete answer are forwarded unchanged.
@@ -101,7 +101,7 @@
             return self.restart_request(now, request);
         }
         self.member_requests.record_reuse(&request, now, is_written);
-        let outcome = execution_outcomes::of_closed_connection(is_written);
+        let outcome = execution_outcomes::from_closed_connection(is_written);
         self.end_request(request, closed_at, outcome, ReplicaStatus::default());
     }
 
--- a/crates/driver/src/routing/execution_outcomes.rs
+++ b/crates/driver/src/routing/execution_outcomes.rs
@@ -17,7 +17,7 @@
 
 /// The outcome of an execution that a member replied to. Any SQLSTATE other than the three rejections leaves
 /// open whether it was executed.
-pub fn of_reply(reply: &Reply) -> ExecutionOutcome {
+pub fn from_reply(reply: &Reply) -> ExecutionOutcome {
     match reply {
         Reply::Rows(_) => ExecutionOutcome::Completed,
         Reply::Error(code) => match code.as_str() {
@@ -31,7 +31,7 @@
 
 /// The outcome of an execution for which no connection could be opened. A local failure, such as a lack of
 /// descriptors, must not count against the member.
-pub fn of_failed_dial(error: &io::Error) -> ExecutionOutcome {
+pub fn from_failed_dial(error: &io::Error) -> ExecutionOutcome {
     if socket_errors::is_local_failure(error) {
         ExecutionOutcome::NotSent
     } else {
@@ -40,7 +40,7 @@
 }
 
 /// The outcome of an execution whose connection closed; `is_written` if all of the query had been written.
-pub fn of_closed_connection(is_written: bool) -> ExecutionOutcome {
+pub fn from_closed_connection(is_written: bool) -> ExecutionOutcome {
     if is_written {
         ExecutionOutcome::ConnectionLost
     } else {
--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -18,13 +18,13 @@
 /// Interval between load reports.
 const LOAD_REPORT_INTERVAL: TimeSpan = TimeSpan::millis(500);
 /// Time after which a decrease of the fleet size takes effect.
-const SHRINK_DELAY: TimeSpan = TimeSpan::millis(30_000);
+const FLEET_SHRINK_DELAY: TimeSpan = TimeSpan::millis(30_000);
 /// A lease update may wait for a tick at each of two drivers before it is received.
 const TICKS_PER_LEASE_UPDATE: f64 = 2.5;
 /// Units per admission share of 1 in load reports.
-const SHARE_UNITS: f64 = 200.0;
+const UNITS_PER_SHARE: f64 = 200.0;
 /// Units per answer in load reports.
-const ANSWER_UNITS: f64 = 10.0;
+const UNITS_PER_ANSWER: f64 = 10.0;
 
 /// Admission share of a member, by name.
 #[derive(Clone, Debug, PartialEq)]
@@ -105,7 +105,7 @@
         Coordination {
             leases: LeaseTable::new(key, local_driver.incarnation, timings),
             failure_consensus: FailureConsensus::new(key, ConsensusSettings::default()),
-            fleet_size: FleetSize::new(fleet_size, SHRINK_DELAY, now),
+            fleet_size: FleetSize::new(fleet_size, FLEET_SHRINK_DELAY, now),
             load_aggregate: LoadAggregate::new(AggregateSettings::default()),
             next_load_report_at: now,
             local_driver: local_driver.clone(),
@@ -179,8 +179,8 @@
         for load in report.shares {
             let share_report = ShareReport {
                 incarnation: report.incarnation,
-                share: f64::from(load.admitted) / SHARE_UNITS,
-                answers: f64::from(load.answers) / ANSWER_UNITS,
+                share: f64::from(load.admitted) / UNITS_PER_SHARE,
+                answers: f64::from(load.answers) / UNITS_PER_ANSWER,
                 reported_at: report.observed_at,
             };
             self.load_aggregate.on_report(load.member, driver, share_report);
@@ -314,8 +314,8 @@
             if let Some(share) = by_key.get(&reportable.member) {
                 reported.push(LoadShare {
                     member: reportable.member,
-                    admitted: (share * SHARE_UNITS) as u8,
-                    answers: (reportable.answers * ANSWER_UNITS) as u8,
+                    admitted: (share * UNITS_PER_SHARE) as u8,
+                    answers: (reportable.answers * UNITS_PER_ANSWER) as u8,
                 });
             }
         }
--- a/crates/driver/src/routing/member_requests/mod.rs
+++ b/crates/driver/src/routing/member_requests/mod.rs
@@ -162,7 +162,7 @@
         }
         let connection = self.pool.next_id();
         let handle =
-            (self.dial)(connection, address).map_err(|error| execution_outcomes::of_failed_dial(&error))?;
+            (self.dial)(connection, address).map_err(|error| execution_outcomes::from_failed_dial(&error))?;
         self.pool.add(connection, member, address, handle);
         Ok(connection)
     }
