--- a/crates/driver/src/program/phases.rs
+++ b/crates/driver/src/program/phases.rs
@@ -59,8 +59,8 @@
 
 impl ShutdownSchedule {
     /// The schedule of a shutdown that was requested then, where clients wait for so long at most.
-    pub fn new(requested_at: Timestamp, longest_client_wait: TimeSpan) -> ShutdownSchedule {
-        let kill_at = requested_at + longest_client_wait.min(MAX_COUNTED_WAIT) + KILL_GRACE;
+    pub fn new(requested_at: Timestamp, max_client_wait: TimeSpan) -> ShutdownSchedule {
+        let kill_at = requested_at + max_client_wait.min(MAX_COUNTED_WAIT) + KILL_GRACE;
         let exit_at = kill_at - EXIT_RESERVE;
         ShutdownSchedule {
             last_answer_at: exit_at - CLOSE_TIME,
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -91,7 +91,7 @@
     /// A second request changes nothing.
     fn begin_shutdown(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let is_first = !std::mem::replace(&mut self.is_shutting_down, true);
-        if let Some(longest_wait) = self.config.settings.longest_client_wait.filter(|_| is_first) {
+        if let Some(longest_wait) = self.config.settings.max_client_wait.filter(|_| is_first) {
             let schedule = ShutdownSchedule::new(now, longest_wait);
             self.phases.limit_shutdown(schedule.exit_at);
             event_loop.begin_shutdown(now, schedule.last_answer_at);
--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -13,7 +13,7 @@
 use crate::transport::connection::ConnectionHandle;
 use crate::transport::listener::AcceptEvent;
 use crate::transport::socket_errors;
-use asterlatch::interface::{Departure, Statement};
+use asterlatch::interface::{ClientDisconnect, Statement};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use std::io;
@@ -128,7 +128,7 @@
     }
 
     /// The open statements of a client that leaves. One whose connection is closed is forgotten.
-    fn departures_of(&mut self, event: &ClientEvent) -> Vec<Departure> {
+    fn departures_of(&mut self, event: &ClientEvent) -> Vec<ClientDisconnect> {
         let (statements, awaits_answer) = match event {
             ClientEvent::InputEnded { client } => (self.clients.on_input_ended(*client), true),
             ClientEvent::Closed { client } => {
@@ -137,16 +137,16 @@
             }
             _ => return Vec::new(),
         };
-        let departures = statements.into_iter().map(|statement| Departure {
+        let departures = statements.into_iter().map(|statement| ClientDisconnect {
             statement,
             awaits_answer,
         });
         departures.collect()
     }
 
-    fn withdraw(&mut self, now: Timestamp, departures: &[Departure]) {
-        let is_open = |departure: &&Departure| self.statements.contains(departure.statement);
-        let open: Vec<Departure> = departures.iter().filter(is_open).copied().collect();
+    fn withdraw(&mut self, now: Timestamp, departures: &[ClientDisconnect]) {
+        let is_open = |departure: &&ClientDisconnect| self.statements.contains(departure.statement);
+        let open: Vec<ClientDisconnect> = departures.iter().filter(is_open).copied().collect();
         if open.is_empty() {
             return;
         }
@@ -154,7 +154,7 @@
             self.statements.remove(departure.statement);
         }
         self.metrics.withdrawn += open.len() as u64;
-        let actions = self.policy.on_departures(now, &open);
+        let actions = self.policy.on_client_disconnects(now, &open);
         self.carry_out(now, actions);
         for departure in open.iter().filter(|departure| departure.awaits_answer) {
             self.answer_deferred(departure.statement);
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -85,7 +85,7 @@
 
     /// Members at which executions of this driver are overdue, with the time at which the last of them was dispatched.
     fn overdue_executions(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
-        let before = zone_health::overdue_before(now, self.policy.longest_typical_latency());
+        let before = zone_health::delayed_before(now, self.policy.max_typical_latency());
         let mut overdue: BTreeMap<String, Timestamp> = BTreeMap::new();
         for execution in self.member_requests.executions() {
             let Some(name) = self.members.name(execution.member) else {
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -163,7 +163,7 @@
             journal: options.journal,
             gossip: None,
             is_gossip_deferred: false,
-            records_sessions: !settings.session_age_carried,
+            records_sessions: !settings.carries_session_position,
         }
     }
 
--- a/crates/gossip/tests/slow_start.rs
+++ b/crates/gossip/tests/slow_start.rs
@@ -201,7 +201,7 @@
             return false;
         }
         let fleet = FleetShare::new(driver_count as u32);
-        let multiple = fleet.warm_up_load(false).min(4.0 * fleet.planned_part());
+        let multiple = fleet.warm_up_load(false).min(4.0 * fleet.planned_fraction());
         let repayment = fleet.carried_load(self.carried_load) * warm_up_fraction * multiple;
         self.next_dispatch_at = now + STATEMENT_WORK * (1.0 / repayment);
         true
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,17 +8,17 @@
 //! | `categories.N.name` | name of a workload | `Decoding::workloads` |
 //! | `categories.N.worth`, `.late_worth` | value of an answer, share of a late one | `importance`, `late_share` |
 //! | `categories.N.objective_us` | SLO time | `slo_time` |
-//! | `categories.N.give_up_us` | how long clients wait | `longest_client_wait` |
+//! | `categories.N.give_up_us` | how long clients wait | `max_client_wait` |
 //! | `categories.N.idempotency` | `retryable`, `dedup` or `fragile` | `retry_safety` |
 //! | `categories.N.key_scope`, `.window_us` | where and how long further executions are dropped | `deduplication_scope`, `deduplication_window` |
 //! | `family_info.freshness` | by workload: `loose`, `recent`, `own_writes`, `latest` or `update` | `freshness` |
 //! | `family_info.staleness_bound_us` | by workload: bound of `recent` | `Freshness::Bounded` |
 //! | `family_info.behind` | whether members reject reads that they are too far behind for | `members_check_reads` |
-//! | `family_info.tokens` | `router`: drivers remember sessions' writes | `session_age_carried` |
+//! | `family_info.tokens` | `router`: drivers remember sessions' writes | `carries_session_position` |
 //! | `family_info.counted_from_us`, `.answers_stamped` | origin of positions, and whether answers carry them | `Decoding::epoch`, `positions` |
 //! | `parties.N.quota_per_s`, `over_share_worth` | tenants' quotas, importance beyond them | `tenant_quotas`, `over_quota_share` |
-//! | `discovery`, `rules.ask_within_us` | `ask`: the endpoint list is polled, this often | `poll_endpoint_list`, `poll_within` |
-//! | `rules.gone_is_advice` | a member that the list calls gone may be used | `gone_is_advice` |
+//! | `discovery`, `rules.ask_within_us` | `ask`: the endpoint list is polled, this often | `poll_endpoint_list`, `max_poll_interval` |
+//! | `rules.gone_is_advice` | a member that the list calls gone may be used | `may_use_gone_members` |
 //! | `rules.cold_from`, `.warm_within_us` | capacity at a start, time to full capacity | `cold_start_fraction`, `warm_up_time` |
 //! | `rules.tip_multiple`, `.fall_us` | overload of a warming member | `overload_multiple`, `overload_window` |
 //! | `limits.try_limit`, `.cancel`, `.probes` | executions a statement, cancellations, health checks | `max_executions`, `cancel_allowed`, `health_checks_allowed` |
@@ -270,7 +270,7 @@
         let key = format!("parties.{index}.quota_per_s");
         tenant_quotas.push(pairs.value(&key, f64::INFINITY)?);
     }
-    let longest_client_wait = longest_client_wait(pairs, workloads.len())?;
+    let max_client_wait = max_client_wait(pairs, workloads.len())?;
     let has_retry_after = pairs.flag("limits.retry_after", true)?;
     Ok(Settings {
         driver_count: pairs.value("peers_total", 1u32)?.max(1),
@@ -279,10 +279,10 @@
         tenant_quotas,
         over_quota_share: pairs.value("over_share_worth", 1.0)?,
         members_check_reads: !matches!(pairs.text("family_info.behind"), None | Some("off")),
-        session_age_carried: pairs.text("family_info.tokens") != Some("router"),
+        carries_session_position: pairs.text("family_info.tokens") != Some("router"),
         poll_endpoint_list: pairs.text("discovery") == Some("ask"),
-        poll_within: pairs.span("rules.ask_within_us", TimeSpan::millis(10_000))?,
-        gone_is_advice: pairs.flag("rules.gone_is_advice", false)?,
+        max_poll_interval: pairs.span("rules.ask_within_us", TimeSpan::millis(10_000))?,
+        may_use_gone_members: pairs.flag("rules.gone_is_advice", false)?,
         cold_start_fraction: pairs.value("rules.cold_from", 1.0)?,
         warm_up_time: pairs.span("rules.warm_within_us", TimeSpan::default())?,
         overload_multiple: pairs.value("rules.tip_multiple", f64::INFINITY)?,
@@ -296,12 +296,12 @@
         } else {
             TimeSpan(0)
         },
-        longest_client_wait,
+        max_client_wait,
     })
 }
 
 /// The longest time for which clients of any workload wait, where that is stated for any.
-fn longest_client_wait(pairs: &Pairs, workloads: usize) -> Result<Option<TimeSpan>, SettingsError> {
+fn max_client_wait(pairs: &Pairs, workloads: usize) -> Result<Option<TimeSpan>, SettingsError> {
     let mut longest = TimeSpan(0);
     for index in 0..workloads {
         let key = format!("categories.{index}.give_up_us");
--- a/crates/settings/tests/equal.rs
+++ b/crates/settings/tests/equal.rs
@@ -81,7 +81,7 @@
     assert_eq!((settings.workloads.len(), settings.tenant_quotas.len()), (2, 1));
     assert_eq!(decoding.workloads, ["balance_view", "post"]);
     assert_eq!((decoding.position_field, decoding.role_field), (Some(0), Some(1)));
-    assert!(settings.poll_endpoint_list && settings.gone_is_advice && settings.members_check_reads);
+    assert!(settings.poll_endpoint_list && settings.may_use_gone_members && settings.members_check_reads);
 }
 
 #[test]
--- a/src/driver/capacity.rs
+++ b/src/driver/capacity.rs
@@ -43,7 +43,7 @@
         WarmUpPlan {
             started_at,
             window,
-            allowed_load: carried * self.settings.overload_multiple * self.fleet.planned_part(),
+            allowed_load: carried * self.settings.overload_multiple * self.fleet.planned_fraction(),
             expected_load: carried * self.fleet.warm_up_load(is_proven),
             rounding: WarmUpPlan::rounding(self.rng.seed(), member),
             not_before: self.created_at + WarmUpPlan::spread(window),
@@ -67,14 +67,14 @@
         let zone = self.members[member].zone;
         let in_zone = |e: &&InFlightExecution| self.members[e.member].zone == zone;
         let mut dispatched = self.in_flight.values().filter(in_zone).map(|e| e.dispatched_at);
-        let longest = self.longest_typical_latency();
+        let longest = self.max_typical_latency();
         self.zones.is_silent(zone, &mut dispatched, self.now, longest)
     }
 
     /// Whether a write of this session is in flight, or has ended at an unknown position: it may have committed though its
     /// answer is late or lost.
     pub(crate) fn may_be_writing(&self, session: u64) -> bool {
-        if self.settings.session_age_carried || session == 0 {
+        if self.settings.carries_session_position || session == 0 {
             return false;
         }
         if self.unplaced_commit_at.is_some() {
--- a/src/driver/endpoint_list.rs
+++ b/src/driver/endpoint_list.rs
@@ -46,7 +46,7 @@
 
     pub(crate) fn learn_entry(&mut self, entry: &MemberEntry) {
         let group = self.groups.place(entry.group);
-        let longest_typical = self.longest_typical_latency();
+        let longest_typical = self.max_typical_latency();
         let Placed { place, is_new } = self.members.place(entry.id);
         let member = &mut self.members[place];
         if is_new {
--- a/src/driver/learning.rs
+++ b/src/driver/learning.rs
@@ -50,7 +50,7 @@
     /// replica is taken to show any session's writes.
     pub(crate) fn learn_commit(&mut self, execution: &InFlightExecution, end: &ExecutionEnd) {
         let is_write = self.settings.workloads[execution.workload].freshness == Freshness::Write;
-        if !is_write || self.settings.session_age_carried || definitely_not_executed(end.outcome) {
+        if !is_write || self.settings.carries_session_position || definitely_not_executed(end.outcome) {
             return;
         }
         let session = execution.session;
@@ -82,7 +82,7 @@
         if self.settings.workloads[statement.workload].freshness != Freshness::Session {
             return RemoteTimestamp(0);
         }
-        if !self.settings.session_age_carried {
+        if !self.settings.carries_session_position {
             return self.sessions.required(statement.session);
         }
         statement.session_position.unwrap_or_default()
@@ -90,7 +90,7 @@
 
     /// The member is alive. What it left unanswered while it was ejected is lost or stuck, and takes no capacity.
     pub(crate) fn readmit(&mut self, place: usize) {
-        let before = self.now - self.longest_typical_latency() * UNANSWERED_LATENCIES;
+        let before = self.now - self.max_typical_latency() * UNANSWERED_LATENCIES;
         let member = &mut self.members[place];
         member.oldest_unanswered = self.now;
         if std::mem::take(&mut member.ejected) {
--- a/src/driver/mod.rs
+++ b/src/driver/mod.rs
@@ -129,7 +129,7 @@
     }
 
     /// Longest typical latency of all workloads.
-    pub fn longest_typical_latency(&self) -> TimeSpan {
+    pub fn max_typical_latency(&self) -> TimeSpan {
         self.typical.longest().unwrap_or(UNANSWERED_LIMIT)
     }
 }
--- a/src/driver/peer_updates.rs
+++ b/src/driver/peer_updates.rs
@@ -18,7 +18,7 @@
     /// are the peer's. What either has dispatched by now isn't known here, so it counts as dispatched just now.
     pub fn set_peer_process(&mut self, now: Timestamp, yields: bool) -> Actions {
         self.set_now(now);
-        let longest = self.longest_typical_latency();
+        let longest = self.max_typical_latency();
         self.yields_to_peer = yields;
         for member in self.members.all_mut() {
             member.warm_up_debt_at = now;
--- a/src/fleet_share.rs
+++ b/src/fleet_share.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetShare {
     drivers: f64,
-    planned_part: f64,
+    planned_fraction: f64,
 }
 
 impl Default for FleetShare {
@@ -46,7 +46,7 @@
         let drivers = f64::from(drivers.max(1));
         FleetShare {
             drivers,
-            planned_part: least_planned_part(drivers),
+            planned_fraction: least_planned_part(drivers),
         }
     }
 
@@ -86,8 +86,8 @@
     /// Part of the load that the settings allow a warming member that all drivers plan for together, so that their budgets,
     /// each rounded at random to whole calls, stay within the slow-start rule whatever the settings allow. Between 0.78 (many
     /// drivers with less than one call each) and 1 (few drivers).
-    pub fn planned_part(self) -> f64 {
-        self.planned_part
+    pub fn planned_fraction(self) -> f64 {
+        self.planned_fraction
     }
 
     /// Load that a warming member is sent, as a multiple of what warm members carry for its warm-up fraction, if the rule
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -84,13 +84,13 @@
     /// Members reject reads that they are too far behind for.
     pub members_check_reads: bool,
     /// Session reads carry the position of the session's last write; otherwise this driver remembers its writes.
-    pub session_age_carried: bool,
+    pub carries_session_position: bool,
     /// The endpoint list must be polled; otherwise discovery pushes it.
     pub poll_endpoint_list: bool,
     /// Longest time between two polls of the endpoint list.
-    pub poll_within: TimeSpan,
+    pub max_poll_interval: TimeSpan,
     /// A member that the list calls gone may still be used: only a listed drain binds.
-    pub gone_is_advice: bool,
+    pub may_use_gone_members: bool,
     /// Capacity of a member that has just started, relative to its full capacity.
     pub cold_start_fraction: f64,
     /// Time from a member's start to its full capacity.
@@ -110,7 +110,7 @@
     /// Longest retry-after time that clients follow; zero where none reaches them.
     pub max_retry_after: TimeSpan,
     /// Longest time for which clients of any workload wait; `None` where the deployment doesn't state it.
-    pub longest_client_wait: Option<TimeSpan>,
+    pub max_client_wait: Option<TimeSpan>,
 }
 
 impl Settings {
@@ -181,7 +181,7 @@
 
 /// A client that is leaving, or has left, while its statement is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Departure {
+pub struct ClientDisconnect {
     /// Id of the statement.
     pub statement: u32,
     /// The client has closed its side, as far as is known, and may still read the final answer.
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -22,7 +22,7 @@
     /// A poll failed or a watch broke: the next poll follows after a backoff with jitter.
     pub fn on_poll_failed(&mut self, now: Timestamp) -> Actions {
         self.set_now(now);
-        let longest = self.settings.poll_within * POLL_BACKOFF_SHARE;
+        let longest = self.settings.max_poll_interval * POLL_BACKOFF_SHARE;
         let is_in_a_row = now < self.poll_failures.until;
         let in_a_row = if is_in_a_row {
             self.poll_failures.in_a_row + 1
--- a/src/policy/evidence.rs
+++ b/src/policy/evidence.rs
@@ -159,7 +159,7 @@
             Freshness::Session => {
                 let statement = self.statements.get(&statement);
                 let required = statement.map_or(RemoteTimestamp(0), |s| s.required_position);
-                let is_token = self.settings.session_age_carried;
+                let is_token = self.settings.carries_session_position;
                 let is_future = is_token && latest.is_some_and(|latest| required > latest);
                 earliest.filter(|_| is_future).unwrap_or(required)
             }
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -49,7 +49,7 @@
             return false;
         };
         let member = &self.members[place];
-        let overdue_at = member.overdue_at(self.longest_typical_latency());
+        let overdue_at = member.overdue_at(self.max_typical_latency());
         let times = [
             overdue_at.filter(|_| !member.ejected),
             self.health_check_due(place),
@@ -69,7 +69,7 @@
         let Some(place) = self.member_timers.expired(self.now) else {
             return false;
         };
-        let overdue_at = self.members[place].overdue_at(self.longest_typical_latency());
+        let overdue_at = self.members[place].overdue_at(self.max_typical_latency());
         if !self.members[place].ejected && overdue_at.is_some_and(|at| at <= self.now) {
             self.eject(place);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -63,7 +63,7 @@
 
     /// Clients have left, or closed their side: nothing more is sent of their statements, and who may still read has a final
     /// answer. All that left together are known before anything is decided: what one of them frees must not go to another.
-    pub fn on_departures(&mut self, now: Timestamp, departures: &[Departure]) -> Actions {
+    pub fn on_client_disconnects(&mut self, now: Timestamp, departures: &[ClientDisconnect]) -> Actions {
         self.set_now(now);
         for departure in departures {
             if departure.awaits_answer {
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -8,7 +8,7 @@
 use crate::interface::*;
 use crate::state::*;
 use crate::time::{RemoteTimestamp, Timestamp};
-use crate::zone_health::overdue_before;
+use crate::zone_health::delayed_before;
 
 /// New connections are avoided while establishing one costs this part of the SLO time more than usual.
 const EXPENSIVE_CONNECTION: f64 = 0.15;
@@ -255,7 +255,7 @@
     /// Where the endpoint list doesn't prove what is up, only a listed drain binds.
     pub(crate) fn is_available(&self, member: usize) -> bool {
         let member = &self.members[member];
-        let may_be_up = self.settings.gone_is_advice && !member.drained;
+        let may_be_up = self.settings.may_use_gone_members && !member.drained;
         member.state == MemberState::Ready || (member.state == MemberState::Gone && may_be_up)
     }
 
@@ -296,7 +296,7 @@
     /// what its session has written only where its age is carried.
     pub(super) fn members_check(&self, statement: &StatementState) -> bool {
         let is_session_read = self.workload(statement).freshness == Freshness::Session;
-        self.settings.members_check_reads && (!is_session_read || self.settings.session_age_carried)
+        self.settings.members_check_reads && (!is_session_read || self.settings.carries_session_position)
     }
 
     fn has_capacity(&self, place: usize, statement: &StatementState) -> bool {
@@ -338,7 +338,7 @@
             return false;
         };
         let workload = &self.settings.workloads[execution.workload];
-        let is_overdue = execution.dispatched_at < overdue_before(self.now, self.longest_typical_latency());
+        let is_overdue = execution.dispatched_at < delayed_before(self.now, self.max_typical_latency());
         let may_retry = workload.retry_safety == RetrySafety::Idempotent
             && statement.attempts < self.settings.max_executions
             && self.now < self.last_chance(statement);
--- a/src/zone_health.rs
+++ b/src/zone_health.rs
@@ -13,7 +13,7 @@
 const RETRY_ZONE_AFTER: TimeSpan = TimeSpan::millis(1500);
 
 /// Executions dispatched before this time are overdue.
-pub fn overdue_before(now: Timestamp, longest_typical: TimeSpan) -> Timestamp {
+pub fn delayed_before(now: Timestamp, longest_typical: TimeSpan) -> Timestamp {
     now - longest_typical * OVERDUE_LATENCIES
 }
 
@@ -59,7 +59,7 @@
         if left_at > answered_at && now < left_at + RETRY_ZONE_AFTER {
             return true;
         }
-        let overdue = overdue_before(now, longest_typical);
+        let overdue = delayed_before(now, longest_typical);
         let unanswered = dispatched.filter(|at| *at > answered_at && *at < overdue);
         unanswered.count() >= LEAST_OVERDUE
     }
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -95,7 +95,7 @@
 fn remembering() -> Settings {
     with(|s| {
         s.members_check_reads = false;
-        s.session_age_carried = false;
+        s.carries_session_position = false;
     })
 }
 
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -2,18 +2,18 @@
 //! may still read has a final answer.
 
 mod common;
-use asterlatch::interface::{Departure, ExecutionOutcome};
+use asterlatch::interface::{ClientDisconnect, ExecutionOutcome};
 use common::*;
 
-fn left(statement: u32) -> Departure {
-    Departure {
+fn left(statement: u32) -> ClientDisconnect {
+    ClientDisconnect {
         statement,
         awaits_answer: false,
     }
 }
 
-fn closed_its_side(statement: u32) -> Departure {
-    Departure {
+fn closed_its_side(statement: u32) -> ClientDisconnect {
+    ClientDisconnect {
         statement,
         awaits_answer: true,
     }
@@ -39,7 +39,7 @@
     let (mut b, sent, waiting) = crowded();
     let (last, gone) = waiting.split_last().expect("some wait");
     let departures: Vec<_> = sent.iter().chain(gone).map(|id| left(*id)).collect();
-    let mut actions = b.driver.on_departures(at(2), &departures);
+    let mut actions = b.driver.on_client_disconnects(at(2), &departures);
     // What is cancelled ends; only then is there capacity.
     for id in &sent {
         let more = b.end(3, *id, 0, 1, ExecutionOutcome::Cancelled);
@@ -54,10 +54,12 @@
 fn on_departures_client_that_may_read_gets_one_final_answer() {
     let (mut b, sent, waiting) = crowded();
     // What waits is answered at once, and never sent.
-    let actions = b.driver.on_departures(at(2), &[closed_its_side(waiting[0])]);
+    let actions = b
+        .driver
+        .on_client_disconnects(at(2), &[closed_its_side(waiting[0])]);
     assert_eq!(answer(&actions, waiting[0]), "rejected");
     // What a member has is cancelled as well, and answered once.
-    let actions = b.driver.on_departures(at(2), &[closed_its_side(sent[0])]);
+    let actions = b.driver.on_client_disconnects(at(2), &[closed_its_side(sent[0])]);
     assert_eq!(actions.cancellations.len(), 1);
     assert_eq!(answer(&actions, sent[0]), "rejected");
     let actions = b.end(3, sent[0], 0, 1, ExecutionOutcome::Cancelled);
@@ -74,7 +76,7 @@
         if is_connecting {
             b.driver.on_connecting(id, 0);
         }
-        let actions = b.driver.on_departures(at(2), &[closed_its_side(id)]);
+        let actions = b.driver.on_client_disconnects(at(2), &[closed_its_side(id)]);
         assert_eq!(answer(&actions, id), expected);
     }
 }
@@ -86,7 +88,7 @@
         let (id, actions) = b.take(1, WRITE);
         assert_eq!(sent_to(&actions), [1]);
         b.driver.on_connecting(id, 0);
-        let actions = b.driver.on_departures(at(2), &[departure(id)]);
+        let actions = b.driver.on_client_disconnects(at(2), &[departure(id)]);
         assert_eq!(actions.cancellations.len(), 1);
         assert_eq!(actions.answers.len(), usize::from(departure(id).awaits_answer));
         assert!(!b.driver.may_dispatch(at(3), id, 0));
--- a/tests/fleet_share.rs
+++ b/tests/fleet_share.rs
@@ -39,7 +39,7 @@
 #[test]
 fn planned_part_leaves_room_for_chance_whatever_is_allowed() {
     for drivers in [0, 1, 2, 5, 20, 30, 42, 43, 100, 300, 900, 100_000] {
-        let part = FleetShare::new(drivers).planned_part();
+        let part = FleetShare::new(drivers).planned_fraction();
         assert!((0.78..=1.0).contains(&part), "{drivers}: {part}");
         let count = f64::from(drivers.max(1));
         for allowed in (1..=8000).map(|quarters| f64::from(quarters) * 0.25) {
--- a/tests/member_updates.rs
+++ b/tests/member_updates.rs
@@ -87,7 +87,7 @@
 #[test]
 fn session_reads_its_write_through_another_driver() {
     let s = with(|s| {
-        s.session_age_carried = false;
+        s.carries_session_position = false;
         s.members_check_reads = false;
     });
     let mut b = bench(&s, 2);
@@ -153,7 +153,7 @@
 /// What all have sent a cold member is known: then that binds, and neither its own last send nor caution does.
 #[test]
 fn warm_up_budget_binds_while_valid() {
-    let settings = with(|s| s.gone_is_advice = false);
+    let settings = with(|s| s.may_use_gone_members = false);
     let cold = |allowed: Option<(u64, u64)>| {
         let mut b = bench(&settings, 1);
         b.told(0, started(1, remote(0)));
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -208,7 +208,7 @@
     let fleet = with(|s| {
         s.driver_count = 14;
         s.members_check_reads = false;
-        s.session_age_carried = false;
+        s.carries_session_position = false;
     });
     let asks = with(|s| {
         s.poll_endpoint_list = true;
@@ -304,7 +304,7 @@
     with(|s| {
         s.driver_count = 3;
         s.members_check_reads = false;
-        s.session_age_carried = false;
+        s.carries_session_position = false;
         s.tenant_quotas = vec![50.0];
         s.over_quota_share = 0.3;
     })
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -153,7 +153,7 @@
         (MemberState::Gone, true, true, false),
     ];
     for (how, listed, advice, may) in table {
-        let mut b = bench(&with(|s| s.gone_is_advice = advice), 2);
+        let mut b = bench(&with(|s| s.may_use_gone_members = advice), 2);
         if listed {
             b.told(1, drained(2));
         }
@@ -170,7 +170,7 @@
 #[test]
 fn gone_members_are_removed_when_unreferenced() {
     for (advice, drained_first, kept) in [(false, false, 0), (true, true, 0), (true, false, 300)] {
-        let mut b = bench(&with(|s| s.gone_is_advice = advice), 3);
+        let mut b = bench(&with(|s| s.may_use_gone_members = advice), 3);
         b.see(0, 1, 0, true);
         let (mut let_go, mut now) = (Vec::new(), 10);
         for id in 4..304 {
@@ -303,7 +303,7 @@
     for (commit, told, expected) in table {
         let mut s = settings();
         s.members_check_reads = false;
-        s.session_age_carried = false;
+        s.carries_session_position = false;
         let mut b = bench(&s, 2);
         b.see(1, 1, 1, true);
         let (id, _) = b.take(50, WRITE);
@@ -321,7 +321,11 @@
     for ending in ["answered in time", "given up", "withdrawn"] {
         let mut b = bench(
             &with(|s| {
-                (s.members_check_reads, s.session_age_carried, s.cancel_allowed) = (false, false, false)
+                (
+                    s.members_check_reads,
+                    s.carries_session_position,
+                    s.cancel_allowed,
+                ) = (false, false, false)
             }),
             2,
         );
@@ -354,7 +358,11 @@
     ];
     for (ending, first, then) in table {
         let mut s = settings();
-        (s.members_check_reads, s.session_age_carried, s.max_executions) = (false, false, 1);
+        (
+            s.members_check_reads,
+            s.carries_session_position,
+            s.max_executions,
+        ) = (false, false, 1);
         let mut b = bench(&s, 2);
         b.see(1, 1, 1, true);
         let (id, _) = b.take(50, WRITE);
@@ -434,7 +442,7 @@
     // (the age is carried by the client; when the replica last told a lag of 20 ms; who takes the session's read)
     let table = [(false, Some(30), 1), (false, None, 1), (true, Some(30), 2)];
     for (carried, told, expected) in table {
-        let mut b = bench(&with(|s| s.session_age_carried = carried), 2);
+        let mut b = bench(&with(|s| s.carries_session_position = carried), 2);
         b.see(1, 1, 1, true);
         if let Some(at) = told {
             b.see(at, 2, at - 20, false);
