--- a/crates/driver/src/routing/discovery_requests.rs
+++ b/crates/driver/src/routing/discovery_requests.rs
@@ -17,7 +17,7 @@
     /// How long a watch waits for a change, in milliseconds.
     pub wait_ms: u64,
     /// Version of the list that is known; `None` asks for the complete list.
-    pub after: Option<u64>,
+    pub known_version: Option<u64>,
 }
 
 /// Opens a connection to discovery for a request.
@@ -109,7 +109,7 @@
             number: self.number,
             address: self.address,
             wait_ms: self.limits.watch_timeout.0 / 1000,
-            after: self.known_version,
+            known_version: self.known_version,
         };
         match (self.dial)(request) {
             Ok(line) => self.line = Some(line),
