--- a/crates/config/benches/cost.rs
+++ b/crates/config/benches/cost.rs
@@ -1,9 +1,9 @@
 //! Check and diff of files with 100, 1,000 and 10,000 entries over 50 includes, by divan, with what they allocate:
 //! `cargo bench -p asterlatch-config --bench cost`. `size` holds the cost of an entry against its bound.
 
-use asterlatch_config::host;
-use asterlatch_config::load::{read, Held};
-use asterlatch_config::meaning::{changes, Meaning};
+use asterlatch_config::load::{read, MemorySource};
+use asterlatch_config::resolved::{changes, ResolvedSettings};
+use asterlatch_config::service_schema;
 use divan::{AllocProfiler, Bencher};
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     divan::main();
 }
 
-fn files(entries: usize, timeout: usize) -> Held {
+fn files(entries: usize, timeout: usize) -> MemorySource {
     let entry = |n: usize| {
         format!(
             "workload(\"workload-{n}\", timeout = {}ms, longest = 16KiB)\n",
@@ -38,23 +38,28 @@
         .map(|i| format!("load(\"part{i}.latch\")\n"))
         .collect();
     files.insert("root.latch".to_owned(), root.into_bytes());
-    Held(files)
+    MemorySource(files)
 }
 
-fn meaning(files: &Held) -> Meaning {
-    let outcome = read("root.latch", files, &host::registry(), host::MACHINE);
-    outcome.meaning.expect("is valid")
+fn settings(files: &MemorySource) -> ResolvedSettings {
+    let outcome = read(
+        "root.latch",
+        files,
+        &service_schema::schema(),
+        service_schema::DEFAULT_MACHINE,
+    );
+    outcome.settings.expect("is valid")
 }
 
 #[divan::bench(args = ENTRIES, sample_count = 20)]
 fn check(bencher: Bencher, entries: usize) {
     let files = files(entries, 1000);
-    bencher.bench_local(|| meaning(&files));
+    bencher.bench_local(|| settings(&files));
 }
 
 #[divan::bench(args = ENTRIES, sample_count = 20)]
 fn diff(bencher: Bencher, entries: usize) {
-    let registry = host::registry();
-    let (old, new) = (meaning(&files(entries, 1000)), meaning(&files(entries, 2000)));
-    bencher.bench_local(|| changes(&registry, &old, &new));
+    let schema = service_schema::schema();
+    let (old, new) = (settings(&files(entries, 1000)), settings(&files(entries, 2000)));
+    bencher.bench_local(|| changes(&schema, &old, &new));
 }
--- a/crates/config/benches/size.rs
+++ b/crates/config/benches/size.rs
@@ -1,9 +1,9 @@
 //! What checking and comparing costs by the number of entries, and the most memory that it takes: `make bench-config`.
 //! Counts of bytes are the same from run to run; times are compared within this one run alone.
 
-use asterlatch_config::host;
-use asterlatch_config::load::{read, Held, Outcome};
-use asterlatch_config::meaning::changes;
+use asterlatch_config::load::{read, LoadOutcome, MemorySource};
+use asterlatch_config::resolved::changes;
+use asterlatch_config::service_schema;
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -32,7 +32,7 @@
 const INCLUDES: usize = 50;
 const RUNS: usize = 40;
 
-fn files(entries: usize, timeout: usize) -> Held {
+fn files(entries: usize, timeout: usize) -> MemorySource {
     let mut files = BTreeMap::new();
     let mut root = String::new();
     for include in 0..INCLUDES {
@@ -48,12 +48,17 @@
         files.insert(name, text.into_bytes());
     }
     files.insert("root.latch".to_owned(), root.into_bytes());
-    Held(files)
+    MemorySource(files)
 }
 
-fn check(files: &Held) -> Outcome {
-    let outcome = read("root.latch", files, &host::registry(), host::MACHINE);
-    assert!(outcome.meaning.is_some(), "{}", outcome.text());
+fn check(files: &MemorySource) -> LoadOutcome {
+    let outcome = read(
+        "root.latch",
+        files,
+        &service_schema::schema(),
+        service_schema::DEFAULT_MACHINE,
+    );
+    assert!(outcome.settings.is_some(), "{}", outcome.render_diagnostics());
     outcome
 }
 
@@ -68,7 +73,7 @@
 }
 
 fn main() {
-    let registry = host::registry();
+    let schema = service_schema::schema();
     println!("entries  check/entry  diff/entry  peak bytes/entry   (ratios to 1,000 entries)");
     let mut rows = Vec::new();
     for entries in [100, 1000, 10_000] {
@@ -78,11 +83,11 @@
         let outcome = check(&old);
         let peak = MOST.load(Ordering::Relaxed) - before;
         let (a, b) = (
-            outcome.meaning.expect("valid"),
-            check(&new).meaning.expect("valid"),
+            outcome.settings.expect("valid"),
+            check(&new).settings.expect("valid"),
         );
         let checked = shortest(|| drop(check(&old)));
-        let compared = shortest(|| assert_eq!(changes(&registry, &a, &b).len(), entries));
+        let compared = shortest(|| assert_eq!(changes(&schema, &a, &b).len(), entries));
         let each = |d: Duration| d.as_secs_f64() / entries as f64;
         rows.push((
             entries,
--- a/crates/config/src/report.rs
+++ b/crates/config/src/diagnostic.rs
@@ -4,15 +4,15 @@
 
 /// A stretch of a file's text, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct SourceLocation {
     pub file: u32,
     pub start: u32,
     pub end: u32,
 }
 
-impl Place {
-    pub fn to(self, last: Place) -> Place {
-        Place {
+impl SourceLocation {
+    pub fn to(self, last: SourceLocation) -> SourceLocation {
+        SourceLocation {
             end: last.end,
             ..self
         }
@@ -20,48 +20,48 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Weight {
+pub enum Severity {
     Error,
     /// Legal and unwise.
     Warning,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
-    pub weight: Weight,
-    pub place: Place,
+pub struct Diagnostic {
+    pub severity: Severity,
+    pub location: SourceLocation,
     pub message: String,
     /// What would mend it.
     pub help: Option<String>,
     /// Other places that have to do with it, each with its part in it.
-    pub beside: Vec<(Place, String)>,
+    pub related: Vec<(SourceLocation, String)>,
 }
 
-impl Report {
-    pub fn error(place: Place, message: impl Into<String>) -> Report {
-        Report {
-            weight: Weight::Error,
-            place,
+impl Diagnostic {
+    pub fn error(location: SourceLocation, message: impl Into<String>) -> Diagnostic {
+        Diagnostic {
+            severity: Severity::Error,
+            location,
             message: message.into(),
             help: None,
-            beside: Vec::new(),
+            related: Vec::new(),
         }
     }
 
-    pub fn help(mut self, help: impl Into<String>) -> Report {
+    pub fn with_help(mut self, help: impl Into<String>) -> Diagnostic {
         self.help = Some(help.into());
         self
     }
 
-    pub fn beside(mut self, place: Place, part: impl Into<String>) -> Report {
-        self.beside.push((place, part.into()));
+    pub fn with_related(mut self, location: SourceLocation, part: impl Into<String>) -> Diagnostic {
+        self.related.push((location, part.into()));
         self
     }
 }
 
 /// A file as messages show it: its name as the operators know it, and its text.
 #[derive(Clone, Debug, Default)]
-pub struct Shown {
+pub struct SourceFile {
     pub name: String,
     pub text: String,
 }
@@ -69,9 +69,9 @@
 /// More of a line than this is not shown.
 const WIDEST: usize = 160;
 
-impl Shown {
+impl SourceFile {
     /// Line and column, counted from one, columns in characters.
-    pub fn at(&self, start: u32) -> (usize, usize) {
+    pub fn line_and_column(&self, start: u32) -> (usize, usize) {
         let start = (start as usize).min(self.text.len());
         let before = self.text.get(..start).unwrap_or_default();
         let line_start = before.rfind('\n').map_or(0, |n| n + 1);
@@ -98,17 +98,17 @@
     line.chars().take(WIDEST).map(tame).collect()
 }
 
-fn put_line(out: &mut String, files: &[Shown], place: Place) {
-    let Some(file) = files.get(place.file as usize) else {
+fn put_line(out: &mut String, files: &[SourceFile], location: SourceLocation) {
+    let Some(file) = files.get(location.file as usize) else {
         return;
     };
-    let (_, column) = file.at(place.start);
-    let line = shown(file.line(place.start));
+    let (_, column) = file.line_and_column(location.start);
+    let line = shown(file.line(location.start));
     if column > WIDEST {
         return;
     }
     let left = line.chars().count().saturating_sub(column - 1).max(1);
-    let marked = file.text.get(place.start as usize..place.end as usize);
+    let marked = file.text.get(location.start as usize..location.end as usize);
     let marked = marked.and_then(|m| m.lines().next()).unwrap_or_default();
     let wide = marked.chars().count().clamp(1, left);
     let _ = writeln!(
@@ -119,10 +119,10 @@
     );
 }
 
-fn head(files: &[Shown], place: Place) -> String {
-    match files.get(place.file as usize) {
+fn head(files: &[SourceFile], location: SourceLocation) -> String {
+    match files.get(location.file as usize) {
         Some(file) => {
-            let (line, column) = file.at(place.start);
+            let (line, column) = file.line_and_column(location.start);
             format!("{}:{line}:{column}", file.name)
         }
         None => "?:1:1".to_owned(),
@@ -130,24 +130,24 @@
 }
 
 /// One report as text, which ends its last line.
-pub fn text(report: &Report, files: &[Shown]) -> String {
+pub fn render(diagnostic: &Diagnostic, files: &[SourceFile]) -> String {
     let mut out = String::new();
-    let mark = match report.weight {
-        Weight::Error => "",
-        Weight::Warning => "warning: ",
+    let mark = match diagnostic.severity {
+        Severity::Error => "",
+        Severity::Warning => "warning: ",
     };
-    let message: String = report.message.chars().take(600).collect();
+    let message: String = diagnostic.message.chars().take(600).collect();
     let _ = writeln!(
         out,
         "{}: {mark}{}",
-        head(files, report.place),
+        head(files, diagnostic.location),
         shown_text(&message)
     );
-    put_line(&mut out, files, report.place);
-    for (place, part) in &report.beside {
-        let _ = writeln!(out, "  {}: {}", head(files, *place), shown_text(part));
+    put_line(&mut out, files, diagnostic.location);
+    for (location, part) in &diagnostic.related {
+        let _ = writeln!(out, "  {}: {}", head(files, *location), shown_text(part));
     }
-    if let Some(help) = &report.help {
+    if let Some(help) = &diagnostic.help {
         let _ = writeln!(out, "  help: {}", shown_text(help));
     }
     out
--- a/crates/config/src/eval.rs
+++ b/crates/config/src/eval.rs
@@ -1,8 +1,8 @@
 //! Runs a file's statements. Always comes to an end: steps, values and calls are bounded, and nothing outside the
 //! files is asked. A faulty value stands for itself from then on, so that each fault is told once.
 
-use crate::parse::MOST_REPORTS;
-use crate::report::{nearest, Place, Report};
+use crate::diagnostic::{nearest, Diagnostic, SourceLocation};
+use crate::parse::MAX_DIAGNOSTICS;
 use crate::syntax::*;
 use crate::unit::{Quantity, Unit};
 use crate::value::{Own, Value, OWN};
@@ -20,21 +20,21 @@
 
 /// A section of the settings that a file states.
 #[derive(Clone, Debug)]
-pub struct Stated {
-    pub section: usize,
-    pub place: Place,
+pub struct SectionStatement {
+    pub section_index: usize,
+    pub location: SourceLocation,
     /// The key of a section that has one for each name.
-    pub key: Option<(Rc<str>, Place)>,
-    pub settings: Vec<(Named, Value, Place)>,
+    pub key: Option<(Rc<str>, SourceLocation)>,
+    pub settings: Vec<(Named, Value, SourceLocation)>,
 }
 
 /// The names of a file's top.
-pub type Names = BTreeMap<Rc<str>, (Value, Place)>;
+pub type Names = BTreeMap<Rc<str>, (Value, SourceLocation)>;
 
 #[derive(Default)]
 pub struct Run {
-    pub reports: Vec<Report>,
-    pub stated: Vec<Stated>,
+    pub diagnostics: Vec<Diagnostic>,
+    pub stated: Vec<SectionStatement>,
     /// Of each file that has been run, by its number.
     pub names: Vec<Names>,
     steps: u64,
@@ -61,42 +61,42 @@
 type Done<T> = Result<T, Faulty>;
 
 impl Run {
-    pub fn report(&mut self, report: Report) {
-        if self.reports.len() < MOST_REPORTS {
-            self.reports.push(report);
+    pub fn report(&mut self, diagnostic: Diagnostic) {
+        if self.diagnostics.len() < MAX_DIAGNOSTICS {
+            self.diagnostics.push(diagnostic);
         }
     }
 
-    fn fault<T>(&mut self, report: Report) -> Done<T> {
-        self.report(report);
+    fn fault<T>(&mut self, diagnostic: Diagnostic) -> Done<T> {
+        self.report(diagnostic);
         Err(Faulty)
     }
 
-    fn wrong<T>(&mut self, place: Place, message: impl Into<String>) -> Done<T> {
-        self.fault(Report::error(place, message))
+    fn wrong<T>(&mut self, location: SourceLocation, message: impl Into<String>) -> Done<T> {
+        self.fault(Diagnostic::error(location, message))
     }
 
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    fn step(&mut self, place: Place, cost: u64) -> Done<()> {
+    fn step(&mut self, location: SourceLocation, cost: u64) -> Done<()> {
         self.steps = self.steps.saturating_add(cost);
-        self.within(place, self.steps > MOST_STEPS, "takes too many steps")
+        self.within(location, self.steps > MOST_STEPS, "takes too many steps")
     }
 
-    fn made(&mut self, place: Place, count: usize) -> Done<()> {
+    fn made(&mut self, location: SourceLocation, count: usize) -> Done<()> {
         self.values = self.values.saturating_add(count as u64);
-        self.within(place, self.values > MOST_VALUES, "makes too many values")
+        self.within(location, self.values > MOST_VALUES, "makes too many values")
     }
 
-    fn within(&mut self, place: Place, passed: bool, message: &str) -> Done<()> {
+    fn within(&mut self, location: SourceLocation, passed: bool, message: &str) -> Done<()> {
         if self.stopped {
             return Err(Faulty);
         }
         if passed {
             self.stopped = true;
-            return self.wrong(place, message);
+            return self.wrong(location, message);
         }
         Ok(())
     }
@@ -118,8 +118,8 @@
                 let mut seen: Vec<&str> = Vec::new();
                 for (param, _) in &def.params {
                     if seen.contains(&&*param.name) {
-                        self.report(Report::error(
-                            param.place,
+                        self.report(Diagnostic::error(
+                            param.location,
                             format!("a second parameter '{}'", param.name),
                         ));
                     }
@@ -132,7 +132,8 @@
                 let value = self.value_or_broken(&mut frame, expr);
                 if !is_call && !value.is_broken() {
                     self.report(
-                        Report::error(expr.place, "this value goes nowhere").help("set a name to it"),
+                        Diagnostic::error(expr.location, "this value goes nowhere")
+                            .with_help("set a name to it"),
                     );
                 }
             }
@@ -143,18 +144,18 @@
     pub fn set_top(&mut self, file: u32, sections: &Sections, to: &Named, value: Value) {
         let own = OWN.iter().any(|(name, _)| *name == &*to.name);
         if own || sections.iter().any(|(name, _)| *name == &*to.name) {
-            return self.report(Report::error(
-                to.place,
+            return self.report(Diagnostic::error(
+                to.location,
                 format!("'{}' is a name of the language", to.name),
             ));
         }
         let names = &mut self.names[file as usize];
         if let Some((_, before)) = names.get(&to.name) {
-            let report = Report::error(to.place, format!("'{}' is set a second time", to.name));
+            let diagnostic = Diagnostic::error(to.location, format!("'{}' is set a second time", to.name));
             let before = *before;
-            return self.report(report.beside(before, "first set here"));
+            return self.report(diagnostic.with_related(before, "first set here"));
         }
-        names.insert(to.name.clone(), (value, to.place));
+        names.insert(to.name.clone(), (value, to.location));
     }
 
     fn value_or_broken(&mut self, frame: &mut Frame, expr: &Expr) -> Value {
@@ -162,28 +163,28 @@
     }
 
     fn value(&mut self, frame: &mut Frame, expr: &Expr) -> Done<Value> {
-        self.step(expr.place, 1)?;
-        let place = expr.place;
+        self.step(expr.location, 1)?;
+        let location = expr.location;
         match &expr.kind {
-            Kind::Name(name) => self.look_up(frame, name, place),
+            Kind::Name(name) => self.look_up(frame, name, location),
             Kind::Quantity(q) => Ok(Value::Quantity(*q)),
             Kind::Text(text) => Ok(Value::Text(text.clone())),
             Kind::Bool(truth) => Ok(Value::Bool(*truth)),
             Kind::None => Ok(Value::None),
             Kind::List(all) => {
-                self.made(place, all.len())?;
+                self.made(location, all.len())?;
                 let all = all.iter().map(|e| self.value_or_broken(frame, e)).collect();
-                self.list(all, place)
+                self.list(all, location)
             }
             Kind::Dict(pairs) => {
                 let mut dict = DictMade::default();
                 for (key, value) in pairs {
-                    let at = key.place;
+                    let at = key.location;
                     let key = self.value(frame, key)?;
                     let value = self.value_or_broken(frame, value);
                     self.put(&mut dict, key, value, at)?;
                 }
-                self.dict(dict, place)
+                self.dict(dict, location)
             }
             Kind::Comprehension { body, clauses } => {
                 let depth = frame.locals.len();
@@ -192,15 +193,15 @@
                 frame.locals.truncate(depth);
                 done?;
                 match body.1 {
-                    Some(_) => self.dict(made.dict, place),
-                    None => self.list(made.list, place),
+                    Some(_) => self.dict(made.dict, location),
+                    None => self.list(made.list, location),
                 }
             }
-            Kind::Call { callee, arguments } => self.call(frame, callee, arguments, place),
+            Kind::Call { callee, arguments } => self.call(frame, callee, arguments, location),
             Kind::Index(both) => {
                 let of = self.value(frame, &both.0)?;
                 let at = self.value(frame, &both.1)?;
-                self.index(of, at, both.1.place)
+                self.index(of, at, both.1.location)
             }
             Kind::Not(inner) => {
                 let truth = self.truth(frame, inner)?;
@@ -209,10 +210,10 @@
             Kind::Minus(inner) => match self.value(frame, inner)? {
                 Value::Quantity(q) => match q.amount.checked_neg() {
                     Some(amount) => Ok(Value::Quantity(Quantity { amount, ..q })),
-                    None => self.wrong(place, "the result is too large"),
+                    None => self.wrong(location, "the result is too large"),
                 },
                 Value::Broken => Err(Faulty),
-                other => self.wrong(inner.place, format!("{} has no negative", other.name())),
+                other => self.wrong(inner.location, format!("{} has no negative", other.name())),
             },
             Kind::Chain(first, rest) => self.chain(frame, first, rest),
             Kind::If(parts) => {
@@ -223,7 +224,7 @@
         }
     }
 
-    fn look_up(&mut self, frame: &Frame, name: &Rc<str>, place: Place) -> Done<Value> {
+    fn look_up(&mut self, frame: &Frame, name: &Rc<str>, location: SourceLocation) -> Done<Value> {
         let local = frame.locals.iter().rev().find(|(n, _)| n == name);
         let top = &self.names[frame.file as usize];
         let found = local.map(|(_, v)| v).or_else(|| top.get(name).map(|(v, _)| v));
@@ -243,7 +244,7 @@
         if self.torn.contains(&frame.file) {
             return Err(Faulty);
         }
-        let report = Report::error(place, format!("nothing is called '{name}' here"));
+        let diagnostic = Diagnostic::error(location, format!("nothing is called '{name}' here"));
         let known = frame
             .locals
             .iter()
@@ -255,8 +256,8 @@
             .chain(frame.sections.iter().map(|(n, _)| *n));
         let near = nearest(name, known.chain(own)).map(|n| format!("'{n}' was meant?"));
         self.fault(match near {
-            Some(help) => report.help(help),
-            None => report,
+            Some(help) => diagnostic.with_help(help),
+            None => diagnostic,
         })
     }
 
@@ -265,7 +266,7 @@
             Value::Bool(truth) => Ok(truth),
             Value::Broken => Err(Faulty),
             other => self.wrong(
-                expr.place,
+                expr.location,
                 format!("a truth value is needed, this is {}", other.name()),
             ),
         }
@@ -283,10 +284,10 @@
             match &body.1 {
                 Some(value) => {
                     let value = self.value(frame, value)?;
-                    self.put(&mut made.dict, first, value, body.0.place)?;
+                    self.put(&mut made.dict, first, value, body.0.location)?;
                 }
                 None => {
-                    self.made(body.0.place, 1)?;
+                    self.made(body.0.location, 1)?;
                     made.list.push(first);
                 }
             }
@@ -303,17 +304,18 @@
                 let list = match self.value(frame, over)? {
                     Value::List(list, _) => list,
                     Value::Dict(..) => {
-                        let report = Report::error(over.place, "a dict is gone over by keys(x) or items(x)");
-                        return self.fault(report);
+                        let diagnostic =
+                            Diagnostic::error(over.location, "a dict is gone over by keys(x) or items(x)");
+                        return self.fault(diagnostic);
                     }
                     other => {
                         let message = format!("'for' goes over a list, this is {}", other.name());
-                        return self.wrong(over.place, message);
+                        return self.wrong(over.location, message);
                     }
                 };
                 for item in list.iter() {
                     let depth = frame.locals.len();
-                    self.bind(frame, names, item, over.place)?;
+                    self.bind(frame, names, item, over.location)?;
                     let done = self.clauses(frame, body, rest, made);
                     frame.locals.truncate(depth);
                     done?;
@@ -323,7 +325,13 @@
         }
     }
 
-    fn bind(&mut self, frame: &mut Frame, names: &[Named], item: &Value, place: Place) -> Done<()> {
+    fn bind(
+        &mut self,
+        frame: &mut Frame,
+        names: &[Named],
+        item: &Value,
+        location: SourceLocation,
+    ) -> Done<()> {
         if let [name] = names {
             frame.locals.push((name.name.clone(), item.clone()));
             return Ok(());
@@ -340,49 +348,49 @@
             other => {
                 let count = names.len();
                 self.wrong(
-                    place,
+                    location,
                     format!("{count} names need lists of {count}, found {}", other.name()),
                 )
             }
         }
     }
 
-    fn put(&mut self, dict: &mut DictMade, key: Value, value: Value, place: Place) -> Done<()> {
-        self.made(place, 2)?;
+    fn put(&mut self, dict: &mut DictMade, key: Value, value: Value, location: SourceLocation) -> Done<()> {
+        self.made(location, 2)?;
         let text = match &key {
             Value::Text(text) => (0, text.to_string()),
             Value::Quantity(q) => (1 + q.unit as u8, q.amount.to_string()),
             Value::Broken => return Err(Faulty),
             other => {
                 return self.wrong(
-                    place,
+                    location,
                     format!("a key is a text or a number, this is {}", other.name()),
                 )
             }
         };
-        if let Some(before) = dict.seen.insert(text, place) {
-            let report = Report::error(place, "this key is in the dict already");
-            return self.fault(report.beside(before, "first here"));
+        if let Some(before) = dict.seen.insert(text, location) {
+            let diagnostic = Diagnostic::error(location, "this key is in the dict already");
+            return self.fault(diagnostic.with_related(before, "first here"));
         }
         dict.pairs.push((key, value));
         Ok(())
     }
 
-    fn list(&mut self, all: Vec<Value>, place: Place) -> Done<Value> {
+    fn list(&mut self, all: Vec<Value>, location: SourceLocation) -> Done<Value> {
         match Value::list(all) {
             Some(list) => Ok(list),
-            None => self.wrong(place, TOO_DEEP),
+            None => self.wrong(location, TOO_DEEP),
         }
     }
 
-    fn dict(&mut self, made: DictMade, place: Place) -> Done<Value> {
+    fn dict(&mut self, made: DictMade, location: SourceLocation) -> Done<Value> {
         match Value::dict(made.pairs) {
             Some(dict) => Ok(dict),
-            None => self.wrong(place, TOO_DEEP),
+            None => self.wrong(location, TOO_DEEP),
         }
     }
 
-    fn index(&mut self, of: Value, at: Value, place: Place) -> Done<Value> {
+    fn index(&mut self, of: Value, at: Value, location: SourceLocation) -> Done<Value> {
         let found = match (&of, &at) {
             (Value::List(list, _), Value::Quantity(q)) if q.unit == Unit::Count => {
                 let found = usize::try_from(q.amount).ok().and_then(|n| list.get(n));
@@ -390,7 +398,7 @@
                     Some(value) => value.clone(),
                     None => {
                         let message = format!("the list has {} values, counted from 0", list.len());
-                        return self.wrong(place, message);
+                        return self.wrong(location, message);
                     }
                 }
             }
@@ -398,14 +406,19 @@
                 let mut cost = 0;
                 let found = dict.iter().find(|(k, _)| k.equals(key, &mut cost) == Some(true));
                 let found = found.map(|(_, value)| value.clone());
-                self.step(place, cost)?;
+                self.step(location, cost)?;
                 match found {
                     Some(value) => value,
-                    None => return self.wrong(place, "the dict has no such key"),
+                    None => return self.wrong(location, "the dict has no such key"),
                 }
             }
             (Value::Broken, _) | (_, Value::Broken) => return Err(Faulty),
-            (of, at) => return self.wrong(place, format!("{} can't be asked for {}", of.name(), at.name())),
+            (of, at) => {
+                return self.wrong(
+                    location,
+                    format!("{} can't be asked for {}", of.name(), at.name()),
+                )
+            }
         };
         if found.is_broken() {
             return Err(Faulty);
@@ -425,18 +438,24 @@
             return Ok(Value::Bool(truth));
         }
         let mut left = self.value(frame, first)?;
-        let mut place = first.place;
+        let mut location = first.location;
         for (operator, operand) in rest {
             let right = self.value(frame, operand)?;
-            place = place.to(operand.place);
-            left = self.apply(*operator, left, right, place)?;
+            location = location.to(operand.location);
+            left = self.apply(*operator, left, right, location)?;
         }
         Ok(left)
     }
 
-    fn apply(&mut self, operator: Operator, left: Value, right: Value, place: Place) -> Done<Value> {
+    fn apply(
+        &mut self,
+        operator: Operator,
+        left: Value,
+        right: Value,
+        location: SourceLocation,
+    ) -> Done<Value> {
         use Operator::*;
-        self.step(place, 1)?;
+        self.step(location, 1)?;
         if left.is_broken() || right.is_broken() {
             return Err(Faulty);
         }
@@ -444,10 +463,10 @@
             Equal | Unequal => {
                 let mut cost = 0;
                 let same = left.equals(&right, &mut cost);
-                self.step(place, cost)?;
+                self.step(location, cost)?;
                 match same {
                     Some(same) => Ok(Value::Bool(same == (operator == Equal))),
-                    None => self.unlike("compared", &left, &right, place),
+                    None => self.unlike("compared", &left, &right, location),
                 }
             }
             In | NotIn => {
@@ -457,18 +476,18 @@
                     Value::Dict(all, _) => all.iter().any(|(k, _)| k.equals(&left, &mut cost) == Some(true)),
                     Value::Text(text) => match &left {
                         Value::Text(part) => text.contains(&**part),
-                        _ => return self.unlike("sought in one another", &left, &right, place),
+                        _ => return self.unlike("sought in one another", &left, &right, location),
                     },
-                    _ => return self.unlike("sought in one another", &left, &right, place),
+                    _ => return self.unlike("sought in one another", &left, &right, location),
                 };
-                self.step(place, cost)?;
+                self.step(location, cost)?;
                 Ok(Value::Bool(found == (operator == In)))
             }
             Less | LessEqual | Greater | GreaterEqual => {
                 let order = match (&left, &right) {
                     (Value::Quantity(a), Value::Quantity(b)) if a.unit == b.unit => a.amount.cmp(&b.amount),
                     (Value::Text(a), Value::Text(b)) => a.cmp(b),
-                    _ => return self.unlike("compared", &left, &right, place),
+                    _ => return self.unlike("compared", &left, &right, location),
                 };
                 Ok(Value::Bool(match operator {
                     Less => order.is_lt(),
@@ -477,35 +496,41 @@
                     _ => order.is_ge(),
                 }))
             }
-            _ => self.sum(operator, left, right, place),
+            _ => self.sum(operator, left, right, location),
         }
     }
 
-    fn unlike(&mut self, verb: &str, left: &Value, right: &Value, place: Place) -> Done<Value> {
+    fn unlike(&mut self, verb: &str, left: &Value, right: &Value, location: SourceLocation) -> Done<Value> {
         let message = format!("{} and {} can't be {verb}", left.name(), right.name());
-        let report = Report::error(place, message);
+        let diagnostic = Diagnostic::error(location, message);
         let units = [left, right].map(|v| match v {
             Value::Quantity(q) => Some(q.unit),
             _ => None,
         });
         self.fault(match units {
             [Some(Unit::Count), Some(other)] | [Some(other), Some(Unit::Count)] if other != Unit::Count => {
-                report.help(format!("give the number its unit, as in {}", other.example()))
+                diagnostic.with_help(format!("give the number its unit, as in {}", other.example()))
             }
-            _ => report,
+            _ => diagnostic,
         })
     }
 
-    fn sum(&mut self, operator: Operator, left: Value, right: Value, place: Place) -> Done<Value> {
+    fn sum(
+        &mut self,
+        operator: Operator,
+        left: Value,
+        right: Value,
+        location: SourceLocation,
+    ) -> Done<Value> {
         use Operator::*;
         let (a, b) = match (&left, &right) {
             (Value::Text(a), Value::Text(b)) if operator == Plus => {
-                self.made(place, (a.len() + b.len()) / 16 + 1)?;
+                self.made(location, (a.len() + b.len()) / 16 + 1)?;
                 return Ok(Value::Text(Rc::from(format!("{a}{b}"))));
             }
             (Value::List(a, _), Value::List(b, _)) if operator == Plus => {
-                self.made(place, a.len() + b.len())?;
-                return self.list(a.iter().chain(b.iter()).cloned().collect(), place);
+                self.made(location, a.len() + b.len())?;
+                return self.list(a.iter().chain(b.iter()).cloned().collect(), location);
             }
             (Value::Quantity(a), Value::Quantity(b)) => (*a, *b),
             _ => {
@@ -515,15 +540,15 @@
                     Times => "multiplied",
                     _ => "divided",
                 };
-                return self.unlike(verb, &left, &right, place);
+                return self.unlike(verb, &left, &right, location);
             }
         };
         let (x, y) = (i128::from(a.amount), i128::from(b.amount));
         let (unit, amount) = match (operator, a.unit, b.unit) {
             (Plus, u, v) if u == v => (u, x + y),
             (Minus, u, v) if u == v => (u, x - y),
-            (Plus, ..) => return self.unlike("added", &left, &right, place),
-            (Minus, ..) => return self.unlike("taken from one another", &left, &right, place),
+            (Plus, ..) => return self.unlike("added", &left, &right, location),
+            (Minus, ..) => return self.unlike("taken from one another", &left, &right, location),
             (Times, u, Unit::Count) => (u, x * y),
             (Times, Unit::Count, v) => (v, x * y),
             (Times, Unit::Share, v) | (Times, v, Unit::Share) => (v, (x * y).div_euclid(1_000_000)),
@@ -531,16 +556,16 @@
             (Times, Unit::Rate, Unit::Duration) | (Times, Unit::Duration, Unit::Rate) => {
                 (Unit::Count, (x * y).div_euclid(3_600_000_000_000))
             }
-            (Times, ..) => return self.unlike("multiplied", &left, &right, place),
-            (Over | Rest, ..) if y == 0 => return self.wrong(place, "divided by nothing"),
+            (Times, ..) => return self.unlike("multiplied", &left, &right, location),
+            (Over | Rest, ..) if y == 0 => return self.wrong(location, "divided by nothing"),
             (Over, u, v) if u == v => (Unit::Count, x.div_euclid(y)),
             (Over, u, Unit::Count) => (u, x.div_euclid(y)),
             (Rest, u, v) if u == v => (u, x.rem_euclid(y)),
-            _ => return self.unlike("divided", &left, &right, place),
+            _ => return self.unlike("divided", &left, &right, location),
         };
         match i64::try_from(amount) {
             Ok(amount) => Ok(Value::Quantity(Quantity { unit, amount })),
-            Err(_) => self.wrong(place, "the result is too large"),
+            Err(_) => self.wrong(location, "the result is too large"),
         }
     }
 
@@ -549,13 +574,13 @@
         frame: &mut Frame,
         callee: &Expr,
         arguments: &[Argument],
-        place: Place,
+        location: SourceLocation,
     ) -> Done<Value> {
         let called = self.value(frame, callee)?;
-        let mut plain: Vec<(Value, Place)> = Vec::new();
-        let mut named: Vec<(Named, Value, Place)> = Vec::new();
+        let mut plain: Vec<(Value, SourceLocation)> = Vec::new();
+        let mut named: Vec<(Named, Value, SourceLocation)> = Vec::new();
         for argument in arguments {
-            let at = argument.value.place;
+            let at = argument.value.location;
             match &argument.form {
                 Form::Plain if !named.is_empty() => {
                     return self.wrong(at, "values without a name come before those with one");
@@ -575,7 +600,7 @@
                             };
                             let name = Named {
                                 name: key.clone(),
-                                place: at,
+                                location: at,
                             };
                             named.push((name, value.clone(), at));
                         }
@@ -586,40 +611,41 @@
         }
         for (n, (name, ..)) in named.iter().enumerate() {
             if let Some((before, ..)) = named[..n].iter().find(|(b, ..)| b.name == name.name) {
-                let report = Report::error(name.place, format!("'{}' is given a second time", name.name));
-                let before = before.place;
-                return self.fault(report.beside(before, "first given here"));
+                let diagnostic =
+                    Diagnostic::error(name.location, format!("'{}' is given a second time", name.name));
+                let before = before.location;
+                return self.fault(diagnostic.with_related(before, "first given here"));
             }
         }
         match called {
-            Value::Section(section) => self.state(frame, section, plain, named, place),
+            Value::Section(section) => self.state(frame, section, plain, named, location),
             Value::Own(own) => {
                 if let Some((name, ..)) = named.first() {
-                    let at = name.place;
+                    let at = name.location;
                     return self.wrong(at, "the language's own functions take no names");
                 }
-                self.own(own, &plain, place)
+                self.own(own, &plain, location)
             }
-            Value::Def(def, file) => self.call_def(frame, &def, file, plain, named, place),
-            other => self.wrong(callee.place, format!("{} can't be called", other.name())),
+            Value::Def(def, file) => self.call_def(frame, &def, file, plain, named, location),
+            other => self.wrong(callee.location, format!("{} can't be called", other.name())),
         }
     }
 
     fn state(
         &mut self,
         frame: &Frame,
-        section: usize,
-        plain: Vec<(Value, Place)>,
-        settings: Vec<(Named, Value, Place)>,
-        place: Place,
+        section_index: usize,
+        plain: Vec<(Value, SourceLocation)>,
+        settings: Vec<(Named, Value, SourceLocation)>,
+        location: SourceLocation,
     ) -> Done<Value> {
-        let (name, keyed) = frame.sections[section];
+        let (name, keyed) = frame.sections[section_index];
         let key = match (plain.as_slice(), keyed) {
             ([], false) => None,
             ([(Value::Text(key), at)], true) => Some((key.clone(), *at)),
             ([], true) => {
-                let report = Report::error(place, format!("'{name}' needs a name first"));
-                return self.fault(report.help(format!("as in {name}(\"...\", ...)")));
+                let diagnostic = Diagnostic::error(location, format!("'{name}' needs a name first"));
+                return self.fault(diagnostic.with_help(format!("as in {name}(\"...\", ...)")));
             }
             ([(other, at), ..], true) if plain.len() == 1 => {
                 let (message, at) = (format!("the name is a text, this is {}", other.name()), *at);
@@ -629,14 +655,14 @@
                 let at = plain
                     .get(1)
                     .map_or(*at, |(_, second)| if keyed { *second } else { *at });
-                let report = Report::error(at, format!("'{name}' takes its settings by name"));
-                return self.fault(report.help("write setting = value"));
+                let diagnostic = Diagnostic::error(at, format!("'{name}' takes its settings by name"));
+                return self.fault(diagnostic.with_help("write setting = value"));
             }
         };
-        self.made(place, settings.len() + 1)?;
-        self.stated.push(Stated {
-            section,
-            place,
+        self.made(location, settings.len() + 1)?;
+        self.stated.push(SectionStatement {
+            section_index,
+            location,
             key,
             settings,
         });
@@ -648,30 +674,35 @@
         frame: &Frame,
         def: &Rc<Def>,
         file: u32,
-        plain: Vec<(Value, Place)>,
-        named: Vec<(Named, Value, Place)>,
-        place: Place,
+        plain: Vec<(Value, SourceLocation)>,
+        named: Vec<(Named, Value, SourceLocation)>,
+        location: SourceLocation,
     ) -> Done<Value> {
         let name = &def.name.name;
         if self.calls.contains(name) {
-            let report = Report::error(place, format!("'{name}' calls itself"));
-            return self.fault(report.beside(def.name.place, "defined here"));
+            let diagnostic = Diagnostic::error(location, format!("'{name}' calls itself"));
+            return self.fault(diagnostic.with_related(def.name.location, "defined here"));
         }
         if self.calls.len() >= MOST_CALLS {
-            return self.wrong(place, format!("more than {MOST_CALLS} calls within one another"));
+            return self.wrong(
+                location,
+                format!("more than {MOST_CALLS} calls within one another"),
+            );
         }
         if plain.len() > def.params.len() {
-            let report = Report::error(place, format!("'{name}' takes {} values", def.params.len()));
-            return self.fault(report.beside(def.name.place, "defined here"));
+            let diagnostic =
+                Diagnostic::error(location, format!("'{name}' takes {} values", def.params.len()));
+            return self.fault(diagnostic.with_related(def.name.location, "defined here"));
         }
         if let Some((unknown, ..)) = named
             .iter()
             .find(|(n, ..)| def.params.iter().all(|(p, _)| p.name != n.name))
         {
-            let report = Report::error(unknown.place, format!("'{name}' takes no '{}'", unknown.name));
+            let diagnostic =
+                Diagnostic::error(unknown.location, format!("'{name}' takes no '{}'", unknown.name));
             let near = nearest(&unknown.name, def.params.iter().map(|(p, _)| &*p.name));
             let help = near.map(|n| format!("'{n}' was meant?"));
-            return self.fault(Report { help, ..report });
+            return self.fault(Diagnostic { help, ..diagnostic });
         }
         let locals = Vec::new();
         let mut inner = Frame {
@@ -683,15 +714,15 @@
             let given = named.iter().find(|(name, ..)| name.name == param.name);
             let value = match (plain.get(n), given, default) {
                 (Some(_), Some((twice, ..)), _) => {
-                    let at = twice.place;
+                    let at = twice.location;
                     return self.wrong(at, format!("'{}' is given a second time", param.name));
                 }
                 (Some((value, _)), ..) => value.clone(),
                 (_, Some((_, value, _)), _) => value.clone(),
                 (_, _, Some(default)) => self.value(&mut inner, default)?,
                 _ => {
-                    let report = Report::error(place, format!("'{name}' needs '{}'", param.name));
-                    return self.fault(report.beside(param.place, "it has no value of its own"));
+                    let diagnostic = Diagnostic::error(location, format!("'{name}' needs '{}'", param.name));
+                    return self.fault(diagnostic.with_related(param.location, "it has no value of its own"));
                 }
             };
             inner.locals.push((param.name.clone(), value));
@@ -717,7 +748,7 @@
         Ok(Value::None)
     }
 
-    fn own(&mut self, own: Own, given: &[(Value, Place)], place: Place) -> Done<Value> {
+    fn own(&mut self, own: Own, given: &[(Value, SourceLocation)], location: SourceLocation) -> Done<Value> {
         let count = |n: usize| Value::Quantity(Quantity::new(Unit::Count, n as i64));
         let values: Vec<&Value> = given.iter().map(|(v, _)| v).collect();
         if values.iter().any(|v| v.is_broken()) {
@@ -729,45 +760,45 @@
             (Own::Len, [Value::Text(text)]) => Ok(count(text.chars().count())),
             (Own::Range, [Value::Quantity(q)]) if q.unit == Unit::Count => {
                 let most = q.amount.max(0) as usize;
-                self.made(place, most)?;
-                self.list((0..most).map(count).collect(), place)
+                self.made(location, most)?;
+                self.list((0..most).map(count).collect(), location)
             }
             (Own::Str, [value]) => match value {
                 Value::Text(_) => Ok((*value).clone()),
                 Value::Quantity(q) => Ok(Value::Text(Rc::from(q.to_string()))),
                 Value::Bool(true) => Ok(Value::Text(Rc::from("True"))),
                 Value::Bool(false) => Ok(Value::Text(Rc::from("False"))),
-                other => self.wrong(place, format!("{} has no text", other.name())),
+                other => self.wrong(location, format!("{} has no text", other.name())),
             },
             (Own::Min | Own::Max, [Value::List(list, _)]) if !list.is_empty() => {
-                let sorted = self.sorted(list, place)?;
+                let sorted = self.sorted(list, location)?;
                 let at = if own == Own::Min { 0 } else { sorted.len() - 1 };
                 Ok(sorted[at].clone())
             }
             (Own::Min | Own::Max, [_, _, ..]) => {
                 let all: Vec<Value> = values.iter().map(|v| (*v).clone()).collect();
-                let sorted = self.sorted(&all, place)?;
+                let sorted = self.sorted(&all, location)?;
                 let at = if own == Own::Min { 0 } else { sorted.len() - 1 };
                 Ok(sorted[at].clone())
             }
             (Own::Sorted, [Value::List(list, _)]) => {
-                self.made(place, list.len())?;
-                let sorted = self.sorted(list, place)?;
-                self.list(sorted, place)
+                self.made(location, list.len())?;
+                let sorted = self.sorted(list, location)?;
+                self.list(sorted, location)
             }
             (Own::Keys, [Value::Dict(dict, _)]) => {
-                self.made(place, dict.len())?;
-                self.list(dict.iter().map(|(k, _)| k.clone()).collect(), place)
+                self.made(location, dict.len())?;
+                self.list(dict.iter().map(|(k, _)| k.clone()).collect(), location)
             }
             (Own::Items, [Value::Dict(dict, _)]) => {
-                self.made(place, dict.len() * 3)?;
+                self.made(location, dict.len() * 3)?;
                 let mut all = Vec::new();
                 for (key, value) in dict.iter() {
-                    all.push(self.list(vec![key.clone(), value.clone()], place)?);
+                    all.push(self.list(vec![key.clone(), value.clone()], location)?);
                 }
-                self.list(all, place)
+                self.list(all, location)
             }
-            (Own::Fail, [Value::Text(text)]) => self.wrong(place, text.to_string()),
+            (Own::Fail, [Value::Text(text)]) => self.wrong(location, text.to_string()),
             _ => {
                 let name = OWN.iter().find(|(_, o)| *o == own).map_or("", |(n, _)| *n);
                 let found: Vec<_> = values.iter().map(|v| v.name()).collect();
@@ -776,13 +807,13 @@
                 } else {
                     found.join(", ")
                 };
-                self.wrong(place, format!("'{name}' can't take {found}"))
+                self.wrong(location, format!("'{name}' can't take {found}"))
             }
         }
     }
 
-    fn sorted(&mut self, list: &[Value], place: Place) -> Done<Vec<Value>> {
-        self.step(place, list.len() as u64 * 8)?;
+    fn sorted(&mut self, list: &[Value], location: SourceLocation) -> Done<Vec<Value>> {
+        self.step(location, list.len() as u64 * 8)?;
         for pair in list.windows(2) {
             let alike = match (&pair[0], &pair[1]) {
                 (Value::Quantity(a), Value::Quantity(b)) => a.unit == b.unit,
@@ -791,11 +822,11 @@
                 _ => false,
             };
             if !alike {
-                self.unlike("put in order", &pair[0], &pair[1], place)?;
+                self.unlike("put in order", &pair[0], &pair[1], location)?;
             }
         }
         if let [Value::List(..) | Value::Dict(..) | Value::None | Value::Bool(_)] = list {
-            return self.wrong(place, "only texts and numbers have an order");
+            return self.wrong(location, "only texts and numbers have an order");
         }
         let mut sorted = list.to_vec();
         sorted.sort_by(|a, b| match (a, b) {
@@ -810,7 +841,7 @@
 #[derive(Default)]
 struct DictMade {
     pairs: Vec<(Value, Value)>,
-    seen: BTreeMap<(u8, String), Place>,
+    seen: BTreeMap<(u8, String), SourceLocation>,
 }
 
 #[derive(Default)]
--- a/crates/config/src/shelf.rs
+++ b/crates/config/src/generation_files.rs
@@ -5,25 +5,25 @@
 //! what follows, then the canonical meaning. The newest whole one is the one to start from; no file names it, so no
 //! second write can contradict the first.
 
-use crate::meaning::hash;
+use crate::resolved::hash;
 
 const PREFIX: &str = "generation-";
 const SUFFIX: &str = ".latch.json";
 /// What is being written is called so; found at a start, it was never ended.
-pub const UNFINISHED: &str = ".unfinished";
+pub const TEMPORARY_SUFFIX: &str = ".unfinished";
 const MAGIC: &str = "asterlatch generation";
 
-pub fn name(number: u64) -> String {
+pub fn file_name(number: u64) -> String {
     format!("{PREFIX}{number:020}{SUFFIX}")
 }
 
 /// The number of a stored generation; nothing for files of any other kind.
-pub fn number(name: &str) -> Option<u64> {
+pub fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_prefix(PREFIX)?.strip_suffix(SUFFIX)?;
     (digits.len() == 20).then(|| digits.parse().ok())?
 }
 
-pub fn written(number: u64, canonical: &str) -> String {
+pub fn encode(number: u64, canonical: &str) -> String {
     let (length, hash) = (canonical.len(), hash(canonical));
     format!("{MAGIC} {number} {length} {hash}\n{canonical}")
 }
@@ -55,7 +55,7 @@
 }
 
 /// The canonical text of a stored generation, if it is whole.
-pub fn read(number: u64, bytes: &[u8]) -> Result<&str, Damage> {
+pub fn decode(number: u64, bytes: &[u8]) -> Result<&str, Damage> {
     let text = std::str::from_utf8(bytes).map_err(|_| Damage::NotText)?;
     let (head, canonical) = text.split_once('\n').ok_or(Damage::NoHeader)?;
     let fields = head.strip_prefix(MAGIC).ok_or(Damage::NoHeader)?;
@@ -77,36 +77,36 @@
 
 /// What of a folder is what, newest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct FolderFiles {
     pub generations: Vec<u64>,
-    pub unfinished: Vec<String>,
+    pub temporary: Vec<String>,
 }
 
-pub fn plan(names: impl IntoIterator<Item = String>) -> Plan {
-    let mut plan = Plan::default();
+pub fn classify_files(names: impl IntoIterator<Item = String>) -> FolderFiles {
+    let mut files = FolderFiles::default();
     for name in names {
         match (
-            number(&name),
-            name.starts_with(PREFIX) && name.ends_with(UNFINISHED),
+            parse_file_name(&name),
+            name.starts_with(PREFIX) && name.ends_with(TEMPORARY_SUFFIX),
         ) {
-            (Some(number), _) => plan.generations.push(number),
-            (None, true) => plan.unfinished.push(name),
+            (Some(number), _) => files.generations.push(number),
+            (None, true) => files.temporary.push(name),
             // Not ours, so it stays.
             (None, false) => {}
         }
     }
-    plan.generations.sort_unstable_by(|a, b| b.cmp(a));
-    plan.unfinished.sort_unstable();
-    plan
+    files.generations.sort_unstable_by(|a, b| b.cmp(a));
+    files.temporary.sort_unstable();
+    files
 }
 
 /// The generations to let go once there are so many whole ones: the oldest, never the newest whole one. Damaged ones
 /// go as soon as a whole one is newer: until then they are all that tells what happened.
-pub fn to_let_go(newest_first: &[(u64, bool)], most: usize) -> Vec<u64> {
+pub fn generations_to_remove(newest_first: &[(u64, bool)], max_generations: usize) -> Vec<u64> {
     let mut whole = 0;
     let mut gone = Vec::new();
     for (number, is_whole) in newest_first {
-        if *is_whole && whole < most.max(1) {
+        if *is_whole && whole < max_generations.max(1) {
             whole += 1;
         } else if whole > 0 {
             gone.push(*number);
@@ -117,7 +117,7 @@
 
 /// The generation that a rollback by so many steps goes to. A step is a stored meaning that differs from the one
 /// before: storing the same again is no step.
-pub fn back(newest_first: &[(u64, String)], steps: usize) -> Option<u64> {
+pub fn rollback_target(newest_first: &[(u64, String)], steps: usize) -> Option<u64> {
     if steps == 0 {
         return None;
     }
--- a/crates/config/src/generations.rs
+++ b/crates/config/src/generations.rs
@@ -4,8 +4,8 @@
 //! A generation is *staged* by a good read, *on probation* once it is in force, and then *kept*, or *gone back* from
 //! to the one kept last. What was gone back from isn't taken again until a read brings another meaning.
 
-use crate::probation::{Judge, Sample, Terms, Verdict};
-use crate::registry::Want;
+use crate::probation::{ProbationCriteria, ProbationMonitor, Sample, Verdict};
+use crate::schema::Resource;
 use asterlatch::time::{TimeSpan, Timestamp};
 
 /// A meaning with the number it was given here, and its hash.
@@ -13,7 +13,7 @@
 pub struct Generation<M> {
     pub number: u64,
     pub hash: String,
-    pub meaning: M,
+    pub settings: M,
 }
 
 /// What the host knows of a change that the rules go by.
@@ -21,57 +21,57 @@
 pub struct Difference {
     /// Settings that are taken over now, and at the next start.
     pub live: usize,
-    pub at_start: usize,
+    pub at_next_start: usize,
     /// Wants that the live ones may cause.
-    pub may_want: Vec<Want>,
+    pub may_exhaust: Vec<Resource>,
 }
 
 /// A read of the file, told when it is over: reads may overtake one another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Read<M> {
-    Good { hash: String, meaning: M },
-    Faulty { errors: usize },
+pub enum ReadOutcome<M> {
+    Valid { hash: String, settings: M },
+    Invalid { error_count: usize },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect<M> {
+pub enum Command<M> {
     /// Put this meaning in force.
-    TakeOver(M),
+    Apply(M),
     /// Store it as the one to start from.
-    Keep(Generation<M>),
-    Tell(Told),
+    Store(Generation<M>),
+    Report(Decision),
 }
 
 /// What happened, for log and counters.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    Same,
+pub enum Decision {
+    Unchanged,
     Rejected {
-        errors: usize,
+        error_count: usize,
     },
-    Overtaken,
+    Superseded,
     /// It was gone back from before.
-    Refused {
-        why: Want,
+    AlreadyRolledBack {
+        resource: Resource,
     },
-    InForce {
+    Applied {
         number: u64,
         live: usize,
-        at_start: usize,
+        at_next_start: usize,
     },
-    Kept {
+    Confirmed {
         number: u64,
     },
-    GoneBack {
+    RolledBack {
         from: u64,
         to: u64,
-        why: Want,
+        resource: Resource,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
-    Kept,
+    Confirmed,
     Probation { until: Timestamp },
 }
 
@@ -79,22 +79,22 @@
 const LONGEST_PROBATION: u64 = 4;
 
 pub struct Generations<M> {
-    kept: Generation<M>,
+    confirmed: Generation<M>,
     in_force: Generation<M>,
     phase: Phase,
     began: Timestamp,
     /// The newest read that counted, and those given out.
     newest: u64,
     given_out: u64,
-    arrived: Option<(u64, Read<M>)>,
+    arrived: Option<(u64, ReadOutcome<M>)>,
     staged: Option<(String, M)>,
     /// The meaning that was gone back from, and for which want.
-    refused: Option<(String, Want)>,
-    judge: Judge,
+    refused: Option<(String, Resource)>,
+    monitor: ProbationMonitor,
     next_number: u64,
     /// How two meanings differ, and the terms that one states.
     compare: fn(&M, &M) -> Difference,
-    terms: fn(&M) -> Terms,
+    criteria: fn(&M) -> ProbationCriteria,
 }
 
 impl<M: Clone> Generations<M> {
@@ -102,38 +102,38 @@
     pub fn new(
         number: u64,
         hash: String,
-        meaning: M,
+        settings: M,
         compare: fn(&M, &M) -> Difference,
-        terms: fn(&M) -> Terms,
+        criteria: fn(&M) -> ProbationCriteria,
     ) -> Generations<M> {
         let first = Generation {
             number,
             hash,
-            meaning,
+            settings,
         };
         Generations {
-            kept: first.clone(),
+            confirmed: first.clone(),
             in_force: first,
-            phase: Phase::Kept,
+            phase: Phase::Confirmed,
             began: Timestamp(0),
             newest: 0,
             given_out: 0,
             arrived: None,
             staged: None,
             refused: None,
-            judge: Judge::default(),
+            monitor: ProbationMonitor::default(),
             next_number: number + 1,
             compare,
-            terms,
+            criteria,
         }
     }
 
-    pub fn in_force(&self) -> &Generation<M> {
+    pub fn applied(&self) -> &Generation<M> {
         &self.in_force
     }
 
     pub fn is_on_probation(&self) -> bool {
-        self.phase != Phase::Kept
+        self.phase != Phase::Confirmed
     }
 
     /// The ticket of a read that begins now.
@@ -142,18 +142,18 @@
         self.given_out
     }
 
-    pub fn read_ended(&mut self, now: Timestamp, ticket: u64, read: Read<M>) -> Vec<Effect<M>> {
+    pub fn on_read(&mut self, now: Timestamp, ticket: u64, read: ReadOutcome<M>) -> Vec<Command<M>> {
         self.arrived = Some((ticket, read));
         self.go(now)
     }
 
     /// What the driver counts, from time to time; what was there before a change is judged by it too.
-    pub fn counted(&mut self, now: Timestamp, sample: Sample) -> Vec<Effect<M>> {
-        self.judge.note(now, sample);
+    pub fn on_sample(&mut self, now: Timestamp, sample: Sample) -> Vec<Command<M>> {
+        self.monitor.record(now, sample);
         self.go(now)
     }
 
-    pub fn time_reached(&mut self, now: Timestamp) -> Vec<Effect<M>> {
+    pub fn advance_to(&mut self, now: Timestamp) -> Vec<Command<M>> {
         self.go(now)
     }
 
@@ -161,69 +161,69 @@
     pub fn next_at(&self) -> Option<Timestamp> {
         match self.phase {
             Phase::Probation { until } => Some(until),
-            Phase::Kept => None,
+            Phase::Confirmed => None,
         }
     }
 
-    fn go(&mut self, now: Timestamp) -> Vec<Effect<M>> {
-        let mut effects = Vec::new();
+    fn go(&mut self, now: Timestamp) -> Vec<Command<M>> {
+        let mut commands = Vec::new();
         while let Some(more) = self.rule(now) {
-            effects.extend(more);
+            commands.extend(more);
         }
-        effects
+        commands
     }
 
     /// The first rule whose condition holds.
-    fn rule(&mut self, now: Timestamp) -> Option<Vec<Effect<M>>> {
-        self.overtaken()
+    fn rule(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
+        self.superseded()
             .or_else(|| self.rejected())
-            .or_else(|| self.refused_before())
-            .or_else(|| self.same())
+            .or_else(|| self.already_rolled_back())
+            .or_else(|| self.unchanged())
             .or_else(|| self.stage())
-            .or_else(|| self.take_over(now))
-            .or_else(|| self.go_back(now))
+            .or_else(|| self.apply(now))
+            .or_else(|| self.roll_back(now))
             .or_else(|| self.prolong(now))
-            .or_else(|| self.keep(now))
+            .or_else(|| self.confirm(now))
     }
 
     /// A read that began before one that has ended is of an older file.
-    fn overtaken(&mut self) -> Option<Vec<Effect<M>>> {
+    fn superseded(&mut self) -> Option<Vec<Command<M>>> {
         let (ticket, _) = self.arrived.as_ref()?;
         if *ticket > self.newest {
             return None;
         }
         self.arrived = None;
-        Some(vec![Effect::Tell(Told::Overtaken)])
+        Some(vec![Command::Report(Decision::Superseded)])
     }
 
     /// A faulty file changes nothing, also not what was staged or is on probation. It doesn't make a good read that
     /// began before it old: the last valid one counts.
-    fn rejected(&mut self) -> Option<Vec<Effect<M>>> {
-        let (_, Read::Faulty { errors }) = self.arrived.as_ref()? else {
+    fn rejected(&mut self) -> Option<Vec<Command<M>>> {
+        let (_, ReadOutcome::Invalid { error_count }) = self.arrived.as_ref()? else {
             return None;
         };
-        let errors = *errors;
+        let error_count = *error_count;
         self.arrived = None;
-        Some(vec![Effect::Tell(Told::Rejected { errors })])
+        Some(vec![Command::Report(Decision::Rejected { error_count })])
     }
 
     /// What did harm isn't taken a second time: the file must say something else first.
-    fn refused_before(&mut self) -> Option<Vec<Effect<M>>> {
-        let (ticket, Read::Good { hash, .. }) = self.arrived.as_ref()? else {
+    fn already_rolled_back(&mut self) -> Option<Vec<Command<M>>> {
+        let (ticket, ReadOutcome::Valid { hash, .. }) = self.arrived.as_ref()? else {
             return None;
         };
-        let (refused, why) = self.refused.as_ref()?;
+        let (refused, resource) = self.refused.as_ref()?;
         if refused != hash {
             return None;
         }
-        let why = *why;
+        let resource = *resource;
         self.newest = *ticket;
         self.arrived = None;
-        Some(vec![Effect::Tell(Told::Refused { why })])
+        Some(vec![Command::Report(Decision::AlreadyRolledBack { resource })])
     }
 
-    fn same(&mut self) -> Option<Vec<Effect<M>>> {
-        let (ticket, Read::Good { hash, .. }) = self.arrived.as_ref()? else {
+    fn unchanged(&mut self) -> Option<Vec<Command<M>>> {
+        let (ticket, ReadOutcome::Valid { hash, .. }) = self.arrived.as_ref()? else {
             return None;
         };
         if *hash != self.in_force.hash {
@@ -233,14 +233,14 @@
         // The file says again what is in force: what was refused since then may be tried again later.
         self.refused = None;
         self.arrived = None;
-        Some(vec![Effect::Tell(Told::Same)])
+        Some(vec![Command::Report(Decision::Unchanged)])
     }
 
-    fn stage(&mut self) -> Option<Vec<Effect<M>>> {
+    fn stage(&mut self) -> Option<Vec<Command<M>>> {
         match self.arrived.take()? {
-            (ticket, Read::Good { hash, meaning }) => {
+            (ticket, ReadOutcome::Valid { hash, settings }) => {
                 self.newest = ticket;
-                self.staged = Some((hash, meaning));
+                self.staged = Some((hash, settings));
                 Some(Vec::new())
             }
             faulty => {
@@ -253,76 +253,78 @@
     /// What is staged goes in force. A change that can't do harm, for it lies in no setting that anything is watched
     /// of, or because the operators want no probation, is kept at once. One that comes while another is on probation
     /// takes its place, and both are judged against the one kept last.
-    fn take_over(&mut self, now: Timestamp) -> Option<Vec<Effect<M>>> {
-        let (hash, meaning) = self.staged.take()?;
+    fn apply(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
+        let (hash, settings) = self.staged.take()?;
         let next = Generation {
             number: self.next_number,
             hash,
-            meaning,
+            settings,
         };
         self.next_number += 1;
         self.refused = None;
-        let step = (self.compare)(&self.in_force.meaning, &next.meaning);
-        let whole = (self.compare)(&self.kept.meaning, &next.meaning);
-        let probation = (self.terms)(&next.meaning).probation;
-        let was_kept = self.phase == Phase::Kept;
+        let step = (self.compare)(&self.in_force.settings, &next.settings);
+        let whole = (self.compare)(&self.confirmed.settings, &next.settings);
+        let probation = (self.criteria)(&next.settings).probation;
+        let was_confirmed = self.phase == Phase::Confirmed;
         self.in_force = next;
-        let told = Told::InForce {
+        let decision = Decision::Applied {
             number: self.in_force.number,
             live: step.live,
-            at_start: step.at_start,
+            at_next_start: step.at_next_start,
         };
-        let mut effects = vec![
-            Effect::TakeOver(self.in_force.meaning.clone()),
-            Effect::Tell(told),
+        let mut commands = vec![
+            Command::Apply(self.in_force.settings.clone()),
+            Command::Report(decision),
         ];
-        if whole.may_want.is_empty() || probation == TimeSpan(0) {
-            effects.extend(self.keep_now());
-            return Some(effects);
+        if whole.may_exhaust.is_empty() || probation == TimeSpan(0) {
+            commands.extend(self.confirm_now());
+            return Some(commands);
         }
-        if was_kept {
-            self.judge.change(now);
+        if was_confirmed {
+            self.monitor.begin(now);
             self.began = now;
         }
-        self.judge.may_want(whole.may_want);
+        self.monitor.watch(whole.may_exhaust);
         self.phase = Phase::Probation {
             until: now + probation,
         };
-        Some(effects)
+        Some(commands)
     }
 
-    fn terms_in_force(&self) -> Terms {
-        (self.terms)(&self.in_force.meaning)
+    fn criteria_in_force(&self) -> ProbationCriteria {
+        (self.criteria)(&self.in_force.settings)
     }
 
-    fn go_back(&mut self, now: Timestamp) -> Option<Vec<Effect<M>>> {
-        if self.phase == Phase::Kept {
+    fn roll_back(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
+        if self.phase == Phase::Confirmed {
             return None;
         }
         // By the terms of both: a file must not talk itself out of its probation.
-        let terms = self.terms_in_force().stricter((self.terms)(&self.kept.meaning));
-        let Verdict::Harm(why) = self.judge.verdict(now, terms) else {
+        let criteria = self
+            .criteria_in_force()
+            .stricter((self.criteria)(&self.confirmed.settings));
+        let Verdict::Harmful(resource) = self.monitor.verdict(now, criteria) else {
             return None;
         };
         let from = self.in_force.number;
-        self.refused = Some((self.in_force.hash.clone(), why));
-        self.in_force = self.kept.clone();
-        self.phase = Phase::Kept;
-        let to = self.kept.number;
+        self.refused = Some((self.in_force.hash.clone(), resource));
+        self.in_force = self.confirmed.clone();
+        self.phase = Phase::Confirmed;
+        let to = self.confirmed.number;
         Some(vec![
-            Effect::TakeOver(self.kept.meaning.clone()),
-            Effect::Tell(Told::GoneBack { from, to, why }),
+            Command::Apply(self.confirmed.settings.clone()),
+            Command::Report(Decision::RolledBack { from, to, resource }),
         ])
     }
 
     /// Nothing was asked of the driver, so nothing was seen.
-    fn prolong(&mut self, now: Timestamp) -> Option<Vec<Effect<M>>> {
+    fn prolong(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
         let Phase::Probation { until } = self.phase else {
             return None;
         };
-        let probation = self.terms_in_force().probation;
+        let probation = self.criteria_in_force().probation;
         let longest = self.began + TimeSpan(probation.0.saturating_mul(LONGEST_PROBATION));
-        if now < until || now >= longest || self.judge.has_seen_demand() {
+        if now < until || now >= longest || self.monitor.has_seen_demand() {
             return None;
         }
         self.phase = Phase::Probation {
@@ -331,20 +333,20 @@
         Some(Vec::new())
     }
 
-    fn keep(&mut self, now: Timestamp) -> Option<Vec<Effect<M>>> {
+    fn confirm(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
         match self.phase {
-            Phase::Probation { until } if now >= until => Some(self.keep_now()),
+            Phase::Probation { until } if now >= until => Some(self.confirm_now()),
             _ => None,
         }
     }
 
-    fn keep_now(&mut self) -> Vec<Effect<M>> {
-        self.phase = Phase::Kept;
-        self.kept = self.in_force.clone();
-        let number = self.kept.number;
+    fn confirm_now(&mut self) -> Vec<Command<M>> {
+        self.phase = Phase::Confirmed;
+        self.confirmed = self.in_force.clone();
+        let number = self.confirmed.number;
         vec![
-            Effect::Keep(self.kept.clone()),
-            Effect::Tell(Told::Kept { number }),
+            Command::Store(self.confirmed.clone()),
+            Command::Report(Decision::Confirmed { number }),
         ]
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,21 +4,21 @@
 //! `format` writes a file in the one form; `generations` decides which meaning is in force, `probation` whether a
 //! change does harm, `shelf` what is kept of former ones. Only `load::Folder` and `store` touch files; `generation_writer` stores again what a failing disk didn't take.
 
+pub mod diagnostic;
 pub mod eval;
 pub mod format;
+pub mod fuzz_checks;
+pub mod generation_files;
 pub mod generation_writer;
 pub mod generations;
-pub mod host;
 pub mod lex;
 pub mod load;
-pub mod meaning;
 pub mod parse;
 pub mod probation;
-pub mod registry;
-pub mod report;
-pub mod shelf;
+pub mod resolved;
+pub mod schema;
+pub mod service_schema;
 pub mod store;
 pub mod syntax;
-pub mod trial;
 pub mod unit;
 pub mod value;
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -1,26 +1,26 @@
 //! From tokens to the tree. Goes on behind a faulty statement, so that one look tells all that is wrong.
 
+use crate::diagnostic::{Diagnostic, SourceLocation};
 use crate::lex::{self, Token};
-use crate::report::{Place, Report};
 use crate::syntax::*;
-use crate::unit::{self, Quantity, Unread};
+use crate::unit::{self, Quantity, QuantityError};
 use std::rc::Rc;
 
 /// How deep brackets and operators may nest: the tree is walked by recursion.
 pub const DEEPEST: usize = 48;
 /// More faults of a file than this are not told.
-pub const MOST_REPORTS: usize = 100;
+pub const MAX_DIAGNOSTICS: usize = 100;
 
 pub struct Parsed {
     pub stmts: Vec<Stmt>,
-    pub reports: Vec<Report>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 pub fn parse(file: u32, text: &str) -> Parsed {
     let mut parser = Parser::new(file, text);
     let stmts = parser.file();
-    let reports = parser.reports;
-    Parsed { stmts, reports }
+    let diagnostics = parser.diagnostics;
+    Parsed { stmts, diagnostics }
 }
 
 struct Parser<'a> {
@@ -29,9 +29,9 @@
     tokens: Vec<(Token, std::ops::Range<usize>)>,
     at: usize,
     /// Open brackets: within them lines may end anywhere.
-    brackets: Vec<Place>,
+    brackets: Vec<SourceLocation>,
     depth: usize,
-    reports: Vec<Report>,
+    diagnostics: Vec<Diagnostic>,
 }
 
 /// A statement can't be read; the report is made.
@@ -66,7 +66,7 @@
             at: 0,
             brackets: Vec::new(),
             depth: 0,
-            reports: Vec::new(),
+            diagnostics: Vec::new(),
         }
     }
 
@@ -85,14 +85,14 @@
         self.tokens[self.at].0
     }
 
-    fn here(&mut self) -> Place {
+    fn here(&mut self) -> SourceLocation {
         self.skip_blanks();
-        self.place(self.at)
+        self.location(self.at)
     }
 
-    fn place(&self, at: usize) -> Place {
+    fn location(&self, at: usize) -> SourceLocation {
         let range = &self.tokens[at].1;
-        Place {
+        SourceLocation {
             file: self.file,
             start: range.start as u32,
             end: range.end as u32,
@@ -100,67 +100,74 @@
     }
 
     /// The place of what was read last.
-    fn last(&self) -> Place {
-        self.place(self.at.saturating_sub(1))
+    fn last(&self) -> SourceLocation {
+        self.location(self.at.saturating_sub(1))
     }
 
-    fn slice(&self, place: Place) -> &'a str {
-        &self.text[place.start as usize..place.end as usize]
+    fn slice(&self, location: SourceLocation) -> &'a str {
+        &self.text[location.start as usize..location.end as usize]
     }
 
-    fn take(&mut self, token: Token) -> Option<Place> {
+    fn take(&mut self, token: Token) -> Option<SourceLocation> {
         if self.peek() != token {
             return None;
         }
-        let place = self.place(self.at);
+        let location = self.location(self.at);
         self.at += usize::from(token != Token::End);
-        Some(place)
+        Some(location)
     }
 
-    fn fault<T>(&mut self, report: Report) -> Read<T> {
-        if self.reports.len() < MOST_REPORTS {
-            self.reports.push(report);
+    fn fault<T>(&mut self, diagnostic: Diagnostic) -> Read<T> {
+        if self.diagnostics.len() < MAX_DIAGNOSTICS {
+            self.diagnostics.push(diagnostic);
         }
         Err(Faulty)
     }
 
     fn expected<T>(&mut self, what: &str) -> Read<T> {
         let found = self.peek();
-        let place = self.here();
-        let report = match found {
+        let location = self.here();
+        let diagnostic = match found {
             Token::Unknown => {
-                let c = self.slice(place).chars().next().unwrap_or_default();
-                let report = Report::error(place, format!("the character {c:?} means nothing here"));
+                let c = self.slice(location).chars().next().unwrap_or_default();
+                let diagnostic =
+                    Diagnostic::error(location, format!("the character {c:?} means nothing here"));
                 match c {
-                    '\'' => report.help("texts stand in double quotes"),
-                    '.' => report.help("there are no members; items(x) and keys(x) take a dict apart"),
-                    '/' => report.help("'//' divides and drops the rest"),
-                    _ => report,
+                    '\'' => diagnostic.with_help("texts stand in double quotes"),
+                    '.' => {
+                        diagnostic.with_help("there are no members; items(x) and keys(x) take a dict apart")
+                    }
+                    '/' => diagnostic.with_help("'//' divides and drops the rest"),
+                    _ => diagnostic,
                 }
             }
-            Token::OpenText => Report::error(place, "the text doesn't end on its line"),
+            Token::OpenText => Diagnostic::error(location, "the text doesn't end on its line"),
             found => {
-                let report = Report::error(place, format!("expected {what}, found {}", found.name()));
+                let diagnostic =
+                    Diagnostic::error(location, format!("expected {what}, found {}", found.name()));
                 match self.brackets.last() {
-                    Some(open) => report.beside(*open, "in the bracket opened here"),
-                    None => report,
+                    Some(open) => diagnostic.with_related(*open, "in the bracket opened here"),
+                    None => diagnostic,
                 }
             }
         };
-        self.fault(report)
+        self.fault(diagnostic)
     }
 
-    fn need(&mut self, token: Token) -> Read<Place> {
+    fn need(&mut self, token: Token) -> Read<SourceLocation> {
         match self.take(token) {
-            Some(place) => Ok(place),
+            Some(location) => Ok(location),
             None => self.expected(token.name()),
         }
     }
 
     fn deeper<T>(&mut self, read: impl FnOnce(&mut Self) -> Read<T>) -> Read<T> {
         if self.depth >= DEEPEST {
-            let place = self.here();
-            return self.fault(Report::error(place, format!("nested more than {DEEPEST} deep")));
+            let location = self.here();
+            return self.fault(Diagnostic::error(
+                location,
+                format!("nested more than {DEEPEST} deep"),
+            ));
         }
         self.depth += 1;
         let done = read(self);
@@ -209,8 +216,11 @@
             let indented = self.indent() > 0;
             let start = self.at;
             let read = if indented {
-                let place = self.here();
-                self.fault(Report::error(place, "indented, but not in the body of a def"))
+                let location = self.here();
+                self.fault(Diagnostic::error(
+                    location,
+                    "indented, but not in the body of a def",
+                ))
             } else {
                 self.stmt(false)
             };
@@ -259,8 +269,8 @@
                 Stmt::Return { value }
             }
             Token::Return => {
-                let place = self.here();
-                return self.fault(Report::error(place, "'return' outside the body of a def"));
+                let location = self.here();
+                return self.fault(Diagnostic::error(location, "'return' outside the body of a def"));
             }
             _ => {
                 let start = self.here();
@@ -269,19 +279,19 @@
                     (
                         Some(_),
                         Expr {
-                            place,
+                            location,
                             kind: Kind::Name(name),
                         },
                     ) => {
                         let value = self.expr()?;
                         Stmt::Assign {
-                            to: Named { name, place },
+                            to: Named { name, location },
                             value,
                         }
                     }
                     (Some(_), _) => {
-                        let place = start.to(self.last());
-                        return self.fault(Report::error(place, "only a name can be set"));
+                        let location = start.to(self.last());
+                        return self.fault(Diagnostic::error(location, "only a name can be set"));
                     }
                     (None, value) => Stmt::Expr(value),
                 }
@@ -313,8 +323,12 @@
             p.need(Token::Close)?;
             Ok((file, names))
         })?;
-        let place = start.to(self.last());
-        Ok(Stmt::Load { place, file, names })
+        let location = start.to(self.last());
+        Ok(Stmt::Load {
+            location,
+            file,
+            names,
+        })
     }
 
     fn def(&mut self) -> Read<Stmt> {
@@ -347,9 +361,9 @@
         self.skip_empty_lines();
         let indent = self.indent();
         if indent == 0 || self.peek() == Token::End {
-            let place = self.here();
-            let report = Report::error(place, "a def needs an indented body");
-            return self.fault(report.beside(name.place, "the def"));
+            let location = self.here();
+            let diagnostic = Diagnostic::error(location, "a def needs an indented body");
+            return self.fault(diagnostic.with_related(name.location, "the def"));
         }
         loop {
             body.push(self.stmt(true)?);
@@ -359,9 +373,9 @@
                 0 => break,
                 same if same == indent => {}
                 _ => {
-                    let place = self.here();
-                    let report = Report::error(place, "indented unlike the lines before");
-                    return self.fault(report);
+                    let location = self.here();
+                    let diagnostic = Diagnostic::error(location, "indented unlike the lines before");
+                    return self.fault(diagnostic);
                 }
             }
         }
@@ -369,19 +383,19 @@
     }
 
     fn name(&mut self) -> Read<Named> {
-        let place = self.need(Token::Name)?;
-        let name = Rc::from(self.slice(place));
-        Ok(Named { name, place })
+        let location = self.need(Token::Name)?;
+        let name = Rc::from(self.slice(location));
+        Ok(Named { name, location })
     }
 
     fn text_literal(&mut self) -> Read<Named> {
-        let place = self.need(Token::Text)?;
-        let name = self.unescaped(place)?;
-        Ok(Named { name, place })
+        let location = self.need(Token::Text)?;
+        let name = self.unescaped(location)?;
+        Ok(Named { name, location })
     }
 
-    fn unescaped(&mut self, place: Place) -> Read<Rc<str>> {
-        let inner = &self.slice(place)[1..(place.end - place.start) as usize - 1];
+    fn unescaped(&mut self, location: SourceLocation) -> Read<Rc<str>> {
+        let inner = &self.slice(location)[1..(location.end - location.start) as usize - 1];
         if !inner.contains('\\') {
             return Ok(Rc::from(inner));
         }
@@ -398,11 +412,11 @@
                 },
             };
             let Some(meant) = meant else {
-                let report = Report::error(
-                    place,
+                let diagnostic = Diagnostic::error(
+                    location,
                     "a text knows only \\n, \\t, \\\" and \\\\ behind a backslash",
                 );
-                return self.fault(report);
+                return self.fault(diagnostic);
             };
             out.push(meant);
         }
@@ -418,9 +432,9 @@
             let condition = p.level(0)?;
             p.need(Token::Else)?;
             let other = p.expr()?;
-            let place = value.place.to(other.place);
+            let location = value.location.to(other.location);
             let kind = Kind::If(Box::new((condition, value, other)));
-            Ok(Expr { place, kind })
+            Ok(Expr { location, kind })
         })
     }
 
@@ -450,26 +464,26 @@
             let start = self.here();
             self.at += 1;
             let inner = self.deeper(|p| p.level(COMPARISONS))?;
-            let place = start.to(inner.place);
+            let location = start.to(inner.location);
             let kind = Kind::Not(Box::new(inner));
-            return Ok(Expr { place, kind });
+            return Ok(Expr { location, kind });
         }
         let first = self.level(level + 1)?;
         let mut rest = Vec::new();
         while let Some(operator) = self.operator(level) {
             let operand = self.level(level + 1)?;
             if level == COMPARISONS && !rest.is_empty() {
-                let report = Report::error(operand.place, "comparisons can't be chained");
-                return self.fault(report.help("join two of them by 'and'"));
+                let diagnostic = Diagnostic::error(operand.location, "comparisons can't be chained");
+                return self.fault(diagnostic.with_help("join two of them by 'and'"));
             }
             rest.push((operator, operand));
         }
         match rest.last() {
             None => Ok(first),
             Some((_, last)) => {
-                let place = first.place.to(last.place);
+                let location = first.location.to(last.location);
                 let kind = Kind::Chain(Box::new(first), rest);
-                Ok(Expr { place, kind })
+                Ok(Expr { location, kind })
             }
         }
     }
@@ -477,14 +491,14 @@
     fn unary(&mut self) -> Read<Expr> {
         if let Some(start) = self.take(Token::Minus) {
             let inner = self.deeper(|p| p.unary())?;
-            let place = start.to(inner.place);
+            let location = start.to(inner.location);
             let kind = Kind::Minus(Box::new(inner));
-            return Ok(Expr { place, kind });
+            return Ok(Expr { location, kind });
         }
         let mut value = self.atom()?;
         let mut links = 0;
         loop {
-            let start = value.place;
+            let start = value.location;
             let kind = match self.peek() {
                 Token::Open => {
                     self.at += 1;
@@ -507,11 +521,14 @@
             };
             links += 1;
             if links + self.depth > DEEPEST {
-                let place = self.here();
-                return self.fault(Report::error(place, format!("nested more than {DEEPEST} deep")));
+                let location = self.here();
+                return self.fault(Diagnostic::error(
+                    location,
+                    format!("nested more than {DEEPEST} deep"),
+                ));
             }
-            let place = start.to(self.last());
-            value = Expr { place, kind };
+            let location = start.to(self.last());
+            value = Expr { location, kind };
         }
     }
 
@@ -531,14 +548,14 @@
                         (
                             Token::Is,
                             Expr {
-                                place,
+                                location,
                                 kind: Kind::Name(name),
                             },
                         ) => {
                             p.at += 1;
                             let value = p.expr()?;
                             Argument {
-                                form: Form::Named(Named { name, place }),
+                                form: Form::Named(Named { name, location }),
                                 value,
                             }
                         }
@@ -559,13 +576,13 @@
     }
 
     fn atom(&mut self) -> Read<Expr> {
-        let (token, place) = (self.peek(), self.here());
+        let (token, location) = (self.peek(), self.here());
         let kind = match token {
-            Token::Name => Kind::Name(Rc::from(self.slice(place))),
+            Token::Name => Kind::Name(Rc::from(self.slice(location))),
             Token::True | Token::False => Kind::Bool(token == Token::True),
             Token::None => Kind::None,
-            Token::Number => Kind::Quantity(self.number(place)?),
-            Token::Text => Kind::Text(self.unescaped(place)?),
+            Token::Number => Kind::Quantity(self.number(location)?),
+            Token::Text => Kind::Text(self.unescaped(location)?),
             Token::Open => {
                 self.at += 1;
                 return self.in_brackets(|p| {
@@ -580,33 +597,35 @@
                     Token::OpenList => p.list(),
                     _ => p.dict(),
                 })?;
-                let place = place.to(self.last());
-                return Ok(Expr { place, kind });
+                let location = location.to(self.last());
+                return Ok(Expr { location, kind });
             }
             _ => return self.expected("a value"),
         };
         self.at += 1;
-        Ok(Expr { place, kind })
+        Ok(Expr { location, kind })
     }
 
-    fn number(&mut self, place: Place) -> Read<Quantity> {
-        let text = self.slice(place);
-        Quantity::read(text).or_else(|unread| {
+    fn number(&mut self, location: SourceLocation) -> Read<Quantity> {
+        let text = self.slice(location);
+        Quantity::parse(text).or_else(|unread| {
             let suffix = &text[unit::suffix_at(text)..];
             let message = match unread {
-                Unread::UnknownUnit => format!("'{suffix}' is no unit"),
+                QuantityError::UnknownUnit => format!("'{suffix}' is no unit"),
                 other => other.reason().to_owned(),
             };
-            let report = Report::error(place, message);
-            let near = crate::report::nearest(&suffix.to_ascii_lowercase(), ["ms", "us", "min"]);
+            let diagnostic = Diagnostic::error(location, message);
+            let near = crate::diagnostic::nearest(&suffix.to_ascii_lowercase(), ["ms", "us", "min"]);
             let fits = unit::suffixes().find(|s| s.eq_ignore_ascii_case(suffix)).or(near);
             self.fault(match (unread, fits) {
-                (Unread::UnknownUnit, Some(fits)) => report.help(format!("'{fits}' was meant?")),
-                (Unread::UnknownUnit, None) => {
+                (QuantityError::UnknownUnit, Some(fits)) => {
+                    diagnostic.with_help(format!("'{fits}' was meant?"))
+                }
+                (QuantityError::UnknownUnit, None) => {
                     let all: Vec<_> = unit::suffixes().collect();
-                    report.help(format!("units are {}", all.join(", ")))
+                    diagnostic.with_help(format!("units are {}", all.join(", ")))
                 }
-                _ => report,
+                _ => diagnostic,
             })
         })
     }
@@ -674,8 +693,11 @@
                 _ => return self.expected("'for', 'if' or the closing bracket"),
             }
             if clauses.len() > DEEPEST {
-                let place = self.here();
-                return self.fault(Report::error(place, format!("more than {DEEPEST} clauses")));
+                let location = self.here();
+                return self.fault(Diagnostic::error(
+                    location,
+                    format!("more than {DEEPEST} clauses"),
+                ));
             }
         }
     }
--- a/crates/config/src/probation.rs
+++ b/crates/config/src/probation.rs
@@ -9,7 +9,7 @@
 //! is taken for a surge though the former limit would have borne it; and a fault from outside that begins within the
 //! probation, and turns clients away while the driver is no fuller than before, is taken for the change's.
 
-use crate::registry::{Want, WANTS};
+use crate::schema::{Resource, RESOURCES};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
@@ -17,28 +17,28 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
     /// Clients that came and statements that they sent, each in the unit its want is counted in.
-    pub demand: [u64; WANTS.len()],
+    pub demand: [u64; RESOURCES.len()],
     /// Those turned away, by want.
-    pub turned_away: [u64; WANTS.len()],
+    pub rejected: [u64; RESOURCES.len()],
     /// How full the driver is now, by want: clients, descriptors, bytes.
-    pub fill: [u64; WANTS.len()],
+    pub fill: [u64; RESOURCES.len()],
 }
 
 /// By what a change is judged.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct ProbationCriteria {
     pub probation: TimeSpan,
     pub margin: f64,
-    pub least: u64,
+    pub min_rejections: u64,
 }
 
-impl Terms {
+impl ProbationCriteria {
     /// Of each, what finds harm sooner.
-    pub fn stricter(self, other: Terms) -> Terms {
-        Terms {
+    pub fn stricter(self, other: ProbationCriteria) -> ProbationCriteria {
+        ProbationCriteria {
             probation: self.probation.max(other.probation),
             margin: self.margin.min(other.margin),
-            least: self.least.min(other.least),
+            min_rejections: self.min_rejections.min(other.min_rejections),
         }
     }
 }
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Harmless,
-    Harm(Want),
+    Harmful(Resource),
 }
 
 /// How far back the figures before a change count, and how close together samples are kept.
@@ -58,12 +58,12 @@
 const LEAST_DEMAND: u64 = 5;
 
 #[derive(Default)]
-pub struct Judge {
+pub struct ProbationMonitor {
     /// Samples of the last while, oldest first.
     samples: VecDeque<(Timestamp, Sample)>,
     latest: Sample,
     changed: Option<Changed>,
-    may_want: Vec<Want>,
+    may_exhaust: Vec<Resource>,
 }
 
 /// What the figures were when the change came.
@@ -71,17 +71,17 @@
     at: Timestamp,
     from: Sample,
     /// Share of the demand turned away before, and the fullest that was borne.
-    share: [f64; WANTS.len()],
-    fullest: [u64; WANTS.len()],
+    share: [f64; RESOURCES.len()],
+    fullest: [u64; RESOURCES.len()],
     /// Since the change: how many were turned away while the driver was no fuller than before.
-    within: [u64; WANTS.len()],
+    within: [u64; RESOURCES.len()],
 }
 
-impl Judge {
-    pub fn note(&mut self, now: Timestamp, sample: Sample) {
+impl ProbationMonitor {
+    pub fn record(&mut self, now: Timestamp, sample: Sample) {
         if let Some(changed) = &mut self.changed {
-            for w in 0..WANTS.len() {
-                let more = sample.turned_away[w].saturating_sub(self.latest.turned_away[w]);
+            for w in 0..RESOURCES.len() {
+                let more = sample.rejected[w].saturating_sub(self.latest.rejected[w]);
                 // Between two samples the driver was as full as at the fuller of them.
                 let fill = sample.fill[w].max(self.latest.fill[w]);
                 let borne = changed.fullest[w] as f64 * FULLER;
@@ -99,10 +99,10 @@
     }
 
     /// A change comes: what was counted until now is what it is judged against.
-    pub fn change(&mut self, now: Timestamp) {
+    pub fn begin(&mut self, now: Timestamp) {
         let oldest = self.samples.front().map_or(self.latest, |(_, s)| *s);
-        let (mut share, mut fullest) = ([0.0; WANTS.len()], [0; WANTS.len()]);
-        for w in 0..WANTS.len() {
+        let (mut share, mut fullest) = ([0.0; RESOURCES.len()], [0; RESOURCES.len()]);
+        for w in 0..RESOURCES.len() {
             share[w] = share_of(&oldest, &self.latest, w);
             let fills = self.samples.iter().map(|(_, s)| s.fill[w]);
             fullest[w] = fills.max().unwrap_or(0).max(self.latest.fill[w]);
@@ -112,13 +112,13 @@
             from: self.latest,
             share,
             fullest,
-            within: [0; WANTS.len()],
+            within: [0; RESOURCES.len()],
         });
     }
 
     /// The wants that the change can cause.
-    pub fn may_want(&mut self, wants: Vec<Want>) {
-        self.may_want = wants;
+    pub fn watch(&mut self, resources: Vec<Resource>) {
+        self.may_exhaust = resources;
     }
 
     pub fn has_seen_demand(&self) -> bool {
@@ -126,29 +126,32 @@
             return false;
         };
         let more = |w: usize| self.latest.demand[w].saturating_sub(changed.from.demand[w]);
-        (0..WANTS.len()).any(|w| more(w) >= LEAST_DEMAND)
+        (0..RESOURCES.len()).any(|w| more(w) >= LEAST_DEMAND)
     }
 
-    pub fn verdict(&self, now: Timestamp, terms: Terms) -> Verdict {
+    pub fn verdict(&self, now: Timestamp, criteria: ProbationCriteria) -> Verdict {
         let Some(changed) = self.changed.as_ref().filter(|c| c.at <= now) else {
             return Verdict::Harmless;
         };
-        let harms = |(w, want): (usize, &Want)| {
+        let harms = |(w, resource): (usize, &Resource)| {
             let demand = self.latest.demand[w].saturating_sub(changed.from.demand[w]);
             let within = changed.within[w];
             let share = within as f64 / demand.max(within).max(1) as f64;
-            self.may_want.contains(want)
+            self.may_exhaust.contains(resource)
                 && demand >= LEAST_DEMAND
-                && within >= terms.least
-                && share > changed.share[w] + terms.margin
+                && within >= criteria.min_rejections
+                && share > changed.share[w] + criteria.margin
         };
-        let found = WANTS.iter().enumerate().find(|(w, want)| harms((*w, want)));
-        found.map_or(Verdict::Harmless, |(_, want)| Verdict::Harm(*want))
+        let found = RESOURCES
+            .iter()
+            .enumerate()
+            .find(|(w, resource)| harms((*w, resource)));
+        found.map_or(Verdict::Harmless, |(_, resource)| Verdict::Harmful(*resource))
     }
 }
 
 fn share_of(from: &Sample, to: &Sample, w: usize) -> f64 {
     let demand = to.demand[w].saturating_sub(from.demand[w]);
-    let turned_away = to.turned_away[w].saturating_sub(from.turned_away[w]);
-    turned_away as f64 / demand.max(turned_away).max(1) as f64
+    let rejected = to.rejected[w].saturating_sub(from.rejected[w]);
+    rejected as f64 / demand.max(rejected).max(1) as f64
 }
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/resolved.rs
@@ -1,8 +1,8 @@
 //! What files come to: every setting resolved, in one order, whatever order and form it was written in.
 
-use crate::eval::Stated;
-use crate::registry::{Path, Registry, Row, Takes};
-use crate::report::{nearest, Place, Report};
+use crate::diagnostic::{nearest, Diagnostic, SourceLocation};
+use crate::eval::SectionStatement;
+use crate::schema::{Schema, Setting, SettingPath, TakesEffect};
 use crate::unit::Quantity;
 use crate::value::Value;
 use serde_json::{Map, Value as Json};
@@ -18,100 +18,112 @@
 type Entries = BTreeMap<Arc<str>, Amounts>;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Meaning {
+pub struct ResolvedSettings {
     sections: Vec<Entries>,
 }
 
 /// Where each setting that a file states was stated.
-pub type Places = BTreeMap<Path, Place>;
+pub type SettingLocations = BTreeMap<SettingPath, SourceLocation>;
 
 /// How many entries a section may have: each is kept for as long as the settings are.
 pub const MOST_ENTRIES: usize = 20_000;
 /// The longest key of an entry.
 pub const LONGEST_KEY: usize = 128;
 
-impl Meaning {
+impl ResolvedSettings {
     /// What holds without a file.
-    pub fn default_of(registry: &Registry) -> Meaning {
-        let all = registry.sections.iter().zip(&registry.bounds);
-        let first = |(section, bounds): (&crate::registry::Section, &Vec<crate::registry::Bounds>)| {
+    pub fn defaults(schema: &Schema) -> ResolvedSettings {
+        let all = schema.sections.iter().zip(&schema.bounds);
+        let first = |(section, bounds): (&crate::schema::Section, &Vec<crate::schema::Bounds>)| {
             let amounts = bounds.iter().map(|b| b.default).collect();
             match section.key {
                 None => Entries::from([(Arc::from(""), amounts)]),
                 Some(_) => Entries::new(),
             }
         };
-        Meaning {
+        ResolvedSettings {
             sections: all.map(first).collect(),
         }
     }
 
     /// Puts together what the files state; faults go to the reports.
-    pub fn of(registry: &Registry, stated: &[Stated], report: &mut impl FnMut(Report)) -> (Meaning, Places) {
-        let mut meaning = Meaning::default_of(registry);
-        let mut places = Places::new();
-        let mut keys: BTreeMap<(usize, Arc<str>), Place> = BTreeMap::new();
+    pub fn resolve(
+        schema: &Schema,
+        stated: &[SectionStatement],
+        report: &mut impl FnMut(Diagnostic),
+    ) -> (ResolvedSettings, SettingLocations) {
+        let mut resolved = ResolvedSettings::defaults(schema);
+        let mut locations = SettingLocations::new();
+        let mut keys: BTreeMap<(usize, Arc<str>), SourceLocation> = BTreeMap::new();
         for one in stated {
-            let section = &registry.sections[one.section];
+            let section = &schema.sections[one.section_index];
             let key = match &one.key {
                 None => Arc::from(""),
                 Some((key, at)) => {
                     if key.is_empty() || key.len() > LONGEST_KEY || key.chars().any(char::is_control) {
                         let message =
                             format!("a name has 1 to {LONGEST_KEY} bytes and no control characters");
-                        report(Report::error(*at, message));
+                        report(Diagnostic::error(*at, message));
                         continue;
                     }
                     let own: Arc<str> = Arc::from(&**key);
-                    if let Some(before) = keys.insert((one.section, own.clone()), *at) {
+                    if let Some(before) = keys.insert((one.section_index, own.clone()), *at) {
                         let message = format!("{}({key:?}) is stated a second time", section.name);
-                        report(Report::error(*at, message).beside(before, "first stated here"));
+                        report(Diagnostic::error(*at, message).with_related(before, "first stated here"));
                         continue;
                     }
                     if keys.len() > MOST_ENTRIES {
-                        report(Report::error(*at, format!("more than {MOST_ENTRIES} entries")));
-                        return (meaning, places);
+                        report(Diagnostic::error(
+                            *at,
+                            format!("more than {MOST_ENTRIES} entries"),
+                        ));
+                        return (resolved, locations);
                     }
                     own
                 }
             };
-            let first = || registry.bounds[one.section].iter().map(|b| b.default).collect();
-            let amounts = meaning.sections[one.section]
+            let first = || {
+                schema.bounds[one.section_index]
+                    .iter()
+                    .map(|b| b.default)
+                    .collect()
+            };
+            let amounts = resolved.sections[one.section_index]
                 .entry(key.clone())
                 .or_insert_with(first);
             for (name, value, at) in &one.settings {
-                let Some(row) = section.rows.iter().position(|r| *r.name == *name.name) else {
-                    report(unknown(section.name, section.rows, &name.name, name.place));
+                let Some(setting_index) = section.settings.iter().position(|r| *r.name == *name.name) else {
+                    report(unknown(section.name, section.settings, &name.name, name.location));
                     continue;
                 };
-                let path = Path {
-                    section: one.section,
+                let path = SettingPath {
+                    section_index: one.section_index,
                     key: one.key.as_ref().map(|_| key.clone()),
-                    row,
+                    setting_index,
                 };
-                match amount(registry, &path, value, *at) {
-                    Ok(amount) => amounts[row] = amount,
+                match amount(schema, &path, value, *at) {
+                    Ok(amount) => amounts[setting_index] = amount,
                     Err(None) => {}
                     Err(Some(fault)) => report(*fault),
                 }
-                if let Some(before) = places.insert(path.clone(), *at) {
-                    let message = format!("{} is set a second time", registry.written(&path));
-                    report(Report::error(*at, message).beside(before, "first set here"));
+                if let Some(before) = locations.insert(path.clone(), *at) {
+                    let message = format!("{} is set a second time", schema.format_path(&path));
+                    report(Diagnostic::error(*at, message).with_related(before, "first set here"));
                 }
             }
         }
-        (meaning, places)
+        (resolved, locations)
     }
 
-    pub fn at(&self, path: &Path) -> Option<Quantity> {
-        let entry = self.sections[path.section].get(path.key.as_deref().unwrap_or_default())?;
-        entry[path.row]
+    pub fn get(&self, path: &SettingPath) -> Option<Quantity> {
+        let entry = self.sections[path.section_index].get(path.key.as_deref().unwrap_or_default())?;
+        entry[path.setting_index]
     }
 
     /// The amount of a setting that has a default, in the base of its unit.
-    pub fn amount(&self, registry: &Registry, section: &str, row: &str) -> i64 {
-        let at = registry.find(section, row);
-        debug_assert!(at.is_some(), "no setting {section}.{row}");
+    pub fn amount(&self, schema: &Schema, section: &str, setting: &str) -> i64 {
+        let at = schema.find(section, setting);
+        debug_assert!(at.is_some(), "no setting {section}.{setting}");
         let found = at.and_then(|(s, r)| self.sections[s].get("")?.get(r).copied()?);
         found.map_or(0, |q| q.amount)
     }
@@ -119,37 +131,47 @@
     /// The entries of a section that has one for each name.
     pub fn entries(
         &self,
-        registry: &Registry,
+        schema: &Schema,
         section: &str,
     ) -> impl Iterator<Item = (&str, &[Option<Quantity>])> {
-        let at = registry.sections.iter().position(|s| s.name == section);
+        let at = schema.sections.iter().position(|s| s.name == section);
         let entries = at.into_iter().flat_map(|s| &self.sections[s]);
         entries.map(|(key, amounts)| (&**key, amounts.as_slice()))
     }
 
     /// All settings with their amounts, in the order of the registry and of their keys.
-    pub fn all<'a>(&'a self, registry: &'a Registry) -> impl Iterator<Item = (Path, Option<Quantity>)> + 'a {
+    pub fn all<'a>(
+        &'a self,
+        schema: &'a Schema,
+    ) -> impl Iterator<Item = (SettingPath, Option<Quantity>)> + 'a {
         self.sections.iter().enumerate().flat_map(move |(s, entries)| {
-            let keyed = registry.sections[s].key.is_some();
+            let keyed = schema.sections[s].key.is_some();
             entries.iter().flat_map(move |(key, amounts)| {
-                amounts.iter().enumerate().map(move |(row, amount)| {
+                amounts.iter().enumerate().map(move |(setting_index, amount)| {
                     let key = keyed.then(|| key.clone());
-                    (Path { section: s, key, row }, *amount)
+                    (
+                        SettingPath {
+                            section_index: s,
+                            key,
+                            setting_index,
+                        },
+                        *amount,
+                    )
                 })
             })
         })
     }
 
     /// The same for the same meaning, and only for that.
-    pub fn canonical(&self, registry: &Registry) -> String {
-        let row = |(row, amount): (&Row, &Option<Quantity>)| {
+    pub fn canonical(&self, schema: &Schema) -> String {
+        let setting = |(setting, amount): (&Setting, &Option<Quantity>)| {
             let written = amount.map_or(Json::Null, |q| Json::String(q.to_string()));
-            (row.name.to_owned(), written)
+            (setting.name.to_owned(), written)
         };
         let mut all = Map::new();
-        for (section, entries) in registry.sections.iter().zip(&self.sections) {
+        for (section, entries) in schema.sections.iter().zip(&self.sections) {
             let object =
-                |amounts: &Amounts| Json::Object(section.rows.iter().zip(amounts).map(row).collect());
+                |amounts: &Amounts| Json::Object(section.settings.iter().zip(amounts).map(setting).collect());
             let value = match section.key {
                 None => entries.get("").map_or(Json::Null, object),
                 Some(_) => Json::Object(entries.iter().map(|(k, a)| (k.to_string(), object(a))).collect()),
@@ -163,17 +185,17 @@
 
     /// Reads what `canonical` wrote, here or in a neighbouring version: settings that this program doesn't know are
     /// told, those that the text doesn't know have their default.
-    pub fn from_canonical(registry: &Registry, text: &str) -> Result<(Meaning, Vec<String>), String> {
+    pub fn from_canonical(schema: &Schema, text: &str) -> Result<(ResolvedSettings, Vec<String>), String> {
         let value: Json = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let sections = value.as_object().ok_or("not an object")?;
-        let (mut meaning, mut left_out) = (Meaning::default_of(registry), Vec::new());
+        let (mut resolved, mut left_out) = (ResolvedSettings::defaults(schema), Vec::new());
         for (name, value) in sections {
-            let Some(s) = registry.sections.iter().position(|s| s.name == name) else {
+            let Some(s) = schema.sections.iter().position(|s| s.name == name) else {
                 left_out.push(name.clone());
                 continue;
             };
             let value = value.as_object().ok_or_else(|| format!("{name} is no object"))?;
-            let entries: Vec<(&str, &Map<String, Json>)> = match registry.sections[s].key {
+            let entries: Vec<(&str, &Map<String, Json>)> = match schema.sections[s].key {
                 None => vec![("", value)],
                 Some(_) => {
                     if !value.values().all(Json::is_object) {
@@ -185,34 +207,34 @@
                         .collect()
                 }
             };
-            for (key, rows) in entries {
-                let first = || registry.bounds[s].iter().map(|b| b.default).collect();
-                let amounts: &mut Amounts = meaning.sections[s].entry(Arc::from(key)).or_insert_with(first);
-                for (row, value) in rows {
-                    let Some(r) = registry.sections[s]
-                        .rows
+            for (key, settings) in entries {
+                let first = || schema.bounds[s].iter().map(|b| b.default).collect();
+                let amounts: &mut Amounts = resolved.sections[s].entry(Arc::from(key)).or_insert_with(first);
+                for (setting, value) in settings {
+                    let Some(r) = schema.sections[s]
+                        .settings
                         .iter()
-                        .position(|known| known.name == row)
+                        .position(|known| known.name == setting)
                     else {
-                        left_out.push(format!("{name}.{row}"));
+                        left_out.push(format!("{name}.{setting}"));
                         continue;
                     };
-                    let bounds = &registry.bounds[s][r];
+                    let bounds = &schema.bounds[s][r];
                     let within = |q: &Quantity| {
-                        q.unit == bounds.unit && (bounds.low.amount..=bounds.high.amount).contains(&q.amount)
+                        q.unit == bounds.unit && (bounds.min.amount..=bounds.max.amount).contains(&q.amount)
                     };
                     amounts[r] = match value {
                         Json::Null if bounds.default.is_none() => None,
                         Json::String(text) => {
-                            let read = Quantity::read(text).ok().filter(within);
-                            Some(read.ok_or_else(|| format!("{name}.{row} can't be {text}"))?)
+                            let read = Quantity::parse(text).ok().filter(within);
+                            Some(read.ok_or_else(|| format!("{name}.{setting} can't be {text}"))?)
                         }
-                        _ => return Err(format!("{name}.{row} is no text")),
+                        _ => return Err(format!("{name}.{setting} is no text")),
                     };
                 }
             }
         }
-        Ok((meaning, left_out))
+        Ok((resolved, left_out))
     }
 }
 
@@ -222,35 +244,35 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn unknown(section: &str, rows: &[Row], name: &str, place: Place) -> Report {
-    let report = Report::error(place, format!("'{section}' has no setting '{name}'"));
-    match nearest(name, rows.iter().map(|r| r.name)) {
-        Some(near) => report.help(format!("'{near}' was meant?")),
+fn unknown(section: &str, settings: &[Setting], name: &str, location: SourceLocation) -> Diagnostic {
+    let report = Diagnostic::error(location, format!("'{section}' has no setting '{name}'"));
+    match nearest(name, settings.iter().map(|r| r.name)) {
+        Some(near) => report.with_help(format!("'{near}' was meant?")),
         None => {
-            let all: Vec<_> = rows.iter().map(|r| r.name).collect();
-            report.help(format!("it has {}", all.join(", ")))
+            let all: Vec<_> = settings.iter().map(|r| r.name).collect();
+            report.with_help(format!("it has {}", all.join(", ")))
         }
     }
 }
 
 /// The amount that a value gives a setting, or why it can't; a broken value was told before.
 fn amount(
-    registry: &Registry,
-    path: &Path,
+    schema: &Schema,
+    path: &SettingPath,
     value: &Value,
-    place: Place,
-) -> Result<Option<Quantity>, Option<Box<Report>>> {
-    let bounds = &registry.bounds[path.section][path.row];
-    let (name, unit) = (registry.written(path), bounds.unit);
-    let fault = |message: String| Err(Some(Box::new(Report::error(place, message))));
+    location: SourceLocation,
+) -> Result<Option<Quantity>, Option<Box<Diagnostic>>> {
+    let bounds = &schema.bounds[path.section_index][path.setting_index];
+    let (name, unit) = (schema.format_path(path), bounds.unit);
+    let fault = |message: String| Err(Some(Box::new(Diagnostic::error(location, message))));
     match value {
         Value::Broken => Err(None),
         Value::None if bounds.default.is_none() => Ok(None),
         Value::Quantity(q) if q.unit == unit => {
-            if (bounds.low.amount..=bounds.high.amount).contains(&q.amount) {
+            if (bounds.min.amount..=bounds.max.amount).contains(&q.amount) {
                 return Ok(Some(*q));
             }
-            fault(format!("{name} is {} to {}, not {q}", bounds.low, bounds.high))
+            fault(format!("{name} is {} to {}, not {q}", bounds.min, bounds.max))
         }
         Value::Quantity(q) => {
             let found = match q.unit {
@@ -271,24 +293,28 @@
 /// One setting that two meanings differ in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    pub path: Path,
+    pub path: SettingPath,
     /// Missing where the entry isn't there; nothing inside where the setting is none.
     pub old: Option<Option<Quantity>>,
     pub new: Option<Option<Quantity>>,
 }
 
 /// What changes from one meaning to the next, in the order of the registry and of the keys.
-pub fn changes(registry: &Registry, old: &Meaning, new: &Meaning) -> Vec<Change> {
+pub fn changes(schema: &Schema, old: &ResolvedSettings, new: &ResolvedSettings) -> Vec<Change> {
     let mut all = Vec::new();
-    for (section, (a, b)) in old.sections.iter().zip(&new.sections).enumerate() {
-        let keyed = registry.sections[section].key.is_some();
-        let rows = registry.sections[section].rows.len();
+    for (section_index, (a, b)) in old.sections.iter().zip(&new.sections).enumerate() {
+        let keyed = schema.sections[section_index].key.is_some();
+        let setting_count = schema.sections[section_index].settings.len();
         let mut differ = |key: &Arc<str>, a: Option<&Amounts>, b: Option<&Amounts>| {
-            for row in 0..rows {
-                let (old, new) = (a.map(|a| a[row]), b.map(|b| b[row]));
+            for setting_index in 0..setting_count {
+                let (old, new) = (a.map(|a| a[setting_index]), b.map(|b| b[setting_index]));
                 if old != new {
                     let key = keyed.then(|| key.clone());
-                    let path = Path { section, key, row };
+                    let path = SettingPath {
+                        section_index,
+                        key,
+                        setting_index,
+                    };
                     all.push(Change { path, old, new });
                 }
             }
@@ -314,26 +340,26 @@
 
 impl Change {
     /// One line: path, old and new amount, when it is taken over, and the rule whose margin it moves.
-    pub fn written(&self, registry: &Registry) -> String {
+    pub fn describe(&self, schema: &Schema) -> String {
         let amount = |a: &Option<Option<Quantity>>| match a {
             None => "not there".to_owned(),
             Some(None) => "none".to_owned(),
             Some(Some(q)) => q.to_string(),
         };
-        let row = registry.row(&self.path);
-        let bears = row
-            .bears_on
+        let setting = schema.setting(&self.path);
+        let affects = setting
+            .affects
             .map_or(String::new(), |r| format!("; bears on: {}", r.name()));
         format!(
-            "{}: {} -> {} ({}{bears})",
-            registry.written(&self.path),
+            "{}: {} -> {} ({}{affects})",
+            schema.format_path(&self.path),
             amount(&self.old),
             amount(&self.new),
-            row.takes.name()
+            setting.takes_effect.name()
         )
     }
 
-    pub fn is_live(&self, registry: &Registry) -> bool {
-        registry.row(&self.path).takes == Takes::Live
+    pub fn is_live(&self, schema: &Schema) -> bool {
+        schema.setting(&self.path).takes_effect == TakesEffect::Live
     }
 }
--- a/crates/config/src/registry.rs
+++ b/crates/config/src/schema.rs
@@ -1,30 +1,30 @@
 //! What may be set: sections of rows, each with unit, range, default, and what it bears on. Every part of the
 //! program that lets operators set something states a section here, and gets checker, diff and reference page.
 
-use crate::meaning::Meaning;
+use crate::resolved::ResolvedSettings;
 use crate::unit::{Quantity, Unit};
 use std::fmt::Write;
 use std::sync::Arc;
 
 /// When a changed setting is taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Takes {
+pub enum TakesEffect {
     Live,
     NextStart,
 }
 
-impl Takes {
+impl TakesEffect {
     pub fn name(self) -> &'static str {
         match self {
-            Takes::Live => "live",
-            Takes::NextStart => "next start",
+            TakesEffect::Live => "live",
+            TakesEffect::NextStart => "next start",
         }
     }
 }
 
 /// The rules that a setting may move the margin of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
+pub enum Guarantee {
     OneAnswer,
     NoEffectTwice,
     DrainsKept,
@@ -34,48 +34,48 @@
     Bounds,
 }
 
-impl Rule {
+impl Guarantee {
     pub fn name(self) -> &'static str {
         match self {
-            Rule::OneAnswer => "one final answer in time",
-            Rule::NoEffectTwice => "no effect twice",
-            Rule::DrainsKept => "drains kept",
-            Rule::ColdMembers => "no cold member pushed over",
-            Rule::NoStaleRead => "no stale read",
-            Rule::Bounds => "no peer spends another's share",
+            Guarantee::OneAnswer => "one final answer in time",
+            Guarantee::NoEffectTwice => "no effect twice",
+            Guarantee::DrainsKept => "drains kept",
+            Guarantee::ColdMembers => "no cold member pushed over",
+            Guarantee::NoStaleRead => "no stale read",
+            Guarantee::Bounds => "no peer spends another's share",
         }
     }
 }
 
 /// A setting. Amounts are written as in a file; a default of `""` is none.
 #[derive(Clone, Copy, Debug)]
-pub struct Row {
+pub struct Setting {
     pub name: &'static str,
     pub default: &'static str,
     pub range: (&'static str, &'static str),
-    pub takes: Takes,
-    pub bears_on: Option<Rule>,
+    pub takes_effect: TakesEffect,
+    pub affects: Option<Guarantee>,
     /// A want of which a change to this setting may cause, and which activation watches for.
-    pub may_want: &'static [Want],
-    pub says: &'static str,
+    pub may_exhaust: &'static [Resource],
+    pub description: &'static str,
 }
 
 /// What clients may be turned away for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Want {
-    Places,
+pub enum Resource {
+    ClientSlots,
     Descriptors,
     Memory,
 }
 
-pub const WANTS: [Want; 3] = [Want::Places, Want::Descriptors, Want::Memory];
+pub const RESOURCES: [Resource; 3] = [Resource::ClientSlots, Resource::Descriptors, Resource::Memory];
 
-impl Want {
+impl Resource {
     pub fn name(self) -> &'static str {
         match self {
-            Want::Places => "places for clients",
-            Want::Descriptors => "descriptors",
-            Want::Memory => "memory",
+            Resource::ClientSlots => "places for clients",
+            Resource::Descriptors => "descriptors",
+            Resource::Memory => "memory",
         }
     }
 }
@@ -85,16 +85,16 @@
     pub name: &'static str,
     /// What its entries are named after, where there is one for each name.
     pub key: Option<&'static str>,
-    pub says: &'static str,
-    pub rows: &'static [Row],
+    pub description: &'static str,
+    pub settings: &'static [Setting],
 }
 
 /// A setting as it is checked by.
 #[derive(Clone, Debug)]
 pub struct Bounds {
     pub unit: Unit,
-    pub low: Quantity,
-    pub high: Quantity,
+    pub min: Quantity,
+    pub max: Quantity,
     pub default: Option<Quantity>,
 }
 
@@ -108,21 +108,21 @@
 /// Settings that are legal alone and not together.
 pub struct Conflict {
     /// The settings at fault, as section, key and row; the last one set is where the fault is told.
-    pub paths: Vec<Path>,
+    pub paths: Vec<SettingPath>,
     pub reason: String,
     pub warning: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Path {
-    pub section: usize,
+pub struct SettingPath {
+    pub section_index: usize,
     pub key: Option<Arc<str>>,
-    pub row: usize,
+    pub setting_index: usize,
 }
 
-pub type Check = fn(&Registry, &Meaning, Machine) -> Vec<Conflict>;
+pub type Check = fn(&Schema, &ResolvedSettings, Machine) -> Vec<Conflict>;
 
-pub struct Registry {
+pub struct Schema {
     pub sections: Vec<Section>,
     pub bounds: Vec<Vec<Bounds>>,
     pub checks: Vec<Check>,
@@ -130,24 +130,24 @@
 
 fn amount(text: &str) -> Quantity {
     // The tables are the program's own; a test reads them all.
-    Quantity::read(text).unwrap_or(Quantity::new(Unit::Count, i64::MIN))
+    Quantity::parse(text).unwrap_or(Quantity::new(Unit::Count, i64::MIN))
 }
 
-impl Registry {
-    pub fn new(sections: &[Section], checks: &[Check]) -> Registry {
-        let bounds = |row: &Row| {
-            let (low, high) = (amount(row.range.0), amount(row.range.1));
-            let default = (!row.default.is_empty()).then(|| amount(row.default));
-            let unit = low.unit;
+impl Schema {
+    pub fn new(sections: &[Section], checks: &[Check]) -> Schema {
+        let bounds = |setting: &Setting| {
+            let (min, max) = (amount(setting.range.0), amount(setting.range.1));
+            let default = (!setting.default.is_empty()).then(|| amount(setting.default));
+            let unit = min.unit;
             Bounds {
                 unit,
-                low,
-                high,
+                min,
+                max,
                 default,
             }
         };
-        let bounds = sections.iter().map(|s| s.rows.iter().map(bounds).collect());
-        Registry {
+        let bounds = sections.iter().map(|s| s.settings.iter().map(bounds).collect());
+        Schema {
             sections: sections.to_vec(),
             bounds: bounds.collect(),
             checks: checks.to_vec(),
@@ -155,22 +155,25 @@
     }
 
     /// Section and row of a setting.
-    pub fn find(&self, section: &str, row: &str) -> Option<(usize, usize)> {
+    pub fn find(&self, section: &str, setting: &str) -> Option<(usize, usize)> {
         let s = self.sections.iter().position(|s| s.name == section)?;
-        let r = self.sections[s].rows.iter().position(|r| r.name == row)?;
+        let r = self.sections[s].settings.iter().position(|r| r.name == setting)?;
         Some((s, r))
     }
 
-    pub fn row(&self, path: &Path) -> &Row {
-        &self.sections[path.section].rows[path.row]
+    pub fn setting(&self, path: &SettingPath) -> &Setting {
+        &self.sections[path.section_index].settings[path.setting_index]
     }
 
     /// As messages write it: `clients.rest`, `workload("history").timeout`.
-    pub fn written(&self, path: &Path) -> String {
-        let section = &self.sections[path.section];
+    pub fn format_path(&self, path: &SettingPath) -> String {
+        let section = &self.sections[path.section_index];
         match &path.key {
-            None => format!("{}.{}", section.name, section.rows[path.row].name),
-            Some(key) => format!("{}({key:?}).{}", section.name, section.rows[path.row].name),
+            None => format!("{}.{}", section.name, section.settings[path.setting_index].name),
+            Some(key) => format!(
+                "{}({key:?}).{}",
+                section.name, section.settings[path.setting_index].name
+            ),
         }
     }
 
@@ -189,20 +192,20 @@
                 out,
                 "\n## `{head}`\n\n{}\n\n| setting | unit | range | default | taken over | bears on | what it says |\n\
                  | --- | --- | --- | --- | --- | --- | --- |\n",
-                section.says
+                section.description
             );
-            for (row, b) in section.rows.iter().zip(bounds) {
+            for (setting, b) in section.settings.iter().zip(bounds) {
                 let default = b.default.map_or("none".to_owned(), |d| format!("`{d}`"));
-                let bears = row.bears_on.map_or("", Rule::name);
+                let affects = setting.affects.map_or("", Guarantee::name);
                 let _ = writeln!(
                     out,
-                    "| `{}` | {} | `{}` to `{}` | {default} | {} | {bears} | {} |",
-                    row.name,
+                    "| `{}` | {} | `{}` to `{}` | {default} | {} | {affects} | {} |",
+                    setting.name,
                     b.unit.name().trim_start_matches("a "),
-                    b.low,
-                    b.high,
-                    row.takes.name(),
-                    row.says
+                    b.min,
+                    b.max,
+                    setting.takes_effect.name(),
+                    setting.description
                 );
             }
         }
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,13 +1,13 @@
 //! What a file says, as a tree. Chains of operators are flat, so that no tree is deeper than the parser allows.
 
-use crate::report::Place;
+use crate::diagnostic::SourceLocation;
 use crate::unit::Quantity;
 use std::rc::Rc;
 
 #[derive(Clone, Debug)]
 pub struct Named {
     pub name: Rc<str>,
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 #[derive(Clone, Debug)]
@@ -17,7 +17,7 @@
         value: Expr,
     },
     Load {
-        place: Place,
+        location: SourceLocation,
         file: Named,
         /// The name here, and its name there.
         names: Vec<(Named, Rc<str>)>,
@@ -38,7 +38,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Expr {
-    pub place: Place,
+    pub location: SourceLocation,
     pub kind: Kind,
 }
 
--- a/crates/config/src/unit.rs
+++ b/crates/config/src/unit.rs
@@ -69,19 +69,19 @@
 
 /// Why a number can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum QuantityError {
     UnknownUnit,
     TooLarge,
     /// Something is left below the base of the unit.
     TooFine,
 }
 
-impl Unread {
+impl QuantityError {
     pub fn reason(self) -> &'static str {
         match self {
-            Unread::UnknownUnit => "no such unit",
-            Unread::TooLarge => "the number is too large",
-            Unread::TooFine => "the number is finer than its unit can be told",
+            QuantityError::UnknownUnit => "no such unit",
+            QuantityError::TooLarge => "the number is too large",
+            QuantityError::TooFine => "the number is finer than its unit can be told",
         }
     }
 }
@@ -106,27 +106,27 @@
     }
 
     /// Reads a literal such as `16`, `1.2s`, `64KiB`, `200/s` or `15%`.
-    pub fn read(text: &str) -> Result<Quantity, Unread> {
+    pub fn parse(text: &str) -> Result<Quantity, QuantityError> {
         let (number, suffix) = text.split_at(suffix_at(text));
         let found = WRITTEN.iter().find(|(written, _, _)| *written == suffix);
-        let (_, unit, scale) = *found.ok_or(Unread::UnknownUnit)?;
+        let (_, unit, scale) = *found.ok_or(QuantityError::UnknownUnit)?;
         let (whole, part) = number.split_once('.').unwrap_or((number, ""));
         let part = part.trim_end_matches('0');
         if part.len() > 15 {
-            return Err(Unread::TooFine);
+            return Err(QuantityError::TooFine);
         }
         let digits = |text: &str| match text {
             "" => Ok(0),
-            text => text.parse::<i128>().map_err(|_| Unread::TooLarge),
+            text => text.parse::<i128>().map_err(|_| QuantityError::TooLarge),
         };
         let tens = 10i128.pow(part.len() as u32);
-        let whole = digits(whole)?.checked_mul(tens).ok_or(Unread::TooLarge)?;
+        let whole = digits(whole)?.checked_mul(tens).ok_or(QuantityError::TooLarge)?;
         let scaled = (whole + digits(part)?).checked_mul(i128::from(scale));
-        let scaled = scaled.ok_or(Unread::TooLarge)?;
+        let scaled = scaled.ok_or(QuantityError::TooLarge)?;
         if scaled % tens != 0 {
-            return Err(Unread::TooFine);
+            return Err(QuantityError::TooFine);
         }
-        let amount = i64::try_from(scaled / tens).map_err(|_| Unread::TooLarge)?;
+        let amount = i64::try_from(scaled / tens).map_err(|_| QuantityError::TooLarge)?;
         Ok(Quantity { unit, amount })
     }
 }
@@ -147,8 +147,8 @@
         };
         let sign = if self.amount < 0 { "-" } else { "" };
         let (amount, scale) = (self.amount.unsigned_abs(), scale.unsigned_abs());
-        let places = scale.ilog10() as usize;
-        let part = format!("{:0places$}", amount % scale);
+        let decimals = scale.ilog10() as usize;
+        let part = format!("{:0decimals$}", amount % scale);
         let part = part.trim_end_matches('0');
         write!(f, "{sign}{}.{part}{suffix}", amount / scale)
     }
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -2,13 +2,13 @@
 //! words the message holds; each valid one has a form whose meaning is the same.
 
 use asterlatch_config::format::format;
-use asterlatch_config::host;
-use asterlatch_config::load::{read, Held, Outcome};
-use asterlatch_config::meaning::{changes, hash};
+use asterlatch_config::load::{read, LoadOutcome, MemorySource};
+use asterlatch_config::resolved::{changes, hash};
+use asterlatch_config::service_schema;
 use std::collections::BTreeMap;
 
 /// Reads one case: files are parted by lines `--- NAME`, the first is `root.latch`.
-fn held(text: &str) -> Held {
+fn held(text: &str) -> MemorySource {
     let mut files = BTreeMap::new();
     let (mut name, mut body) = ("root.latch".to_owned(), String::new());
     for line in text.split_inclusive('\n') {
@@ -23,11 +23,16 @@
         }
     }
     files.insert(name, body.into_bytes());
-    Held(files)
+    MemorySource(files)
 }
 
-fn meant(files: &Held) -> Outcome {
-    read("root.latch", files, &host::registry(), host::MACHINE)
+fn meant(files: &MemorySource) -> LoadOutcome {
+    read(
+        "root.latch",
+        files,
+        &service_schema::schema(),
+        service_schema::DEFAULT_MACHINE,
+    )
 }
 
 fn cases(text: &str) -> Vec<(String, String)> {
@@ -48,15 +53,15 @@
         // Where the error is, and words of its message.
         let (at, words) = head.split_once(' ').expect("a place and words");
         let outcome = meant(&held(body));
-        let text = outcome.text();
+        let text = outcome.render_diagnostics();
         let first = text.lines().next().unwrap_or("no error");
-        if outcome.meaning.is_some() || !first.starts_with(&format!("{at}: ")) || !first.contains(words) {
+        if outcome.settings.is_some() || !first.starts_with(&format!("{at}: ")) || !first.contains(words) {
             failed.push(format!("{head}\n{body}{text}"));
         }
         // Each message names a file of the case, a line and a column that are there.
-        for report in &outcome.reports {
-            let file = &outcome.files[report.place.file as usize];
-            let (line, _) = file.at(report.place.start);
+        for diagnostic in &outcome.diagnostics {
+            let file = &outcome.files[diagnostic.location.file as usize];
+            let (line, _) = file.line_and_column(diagnostic.location.start);
             assert!(line <= file.text.lines().count() + 1, "{head}: line {line}");
         }
     }
@@ -72,14 +77,14 @@
 fn valid_files_keep_their_meaning_in_their_form() {
     let all = cases(include_str!("corpus/valid.txt"));
     assert!(all.len() >= 60, "{} cases", all.len());
-    let registry = host::registry();
+    let schema = service_schema::schema();
     let mut by_meaning: BTreeMap<String, Vec<String>> = BTreeMap::new();
     let mut meanings = Vec::new();
     for (head, body) in &all {
         let files = held(body);
         let outcome = meant(&files);
-        let text = outcome.text();
-        let meaning = outcome.meaning.unwrap_or_else(|| panic!("{head}\n{body}{text}"));
+        let text = outcome.render_diagnostics();
+        let settings = outcome.settings.unwrap_or_else(|| panic!("{head}\n{body}{text}"));
         let formed: BTreeMap<_, _> = files
             .0
             .iter()
@@ -94,20 +99,20 @@
                 (name.clone(), formed.into_bytes())
             })
             .collect();
-        let again = meant(&Held(formed))
-            .meaning
+        let again = meant(&MemorySource(formed))
+            .settings
             .unwrap_or_else(|| panic!("{head}: its form is faulty"));
         assert!(
-            changes(&registry, &meaning, &again).is_empty(),
+            changes(&schema, &settings, &again).is_empty(),
             "{head}: its form means something else"
         );
         // The first word of the head is a class: cases of a class mean the same, others don't.
         let class = head.split(' ').next().expect("has a class").to_owned();
         by_meaning
-            .entry(hash(&meaning.canonical(&registry)))
+            .entry(hash(&settings.canonical(&schema)))
             .or_default()
             .push(class);
-        meanings.push(meaning);
+        meanings.push(settings);
     }
     let mut seen = BTreeMap::new();
     for (hash, classes) in &by_meaning {
@@ -124,8 +129,8 @@
     // The diff is empty just where the canonical texts are equal.
     for a in &meanings {
         for b in &meanings {
-            let same = a.canonical(&registry) == b.canonical(&registry);
-            assert_eq!(changes(&registry, a, b).is_empty(), same);
+            let same = a.canonical(&schema) == b.canonical(&schema);
+            assert_eq!(changes(&schema, a, b).is_empty(), same);
         }
     }
 }
--- a/crates/config/tests/fixtures.rs
+++ b/crates/config/tests/fixtures.rs
@@ -3,13 +3,13 @@
 //! `cargo test -p asterlatch-config --test fixtures -- --ignored` writes the fixtures anew from the build as it is.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_config::generations::{Difference, Effect, Generation, Generations, Read, Told};
-use asterlatch_config::host;
-use asterlatch_config::load::{read, Folder};
-use asterlatch_config::meaning::{changes, hash, Meaning};
-use asterlatch_config::probation::Terms;
-use asterlatch_config::shelf::{written, Damage, UNFINISHED};
-use asterlatch_config::store::Store;
+use asterlatch_config::generation_files::{encode, Damage, TEMPORARY_SUFFIX};
+use asterlatch_config::generations::{Command, Decision, Difference, Generation, Generations, ReadOutcome};
+use asterlatch_config::load::{read, FolderSource};
+use asterlatch_config::probation::ProbationCriteria;
+use asterlatch_config::resolved::{changes, hash, ResolvedSettings};
+use asterlatch_config::service_schema;
+use asterlatch_config::store::GenerationStore;
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -31,26 +31,31 @@
 }
 
 /// What the file with every setting comes to.
-fn resolved() -> Meaning {
+fn resolved() -> ResolvedSettings {
     let path = fixtures().join(EVERY_SETTING);
-    let (folder, name) = Folder::of(path.to_str().expect("is text"));
-    let outcome = read(&name, &folder, &host::registry(), host::MACHINE);
-    assert_eq!(outcome.text(), "", "no error and no warning");
-    outcome.meaning.expect("is valid")
+    let (folder, name) = FolderSource::containing(path.to_str().expect("is text"));
+    let outcome = read(
+        &name,
+        &folder,
+        &service_schema::schema(),
+        service_schema::DEFAULT_MACHINE,
+    );
+    assert_eq!(outcome.render_diagnostics(), "", "no error and no warning");
+    outcome.settings.expect("is valid")
 }
 
 /// The meanings of the stored generations, oldest first, each with its number.
 fn stored_meanings() -> [(u64, String); 3] {
-    let registry = host::registry();
-    let all_default = Meaning::default_of(&registry).canonical(&registry);
-    let every_setting = resolved().canonical(&registry);
+    let schema = service_schema::schema();
+    let all_default = ResolvedSettings::defaults(&schema).canonical(&schema);
+    let every_setting = resolved().canonical(&schema);
     [(3, all_default.clone()), (4, every_setting), (5, all_default)]
 }
 
 fn store_generations(folder: &Path) {
-    let store = Store::open(folder).expect("opens");
+    let store = GenerationStore::open(folder).expect("opens");
     for (number, canonical) in stored_meanings() {
-        let stored = store.keep(number, &canonical, MOST_GENERATIONS, |_| ());
+        let stored = store.store(number, &canonical, MOST_GENERATIONS, |_| ());
         assert_eq!(stored.expect("stores"), number);
     }
 }
@@ -58,28 +63,28 @@
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_fixtures() {
-    let registry = host::registry();
-    let canonical = resolved().canonical(&registry);
+    let schema = service_schema::schema();
+    let canonical = resolved().canonical(&schema);
     fs::write(fixtures().join(EVERY_SETTING_RESOLVED), &canonical).expect("is written");
     let folder = fixtures().join(GENERATIONS);
     let _ = fs::remove_dir_all(&folder);
     store_generations(&folder);
-    let whole = written(6, &canonical).into_bytes();
+    let whole = encode(6, &canonical).into_bytes();
     fs::write(folder.join(DAMAGED), &whole[..whole.len() / 2]).expect("is written");
-    let never_ended = folder.join(format!("{NEVER_ENDED}{UNFINISHED}"));
+    let never_ended = folder.join(format!("{NEVER_ENDED}{TEMPORARY_SUFFIX}"));
     fs::write(never_ended, &whole[..100]).expect("is written");
 }
 
 #[test]
 fn every_setting_is_stated_and_differs_from_its_default() {
-    let registry = host::registry();
-    let (meaning, default) = (resolved(), Meaning::default_of(&registry));
-    let stated: Vec<String> = changes(&registry, &default, &meaning)
+    let schema = service_schema::schema();
+    let (settings, default) = (resolved(), ResolvedSettings::defaults(&schema));
+    let stated: Vec<String> = changes(&schema, &default, &settings)
         .iter()
-        .map(|change| registry.written(&change.path))
+        .map(|change| schema.format_path(&change.path))
         .collect();
-    for section in &registry.sections {
-        for row in section.rows {
+    for section in &schema.sections {
+        for row in section.settings {
             let is_stated = stated
                 .iter()
                 .any(|path| path.starts_with(section.name) && path.ends_with(&format!(".{}", row.name)));
@@ -91,13 +96,13 @@
 
 #[test]
 fn every_setting_resolves_to_the_same_text() {
-    let registry = host::registry();
+    let schema = service_schema::schema();
     let canonical = text(EVERY_SETTING_RESOLVED);
-    assert_eq!(resolved().canonical(&registry), canonical);
-    let (read_again, left_out) = Meaning::from_canonical(&registry, &canonical).expect("is read");
+    assert_eq!(resolved().canonical(&schema), canonical);
+    let (read_again, left_out) = ResolvedSettings::from_canonical(&schema, &canonical).expect("is read");
     assert_eq!(left_out, Vec::<String>::new());
     assert_eq!(read_again, resolved());
-    assert_eq!(read_again.canonical(&registry), canonical);
+    assert_eq!(read_again.canonical(&schema), canonical);
 }
 
 #[test]
@@ -107,22 +112,22 @@
 
 #[test]
 fn drivers_of_every_setting_stay() {
-    let registry = host::registry();
-    let drivers: Vec<_> = host::drivers(&registry, &resolved())
+    let schema = service_schema::schema();
+    let configured_peers: Vec<_> = service_schema::configured_peers(&schema, &resolved())
         .into_iter()
-        .map(|driver| (driver.name, driver.address.to_string(), driver.asked))
+        .map(|driver| (driver.name, driver.address.to_string(), driver.receives_inquiries))
         .collect();
     let expected = [
         ("b".to_owned(), "10.0.0.2:7947".to_owned(), true),
         ("c".to_owned(), "10.0.0.3:7948".to_owned(), false),
     ];
-    assert_eq!(drivers, expected);
+    assert_eq!(configured_peers, expected);
 }
 
 #[test]
 fn stored_generations_are_read_newest_first() {
-    let store = Store::open(&fixtures().join(GENERATIONS)).expect("opens");
-    let all = store.all().expect("is read");
+    let store = GenerationStore::open(&fixtures().join(GENERATIONS)).expect("opens");
+    let all = store.read_all().expect("is read");
     let found: Vec<_> = all
         .iter()
         .map(|stored| (stored.number, stored.canonical.clone()))
@@ -159,61 +164,66 @@
         let entry = entry.expect("is there");
         fs::copy(entry.path(), folder.path().join(entry.file_name())).expect("is copied");
     }
-    let registry = host::registry();
-    let store = Store::open(folder.path()).expect("opens");
+    let schema = service_schema::schema();
+    let store = GenerationStore::open(folder.path()).expect("opens");
     let newest = store
-        .all()
+        .read_all()
         .expect("is read")
         .into_iter()
         .find(|s| s.canonical.is_ok());
     let newest = newest.expect("one is whole");
     let canonical = newest.canonical.clone().expect("is whole");
-    let (meaning, _) = Meaning::from_canonical(&registry, &canonical).expect("is read");
+    let (settings, _) = ResolvedSettings::from_canonical(&schema, &canonical).expect("is read");
     let mut generations = Generations::new(
         newest.number,
         hash(&canonical),
-        meaning,
+        settings,
         |_, _| Difference::default(),
         |_| NO_PROBATION,
     );
     let ticket = generations.begin_read();
     let next = resolved();
-    let hash = hash(&next.canonical(&registry));
-    let read = Read::Good {
+    let hash = hash(&next.canonical(&schema));
+    let read = ReadOutcome::Valid {
         hash: hash.clone(),
-        meaning: next.clone(),
+        settings: next.clone(),
     };
-    let effects = generations.read_ended(Timestamp(0) + TimeSpan::millis(1), ticket, read);
+    let commands = generations.on_read(Timestamp(0) + TimeSpan::millis(1), ticket, read);
     let kept = Generation {
         number: 6,
         hash,
-        meaning: next.clone(),
+        settings: next.clone(),
     };
-    let in_force = Told::InForce {
+    let in_force = Decision::Applied {
         number: 6,
         live: 0,
-        at_start: 0,
+        at_next_start: 0,
     };
     let expected = vec![
-        Effect::TakeOver(next.clone()),
-        Effect::Tell(in_force),
-        Effect::Keep(kept),
-        Effect::Tell(Told::Kept { number: 6 }),
+        Command::Apply(next.clone()),
+        Command::Report(in_force),
+        Command::Store(kept),
+        Command::Report(Decision::Confirmed { number: 6 }),
     ];
-    assert_eq!(effects, expected);
+    assert_eq!(commands, expected);
     // Number 6 is the damaged one's, so that the store gives the next.
-    let stored = store.keep(6, &next.canonical(&registry), MOST_GENERATIONS, |_| ());
+    let stored = store.store(6, &next.canonical(&schema), MOST_GENERATIONS, |_| ());
     assert_eq!(stored.expect("stores"), 7);
-    let numbers: Vec<_> = store.all().expect("is read").iter().map(|s| s.number).collect();
+    let numbers: Vec<_> = store
+        .read_all()
+        .expect("is read")
+        .iter()
+        .map(|s| s.number)
+        .collect();
     assert_eq!(numbers, [7, 5, 4, 3]);
     let left = fs::read_dir(folder.path()).expect("lists").count();
     assert_eq!(left, 4, "what was damaged and what was never ended is gone");
 }
 
-const NO_PROBATION: Terms = Terms {
+const NO_PROBATION: ProbationCriteria = ProbationCriteria {
     probation: TimeSpan(0),
     margin: 0.02,
-    least: 20,
+    min_rejections: 20,
 };
 
 /// Stands in generations, in the log and in what operators compare.
--- a/crates/config/tests/generations.rs
+++ b/crates/config/tests/generations.rs
@@ -1,17 +1,17 @@
 //! Which meaning is in force, given reads, figures and time.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_config::generations::{Difference, Effect, Generations, Read, Told};
-use asterlatch_config::probation::{Sample, Terms};
-use asterlatch_config::registry::Want;
+use asterlatch_config::generations::{Command, Decision, Difference, Generations, ReadOutcome};
+use asterlatch_config::probation::{ProbationCriteria, Sample};
+use asterlatch_config::schema::Resource;
 
 /// A stand-in for a meaning: what it changes against nothing, and its probation in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Meant {
     name: &'static str,
     live: usize,
-    at_start: usize,
-    may_want: bool,
+    at_next_start: usize,
+    may_exhaust: bool,
     probation: u64,
 }
 
@@ -19,8 +19,8 @@
     Meant {
         name,
         live: 1,
-        at_start: 0,
-        may_want: true,
+        at_next_start: 0,
+        may_exhaust: true,
         probation,
     }
 }
@@ -30,13 +30,13 @@
 const B: Meant = meant("b", 10);
 const SOON: Meant = meant("soon", 0);
 const HARMLESS: Meant = Meant {
-    may_want: false,
+    may_exhaust: false,
     ..meant("harmless", 10)
 };
 const LATER: Meant = Meant {
     live: 0,
-    at_start: 2,
-    may_want: false,
+    at_next_start: 2,
+    may_exhaust: false,
     ..meant("later", 10)
 };
 
@@ -44,29 +44,29 @@
     if old == new {
         return Difference::default();
     }
-    let may_want = if new.may_want || old.may_want {
-        vec![Want::Places]
+    let may_exhaust = if new.may_exhaust || old.may_exhaust {
+        vec![Resource::ClientSlots]
     } else {
         Vec::new()
     };
     // Against what has only settings that nothing is watched of, the change is as harmless.
-    let may_want = if *new == HARMLESS || *new == LATER {
+    let may_exhaust = if *new == HARMLESS || *new == LATER {
         Vec::new()
     } else {
-        may_want
+        may_exhaust
     };
     Difference {
         live: new.live,
-        at_start: new.at_start,
-        may_want,
+        at_next_start: new.at_next_start,
+        may_exhaust,
     }
 }
 
-fn terms(meant: &Meant) -> Terms {
-    Terms {
+fn criteria(meant: &Meant) -> ProbationCriteria {
+    ProbationCriteria {
         probation: TimeSpan::millis(meant.probation * 1000),
         margin: 0.02,
-        least: 5,
+        min_rejections: 5,
     }
 }
 
@@ -91,7 +91,7 @@
 
 impl Stage {
     fn new() -> Stage {
-        let generations = Generations::new(1, "first".to_owned(), FIRST, difference, terms);
+        let generations = Generations::new(1, "first".to_owned(), FIRST, difference, criteria);
         Stage {
             generations,
             in_force: "first",
@@ -99,50 +99,50 @@
         }
     }
 
-    fn take(&mut self, seconds: u64, input: &In) -> Vec<Told> {
+    fn take(&mut self, seconds: u64, input: &In) -> Vec<Decision> {
         let now = Timestamp(0) + TimeSpan::millis(1_000_000 + seconds * 1000);
-        let good = |m: Meant| Read::Good {
+        let good = |m: Meant| ReadOutcome::Valid {
             hash: m.name.to_owned(),
-            meaning: m,
+            settings: m,
         };
-        let effects = match input {
+        let commands = match input {
             Good(m) => {
                 let ticket = self.generations.begin_read();
-                self.generations.read_ended(now, ticket, good(*m))
+                self.generations.on_read(now, ticket, good(*m))
             }
             Faulty => {
                 let ticket = self.generations.begin_read();
                 self.generations
-                    .read_ended(now, ticket, Read::Faulty { errors: 3 })
+                    .on_read(now, ticket, ReadOutcome::Invalid { error_count: 3 })
             }
             Begin => {
                 self.generations.begin_read();
                 Vec::new()
             }
             End(ticket, m) => {
-                let read = m.map_or(Read::Faulty { errors: 1 }, good);
-                self.generations.read_ended(now, *ticket, read)
+                let read = m.map_or(ReadOutcome::Invalid { error_count: 1 }, good);
+                self.generations.on_read(now, *ticket, read)
             }
-            Counts(clients, turned_away, open) => {
+            Counts(clients, rejected, open) => {
                 let sample = Sample {
                     demand: [*clients, 0, 0],
-                    turned_away: [*turned_away, 0, 0],
+                    rejected: [*rejected, 0, 0],
                     fill: [*open, 0, 0],
                 };
-                self.generations.counted(now, sample)
+                self.generations.on_sample(now, sample)
             }
-            Time => self.generations.time_reached(now),
+            Time => self.generations.advance_to(now),
         };
         let mut told = Vec::new();
-        for effect in effects {
-            match effect {
-                Effect::TakeOver(m) => self.in_force = m.name,
-                Effect::Keep(g) => self.kept.push(g.meaning.name),
-                Effect::Tell(t) => told.push(t),
+        for command in commands {
+            match command {
+                Command::Apply(m) => self.in_force = m.name,
+                Command::Store(g) => self.kept.push(g.settings.name),
+                Command::Report(t) => told.push(t),
             }
         }
         assert_eq!(
-            self.generations.in_force().meaning.name,
+            self.generations.applied().settings.name,
             self.in_force,
             "the host has what is in force"
         );
@@ -151,25 +151,25 @@
 }
 
 /// Each step: seconds, input, what is in force behind it, and what is told.
-type Steps = Vec<(u64, In, &'static str, Vec<Told>)>;
+type Steps = Vec<(u64, In, &'static str, Vec<Decision>)>;
 
-fn force(number: u64) -> Told {
-    Told::InForce {
+fn force(number: u64) -> Decision {
+    Decision::Applied {
         number,
         live: 1,
-        at_start: 0,
+        at_next_start: 0,
     }
 }
 
-fn kept(number: u64) -> Told {
-    Told::Kept { number }
+fn kept(number: u64) -> Decision {
+    Decision::Confirmed { number }
 }
 
-fn back(from: u64, to: u64) -> Told {
-    Told::GoneBack {
+fn back(from: u64, to: u64) -> Decision {
+    Decision::RolledBack {
         from,
         to,
-        why: Want::Places,
+        resource: Resource::ClientSlots,
     }
 }
 
@@ -183,11 +183,11 @@
             (10, Time, "a", vec![]), (11, Time, "a", vec![kept(2)]), (60, Time, "a", vec![]),
         ], vec!["a"]),
         ("the same again", vec![
-            (1, Good(FIRST), "first", vec![Told::Same]), (2, Good(FIRST), "first", vec![Told::Same]),
+            (1, Good(FIRST), "first", vec![Decision::Unchanged]), (2, Good(FIRST), "first", vec![Decision::Unchanged]),
         ], vec![]),
         ("a faulty file changes nothing", vec![
-            (1, Faulty, "first", vec![Told::Rejected { errors: 3 }]), (2, Good(A), "a", vec![force(2)]),
-            (3, Faulty, "a", vec![Told::Rejected { errors: 3 }]), (4, busy(9), "a", vec![]), (11, Time, "a", vec![]),
+            (1, Faulty, "first", vec![Decision::Rejected { error_count: 3 }]), (2, Good(A), "a", vec![force(2)]),
+            (3, Faulty, "a", vec![Decision::Rejected { error_count: 3 }]), (4, busy(9), "a", vec![]), (11, Time, "a", vec![]),
             (12, Time, "a", vec![kept(2)]),
         ], vec!["a"]),
         ("no probation is kept at once", vec![(1, Good(SOON), "soon", vec![force(2), kept(2)])], vec!["soon"]),
@@ -195,22 +195,22 @@
             (1, Good(HARMLESS), "harmless", vec![force(2), kept(2)]),
         ], vec!["harmless"]),
         ("what waits for the next start", vec![
-            (1, Good(LATER), "later", vec![Told::InForce { number: 2, live: 0, at_start: 2 }, kept(2)]),
+            (1, Good(LATER), "later", vec![Decision::Applied { number: 2, live: 0, at_next_start: 2 }, kept(2)]),
         ], vec!["later"]),
         ("harm sends it back, once, and it isn't taken again", vec![
             (0, busy(0), "first", vec![]), (5, busy(500), "first", vec![]), (6, Good(A), "a", vec![force(2)]),
             (7, Counts(600, 4, 30), "a", vec![]), (8, Counts(700, 40, 30), "first", vec![back(2, 1)]),
             (9, Counts(800, 80, 30), "first", vec![]),
-            (10, Good(A), "first", vec![Told::Refused { why: Want::Places }]),
-            (11, Faulty, "first", vec![Told::Rejected { errors: 3 }]),
-            (12, Good(A), "first", vec![Told::Refused { why: Want::Places }]),
+            (10, Good(A), "first", vec![Decision::AlreadyRolledBack { resource: Resource::ClientSlots }]),
+            (11, Faulty, "first", vec![Decision::Rejected { error_count: 3 }]),
+            (12, Good(A), "first", vec![Decision::AlreadyRolledBack { resource: Resource::ClientSlots }]),
             (13, Good(B), "b", vec![force(3)]), (14, Counts(2000, 80, 30), "b", vec![]), (23, Time, "b", vec![kept(3)]),
             // The file has said something else in between.
             (24, Good(A), "a", vec![force(4)]),
         ], vec!["b"]),
         ("saying again what is in force lifts the refusal", vec![
             (0, busy(0), "first", vec![]), (5, busy(500), "first", vec![]), (6, Good(A), "a", vec![force(2)]),
-            (8, Counts(700, 40, 30), "first", vec![back(2, 1)]), (9, Good(FIRST), "first", vec![Told::Same]),
+            (8, Counts(700, 40, 30), "first", vec![back(2, 1)]), (9, Good(FIRST), "first", vec![Decision::Unchanged]),
             (10, Good(A), "a", vec![force(3)]),
         ], vec![]),
         ("one on probation gives way to another, both judged against the one kept", vec![
@@ -223,11 +223,11 @@
         ], vec!["first"]),
         ("an older read that ends later", vec![
             (1, Begin, "first", vec![]), (1, Begin, "first", vec![]), (2, End(2, Some(A)), "a", vec![force(2)]),
-            (3, End(1, Some(B)), "a", vec![Told::Overtaken]),
+            (3, End(1, Some(B)), "a", vec![Decision::Superseded]),
         ], vec![]),
         ("a faulty read doesn't make an older good one old", vec![
             (1, Begin, "first", vec![]), (1, Begin, "first", vec![]),
-            (2, End(2, None), "first", vec![Told::Rejected { errors: 1 }]), (3, End(1, Some(A)), "a", vec![force(2)]),
+            (2, End(2, None), "first", vec![Decision::Rejected { error_count: 1 }]), (3, End(1, Some(A)), "a", vec![force(2)]),
         ], vec![]),
         ("without demand the probation goes on, but not for good", vec![
             (0, busy(100), "first", vec![]), (1, Good(A), "a", vec![force(2)]), (11, Time, "a", vec![]),
@@ -283,12 +283,12 @@
     ];
     for (name, before, after, harmful) in cases {
         let mut stage = Stage::new();
-        let (mut second, mut clients, mut turned_away) = (0, 0, 0);
+        let (mut second, mut clients, mut rejected) = (0, 0, 0);
         let mut count = |stage: &mut Stage, (come, share, open): (u64, u64, u64)| {
             clients += come;
-            turned_away += come * share / 1000;
+            rejected += come * share / 1000;
             second += 1;
-            stage.take(second, &Counts(clients, turned_away, open));
+            stage.take(second, &Counts(clients, rejected, open));
             second
         };
         let mut now = 0;
@@ -331,7 +331,7 @@
     let mut runner = TestRunner::new_with_rng(config, seed);
     let done = runner.run(&rows, |row| {
         let mut stage = Stage::new();
-        let (mut now, mut clients, mut turned_away) = (0, 0, 0);
+        let (mut now, mut clients, mut rejected) = (0, 0, 0);
         let mut open_reads = Vec::new();
         for (kind, which, more, share, open) in row {
             now += more % 7;
@@ -349,19 +349,22 @@
                 },
                 6 | 7 => {
                     clients += more;
-                    turned_away += more * share.min(100) / 100;
-                    Counts(clients, turned_away, open)
+                    rejected += more * share.min(100) / 100;
+                    Counts(clients, rejected, open)
                 }
                 _ => Time,
             };
             let told = stage.take(now, &input);
-            let went_back = told.iter().filter(|t| matches!(t, Told::GoneBack { .. })).count();
+            let went_back = told
+                .iter()
+                .filter(|t| matches!(t, Decision::RolledBack { .. }))
+                .count();
             prop_assert!(went_back <= 1);
             match input {
                 Good(m) | End(_, Some(m)) => {
                     let refused = told
                         .iter()
-                        .any(|t| matches!(t, Told::Refused { .. } | Told::Overtaken));
+                        .any(|t| matches!(t, Decision::AlreadyRolledBack { .. } | Decision::Superseded));
                     prop_assert!(refused || stage.in_force == m.name || went_back == 1);
                 }
                 Faulty | End(_, None) | Begin => prop_assert_eq!(stage.in_force, before),
--- a/crates/config/tests/grammar.rs
+++ b/crates/config/tests/grammar.rs
@@ -1,9 +1,9 @@
 //! The grammar page is read, and sentences made from it must parse.
 
+use asterlatch_config::diagnostic::{render, SourceFile};
 use asterlatch_config::format::format;
-use asterlatch_config::load::words;
+use asterlatch_config::load::significant_tokens;
 use asterlatch_config::parse::parse;
-use asterlatch_config::report::{text, Shown};
 use std::collections::BTreeMap;
 
 const PAGE: &str = include_str!("../../../docs/config/grammar.md");
@@ -268,17 +268,17 @@
         // What a sentence nests or counts beyond the bounds is refused for that alone.
         let parsed = parse(0, &sentence);
         let others: Vec<_> = parsed
-            .reports
+            .diagnostics
             .iter()
             .filter(|r| !r.message.starts_with("nested more") && !r.message.contains("too large"))
             .collect();
-        let shown = [Shown {
+        let shown = [SourceFile {
             name: "made".to_owned(),
             text: sentence.clone(),
         }];
-        let told: String = others.iter().map(|r| text(r, &shown)).collect();
+        let told: String = others.iter().map(|r| render(r, &shown)).collect();
         assert!(others.is_empty(), "seed {seed}\n{sentence}\n{told}");
-        if parsed.reports.is_empty() {
+        if parsed.diagnostics.is_empty() {
             let formatted = format(&sentence);
             assert_eq!(
                 format(&formatted),
@@ -286,7 +286,7 @@
                 "seed {seed}: the form has a form of its own\n{sentence}"
             );
             let commas = |text: &str| -> Vec<String> {
-                let all = words(text).into_iter().map(|(_, w)| w.to_owned());
+                let all = significant_tokens(text).into_iter().map(|(_, w)| w.to_owned());
                 all.filter(|w| w != ",").collect()
             };
             assert_eq!(
@@ -295,7 +295,7 @@
                 "seed {seed}: words were lost"
             );
             assert!(
-                parse(0, &formatted).reports.is_empty(),
+                parse(0, &formatted).diagnostics.is_empty(),
                 "seed {seed}\n{formatted}"
             );
         }
--- a/crates/config/tests/hardness.rs
+++ b/crates/config/tests/hardness.rs
@@ -2,13 +2,13 @@
 
 #![allow(clippy::type_complexity)] // Tables of cases.
 
+use asterlatch_config::diagnostic::SourceFile;
 use asterlatch_config::format::format;
-use asterlatch_config::host;
-use asterlatch_config::load::{read, Folder, Held, Outcome, LONGEST_FILE};
-use asterlatch_config::meaning::{changes, Meaning};
-use asterlatch_config::report::Shown;
-use asterlatch_config::trial::survive;
-use asterlatch_config::unit::{Quantity, Unit, Unread};
+use asterlatch_config::fuzz_checks::check_bytes;
+use asterlatch_config::load::{read, FolderSource, LoadOutcome, MemorySource, MAX_FILE_BYTES};
+use asterlatch_config::resolved::{changes, ResolvedSettings};
+use asterlatch_config::service_schema;
+use asterlatch_config::unit::{Quantity, QuantityError, Unit};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::cell::Cell;
@@ -16,9 +16,14 @@
 use std::fs;
 use std::os::unix::fs::symlink;
 
-fn root(bytes: impl Into<Vec<u8>>) -> Outcome {
-    let files = Held(BTreeMap::from([("root.latch".to_owned(), bytes.into())]));
-    read("root.latch", &files, &host::registry(), host::MACHINE)
+fn root(bytes: impl Into<Vec<u8>>) -> LoadOutcome {
+    let files = MemorySource(BTreeMap::from([("root.latch".to_owned(), bytes.into())]));
+    read(
+        "root.latch",
+        &files,
+        &service_schema::schema(),
+        service_schema::DEFAULT_MACHINE,
+    )
 }
 
 #[test]
@@ -55,15 +60,15 @@
     ];
     for (name, bytes, words) in cases {
         let outcome = root(bytes);
-        let text = outcome.text();
+        let text = outcome.render_diagnostics();
         assert!(
-            outcome.meaning.is_none() && text.contains(words),
+            outcome.settings.is_none() && text.contains(words),
             "{name}\n{}",
             &text[..text.len().min(400)]
         );
         assert!(text.starts_with("root.latch:"), "{name}");
         assert!(text.len() < 200_000, "{name}: {} bytes told", text.len());
-        assert!(outcome.reports.len() <= 101, "{name}");
+        assert!(outcome.diagnostics.len() <= 101, "{name}");
     }
 }
 
@@ -75,14 +80,14 @@
         ("no end of line", b"clients(rest = 9s)"), ("tabs", b"\tclients(\trest\t=\t9s\t)".trim_ascii_start()),
         ("long chains", b"clients(rest = 9s)"),
     ];
-    let registry = host::registry();
-    let plain = root("clients(rest = 9s)").meaning.expect("is valid");
+    let schema = service_schema::schema();
+    let plain = root("clients(rest = 9s)").settings.expect("is valid");
     for (name, bytes) in cases {
-        let found = root(bytes).meaning.unwrap_or_else(|| panic!("{name}"));
-        assert!(changes(&registry, &plain, &found).is_empty(), "{name}");
+        let found = root(bytes).settings.unwrap_or_else(|| panic!("{name}"));
+        assert!(changes(&schema, &plain, &found).is_empty(), "{name}");
     }
     let chain = format!("x = {}1\nclients(rest = 9s)", "1 + ".repeat(50_000));
-    assert!(root(chain).meaning.is_some(), "a long chain is no deep one");
+    assert!(root(chain).settings.is_some(), "a long chain is no deep one");
 }
 
 /// A file that is read while it is written may be cut anywhere: no cut panics, and none that lies within a statement is
@@ -91,14 +96,18 @@
 fn a_file_cut_at_any_byte_is_told_or_is_whole_statements() {
     let text = "# é\ndef f(t = 1s):\n    u = t * 2\n    return u\n\nclients(\n    rest = f(4s),  # a\n    message = 3s,\n)\n\
                 x = {\"a\": [1, 2], \"b\": \"\\\"\\n\"}\nworkload(\"a\", timeout = 1s if True else 2s, **{\"longest\": 1KiB})\n";
-    assert!(root(text).meaning.is_some(), "{}", root(text).text());
+    assert!(
+        root(text).settings.is_some(),
+        "{}",
+        root(text).render_diagnostics()
+    );
     for at in 0..text.len() {
         let outcome = root(&text.as_bytes()[..at]);
-        let _ = outcome.text();
+        let _ = outcome.render_diagnostics();
         let inside =
             at > text.find("clients(").expect("is there") + 7 && at <= text.find(")\nx").expect("is there");
         assert!(
-            !inside || outcome.meaning.is_none(),
+            !inside || outcome.settings.is_none(),
             "cut at {at}, within a bracket"
         );
     }
@@ -126,13 +135,13 @@
     let made = prop::collection::vec(pieces, 0..40).prop_map(|all| all.concat());
     runner(3000)
         .run(&made, |text| {
-            survive(text.as_bytes());
+            check_bytes(text.as_bytes());
             Ok(())
         })
         .expect("holds");
     runner(500)
         .run(&prop::collection::vec(any::<u8>(), 0..200), |bytes| {
-            survive(&bytes);
+            check_bytes(&bytes);
             Ok(())
         })
         .expect("holds");
@@ -141,7 +150,7 @@
 /// Programs that are valid by how they are made: their form means the same, and diff says what differs.
 #[test]
 fn made_programs_keep_their_meaning_and_differences() {
-    let registry = host::registry();
+    let schema = service_schema::schema();
     let span = (50u64..100_000).prop_flat_map(|ms| {
         prop::sample::select(vec![
             format!("{ms}ms"),
@@ -176,8 +185,8 @@
             };
             let mean = |text: String| {
                 root(text.clone())
-                    .meaning
-                    .unwrap_or_else(|| panic!("{text}\n{}", root(text.clone()).text()))
+                    .settings
+                    .unwrap_or_else(|| panic!("{text}\n{}", root(text.clone()).render_diagnostics()))
             };
             let (old, new) = (mean(program(&a, false)), mean(program(&b, true)));
             prop_assert_eq!(&mean(format(&program(&a, true))), &old);
@@ -186,18 +195,15 @@
                 .filter(|(k, v)| b.get(*k).map(|w| w.0) != Some(v.0))
                 .count()
                 + b.keys().filter(|k| !a.contains_key(*k)).count();
-            let found = changes(&registry, &old, &new);
+            let found = changes(&schema, &old, &new);
             let by_timeout = found
                 .iter()
-                .filter(|c| registry.row(&c.path).name == "timeout")
+                .filter(|c| schema.setting(&c.path).name == "timeout")
                 .count();
             prop_assert_eq!(by_timeout, differing);
-            prop_assert_eq!(
-                found.is_empty(),
-                old.canonical(&registry) == new.canonical(&registry)
-            );
+            prop_assert_eq!(found.is_empty(), old.canonical(&schema) == new.canonical(&schema));
             let (back, left_out) =
-                Meaning::from_canonical(&registry, &new.canonical(&registry)).expect("is read");
+                ResolvedSettings::from_canonical(&schema, &new.canonical(&schema)).expect("is read");
             prop_assert!(left_out.is_empty());
             prop_assert_eq!(back, new);
             Ok(())
@@ -209,18 +215,18 @@
 fn quantities_are_read_and_written_without_loss() {
     use Unit::*;
     #[rustfmt::skip]
-    let cases: [(&str, Result<(Unit, i64), Unread>, &str); 20] = [
+    let cases: [(&str, Result<(Unit, i64), QuantityError>, &str); 20] = [
         ("0", Ok((Count, 0)), "0"), ("16", Ok((Count, 16)), "16"), ("1.2s", Ok((Duration, 1_200_000)), "1200ms"),
         ("60s", Ok((Duration, 60_000_000)), "1min"), ("0ms", Ok((Duration, 0)), "0s"),
-        ("0.000001s", Ok((Duration, 1)), "1us"), ("0.0000001s", Err(Unread::TooFine), ""),
+        ("0.000001s", Ok((Duration, 1)), "1us"), ("0.0000001s", Err(QuantityError::TooFine), ""),
         ("64KiB", Ok((Size, 65_536)), "64KiB"), ("1000KB", Ok((Size, 1_000_000)), "1MB"), ("1.5KiB", Ok((Size, 1536)), "1536B"),
-        ("200/s", Ok((Rate, 720_000_000)), "200/s"), ("1/h", Ok((Rate, 1000)), "1/h"), ("0.0005/h", Err(Unread::TooFine), ""),
+        ("200/s", Ok((Rate, 720_000_000)), "200/s"), ("1/h", Ok((Rate, 1000)), "1/h"), ("0.0005/h", Err(QuantityError::TooFine), ""),
         ("0.5/h", Ok((Rate, 500)), "0.5/h"), ("15%", Ok((Share, 150_000)), "15%"), ("66.6667%", Ok((Share, 666_667)), "66.6667%"),
-        ("0.0001%", Ok((Share, 1)), "0.0001%"), ("1.5", Err(Unread::TooFine), ""),
-        ("9999999999999999d", Err(Unread::TooLarge), ""), ("5parsec", Err(Unread::UnknownUnit), ""),
+        ("0.0001%", Ok((Share, 1)), "0.0001%"), ("1.5", Err(QuantityError::TooFine), ""),
+        ("9999999999999999d", Err(QuantityError::TooLarge), ""), ("5parsec", Err(QuantityError::UnknownUnit), ""),
     ];
     for (text, expected, written) in cases {
-        let found = Quantity::read(text);
+        let found = Quantity::parse(text);
         assert_eq!(found.map(|q| (q.unit, q.amount)), expected, "{text}");
         if let Ok(found) = found {
             assert_eq!(found.to_string(), written, "{text}");
@@ -233,7 +239,7 @@
     runner(3000)
         .run(&any_amount, |(unit, amount)| {
             let q = Quantity::new(unit, amount);
-            prop_assert_eq!(Quantity::read(&q.to_string()), Ok(q));
+            prop_assert_eq!(Quantity::parse(&q.to_string()), Ok(q));
             Ok(())
         })
         .expect("holds");
@@ -242,26 +248,23 @@
 /// Every default and bound of the tables is a literal of its row's unit, and the page lists them.
 #[test]
 fn the_tables_of_settings_hold_together() {
-    let registry = host::registry();
-    for (section, bounds) in registry.sections.iter().zip(&registry.bounds) {
-        assert!(!section.says.is_empty());
-        for (row, b) in section.rows.iter().zip(bounds) {
+    let schema = service_schema::schema();
+    for (section, bounds) in schema.sections.iter().zip(&schema.bounds) {
+        assert!(!section.description.is_empty());
+        for (row, b) in section.settings.iter().zip(bounds) {
             let name = format!("{}.{}", section.name, row.name);
             assert!(
-                b.low.amount != i64::MIN && b.high.amount != i64::MIN,
+                b.min.amount != i64::MIN && b.max.amount != i64::MIN,
                 "{name}: a bound can't be read"
             );
-            assert!(
-                b.low.unit == b.high.unit && b.low.amount < b.high.amount,
-                "{name}"
-            );
+            assert!(b.min.unit == b.max.unit && b.min.amount < b.max.amount, "{name}");
             assert_eq!(
                 b.default.is_none(),
                 section.key.is_some(),
                 "{name}: entries alone have settings of none"
             );
             if let Some(default) = b.default {
-                let within = (b.low.amount..=b.high.amount).contains(&default.amount);
+                let within = (b.min.amount..=b.max.amount).contains(&default.amount);
                 assert!(default.unit == b.unit && within, "{name}");
                 assert_eq!(default.to_string(), row.default, "{name}: not as it is written");
             }
@@ -270,39 +273,43 @@
     let page = include_str!("../../../docs/config/reference.md");
     assert_eq!(
         page,
-        registry.reference(),
+        schema.reference(),
         "write docs/config/reference.md anew by `config reference`"
     );
     let example = include_str!("../../../deploy/asterlatch.latch");
-    let meant = root(example).meaning.expect("is valid");
+    let meant = root(example).settings.expect("is valid");
     assert!(
-        changes(&registry, &Meaning::default_of(&registry), &meant).is_empty(),
+        changes(&schema, &ResolvedSettings::defaults(&schema), &meant).is_empty(),
         "the example states the defaults"
     );
     assert_eq!(format(example), example);
-    let stated = root(example).places.len();
-    let all = registry
+    let stated = root(example).locations.len();
+    let all = schema
         .sections
         .iter()
         .filter(|s| s.key.is_none())
-        .map(|s| s.rows.len())
+        .map(|s| s.settings.len())
         .sum::<usize>();
     assert_eq!(stated, all, "the example states every default");
 }
 
 /// Counts how often each file is read.
 struct Counted<'a> {
-    folder: &'a Folder,
+    folder: &'a FolderSource,
     reads: Cell<usize>,
 }
 
 impl asterlatch_config::load::Source for Counted<'_> {
-    fn identity(&self, name: &str) -> Result<String, asterlatch_config::load::Missing> {
+    fn identity(&self, name: &str) -> Result<String, asterlatch_config::load::SourceError> {
         self.folder.identity(name)
     }
-    fn bytes(&self, identity: &str, longest: usize) -> Result<Vec<u8>, asterlatch_config::load::Missing> {
+    fn bytes(
+        &self,
+        identity: &str,
+        max_bytes: usize,
+    ) -> Result<Vec<u8>, asterlatch_config::load::SourceError> {
         self.reads.set(self.reads.get() + 1);
-        self.folder.bytes(identity, longest)
+        self.folder.bytes(identity, max_bytes)
     }
 }
 
@@ -323,7 +330,7 @@
     symlink("loop1.latch", inside.join("loop2.latch")).expect("links");
     write("in/circle.latch", "load(\"round.latch\", \"x\")");
     fs::create_dir(inside.join("folder.latch")).expect("is made");
-    write("in/long.latch", &"#".repeat(LONGEST_FILE + 1));
+    write("in/long.latch", &"#".repeat(MAX_FILE_BYTES + 1));
     #[rustfmt::skip]
     let cases = [
         ("load(\"a.latch\", \"x\")\nload(\"alias.latch\", z = \"x\")\nclients(rest = z)", None, 2),
@@ -342,15 +349,28 @@
     for (text, fault, reads) in cases {
         write("in/root.latch", text);
         let path = inside.join("root.latch");
-        let (folder, name) = Folder::of(path.to_str().expect("is text"));
+        let (folder, name) = FolderSource::containing(path.to_str().expect("is text"));
         let counted = Counted {
             folder: &folder,
             reads: Cell::new(0),
         };
-        let outcome = read(&name, &counted, &host::registry(), host::MACHINE);
+        let outcome = read(
+            &name,
+            &counted,
+            &service_schema::schema(),
+            service_schema::DEFAULT_MACHINE,
+        );
         match fault {
-            None => assert!(outcome.meaning.is_some(), "{text}\n{}", outcome.text()),
-            Some(words) => assert!(outcome.text().contains(words), "{text}\n{}", outcome.text()),
+            None => assert!(
+                outcome.settings.is_some(),
+                "{text}\n{}",
+                outcome.render_diagnostics()
+            ),
+            Some(words) => assert!(
+                outcome.render_diagnostics().contains(words),
+                "{text}\n{}",
+                outcome.render_diagnostics()
+            ),
         }
         assert_eq!(counted.reads.get(), reads, "{text}: each file is read once");
     }
@@ -359,7 +379,7 @@
 #[test]
 fn reports_show_the_line_and_steer_no_terminal() {
     let outcome = root("x = \"\u{1b}[31m\" + 1 # \u{7}\n");
-    let text = outcome.text();
+    let text = outcome.render_diagnostics();
     assert!(
         text.contains("a text and a count can't be added")
             && !text.contains('\u{1b}')
@@ -367,13 +387,20 @@
     );
     let long = root(format!("{}x = y + 1", " ".repeat(0)) + &" ".repeat(5000) + "+ z");
     assert!(
-        long.text().lines().all(|l| l.chars().count() < 700),
+        long.render_diagnostics().lines().all(|l| l.chars().count() < 700),
         "{}",
-        long.text()
+        long.render_diagnostics()
     );
-    let shown = Shown {
+    let shown = SourceFile {
         name: "n".to_owned(),
         text: "é = 1\nzz".to_owned(),
     };
-    assert_eq!((shown.at(3), shown.at(7), shown.at(99)), ((1, 3), (2, 1), (2, 3)));
+    assert_eq!(
+        (
+            shown.line_and_column(3),
+            shown.line_and_column(7),
+            shown.line_and_column(99)
+        ),
+        ((1, 3), (2, 1), (2, 3))
+    );
 }
--- a/crates/config/tests/store.rs
+++ b/crates/config/tests/store.rs
@@ -2,19 +2,22 @@
 
 #![allow(clippy::type_complexity)] // Tables of cases.
 
-use asterlatch_config::meaning::hash;
-use asterlatch_config::shelf::{back, name, number, plan, read, to_let_go, written, Damage, UNFINISHED};
-use asterlatch_config::store::{Step, Store, STEPS};
+use asterlatch_config::generation_files::{
+    classify_files, decode, encode, file_name, generations_to_remove, parse_file_name, rollback_target,
+    Damage, TEMPORARY_SUFFIX,
+};
+use asterlatch_config::resolved::hash;
+use asterlatch_config::store::{GenerationStore, Step, STEPS};
 use std::fs;
 use std::path::Path;
 use std::process::Command;
 
-fn texts(store: &Store) -> Vec<(u64, Option<String>)> {
-    let all = store.all().expect("can be read");
+fn texts(store: &GenerationStore) -> Vec<(u64, Option<String>)> {
+    let all = store.read_all().expect("can be read");
     all.into_iter().map(|s| (s.number, s.canonical.ok())).collect()
 }
 
-fn whole(store: &Store) -> Vec<String> {
+fn whole(store: &GenerationStore) -> Vec<String> {
     texts(store).into_iter().filter_map(|(_, text)| text).collect()
 }
 
@@ -26,20 +29,20 @@
     if let Ok(at) = std::env::var(ABORT) {
         let (folder, step) = at.split_once('|').expect("folder and step");
         let step: usize = step.parse().expect("a number");
-        let store = Store::open(Path::new(folder)).expect("opens");
+        let store = GenerationStore::open(Path::new(folder)).expect("opens");
         let stop = |done: Step| {
             if done == STEPS[step] {
                 std::process::abort();
             }
         };
-        store.keep(0, "new\n", 2, stop).expect("stores");
+        store.store(0, "new\n", 2, stop).expect("stores");
         unreachable!("it was aborted");
     }
     for (n, step) in STEPS.iter().enumerate() {
         let folder = tempfile::tempdir().expect("a folder");
-        let store = Store::open(folder.path()).expect("opens");
+        let store = GenerationStore::open(folder.path()).expect("opens");
         for text in ["oldest\n", "old\n"] {
-            store.keep(0, text, 2, |_| ()).expect("stores");
+            store.store(0, text, 2, |_| ()).expect("stores");
         }
         let mut child = Command::new(std::env::current_exe().expect("is known"));
         child.args([
@@ -55,7 +58,7 @@
         let newest = if n >= renamed { "new\n" } else { "old\n" };
         assert_eq!(whole(&store)[0], newest, "{step:?}");
         // The next start stores as ever, and cleans up.
-        store.keep(0, "next\n", 2, |_| ()).expect("stores");
+        store.store(0, "next\n", 2, |_| ()).expect("stores");
         assert_eq!(whole(&store), ["next\n", newest], "{step:?}");
         let left: Vec<_> = fs::read_dir(folder.path())
             .expect("lists")
@@ -67,13 +70,13 @@
 
 #[test]
 fn a_generation_cut_or_changed_at_any_byte_is_known_for_damaged() {
-    let text = written(7, "{\"a\": 1}\n");
-    assert_eq!(read(7, text.as_bytes()), Ok("{\"a\": 1}\n"));
+    let text = encode(7, "{\"a\": 1}\n");
+    assert_eq!(decode(7, text.as_bytes()), Ok("{\"a\": 1}\n"));
     for at in 0..text.len() {
-        assert!(read(7, &text.as_bytes()[..at]).is_err(), "cut at {at}");
+        assert!(decode(7, &text.as_bytes()[..at]).is_err(), "cut at {at}");
         let mut changed = text.clone().into_bytes();
         changed[at] ^= 1;
-        assert!(read(7, &changed).is_err(), "changed at {at}");
+        assert!(decode(7, &changed).is_err(), "changed at {at}");
     }
     #[rustfmt::skip]
     let cases: [(&[u8], Damage); 8] = [
@@ -83,21 +86,30 @@
         (b"asterlatch generation 7 1 a\nb", Damage::OtherHash),
     ];
     for (bytes, damage) in cases {
-        assert_eq!(read(7, bytes), Err(damage), "{}", String::from_utf8_lossy(bytes));
+        assert_eq!(
+            decode(7, bytes),
+            Err(damage),
+            "{}",
+            String::from_utf8_lossy(bytes)
+        );
     }
 }
 
 #[test]
 fn damaged_ones_are_passed_over_and_go_once_a_whole_one_is_newer() {
     let folder = tempfile::tempdir().expect("a folder");
-    let store = Store::open(folder.path()).expect("opens");
-    store.keep(3, "three\n", 8, |_| ()).expect("stores");
-    fs::write(folder.path().join(name(9)), "torn").expect("writes");
-    fs::write(folder.path().join(format!("{}{UNFINISHED}", name(10))), "begun").expect("writes");
+    let store = GenerationStore::open(folder.path()).expect("opens");
+    store.store(3, "three\n", 8, |_| ()).expect("stores");
+    fs::write(folder.path().join(file_name(9)), "torn").expect("writes");
+    fs::write(
+        folder.path().join(format!("{}{TEMPORARY_SUFFIX}", file_name(10))),
+        "begun",
+    )
+    .expect("writes");
     fs::write(folder.path().join("notes.txt"), "not ours").expect("writes");
     assert_eq!(texts(&store), [(9, None), (3, Some("three\n".to_owned()))]);
     // A number is never given twice, also not that of a damaged one.
-    assert_eq!(store.keep(4, "ten\n", 8, |_| ()).expect("stores"), 10);
+    assert_eq!(store.store(4, "ten\n", 8, |_| ()).expect("stores"), 10);
     assert_eq!(texts(&store).len(), 2);
     assert!(folder.path().join("notes.txt").exists(), "what is not ours stays");
 }
@@ -110,13 +122,17 @@
         (&[(4, false), (3, true), (2, false), (1, true)], 2, &[2]), (&[(3, false), (2, false)], 1, &[]),
         (&[(3, true), (2, true)], 0, &[2]), (&[(5, true), (4, false), (3, true), (2, true)], 1, &[4, 3, 2]),
     ];
-    for (all, most, gone) in cases {
-        assert_eq!(to_let_go(all, most), gone, "{all:?}, {most}");
+    for (all, max_generations, gone) in cases {
+        assert_eq!(
+            generations_to_remove(all, max_generations),
+            gone,
+            "{all:?}, {max_generations}"
+        );
     }
     let folder = tempfile::tempdir().expect("a folder");
-    let store = Store::open(folder.path()).expect("opens");
+    let store = GenerationStore::open(folder.path()).expect("opens");
     for n in 0..20 {
-        store.keep(0, &format!("{n}\n"), 3, |_| ()).expect("stores");
+        store.store(0, &format!("{n}\n"), 3, |_| ()).expect("stores");
     }
     assert_eq!(whole(&store), ["19\n", "18\n", "17\n"]);
 }
@@ -137,14 +153,18 @@
         (&["a", "a"], 1, None), (&["a", "b", "a"], 2, Some(1)), (&["a", "b", "c"], 3, None), (&["a", "b"], 0, None),
     ];
     for (texts, steps, expected) in cases {
-        assert_eq!(back(&row(texts), steps), expected, "{texts:?} by {steps}");
+        assert_eq!(
+            rollback_target(&row(texts), steps),
+            expected,
+            "{texts:?} by {steps}"
+        );
     }
 }
 
 #[test]
 fn names_tell_numbers_and_nothing_else_does() {
-    assert_eq!(number(&name(42)), Some(42));
-    assert_eq!(number(&name(u64::MAX)), Some(u64::MAX));
+    assert_eq!(parse_file_name(&file_name(42)), Some(42));
+    assert_eq!(parse_file_name(&file_name(u64::MAX)), Some(u64::MAX));
     for other in [
         "",
         "generation-.latch.json",
@@ -152,14 +172,14 @@
         "x",
         "generation-99999999999999999999.latch.json",
     ] {
-        assert_eq!(number(other), None, "{other}");
+        assert_eq!(parse_file_name(other), None, "{other}");
     }
     let names = [
-        name(2),
+        file_name(2),
         "x".to_owned(),
-        format!("{}{UNFINISHED}", name(5)),
-        name(11),
+        format!("{}{TEMPORARY_SUFFIX}", file_name(5)),
+        file_name(11),
     ];
-    let plan = plan(names);
-    assert_eq!((plan.generations, plan.unfinished.len()), (vec![11, 2], 1));
+    let files = classify_files(names);
+    assert_eq!((files.generations, files.temporary.len()), (vec![11, 2], 1));
 }
--- a/crates/driver/src/program/commands/files.rs
+++ b/crates/driver/src/program/commands/files.rs
@@ -2,11 +2,11 @@
 
 use super::CommandOutput;
 use crate::program::operators::{read, registry};
-use asterlatch_config::load::{Folder, Missing, Source, LONGEST_FILE};
-use asterlatch_config::meaning::{changes, Meaning};
+use asterlatch_config::diagnostic::{self, Severity, SourceFile};
+use asterlatch_config::load::{FolderSource, Source, SourceError, MAX_FILE_BYTES};
 use asterlatch_config::parse;
-use asterlatch_config::registry::Machine;
-use asterlatch_config::report::{self, Shown, Weight};
+use asterlatch_config::resolved::{changes, ResolvedSettings};
+use asterlatch_config::schema::Machine;
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -17,27 +17,27 @@
 
 pub(super) fn check(file: &str, machine: Machine) -> CommandOutput {
     let outcome = read(file, machine);
-    if outcome.meaning.is_none() {
-        return CommandOutput::failure(outcome.text());
+    if outcome.settings.is_none() {
+        return CommandOutput::failure(outcome.render_diagnostics());
     }
-    let diagnostics = outcome.reports.iter();
+    let diagnostics = outcome.diagnostics.iter();
     let warnings = diagnostics
-        .filter(|diagnostic| diagnostic.weight == Weight::Warning)
+        .filter(|diagnostic| diagnostic.severity == Severity::Warning)
         .count();
     let files = outcome.files.len();
-    let settings = outcome.places.len();
+    let settings = outcome.locations.len();
     CommandOutput {
-        stderr: outcome.text(),
+        stderr: outcome.render_diagnostics(),
         stdout: format!("{file}: valid, {files} files, {settings} settings, {warnings} warnings\n"),
         exit_code: 0,
     }
 }
 
 /// The resolved settings of a file; the error is all that is wrong with it.
-fn resolve(file: &str, machine: Machine) -> Result<Meaning, String> {
+fn resolve(file: &str, machine: Machine) -> Result<ResolvedSettings, String> {
     let outcome = read(file, machine);
-    let diagnostics = outcome.text();
-    outcome.meaning.ok_or(diagnostics)
+    let diagnostics = outcome.render_diagnostics();
+    outcome.settings.ok_or(diagnostics)
 }
 
 pub(super) fn show(file: &str, machine: Machine) -> CommandOutput {
@@ -60,7 +60,7 @@
         }
     };
     let changes = changes(registry(), &old, &new);
-    let lines = changes.iter().map(|change| change.written(registry()) + "\n");
+    let lines = changes.iter().map(|change| change.describe(registry()) + "\n");
     CommandOutput {
         stdout: lines.collect(),
         exit_code: u8::from(!changes.is_empty()),
@@ -72,8 +72,8 @@
 #[derive(Debug, Error)]
 enum FormatError {
     #[error("{file}:1:1: can't be read: {cause:?}")]
-    Unreadable { file: String, cause: Missing },
-    #[error("{file}:1:1: longer than {LONGEST_FILE} bytes")]
+    Unreadable { file: String, cause: SourceError },
+    #[error("{file}:1:1: longer than {MAX_FILE_BYTES} bytes")]
     TooLong { file: String },
     #[error("{file}:1:1: not UTF-8")]
     NotUtf8 { file: String },
@@ -97,7 +97,7 @@
     fn read(file: &str) -> Result<FormattedFile, FormatError> {
         let (identity, text) = read_text(file)?;
         let parsed = parse::parse(0, &text);
-        if parsed.reports.is_empty() {
+        if parsed.diagnostics.is_empty() {
             let formatted = asterlatch_config::format::format(&text);
             return Ok(FormattedFile {
                 identity,
@@ -105,12 +105,12 @@
                 formatted,
             });
         }
-        let shown = [Shown {
+        let shown = [SourceFile {
             name: file.to_owned(),
             text,
         }];
-        let reports = parsed.reports.iter();
-        let diagnostics: String = reports.map(|report| report::text(report, &shown)).collect();
+        let reports = parsed.diagnostics.iter();
+        let diagnostics: String = reports.map(|report| diagnostic::render(report, &shown)).collect();
         Err(FormatError::Syntax {
             diagnostics: diagnostics.trim_end_matches('\n').to_owned(),
         })
@@ -125,10 +125,10 @@
 fn read_text(file: &str) -> Result<(String, String), FormatError> {
     let name = || file.to_owned();
     let unreadable = |cause| FormatError::Unreadable { file: name(), cause };
-    let (folder, root) = Folder::of(file);
+    let (folder, root) = FolderSource::containing(file);
     let identity = folder.identity(&root).map_err(unreadable)?;
-    let bytes = folder.bytes(&identity, LONGEST_FILE).map_err(unreadable)?;
-    if bytes.len() > LONGEST_FILE {
+    let bytes = folder.bytes(&identity, MAX_FILE_BYTES).map_err(unreadable)?;
+    if bytes.len() > MAX_FILE_BYTES {
         return Err(FormatError::TooLong { file: name() });
     }
     let text = String::from_utf8(bytes).map_err(|_| FormatError::NotUtf8 { file: name() })?;
--- a/crates/driver/src/program/commands/generations.rs
+++ b/crates/driver/src/program/commands/generations.rs
@@ -2,9 +2,9 @@
 
 use super::CommandOutput;
 use crate::program::operators::registry;
-use asterlatch_config::meaning::{changes, Meaning};
-use asterlatch_config::shelf;
-use asterlatch_config::store::{KeepError, Store, Stored};
+use asterlatch_config::generation_files;
+use asterlatch_config::resolved::{changes, ResolvedSettings};
+use asterlatch_config::store::{GenerationStore, StoreError, StoredGeneration};
 use std::io;
 use std::path::Path;
 use thiserror::Error;
@@ -20,7 +20,7 @@
     #[error(transparent)]
     Folder(#[from] io::Error),
     #[error(transparent)]
-    Keep(#[from] KeepError),
+    Keep(#[from] StoreError),
     #[error("it holds {available} changes to go back by, not {steps}")]
     TooFewChanges { available: usize, steps: usize },
     #[error("generation {number} is damaged")]
@@ -37,9 +37,9 @@
 }
 
 /// Unlike the store itself this makes no folder that isn't there.
-fn open_existing(folder: &Path) -> io::Result<Store> {
+fn open_existing(folder: &Path) -> io::Result<GenerationStore> {
     std::fs::read_dir(folder)?;
-    Store::open(folder)
+    GenerationStore::open(folder)
 }
 
 /// One line a generation, the newest first.
@@ -50,7 +50,7 @@
         let line = history_line(generation, &stored[index + 1..]);
         (generation.number, line)
     });
-    let unread = contents.unread.iter().map(|one| {
+    let unread = contents.unreadable.iter().map(|one| {
         let line = format!("{} can't be read now: {}\n", one.number, one.error);
         (one.number, line)
     });
@@ -59,7 +59,7 @@
     Ok(lines.into_iter().map(|(_, line)| line).collect())
 }
 
-fn history_line(generation: &Stored, older: &[Stored]) -> String {
+fn history_line(generation: &StoredGeneration, older: &[StoredGeneration]) -> String {
     let number = generation.number;
     match &generation.canonical {
         Err(damage) => format!("{number} damaged: it {}\n", damage.reason()),
@@ -75,11 +75,11 @@
 
 /// What changed from the previous readable generation to this one.
 fn describe_change(previous: Option<&str>, canonical: &str) -> String {
-    let new = match Meaning::from_canonical(registry(), canonical) {
+    let new = match ResolvedSettings::from_canonical(registry(), canonical) {
         Ok((settings, _)) => settings,
         Err(error) => return format!("can't be read here: {error}"),
     };
-    let previous = previous.map(|canonical| Meaning::from_canonical(registry(), canonical));
+    let previous = previous.map(|canonical| ResolvedSettings::from_canonical(registry(), canonical));
     let Some(Ok((old, _))) = previous else {
         return "the oldest kept".to_owned();
     };
@@ -87,7 +87,7 @@
     if changes.is_empty() {
         return "the same again".to_owned();
     }
-    let texts: Vec<_> = changes.iter().map(|change| change.written(registry())).collect();
+    let texts: Vec<_> = changes.iter().map(|change| change.describe(registry())).collect();
     texts.join("; ")
 }
 
@@ -95,31 +95,31 @@
 /// is stored: it isn't known how many changes there are.
 pub(super) fn rollback(folder: &Path, steps: usize) -> Result<String, GenerationsError> {
     let store = open_existing(folder)?;
-    let generations = store.all()?;
+    let generations = store.read_all()?;
     let number = rollback_target(&generations, steps)?;
     let canonical = generations
         .iter()
         .find(|generation| generation.number == number)
         .and_then(|generation| generation.canonical.as_ref().ok())
         .ok_or(GenerationsError::Damaged { number })?;
-    let (settings, _) = Meaning::from_canonical(registry(), canonical)
+    let (settings, _) = ResolvedSettings::from_canonical(registry(), canonical)
         .map_err(|cause| GenerationsError::Unreadable { number, cause })?;
     let retained = settings.amount(registry(), "activation", "kept");
-    let kept = store.keep(0, canonical, retained.max(MIN_RETAINED) as usize, |_| ());
+    let kept = store.store(0, canonical, retained.max(MIN_RETAINED) as usize, |_| ());
     describe_rollback(number, kept)
 }
 
 /// Says which generation is in force for the next start, also where something behind its rename has failed.
-fn describe_rollback(from: u64, kept: Result<u64, KeepError>) -> Result<String, GenerationsError> {
+fn describe_rollback(from: u64, kept: Result<u64, StoreError>) -> Result<String, GenerationsError> {
     let (stored, doubt) = match kept {
         Ok(number) => (number, None),
-        Err(KeepError::NotStored(source)) => return Err(KeepError::NotStored(source).into()),
-        Err(KeepError::NotDurable { number, source }) => {
+        Err(StoreError::NotStored(source)) => return Err(StoreError::NotStored(source).into()),
+        Err(StoreError::NotDurable { number, source }) => {
             let text =
                 format!("it may be lost in a power failure, store it again once the disk works: {source}");
             (number, Some(text))
         }
-        Err(KeepError::OldNotLetGo { number, source }) => {
+        Err(StoreError::OldNotRemoved { number, source }) => {
             (number, Some(format!("older ones could not be removed: {source}")))
         }
     };
@@ -127,12 +127,12 @@
     Ok(format!("generation {from} is stored again as {stored}\n{doubt}"))
 }
 
-fn rollback_target(generations: &[Stored], steps: usize) -> Result<u64, GenerationsError> {
+fn rollback_target(generations: &[StoredGeneration], steps: usize) -> Result<u64, GenerationsError> {
     let readable: Vec<_> = generations
         .iter()
         .filter_map(|generation| Some((generation.number, generation.hash()?)))
         .collect();
-    shelf::back(&readable, steps).ok_or_else(|| {
+    generation_files::rollback_target(&readable, steps).ok_or_else(|| {
         let pairs = readable.windows(2);
         let available = pairs.filter(|pair| pair[0].1 != pair[1].1).count();
         GenerationsError::TooFewChanges { available, steps }
--- a/crates/driver/src/program/commands/mod.rs
+++ b/crates/driver/src/program/commands/mod.rs
@@ -4,8 +4,8 @@
 mod generations;
 
 use super::operators::registry;
-use asterlatch_config::host::MACHINE;
-use asterlatch_config::registry::Machine;
+use asterlatch_config::schema::Machine;
+use asterlatch_config::service_schema::DEFAULT_MACHINE;
 use asterlatch_config::unit::{Quantity, Unit};
 use clap::{Args, Subcommand};
 use std::io::Write;
@@ -67,7 +67,7 @@
 
 /// The error is what `clap` prints.
 fn parse_memory(text: &str) -> Result<i64, String> {
-    match Quantity::read(text) {
+    match Quantity::parse(text) {
         Ok(Quantity {
             unit: Unit::Size,
             amount,
@@ -79,8 +79,8 @@
 impl MachineArguments {
     fn machine(&self) -> Machine {
         Machine {
-            memory: self.memory.unwrap_or(MACHINE.memory),
-            descriptors: self.descriptors.unwrap_or(MACHINE.descriptors),
+            memory: self.memory.unwrap_or(DEFAULT_MACHINE.memory),
+            descriptors: self.descriptors.unwrap_or(DEFAULT_MACHINE.descriptors),
         }
     }
 }
--- a/crates/driver/src/program/gossip/mod.rs
+++ b/crates/driver/src/program/gossip/mod.rs
@@ -17,8 +17,8 @@
 use crate::transport::clock::Clock;
 use crate::transport::datagrams::{DatagramSocket, DatagramWaker};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_config::host::{drivers, Other};
-use asterlatch_config::meaning::{hash, Meaning};
+use asterlatch_config::resolved::{hash, ResolvedSettings};
+use asterlatch_config::service_schema::{configured_peers, ConfiguredPeer};
 use asterlatch_gossip::codec::Dialect;
 use asterlatch_gossip::membership::MembershipTiming;
 use asterlatch_gossip::node::{GossipNode, NodeSettings};
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipConfig {
     port: u16,
-    others: Vec<Other>,
+    others: Vec<ConfiguredPeer>,
     node: NodeSettings,
     routing: GossipSettings,
     /// Time between two writes of the snapshot; zero writes none.
@@ -50,11 +50,11 @@
 
 impl GossipConfig {
     /// What the operators' file says; `None` where drivers don't gossip.
-    pub fn from_meaning(meaning: &Meaning) -> Option<GossipConfig> {
+    pub fn from_meaning(meaning: &ResolvedSettings) -> Option<GossipConfig> {
         let amount = |row| meaning.amount(registry(), "shared", row).max(0);
         let span = |row| TimeSpan(amount(row) as u64);
         let port = u16::try_from(amount("port")).ok().filter(|port| *port > 0)?;
-        let others = drivers(registry(), meaning);
+        let others = configured_peers(registry(), meaning);
         let node = NodeSettings {
             fleet: String::new(),
             name: String::new(),
@@ -131,7 +131,11 @@
             name: config.name.clone(),
             incarnation,
         };
-        let queried = self.others.iter().enumerate().filter(|(_, other)| other.asked);
+        let queried = self
+            .others
+            .iter()
+            .enumerate()
+            .filter(|(_, other)| other.receives_inquiries);
         let peers = FleetPeers {
             names: self.node.peers.clone(),
             queried: queried.map(|(index, _)| index).collect(),
@@ -142,7 +146,7 @@
 }
 
 /// The first eight bytes of the file's hash, by which drivers compare their files.
-fn file_hash(meaning: &Meaning) -> u64 {
+fn file_hash(meaning: &ResolvedSettings) -> u64 {
     let canonical = hash(&meaning.canonical(registry()));
     u64::from_str_radix(canonical.get(..16).unwrap_or_default(), 16).unwrap_or(0)
 }
--- a/crates/driver/src/program/operators/in_force.rs
+++ b/crates/driver/src/program/operators/in_force.rs
@@ -5,7 +5,7 @@
 use crate::routing::limits::{CrowdedIdleTimeout, Limits, Share, WorkloadLimits};
 use crate::transport::coroutines::CoroutineStacks;
 use asterlatch::time::TimeSpan;
-use asterlatch_config::meaning::Meaning;
+use asterlatch_config::resolved::ResolvedSettings;
 use asterlatch_handover::{predecessor, successor};
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
 }
 
 /// Reads amounts of a meaning; negative ones count as zero.
-struct Amounts<'a>(&'a Meaning);
+struct Amounts<'a>(&'a ResolvedSettings);
 
 impl Amounts<'_> {
     fn amount(&self, section: &str, row: &str) -> i64 {
@@ -127,7 +127,7 @@
 
 impl InForce {
     /// The settings that a meaning states.
-    pub fn of(meaning: &Meaning) -> InForce {
+    pub fn of(meaning: &ResolvedSettings) -> InForce {
         let amounts = Amounts(meaning);
         let lines_a_second = amounts.amount("log", "lines") / RATE_UNITS_PER_SECOND;
         InForce {
