--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -10,13 +10,13 @@
 use super::phases::Phases;
 use crate::routing::event_loop::EventLoop;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_config::generations::{Difference, Effect, Generation, Generations, Told};
-use asterlatch_config::host;
-use asterlatch_config::load::{self, Folder, Outcome};
-use asterlatch_config::meaning::{changes, hash, Meaning};
-use asterlatch_config::probation::{Sample, Terms};
-use asterlatch_config::registry::{Machine, Registry, WANTS};
-use asterlatch_config::store::KeepError;
+use asterlatch_config::generations::{Command, Decision, Difference, Generation, Generations};
+use asterlatch_config::load::{self, FolderSource, LoadOutcome};
+use asterlatch_config::probation::{ProbationCriteria, Sample};
+use asterlatch_config::resolved::{changes, hash, ResolvedSettings};
+use asterlatch_config::schema::{Machine, Schema, RESOURCES};
+use asterlatch_config::service_schema;
+use asterlatch_config::store::StoreError;
 use asterlatch_handover::predecessor;
 pub use in_force::{HandoverTimeouts, InForce};
 pub use start::{start, Given, Start, StartLine};
@@ -65,9 +65,9 @@
 }
 
 /// The settings that operators' files may state.
-pub fn registry() -> &'static Registry {
-    static REGISTRY: OnceLock<Registry> = OnceLock::new();
-    REGISTRY.get_or_init(host::registry)
+pub fn registry() -> &'static Schema {
+    static REGISTRY: OnceLock<Schema> = OnceLock::new();
+    REGISTRY.get_or_init(service_schema::schema)
 }
 
 /// The limits of the process, against which a file is checked.
@@ -79,8 +79,8 @@
 }
 
 /// Reads the file of this path.
-pub fn read(path: &str, machine: Machine) -> Outcome {
-    let (folder, name) = Folder::of(path);
+pub fn read(path: &str, machine: Machine) -> LoadOutcome {
+    let (folder, name) = FolderSource::containing(path);
     let mut outcome = load::read(&name, &folder, registry(), machine);
     // Diagnostics name files as the command line did.
     if let Some(parent) = path.strip_suffix(&name).filter(|parent| !parent.is_empty()) {
@@ -92,17 +92,17 @@
 }
 
 /// How many settings differ, and which wants the live ones may cause.
-fn difference(old: &Meaning, new: &Meaning) -> Difference {
+fn difference(old: &ResolvedSettings, new: &ResolvedSettings) -> Difference {
     let mut difference = Difference::default();
     for change in changes(registry(), old, new) {
         if !change.is_live(registry()) {
-            difference.at_start += 1;
+            difference.at_next_start += 1;
             continue;
         }
         difference.live += 1;
-        for want in registry().row(&change.path).may_want {
-            if !difference.may_want.contains(want) {
-                difference.may_want.push(*want);
+        for want in registry().setting(&change.path).may_exhaust {
+            if !difference.may_exhaust.contains(want) {
+                difference.may_exhaust.push(*want);
             }
         }
     }
@@ -110,17 +110,17 @@
 }
 
 /// The terms of probation that a meaning states.
-fn probation_terms(meaning: &Meaning) -> Terms {
+fn probation_terms(meaning: &ResolvedSettings) -> ProbationCriteria {
     let amount = |row| meaning.amount(registry(), "activation", row).max(0);
-    Terms {
+    ProbationCriteria {
         probation: TimeSpan(amount("probation") as u64),
         margin: amount("margin") as f64 / 1e6,
-        least: amount("least") as u64,
+        min_rejections: amount("least") as u64,
     }
 }
 
 /// Stored generations at most.
-fn most_stored(meaning: &Meaning) -> usize {
+fn most_stored(meaning: &ResolvedSettings) -> usize {
     meaning.amount(registry(), "activation", "kept").max(1) as usize
 }
 
@@ -134,14 +134,14 @@
 
 /// The operators' file of a running process. Owned by the main thread.
 pub struct Operators {
-    generations: Generations<Meaning>,
+    generations: Generations<ResolvedSettings>,
     /// None without a file.
     jobs: Option<Sender<Job>>,
     results: Receiver<Done>,
     reading: Reading,
     stores_generations: bool,
     /// The highest fill, by want, since the last sample.
-    highest_fill: [u64; WANTS.len()],
+    highest_fill: [u64; RESOURCES.len()],
     sampled_at: Timestamp,
     /// Timeouts of the next handover, as they are in force now.
     pub upgrade_times: predecessor::Timeouts,
@@ -169,7 +169,7 @@
             results: worker.results,
             reading: Reading::Idle,
             stores_generations: given.state.is_some(),
-            highest_fill: [0; WANTS.len()],
+            highest_fill: [0; RESOURCES.len()],
             sampled_at: Timestamp(0),
             upgrade_times,
         };
@@ -251,7 +251,7 @@
         // What was counted until now was counted before the change, also what no sample holds yet.
         self.watch(event_loop, phases, now);
         self.sample(event_loop, phases, now);
-        let effects = self.generations.read_ended(now, ticket, outcome);
+        let effects = self.generations.on_read(now, ticket, outcome);
         self.carry_out(event_loop, phases, now, effects);
     }
 
@@ -275,14 +275,14 @@
                 metrics.clients_accepted + metrics.executions_sent,
                 metrics.statements_taken,
             ],
-            turned_away: [
+            rejected: [
                 metrics.clients_rejected + metrics.clients_evicted,
                 metrics.accepts_failed + metrics.ended_never_sent,
                 metrics.rejected_for_memory,
             ],
             fill,
         };
-        let effects = self.generations.counted(now, sample);
+        let effects = self.generations.on_sample(now, sample);
         self.carry_out(event_loop, phases, now, effects);
     }
 
@@ -300,19 +300,19 @@
         event_loop: &mut EventLoop<Log>,
         phases: &mut Phases,
         now: Timestamp,
-        effects: Vec<Effect<Meaning>>,
+        effects: Vec<Command<ResolvedSettings>>,
     ) {
         for effect in effects {
             match effect {
-                Effect::TakeOver(meaning) => {
+                Command::Apply(meaning) => {
                     let force = InForce::of(&meaning);
                     self.upgrade_times = force.handover.predecessor;
                     take_over(event_loop, phases, &force);
                 }
-                Effect::Keep(Generation { number, meaning, .. }) => {
-                    self.store(number, meaning.canonical(registry()), most_stored(&meaning));
+                Command::Store(Generation { number, settings, .. }) => {
+                    self.store(number, settings.canonical(registry()), most_stored(&settings));
                 }
-                Effect::Tell(told) => {
+                Command::Report(told) => {
                     log!(event_loop.observer, now, DECISIONS, "{}", describe(&told));
                 }
             }
@@ -321,7 +321,7 @@
 }
 
 /// How full the driver is, by want.
-fn fill(event_loop: &EventLoop<Log>) -> [u64; WANTS.len()] {
+fn fill(event_loop: &EventLoop<Log>) -> [u64; RESOURCES.len()] {
     let clients = event_loop.open_clients() as u64;
     let connections = event_loop.metrics.open_member_connections;
     let memory = event_loop.reserved_memory() as u64;
@@ -341,40 +341,40 @@
             format!("generation {number} is stored now, and survives a power failure")
         }
         StoreReport::Failed { number, error } => match error {
-            KeepError::NotStored(source) => {
+            StoreError::NotStored(source) => {
                 format!("generation {number} is not stored, and tried again: {source}")
             }
-            KeepError::NotDurable { number, source } => format!(
+            StoreError::NotDurable { number, source } => format!(
                 "generation {number} is stored for the next start, but may be lost in a power failure, and is stored again: {source}"
             ),
-            KeepError::OldNotLetGo { number, source } => {
+            StoreError::OldNotRemoved { number, source } => {
                 format!("generation {number} is stored, older ones could not be removed: {source}")
             }
         },
     }
 }
 
-fn describe(told: &Told) -> String {
+fn describe(told: &Decision) -> String {
     match told {
-        Told::Same => "read again, it means the same".to_owned(),
-        Told::Rejected { errors } => format!("kept as it was: the file has {errors} errors"),
-        Told::Overtaken => "a read was overtaken by a newer one".to_owned(),
-        Told::Refused { why } => {
-            let want = why.name();
+        Decision::Unchanged => "read again, it means the same".to_owned(),
+        Decision::Rejected { error_count } => format!("kept as it was: the file has {error_count} errors"),
+        Decision::Superseded => "a read was overtaken by a newer one".to_owned(),
+        Decision::AlreadyRolledBack { resource } => {
+            let want = resource.name();
             format!("not taken again: this was gone back from for want of {want}; change the file")
         }
-        Told::InForce {
+        Decision::Applied {
             number,
             live,
-            at_start,
+            at_next_start,
         } => {
             format!(
-                "generation {number} is in force: {live} settings changed, {at_start} wait for the next start"
+                "generation {number} is in force: {live} settings changed, {at_next_start} wait for the next start"
             )
         }
-        Told::Kept { number } => format!("generation {number} is kept"),
-        Told::GoneBack { from, to, why } => {
-            let want = why.name();
+        Decision::Confirmed { number } => format!("generation {number} is kept"),
+        Decision::RolledBack { from, to, resource } => {
+            let want = resource.name();
             format!(
                 "WENT BACK from generation {from} to {to}: more was turned away for want of {want}, no fuller than before"
             )
--- a/crates/driver/src/program/operators/start.rs
+++ b/crates/driver/src/program/operators/start.rs
@@ -1,10 +1,10 @@
 //! With which settings a process starts.
 
 use super::{read, registry, OperatorsError, DECISIONS, DETAILS};
-use asterlatch_config::load::Outcome;
-use asterlatch_config::meaning::Meaning;
-use asterlatch_config::registry::Machine;
-use asterlatch_config::store::{Contents, Store, Stored};
+use asterlatch_config::load::LoadOutcome;
+use asterlatch_config::resolved::ResolvedSettings;
+use asterlatch_config::schema::Machine;
+use asterlatch_config::store::{Contents, GenerationStore, StoredGeneration};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::thread;
@@ -33,7 +33,7 @@
 pub struct Start {
     pub(super) number: u64,
     /// The meaning to start with.
-    pub meaning: Meaning,
+    pub meaning: ResolvedSettings,
     /// Lines to be logged.
     pub lines: Vec<StartLine>,
 }
@@ -52,17 +52,19 @@
     let Some(path) = &given.file else {
         return Ok(Start {
             number: newest,
-            meaning: Meaning::default_of(registry()),
+            meaning: ResolvedSettings::defaults(registry()),
             lines,
         });
     };
     let outcome = read(path, machine);
-    if outcome.meaning.is_none() {
+    if outcome.settings.is_none() {
         return start_on_stored(given, &stored.stored, &outcome, lines);
     }
     Ok(Start {
         number: newest + 1,
-        meaning: outcome.meaning.unwrap_or_else(|| Meaning::default_of(registry())),
+        meaning: outcome
+            .settings
+            .unwrap_or_else(|| ResolvedSettings::defaults(registry())),
         lines,
     })
 }
@@ -74,10 +76,13 @@
 /// The stored generations; reading is tried again where it fails, for a newer generation than those that could be read
 /// may be sound.
 fn stored_generations(folder: &Path) -> Result<Contents, OperatorsError> {
-    let read = || -> io::Result<Contents> { Store::open(folder)?.contents() };
+    let read = || -> io::Result<Contents> { GenerationStore::open(folder)?.contents() };
     let mut contents = read();
     for _ in 1..READ_ATTEMPTS {
-        if contents.as_ref().is_ok_and(|contents| contents.unread.is_empty()) {
+        if contents
+            .as_ref()
+            .is_ok_and(|contents| contents.unreadable.is_empty())
+        {
             break;
         }
         thread::sleep(READ_PAUSE);
@@ -94,7 +99,7 @@
         let reason = one.canonical.as_ref().err()?.reason();
         Some(format!("stored generation {} {reason}, passed over", one.number))
     });
-    let unread = contents.unread.iter().map(|one| {
+    let unread = contents.unreadable.iter().map(|one| {
         let (number, error) = (one.number, &one.error);
         format!("stored generation {number} can't be read now, passed over and left as it is: {error}")
     });
@@ -105,17 +110,17 @@
 /// Starts with the newest stored generation that can be read, since the file is faulty.
 fn start_on_stored(
     given: &Given,
-    stored: &[Stored],
-    outcome: &Outcome,
+    stored: &[StoredGeneration],
+    outcome: &LoadOutcome,
     mut lines: Vec<StartLine>,
 ) -> Result<Start, OperatorsError> {
-    let errors = outcome.text();
+    let errors = outcome.render_diagnostics();
     if given.strict {
         return Err(OperatorsError::Faulty { errors });
     }
     let readable = stored.iter().find_map(|one| {
         let canonical = one.canonical.as_ref().ok()?;
-        let (meaning, unknown) = Meaning::from_canonical(registry(), canonical).ok()?;
+        let (meaning, unknown) = ResolvedSettings::from_canonical(registry(), canonical).ok()?;
         Some((one.number, meaning, unknown))
     });
     let Some((number, meaning, unknown)) = readable else {
--- a/crates/driver/src/program/operators/worker.rs
+++ b/crates/driver/src/program/operators/worker.rs
@@ -3,12 +3,12 @@
 
 use super::{read, registry, Given, OperatorsError};
 use crate::routing::events::{ControlEvent, Event};
+use asterlatch_config::diagnostic;
 use asterlatch_config::generation_writer::GenerationWriter;
-use asterlatch_config::generations::Read;
-use asterlatch_config::meaning::{hash, Meaning};
-use asterlatch_config::registry::Machine;
-use asterlatch_config::report;
-use asterlatch_config::store::{KeepError, Store};
+use asterlatch_config::generations::ReadOutcome;
+use asterlatch_config::resolved::{hash, ResolvedSettings};
+use asterlatch_config::schema::Machine;
+use asterlatch_config::store::{GenerationStore, StoreError};
 use asterlatch_storage::OsFileSystem;
 use std::path::PathBuf;
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
@@ -40,7 +40,7 @@
         /// Number of the read.
         ticket: u64,
         /// Its meaning, or how many errors it has.
-        outcome: Read<Meaning>,
+        outcome: ReadOutcome<ResolvedSettings>,
         /// Diagnostics, a line each.
         text: String,
     },
@@ -55,7 +55,7 @@
         /// Number of the generation.
         number: u64,
         /// How far it came, and why no further.
-        error: KeepError,
+        error: StoreError,
     },
     /// A later attempt succeeded.
     Recovered {
@@ -115,7 +115,7 @@
         let mut writer = self
             .state
             .as_deref()
-            .map(|folder| GenerationWriter::new(Store::on(OsFileSystem, folder)));
+            .map(|folder| GenerationWriter::new(GenerationStore::new(OsFileSystem, folder)));
         let run = move || while self.step(&jobs, writer.as_mut()) == Flow::Continue {};
         let thread = std::thread::Builder::new().name("operators".to_owned());
         thread.spawn(run).map_err(OperatorsError::Thread)?;
@@ -124,7 +124,7 @@
 
     /// The next job, or another attempt to store the pending generation.
     fn step(&self, jobs: &Receiver<Job>, mut writer: Option<&mut DiskWriter>) -> Flow {
-        let pause = writer.as_ref().and_then(|writer| writer.pause());
+        let pause = writer.as_ref().and_then(|writer| writer.retry_backoff());
         let received = match pause {
             Some(pause) => jobs.recv_timeout(pause),
             None => jobs.recv().map_err(RecvTimeoutError::from),
@@ -156,15 +156,15 @@
 
     fn read(&self, ticket: u64, machine: Machine) -> Done {
         let outcome = read(&self.file, machine);
-        let reports = outcome.reports.iter();
-        let text = reports.map(|r| report::text(r, &outcome.files)).collect();
-        let errors = outcome.errors();
-        let outcome = match outcome.meaning {
-            Some(meaning) => {
-                let hash = hash(&meaning.canonical(registry()));
-                Read::Good { hash, meaning }
+        let reports = outcome.diagnostics.iter();
+        let text = reports.map(|r| diagnostic::render(r, &outcome.files)).collect();
+        let error_count = outcome.error_count();
+        let outcome = match outcome.settings {
+            Some(settings) => {
+                let hash = hash(&settings.canonical(registry()));
+                ReadOutcome::Valid { hash, settings }
             }
-            None => Read::Faulty { errors },
+            None => ReadOutcome::Invalid { error_count },
         };
         Done::Read {
             ticket,
@@ -176,7 +176,7 @@
 
 /// Stores a generation; `None` if there is nothing to be told.
 fn store(writer: &mut DiskWriter, number: u64, canonical: String, most: usize) -> Option<Done> {
-    let error = writer.keep(number, canonical, most).err()?;
+    let error = writer.store(number, canonical, most).err()?;
     Some(Done::Stored(StoreReport::Failed { number, error }))
 }
 
@@ -184,7 +184,7 @@
 fn store_again(writer: &mut DiskWriter) -> Option<Done> {
     let result = writer.retry()?;
     let number = match result {
-        Ok(number) | Err(KeepError::OldNotLetGo { number, .. }) => number,
+        Ok(number) | Err(StoreError::OldNotRemoved { number, .. }) => number,
         Err(_) => return None,
     };
     Some(Done::Stored(StoreReport::Recovered { number }))
--- a/crates/driver/src/program/serve/check.rs
+++ b/crates/driver/src/program/serve/check.rs
@@ -29,9 +29,9 @@
 /// Prints warnings on standard error.
 fn check_operators_file(config: &Config, path: &str) -> Result<(), ServeError> {
     let outcome = operators::read(path, operators::machine(config));
-    let text = outcome.text();
+    let text = outcome.render_diagnostics();
     let text = text.trim_end();
-    if outcome.meaning.is_none() {
+    if outcome.settings.is_none() {
         let errors = text.to_owned();
         return Err(OperatorsError::Faulty { errors }.into());
     }
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -10,7 +10,7 @@
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::ControlEvent;
 use asterlatch::time::Timestamp;
-use asterlatch_config::registry::Machine;
+use asterlatch_config::schema::Machine;
 
 /// Everything that steers the event loop from outside. Only the event loop's thread uses it.
 pub(super) struct ControlLoop<'a, F> {
--- a/crates/driver/src/program/serve/deferred_services.rs
+++ b/crates/driver/src/program/serve/deferred_services.rs
@@ -12,7 +12,7 @@
 use crate::routing::events::Event;
 use crate::transport::clock::Clock;
 use asterlatch::time::Timestamp;
-use asterlatch_config::meaning::Meaning;
+use asterlatch_config::resolved::ResolvedSettings;
 use std::path::Path;
 use std::sync::mpsc::Sender;
 
@@ -37,7 +37,7 @@
     /// Nothing is started yet.
     pub(super) fn new(
         startup: &Startup<'a>,
-        meaning: &Meaning,
+        meaning: &ResolvedSettings,
         given: &'a Given,
         control_path: Option<&'a Path>,
         upgrade_requests: Sender<UpgradeRequest>,
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -2,8 +2,8 @@
 //!
 //! `cargo test -p asterlatch-driver --test configuration_fixtures -- --ignored` writes the fixtures anew from the build as it is.
 
-use asterlatch_config::host::MACHINE;
-use asterlatch_config::load::{read, Folder};
+use asterlatch_config::load::{read, FolderSource};
+use asterlatch_config::service_schema::DEFAULT_MACHINE;
 use asterlatch_driver::program::config::{self, Config};
 use asterlatch_driver::program::operators::{registry, InForce};
 use std::fmt::Write;
@@ -74,9 +74,9 @@
 
 fn every_setting_in_force() -> InForce {
     let path = package().join(EVERY_SETTING);
-    let (folder, name) = Folder::of(path.to_str().expect("is text"));
-    let outcome = read(&name, &folder, registry(), MACHINE);
-    InForce::of(&outcome.meaning.expect("is valid"))
+    let (folder, name) = FolderSource::containing(path.to_str().expect("is text"));
+    let outcome = read(&name, &folder, registry(), DEFAULT_MACHINE);
+    InForce::of(&outcome.settings.expect("is valid"))
 }
 
 /// What the parts of the program take over, by the setting that states it. Times in microseconds, shares in millionths.
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -1,7 +1,7 @@
 //! Phases, log and configuration, given a clock and values.
 
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_config::meaning::Meaning;
+use asterlatch_config::resolved::ResolvedSettings;
 use asterlatch_driver::program::config;
 use asterlatch_driver::program::log::Log;
 use asterlatch_driver::program::operators::{registry, InForce};
@@ -142,7 +142,7 @@
 /// Without a file, and with an empty one, the service uses its own defaults.
 #[test]
 fn applied_settings_of_defaults_equal_program_defaults() {
-    let force = InForce::of(&Meaning::default_of(registry()));
+    let force = InForce::of(&ResolvedSettings::defaults(registry()));
     assert_eq!(force.limits, Limits::default());
     assert_eq!(
         (force.times, force.stacks),
