--- a/crates/driver/src/program/gossip/snapshot_writer.rs
+++ b/crates/driver/src/program/gossip/snapshot_writer.rs
@@ -108,7 +108,7 @@
 
     fn begin_file(&mut self, node: &GossipNode) -> Vec<u8> {
         let settings = node.settings();
-        let incarnation = node.membership.own().incarnation;
+        let incarnation = node.membership.identity().incarnation;
         let (header, encoder) = SnapshotEncoder::begin(&settings.fleet, &settings.name, incarnation);
         self.encoder = Some(encoder);
         header
--- a/crates/driver/src/program/gossip/status.rs
+++ b/crates/driver/src/program/gossip/status.rs
@@ -27,7 +27,7 @@
 
 /// The drivers of the fleet and the counters of gossip.
 pub(super) fn status(node: &GossipNode, thread: &ThreadStatus, now: Timestamp) -> Value {
-    let own = node.membership.own();
+    let own = node.membership.identity();
     let own_row = DriverRow {
         name: &own.name,
         presence: "this one",
@@ -42,7 +42,7 @@
             name: &peer.name,
             presence: peer.state.name(),
             incarnation: peer.incarnation,
-            heard_ago: peer.last_heard.map(|at| now - at),
+            heard_ago: peer.last_received_at.map(|at| now - at),
             delay: peer.delay,
             caught_up: peer.caught_up,
         };
@@ -156,15 +156,15 @@
             list_version, state, ..
         } => format!("{state:?} by list {list_version}"),
         Record::WarmUp {
-            work_us, carried_us, ..
-        } => format!("{work_us} us of work, carries {carried_us} us a second"),
+            work_us, carried_microcores, ..
+        } => format!("{work_us} us of work, carries {carried_microcores} us a second"),
         Record::Session { position, .. } => format!("written at {position}"),
         Record::Lease { lease, .. } => format!(
             "{:?} by {:016x}, term {}, said {} times",
             lease.state, lease.holder, lease.term, lease.renewals
         ),
         Record::Load { shares, .. } => format!("shares of {} members", shares.len()),
-        Record::Unanswered { outstanding_us, .. } => format!("sent {} ms before", outstanding_us / 1000),
+        Record::DelayedExecution { outstanding_us, .. } => format!("sent {} ms before", outstanding_us / 1000),
         Record::Driver {
             incarnation,
             list_version,
--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -180,7 +180,7 @@
                     gossip.on_lease(now, subject, *lease, now - observed_at);
                 }
             }
-            Record::Unanswered {
+            Record::DelayedExecution {
                 member,
                 driver,
                 outstanding_us,
--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -267,7 +267,7 @@
             };
             self.failure_consensus.on_late_report(member, own, report);
             self.record_count += 1;
-            let record = Record::Unanswered {
+            let record = Record::DelayedExecution {
                 member: member.clone(),
                 driver: self.own.name.clone(),
                 incarnation: self.own.incarnation,
--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -225,7 +225,7 @@
             PeerState::Alive | PeerState::Suspect => {
                 self.present.insert(change.peer);
             }
-            PeerState::Down | PeerState::NeverHeard => {
+            PeerState::Down | PeerState::Unknown => {
                 self.present.remove(&change.peer);
             }
         }
--- a/crates/driver/src/routing/gossip/prior_attempts.rs
+++ b/crates/driver/src/routing/gossip/prior_attempts.rs
@@ -90,7 +90,7 @@
     }
 
     pub(super) fn forget_sent(&mut self, now: Timestamp) {
-        self.sent.forget_past(now);
+        self.sent.mark_incomplete(now);
     }
 
     pub(super) fn on_sent(&mut self, now: Timestamp, client_id: u64, member: &str) {
@@ -113,7 +113,7 @@
         deadline: Timestamp,
     ) -> StatementCheck {
         let prior_attempts = &mut self.prior_attempts;
-        if prior_attempts.sent.is_given_up(client_id) {
+        if prior_attempts.sent.is_ceded(client_id) {
             return StatementCheck::Ceded;
         }
         match prior_attempts.sent.status(now, client_id) {
@@ -165,7 +165,7 @@
         };
         let is_ceded = status == DispatchStatus::NotExecuted;
         if is_ceded {
-            prior_attempts.sent.give_up(now, inquiry.id);
+            prior_attempts.sent.cede(now, inquiry.id);
             prior_attempts.queries.cancel(inquiry.id);
             prior_attempts.deferred.remove(&inquiry.id);
         }
--- a/crates/driver/src/routing/gossip/slow_start.rs
+++ b/crates/driver/src/routing/gossip/slow_start.rs
@@ -71,7 +71,7 @@
             driver,
             incarnation,
             work_us,
-            carried_us,
+            carried_microcores,
             ..
         } = record
         {
@@ -84,7 +84,7 @@
                 incarnation: *incarnation,
                 reported_at: observed_at,
                 work_us: *work_us,
-                carried_us: *carried_us,
+                carried_microcores: *carried_microcores,
             };
             self.budgets.on_peer_report(member, &report);
         }
@@ -148,7 +148,7 @@
             incarnation: self.own.incarnation,
             sequence: report.sequence,
             work_us: report.work_us,
-            carried_us: report.carried_us,
+            carried_microcores: report.carried_microcores,
         };
         round.records.push(Observation::now(record));
     }
--- a/crates/gossip/src/in_doubt/dispatch_log.rs
+++ b/crates/gossip/src/in_doubt/dispatch_log.rs
@@ -62,7 +62,7 @@
     }
 
     /// Another process of this driver was running and may have dispatched anything until now.
-    pub fn forget_past(&mut self, now: Timestamp) {
+    pub fn mark_incomplete(&mut self, now: Timestamp) {
         self.unknown_until = now + self.window;
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// A peer was promised that this driver won't dispatch the statement.
-    pub fn give_up(&mut self, now: Timestamp, id: u64) {
+    pub fn cede(&mut self, now: Timestamp, id: u64) {
         self.expire(now);
         let position = self.append(now, id);
         self.given_up.insert(id, position);
@@ -113,7 +113,7 @@
     }
 
     /// Whether the statement must not be dispatched by this driver.
-    pub fn is_given_up(&self, id: u64) -> bool {
+    pub fn is_ceded(&self, id: u64) -> bool {
         self.given_up.contains_key(&id)
     }
 
--- a/crates/gossip/src/membership/mod.rs
+++ b/crates/gossip/src/membership/mod.rs
@@ -120,7 +120,7 @@
     }
 
     /// This driver's identity.
-    pub fn own(&self) -> &NodeIdentity {
+    pub fn identity(&self) -> &NodeIdentity {
         self.foca.identity()
     }
 
@@ -174,7 +174,7 @@
     pub fn supersede(&mut self, now: Timestamp, incarnation: u64) -> Vec<OutgoingMessage> {
         let mut output = RuntimeOutput::default();
         let own = NodeIdentity {
-            name: self.own().name.clone(),
+            name: self.identity().name.clone(),
             incarnation: incarnation + 1,
         };
         let _ = self.foca.change_identity(own, &mut output);
@@ -295,7 +295,7 @@
         for (index, peer) in self.peers.iter_mut().enumerate() {
             let to = match (latest.get(peer.name.as_str()), peer.state) {
                 (Some(member), _) => member.state,
-                (None, PeerState::NeverHeard) => PeerState::NeverHeard,
+                (None, PeerState::Unknown) => PeerState::Unknown,
                 // The library forgets members that have been down for long.
                 (None, _) => PeerState::Down,
             };
--- a/crates/gossip/src/membership/peer.rs
+++ b/crates/gossip/src/membership/peer.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PeerState {
     /// Nothing was ever received from it.
-    NeverHeard,
+    Unknown,
     /// It answers.
     Alive,
     /// It doesn't answer, but may refute that in time.
@@ -20,7 +20,7 @@
     /// The name shown to operators and in log lines.
     pub fn name(self) -> &'static str {
         match self {
-            PeerState::NeverHeard => "unheard",
+            PeerState::Unknown => "unheard",
             PeerState::Alive => "there",
             PeerState::Suspect => "suspected",
             PeerState::Down => "gone",
@@ -56,7 +56,7 @@
     /// Its latest known incarnation; zero if it was never heard.
     pub incarnation: u64,
     /// When its last datagram was received.
-    pub last_heard: Option<Timestamp>,
+    pub last_received_at: Option<Timestamp>,
     /// Whether it reports that its copy of the replicated state is complete.
     pub caught_up: bool,
     /// How much longer than usual its last datagram took, or lay unread here.
@@ -68,10 +68,10 @@
     pub(super) fn new(name: String) -> Peer {
         Peer {
             name,
-            state: PeerState::NeverHeard,
+            state: PeerState::Unknown,
             state_since: Timestamp(0),
             incarnation: 0,
-            last_heard: None,
+            last_received_at: None,
             caught_up: false,
             delay: TimeSpan(0),
             min_offset: None,
@@ -97,6 +97,6 @@
         });
         self.delay = TimeSpan(u64::try_from(offset - smallest).unwrap_or(0));
         self.incarnation = incarnation;
-        self.last_heard = Some(now);
+        self.last_received_at = Some(now);
     }
 }
--- a/crates/gossip/src/node/mod.rs
+++ b/crates/gossip/src/node/mod.rs
@@ -330,7 +330,7 @@
     /// Publishes a report about this driver whenever its content changes.
     fn publish_own_report(&mut self, now: Timestamp) {
         let report = OwnReport {
-            incarnation: self.membership.own().incarnation,
+            incarnation: self.membership.identity().incarnation,
             list_version: self.list_version,
             caught_up: !self.anti_entropy.is_behind(),
         };
--- a/crates/gossip/src/node/receive.rs
+++ b/crates/gossip/src/node/receive.rs
@@ -73,7 +73,7 @@
     fn on_header(&mut self, now: Timestamp, from: usize, header: &DatagramHeader) {
         self.membership
             .on_datagram(now, from, header.incarnation, header.sent, header.caught_up);
-        if header.known_incarnation > self.membership.own().incarnation {
+        if header.known_incarnation > self.membership.identity().incarnation {
             // The host's clock went back over this driver's restart.
             let messages = self.membership.supersede(now, header.known_incarnation);
             self.outbox.push_membership(messages);
--- a/crates/gossip/src/node/send.rs
+++ b/crates/gossip/src/node/send.rs
@@ -79,7 +79,7 @@
     fn header_for(&self, to: usize, now: Timestamp) -> DatagramHeader {
         DatagramHeader {
             name: self.settings.name.clone(),
-            incarnation: self.membership.own().incarnation,
+            incarnation: self.membership.identity().incarnation,
             sent: now,
             known_incarnation: self.membership.peers()[to].incarnation,
             caught_up: !self.anti_entropy.is_behind(),
--- a/crates/gossip/src/record/kind.rs
+++ b/crates/gossip/src/record/kind.rs
@@ -9,8 +9,8 @@
     Drain,
     /// [`super::Record::Lease`]
     Lease,
-    /// [`super::Record::Unanswered`]
-    Unanswered,
+    /// [`super::Record::DelayedExecution`]
+    DelayedExecution,
     /// [`super::Record::WarmUp`]
     WarmUp,
     /// [`super::Record::Member`]
@@ -27,7 +27,7 @@
 pub const ALL_KINDS: [RecordKind; 8] = [
     RecordKind::Drain,
     RecordKind::Lease,
-    RecordKind::Unanswered,
+    RecordKind::DelayedExecution,
     RecordKind::WarmUp,
     RecordKind::Member,
     RecordKind::Driver,
@@ -45,7 +45,7 @@
             RecordKind::Session => 19,
             RecordKind::Driver => 20,
             RecordKind::Lease => 21,
-            RecordKind::Unanswered => 22,
+            RecordKind::DelayedExecution => 22,
             RecordKind::Load => 23,
         }
     }
@@ -59,7 +59,7 @@
             RecordKind::Session => "session",
             RecordKind::Driver => "driver",
             RecordKind::Lease => "turn",
-            RecordKind::Unanswered => "late",
+            RecordKind::DelayedExecution => "late",
             RecordKind::Load => "load",
         }
     }
@@ -68,7 +68,7 @@
     pub fn is_persistent(self) -> bool {
         !matches!(
             self,
-            RecordKind::Lease | RecordKind::Unanswered | RecordKind::Load
+            RecordKind::Lease | RecordKind::DelayedExecution | RecordKind::Load
         )
     }
 
@@ -84,7 +84,7 @@
             RecordKind::Driver => TimeSpan::millis(600_000),
             // Longer than any lease.
             RecordKind::Lease => TimeSpan::millis(60_000),
-            RecordKind::Unanswered | RecordKind::Load => TimeSpan::millis(5_000),
+            RecordKind::DelayedExecution | RecordKind::Load => TimeSpan::millis(5_000),
         }
     }
 
@@ -92,7 +92,7 @@
     pub fn max_entries(self) -> usize {
         match self {
             RecordKind::Member | RecordKind::Drain | RecordKind::Lease => 4096,
-            RecordKind::Unanswered | RecordKind::WarmUp => 16_384,
+            RecordKind::DelayedExecution | RecordKind::WarmUp => 16_384,
             RecordKind::Session => 32_768,
             RecordKind::Driver | RecordKind::Load => 1024,
         }
--- a/crates/gossip/src/record/merge.rs
+++ b/crates/gossip/src/record/merge.rs
@@ -34,7 +34,7 @@
         incarnation: u64,
         sequence: u64,
         work_us: u64,
-        carried_us: u64,
+        carried_microcores: u64,
     },
     /// The furthest log position.
     Session { position: u64 },
@@ -47,7 +47,7 @@
         operators_file: u64,
     },
     /// The latest report of the latest incarnation.
-    Unanswered {
+    DelayedExecution {
         incarnation: u64,
         sequence: u64,
         outstanding_us: u64,
@@ -113,22 +113,22 @@
                 incarnation,
                 sequence,
                 work_us,
-                carried_us,
+                carried_microcores,
                 ..
             } => Precedence::WarmUp {
                 incarnation: *incarnation,
                 sequence: *sequence,
                 work_us: *work_us,
-                carried_us: *carried_us,
+                carried_microcores: *carried_microcores,
             },
             Record::Session { position, .. } => Precedence::Session { position: *position },
             Record::Driver { .. } => self.driver_precedence()?,
-            Record::Unanswered {
+            Record::DelayedExecution {
                 incarnation,
                 sequence,
                 outstanding_us,
                 ..
-            } => Precedence::Unanswered {
+            } => Precedence::DelayedExecution {
                 incarnation: *incarnation,
                 sequence: *sequence,
                 outstanding_us: *outstanding_us,
--- a/crates/gossip/src/record/mod.rs
+++ b/crates/gossip/src/record/mod.rs
@@ -85,7 +85,7 @@
         /// Processor time dispatched since the member's start, in microseconds; only grows within an incarnation.
         work_us: u64,
         /// Load that warm members carry for this driver, in millionths of a core.
-        carried_us: u64,
+        carried_microcores: u64,
     },
     /// Where the last write of a session was committed, as reported to the driver that executed it. The furthest
     /// position wins. Reads of the session must see it; a missing record proves nothing.
@@ -119,7 +119,7 @@
     },
     /// A driver has an overdue execution at a member. Owned by that driver; the latest report wins. Only together with
     /// another driver's report does it make reads avoid the member for a moment.
-    Unanswered {
+    DelayedExecution {
         /// Name of the member.
         member: String,
         /// Name of the driver.
@@ -185,7 +185,7 @@
             Record::Session { .. } => RecordKind::Session,
             Record::Driver { .. } => RecordKind::Driver,
             Record::Lease { .. } => RecordKind::Lease,
-            Record::Unanswered { .. } => RecordKind::Unanswered,
+            Record::DelayedExecution { .. } => RecordKind::DelayedExecution,
             Record::Load { .. } => RecordKind::Load,
         }
     }
@@ -204,7 +204,7 @@
             } => format!("{member} {started_ms} {driver}"),
             Record::Session { session, .. } => format!("{session:016x}"),
             Record::Lease { subject, .. } => subject.clone(),
-            Record::Unanswered { member, driver, .. } => format!("{member} {driver}"),
+            Record::DelayedExecution { member, driver, .. } => format!("{member} {driver}"),
             Record::Load { driver, .. } => driver.clone(),
         };
         let kind = self.kind();
@@ -217,7 +217,7 @@
             Record::Member { name, .. } | Record::Drain { name, .. } | Record::Driver { name, .. } => {
                 is_valid_name(name)
             }
-            Record::WarmUp { member, driver, .. } | Record::Unanswered { member, driver, .. } => {
+            Record::WarmUp { member, driver, .. } | Record::DelayedExecution { member, driver, .. } => {
                 is_valid_name(member) && is_valid_name(driver)
             }
             Record::Lease { subject, .. } => is_valid_name(subject),
--- a/crates/gossip/src/slow_start.rs
+++ b/crates/gossip/src/slow_start.rs
@@ -42,7 +42,7 @@
     /// Work dispatched since the member's start, in microseconds.
     pub work_us: u64,
     /// Load that warm members carry for that driver, in millionths of a core.
-    pub carried_us: u64,
+    pub carried_microcores: u64,
 }
 
 /// One start of a member that is warming up.
@@ -71,7 +71,7 @@
     /// Work dispatched since the member's start, in microseconds.
     pub work_us: u64,
     /// Load that warm members carry for this driver, in millionths of a core.
-    pub carried_us: u64,
+    pub carried_microcores: u64,
 }
 
 /// A budget and the report that goes with it.
@@ -135,7 +135,7 @@
         }
         self.sums.push_back(ReportedSum { reported_at, work_us });
         self.reported_at = reported_at;
-        self.carried_load = report.carried_us as f64 / MICROS;
+        self.carried_load = report.carried_microcores as f64 / MICROS;
         while self
             .sums
             .get(1)
@@ -200,7 +200,7 @@
         WorkReport {
             sequence: self.report_sequence,
             work_us: self.own_total_us,
-            carried_us: (carried_load * MICROS) as u64,
+            carried_microcores: (carried_load * MICROS) as u64,
         }
     }
 
--- a/crates/gossip/tests/fixtures.rs
+++ b/crates/gossip/tests/fixtures.rs
@@ -68,7 +68,7 @@
             incarnation: 78,
             sequence: 4,
             work_us: 2_500_000,
-            carried_us: 350_000,
+            carried_microcores: 350_000,
         },
         session(0x7766_5544_3322_1100, 98_765),
         driver("d2", true),
@@ -76,7 +76,7 @@
         lease("probe m1", 1, LeaseState::Held),
         lease("probe m2", 2, LeaseState::Abandoned),
         lease("list", 3, LeaseState::Completed),
-        Record::Unanswered {
+        Record::DelayedExecution {
             member: member_name,
             driver: driver_name.clone(),
             incarnation: 78,
--- a/crates/gossip/tests/in_doubt.rs
+++ b/crates/gossip/tests/in_doubt.rs
@@ -65,7 +65,7 @@
         "its earlier process may have dispatched it"
     );
     assert_eq!(log.status(at(5000), 7), DispatchStatus::NotExecuted);
-    log.forget_past(at(5000));
+    log.mark_incomplete(at(5000));
     assert_eq!(
         log.status(at(5500), 7),
         DispatchStatus::Unknown,
@@ -91,13 +91,13 @@
 #[test]
 fn give_up_is_kept_for_the_window() {
     let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
-    log.give_up(at(0), 7);
-    assert!(log.is_given_up(7) && !log.is_given_up(8));
-    log.give_up(at(4000), 7);
+    log.cede(at(0), 7);
+    assert!(log.is_ceded(7) && !log.is_ceded(8));
+    log.cede(at(4000), 7);
     let _ = log.status(at(6000), 1);
-    assert!(log.is_given_up(7), "it was inquired about again");
+    assert!(log.is_ceded(7), "it was inquired about again");
     let _ = log.status(at(9000), 1);
-    assert!(!log.is_given_up(7) && log.is_empty());
+    assert!(!log.is_ceded(7) && log.is_empty());
 }
 
 #[test]
@@ -255,7 +255,7 @@
     fn read(&self, state: &mut FleetState, to: usize, is_client_retry: bool) {
         let driver = &mut state.drivers[to];
         let is_open = driver.may_dispatch || driver.is_inquiring || state.in_flight.contains(&to);
-        if is_open || driver.log.is_given_up(ID) {
+        if is_open || driver.log.is_ceded(ID) {
             return;
         }
         match driver.log.status(NOW, ID) {
@@ -288,7 +288,7 @@
                 let driver = &mut state.drivers[*to];
                 let status = driver.log.status(NOW, ID);
                 if status == DispatchStatus::NotExecuted && self.mistake != Some(Mistake::KeepAfterInquiry) {
-                    driver.log.give_up(NOW, ID);
+                    driver.log.cede(NOW, ID);
                     driver.inquiries.cancel(ID);
                     driver.may_dispatch = false;
                     driver.is_inquiring = false;
@@ -428,7 +428,7 @@
             Property::sometimes(
                 "a client retry is executed by another driver",
                 |_, state: &FleetState| {
-                    state.executions == 1 && state.drivers[0].is_up && state.drivers[0].log.is_given_up(ID)
+                    state.executions == 1 && state.drivers[0].is_up && state.drivers[0].log.is_ceded(ID)
                 },
             ),
         ]
--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -212,7 +212,7 @@
     network.run(seconds(6));
     network.restart(1, -999_000_000, 1);
     network.run(seconds(12));
-    assert!(network.drivers[1].node.membership.own().incarnation > 100);
+    assert!(network.drivers[1].node.membership.identity().incarnation > 100);
     assert_eq!(network.drivers[0].node.membership.reachable().count(), 3);
     assert!(network.copies_are_equal(), "it holds what was sent before");
     assert!(!network.drivers[1].node.anti_entropy.is_behind());
--- a/crates/gossip/tests/replicated_state.rs
+++ b/crates/gossip/tests/replicated_state.rs
@@ -36,14 +36,16 @@
             }
         }),
         (name(), number(), name(), number(), number(), number(), number()).prop_map(
-            |(member, started_ms, driver, incarnation, sequence, work_us, carried_us)| Record::WarmUp {
-                member,
-                started_ms,
-                driver,
-                incarnation,
-                sequence,
-                work_us,
-                carried_us
+            |(member, started_ms, driver, incarnation, sequence, work_us, carried_microcores)| {
+                Record::WarmUp {
+                    member,
+                    started_ms,
+                    driver,
+                    incarnation,
+                    sequence,
+                    work_us,
+                    carried_microcores,
+                }
             }
         ),
         (1u64..3, number()).prop_map(|(session, position)| Record::Session { session, position }),
--- a/crates/gossip/tests/slow_start.rs
+++ b/crates/gossip/tests/slow_start.rs
@@ -31,14 +31,14 @@
     driver: &str,
     incarnation: u64,
     work_us: u64,
-    carried_us: u64,
+    carried_microcores: u64,
 ) -> PeerReport<'_> {
     PeerReport {
         driver,
         incarnation,
         reported_at,
         work_us,
-        carried_us,
+        carried_microcores,
     }
 }
 
@@ -137,9 +137,11 @@
                     .is_some_and(|probability| self.rng.f64() < probability)
                 {
                     let WorkReport {
-                        work_us, carried_us, ..
+                        work_us,
+                        carried_microcores,
+                        ..
                     } = sent.report;
-                    let report = report(sent.sent_at, &names[sent.driver], 1, work_us, carried_us);
+                    let report = report(sent.sent_at, &names[sent.driver], 1, work_us, carried_microcores);
                     driver.budgets.on_peer_report(MEMBER, &report);
                 }
             }
--- a/crates/recovery/tests/common/mod.rs
+++ b/crates/recovery/tests/common/mod.rs
@@ -44,7 +44,7 @@
             incarnation: 1,
             sequence: 1,
             work_us: 1,
-            carried_us: 1,
+            carried_microcores: 1,
         },
         Record::Member {
             name: name(),
@@ -79,7 +79,7 @@
                 state: LeaseState::Held,
             },
         },
-        Record::Unanswered {
+        Record::DelayedExecution {
             member: name(),
             driver: "d".to_owned(),
             incarnation: 1,
