--- a/crates/driver/src/program/commands/files.rs
+++ b/crates/driver/src/program/commands/files.rs
@@ -1,7 +1,7 @@
 //! Commands on operators' files: check, format, diff, show.
 
 use super::CommandOutput;
-use crate::program::operators::{read, registry};
+use crate::program::operators::{read, schema};
 use asterlatch_config::load::{Folder, Missing, Source, LONGEST_FILE};
 use asterlatch_config::meaning::{changes, Meaning};
 use asterlatch_config::parse;
@@ -42,7 +42,7 @@
 
 pub(super) fn show(file: &str, machine: Machine) -> CommandOutput {
     match resolve(file, machine) {
-        Ok(settings) => CommandOutput::success(settings.canonical(registry())),
+        Ok(settings) => CommandOutput::success(settings.canonical(schema())),
         Err(diagnostics) => CommandOutput::failure(diagnostics),
     }
 }
@@ -59,8 +59,8 @@
             };
         }
     };
-    let changes = changes(registry(), &old, &new);
-    let lines = changes.iter().map(|change| change.written(registry()) + "\n");
+    let changes = changes(schema(), &old, &new);
+    let lines = changes.iter().map(|change| change.written(schema()) + "\n");
     CommandOutput {
         stdout: lines.collect(),
         exit_code: u8::from(!changes.is_empty()),
--- a/crates/driver/src/program/commands/generations.rs
+++ b/crates/driver/src/program/commands/generations.rs
@@ -1,7 +1,7 @@
 //! Commands on stored generations of the operators' file: history, rollback.
 
 use super::CommandOutput;
-use crate::program::operators::registry;
+use crate::program::operators::schema;
 use asterlatch_config::meaning::{changes, Meaning};
 use asterlatch_config::shelf;
 use asterlatch_config::store::{KeepError, Store, Stored};
@@ -75,19 +75,19 @@
 
 /// What changed from the previous readable generation to this one.
 fn describe_change(previous: Option<&str>, canonical: &str) -> String {
-    let new = match Meaning::from_canonical(registry(), canonical) {
+    let new = match Meaning::from_canonical(schema(), canonical) {
         Ok((settings, _)) => settings,
         Err(error) => return format!("can't be read here: {error}"),
     };
-    let previous = previous.map(|canonical| Meaning::from_canonical(registry(), canonical));
+    let previous = previous.map(|canonical| Meaning::from_canonical(schema(), canonical));
     let Some(Ok((old, _))) = previous else {
         return "the oldest kept".to_owned();
     };
-    let changes = changes(registry(), &old, &new);
+    let changes = changes(schema(), &old, &new);
     if changes.is_empty() {
         return "the same again".to_owned();
     }
-    let texts: Vec<_> = changes.iter().map(|change| change.written(registry())).collect();
+    let texts: Vec<_> = changes.iter().map(|change| change.written(schema())).collect();
     texts.join("; ")
 }
 
@@ -102,9 +102,9 @@
         .find(|generation| generation.number == number)
         .and_then(|generation| generation.canonical.as_ref().ok())
         .ok_or(GenerationsError::Damaged { number })?;
-    let (settings, _) = Meaning::from_canonical(registry(), canonical)
+    let (settings, _) = Meaning::from_canonical(schema(), canonical)
         .map_err(|cause| GenerationsError::Unreadable { number, cause })?;
-    let retained = settings.amount(registry(), "activation", "kept");
+    let retained = settings.amount(schema(), "activation", "kept");
     let kept = store.keep(0, canonical, retained.max(MIN_RETAINED) as usize, |_| ());
     describe_rollback(number, kept)
 }
--- a/crates/driver/src/program/commands/mod.rs
+++ b/crates/driver/src/program/commands/mod.rs
@@ -3,7 +3,7 @@
 mod files;
 mod generations;
 
-use super::operators::registry;
+use super::operators::schema;
 use asterlatch_config::host::MACHINE;
 use asterlatch_config::registry::Machine;
 use asterlatch_config::unit::{Quantity, Unit};
@@ -126,7 +126,7 @@
         Command::Format { file, check: false } => files::format(file),
         Command::Diff { old, new, machine } => files::diff(old, new, machine.machine()),
         Command::Show { file, machine } => files::show(file, machine.machine()),
-        Command::Reference => CommandOutput::success(registry().reference()),
+        Command::Reference => CommandOutput::success(schema().reference()),
         Command::History { folder } => generations::output(folder, generations::history(folder)),
         Command::Rollback { folder, steps } => {
             generations::output(folder, generations::rollback(folder, usize::from(*steps)))
--- a/crates/driver/src/program/gossip/mod.rs
+++ b/crates/driver/src/program/gossip/mod.rs
@@ -11,7 +11,7 @@
 mod thread;
 
 use crate::program::config::Config;
-use crate::program::operators::registry;
+use crate::program::operators::schema;
 use crate::routing::events::Event;
 use crate::routing::gossip::{DriverIdentity, FleetPeers, Gossip, GossipCommand, GossipSettings};
 use crate::transport::clock::Clock;
@@ -51,10 +51,10 @@
 impl GossipConfig {
     /// What the operators' file says; `None` where drivers don't gossip.
     pub fn from_meaning(meaning: &Meaning) -> Option<GossipConfig> {
-        let amount = |row| meaning.amount(registry(), "shared", row).max(0);
+        let amount = |row| meaning.amount(schema(), "shared", row).max(0);
         let span = |row| TimeSpan(amount(row) as u64);
         let port = u16::try_from(amount("port")).ok().filter(|port| *port > 0)?;
-        let others = drivers(registry(), meaning);
+        let others = drivers(schema(), meaning);
         let node = NodeSettings {
             fleet: String::new(),
             name: String::new(),
@@ -143,7 +143,7 @@
 
 /// The first eight bytes of the file's hash, by which drivers compare their files.
 fn file_hash(meaning: &Meaning) -> u64 {
-    let canonical = hash(&meaning.canonical(registry()));
+    let canonical = hash(&meaning.canonical(schema()));
     u64::from_str_radix(canonical.get(..16).unwrap_or_default(), 16).unwrap_or(0)
 }
 
--- a/crates/driver/src/program/operators/in_force.rs
+++ b/crates/driver/src/program/operators/applied_settings.rs
@@ -1,6 +1,6 @@
 //! The settings that a meaning of the operators' file puts in force.
 
-use super::registry;
+use super::schema;
 use crate::program::phases::PhaseDurations;
 use crate::routing::limits::{CrowdedIdleTimeout, Limits, Share, WorkloadLimits};
 use crate::transport::coroutines::CoroutineStacks;
@@ -23,19 +23,19 @@
 
 /// Settings of the operators' file, as the parts of the program take them over.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct InForce {
+pub struct AppliedSettings {
     /// Of the event loop.
     pub limits: Limits,
     /// Of single workloads, by name.
-    pub workloads: BTreeMap<String, WorkloadLimits>,
+    pub workload_limits: BTreeMap<String, WorkloadLimits>,
     /// Of the process's phases.
-    pub times: PhaseDurations,
+    pub phase_durations: PhaseDurations,
     /// Of the coroutine runtime; takes effect at the start only.
-    pub stacks: CoroutineStacks,
+    pub coroutine_stacks: CoroutineStacks,
     /// Log lines a topic and second.
-    pub lines_a_second: u32,
+    pub log_lines_per_second: u32,
     /// Of a handover.
-    pub handover: HandoverTimeouts,
+    pub handover_timeouts: HandoverTimeouts,
 }
 
 /// Reads amounts of a meaning; negative ones count as zero.
@@ -43,7 +43,7 @@
 
 impl Amounts<'_> {
     fn amount(&self, section: &str, row: &str) -> i64 {
-        self.0.amount(registry(), section, row).max(0)
+        self.0.amount(schema(), section, row).max(0)
     }
 
     fn count(&self, section: &str, row: &str) -> usize {
@@ -89,10 +89,10 @@
         }
     }
 
-    fn workloads(&self) -> BTreeMap<String, WorkloadLimits> {
-        let row = |name| registry().find("workload", name).map(|(_, row)| row);
+    fn workload_limits(&self) -> BTreeMap<String, WorkloadLimits> {
+        let row = |name| schema().find("workload", name).map(|(_, row)| row);
         let (timeout, longest) = (row("timeout"), row("longest"));
-        let entries = self.0.entries(registry(), "workload");
+        let entries = self.0.entries(schema(), "workload");
         let limits = entries.map(|(name, amounts)| {
             let amount = |row: Option<usize>| Some(amounts.get(row?)?.as_ref()?.amount);
             let own = WorkloadLimits {
@@ -104,7 +104,7 @@
         limits.collect()
     }
 
-    fn handover(&self) -> HandoverTimeouts {
+    fn handover_timeouts(&self) -> HandoverTimeouts {
         let upgrade = |row| self.span("upgrade", row);
         HandoverTimeouts {
             predecessor: predecessor::Timeouts {
@@ -125,25 +125,25 @@
     }
 }
 
-impl InForce {
+impl AppliedSettings {
     /// The settings that a meaning states.
-    pub fn of(meaning: &Meaning) -> InForce {
+    pub fn from_resolved(meaning: &Meaning) -> AppliedSettings {
         let amounts = Amounts(meaning);
-        let lines_a_second = amounts.amount("log", "lines") / RATE_UNITS_PER_SECOND;
-        InForce {
+        let log_lines_per_second = amounts.amount("log", "lines") / RATE_UNITS_PER_SECOND;
+        AppliedSettings {
             limits: amounts.limits(),
-            workloads: amounts.workloads(),
-            times: PhaseDurations {
+            workload_limits: amounts.workload_limits(),
+            phase_durations: PhaseDurations {
                 arrivals: amounts.span("phases", "arrivals"),
                 linger: amounts.span("phases", "linger"),
-                longest_drain: amounts.span("phases", "longest_drain"),
+                max_drain: amounts.span("phases", "longest_drain"),
             },
-            stacks: CoroutineStacks {
+            coroutine_stacks: CoroutineStacks {
                 bytes: amounts.count("process", "stack"),
                 spare: amounts.count("process", "spare_stacks"),
             },
-            lines_a_second: lines_a_second.max(1) as u32,
-            handover: amounts.handover(),
+            log_lines_per_second: log_lines_per_second.max(1) as u32,
+            handover_timeouts: amounts.handover_timeouts(),
         }
     }
 }
--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -1,7 +1,7 @@
 //! The operators' file in service: read and stored on a thread of its own (`worker`), decided on by
 //! `asterlatch_config::generations`, applied by the main thread. Without a file nothing of this runs.
 
-mod in_force;
+mod applied_settings;
 mod start;
 mod worker;
 
@@ -9,6 +9,7 @@
 use super::log::{log, Log};
 use super::phases::Phases;
 use crate::routing::event_loop::EventLoop;
+pub use applied_settings::{AppliedSettings, HandoverTimeouts};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::generations::{Difference, Effect, Generation, Generations, Told};
 use asterlatch_config::host;
@@ -18,7 +19,6 @@
 use asterlatch_config::registry::{Machine, Registry, WANTS};
 use asterlatch_config::store::KeepError;
 use asterlatch_handover::predecessor;
-pub use in_force::{HandoverTimeouts, InForce};
 pub use start::{start, Given, Start, StartLine};
 use std::io;
 use std::path::PathBuf;
@@ -65,9 +65,9 @@
 }
 
 /// The settings that operators' files may state.
-pub fn registry() -> &'static Registry {
-    static REGISTRY: OnceLock<Registry> = OnceLock::new();
-    REGISTRY.get_or_init(host::registry)
+pub fn schema() -> &'static Registry {
+    static SCHEMA: OnceLock<Registry> = OnceLock::new();
+    SCHEMA.get_or_init(host::registry)
 }
 
 /// The limits of the process, against which a file is checked.
@@ -81,7 +81,7 @@
 /// Reads the file of this path.
 pub fn read(path: &str, machine: Machine) -> Outcome {
     let (folder, name) = Folder::of(path);
-    let mut outcome = load::read(&name, &folder, registry(), machine);
+    let mut outcome = load::read(&name, &folder, schema(), machine);
     // Diagnostics name files as the command line did.
     if let Some(parent) = path.strip_suffix(&name).filter(|parent| !parent.is_empty()) {
         for file in &mut outcome.files {
@@ -94,13 +94,13 @@
 /// How many settings differ, and which wants the live ones may cause.
 fn difference(old: &Meaning, new: &Meaning) -> Difference {
     let mut difference = Difference::default();
-    for change in changes(registry(), old, new) {
-        if !change.is_live(registry()) {
+    for change in changes(schema(), old, new) {
+        if !change.is_live(schema()) {
             difference.at_start += 1;
             continue;
         }
         difference.live += 1;
-        for want in registry().row(&change.path).may_want {
+        for want in schema().row(&change.path).may_want {
             if !difference.may_want.contains(want) {
                 difference.may_want.push(*want);
             }
@@ -111,7 +111,7 @@
 
 /// The terms of probation that a meaning states.
 fn probation_terms(meaning: &Meaning) -> Terms {
-    let amount = |row| meaning.amount(registry(), "activation", row).max(0);
+    let amount = |row| meaning.amount(schema(), "activation", row).max(0);
     Terms {
         probation: TimeSpan(amount("probation") as u64),
         margin: amount("margin") as f64 / 1e6,
@@ -121,7 +121,7 @@
 
 /// Stored generations at most.
 fn most_stored(meaning: &Meaning) -> usize {
-    meaning.amount(registry(), "activation", "kept").max(1) as usize
+    meaning.amount(schema(), "activation", "kept").max(1) as usize
 }
 
 /// Whether a read is under way, and whether the file has changed again since it began.
@@ -158,7 +158,7 @@
         upgrade_times: predecessor::Timeouts,
         worker: WorkerHandle,
     ) -> Operators {
-        let canonical = start.meaning.canonical(registry());
+        let canonical = start.meaning.canonical(schema());
         let digest = hash(&canonical);
         let number = start.number;
         let most = most_stored(&start.meaning);
@@ -305,12 +305,12 @@
         for effect in effects {
             match effect {
                 Effect::TakeOver(meaning) => {
-                    let force = InForce::of(&meaning);
-                    self.upgrade_times = force.handover.predecessor;
+                    let force = AppliedSettings::from_resolved(&meaning);
+                    self.upgrade_times = force.handover_timeouts.predecessor;
                     take_over(event_loop, phases, &force);
                 }
                 Effect::Keep(Generation { number, meaning, .. }) => {
-                    self.store(number, meaning.canonical(registry()), most_stored(&meaning));
+                    self.store(number, meaning.canonical(schema()), most_stored(&meaning));
                 }
                 Effect::Tell(told) => {
                     log!(event_loop.observer, now, DECISIONS, "{}", describe(&told));
@@ -329,10 +329,10 @@
 }
 
 /// Applies settings to the running process.
-pub fn take_over(event_loop: &mut EventLoop<Log>, phases: &mut Phases, force: &InForce) {
-    event_loop.set_limits(force.limits, &force.workloads);
-    event_loop.observer.lines_per_second = force.lines_a_second;
-    phases.durations = force.times;
+pub fn take_over(event_loop: &mut EventLoop<Log>, phases: &mut Phases, force: &AppliedSettings) {
+    event_loop.set_limits(force.limits, &force.workload_limits);
+    event_loop.observer.lines_per_second = force.log_lines_per_second;
+    phases.durations = force.phase_durations;
 }
 
 fn describe_store(report: &StoreReport) -> String {
--- a/crates/driver/src/program/operators/start.rs
+++ b/crates/driver/src/program/operators/start.rs
@@ -1,6 +1,6 @@
 //! With which settings a process starts.
 
-use super::{read, registry, OperatorsError, DECISIONS, DETAILS};
+use super::{read, schema, OperatorsError, DECISIONS, DETAILS};
 use asterlatch_config::load::Outcome;
 use asterlatch_config::meaning::Meaning;
 use asterlatch_config::registry::Machine;
@@ -52,7 +52,7 @@
     let Some(path) = &given.file else {
         return Ok(Start {
             number: newest,
-            meaning: Meaning::default_of(registry()),
+            meaning: Meaning::default_of(schema()),
             lines,
         });
     };
@@ -62,7 +62,7 @@
     }
     Ok(Start {
         number: newest + 1,
-        meaning: outcome.meaning.unwrap_or_else(|| Meaning::default_of(registry())),
+        meaning: outcome.meaning.unwrap_or_else(|| Meaning::default_of(schema())),
         lines,
     })
 }
@@ -115,7 +115,7 @@
     }
     let readable = stored.iter().find_map(|one| {
         let canonical = one.canonical.as_ref().ok()?;
-        let (meaning, unknown) = Meaning::from_canonical(registry(), canonical).ok()?;
+        let (meaning, unknown) = Meaning::from_canonical(schema(), canonical).ok()?;
         Some((one.number, meaning, unknown))
     });
     let Some((number, meaning, unknown)) = readable else {
--- a/crates/driver/src/program/operators/worker.rs
+++ b/crates/driver/src/program/operators/worker.rs
@@ -1,7 +1,7 @@
 //! Reads the operators' file and stores generations on a thread of its own: a large file or a slow disk must not delay
 //! statements. While the disk fails, the generation kept last is stored again, later each time.
 
-use super::{read, registry, Given, OperatorsError};
+use super::{read, schema, Given, OperatorsError};
 use crate::routing::events::{ControlEvent, Event};
 use asterlatch_config::generation_writer::GenerationWriter;
 use asterlatch_config::generations::Read;
@@ -161,7 +161,7 @@
         let errors = outcome.errors();
         let outcome = match outcome.meaning {
             Some(meaning) => {
-                let hash = hash(&meaning.canonical(registry()));
+                let hash = hash(&meaning.canonical(schema()));
                 Read::Good { hash, meaning }
             }
             None => Read::Faulty { errors },
--- a/crates/driver/src/program/phases.rs
+++ b/crates/driver/src/program/phases.rs
@@ -78,7 +78,7 @@
     /// the next statement of a client may be on its way to the event loop.
     pub linger: TimeSpan,
     /// Longest drain.
-    pub longest_drain: TimeSpan,
+    pub max_drain: TimeSpan,
 }
 
 impl Default for PhaseDurations {
@@ -86,7 +86,7 @@
         PhaseDurations {
             arrivals: TimeSpan::millis(450),
             linger: TimeSpan::millis(1000),
-            longest_drain: TimeSpan::millis(25 * 3_600_000),
+            max_drain: TimeSpan::millis(25 * 3_600_000),
         }
     }
 }
@@ -149,7 +149,7 @@
 
     fn linger_deadline(&self, draining_since: Timestamp) -> Timestamp {
         let deadline = draining_since.max(self.last_busy_at) + self.durations.linger;
-        let deadline = deadline.min(draining_since + self.durations.longest_drain);
+        let deadline = deadline.min(draining_since + self.durations.max_drain);
         self.exit_at.map_or(deadline, |exit_at| deadline.min(exit_at))
     }
 
--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -13,7 +13,7 @@
 
 use super::config::{Config, ConfigError};
 use super::log::Log;
-use super::operators::{self, InForce, Operators};
+use super::operators::{self, AppliedSettings, Operators};
 use super::phases::Phases;
 use super::signals::{BlockedSignals, ShutdownRequest};
 use super::upgrade::{PredecessorRole, ResumedService, SuccessorRole};
@@ -62,9 +62,9 @@
     retry.run(|| forward_signals(&signals, &queue, &shutdown))?;
     let machine = operators::machine(&config);
     let start = retry.run(|| Ok(operators::start(given, machine)?))?;
-    let settings = InForce::of(&start.meaning);
-    let mut successor = SuccessorRole::from_environment(settings.handover.successor)?;
-    transport::coroutines::start(settings.stacks);
+    let settings = AppliedSettings::from_resolved(&start.meaning);
+    let mut successor = SuccessorRole::from_environment(settings.handover_timeouts.successor)?;
+    transport::coroutines::start(settings.coroutine_stacks);
     let inherited = Inheritance::load(successor.as_mut(), &config)?;
     let clock = inherited.clock;
     let startup = Startup {
@@ -93,7 +93,7 @@
     operators::take_over(&mut event_loop, &mut phases, &settings);
     startup.log_all(&mut event_loop, &start.lines);
     let worker = retry.run(|| Ok(operators::WorkerHandle::start(given, &startup.queue)?))?;
-    let operators = Operators::new(given, start, settings.handover.predecessor, worker);
+    let operators = Operators::new(given, start, settings.handover_timeouts.predecessor, worker);
     drop(startup);
     let mut control_loop = ControlLoop {
         config: &config,
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -5,7 +5,7 @@
 use asterlatch_config::host::MACHINE;
 use asterlatch_config::load::{read, Folder};
 use asterlatch_driver::program::config::{self, Config};
-use asterlatch_driver::program::operators::{registry, InForce};
+use asterlatch_driver::program::operators::{schema, AppliedSettings};
 use std::fmt::Write;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -72,18 +72,21 @@
     text
 }
 
-fn every_setting_in_force() -> InForce {
+fn every_setting_in_force() -> AppliedSettings {
     let path = package().join(EVERY_SETTING);
     let (folder, name) = Folder::of(path.to_str().expect("is text"));
-    let outcome = read(&name, &folder, registry(), MACHINE);
-    InForce::of(&outcome.meaning.expect("is valid"))
+    let outcome = read(&name, &folder, schema(), MACHINE);
+    AppliedSettings::from_resolved(&outcome.meaning.expect("is valid"))
 }
 
 /// What the parts of the program take over, by the setting that states it. Times in microseconds, shares in millionths.
-fn described_in_force(force: &InForce) -> String {
+fn described_in_force(force: &AppliedSettings) -> String {
     let limits = &force.limits;
     let [crowded, filling] = limits.crowded_idle_timeouts;
-    let (serving, taking) = (&force.handover.predecessor, &force.handover.successor);
+    let (serving, taking) = (
+        &force.handover_timeouts.predecessor,
+        &force.handover_timeouts.successor,
+    );
     let mut text = lines(&[
         ("descriptors.reserve", limits.reserved_descriptors.to_string()),
         ("descriptors.clients", limits.client_share.0.to_string()),
@@ -111,12 +114,15 @@
         ("discovery.list_late", limits.list_timeout.0.to_string()),
         ("discovery.first_pause", limits.initial_backoff.0.to_string()),
         ("discovery.longest_pause", limits.max_backoff.0.to_string()),
-        ("phases.arrivals", force.times.arrivals.0.to_string()),
-        ("phases.linger", force.times.linger.0.to_string()),
-        ("phases.longest_drain", force.times.longest_drain.0.to_string()),
-        ("process.stack", force.stacks.bytes.to_string()),
-        ("process.spare_stacks", force.stacks.spare.to_string()),
-        ("log.lines", force.lines_a_second.to_string()),
+        ("phases.arrivals", force.phase_durations.arrivals.0.to_string()),
+        ("phases.linger", force.phase_durations.linger.0.to_string()),
+        (
+            "phases.longest_drain",
+            force.phase_durations.max_drain.0.to_string(),
+        ),
+        ("process.stack", force.coroutine_stacks.bytes.to_string()),
+        ("process.spare_stacks", force.coroutine_stacks.spare.to_string()),
+        ("log.lines", force.log_lines_per_second.to_string()),
         ("upgrade.hello", serving.hello.0.to_string()),
         ("upgrade.ready", serving.ready.0.to_string()),
         ("upgrade.taken", serving.commit_acknowledged.0.to_string()),
@@ -129,7 +135,7 @@
         ("upgrade.beat", taking.heartbeat_interval.0.to_string()),
         ("upgrade.probation", taking.probation.0.to_string()),
     ]);
-    for (name, own) in &force.workloads {
+    for (name, own) in &force.workload_limits {
         let timeout = own.timeout.map(|span| span.0);
         text += &lines(&[
             ("workload", name.clone()),
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/process.rs
@@ -4,7 +4,7 @@
 use asterlatch_config::meaning::Meaning;
 use asterlatch_driver::program::config;
 use asterlatch_driver::program::log::Log;
-use asterlatch_driver::program::operators::{registry, InForce};
+use asterlatch_driver::program::operators::{schema, AppliedSettings};
 use asterlatch_driver::program::phases::{Phase, PhaseDurations, Phases, ProcessState, ShutdownSchedule};
 use asterlatch_driver::routing::limits::{Limits, Share};
 use asterlatch_driver::transport::coroutines::CoroutineStacks;
@@ -48,7 +48,7 @@
     for (name, steps) in cases {
         let (mut phases, mut phase) = (Phases::default(), Phase::Starting);
         if name.ends_with("drain is cut") {
-            phases.durations.longest_drain = TimeSpan::millis(3000);
+            phases.durations.max_drain = TimeSpan::millis(3000);
         }
         for (ms, is_shutting_down, is_listener_closed, open_clients, open_statements, expected) in steps {
             let is_listening = true;
@@ -142,18 +142,21 @@
 /// Without a file, and with an empty one, the service uses its own defaults.
 #[test]
 fn applied_settings_of_defaults_equal_program_defaults() {
-    let force = InForce::of(&Meaning::default_of(registry()));
+    let force = AppliedSettings::from_resolved(&Meaning::default_of(schema()));
     assert_eq!(force.limits, Limits::default());
     assert_eq!(
-        (force.times, force.stacks),
+        (force.phase_durations, force.coroutine_stacks),
         (PhaseDurations::default(), CoroutineStacks::default())
     );
     assert_eq!(
-        (force.handover.predecessor, force.handover.successor),
+        (
+            force.handover_timeouts.predecessor,
+            force.handover_timeouts.successor
+        ),
         (predecessor::Timeouts::default(), successor::Timeouts::default())
     );
     assert_eq!(
-        (force.lines_a_second, force.workloads.len()),
+        (force.log_lines_per_second, force.workload_limits.len()),
         (Log::default().lines_per_second, 0)
     );
     // Two thirds and a quarter as they were before they could be set, for any machine with less than a million descriptors.
