--- a/crates/driver/src/program/operators/start.rs
+++ b/crates/driver/src/program/operators/start.rs
@@ -1,6 +1,6 @@
 //! With which settings a process starts.
 
-use super::{read, registry, OperatorsError, DECISIONS, DETAILS};
+use super::{read, schema, OperatorsError, DECISIONS, DETAILS};
 use asterlatch_config::load::LoadOutcome;
 use asterlatch_config::resolved::ResolvedSettings;
 use asterlatch_config::schema::Machine;
@@ -52,7 +52,7 @@
     let Some(path) = &given.file else {
         return Ok(Start {
             number: newest,
-            meaning: ResolvedSettings::defaults(registry()),
+            meaning: ResolvedSettings::defaults(schema()),
             lines,
         });
     };
@@ -64,7 +64,7 @@
         number: newest + 1,
         meaning: outcome
             .settings
-            .unwrap_or_else(|| ResolvedSettings::defaults(registry())),
+            .unwrap_or_else(|| ResolvedSettings::defaults(schema())),
         lines,
     })
 }
@@ -120,7 +120,7 @@
     }
     let readable = stored.iter().find_map(|one| {
         let canonical = one.canonical.as_ref().ok()?;
-        let (meaning, unknown) = ResolvedSettings::from_canonical(registry(), canonical).ok()?;
+        let (meaning, unknown) = ResolvedSettings::from_canonical(schema(), canonical).ok()?;
         Some((one.number, meaning, unknown))
     });
     let Some((number, meaning, unknown)) = readable else {
