--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -80,6 +80,7 @@
 }
 
 /// What the parts of the program take over, by the setting that states it. Times in microseconds, shares in millionths.
+#[expect(clippy::too_many_lines, reason = "one row for each setting")]
 fn described_in_force(force: &AppliedSettings) -> String {
     let limits = &force.limits;
     let [crowded, filling] = limits.crowded_idle_timeouts;
