--- a/crates/config/src/generation_writer.rs
+++ b/crates/config/src/generation_writer.rs
@@ -4,7 +4,7 @@
 use asterlatch_storage::FileSystem;
 use std::time::Duration;
 
-/// Time between two attempts on a disk that fails; doubles up to [`LONGEST_PAUSE`].
+/// Time between two attempts on a disk that fails; doubles up to [`MAX_BACKOFF`].
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// Longest time between two attempts.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(30);
