--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -10,7 +10,7 @@
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::ControlEvent;
 use asterlatch::time::Timestamp;
-use asterlatch_config::registry::Machine;
+use asterlatch_config::schema::Machine;
 
 /// Everything that steers the event loop from outside. Only the event loop's thread uses it.
 pub(super) struct ControlLoop<'a, F> {
@@ -91,7 +91,7 @@
     /// A second request changes nothing.
     fn begin_shutdown(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let is_first = !std::mem::replace(&mut self.is_shutting_down, true);
-        if let Some(longest_wait) = self.config.settings.longest_client_wait.filter(|_| is_first) {
+        if let Some(longest_wait) = self.config.settings.max_client_wait.filter(|_| is_first) {
             let schedule = ShutdownSchedule::new(now, longest_wait);
             self.phases.limit_shutdown(schedule.exit_at);
             event_loop.begin_shutdown(now, schedule.last_answer_at);
--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -13,7 +13,7 @@
 use crate::transport::connection::ConnectionHandle;
 use crate::transport::listener::AcceptEvent;
 use crate::transport::socket_errors;
-use asterlatch::interface::{Departure, Statement};
+use asterlatch::interface::{ClientDisconnect, Statement};
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_handover::io_journal::{StatementVerdict, StatementVerdicts};
 use std::io;
@@ -129,7 +129,7 @@
     }
 
     /// The open statements of a client that disconnects. A client whose connection is closed is removed.
-    fn disconnects_of(&mut self, event: &ClientEvent) -> Vec<Departure> {
+    fn disconnects_of(&mut self, event: &ClientEvent) -> Vec<ClientDisconnect> {
         let (statements, awaits_answer) = match event {
             ClientEvent::InputEnded { client } => (self.clients.on_input_ended(*client), true),
             ClientEvent::Closed { client } => {
@@ -138,16 +138,16 @@
             }
             _ => return Vec::new(),
         };
-        let disconnects = statements.into_iter().map(|statement| Departure {
+        let disconnects = statements.into_iter().map(|statement| ClientDisconnect {
             statement,
             awaits_answer,
         });
         disconnects.collect()
     }
 
-    fn withdraw_statements(&mut self, now: Timestamp, disconnects: &[Departure]) {
-        let is_open = |disconnect: &&Departure| self.statements.contains(disconnect.statement);
-        let open: Vec<Departure> = disconnects.iter().filter(is_open).copied().collect();
+    fn withdraw_statements(&mut self, now: Timestamp, disconnects: &[ClientDisconnect]) {
+        let is_open = |disconnect: &&ClientDisconnect| self.statements.contains(disconnect.statement);
+        let open: Vec<ClientDisconnect> = disconnects.iter().filter(is_open).copied().collect();
         if open.is_empty() {
             return;
         }
@@ -155,7 +155,7 @@
             self.statements.remove(disconnect.statement);
         }
         self.metrics.withdrawn += open.len() as u64;
-        let actions = self.policy.on_departures(now, &open);
+        let actions = self.policy.on_client_disconnects(now, &open);
         self.execute_actions(now, actions);
         for disconnect in open.iter().filter(|disconnect| disconnect.awaits_answer) {
             self.answer_deferred(disconnect.statement);
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -86,7 +86,7 @@
 
     /// Members with delayed executions of this driver, and when the latest of these was dispatched.
     fn delayed_executions(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
-        let before = zone_health::overdue_before(now, self.policy.longest_typical_latency());
+        let before = zone_health::delayed_before(now, self.policy.max_typical_latency());
         let mut delayed: BTreeMap<String, Timestamp> = BTreeMap::new();
         for execution in self.member_requests.executions() {
             let Some(name) = self.members.name(execution.member) else {
--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -276,7 +276,7 @@
             };
             self.failure_consensus.on_late_report(member, driver_key, report);
             self.last_sequence += 1;
-            let record = Record::Unanswered {
+            let record = Record::DelayedExecution {
                 member: member.clone(),
                 driver: self.local_driver.name.clone(),
                 incarnation: self.local_driver.incarnation,
--- a/crates/driver/src/routing/gossip/mod.rs
+++ b/crates/driver/src/routing/gossip/mod.rs
@@ -224,7 +224,7 @@
             PeerState::Alive | PeerState::Suspect => {
                 self.present_peers.insert(change.peer);
             }
-            PeerState::Down | PeerState::NeverHeard => {
+            PeerState::Down | PeerState::Unknown => {
                 self.present_peers.remove(&change.peer);
             }
         }
--- a/crates/driver/src/routing/gossip/prior_attempts.rs
+++ b/crates/driver/src/routing/gossip/prior_attempts.rs
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn mark_dispatch_log_incomplete(&mut self, now: Timestamp) {
-        self.dispatch_log.forget_past(now);
+        self.dispatch_log.mark_incomplete(now);
     }
 
     pub(super) fn on_dispatched(&mut self, now: Timestamp, client_id: u64, member: &str) {
@@ -118,7 +118,7 @@
         deadline: Timestamp,
     ) -> StatementCheck {
         let prior_attempts = &mut self.prior_attempts;
-        if prior_attempts.dispatch_log.is_given_up(client_id) {
+        if prior_attempts.dispatch_log.is_ceded(client_id) {
             return StatementCheck::Ceded;
         }
         match prior_attempts.dispatch_log.status(now, client_id) {
@@ -171,7 +171,7 @@
         };
         let is_ceded = status == DispatchStatus::NotExecuted;
         if is_ceded {
-            prior_attempts.dispatch_log.give_up(now, inquiry.id);
+            prior_attempts.dispatch_log.cede(now, inquiry.id);
             prior_attempts.inquiries.cancel(inquiry.id);
             prior_attempts.deferred.remove(&inquiry.id);
         }
--- a/crates/gossip/tests/slow_start.rs
+++ b/crates/gossip/tests/slow_start.rs
@@ -31,14 +31,14 @@
     driver: &str,
     incarnation: u64,
     work_us: u64,
-    carried_us: u64,
+    carried_microcores: u64,
 ) -> PeerReport<'_> {
     PeerReport {
         driver,
         incarnation,
         reported_at,
         work_us,
-        carried_us,
+        carried_microcores,
     }
 }
 
@@ -137,9 +137,11 @@
                     .is_some_and(|probability| self.rng.f64() < probability)
                 {
                     let WorkReport {
-                        work_us, carried_us, ..
+                        work_us,
+                        carried_microcores,
+                        ..
                     } = sent.report;
-                    let report = report(sent.sent_at, &names[sent.driver], 1, work_us, carried_us);
+                    let report = report(sent.sent_at, &names[sent.driver], 1, work_us, carried_microcores);
                     driver.budgets.on_peer_report(MEMBER, &report);
                 }
             }
@@ -201,7 +203,7 @@
             return false;
         }
         let fleet = FleetShare::new(driver_count as u32);
-        let multiple = fleet.warm_up_load(false).min(4.0 * fleet.planned_part());
+        let multiple = fleet.warm_up_load(false).min(4.0 * fleet.planned_fraction());
         let repayment = fleet.carried_load(self.carried_load) * warm_up_fraction * multiple;
         self.next_dispatch_at = now + STATEMENT_WORK * (1.0 / repayment);
         true
