--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -67,7 +67,7 @@
     pub seed: u64,
     /// Functions that open and resume connections.
     pub connectors: Connectors,
-    /// Journal of dispatched statements, if a predecessor takes clients back should this process crash.
+    /// Journal of dispatched statements, if a predecessor reclaims clients should this process crash.
     pub journal: Option<IoJournalWriter>,
     /// Configuration that may change at run time.
     pub config: RuntimeConfig,
--- a/crates/driver/src/routing/handover.rs
+++ b/crates/driver/src/routing/handover.rs
@@ -102,7 +102,7 @@
     drained_members: Vec<DrainedMember>,
     clients: Vec<TransferredClient>,
     connections: Vec<TransferredConnection>,
-    /// Verdicts on statements of clients taken back from a crashed process.
+    /// Verdicts on statements of clients reclaimed from a crashed process.
     verdicts: BTreeMap<u32, StatementVerdicts>,
 }
 
@@ -193,7 +193,7 @@
     }
 
     /// The verdict on a statement by the offset of its end in the client's input; `None` if the client was
-    /// not taken back from a crashed process. Verdicts are dropped after the last one.
+    /// not reclaimed from a crashed process. Verdicts are dropped after the last one.
     pub fn take_verdict(&mut self, client: u32, end: u64) -> Option<StatementVerdict> {
         let verdicts = self.verdicts.get(&client)?;
         let verdict = verdicts.verdict_for(end);
--- a/crates/driver/src/routing/metrics.rs
+++ b/crates/driver/src/routing/metrics.rs
@@ -87,9 +87,9 @@
     connections_adopted,
     /// Clients adopted from another process.
     clients_adopted,
-    /// Clients taken back from a crashed successor.
+    /// Clients reclaimed from a crashed successor.
     clients_taken_back,
-    /// Clients disconnected because they could not be taken back or handed over.
+    /// Clients disconnected because they could not be reclaimed or handed over.
     clients_cut,
     /// Draining members learned from the peer process.
     drains_from_peer_process,
@@ -111,9 +111,9 @@
     peers_lost,
     /// Budgets computed for members that are warming up.
     warm_up_budgets,
-    /// Statements of clients taken back that were answered as rejected.
+    /// Statements of reclaimed clients that were answered as rejected.
     taken_back_rejected,
-    /// Statements of clients taken back that were answered as aborted.
+    /// Statements of reclaimed clients that were answered as aborted.
     taken_back_aborted,
     /// Health checks sent.
     health_checks_sent,
