--- a/crates/driver/src/routing/event_loop/gossip.rs
+++ b/crates/driver/src/routing/event_loop/gossip.rs
@@ -128,8 +128,8 @@
                 status,
             } => self.on_inquiry_reply(now, from, inquiry, &status),
             NodeOutput::PeerStateChanged(change) => self.on_peer_state_change(now, &change),
-            NodeOutput::CaughtUp(is_complete) => {
-                let text = if is_complete {
+            NodeOutput::CaughtUp(is_caught_up) => {
+                let text = if is_caught_up {
                     "caught up with the fleet"
                 } else {
                     "behind the fleet after a suspension or loss of contact"
