--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Gossip nodes of many drivers over a simulated network: each with a clock of its own, links that lose, delay, duplicate
-//! and corrupt datagrams, and that can be cut in either direction.
+//! Simulated network of gossip nodes. Each driver has its own clock; links lose, delay, duplicate and corrupt
+//! datagrams, and can be cut in either direction.
 #![allow(dead_code)] // each test file uses a part
 
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -57,7 +57,7 @@
     }
 }
 
-/// How all links behave. Probabilities are in thousandths.
+/// Behaviour of all links. Probabilities are in thousandths.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Link {
     pub(crate) delay: TimeSpan,
@@ -85,13 +85,13 @@
 
 pub(crate) struct Driver {
     pub(crate) node: GossipNode,
-    /// Its clock minus the network's, in microseconds.
-    pub(crate) clock_offset: i64,
+    /// The driver's clock minus the network's.
+    pub(crate) clock_offset_us: i64,
     pub(crate) is_up: bool,
     pub(crate) is_suspended: bool,
-    /// Datagrams that arrived while it was suspended.
+    /// Datagrams that arrived while the driver was suspended.
     unread: Vec<Datagram>,
-    /// All outputs but datagrams.
+    /// All outputs except datagrams.
     pub(crate) outputs: Vec<NodeOutput>,
 }
 
@@ -101,19 +101,19 @@
     pub(crate) now: Timestamp,
     pub(crate) drivers: Vec<Driver>,
     pub(crate) link: Link,
-    /// Directed links that are cut, as sender and receiver.
+    /// Cut links, each as a pair of sender and receiver.
     pub(crate) cut: BTreeSet<(usize, usize)>,
-    /// By arrival, then by order of sending.
+    /// Ordered by arrival, then by sending.
     in_flight: BTreeMap<(Timestamp, u64), Datagram>,
     datagram_count: u64,
     rng: fastrand::Rng,
-    /// Sender, receiver, length and hash of each datagram sent, 20 bytes each, if wanted.
+    /// Sender, receiver, length and hash of each sent datagram, 20 bytes in all; `None` if not recorded.
     pub(crate) transcript: Option<Vec<u8>>,
     make_settings: MakeSettings,
 }
 
-/// The clocks' offsets in microseconds, assigned in rotation.
-const CLOCK_OFFSETS: [i64; 3] = [0, 3_600_000_000, -900_000_000];
+/// Clock offsets, assigned to the drivers in rotation.
+const CLOCK_OFFSETS_US: [i64; 3] = [0, 3_600_000_000, -900_000_000];
 
 impl Network {
     pub(crate) fn new(driver_count: usize, seed: u64) -> Network {
@@ -133,19 +133,25 @@
             make_settings,
         };
         for index in 0..driver_count {
-            let clock_offset = CLOCK_OFFSETS[index % CLOCK_OFFSETS.len()];
-            let driver = network.make_driver(index, driver_count, clock_offset, 100);
+            let clock_offset_us = CLOCK_OFFSETS_US[index % CLOCK_OFFSETS_US.len()];
+            let driver = network.make_driver(index, driver_count, clock_offset_us, 100);
             network.drivers.push(driver);
         }
         network
     }
 
-    fn make_driver(&self, index: usize, driver_count: usize, clock_offset: i64, incarnation: u64) -> Driver {
+    fn make_driver(
+        &self,
+        index: usize,
+        driver_count: usize,
+        clock_offset_us: i64,
+        incarnation: u64,
+    ) -> Driver {
         let settings = (self.make_settings)(index, driver_count);
-        let now = Timestamp((self.now.0 as i64 + clock_offset) as u64);
+        let now = Timestamp((self.now.0 as i64 + clock_offset_us) as u64);
         Driver {
             node: GossipNode::new(settings, incarnation, index as u64 + 1, now),
-            clock_offset,
+            clock_offset_us,
             is_up: true,
             is_suspended: false,
             unread: Vec::new(),
@@ -153,14 +159,14 @@
         }
     }
 
-    /// The time by this driver's clock.
+    /// The current time by a driver's clock.
     pub(crate) fn local_time(&self, driver: usize) -> Timestamp {
-        Timestamp((self.now.0 as i64 + self.drivers[driver].clock_offset) as u64)
+        Timestamp((self.now.0 as i64 + self.drivers[driver].clock_offset_us) as u64)
     }
 
-    /// Restarts a driver with an empty state and a clock that may have been set.
-    pub(crate) fn restart(&mut self, driver: usize, clock_offset: i64, incarnation: u64) {
-        self.drivers[driver] = self.make_driver(driver, self.drivers.len(), clock_offset, incarnation);
+    /// Restarts a driver with an empty state and the given clock offset.
+    pub(crate) fn restart(&mut self, driver: usize, clock_offset_us: i64, incarnation: u64) {
+        self.drivers[driver] = self.make_driver(driver, self.drivers.len(), clock_offset_us, incarnation);
     }
 
     pub(crate) fn input(&mut self, driver: usize, input: NodeInput) {
@@ -168,7 +174,7 @@
         for output in self.drivers[driver].node.handle(now, input) {
             match output {
                 NodeOutput::Send { to, bytes } => {
-                    // Peers are all other drivers in their order.
+                    // A driver's peers are all other drivers in order.
                     let to = if to >= driver { to + 1 } else { to };
                     self.send(Datagram {
                         from: driver,
@@ -185,20 +191,20 @@
         self.input(driver, NodeInput::Observed(vec![Observation::now(record)]));
     }
 
-    fn happens(&mut self, permille: u32) -> bool {
+    fn occurs(&mut self, permille: u32) -> bool {
         self.rng.u32(0..1000) < permille
     }
 
     fn send(&mut self, datagram: Datagram) {
-        self.record(&datagram);
+        self.append_to_transcript(&datagram);
         let is_cut = self.cut.contains(&(datagram.from, datagram.to));
-        if is_cut || self.happens(self.link.loss_permille) {
+        if is_cut || self.occurs(self.link.loss_permille) {
             return;
         }
-        let copies = 1 + u32::from(self.happens(self.link.duplicate_permille));
+        let copies = 1 + u32::from(self.occurs(self.link.duplicate_permille));
         for _ in 0..copies {
             let mut bytes = datagram.bytes.clone();
-            if self.happens(self.link.corrupt_permille) {
+            if self.occurs(self.link.corrupt_permille) {
                 let position = self.rng.usize(0..bytes.len());
                 bytes[position] ^= 1 << self.rng.u8(0..8);
             }
@@ -209,13 +215,13 @@
         }
     }
 
-    fn record(&mut self, datagram: &Datagram) {
+    fn append_to_transcript(&mut self, datagram: &Datagram) {
         let Some(transcript) = &mut self.transcript else {
             return;
         };
-        let figures = [datagram.from, datagram.to, datagram.bytes.len()];
-        for figure in figures {
-            transcript.extend((figure as u32).to_be_bytes());
+        let numbers = [datagram.from, datagram.to, datagram.bytes.len()];
+        for number in numbers {
+            transcript.extend((number as u32).to_be_bytes());
         }
         transcript.extend(xxh3_64(&datagram.bytes).to_be_bytes());
     }
@@ -236,7 +242,7 @@
         self.input(to, input);
     }
 
-    /// Ends a suspension; the driver then reads what has arrived meanwhile.
+    /// Ends a suspension; the driver then reads the datagrams that have arrived since.
     pub(crate) fn resume(&mut self, driver: usize) {
         self.drivers[driver].is_suspended = false;
         for datagram in std::mem::take(&mut self.drivers[driver].unread) {
@@ -244,7 +250,7 @@
         }
     }
 
-    /// When the next datagram arrives or the next timer of a running driver is due.
+    /// Time of the next arrival of a datagram or of the next timer of a running driver.
     fn next_event_at(&self) -> Option<Timestamp> {
         let next_arrival = self.in_flight.first_key_value().map(|((at, _), _)| *at);
         let running = self
@@ -252,7 +258,7 @@
             .iter()
             .filter(|driver| driver.is_up && !driver.is_suspended);
         let timers = running.map(|driver| {
-            let at = driver.node.next_at().0 as i64 - driver.clock_offset;
+            let at = driver.node.next_at().0 as i64 - driver.clock_offset_us;
             Timestamp(at.max(0) as u64)
         });
         timers.chain(next_arrival).min()
@@ -278,7 +284,7 @@
         }
     }
 
-    /// Lets this much time pass.
+    /// Advances the time by `span` and handles all events until then.
     pub(crate) fn run(&mut self, span: TimeSpan) {
         let end = self.now + span;
         loop {
@@ -297,14 +303,15 @@
         (0..self.drivers.len()).filter(|driver| self.drivers[*driver].is_up)
     }
 
-    /// Whether the copies of all running drivers hold the same records.
+    /// Whether the copies of all running drivers contain the same records.
     pub(crate) fn copies_are_equal(&self) -> bool {
         let mut copies = self.running().map(|driver| self.contents(driver));
         let first = copies.next();
         copies.all(|copy| Some(copy) == first)
     }
 
-    /// All records of a driver but those that drivers report about themselves, which change as they find each other.
+    /// All records of a driver except the drivers' reports about themselves, which change as drivers discover
+    /// each other.
     pub(crate) fn contents(&self, driver: usize) -> Vec<Record> {
         let state = &self.drivers[driver].node.state;
         let records = state.entries().map(|entry| entry.record.clone());
@@ -313,7 +320,7 @@
             .collect()
     }
 
-    /// Runs until all copies are equal; returns how long that took, or nothing if it took longer than `limit`.
+    /// Runs until all copies are equal; returns the elapsed time, or `None` beyond `limit`.
     pub(crate) fn run_until_equal(&mut self, limit: TimeSpan) -> Option<TimeSpan> {
         let started_at = self.now;
         while self.now - started_at <= limit {
--- a/crates/gossip/tests/failing_disk.rs
+++ b/crates/gossip/tests/failing_disk.rs
@@ -1,5 +1,5 @@
-//! Schedule, encoder and log together on a disk that fails for a while: no record counts as kept before its sync, and what
-//! is pending is written once the disk works.
+//! Snapshot schedule, encoder and log file on a temporarily failing disk. Guards against records that count
+//! as stored before they are durable, and against pending records that are never written.
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -18,19 +18,20 @@
 };
 const INTERVAL: TimeSpan = TimeSpan::millis(50);
 const STEP: TimeSpan = TimeSpan::millis(10);
-/// Longer than the longest pause between two attempts.
-const LONG_ENOUGH: TimeSpan = TimeSpan::millis(31_000);
+/// Longer than the maximum backoff.
+const RECOVERY_TIME: TimeSpan = TimeSpan::millis(31_000);
 
-/// A driver's snapshot as its gossip thread writes it, in virtual time.
+/// Writes a driver's snapshot as the gossip thread does, in virtual time.
 struct Writer {
     log: LogFile<MemoryFileSystem>,
     schedule: SnapshotSchedule,
     encoder: Option<SnapshotEncoder>,
     now: Timestamp,
     records: Vec<Record>,
-    /// How many of them are in a write that has begun, and how many count as kept.
+    /// Number of records in writes that have begun.
     written: usize,
-    kept: usize,
+    /// Number of records in writes that have succeeded.
+    stored: usize,
 }
 
 impl Writer {
@@ -43,19 +44,19 @@
             now,
             records: Vec::new(),
             written: 0,
-            kept: 0,
+            stored: 0,
         }
     }
 
     fn add_record(&mut self) {
-        let n = self.records.len() as u64;
-        self.records.push(member(&format!("m{n}"), n, 0, 5));
+        let number = self.records.len() as u64;
+        self.records.push(member(&format!("m{number}"), number, 0, 5));
         self.schedule.mark_changed();
     }
 
     fn run(&mut self, span: TimeSpan) {
-        let until = self.now + span;
-        while self.now < until {
+        let end = self.now + span;
+        while self.now < end {
             self.now = self.now + STEP;
             if let Some(request) = self.schedule.next_request(self.now) {
                 self.write(request);
@@ -84,26 +85,26 @@
             WriteRequest::Rewrite => self.log.replace(&bytes),
         };
         if result.is_ok() {
-            self.kept = self.written;
+            self.stored = self.written;
         }
         self.schedule.on_written(self.now, request, count, result);
     }
 }
 
-/// The records that the next start finds.
-fn found(disk: &MemoryFileSystem) -> Vec<Record> {
+/// The records in the snapshot after a restart.
+fn read_records(disk: &MemoryFileSystem) -> Vec<Record> {
     let contents = read(&disk.bytes(Path::new(LOG)).unwrap_or_default(), "f", "d1");
     let error = contents.error;
-    let is_torn = matches!(
+    let is_expected = matches!(
         error,
         None | Some(SnapshotError::Empty | SnapshotError::Truncated { .. })
     );
-    assert!(is_torn, "a stop leaves a torn tail at most: {error:?}");
+    assert!(is_expected, "unexpected damage: {error:?}");
     contents.records.into_iter().map(|r| r.record).collect()
 }
 
 #[test]
-fn records_pending_on_a_failing_disk_are_kept_once_it_works() {
+fn pending_records_after_disk_recovery_are_stored() {
     for call in CALLS {
         for errno in [libc::ENOSPC, libc::EIO] {
             for end in [End::Kill, End::PowerFailure] {
@@ -119,25 +120,25 @@
                     writer.run(TimeSpan::millis(700));
                 }
                 disk.mend();
-                writer.run(LONG_ENOUGH);
-                assert_eq!(writer.kept, 6, "{call:?} {errno}");
+                writer.run(RECOVERY_TIME);
+                assert_eq!(writer.stored, 6, "{call:?} {errno}");
                 assert!(!writer.schedule.is_failing());
                 disk.restart(end);
-                assert_eq!(found(&disk), writer.records, "{call:?} {errno} {end:?}");
+                assert_eq!(read_records(&disk), writer.records, "{call:?} {errno} {end:?}");
             }
         }
     }
 }
 
 #[test]
-fn records_told_kept_survive_an_end_while_the_disk_fails() {
+fn stored_records_after_power_failure_on_failing_disk_are_readable() {
     for call in CALLS {
         for errno in [libc::ENOSPC, libc::EIO] {
             let disk = MemoryFileSystem::default();
             let mut writer = Writer::new(&disk);
-            for n in 0..8 {
-                // A fault that comes and goes: a sync that succeeds follows one that failed.
-                if n % 3 == 1 {
+            for round in 0..8 {
+                // An intermittent fault: a successful sync follows a failed one.
+                if round % 3 == 1 {
                     disk.fail(call, errno);
                 }
                 writer.add_record();
@@ -148,28 +149,28 @@
             writer.add_record();
             writer.run(TimeSpan::millis(2000));
             disk.restart(End::PowerFailure);
-            let found = found(&disk);
+            let records = read_records(&disk);
             assert!(
-                found.len() >= writer.kept,
+                records.len() >= writer.stored,
                 "{call:?}: {} of {}",
-                found.len(),
-                writer.kept
+                records.len(),
+                writer.stored
             );
-            assert_eq!(found[..], writer.records[..found.len()], "{call:?} {errno}");
+            assert_eq!(records[..], writer.records[..records.len()], "{call:?} {errno}");
         }
     }
 }
 
 #[test]
-fn kill_or_power_failure_at_any_call_keeps_the_records_told_kept() {
+fn stored_records_after_kill_or_power_failure_at_any_call_are_readable() {
     for end in [End::Kill, End::PowerFailure] {
         for fault in [None, Some(Call::Write), Some(Call::Sync), Some(Call::SyncFolder)] {
             for at in 1.. {
                 let disk = MemoryFileSystem::default();
                 disk.kill_at(at);
                 let mut writer = Writer::new(&disk);
-                for n in 0..5 {
-                    if let Some(call) = fault.filter(|_| n == 2) {
+                for round in 0..5 {
+                    if let Some(call) = fault.filter(|_| round == 2) {
                         disk.fail(call, libc::EIO);
                     }
                     writer.add_record();
@@ -178,11 +179,11 @@
                 }
                 let was_killed = disk.calls() >= at;
                 disk.restart(end);
-                let found = found(&disk);
-                assert!(found.len() >= writer.kept, "{end:?} {fault:?} at {at}");
+                let records = read_records(&disk);
+                assert!(records.len() >= writer.stored, "{end:?} {fault:?} at {at}");
                 assert_eq!(
-                    found[..],
-                    writer.records[..found.len()],
+                    records[..],
+                    writer.records[..records.len()],
                     "{end:?} {fault:?} at {at}"
                 );
                 if !was_killed {
--- a/crates/gossip/tests/fixtures.rs
+++ b/crates/gossip/tests/fixtures.rs
@@ -1,8 +1,8 @@
-//! Stored and sent bytes against fixtures that were written before names were changed: each file must still be read as
-//! the values that it was written from, and writing those values again must give the same bytes.
+//! Stored and sent bytes against fixtures. Guards against accidental changes of the formats: each file must
+//! decode to the values that it was written from, and encoding these values must give the same bytes.
 //!
-//! `cargo test -p asterlatch-gossip --test fixtures -- --ignored write_fixtures` writes the files anew. That is right
-//! only together with a new version number of the format.
+//! `cargo test -p asterlatch-gossip --test fixtures -- --ignored write_fixtures` rewrites the files, which is
+//! correct only with a new version number of the format.
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -18,7 +18,8 @@
 
 const FLEET: &str = "fleet-a";
 const DRIVER: &str = "d1";
-const WALL: Timestamp = Timestamp(1_700_000_000_000_000);
+/// Wall clock time of the first record.
+const WALL_TIME: Timestamp = Timestamp(1_700_000_000_000_000);
 
 fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
@@ -27,7 +28,7 @@
 }
 
 fn fixture(name: &str) -> Vec<u8> {
-    std::fs::read(path(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
+    std::fs::read(path(name)).unwrap_or_else(|error| panic!("cannot read fixture {name}: {error}"))
 }
 
 fn lease(subject: &str, renewals: u64, state: LeaseState) -> Record {
@@ -53,7 +54,7 @@
     }
 }
 
-/// Every kind of record, with every variant of its fields.
+/// Records of every kind, with every variant of their fields.
 fn records() -> Vec<Record> {
     let (member_name, driver_name) = ("m2".to_owned(), "d2".to_owned());
     vec![
@@ -104,34 +105,34 @@
 }
 
 fn snapshot() -> Vec<u8> {
-    let (mut bytes, mut writer) = SnapshotEncoder::begin(FLEET, DRIVER, 1_700_000_000_000_042);
-    for (n, record) in records().iter().enumerate() {
-        writer.append(&mut bytes, record, WALL + TimeSpan(n as u64));
+    let (mut bytes, mut encoder) = SnapshotEncoder::begin(FLEET, DRIVER, 1_700_000_000_000_042);
+    for (index, record) in records().iter().enumerate() {
+        encoder.append(&mut bytes, record, WALL_TIME + TimeSpan(index as u64));
     }
     bytes
 }
 
-/// Where the damage begins: the frame of the sixth record.
-fn sixth_record() -> usize {
-    let (mut bytes, mut writer) = SnapshotEncoder::begin(FLEET, DRIVER, 1_700_000_000_000_042);
-    for (n, record) in records().iter().take(5).enumerate() {
-        writer.append(&mut bytes, record, WALL + TimeSpan(n as u64));
+/// Offset of the frame of the sixth record, where the damage begins.
+fn sixth_record_offset() -> usize {
+    let (mut bytes, mut encoder) = SnapshotEncoder::begin(FLEET, DRIVER, 1_700_000_000_000_042);
+    for (index, record) in records().iter().take(5).enumerate() {
+        encoder.append(&mut bytes, record, WALL_TIME + TimeSpan(index as u64));
     }
     bytes.len()
 }
 
 fn truncated() -> Vec<u8> {
-    snapshot()[..sixth_record() + 20].to_vec()
+    snapshot()[..sixth_record_offset() + 20].to_vec()
 }
 
 fn corrupted() -> Vec<u8> {
     let mut bytes = snapshot();
-    bytes[sixth_record() + 14] ^= 0x10;
+    bytes[sixth_record_offset() + 14] ^= 0x10;
     bytes
 }
 
 fn with_times(records: Vec<Record>) -> Vec<ObservedRecord> {
-    let times = (0..).map(|n| WALL + TimeSpan(n));
+    let times = (0..).map(|n| WALL_TIME + TimeSpan(n));
     let observed = |(record, observed_at)| ObservedRecord { record, observed_at };
     records.into_iter().zip(times).map(observed).collect()
 }
@@ -140,13 +141,13 @@
     DatagramHeader {
         name: DRIVER.to_owned(),
         incarnation: 1_700_000_000_000_042,
-        sent: Timestamp(987_654_321),
+        sent_at: Timestamp(987_654_321),
         known_incarnation: 1_699_999_999_999_999,
         caught_up: true,
     }
 }
 
-/// A datagram's messages and the name of its file.
+/// The messages of a datagram, with the name that its fixture files contain.
 struct MessageCase {
     name: &'static str,
     messages: Vec<Message>,
@@ -156,11 +157,11 @@
     MessageCase { name, messages }
 }
 
-/// Every kind of message.
+/// Messages of every kind.
 fn message_cases() -> Vec<MessageCase> {
-    let aged = |(n, record): (usize, Record)| Message::Record {
+    let aged = |(index, record): (usize, Record)| Message::Record {
         record,
-        age: TimeSpan(n as u64 * 100_000),
+        age: TimeSpan(index as u64 * 100_000),
     };
     vec![
         case("membership", vec![Message::Membership((0..=255).collect())]),
@@ -238,8 +239,8 @@
     dialect.encode(FLEET, &header(), &messages)
 }
 
-/// Sender, receiver, length and hash of each datagram over links that lose and delay: membership, retransmits,
-/// anti-entropy, an inquiry, a restart and a driver that leaves, by fixed seeds in virtual time.
+/// Sender, receiver, length and hash of each datagram in a deterministic simulation with loss and delay:
+/// membership, dissemination, anti-entropy, an inquiry, a restart and a driver that leaves.
 fn transcript() -> Vec<u8> {
     let mut network = Network::new(4, 38);
     network.link = Link {
@@ -249,8 +250,8 @@
     };
     network.transcript = Some(Vec::new());
     network.run(TimeSpan::millis(1500));
-    for (n, record) in records().into_iter().enumerate() {
-        network.observe(n % 3, record);
+    for (index, record) in records().into_iter().enumerate() {
+        network.observe(index % 3, record);
         network.run(TimeSpan::millis(70));
     }
     for id in 0..400 {
@@ -264,17 +265,18 @@
     network.run(TimeSpan::millis(4000));
     network.input(1, NodeInput::ListVersion(4));
     network.input(2, NodeInput::Leave);
-    // A driver that has left is not driven any more: its `next_at` stays in the past, so `Network::run` would never return.
+    // A driver that has left gets no more ticks: its `next_at` stays in the past, and `Network::run` would
+    // not return.
     network.drivers[2].is_up = false;
     network.run(TimeSpan::millis(1000));
     network.transcript.take().unwrap_or_default()
 }
 
 #[test]
-#[ignore = "writes the fixtures anew"]
+#[ignore = "rewrites the fixtures"]
 fn write_fixtures() {
-    let write = |name: &str, bytes: &[u8]| std::fs::write(path(name), bytes).expect("fixture is writable");
-    std::fs::create_dir_all(path("")).expect("folder can be made");
+    let write = |name: &str, bytes: &[u8]| std::fs::write(path(name), bytes).expect("write the fixture");
+    std::fs::create_dir_all(path("")).expect("create the fixture folder");
     write("snapshot-sound.bin", &snapshot());
     write("snapshot-truncated.bin", &truncated());
     write("snapshot-corrupted.bin", &corrupted());
@@ -291,8 +293,8 @@
 
 #[test]
 fn fixtures_contain_every_record_kind() {
-    let held: Vec<_> = records().iter().map(Record::kind).collect();
-    assert!(ALL_KINDS.iter().all(|kind| held.contains(kind)));
+    let kinds: Vec<_> = records().iter().map(Record::kind).collect();
+    assert!(ALL_KINDS.iter().all(|kind| kinds.contains(kind)));
 }
 
 #[test]
@@ -329,8 +331,8 @@
 
 #[test]
 fn read_of_damaged_snapshot_fixtures_stops_at_the_damage() {
-    let at = sixth_record();
-    for (name, written, fault) in [
+    let at = sixth_record_offset();
+    for (name, encoded, error) in [
         (
             "snapshot-truncated.bin",
             truncated(),
@@ -344,13 +346,13 @@
     ] {
         let bytes = fixture(name);
         let contents = read(&bytes, FLEET, DRIVER);
-        assert_eq!(contents.error, Some(fault), "{name}");
+        assert_eq!(contents.error, Some(error), "{name}");
         assert_eq!(
             contents.records,
             with_times(records().into_iter().take(5).collect()),
             "{name}"
         );
-        assert_eq!(written, bytes, "{name}");
+        assert_eq!(encoded, bytes, "{name}");
     }
 }
 
@@ -359,19 +361,22 @@
     for (suffix, dialect) in DIALECTS {
         for MessageCase { name, messages } in message_cases() {
             let bytes = fixture(&format!("datagram-{name}-{suffix}.bin"));
-            let datagram_read = decode_datagram(FLEET, &bytes).expect("is understood");
-            assert_eq!(datagram_read.header, header(), "{name} {suffix}");
-            assert_eq!(datagram_read.messages, messages, "{name} {suffix}");
+            let decoded = decode_datagram(FLEET, &bytes).expect("decode the datagram");
+            assert_eq!(decoded.header, header(), "{name} {suffix}");
+            assert_eq!(decoded.messages, messages, "{name} {suffix}");
             assert_eq!(datagram(dialect, &messages), bytes, "{name} {suffix}");
         }
     }
 }
 
 #[test]
-fn conversation_of_four_drivers_sends_the_recorded_bytes() {
-    let before = fixture("transcript.bin");
-    let now = transcript();
-    let differs = before.chunks(20).zip(now.chunks(20)).position(|(a, b)| a != b);
-    assert_eq!(differs, None, "first datagram that differs");
-    assert_eq!(now.len(), before.len());
+fn simulation_of_four_drivers_sends_the_recorded_datagrams() {
+    let expected = fixture("transcript.bin");
+    let actual = transcript();
+    let difference = expected
+        .chunks(20)
+        .zip(actual.chunks(20))
+        .position(|(a, b)| a != b);
+    assert_eq!(difference, None, "index of the first datagram that differs");
+    assert_eq!(actual.len(), expected.len());
 }
--- a/crates/gossip/tests/in_doubt.rs
+++ b/crates/gossip/tests/in_doubt.rs
@@ -1,5 +1,5 @@
-//! Statements that must not be executed twice: what a driver remembers, how answers are combined, and a model check of
-//! every order of steps, losses and crashes.
+//! Dispatch log, inquiry outcomes, and a model check in every order of steps, losses and crashes. Guards
+//! against a second execution of a non-idempotent statement.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::in_doubt::{
@@ -22,23 +22,23 @@
 }
 
 #[test]
-fn status_within_the_window_is_the_first_dispatch() {
+fn status_within_window_is_the_first_dispatch() {
     let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
     log.on_dispatch(at(0), 7, "m1");
     log.on_dispatch(at(100), 7, "m2");
-    // The first dispatch counts, because the store's window begins with it.
-    for (ms, known) in [
+    // The first dispatch counts, because the store's window starts with it.
+    for (ms, expected) in [
         (0, dispatched(0, "m1")),
         (4999, dispatched(4999, "m1")),
         (5000, DispatchStatus::NotExecuted),
     ] {
-        assert_eq!(log.status(at(ms), 7), known, "{ms}");
+        assert_eq!(log.status(at(ms), 7), expected, "{ms}");
     }
     assert!(log.is_empty());
 }
 
 #[test]
-fn on_not_executed_for_every_dispatch_makes_status_not_executed() {
+fn on_not_executed_for_each_dispatch_resets_the_status() {
     let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
     log.on_dispatch(at(0), 7, "m1");
     log.on_not_executed(7);
@@ -62,14 +62,14 @@
     assert_eq!(
         log.status(at(4999), 7),
         DispatchStatus::Unknown,
-        "its earlier process may have dispatched it"
+        "the predecessor may have dispatched it"
     );
     assert_eq!(log.status(at(5000), 7), DispatchStatus::NotExecuted);
     log.mark_incomplete(at(5000));
     assert_eq!(
         log.status(at(5500), 7),
         DispatchStatus::Unknown,
-        "another process was running"
+        "a peer process may have dispatched it"
     );
     for id in 0..150 {
         log.on_dispatch(at(10_000 + id), id, "m");
@@ -78,86 +78,117 @@
     assert_eq!(
         log.status(at(10_200), 9999),
         DispatchStatus::Unknown,
-        "it may be among the dropped ones"
+        "it may be among the dropped entries"
     );
     assert_eq!(log.status(at(10_200), 149), dispatched(51, "m"));
     assert_eq!(
         log.status(at(10_049 + 5000), 9999),
         DispatchStatus::NotExecuted,
-        "the dropped ones can't be retried any more"
+        "the dropped entries are outside the retry window"
     );
 }
 
 #[test]
-fn give_up_is_kept_for_the_window() {
+fn cede_lasts_for_the_window_after_the_last_inquiry() {
     let mut log = DispatchLog::new(NOW, WINDOW, 100, false);
     log.cede(at(0), 7);
     assert!(log.is_ceded(7) && !log.is_ceded(8));
     log.cede(at(4000), 7);
     let _ = log.status(at(6000), 1);
-    assert!(log.is_ceded(7), "it was inquired about again");
+    assert!(log.is_ceded(7), "a second inquiry extends the window");
     let _ = log.status(at(9000), 1);
     assert!(!log.is_ceded(7) && log.is_empty());
 }
 
 #[test]
-fn on_reply_with_one_doubt_or_timeout_decides_in_doubt() {
-    let doubt = |age, member: Option<&str>| InquiryOutcome::MayHaveExecuted {
+fn on_reply_or_timeout_with_any_doubt_decides_in_doubt() {
+    let in_doubt = |age, member: Option<&str>| InquiryOutcome::MayHaveExecuted {
         age,
         member: member.map(str::to_owned),
     };
     type Case = (&'static str, Vec<(usize, DispatchStatus)>, Option<InquiryOutcome>);
-    #[rustfmt::skip]
     let table: [Case; 6] = [
-        ("no peer dispatched it", vec![(0, DispatchStatus::NotExecuted), (1, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)], Some(InquiryOutcome::NotExecuted)),
-        ("one doesn't answer", vec![(0, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)], None),
-        ("one dispatched it", vec![(1, dispatched(30, "m4"))], Some(doubt(TimeSpan::millis(30), Some("m4")))),
-        ("one can't tell", vec![(0, DispatchStatus::NotExecuted), (1, DispatchStatus::Unknown)], Some(doubt(UNBOUNDED_AGE, None))),
-        ("one answers repeatedly", vec![(0, DispatchStatus::NotExecuted), (0, DispatchStatus::NotExecuted), (0, DispatchStatus::NotExecuted)], None),
-        ("a peer that wasn't asked", vec![(9, dispatched(1, "m"))], None),
+        (
+            "no peer has dispatched it",
+            vec![
+                (0, DispatchStatus::NotExecuted),
+                (1, DispatchStatus::NotExecuted),
+                (2, DispatchStatus::NotExecuted),
+            ],
+            Some(InquiryOutcome::NotExecuted),
+        ),
+        (
+            "one peer doesn't reply",
+            vec![(0, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)],
+            None,
+        ),
+        (
+            "one peer has dispatched it",
+            vec![(1, dispatched(30, "m4"))],
+            Some(in_doubt(TimeSpan::millis(30), Some("m4"))),
+        ),
+        (
+            "one peer doesn't know",
+            vec![(0, DispatchStatus::NotExecuted), (1, DispatchStatus::Unknown)],
+            Some(in_doubt(UNBOUNDED_AGE, None)),
+        ),
+        (
+            "one peer replies repeatedly",
+            vec![
+                (0, DispatchStatus::NotExecuted),
+                (0, DispatchStatus::NotExecuted),
+                (0, DispatchStatus::NotExecuted),
+            ],
+            None,
+        ),
+        ("unknown peer", vec![(9, dispatched(1, "m"))], None),
     ];
-    for (name, answers, outcome) in table {
+    for (name, replies, outcome) in table {
         let mut inquiries = Inquiries::default();
         let sequence = inquiries
             .start(NOW, 7, &[0, 1, 2], TimeSpan::millis(100))
-            .expect("there are peers");
-        let decided = answers.iter().fold(None, |decided, (peer, status)| {
+            .expect("the inquiry has peers");
+        let decided = replies.iter().fold(None, |decided, (peer, status)| {
             decided.or(inquiries.on_reply(7, sequence, *peer, status))
         });
         assert_eq!(decided, outcome, "{name}");
-        // An answer to another inquiry about the same id is ignored.
+        // A reply to another inquiry about the same id is ignored.
         assert_eq!(
             inquiries.on_reply(7, sequence + 1, 1, &dispatched(1, "m")),
             None,
             "{name}"
         );
         assert!(inquiries.take_timed_out(at(99)).is_empty(), "{name}");
-        let late = inquiries.take_timed_out(at(100));
-        let silent = vec![InquiryDecision {
+        let timed_out = inquiries.take_timed_out(at(100));
+        let timeout_decisions = vec![InquiryDecision {
             id: 7,
-            outcome: doubt(UNBOUNDED_AGE, None),
+            outcome: in_doubt(UNBOUNDED_AGE, None),
         }];
         assert_eq!(
-            late,
-            if outcome.is_some() { Vec::new() } else { silent },
+            timed_out,
+            if outcome.is_some() {
+                Vec::new()
+            } else {
+                timeout_decisions
+            },
             "{name}"
         );
         assert!(inquiries.is_empty());
     }
-    let nobody = Inquiries::default().start(NOW, 7, &[], TimeSpan::millis(100));
-    assert_eq!(nobody, None, "there is no other driver");
+    let without_peers = Inquiries::default().start(NOW, 7, &[], TimeSpan::millis(100));
+    assert_eq!(without_peers, None, "there are no peers");
 }
 
-/// A seeded mistake that the model checker must find.
+/// A bug that the model checker must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mistake {
-    /// A driver that is asked may still dispatch the statement.
-    KeepAfterInquiry,
-    /// A restarted driver denies dispatches that it can't know of.
+enum SeededBug {
+    /// A driver may still dispatch a statement after it has denied that to a peer.
+    DispatchAfterDenial,
+    /// A restarted driver denies dispatches of its predecessor.
     DenyAfterRestart,
-    /// A peer that doesn't answer counts as not having dispatched it.
+    /// A peer that doesn't reply counts as one that hasn't dispatched the statement.
     TimeoutIsDenial,
-    /// A statement that isn't marked as a client retry is taken as the first attempt.
+    /// A statement that isn't marked as a client retry counts as the first attempt.
     TrustUnmarked,
 }
 
@@ -166,38 +197,38 @@
     is_up: bool,
     log: DispatchLog,
     inquiries: Inquiries,
-    /// It holds the statement and may dispatch it.
+    /// Whether the driver has accepted the statement and may dispatch it.
     may_dispatch: bool,
     is_inquiring: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum DriverMessage {
-    Ask {
+    Inquiry {
         from: usize,
         to: usize,
         sequence: u32,
     },
-    Answer {
+    Reply {
         from: usize,
         to: usize,
         sequence: u32,
-        known: u8,
+        status_code: u8,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct FleetState {
     drivers: Vec<Driver>,
-    /// Sent by the client and not read yet: the receiver, and whether it is marked as a client retry.
+    /// Statements sent by the client and not read yet: the receiver, and whether marked as a client retry.
     unread: Vec<(usize, bool)>,
     messages: Vec<DriverMessage>,
-    /// Executions in flight, by the driver that dispatched them.
+    /// Dispatching drivers of the executions in flight.
     in_flight: Vec<usize>,
     executions: u8,
     client_retries: u8,
     crashes: u8,
-    /// How often it was proven that the statement was not executed.
+    /// Number of executions known not to have happened.
     not_executed: u8,
 }
 
@@ -216,23 +247,23 @@
 }
 
 struct FleetModel {
-    mistake: Option<Mistake>,
+    bug: Option<SeededBug>,
     drivers: usize,
     client_retries: u8,
 }
 
 const ID: u64 = 7;
 
-fn known(number: u8) -> DispatchStatus {
-    match number {
+fn status_of_code(code: u8) -> DispatchStatus {
+    match code {
         0 => DispatchStatus::NotExecuted,
         1 => dispatched(1, "m"),
         _ => DispatchStatus::Unknown,
     }
 }
 
-fn number(known: &DispatchStatus) -> u8 {
-    match known {
+fn code_of_status(status: &DispatchStatus) -> u8 {
+    match status {
         DispatchStatus::NotExecuted => 0,
         DispatchStatus::Dispatched { .. } => 1,
         DispatchStatus::Unknown => 2,
@@ -241,7 +272,7 @@
 
 impl FleetModel {
     fn start_driver(&self, has_predecessor: bool) -> Driver {
-        let has_predecessor = has_predecessor && self.mistake != Some(Mistake::DenyAfterRestart);
+        let has_predecessor = has_predecessor && self.bug != Some(SeededBug::DenyAfterRestart);
         Driver {
             is_up: true,
             log: DispatchLog::new(NOW, WINDOW, 10, has_predecessor),
@@ -251,7 +282,7 @@
         }
     }
 
-    /// The same steps as the event loop's.
+    /// Mirrors the event loop's handling of a statement.
     fn read(&self, state: &mut FleetState, to: usize, is_client_retry: bool) {
         let driver = &mut state.drivers[to];
         let is_open = driver.may_dispatch || driver.is_inquiring || state.in_flight.contains(&to);
@@ -259,8 +290,8 @@
             return;
         }
         match driver.log.status(NOW, ID) {
-            // Also if it isn't marked: the checker found a first attempt that was read after its retry.
-            DispatchStatus::Dispatched { .. } if self.mistake != Some(Mistake::TrustUnmarked) => return,
+            // Also without the mark: a first attempt may be read after its retry.
+            DispatchStatus::Dispatched { .. } if self.bug != Some(SeededBug::TrustUnmarked) => return,
             _ if !is_client_retry => {
                 driver.may_dispatch = true;
                 return;
@@ -268,15 +299,17 @@
             DispatchStatus::NotExecuted => {}
             _ => return,
         }
-        let peers: Vec<usize> = (0..self.drivers).filter(|p| *p != to).collect();
+        let peers: Vec<usize> = (0..self.drivers).filter(|peer| *peer != to).collect();
         match driver.inquiries.start(NOW, ID, &peers, TimeSpan::millis(100)) {
             Some(sequence) => {
                 driver.is_inquiring = true;
-                state.messages.extend(peers.iter().map(|p| DriverMessage::Ask {
-                    from: to,
-                    to: *p,
-                    sequence,
-                }));
+                state
+                    .messages
+                    .extend(peers.iter().map(|peer| DriverMessage::Inquiry {
+                        from: to,
+                        to: *peer,
+                        sequence,
+                    }));
             }
             None => driver.may_dispatch = true,
         }
@@ -284,30 +317,33 @@
 
     fn deliver(&self, state: &mut FleetState, message: &DriverMessage) {
         match message {
-            DriverMessage::Ask { from, to, sequence } => {
+            DriverMessage::Inquiry { from, to, sequence } => {
                 let driver = &mut state.drivers[*to];
                 let status = driver.log.status(NOW, ID);
-                if status == DispatchStatus::NotExecuted && self.mistake != Some(Mistake::KeepAfterInquiry) {
+                if status == DispatchStatus::NotExecuted && self.bug != Some(SeededBug::DispatchAfterDenial) {
                     driver.log.cede(NOW, ID);
                     driver.inquiries.cancel(ID);
                     driver.may_dispatch = false;
                     driver.is_inquiring = false;
                 }
-                state.messages.push(DriverMessage::Answer {
+                state.messages.push(DriverMessage::Reply {
                     from: *to,
                     to: *from,
                     sequence: *sequence,
-                    known: number(&status),
+                    status_code: code_of_status(&status),
                 });
             }
-            DriverMessage::Answer {
+            DriverMessage::Reply {
                 from,
                 to,
                 sequence,
-                known: n,
+                status_code: code,
             } => {
                 let driver = &mut state.drivers[*to];
-                if let Some(outcome) = driver.inquiries.on_reply(ID, *sequence, *from, &known(*n)) {
+                if let Some(outcome) = driver
+                    .inquiries
+                    .on_reply(ID, *sequence, *from, &status_of_code(*code))
+                {
                     driver.is_inquiring = false;
                     driver.may_dispatch = outcome == InquiryOutcome::NotExecuted;
                 }
@@ -334,18 +370,21 @@
     }
 
     fn actions(&self, state: &FleetState, steps: &mut Vec<Step>) {
-        for n in 0..self.drivers {
-            let driver = &state.drivers[n];
-            let mut may = |possible: bool, step: Step| steps.extend(possible.then_some(step));
-            may(state.client_retries < self.client_retries, Step::ClientRetry(n));
-            may(driver.is_up && driver.may_dispatch, Step::Dispatch(n));
-            may(driver.is_up && driver.is_inquiring, Step::TimeOut(n));
-            may(driver.is_up && state.crashes < 1, Step::Crash(n));
-            may(!driver.is_up, Step::Restart(n));
+        for index in 0..self.drivers {
+            let driver = &state.drivers[index];
+            let mut add_if = |is_possible: bool, step: Step| steps.extend(is_possible.then_some(step));
+            add_if(
+                state.client_retries < self.client_retries,
+                Step::ClientRetry(index),
+            );
+            add_if(driver.is_up && driver.may_dispatch, Step::Dispatch(index));
+            add_if(driver.is_up && driver.is_inquiring, Step::TimeOut(index));
+            add_if(driver.is_up && state.crashes < 1, Step::Crash(index));
+            add_if(!driver.is_up, Step::Restart(index));
         }
         steps.extend(
             (0..state.unread.len())
-                .filter(|n| state.drivers[state.unread[*n].0].is_up)
+                .filter(|index| state.drivers[state.unread[*index].0].is_up)
                 .map(Step::Read),
         );
         steps.extend((0..state.in_flight.len()).map(Step::Execute));
@@ -359,26 +398,26 @@
     fn next_state(&self, last: &FleetState, step: Step) -> Option<FleetState> {
         let mut state = last.clone();
         match step {
-            Step::ClientRetry(n) => {
+            Step::ClientRetry(index) => {
                 state.client_retries += 1;
-                state.unread.push((n, true));
+                state.unread.push((index, true));
             }
-            Step::Read(n) => {
-                let (to, is_client_retry) = state.unread.remove(n);
+            Step::Read(index) => {
+                let (to, is_client_retry) = state.unread.remove(index);
                 self.read(&mut state, to, is_client_retry);
             }
-            Step::Dispatch(n) => {
-                state.drivers[n].may_dispatch = false;
-                state.drivers[n].log.on_dispatch(NOW, ID, "m");
-                state.in_flight.push(n);
+            Step::Dispatch(index) => {
+                state.drivers[index].may_dispatch = false;
+                state.drivers[index].log.on_dispatch(NOW, ID, "m");
+                state.in_flight.push(index);
             }
-            Step::Execute(n) => {
-                state.in_flight.remove(n);
+            Step::Execute(index) => {
+                state.in_flight.remove(index);
                 state.executions += 1;
             }
-            // A write that was rejected by a replica waits for the next primary.
-            Step::NotExecuted(n) => {
-                let dispatcher = state.in_flight.remove(n);
+            // A write rejected by a replica may be dispatched again, to the next primary.
+            Step::NotExecuted(index) => {
+                let dispatcher = state.in_flight.remove(index);
                 state.not_executed += 1;
                 let driver = &mut state.drivers[dispatcher];
                 if driver.is_up && driver.log.status(NOW, ID) != DispatchStatus::NotExecuted {
@@ -386,33 +425,33 @@
                     driver.may_dispatch = true;
                 }
             }
-            Step::Deliver(n) => {
-                let message = state.messages.remove(n);
-                let (DriverMessage::Ask { to, .. } | DriverMessage::Answer { to, .. }) = message;
+            Step::Deliver(index) => {
+                let message = state.messages.remove(index);
+                let (DriverMessage::Inquiry { to, .. } | DriverMessage::Reply { to, .. }) = message;
                 if state.drivers[to].is_up {
                     self.deliver(&mut state, &message);
                 }
             }
-            Step::Lose(n) => {
-                state.messages.remove(n);
+            Step::Lose(index) => {
+                state.messages.remove(index);
             }
-            Step::TimeOut(n) => {
-                let decisions = state.drivers[n]
+            Step::TimeOut(index) => {
+                let decisions = state.drivers[index]
                     .inquiries
                     .take_timed_out(NOW + TimeSpan::millis(100));
-                state.drivers[n].is_inquiring = false;
-                state.drivers[n].may_dispatch =
-                    !decisions.is_empty() && self.mistake == Some(Mistake::TimeoutIsDenial);
+                state.drivers[index].is_inquiring = false;
+                state.drivers[index].may_dispatch =
+                    !decisions.is_empty() && self.bug == Some(SeededBug::TimeoutIsDenial);
             }
-            Step::Crash(n) => {
+            Step::Crash(index) => {
                 state.crashes += 1;
-                state.drivers[n].is_up = false;
-                state.drivers[n].may_dispatch = false;
-                state.drivers[n].is_inquiring = false;
-                state.unread.retain(|(to, _)| *to != n);
-                // Executions in flight may still happen; no driver learns of it.
+                state.drivers[index].is_up = false;
+                state.drivers[index].may_dispatch = false;
+                state.drivers[index].is_inquiring = false;
+                state.unread.retain(|(to, _)| *to != index);
+                // Executions in flight may still happen without a driver that observes them.
             }
-            Step::Restart(n) => state.drivers[n] = self.start_driver(true),
+            Step::Restart(index) => state.drivers[index] = self.start_driver(true),
         }
         state.messages.sort();
         state.unread.sort_unstable();
@@ -435,9 +474,9 @@
     }
 }
 
-fn checked(mistake: Option<Mistake>, drivers: usize, client_retries: u8) -> impl Checker<FleetModel> {
+fn run_checker(bug: Option<SeededBug>, drivers: usize, client_retries: u8) -> impl Checker<FleetModel> {
     let fleet = FleetModel {
-        mistake,
+        bug,
         drivers,
         client_retries,
     };
@@ -445,9 +484,9 @@
 }
 
 #[test]
-fn statement_in_any_order_of_steps_losses_and_a_crash_executes_at_most_once() {
+fn statement_with_any_step_order_loss_and_crash_executes_at_most_once() {
     for (drivers, client_retries) in [(2, 3), (3, 2)] {
-        let checker = checked(None, drivers, client_retries);
+        let checker = run_checker(None, drivers, client_retries);
         println!(
             "{drivers} drivers, {client_retries} client retries: {} states",
             checker.unique_state_count()
@@ -458,17 +497,17 @@
 }
 
 #[test]
-fn model_with_seeded_mistake_is_rejected() {
-    for mistake in [
-        Mistake::KeepAfterInquiry,
-        Mistake::DenyAfterRestart,
-        Mistake::TimeoutIsDenial,
-        Mistake::TrustUnmarked,
+fn model_with_seeded_bug_is_rejected() {
+    for bug in [
+        SeededBug::DispatchAfterDenial,
+        SeededBug::DenyAfterRestart,
+        SeededBug::TimeoutIsDenial,
+        SeededBug::TrustUnmarked,
     ] {
-        let checker = checked(Some(mistake), 2, 2);
+        let checker = run_checker(Some(bug), 2, 2);
         let found = checker
             .discovery("a statement is executed at most once")
             .is_some();
-        assert!(found, "{mistake:?} is not found");
+        assert!(found, "the checker doesn't find {bug:?}");
     }
 }
--- a/crates/gossip/tests/replicated_state.rs
+++ b/crates/gossip/tests/replicated_state.rs
@@ -69,49 +69,61 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), cases: 2000, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        failure_persistence: None,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+        cases: 2000,
+        ..ProptestConfig::default()
+    })]
 
     #[test]
-    fn merge_of_one_key_is_commutative_associative_and_idempotent(a in record(), b in record(), c in record()) {
-        prop_assert_eq!(a.merge(&a), a.clone());
-        if a.key() == b.key() {
-            prop_assert_eq!(a.merge(&b), b.merge(&a));
-            if b.key() == c.key() {
-                prop_assert_eq!(a.merge(&b).merge(&c), a.merge(&b.merge(&c)));
+    fn merge_of_one_key_is_commutative_associative_and_idempotent(
+        first in record(),
+        second in record(),
+        third in record(),
+    ) {
+        prop_assert_eq!(first.merge(&first), first.clone());
+        if first.key() == second.key() {
+            prop_assert_eq!(first.merge(&second), second.merge(&first));
+            if second.key() == third.key() {
+                prop_assert_eq!(first.merge(&second).merge(&third), first.merge(&second.merge(&third)));
             }
-            // It contains both: merging again changes nothing.
-            let both = a.merge(&b);
-            prop_assert_eq!(both.merge_outcome(&a) != MergeOutcome::Remote || both == a, true);
-            prop_assert_eq!(both.merge(&b), both);
+            // The result contains both: merging again changes nothing.
+            let both = first.merge(&second);
+            prop_assert_eq!(both.merge_outcome(&first) != MergeOutcome::Remote || both == first, true);
+            prop_assert_eq!(both.merge(&second), both);
         }
     }
 
     #[test]
-    fn apply_same_records_in_any_order_gives_equal_states(records in prop::collection::vec(record(), 1..40), order in any::<u64>()) {
+    fn apply_same_records_in_any_order_gives_equal_states(
+        records in prop::collection::vec(record(), 1..40),
+        order_seed in any::<u64>(),
+    ) {
         let (mut one, mut other) = (ReplicatedState::default(), ReplicatedState::default());
         for record in &records {
             one.apply(NOW, record.clone(), NOW);
         }
-        // In another order, some of them twice.
-        let mut rng = fastrand::Rng::with_seed(order);
-        let mut again: Vec<_> = records.iter().chain(records.iter().step_by(2)).collect();
-        rng.shuffle(&mut again);
-        for record in again {
+        // The same records in another order, half of them twice.
+        let mut rng = fastrand::Rng::with_seed(order_seed);
+        let mut shuffled: Vec<_> = records.iter().chain(records.iter().step_by(2)).collect();
+        rng.shuffle(&mut shuffled);
+        for record in shuffled {
             other.apply(NOW, record.clone(), NOW);
         }
         prop_assert_eq!(contents(&one), contents(&other));
         prop_assert_eq!(one.digests(), other.digests());
         // A missing record changes the digests.
         let key = records[0].key();
-        let mut less = ReplicatedState::default();
-        for record in records.iter().filter(|f| f.key() != key) {
-            less.apply(NOW, record.clone(), NOW);
+        let mut partial = ReplicatedState::default();
+        for record in records.iter().filter(|record| record.key() != key) {
+            partial.apply(NOW, record.clone(), NOW);
         }
-        prop_assert_ne!(less.digests(), one.digests());
+        prop_assert_ne!(partial.digests(), one.digests());
     }
 }
 
-/// Local version, remote version, what results, and the conflict.
+/// Cases are the local version, the remote version, the result and the conflict.
 #[test]
 fn apply_contradicting_versions_keeps_the_conservative_one() {
     let driver = |incarnation, sequence, caught_up| Record::Driver {
@@ -122,18 +134,48 @@
         operators_file: 1,
         caught_up,
     };
-    #[rustfmt::skip]
     let table = [
-        // A newer list ends a drain, an older one doesn't; within one version the worse state wins, and that is a conflict.
-        (drain("a", 3, ListedState::Draining), drain("a", 4, ListedState::Ready), drain("a", 4, ListedState::Ready), None),
-        (drain("a", 4, ListedState::Draining), drain("a", 3, ListedState::Ready), drain("a", 4, ListedState::Draining), None),
-        (drain("a", 4, ListedState::Ready), drain("a", 4, ListedState::Draining), drain("a", 4, ListedState::Draining), Some(conflict::ConflictKind::ListVersionMismatch)),
-        (drain("a", 4, ListedState::Gone), drain("a", 4, ListedState::Draining), drain("a", 4, ListedState::Gone), Some(conflict::ConflictKind::ListVersionMismatch)),
-        // Positions only grow, each on its own.
-        (member("a", 10, 10, 0), member("a", 12, 0, 12), member("a", 12, 10, 12), None),
+        // A newer list ends a drain, an older one doesn't. Within one version the worse state wins, with a
+        // conflict.
+        (
+            drain("a", 3, ListedState::Draining),
+            drain("a", 4, ListedState::Ready),
+            drain("a", 4, ListedState::Ready),
+            None,
+        ),
+        (
+            drain("a", 4, ListedState::Draining),
+            drain("a", 3, ListedState::Ready),
+            drain("a", 4, ListedState::Draining),
+            None,
+        ),
+        (
+            drain("a", 4, ListedState::Ready),
+            drain("a", 4, ListedState::Draining),
+            drain("a", 4, ListedState::Draining),
+            Some(conflict::ConflictKind::EndpointListMismatch),
+        ),
+        (
+            drain("a", 4, ListedState::Gone),
+            drain("a", 4, ListedState::Draining),
+            drain("a", 4, ListedState::Gone),
+            Some(conflict::ConflictKind::EndpointListMismatch),
+        ),
+        // Positions only grow, independently of each other.
+        (
+            member("a", 10, 10, 0),
+            member("a", 12, 0, 12),
+            member("a", 12, 10, 12),
+            None,
+        ),
         (session(1, 10), session(1, 9), session(1, 10), None),
-        // A report of being behind wins.
-        (driver(1, 2, true), driver(1, 2, false), driver(1, 2, false), Some(conflict::ConflictKind::DuplicateDriver)),
+        // The report of the driver that is behind wins.
+        (
+            driver(1, 2, true),
+            driver(1, 2, false),
+            driver(1, 2, false),
+            Some(conflict::ConflictKind::DuplicateDriver),
+        ),
         (driver(1, 9, false), driver(2, 1, true), driver(2, 1, true), None),
     ];
     for (local, remote, expected, conflict) in table {
@@ -151,7 +193,7 @@
 }
 
 #[test]
-fn apply_identical_record_keeps_first_time_of_drains_and_last_of_positions() {
+fn apply_identical_record_retains_first_time_of_drains_and_last_of_positions() {
     let later = NOW + TimeSpan::millis(5000);
     for (record, expected) in [
         (drain("a", 3, ListedState::Draining), NOW),
@@ -182,9 +224,9 @@
         let before = NOW + time_to_live - TimeSpan(1);
         assert_eq!(state.expire(before), 0, "{record:?}");
         assert_eq!(state.expire(NOW + time_to_live), 1, "{record:?}");
-        // A peer that expires it a little later sends it again: it must not circulate for ever.
-        let again = state.apply(NOW + time_to_live, record.clone(), NOW);
-        assert_eq!(again, ApplyOutcome::Rejected, "{record:?}");
+        // A peer that expires the record a little later sends it again; it must not circulate indefinitely.
+        let outcome = state.apply(NOW + time_to_live, record.clone(), NOW);
+        assert_eq!(outcome, ApplyOutcome::Rejected, "{record:?}");
         assert_eq!(state.digests(), ReplicatedState::default().digests());
     }
 }
@@ -192,24 +234,28 @@
 #[test]
 fn apply_beyond_max_entries_drops_the_oldest() {
     let mut state = ReplicatedState::default();
-    let limit = RecordKind::Session.max_entries() as u64;
-    for n in 0..limit + 1000 {
-        state.apply(NOW, session(n + 1, 5), NOW - TimeSpan(limit + 1000 - n));
+    let max_entries = RecordKind::Session.max_entries() as u64;
+    for number in 0..max_entries + 1000 {
+        state.apply(
+            NOW,
+            session(number + 1, 5),
+            NOW - TimeSpan(max_entries + 1000 - number),
+        );
     }
-    assert_eq!(state.count(RecordKind::Session) as u64, limit);
+    assert_eq!(state.count(RecordKind::Session) as u64, max_entries);
     assert!(
         state.get(&session(1000, 5).key()).is_none(),
         "the oldest are dropped"
     );
-    assert!(state.get(&session(limit + 1000, 5).key()).is_some());
-    // Other kinds have their own limit.
+    assert!(state.get(&session(max_entries + 1000, 5).key()).is_some());
+    // Other kinds have their own limits.
     assert_eq!(
         state.apply(NOW, drain("a", 1, ListedState::Draining), NOW),
         ApplyOutcome::Updated
     );
-    let long = "x".repeat(1000);
+    let long_name = "x".repeat(1000);
     assert_eq!(
-        state.apply(NOW, drain(&long, 1, ListedState::Draining), NOW),
+        state.apply(NOW, drain(&long_name, 1, ListedState::Draining), NOW),
         ApplyOutcome::Rejected
     );
 }
@@ -218,10 +264,10 @@
 fn detect_competing_primaries_reports_overlap_but_no_takeover() {
     #[rustfmt::skip]
     let table = [
-        ("both at once", member("a", 20, 20, 0), member("b", 20, 20, 0), true),
-        ("a takeover: the former primary is silent", member("a", 20, 20, 0), member("b", 25, 25, 10), false),
-        ("the former primary reports as replica", member("a", 20, 20, 21), member("b", 20, 20, 0), false),
-        ("a replica", member("a", 20, 20, 0), member("b", 20, 0, 20), false),
+        ("same log position", member("a", 20, 20, 0), member("b", 20, 20, 0), true),
+        ("takeover, no report as replica", member("a", 20, 20, 0), member("b", 25, 25, 10), false),
+        ("takeover, report as replica", member("a", 20, 20, 21), member("b", 20, 20, 0), false),
+        ("primary and replica", member("a", 20, 20, 0), member("b", 20, 0, 20), false),
     ];
     for (name, one, other, is_conflict) in table {
         let mut state = ReplicatedState::default();
--- a/crates/gossip/tests/snapshot.rs
+++ b/crates/gossip/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot: damage of any kind is told apart, records before it are used, and a failing disk costs durability alone.
+//! Reading of sound and damaged snapshots, and the schedule of writes to a failing disk.
 
 mod common;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -17,12 +17,12 @@
     all
 }
 
-/// A snapshot, and where each of its frames ends.
+/// A snapshot and the end offset of each of its frames.
 fn snapshot_with_frame_ends(name: &str) -> (Vec<u8>, Vec<usize>) {
     let (mut bytes, mut encoder) = SnapshotEncoder::begin("f", name, 42);
     let mut ends = vec![bytes.len()];
-    for (n, record) in records().iter().enumerate() {
-        encoder.append(&mut bytes, record, NOW + TimeSpan(n as u64));
+    for (index, record) in records().iter().enumerate() {
+        encoder.append(&mut bytes, record, NOW + TimeSpan(index as u64));
         ends.push(bytes.len());
     }
     (bytes, ends)
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn read_with_any_bit_flipped_returns_at_most_the_records_before() {
+fn read_with_flipped_bit_returns_at_most_the_records_before() {
     let (bytes, ends) = snapshot_with_frame_ends("d1");
     for at in 0..bytes.len() {
         for bit in [0, 7] {
@@ -80,9 +80,9 @@
                     .into_iter()
                     .zip(0..)
                     .take(contents.records.len())
-                    .map(|(record, n)| ObservedRecord {
+                    .map(|(record, index)| ObservedRecord {
                         record,
-                        observed_at: NOW + TimeSpan(n),
+                        observed_at: NOW + TimeSpan(index),
                     })
                     .collect::<Vec<_>>()[..]
             );
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn read_of_each_damage_returns_its_own_error() {
+fn read_of_damaged_or_foreign_snapshot_returns_a_distinct_error() {
     let (bytes, ends) = snapshot_with_frame_ends("d1");
     let with = |change: &dyn Fn(&mut Vec<u8>)| {
         let mut bytes = bytes.clone();
@@ -99,25 +99,66 @@
         bytes
     };
     let (other, _) = snapshot_with_frame_ends("d2");
-    #[rustfmt::skip]
     let table = [
-        ("another driver's", other.clone(), SnapshotError::OtherDriver("d2".into()), 0),
-        ("not a snapshot", b"hello, this is no snapshot at all".to_vec(), SnapshotError::MissingHeader, 0),
-        ("a later version", with(&|b| b[9] = 9), SnapshotError::UnsupportedVersion(9), 0),
-        ("the tail is zeros: the size was written, the bytes not", with(&|b| b[ends[10]..].fill(0)), SnapshotError::Truncated { at: ends[10] }, 10),
-        ("two records change places", with(&|b| { let (x, y, z) = (ends[4], ends[5], ends[6]); let moved = [&b[y..z], &b[x..y]].concat(); b[x..z].copy_from_slice(&moved); }), SnapshotError::Corrupted { at: ends[4] }, 4),
-        ("the tail of another snapshot", with(&|b| { b.truncate(ends[6]); b.extend(&other[ends[6]..]); }), SnapshotError::Corrupted { at: ends[6] }, 6),
-        ("a length beyond all bounds", with(&|b| b[ends[2]] = 0xff), SnapshotError::Corrupted { at: ends[2] }, 2),
+        (
+            "other driver",
+            other.clone(),
+            SnapshotError::OtherDriver("d2".into()),
+            0,
+        ),
+        (
+            "not a snapshot",
+            b"hello, this is no snapshot at all".to_vec(),
+            SnapshotError::MissingHeader,
+            0,
+        ),
+        (
+            "later version",
+            with(&|b| b[9] = 9),
+            SnapshotError::UnsupportedVersion(9),
+            0,
+        ),
+        (
+            "zeros at the end: the size was written, the content was not",
+            with(&|b| b[ends[10]..].fill(0)),
+            SnapshotError::Truncated { at: ends[10] },
+            10,
+        ),
+        (
+            "two records exchanged",
+            with(&|bytes| {
+                let (start, middle, end) = (ends[4], ends[5], ends[6]);
+                let exchanged = [&bytes[middle..end], &bytes[start..middle]].concat();
+                bytes[start..end].copy_from_slice(&exchanged);
+            }),
+            SnapshotError::Corrupted { at: ends[4] },
+            4,
+        ),
+        (
+            "rest of another snapshot",
+            with(&|bytes| {
+                bytes.truncate(ends[6]);
+                bytes.extend(&other[ends[6]..]);
+            }),
+            SnapshotError::Corrupted { at: ends[6] },
+            6,
+        ),
+        (
+            "excessive length",
+            with(&|b| b[ends[2]] = 0xff),
+            SnapshotError::Corrupted { at: ends[2] },
+            2,
+        ),
     ];
     let mut lines = Vec::new();
-    for (name, bytes, error, used) in table {
+    for (name, bytes, error, record_count) in table {
         let contents = read(&bytes, "f", "d1");
         assert_eq!(
             (contents.error.clone(), contents.records.len()),
-            (Some(error), used),
+            (Some(error), record_count),
             "{name}"
         );
-        let line = contents.error.expect("has one").to_string();
+        let line = contents.error.expect("the snapshot has an error").to_string();
         assert!(!line.contains('\n') && line.contains("used"), "{line}");
         lines.push(line);
     }
@@ -133,14 +174,18 @@
         Some(WriteRequest::Rewrite),
         "the content of the file is unknown"
     );
-    assert_eq!(schedule.next_request(NOW + interval), None, "one at a time");
+    assert_eq!(schedule.next_request(NOW + interval), None, "one write at a time");
     assert_eq!(schedule.on_written(NOW, WriteRequest::Rewrite, 10, SUCCESS), None);
     assert_eq!(schedule.next_at(), Timestamp(u64::MAX), "nothing to write");
     schedule.mark_changed();
-    assert_eq!(schedule.next_request(NOW + TimeSpan(1)), None, "in batches");
+    assert_eq!(
+        schedule.next_request(NOW + TimeSpan(1)),
+        None,
+        "changes are written in batches"
+    );
     assert_eq!(schedule.next_request(NOW + interval), Some(WriteRequest::Append));
-    let full = || Err("no space left on device".to_owned());
-    let change = schedule.on_written(NOW + interval, WriteRequest::Append, 0, full());
+    let disk_full = || Err("no space left on device".to_owned());
+    let change = schedule.on_written(NOW + interval, WriteRequest::Append, 0, disk_full());
     assert_eq!(
         change,
         Some(WriteStatusChange::Failing("no space left on device".to_owned()))
@@ -150,12 +195,12 @@
         assert_eq!(
             schedule.next_request(at),
             Some(WriteRequest::Rewrite),
-            "part of it may be written"
+            "the file may contain part of the failed write"
         );
         assert_eq!(
-            schedule.on_written(at, WriteRequest::Rewrite, 0, full()),
+            schedule.on_written(at, WriteRequest::Rewrite, 0, disk_full()),
             None,
-            "reported once"
+            "the failure is reported once"
         );
         (at, attempts) = (schedule.next_at(), attempts + 1);
     }
@@ -166,11 +211,11 @@
         Some(WriteStatusChange::Recovered)
     );
     assert!(!schedule.is_failing());
-    // Appended records stay in proportion to the complete snapshot.
+    // Appended records are limited in proportion to the complete snapshot.
     let requests = (0..6000).map(|_| {
         schedule.mark_changed();
         at = at + interval;
-        let request = schedule.next_request(at).expect("is due");
+        let request = schedule.next_request(at).expect("a write is due");
         schedule.on_written(at, request, 1, SUCCESS);
         request
     });
