--- a/crates/gossip/src/membership/mod.rs
+++ b/crates/gossip/src/membership/mod.rs
@@ -222,10 +222,9 @@
 
     /// Declares peers with a stale suspicion down.
     ///
-    /// The library drops the timer that ends a suspicion when
-    /// this driver is itself declared down and rejoins under a new incarnation, and it doesn't notify the
-    /// suspected peer again. The peer would stay suspected although it responds. A peer that is declared down
-    /// is notified by the next message and rejoins.
+    /// The library drops the timer that ends a suspicion when this driver is itself declared down and rejoins
+    /// under a new incarnation, and it doesn't notify the suspected peer again. The peer would stay suspected
+    /// although it responds. A peer that is declared down is notified by the next message and rejoins.
     fn end_stale_suspicions(&mut self, now: Timestamp) -> Vec<OutgoingMessage> {
         let limit = self.timing.suspicion_timeout * STALE_SUSPICION_FACTOR;
         let stale: Vec<&str> = self
--- a/crates/gossip/tests/in_doubt.rs
+++ b/crates/gossip/tests/in_doubt.rs
@@ -107,40 +107,25 @@
         member: member.map(str::to_owned),
     };
     type Case = (&'static str, Vec<(usize, DispatchStatus)>, Option<InquiryOutcome>);
+    #[rustfmt::skip]
     let table: [Case; 6] = [
-        (
-            "no peer has dispatched it",
+        ("no peer has dispatched it",
             vec![
-                (0, DispatchStatus::NotExecuted),
-                (1, DispatchStatus::NotExecuted),
+                (0, DispatchStatus::NotExecuted), (1, DispatchStatus::NotExecuted),
                 (2, DispatchStatus::NotExecuted),
-            ],
-            Some(InquiryOutcome::NotExecuted),
-        ),
-        (
-            "one peer doesn't reply",
-            vec![(0, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)],
-            None,
-        ),
-        (
-            "one peer has dispatched it",
-            vec![(1, dispatched(30, "m4"))],
-            Some(in_doubt(TimeSpan::millis(30), Some("m4"))),
-        ),
-        (
-            "one peer doesn't know",
+            ], Some(InquiryOutcome::NotExecuted)),
+        ("one peer doesn't reply",
+            vec![(0, DispatchStatus::NotExecuted), (2, DispatchStatus::NotExecuted)], None),
+        ("one peer has dispatched it",
+            vec![(1, dispatched(30, "m4"))], Some(in_doubt(TimeSpan::millis(30), Some("m4")))),
+        ("one peer doesn't know",
             vec![(0, DispatchStatus::NotExecuted), (1, DispatchStatus::Unknown)],
-            Some(in_doubt(UNBOUNDED_AGE, None)),
-        ),
-        (
-            "one peer replies repeatedly",
+            Some(in_doubt(UNBOUNDED_AGE, None))),
+        ("one peer replies repeatedly",
             vec![
+                (0, DispatchStatus::NotExecuted), (0, DispatchStatus::NotExecuted),
                 (0, DispatchStatus::NotExecuted),
-                (0, DispatchStatus::NotExecuted),
-                (0, DispatchStatus::NotExecuted),
-            ],
-            None,
-        ),
+            ], None),
         ("unknown peer", vec![(9, dispatched(1, "m"))], None),
     ];
     for (name, replies, outcome) in table {
@@ -160,17 +145,13 @@
         );
         assert!(inquiries.take_timed_out(at(99)).is_empty(), "{name}");
         let timed_out = inquiries.take_timed_out(at(100));
-        let timeout_decisions = vec![InquiryDecision {
+        let decisions = vec![InquiryDecision {
             id: 7,
             outcome: in_doubt(UNBOUNDED_AGE, None),
         }];
         assert_eq!(
             timed_out,
-            if outcome.is_some() {
-                Vec::new()
-            } else {
-                timeout_decisions
-            },
+            if outcome.is_some() { Vec::new() } else { decisions },
             "{name}"
         );
         assert!(inquiries.is_empty());
--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -403,12 +403,8 @@
         let mut rng = fastrand::Rng::with_seed(9);
         let totals = |network: &Network| {
             let all = network.drivers.iter().map(|driver| driver.node.metrics);
-            all.fold((0, 0, 0), |(bytes, datagrams, records), metrics| {
-                (
-                    bytes + metrics.bytes_sent,
-                    datagrams + metrics.datagrams_sent,
-                    records + metrics.records_sent,
-                )
+            all.fold((0, 0, 0), |(b, d, r), m| {
+                (b + m.bytes_sent, d + m.datagrams_sent, r + m.records_sent)
             })
         };
         // Light load: each driver observes twenty positions per second, of 109 members.
--- a/crates/gossip/tests/snapshot.rs
+++ b/crates/gossip/tests/snapshot.rs
@@ -99,56 +99,23 @@
         bytes
     };
     let (other, _) = snapshot_with_frame_ends("d2");
+    #[rustfmt::skip]
     let table = [
-        (
-            "other driver",
-            other.clone(),
-            SnapshotError::OtherDriver("d2".into()),
-            0,
-        ),
-        (
-            "not a snapshot",
-            b"hello, this is no snapshot at all".to_vec(),
-            SnapshotError::MissingHeader,
-            0,
-        ),
-        (
-            "later version",
-            with(&|b| b[9] = 9),
-            SnapshotError::UnsupportedVersion(9),
-            0,
-        ),
-        (
-            "zeros at the end: the size was written, the content was not",
-            with(&|b| b[ends[10]..].fill(0)),
-            SnapshotError::Truncated { at: ends[10] },
-            10,
-        ),
-        (
-            "two records exchanged",
-            with(&|bytes| {
-                let (start, middle, end) = (ends[4], ends[5], ends[6]);
-                let exchanged = [&bytes[middle..end], &bytes[start..middle]].concat();
-                bytes[start..end].copy_from_slice(&exchanged);
-            }),
-            SnapshotError::Corrupted { at: ends[4] },
-            4,
-        ),
-        (
-            "rest of another snapshot",
-            with(&|bytes| {
-                bytes.truncate(ends[6]);
-                bytes.extend(&other[ends[6]..]);
-            }),
-            SnapshotError::Corrupted { at: ends[6] },
-            6,
-        ),
-        (
-            "excessive length",
-            with(&|b| b[ends[2]] = 0xff),
-            SnapshotError::Corrupted { at: ends[2] },
-            2,
-        ),
+        ("other driver", other.clone(), SnapshotError::OtherDriver("d2".into()), 0),
+        ("not a snapshot", b"hello, this is no snapshot at all".to_vec(), SnapshotError::MissingHeader, 0),
+        ("later version", with(&|b| b[9] = 9), SnapshotError::UnsupportedVersion(9), 0),
+        ("zeros at the end: the size was written, the content was not",
+            with(&|b| b[ends[10]..].fill(0)), SnapshotError::Truncated { at: ends[10] }, 10),
+        ("two records exchanged", with(&|bytes| {
+            let (start, middle, end) = (ends[4], ends[5], ends[6]);
+            let exchanged = [&bytes[middle..end], &bytes[start..middle]].concat();
+            bytes[start..end].copy_from_slice(&exchanged);
+        }), SnapshotError::Corrupted { at: ends[4] }, 4),
+        ("rest of another snapshot", with(&|bytes| {
+            bytes.truncate(ends[6]);
+            bytes.extend(&other[ends[6]..]);
+        }), SnapshotError::Corrupted { at: ends[6] }, 6),
+        ("excessive length", with(&|b| b[ends[2]] = 0xff), SnapshotError::Corrupted { at: ends[2] }, 2),
     ];
     let mut lines = Vec::new();
     for (name, bytes, error, record_count) in table {
