--- a/crates/gossip/tests/failing_disk.rs
+++ b/crates/gossip/tests/failing_disk.rs
@@ -99,7 +99,10 @@
         error,
         None | Some(SnapshotError::Empty | SnapshotError::Truncated { .. })
     );
-    assert!(is_expected, "unexpected damage: {error:?}");
+    assert!(
+        is_expected,
+        "a kill or power failure leaves at most a truncated frame: {error:?}"
+    );
     contents.records.into_iter().map(|r| r.record).collect()
 }
 
--- a/crates/gossip/tests/slow_start.rs
+++ b/crates/gossip/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Work that all drivers together dispatch to a member that is warming up. Guards against more than the
-//! overload rule allows in any window, also if reports are lost, and against more rejections than without
+//! Work that all drivers together dispatch to a member that is warming up. Guards against more work in any
+//! window than the overload rule allows, even if reports are lost, and against more rejections than without
 //! reports.
 
 use asterlatch::fleet_share::FleetShare;
@@ -264,21 +264,21 @@
 
 #[test]
 fn budget_without_a_fresh_report_of_each_driver_is_unknown() {
-    let known = |reports: &[(&str, u64)], required: &[&str]| {
+    let budget = |reports: &[(&str, u64)], required: &[&str]| {
         let mut budgets = WarmUpBudgets::new(RULES);
         for (driver, intervals) in reports {
             budgets.on_peer_report(MEMBER, &report(at(1000 - intervals * 100), driver, 1, 0, 100_000));
         }
         budgets.budget(at(1000), MEMBER, load(0.5, 0.1), required).work
     };
-    assert!(known(&[], &[]).is_some(), "there are no other drivers");
-    assert!(known(&[], &["a"]).is_none());
-    assert!(known(&[("a", 1)], &["a"]).is_some());
-    assert!(known(&[("a", 6)], &["a"]).is_none(), "the report is too old");
-    assert!(known(&[("a", 1)], &["a", "b"]).is_none());
-    assert!(known(&[("a", 1), ("b", 9)], &["a"]).is_some(), "b is down");
+    assert!(budget(&[], &[]).is_some(), "there are no other drivers");
+    assert!(budget(&[], &["a"]).is_none());
+    assert!(budget(&[("a", 1)], &["a"]).is_some());
+    assert!(budget(&[("a", 6)], &["a"]).is_none(), "the report is too old");
+    assert!(budget(&[("a", 1)], &["a", "b"]).is_none());
+    assert!(budget(&[("a", 1), ("b", 9)], &["a"]).is_some(), "b is down");
     // An older report reduces the share: the peer may have dispatched work since.
-    let share_us = |intervals| known(&[("a", intervals)], &["a"]).map_or(0, |s| s.0);
+    let share_us = |intervals| budget(&[("a", intervals)], &["a"]).map_or(0, |s| s.0);
     assert!(
         share_us(0) > share_us(1) && share_us(1) > share_us(2),
         "{} {} {}",
@@ -288,8 +288,7 @@
     );
 }
 
-/// Cases are reports of (incarnation, total, time in ms) and the work that counts within the window at 3000
-/// ms.
+/// Cases are reports of (incarnation, total, time) and the work that counts within the window at 3000 ms.
 #[test]
 fn on_peer_report_counts_work_once_across_restarts_and_reordering() {
     type Case<'a> = (&'a str, &'a [(u64, u64, u64)], u64);
