--- a/crates/driver/src/program/gossip/mod.rs
+++ b/crates/driver/src/program/gossip/mod.rs
@@ -11,14 +11,14 @@
 mod thread;
 
 use crate::program::config::Config;
-use crate::program::operators::registry;
+use crate::program::operators::schema;
 use crate::routing::events::Event;
 use crate::routing::gossip::{DriverIdentity, FleetPeers, Gossip, GossipCommand, GossipSettings};
 use crate::transport::clock::Clock;
 use crate::transport::datagrams::{DatagramSocket, DatagramWaker};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_config::host::{drivers, Other};
-use asterlatch_config::meaning::{hash, Meaning};
+use asterlatch_config::resolved::{hash, ResolvedSettings};
+use asterlatch_config::service_schema::{configured_peers, ConfiguredPeer};
 use asterlatch_gossip::codec::Dialect;
 use asterlatch_gossip::membership::MembershipTiming;
 use asterlatch_gossip::node::{GossipNode, NodeSettings};
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipConfig {
     port: u16,
-    others: Vec<Other>,
+    others: Vec<ConfiguredPeer>,
     node: NodeSettings,
     routing: GossipSettings,
     /// Time between two writes of the snapshot; zero writes none.
@@ -50,11 +50,11 @@
 
 impl GossipConfig {
     /// What the operators' file says; `None` where drivers don't gossip.
-    pub fn from_meaning(meaning: &Meaning) -> Option<GossipConfig> {
-        let amount = |row| meaning.amount(registry(), "shared", row).max(0);
+    pub fn from_meaning(meaning: &ResolvedSettings) -> Option<GossipConfig> {
+        let amount = |row| meaning.amount(schema(), "shared", row).max(0);
         let span = |row| TimeSpan(amount(row) as u64);
         let port = u16::try_from(amount("port")).ok().filter(|port| *port > 0)?;
-        let others = drivers(registry(), meaning);
+        let others = configured_peers(schema(), meaning);
         let node = NodeSettings {
             fleet: String::new(),
             name: String::new(),
@@ -73,7 +73,7 @@
         };
         let routing = GossipSettings {
             tick: span("tick"),
-            query_timeout: span("ask"),
+            inquiry_timeout: span("ask"),
             retry_window: span("window"),
             max_recorded_statements: amount("ids") as usize,
             // The deployment's, set at the start.
@@ -131,10 +131,14 @@
             name: config.name.clone(),
             incarnation,
         };
-        let queried = self.others.iter().enumerate().filter(|(_, other)| other.asked);
+        let queried = self
+            .others
+            .iter()
+            .enumerate()
+            .filter(|(_, other)| other.receives_inquiries);
         let peers = FleetPeers {
             names: self.node.peers.clone(),
-            queried: queried.map(|(index, _)| index).collect(),
+            inquiry_peers: queried.map(|(index, _)| index).collect(),
         };
         let send = Box::new(move |command| handle.send(command));
         Gossip::new(now, settings, identity, peers, send)
@@ -142,8 +146,8 @@
 }
 
 /// The first eight bytes of the file's hash, by which drivers compare their files.
-fn file_hash(meaning: &Meaning) -> u64 {
-    let canonical = hash(&meaning.canonical(registry()));
+fn file_hash(meaning: &ResolvedSettings) -> u64 {
+    let canonical = hash(&meaning.canonical(schema()));
     u64::from_str_radix(canonical.get(..16).unwrap_or_default(), 16).unwrap_or(0)
 }
 
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -10,7 +10,7 @@
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::ControlEvent;
 use asterlatch::time::Timestamp;
-use asterlatch_config::registry::Machine;
+use asterlatch_config::schema::Machine;
 
 /// Everything that steers the event loop from outside. Only the event loop's thread uses it.
 pub(super) struct ControlLoop<'a, F> {
@@ -77,7 +77,7 @@
                 self.predecessor.upgrade_to_own_program(event_loop, now)
             }
             ControlEvent::Upgrade => log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "not begun: this process is on probation, or leaves"
@@ -91,7 +91,7 @@
     /// A second request changes nothing.
     fn begin_shutdown(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let is_first = !std::mem::replace(&mut self.is_shutting_down, true);
-        if let Some(longest_wait) = self.config.settings.longest_client_wait.filter(|_| is_first) {
+        if let Some(longest_wait) = self.config.settings.max_client_wait.filter(|_| is_first) {
             let schedule = ShutdownSchedule::new(now, longest_wait);
             self.phases.limit_shutdown(schedule.exit_at);
             event_loop.begin_shutdown(now, schedule.last_answer_at);
@@ -107,12 +107,7 @@
             }
             Err(error) => {
                 event_loop.metrics.reloads_failed += 1;
-                log!(
-                    event_loop.observer,
-                    now,
-                    "configuration",
-                    "kept as it was: {error}"
-                );
+                log!(event_loop.logger, now, "configuration", "kept as it was: {error}");
             }
         }
         self.operators.changed(self.machine);
@@ -142,7 +137,7 @@
         };
         while let Some(phase) = self.phases.advance(now, &state) {
             let name = &self.config.name;
-            log!(event_loop.observer, now, "phase", "{name} is {}", phase.name());
+            log!(event_loop.logger, now, "phase", "{name} is {}", phase.name());
             match phase {
                 Phase::Draining { .. } => event_loop.begin_drain(),
                 Phase::Stopped => event_loop.leave_gossip(),
@@ -165,7 +160,7 @@
     };
     let discovery = newer.runtime.discovery;
     log!(
-        event_loop.observer,
+        event_loop.logger,
         now,
         "configuration",
         "read again, discovery at {discovery}{note}"
@@ -174,7 +169,7 @@
 
 /// Logs all metrics in one line.
 pub(super) fn report_metrics(event_loop: &mut EventLoop<Log>, now: Timestamp) {
-    event_loop.metrics.log_lines_left_out = event_loop.observer.suppressed_lines;
+    event_loop.metrics.log_lines_left_out = event_loop.logger.suppressed_lines;
     let line = counters::line(&event_loop.metrics);
-    log!(event_loop.observer, now, "counters", "{line}");
+    log!(event_loop.logger, now, "counters", "{line}");
 }
--- a/crates/driver/src/routing/event_loop/coordination.rs
+++ b/crates/driver/src/routing/event_loop/coordination.rs
@@ -1,13 +1,13 @@
 //! Leases and health checks by consensus: what the drivers of a fleet know about members together.
 
-use super::{EventLoop, Observer};
+use super::{EventLoop, Logger};
 use crate::routing::gossip::{named_shares, NamedShare};
 use asterlatch::interface::{MemberShare, MemberUpdate};
 use asterlatch::time::Timestamp;
 use asterlatch::zone_health;
 use std::collections::BTreeMap;
 
-impl<O: Observer> EventLoop<O> {
+impl<O: Logger> EventLoop<O> {
     /// Tells the policy which drivers are present.
     pub(super) fn update_fleet(&mut self, now: Timestamp) {
         let Some(gossip) = &mut self.gossip else { return };
@@ -85,7 +85,7 @@
 
     /// Members at which executions of this driver are overdue, with the time at which the last of them was dispatched.
     fn overdue_executions(&self, now: Timestamp) -> BTreeMap<String, Timestamp> {
-        let before = zone_health::overdue_before(now, self.policy.longest_typical_latency());
+        let before = zone_health::delayed_before(now, self.policy.max_typical_latency());
         let mut overdue: BTreeMap<String, Timestamp> = BTreeMap::new();
         for execution in self.member_requests.executions() {
             let Some(name) = self.members.name(execution.member) else {
