--- a/src/driver/endpoint_list.rs
+++ b/src/driver/endpoint_list.rs
@@ -1,14 +1,15 @@
-//! What the endpoint list changes in the member table.
+//! Updates of the member table from the endpoint list.
 
 use super::RoutingPolicy;
-use crate::concurrency_limit::GOOD_LATENCY_RATIO;
+use crate::concurrency_limit::FAST_LATENCY_RATIO;
 use crate::interface::*;
 use crate::state::*;
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
 impl RoutingPolicy {
-    /// The endpoint list has changed: `entries` are the changes, or the complete list.
+    /// Handles a change of the endpoint list; `entries` are the changes, or the complete list if
+    /// `is_complete`.
     pub fn on_endpoint_list(
         &mut self,
         now: Timestamp,
@@ -22,40 +23,40 @@
             }
         }
         for entry in entries {
-            self.learn_entry(entry);
+            self.apply_entry(entry);
         }
         if is_complete {
             let starts = entries.iter().filter_map(|entry| entry.started_at);
             self.remote_clock.observe_starts(now, starts);
         }
         let referenced = self.referenced_members();
-        let places = self.members.all_places();
-        let (available, unavailable): (Vec<_>, Vec<_>) = places.partition(|m| self.is_available(*m));
-        let capacity = |m: &usize| {
-            let member = &self.members[*m];
-            member.capacity * self.warm_up_fraction(*m, self.now)
+        let indices = self.members.all_indices();
+        let (available, unavailable): (Vec<_>, Vec<_>) = indices.partition(|m| self.is_available(*m));
+        let capacity = |index: &usize| {
+            let member = &self.members[*index];
+            member.capacity * self.warm_up_fraction(*index, self.now)
         };
         self.available_capacity = available.iter().map(capacity).sum();
-        for place in unavailable {
-            self.withdraw_from(place, referenced.contains(&place));
+        for index in unavailable {
+            self.retire_member(index, referenced.contains(&index));
         }
         self.changed_groups.extend(0..self.groups.len());
-        self.unscheduled_members.extend(self.members.all_places());
+        self.unscheduled_members.extend(self.members.all_indices());
         self.run_rules()
     }
 
-    pub(crate) fn learn_entry(&mut self, entry: &MemberEntry) {
-        let group = self.groups.place(entry.group);
-        let longest_typical = self.max_typical_latency();
-        let Placed { place, is_new } = self.members.place(entry.id);
-        let member = &mut self.members[place];
+    pub(crate) fn apply_entry(&mut self, entry: &MemberEntry) {
+        let group = self.groups.index_or_insert(entry.group);
+        let max_typical = self.max_typical_latency();
+        let MemberSlot { index, is_new } = self.members.index_or_insert(entry.id);
+        let member = &mut self.members[index];
         if is_new {
             member.group = group;
-            member.latency_ratio = GOOD_LATENCY_RATIO / 2.0;
-            self.groups[group].members.push(place);
+            member.latency_ratio = FAST_LATENCY_RATIO / 2.0;
+            self.groups[group].members.push(index);
         }
         if is_new || entry.started_at > member.started_at {
-            // It may be warming up, and is no longer primary whatever it was.
+            // A member that has just started may be warming up and is not the primary any more.
             member.started_at = entry.started_at;
             if entry.started_at.is_some() {
                 self.listed_at.insert(entry.id, self.now);
@@ -64,10 +65,10 @@
             member.ejected = false;
             member.drained = false;
             member.health_check_at = self.now;
-            // Drivers that hear of it together must not dispatch to it together.
+            // Random, so that drivers that learn of the member together do not dispatch to it together.
             member.warm_up_debt_at = self.now;
-            member.warm_up_debt = longest_typical * self.rng.draw();
-            self.groups[group].clear_primary(place);
+            member.warm_up_debt = max_typical * self.rng.draw();
+            self.groups[group].clear_primary(index);
         }
         member.state = entry.state;
         member.zone = entry.zone;
@@ -77,34 +78,36 @@
         let may_be_primary = entry.listed_as_primary && !member.reported_replica;
         let group = &mut self.groups[group];
         if group.primary.is_none() && may_be_primary {
-            group.primary = Some(place);
+            group.primary = Some(index);
         }
     }
 
-    /// Members that open statements or executions refer to: their places must not be given away.
+    /// Indices of members that open statements or executions refer to and that must not be reused.
     pub(crate) fn referenced_members(&self) -> BTreeSet<usize> {
         let by_statements = self
             .statements
             .values()
             .flat_map(StatementState::referenced_members);
-        let by_executions = self.in_flight.values().map(|e| e.member);
+        let by_executions = self.in_flight.values().map(|e| e.member_index);
         by_statements.chain(by_executions).collect()
     }
 
-    /// Nothing more is sent to an unavailable member. One that is gone and not referred to is removed, so that ever new
-    /// members don't grow the table.
-    pub(crate) fn withdraw_from(&mut self, place: usize, is_referenced: bool) {
-        let unsent = self.in_flight.cancel(|e| e.member == place && e.is_connecting);
+    /// Cancels executions that were not sent yet to an unavailable member. Removes the member if it is gone
+    /// and nothing refers to it, so that the table does not grow as members are replaced.
+    pub(crate) fn retire_member(&mut self, index: usize, is_referenced: bool) {
+        let unsent = self
+            .in_flight
+            .cancel(|e| e.member_index == index && e.is_connecting);
         self.request_cancellations(unsent);
-        let member = &self.members[place];
+        let member = &self.members[index];
         let group = &mut self.groups[member.group];
-        group.clear_primary(place);
+        group.clear_primary(index);
         if member.state == MemberState::Gone && !is_referenced {
-            group.members.retain(|m| *m != place);
-            self.member_timers.reschedule(place, member.next_check_at, None);
-            let id = self.members.remove(place);
+            group.members.retain(|m| *m != index);
+            self.member_timers.reschedule(index, member.next_check_at, None);
+            let id = self.members.remove(index);
             self.listed_at.remove(&id);
-            self.remote_clock.forget(id);
+            self.remote_clock.remove_member(id);
             self.actions.removed_members.push(id);
         }
     }
--- a/src/driver/learning.rs
+++ b/src/driver/learning.rs
@@ -1,7 +1,7 @@
-//! What an ended execution tells of its member, of latencies and of its session.
+//! Updates of members, latency estimates and session positions from executions.
 
-use super::{RoutingPolicy, MOST_SESSIONS};
-use crate::concurrency_limit::UNANSWERED_LATENCIES;
+use super::{RoutingPolicy, MAX_TRACKED_SESSIONS};
+use crate::concurrency_limit::MAX_UNANSWERED_LATENCIES;
 use crate::interface::ExecutionOutcome::*;
 use crate::interface::*;
 use crate::policy::definitely_not_executed;
@@ -9,15 +9,15 @@
 use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 
 impl RoutingPolicy {
-    /// The execution no longer counts against its member's limit.
-    pub(crate) fn release_execution(&mut self, place: usize, outcome: ExecutionOutcome) {
-        let member = &mut self.members[place];
+    /// Removes an ended execution from its member's concurrency count and updates the member's health.
+    pub(crate) fn release_execution(&mut self, index: usize, outcome: ExecutionOutcome) {
+        let member = &mut self.members[index];
         member.in_flight = member.in_flight.saturating_sub(1);
         self.changed_groups.insert(member.group);
-        self.unscheduled_members.push(place);
+        self.unscheduled_members.push(index);
         if matches!(outcome, Completed | NotEligible | Errored | Rejected) {
             self.zones.record_answer(member.zone, self.now);
-            member.oldest_unanswered = self.now;
+            member.unanswered_since = self.now;
             member.ejected = false;
             member.unresponsive_until = Timestamp(0);
         } else if outcome != NotSent {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adjusts the estimates of connection cost, typical latency and throughput.
+    /// Updates the estimates of connection cost, typical latency and throughput.
     pub(crate) fn learn_latency(
         &mut self,
         execution: &InFlightExecution,
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Remembers where a session's write was committed, where statements don't carry its age. A write without a reported
-    /// position, or whose answer was lost, is taken to have committed by now; while no remote time is known for that, no
-    /// replica is taken to show any session's writes.
+    /// Records the position of a session's write where statements do not carry it. A write whose position was
+    /// not reported, or whose answer was lost, is assumed to have committed by now. Until a remote time is
+    /// known for that, no replica counts as up to date for any session.
     pub(crate) fn learn_commit(&mut self, execution: &InFlightExecution, end: &ExecutionEnd) {
         let is_write = self.settings.workloads[execution.workload].freshness == Freshness::Write;
         if !is_write || self.settings.carries_session_position || definitely_not_executed(end.outcome) {
@@ -56,11 +56,11 @@
         let session = execution.session;
         let committed_by = end.status.position.or(self.remote_clock.latest(self.now));
         let Some(position) = committed_by else {
-            self.unplaced_commit_at = Some(self.now);
+            self.unpositioned_commit_at = Some(self.now);
             return;
         };
-        self.sessions.record(session, position, MOST_SESSIONS);
-        // Its open reads must see the write too, for they may be dispatched after it.
+        self.sessions.record(session, position, MAX_TRACKED_SESSIONS);
+        // Open reads of the session may be dispatched after the write and must see it too.
         for statement in self.statements.values_mut() {
             if statement.session == session && session > 0 {
                 statement.required_position = statement.required_position.max(position);
@@ -68,8 +68,9 @@
         }
     }
 
-    /// SLO time that passed before a client's retry: what it has less to wait than first attempts of its workload do.
-    pub(crate) fn time_passed_before(&mut self, statement: &Statement) -> TimeSpan {
+    /// SLO time used up before a client's retry: the time by which it has less left than first attempts of
+    /// its workload.
+    pub(crate) fn elapsed_slo_time(&mut self, statement: &Statement) -> TimeSpan {
         let first_time_left = &mut self.first_time_left[statement.workload];
         if !statement.is_client_retry {
             *first_time_left = statement.time_left;
@@ -88,13 +89,14 @@
         statement.session_position.unwrap_or_default()
     }
 
-    /// The member is alive. What it left unanswered while it was ejected is lost or stuck, and takes no capacity.
-    pub(crate) fn readmit(&mut self, place: usize) {
-        let before = self.now - self.max_typical_latency() * UNANSWERED_LATENCIES;
-        let member = &mut self.members[place];
-        member.oldest_unanswered = self.now;
+    /// Readmits a member that answered a health check. Executions that it left unanswered while ejected are
+    /// lost or stuck and no longer count against its limit.
+    pub(crate) fn readmit(&mut self, index: usize) {
+        let before = self.now - self.max_typical_latency() * MAX_UNANSWERED_LATENCIES;
+        let member = &mut self.members[index];
+        member.unanswered_since = self.now;
         if std::mem::take(&mut member.ejected) {
-            let abandoned = self.in_flight.abandon(place, before);
+            let abandoned = self.in_flight.abandon(index, before);
             member.in_flight -= abandoned;
             member.connections = member.connections.saturating_sub(abandoned);
         }
--- a/src/driver/mod.rs
+++ b/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! One driver: its state, and the bookkeeping around it. What is decided on that state stands in `policy`.
+//! State of one driver and its bookkeeping. The decisions are in `policy`.
 
 mod capacity;
 mod endpoint_list;
@@ -7,7 +7,7 @@
 mod queueing;
 mod views;
 
-use crate::concurrency_limit::UNANSWERED_LIMIT;
+use crate::concurrency_limit::MAX_UNANSWERED_TIME;
 use crate::fleet_share::FleetShare;
 use crate::interface::*;
 use crate::policy::PollFailures;
@@ -19,13 +19,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sessions whose last write is remembered where statements don't carry its age.
-pub(crate) const MOST_SESSIONS: usize = 50_000;
-/// Typical latency to start from, as a share of the SLO time.
-const INITIAL_LATENCY_SHARE: f64 = 0.2;
+/// Maximum number of sessions whose last write is tracked where statements do not carry its position.
+pub(crate) const MAX_TRACKED_SESSIONS: usize = 50_000;
+/// Initial typical latency, as a fraction of the SLO time.
+const INITIAL_LATENCY_RATIO: f64 = 0.2;
 
-/// The decisions of one driver. Serialized it is what was learned; open statements and their executions stay with the
-/// process that accepted them.
+/// Routing decisions of one driver. The serialized form is its learned state; open statements and their
+/// executions are not part of it and stay with the process that accepted them.
 #[derive(Default, Serialize, Deserialize)]
 pub struct RoutingPolicy {
     #[serde(skip)]
@@ -34,25 +34,26 @@
     pub(crate) fleet: FleetShare,
     #[serde(skip)]
     pub(crate) preference: ReplicaPreference,
-    /// When this process began to decide; zero where it continues another process's state.
+    /// Start of this process; zero if it continues a predecessor's state.
     #[serde(skip)]
     pub(crate) created_at: Timestamp,
     pub(crate) now: Timestamp,
     #[serde(skip)]
     pub(crate) remote_clock: RemoteClock,
-    /// When the current start of a member was first listed, by the member's id.
+    /// Time at which the current start of a member was first listed, by member id.
     #[serde(skip)]
     pub(crate) listed_at: BTreeMap<u32, Timestamp>,
-    /// When this process took over what was learned.
+    /// Time at which this process took over a predecessor's state.
     #[serde(skip)]
     pub(crate) resumed_at: Timestamp,
-    /// When a session's write last ended at an unknown position, until a remote time is known for that.
+    /// Time at which a session's write last ended at an unknown position; `None` once its remote time is
+    /// known.
     #[serde(skip)]
-    pub(crate) unplaced_commit_at: Option<Timestamp>,
+    pub(crate) unpositioned_commit_at: Option<Timestamp>,
     pub(crate) rng: SeededRng,
     pub(crate) typical: TypicalLatencies,
     pub(crate) zones: ZoneHealth,
-    /// Time that clients last allowed for a first attempt, by workload.
+    /// Time limit of the last first attempt by a client, by workload.
     pub(crate) first_time_left: Vec<TimeSpan>,
     pub(crate) members: MemberTable,
     pub(crate) groups: GroupTable,
@@ -63,22 +64,22 @@
     #[serde(skip)]
     pub(crate) statement_timers: TimerQueue<u32>,
     pub(crate) member_timers: TimerQueue<usize>,
-    /// Members whose next check may have come nearer.
+    /// Members whose timer has to be set again.
     #[serde(skip)]
     pub(crate) unscheduled_members: Vec<usize>,
-    /// Groups in which a waiting statement may find a member now.
+    /// Groups in which a waiting statement may be dispatched now.
     #[serde(skip)]
     pub(crate) changed_groups: BTreeSet<usize>,
     pub(crate) sessions: SessionPositions,
     pub(crate) quotas: TenantQuotas,
     pub(crate) throughput: SlidingWindow,
-    /// Capacity of all members that throughput is spread over, less where they are warming up.
+    /// Capacity of all available members, reduced where they are warming up.
     pub(crate) available_capacity: f64,
-    /// Highest value density seen of late.
+    /// Highest recent value density, decaying.
     pub(crate) best_density: f64,
-    /// Smoothed part of the SLO time that establishing a connection costs.
+    /// Smoothed fraction of the SLO time that establishing a connection adds.
     pub(crate) connection_cost: f64,
-    /// End of a shutdown: no final answer comes later.
+    /// During a shutdown, time by which every statement has its final answer.
     #[serde(skip)]
     pub(crate) last_answer_at: Option<Timestamp>,
     pub(crate) poll_at: Option<Timestamp>,
@@ -87,7 +88,7 @@
     #[serde(skip)]
     pub(crate) planned_wake_up: Option<Timestamp>,
     pub(crate) stalled_at: Timestamp,
-    /// A peer process of this driver serves the same members: what is warming up there is its own.
+    /// A peer process of this driver serves the same members, and the warming ones are left to it.
     #[serde(skip)]
     pub(crate) yields_to_peer: bool,
     #[serde(skip)]
@@ -95,10 +96,10 @@
 }
 
 impl RoutingPolicy {
-    /// A driver that has learned nothing yet. `seed` determines all of its random draws.
+    /// A driver without learned state. `seed` determines all of its random draws.
     pub fn new(settings: &Settings, seed: u64, now: Timestamp) -> RoutingPolicy {
         let workloads = settings.workloads.iter();
-        let typical = workloads.map(|w| w.slo_time * INITIAL_LATENCY_SHARE).collect();
+        let typical = workloads.map(|w| w.slo_time * INITIAL_LATENCY_RATIO).collect();
         RoutingPolicy {
             typical: TypicalLatencies::new(typical),
             first_time_left: vec![TimeSpan(0); settings.workloads.len()],
@@ -118,7 +119,8 @@
         statement.expected_work.unwrap_or(typical)
     }
 
-    /// Work that a statement counts at a warming member. Loads are measured by latencies, so no less than that.
+    /// Work charged to a warming member for a statement: at least the typical latency, by which loads are
+    /// measured.
     pub(crate) fn warm_up_work(&self, statement: &StatementState) -> TimeSpan {
         let typical = self.typical.of(statement.workload);
         self.expected_work(statement).max(typical)
@@ -128,8 +130,8 @@
         &self.settings.workloads[statement.workload]
     }
 
-    /// Longest typical latency of all workloads.
+    /// Maximum typical latency over all workloads.
     pub fn max_typical_latency(&self) -> TimeSpan {
-        self.typical.longest().unwrap_or(UNANSWERED_LIMIT)
+        self.typical.max().unwrap_or(MAX_UNANSWERED_TIME)
     }
 }
--- a/src/driver/peer_updates.rs
+++ b/src/driver/peer_updates.rs
@@ -1,6 +1,6 @@
-//! What other processes and drivers report to a driver, and how its learned state is taken over. Nothing is decided here.
+//! Reports from peer processes and other drivers, and the takeover of learned state.
 
-use super::{RoutingPolicy, MOST_SESSIONS};
+use super::{RoutingPolicy, MAX_TRACKED_SESSIONS};
 use crate::fleet_share::FleetShare;
 use crate::interface::{Actions, MemberState, MemberUpdate, Settings};
 use crate::policy::StatusSource;
@@ -10,33 +10,34 @@
 use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use std::collections::BTreeSet;
 
-/// How far a role may count ahead of the positions that its group has reported: one reported without a position may.
+/// Maximum lead of a primary's position over the positions that its group has reported, after a takeover.
 const ROLE_TOLERANCE: TimeSpan = TimeSpan::millis(1000);
 
 impl RoutingPolicy {
-    /// A peer process with the same learned state serves beside this one, or is gone. With `yields` the warming members
-    /// are the peer's. What either has dispatched by now isn't known here, so it counts as dispatched just now.
+    /// Handles the start or end of a peer process with the same learned state. With `yields`, warming members
+    /// are left to the peer. Since the peer's dispatches are unknown, each warming member is charged as if
+    /// used just now.
     pub fn set_peer_process(&mut self, now: Timestamp, yields: bool) -> Actions {
         self.set_now(now);
-        let longest = self.max_typical_latency();
+        let max_typical = self.max_typical_latency();
         self.yields_to_peer = yields;
         for member in self.members.all_mut() {
             member.warm_up_debt_at = now;
-            member.warm_up_debt = longest;
+            member.warm_up_debt = max_typical;
             member.peer_in_flight = 0;
         }
-        self.unscheduled_members.extend(self.members.all_places());
+        self.unscheduled_members.extend(self.members.all_indices());
         self.run_rules()
     }
 
-    /// Another process of this driver, or another driver, reports about a member. Unknown members are ignored.
+    /// Handles a report about a member from a peer process or another driver. Unknown members are ignored.
     pub fn on_member_update(&mut self, now: Timestamp, member: u32, update: MemberUpdate) -> Actions {
         self.set_now(now);
-        let Some(place) = self.members.find(member) else {
+        let Some(index) = self.members.index_of(member) else {
             return self.run_rules();
         };
         let few_samples = self.has_few_samples();
-        let member = &mut self.members[place];
+        let member = &mut self.members[index];
         match update {
             MemberUpdate::InFlight(count) => member.peer_in_flight = count,
             MemberUpdate::WarmUpBudget { work, until } => {
@@ -45,26 +46,26 @@
             MemberUpdate::Unresponsive(until) => member.unresponsive_until = until,
             MemberUpdate::AdmissionShare(share) if few_samples => member.admission_share = share,
             MemberUpdate::AdmissionShare(_) => {}
-            MemberUpdate::Status(age, status) => self.learn_status(place, status, StatusSource::Peer { age }),
-            MemberUpdate::Draining(started_at) => self.drain(place, started_at),
+            MemberUpdate::Status(age, status) => self.learn_status(index, status, StatusSource::Peer { age }),
+            MemberUpdate::Draining(started_at) => self.drain(index, started_at),
         }
-        self.changed_groups.insert(self.members[place].group);
-        self.unscheduled_members.push(place);
+        self.changed_groups.insert(self.members[index].group);
+        self.unscheduled_members.push(index);
         self.run_rules()
     }
 
-    /// The instance of a member that started then drains; a later instance does not.
-    fn drain(&mut self, place: usize, started_at: Option<RemoteTimestamp>) {
-        let member = &mut self.members[place];
+    /// Marks a member as draining, unless it has started again after `started_at`.
+    fn drain(&mut self, index: usize, started_at: Option<RemoteTimestamp>) {
+        let member = &mut self.members[index];
         if member.started_at <= started_at && member.state == MemberState::Ready {
             member.state = MemberState::Draining;
             member.drained = true;
-            self.groups[member.group].clear_primary(place);
+            self.groups[member.group].clear_primary(index);
         }
     }
 
-    /// Continues from what another process has learned, whose clock this one shares. What members left unanswered there is
-    /// not taken over, and their idle connections only where they were handed over.
+    /// Continues from the learned state of a predecessor with the same monotonic clock. Its executions in
+    /// flight are not taken over, and idle connections only if `idle_handed_over`.
     pub fn resume(
         learned: RoutingPolicy,
         settings: &Settings,
@@ -80,24 +81,25 @@
         };
         policy.unscheduled_members = policy.members.reset_in_flight(idle_handed_over, now);
         policy.resumed_at = now;
-        policy.forget_future_roles();
-        policy.relearn_remote_time();
+        policy.clamp_future_roles();
+        policy.restore_remote_clock();
         policy
     }
 
-    /// A role that was reported without a position counted by the other process's idea of the members' time. No member has
-    /// acted as primary at a position far ahead of all that its group has reported.
-    fn forget_future_roles(&mut self) {
-        for place in 0..self.groups.len() {
-            let group = &mut self.groups[place];
+    /// Limits the positions at which roles were reported: a role reported without a position was placed by
+    /// the predecessor's estimate of the members' time, which may have been too far ahead.
+    fn clamp_future_roles(&mut self) {
+        for group_index in 0..self.groups.len() {
+            let group = &mut self.groups[group_index];
             let positions = group.members.iter().map(|member| self.members[*member].position);
             let newest = positions.max().unwrap_or_default();
             group.primary_position = group.primary_position.min(newest + ROLE_TOLERANCE);
         }
     }
 
-    /// The relation of the members' clock to the time line isn't handed over, but when members reported their positions is.
-    fn relearn_remote_time(&mut self) {
+    /// Rebuilds lower bounds of the members' clock, which is not handed over, from the times of their last
+    /// reports.
+    fn restore_remote_clock(&mut self) {
         for (member, state) in self.members.iter() {
             if let Some(received_at) = state.status_at {
                 self.remote_clock.observe(&StampedAnswer {
@@ -110,21 +112,21 @@
         }
     }
 
-    /// The host's time line is the clock that members stamp with, as in a simulator. On sockets it is not: how the two
-    /// relate is learned from answers.
+    /// Declares that the host's clock is also the members' clock, as in a simulator. Otherwise the relation
+    /// of the two is estimated from answers.
     pub fn set_shared_clock(&mut self) {
         self.remote_clock = RemoteClock::shared();
     }
 
-    /// Sets the drivers that are there beside this one, by keys that are the same at all of them, and the size of the
-    /// fleet. Returns whether the drivers have changed.
-    pub fn set_fleet_drivers(&mut self, own: u64, others: &BTreeSet<u64>, fleet_size: u32) -> bool {
+    /// Sets the key of this driver, the keys of its live peers, and the size of the fleet. Keys are the same
+    /// at all drivers. Returns whether the set of drivers has changed.
+    pub fn set_fleet_drivers(&mut self, driver_key: u64, peers: &BTreeSet<u64>, fleet_size: u32) -> bool {
         self.fleet = FleetShare::new(fleet_size);
-        self.preference.set_drivers(own, others)
+        self.preference.set_drivers(driver_key, peers)
     }
 
-    /// Another driver reports where a session's last write was committed.
+    /// Handles another driver's report of the position of a session's last write.
     pub fn on_session_position(&mut self, session: u64, position: RemoteTimestamp) {
-        self.sessions.record(session, position, MOST_SESSIONS);
+        self.sessions.record(session, position, MAX_TRACKED_SESSIONS);
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the decision rules: what a host reports and what it is asked to do. Nothing here decides.
+//! Inputs and outputs of the routing decisions: events that a host reports and actions that it carries out.
 
 use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -8,13 +8,13 @@
 pub enum RetrySafety {
     /// A further execution changes nothing.
     Idempotent,
-    /// Members drop a further execution within a scope and a time window; see [`WorkloadSettings`].
+    /// Members drop further executions within a scope and a time window; see [`WorkloadSettings`].
     Deduplicated,
     /// A further execution would take effect again.
     NonIdempotent,
 }
 
-/// Where members recognise a deduplicated statement that was executed before.
+/// Where members recognise a deduplicated statement that has been executed before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// At every member of the statement's group.
@@ -45,7 +45,7 @@
 pub struct WorkloadSettings {
     /// Value of one answer within the SLO time, relative to other workloads.
     pub importance: f64,
-    /// Share of the importance that an answer after the SLO time still has, from 0 to 1.
+    /// Fraction of the importance that an answer after the SLO time still has, from 0 to 1.
     pub late_share: f64,
     /// Time within which an answer has its full value.
     pub slo_time: TimeSpan,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Settings of the deployment, as far as decisions depend on them.
+/// Settings of the deployment that decisions depend on.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of drivers in the fleet, this one included.
@@ -77,39 +77,40 @@
     pub tick: TimeSpan,
     /// Settings of each workload, by its index.
     pub workloads: Vec<WorkloadSettings>,
-    /// Statements per second within each tenant's quota, all drivers together.
+    /// Quota of each tenant, by its index, in statements per second over all drivers.
     pub tenant_quotas: Vec<f64>,
-    /// Share of the importance that statements over their tenant's quota keep.
+    /// Fraction of the importance that statements beyond their tenant's quota keep.
     pub over_quota_share: f64,
-    /// Members reject reads that they are too far behind for.
+    /// Members reject reads for which they lag too far.
     pub members_check_reads: bool,
-    /// Session reads carry the position of the session's last write; otherwise this driver remembers its writes.
+    /// Session reads carry the position of the session's last write; otherwise drivers track sessions'
+    /// writes.
     pub carries_session_position: bool,
-    /// The endpoint list must be polled; otherwise discovery pushes it.
+    /// The endpoint list is polled; otherwise discovery pushes it.
     pub poll_endpoint_list: bool,
-    /// Longest time between two polls of the endpoint list.
+    /// Maximum time between two polls of the endpoint list.
     pub max_poll_interval: TimeSpan,
-    /// A member that the list calls gone may still be used: only a listed drain binds.
+    /// Members that the list calls gone may still be used, unless they drain.
     pub may_use_gone_members: bool,
     /// Capacity of a member that has just started, relative to its full capacity.
     pub cold_start_fraction: f64,
     /// Time from a member's start to its full capacity.
     pub warm_up_time: TimeSpan,
-    /// A warming member fails when it receives more than this multiple of its capacity.
+    /// Multiple of its capacity above which the load makes a warming member fail.
     pub overload_multiple: f64,
-    /// Time over which that load is summed.
+    /// Time window over which that load is summed.
     pub overload_window: TimeSpan,
-    /// Most executions of one statement.
+    /// Maximum number of executions of one statement.
     pub max_executions: usize,
-    /// Idle connections to members are closed after this.
+    /// Time after which idle connections to members are closed.
     pub idle_connection_timeout: TimeSpan,
-    /// Members accept cancellations.
+    /// Members accept cancellations of executions.
     pub cancel_allowed: bool,
     /// Members answer health checks.
     pub health_checks_allowed: bool,
-    /// Longest retry-after time that clients follow; zero where none reaches them.
+    /// Maximum retry-after time that clients follow; zero if they do not receive any.
     pub max_retry_after: TimeSpan,
-    /// Longest time for which clients of any workload wait; `None` where the deployment doesn't state it.
+    /// Maximum time for which clients of any workload wait; `None` if the deployment does not state it.
     pub max_client_wait: Option<TimeSpan>,
 }
 
@@ -123,16 +124,16 @@
     }
 }
 
-/// An execution of a statement by another driver, or one that may have taken place.
+/// An attempt by another driver to execute a statement, which may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PriorAttempt {
-    /// Time since the attempt; an upper bound.
+    /// Upper bound of the time since the attempt.
     pub age: TimeSpan,
     /// Id of the member that received the first attempt.
     pub member: u32,
 }
 
-/// A statement that a client has sent.
+/// A statement from a client.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Statement {
     /// Id within this driver, unique among open statements.
@@ -145,7 +146,7 @@
     pub group: u32,
     /// Key of the client's session; zero if it has none.
     pub session: u64,
-    /// The client marks this as a retry of an earlier statement.
+    /// The client marked this as a retry of an earlier statement.
     pub is_client_retry: bool,
     /// Time until the client gives up this statement.
     pub time_left: TimeSpan,
@@ -157,34 +158,36 @@
     pub prior_attempt: Option<PriorAttempt>,
 }
 
-/// What another process or driver reports about a member. It does not include how that member serves this driver.
+/// A report about a member from a peer process or another driver, as opposed to this driver's own
+/// measurements.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MemberUpdate {
-    /// Number of executions that the peer process of this driver has in flight there.
+    /// Number of executions of this driver's peer process in flight at the member.
     InFlight(usize),
-    /// The instance of the member that started then is draining or gone.
+    /// The instance of the member that started at this time is draining or gone.
     Draining(Option<RemoteTimestamp>),
-    /// The member's own status, received by another driver this long ago.
+    /// The member's status, and the time since another driver received it.
     Status(TimeSpan, ReplicaStatus),
-    /// Work that this driver may send to a warming member until then, given what all others send.
+    /// Work that this driver may send to a warming member, taking other drivers' load into account.
     WarmUpBudget {
         /// Remaining budget, as execution time.
         work: TimeSpan,
         /// End of its validity.
         until: Timestamp,
     },
-    /// Several drivers have overdue executions there and none has received an answer since: unresponsive until then.
+    /// The member counts as unresponsive until this time: several drivers have delayed executions there, and
+    /// none has received an answer since.
     Unresponsive(Timestamp),
-    /// Admission share aggregated over this driver and others; it applies where this driver has few samples.
+    /// Admission share aggregated over all drivers; used while this driver has few samples.
     AdmissionShare(f64),
 }
 
-/// A client that is leaving, or has left, while its statement is open.
+/// A client that closed its connection, or the sending side of it, while a statement was open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientDisconnect {
     /// Id of the statement.
     pub statement: u32,
-    /// The client has closed its side, as far as is known, and may still read the final answer.
+    /// The client has closed only the sending side, as far as is known, and may still read the final answer.
     pub awaits_answer: bool,
 }
 
@@ -195,24 +198,24 @@
     Completed,
     /// The member answered with an error.
     Errored,
-    /// The member rejected it before execution: its queue is full or it drains.
+    /// The member rejected it before execution because its queue is full or it drains.
     Rejected,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
     /// No connection could be established; nothing was sent.
     NoConnection,
-    /// The connection broke after the statement was sent.
+    /// The connection broke after the statement had been sent.
     ConnectionLost,
-    /// It was cancelled after it was sent.
+    /// It was cancelled after the statement had been sent.
     Cancelled,
-    /// It was given up before anything of it was sent.
+    /// It was given up before anything was sent.
     NotSent,
-    /// The member rejected it before execution as unsuitable: a write away from the primary, or a read that it is too
-    /// far behind for.
+    /// The member rejected it before execution as not eligible: a write at a replica, or a read for which the
+    /// member lags too far.
     NotEligible,
 }
 
-/// What a member reports about itself.
+/// Status that a member reports about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicaStatus {
     /// Log position (LSN), as the time of the newest commit that it contains.
@@ -246,17 +249,17 @@
     pub latency: TimeSpan,
     /// The statement has its final answer, from this execution or an earlier one.
     pub is_answered: bool,
-    /// What the member reported with its answer.
+    /// Status that the member reported with its answer.
     pub status: ReplicaStatus,
 }
 
 /// State of a member in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Takes statements.
+    /// Accepts statements.
     #[default]
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its executions and accepts no new ones.
     Draining,
     /// No longer listed.
     Gone,
@@ -267,7 +270,7 @@
 pub struct MemberEntry {
     /// Id within this driver.
     pub id: u32,
-    /// Key of the member that is the same at all drivers.
+    /// Key of the member, the same at all drivers.
     pub fleet_key: u64,
     /// Index of its zone.
     pub zone: u16,
@@ -283,23 +286,23 @@
     pub started_at: Option<RemoteTimestamp>,
 }
 
-/// A member that is warming up, as this driver sees it.
+/// A member that is warming up, with this driver's load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmingMember {
     /// Id of the member.
     pub member: u32,
     /// Its capacity relative to its full capacity, averaged over the overload window.
     pub warm_up_fraction: f64,
-    /// Load that a warm member of its capacity carries for this driver, in cores.
+    /// Load that this driver puts on a warm member of the same capacity, in cores.
     pub carried_load: f64,
 }
 
-/// The share of statements that a driver admits to a member.
+/// Share of statements that a driver admits to a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberShare {
     /// Id of the member.
     pub member: u32,
-    /// Admission share; 1 and more admit everything.
+    /// Admission share; values of 1 and more admit everything.
     pub share: f64,
 }
 
@@ -323,7 +326,7 @@
     pub attempt: u8,
 }
 
-/// The final answer to a statement that no member answered.
+/// The final answer to a statement that was not answered by a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Not executed, or safe to retry.
@@ -340,7 +343,8 @@
     },
 }
 
-/// What the host is to do now, list by list in this order; each list is in the order of its decisions.
+/// Actions that the host is to carry out now, list by list in this order; each list is in the order of the
+/// decisions.
 #[derive(Clone, Debug, Default)]
 pub struct Actions {
     /// Executions to be cancelled.
@@ -351,10 +355,10 @@
     pub answers: Vec<Answer>,
     /// Ids of members to be health-checked.
     pub health_checks: Vec<u32>,
-    /// Ids of members that are no longer referred to.
+    /// Ids of members that were removed and are no longer referenced.
     pub removed_members: Vec<u32>,
-    /// Poll the endpoint list for changes from now on.
+    /// Whether to start a poll of the endpoint list now.
     pub poll_endpoint_list: bool,
-    /// Call `advance_to` at this time at the latest.
+    /// Time by which `advance_to` must be called.
     pub wake_up_at: Option<Timestamp>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,17 @@
-//! Decisions of a routing service that steers statements over the members of a replicated store.
+//! Decisions of a routing service that steers statements to the members of a replicated store.
 //!
-//! A host makes one [`policy::RoutingPolicy`] for each driver instance, reports what happens and carries out the
-//! [`interface::Actions`] that it gets back. Nothing here does I/O or reads a clock.
+//! A host creates one [`policy::RoutingPolicy`] per driver instance, reports events to it and carries out the
+//! [`interface::Actions`] that it returns. This crate does no I/O and reads no clock.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`interface`], [`time`] | inputs, outputs and clock types |
-//! | [`remote_clock`] | relates members' timestamps to the driver's own time line, by evidence |
-//! | [`policy`] | every decision: admission, replica selection, retries, health checks, endpoint list |
-//! | `state` | what a driver remembers: statements, members, groups, queues, estimators |
-//! | `concurrency_limit`, `slow_start`, [`zone_health`] | estimates of what members and zones sustain |
-//! | [`fleet_share`], [`replica_preference`] | one driver's part in what all drivers do together |
-//! | `driver` | one driver: its state with the bookkeeping around it, what peers report, what a host may read |
+//! | [`remote_clock`] | estimate of the members' clock by the driver's monotonic clock |
+//! | [`policy`] | decisions: admission, replica selection, retries, health checks, endpoint list |
+//! | `state` | state of a driver: statements, members, groups, queues, estimators |
+//! | `concurrency_limit`, `slow_start`, [`zone_health`] | limits and health of members and zones |
+//! | [`fleet_share`], [`replica_preference`] | one driver's share of limits and replicas among all drivers |
+//! | `driver` | one driver: state and bookkeeping, reports from peers, read access for hosts |
 
 mod concurrency_limit;
 mod driver;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,30 +1,30 @@
-//! Which statements are admitted, in which order they wait, and when they are given up.
+//! Admission of statements, their order in the queue, and when they are given up.
 
 use super::RoutingPolicy;
 use crate::interface::*;
 use crate::state::*;
 use crate::time::{TimeSpan, Timestamp};
 
-/// Part of its time after which a statement that was never dispatched is answered.
-const UNSENT_PART: f64 = 0.45;
-/// Decay of the best value density with each statement.
+/// Fraction of a statement's time after which it is answered if it was never dispatched.
+const UNSENT_TIME_FRACTION: f64 = 0.45;
+/// Decay of the best value density per statement.
 const DENSITY_DECAY: f64 = 0.999;
-/// Least exponent of an admission threshold, relative to the best value density.
-const LEAST_DENSITY: f64 = 0.1;
+/// Minimum of a value density relative to the best, as the exponent of an admission threshold.
+const MIN_RELATIVE_DENSITY: f64 = 0.1;
 
 impl RoutingPolicy {
-    /// The state of a new statement, with its deadlines and its admission threshold.
+    /// State of a new statement, with its deadlines and its admission threshold.
     pub(super) fn accept(&mut self, statement: &Statement) -> StatementState {
-        let group = self.groups.place(statement.group);
+        let group = self.groups.index_or_insert(statement.group);
         let share = self.quota_share(statement);
         let relative_density = self.relative_density(statement, share);
         let required_position = self.required_position(statement);
-        let passed = self.time_passed_before(statement);
+        let elapsed = self.elapsed_slo_time(statement);
         let slack = self.settings.tick + self.settings.tick;
         let workload = &self.settings.workloads[statement.workload];
         let indeterminate = statement.prior_attempt.map(|prior| IndeterminateAttempt {
             dispatched_at: self.now - prior.age,
-            member: self.members.find(prior.member).unwrap_or(0),
+            member_index: self.members.index_of(prior.member).unwrap_or(0),
         });
         StatementState {
             workload: statement.workload,
@@ -34,11 +34,11 @@
             expected_work: statement.expected_work,
             importance: workload.importance * share,
             accepted_at: self.now,
-            admission_threshold: self.rng.draw().powf(relative_density.max(LEAST_DENSITY)),
-            slo_deadline: self.now + (workload.slo_time - slack - passed),
+            admission_threshold: self.rng.draw().powf(relative_density.max(MIN_RELATIVE_DENSITY)),
+            slo_deadline: self.now + (workload.slo_time - slack - elapsed),
             answer_deadline: self.answer_deadline(statement.time_left - slack),
             dispatch_deadline: self.now + statement.time_left,
-            unsent_deadline: self.now + statement.time_left * UNSENT_PART,
+            unsent_deadline: self.now + statement.time_left * UNSENT_TIME_FRACTION,
             indeterminate,
             ..StatementState::default()
         }
@@ -49,23 +49,24 @@
         self.last_answer_at.map_or(deadline, |last| deadline.min(last))
     }
 
-    /// Brings the final answer forward to the end of a shutdown.
+    /// Limits a statement's answer deadline to the end of a shutdown.
     pub(super) fn limit_answer_deadline(&mut self, id: u32) {
         let Some(last_answer_at) = self.last_answer_at else {
             return;
         };
         if let Some(statement) = self.statements.get_mut(&id) {
             statement.answer_deadline = statement.answer_deadline.min(last_answer_at);
-            self.schedule(id);
+            self.schedule_statement(id);
         }
     }
 
-    /// Share of its importance that a statement keeps by its tenant's quota, which drivers share evenly.
+    /// Share of its importance that a statement keeps under its tenant's quota, of which each driver has an
+    /// even share.
     fn quota_share(&mut self, statement: &Statement) -> f64 {
         let Some(quota) = self.settings.tenant_quotas.get(statement.tenant) else {
             return 1.0;
         };
-        let per_second = self.fleet.of_total(*quota);
+        let per_second = self.fleet.even_share(*quota);
         if self.quotas.try_take(statement.tenant, per_second, self.now) {
             1.0
         } else {
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Value for the expected work, relative to the best of late. Little time left makes an answer unlikely.
+    /// Expected value per unit of work, relative to the best recent one. Takes into account that an answer is
+    /// unlikely where little time is left.
     fn relative_density(&mut self, statement: &Statement, share: f64) -> f64 {
         let typical = self.typical.of(statement.workload);
         let work = statement.expected_work.unwrap_or(typical);
@@ -84,7 +86,7 @@
         density / self.best_density
     }
 
-    /// Work per unit of value: the least waits first.
+    /// Expected work per unit of value; the queue serves the lowest first.
     pub(crate) fn queue_cost(&self, statement: &StatementState) -> u64 {
         let is_late = self.now >= statement.slo_deadline;
         let late_share = self.workload(statement).late_share;
@@ -94,19 +96,20 @@
         (1.0 / density.max(1e-12)) as u64
     }
 
-    /// Whether a member admits the statement: many drivers with few samples each could overload it together.
-    /// What is worth little for its work is left out first, reads at the primary before writes.
-    pub(super) fn admits(&self, member: usize, statement: &StatementState) -> bool {
-        let is_primary = self.groups[statement.group].primary == Some(member);
+    /// Whether a member admits the statement; its admission share keeps many drivers with few samples each
+    /// from overloading it together. Statements of low value density are rejected first, and reads at the
+    /// primary before writes.
+    pub(super) fn admits(&self, member_index: usize, statement: &StatementState) -> bool {
+        let is_primary = self.groups[statement.group].primary == Some(member_index);
         let threshold = if is_primary && !self.settings.needs_primary(statement.workload) {
             statement.admission_threshold.sqrt()
         } else {
             statement.admission_threshold
         };
-        threshold <= self.members[member].admission_share
+        threshold <= self.members[member_index].admission_share
     }
 
-    /// Whether none of the members that could execute the statement admits it.
+    /// Whether no member that could execute the statement admits it.
     pub(super) fn is_rejected_by_all(&self, statement: &StatementState) -> bool {
         let group = &self.groups[statement.group];
         let needs_primary = self.settings.needs_primary(statement.workload);
@@ -117,7 +120,7 @@
         group.primary.is_some() && !group.members.iter().any(admits)
     }
 
-    /// Rule: every statement has its final answer before the client's time is up, whatever else happens.
+    /// Rule: answers a statement at its deadline, whatever its state.
     pub(super) fn answer_at_deadline(&mut self) -> bool {
         let due = self.statement_timers.expired(self.now);
         let Some(id) = due.filter(|id| self.statements[id].answer_deadline <= self.now) else {
@@ -127,8 +130,8 @@
         true
     }
 
-    /// Rule: work on an answer without value takes capacity from others, and so does waiting for one that
-    /// can't come in time.
+    /// Rule: gives up a statement whose answer would come too late to have value, since it takes capacity
+    /// from others.
     pub(super) fn give_up_worthless(&mut self) -> bool {
         let due = self.statement_timers.expired(self.now);
         let Some(id) = due.filter(|id| self.is_worthless(&self.statements[id])) else {
@@ -150,19 +153,19 @@
         } else {
             statement.dispatch_deadline
         };
-        let is_too_late = self.now >= self.last_chance(statement) && has_no_late_value;
+        let is_too_late = self.now >= self.slo_cutoff(statement) && has_no_late_value;
         is_too_late || (is_waiting && self.now >= deadline)
     }
 
-    /// The last moment at which an answer could still come within the SLO time.
-    pub(crate) fn last_chance(&self, statement: &StatementState) -> Timestamp {
+    /// Time after which an answer within the SLO time is no longer expected.
+    pub(crate) fn slo_cutoff(&self, statement: &StatementState) -> Timestamp {
         if statement.queue_priority.is_none() {
             return statement.slo_deadline;
         }
         statement.slo_deadline - self.typical.of(statement.workload) * 2.0
     }
 
-    /// Gives the final answer: a rejection where a retry is known to be safe, otherwise an abort.
+    /// Gives a statement its final answer: rejected where a retry is known to be safe, otherwise aborted.
     pub(super) fn finish(&mut self, id: u32) {
         let Some(statement) = self.statements.get(&id) else {
             return;
@@ -170,7 +173,7 @@
         let was_sent = self.in_flight.of_statement(id).any(|e| !e.is_connecting);
         let is_unexecuted = statement.indeterminate.is_none() && !was_sent;
         let is_safe = self.workload(statement).is_client_retry_safe() || is_unexecuted;
-        // A retry that may still have its value should come at once; any other only adds load.
+        // A retry that can still meet the SLO should come at once; any other one only adds load.
         let in_time = self.now + self.typical.of(statement.workload) < statement.slo_deadline;
         let retry_after = self.settings.max_retry_after * if in_time { 0.0 } else { 1.0 };
         self.cancel_executions(id);
@@ -182,6 +185,6 @@
         } else {
             Answer::Aborted { statement: id }
         });
-        self.forget(id);
+        self.remove_statement(id);
     }
 }
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,46 +1,47 @@
-//! When the endpoint list is polled.
+//! Polling of the endpoint list.
 
 use super::RoutingPolicy;
 use crate::interface::*;
 use crate::time::{TimeSpan, Timestamp};
 
-/// Longest backoff after a failed poll, as a share of the time within which the list must be polled.
-const POLL_BACKOFF_SHARE: f64 = 0.1;
-/// Backoff after the first failure in a row, as a part of the longest: changes are missed meanwhile.
-const FIRST_BACKOFF: f64 = 1.0 / 16.0;
+/// Maximum backoff after a failed poll, as a fraction of the maximum poll interval.
+const MAX_BACKOFF_FRACTION: f64 = 0.1;
+/// Backoff after a first failure, as a fraction of the maximum; short, since changes are missed meanwhile.
+const INITIAL_BACKOFF_FRACTION: f64 = 1.0 / 16.0;
 
-/// Failed polls in a row.
+/// Consecutive failed polls.
 #[derive(Default)]
 pub(crate) struct PollFailures {
-    /// Failures before the last one.
-    in_a_row: i32,
-    /// A failure before this time belongs to the same row.
-    until: Timestamp,
+    /// Consecutive failures before the last one.
+    previous_failures: i32,
+    /// A failure before this time counts as consecutive.
+    consecutive_until: Timestamp,
 }
 
 impl RoutingPolicy {
-    /// A poll failed or a watch broke: the next poll follows after a backoff with jitter.
+    /// Handles a failed poll or a broken watch: schedules the next poll after an exponential backoff with
+    /// jitter.
     pub fn on_poll_failed(&mut self, now: Timestamp) -> Actions {
         self.set_now(now);
-        let longest = self.settings.max_poll_interval * POLL_BACKOFF_SHARE;
-        let is_in_a_row = now < self.poll_failures.until;
-        let in_a_row = if is_in_a_row {
-            self.poll_failures.in_a_row + 1
+        let max_backoff = self.settings.max_poll_interval * MAX_BACKOFF_FRACTION;
+        let is_consecutive = now < self.poll_failures.consecutive_until;
+        let previous_failures = if is_consecutive {
+            self.poll_failures.previous_failures + 1
         } else {
             0
         };
         self.poll_failures = PollFailures {
-            in_a_row,
-            until: now + longest * 2.0,
+            previous_failures,
+            consecutive_until: now + max_backoff * 2.0,
         };
-        let part = (FIRST_BACKOFF * 2f64.powi(in_a_row)).min(1.0);
+        let fraction = (INITIAL_BACKOFF_FRACTION * 2f64.powi(previous_failures)).min(1.0);
         let jitter = 0.5 + self.rng.draw();
-        let backoff: TimeSpan = longest * part * jitter;
+        let backoff: TimeSpan = max_backoff * fraction * jitter;
         self.poll_at = self.settings.poll_endpoint_list.then_some(now + backoff);
         self.run_rules()
     }
 
-    /// Rule: the endpoint list is polled when its time has come.
+    /// Rule: requests a poll of the endpoint list when one is due.
     pub(super) fn poll_when_due(&mut self) -> bool {
         let is_due = self.poll_at.take_if(|at| *at <= self.now).is_some();
         self.actions.poll_endpoint_list |= is_due;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! Every decision of the routing service: which statements are admitted, which member executes them, what is
-//! retried, which members are health-checked, and when the endpoint list is polled.
+//! Routing decisions: which statements are admitted, which member executes them, what is retried, which
+//! members are health-checked, and when the endpoint list is polled.
 //!
 //! A host owns one [`RoutingPolicy`] per driver, calls one method per input and carries out the returned
-//! [`Actions`]. After each input the `RULES` run in order, from the first one again, until none applies.
+//! [`Actions`]. After each input the first applicable rule of `RULES` runs, repeatedly, until none applies.
 
 mod admission;
 mod endpoint_list;
@@ -19,28 +19,28 @@
 pub(crate) use evidence::StatusSource;
 pub use retry::definitely_not_executed;
 
-/// A wake-up later than this shows that the driver itself was stalled.
-const STALL: TimeSpan = TimeSpan::millis(50);
-/// Completed executions a member, within the overload window, below which a driver can't tell concurrency
-/// limits and admits a share of statements instead.
-const FEW_SAMPLES: usize = 5;
+/// Delay of a wake-up from which on the driver itself counts as stalled.
+const STALL_THRESHOLD: TimeSpan = TimeSpan::millis(50);
+/// Completed executions per member within the overload window below which a driver cannot estimate
+/// concurrency limits and admits a share of statements instead.
+const MIN_SAMPLES_PER_MEMBER: usize = 5;
 
-/// A condition with its effect; returns whether it applied.
+/// Takes one action if its condition holds; returns whether it did.
 type Rule = fn(&mut RoutingPolicy) -> bool;
 
 const RULES: [Rule; 8] = [
     RoutingPolicy::answer_at_deadline,
     RoutingPolicy::give_up_worthless,
     RoutingPolicy::requeue_due,
-    RoutingPolicy::leave_silent_zone,
+    RoutingPolicy::leave_unresponsive_zone,
     RoutingPolicy::schedule_member_check,
     RoutingPolicy::check_member,
-    RoutingPolicy::place_waiting,
+    RoutingPolicy::dispatch_waiting,
     RoutingPolicy::poll_when_due,
 ];
 
 impl RoutingPolicy {
-    /// A client has sent a statement.
+    /// Handles a statement from a client.
     pub fn on_statement(&mut self, now: Timestamp, statement: &Statement) -> Actions {
         self.set_now(now);
         let state = self.accept(statement);
@@ -53,30 +53,31 @@
         self.run_rules()
     }
 
-    /// The client no longer waits for a statement: nothing of it is sent any more, and it gets no answer.
+    /// Handles a statement that its client has withdrawn: it is neither sent nor answered any more.
     pub fn on_statement_withdrawn(&mut self, now: Timestamp, statement: u32) -> Actions {
         self.set_now(now);
         self.cancel_executions(statement);
-        self.forget(statement);
+        self.remove_statement(statement);
         self.run_rules()
     }
 
-    /// Clients have left, or closed their side: nothing more is sent of their statements, and who may still read has a final
-    /// answer. All that left together are known before anything is decided: what one of them frees must not go to another.
-    pub fn on_client_disconnects(&mut self, now: Timestamp, departures: &[ClientDisconnect]) -> Actions {
+    /// Handles clients that have disconnected. Their statements are not sent any more; a client that may
+    /// still read gets a final answer. Disconnects that happen together must be reported in one call, so that
+    /// capacity freed by one statement is not given to another that is about to be dropped.
+    pub fn on_client_disconnects(&mut self, now: Timestamp, disconnects: &[ClientDisconnect]) -> Actions {
         self.set_now(now);
-        for departure in departures {
-            if departure.awaits_answer {
-                self.finish(departure.statement);
+        for disconnect in disconnects {
+            if disconnect.awaits_answer {
+                self.finish(disconnect.statement);
             } else {
-                self.cancel_executions(departure.statement);
-                self.forget(departure.statement);
+                self.cancel_executions(disconnect.statement);
+                self.remove_statement(disconnect.statement);
             }
         }
         self.run_rules()
     }
 
-    /// The process shuts down: every statement, now or later, has its final answer at this time at the latest.
+    /// Starts the shutdown: every open or new statement gets its final answer by `last_answer_at`.
     pub fn on_shutdown(&mut self, now: Timestamp, last_answer_at: Timestamp) -> Actions {
         self.set_now(now);
         self.last_answer_at = Some(last_answer_at);
@@ -87,24 +88,29 @@
         self.run_rules()
     }
 
-    /// An execution has ended.
+    /// Handles the end of an execution.
     pub fn on_execution_ended(&mut self, now: Timestamp, end: &ExecutionEnd) -> Actions {
         self.set_now(now);
         if let Some(execution) = self.in_flight.remove(end.statement, end.attempt) {
             if !execution.abandoned {
                 self.learn_from_execution(&execution, end);
             }
-            self.learn_status(execution.member, end.status, self.status_source(&execution, end));
+            self.learn_status(
+                execution.member_index,
+                end.status,
+                self.status_source(&execution, end),
+            );
             self.learn_commit(&execution, end);
             if end.is_answered {
-                self.forget(end.statement);
+                self.remove_statement(end.statement);
             }
             self.on_attempt_failed(end, &execution);
         }
         self.run_rules()
     }
 
-    /// A deduplicated write may answer with the commit of an earlier execution, so its position is no stamp of this one.
+    /// The source of a status that came with an answer. A deduplicated write may report the commit of an
+    /// earlier execution, so its position does not bound the time of this one.
     fn status_source(&self, execution: &InFlightExecution, end: &ExecutionEnd) -> StatusSource {
         let workload = &self.settings.workloads[execution.workload];
         let is_stamped =
@@ -115,23 +121,23 @@
         }
     }
 
-    /// Time has passed; call it at the latest at [`Actions::wake_up_at`].
+    /// Applies what is due by `now`; to be called by [`Actions::wake_up_at`] at the latest.
     pub fn advance_to(&mut self, now: Timestamp) -> Actions {
         self.set_now(now);
         self.run_rules()
     }
 
-    /// Whether this driver has too few samples of its members to know their concurrency limits.
+    /// Whether this driver has too few samples of its members to estimate their concurrency limits.
     pub fn has_few_samples(&self) -> bool {
-        self.throughput.len() < FEW_SAMPLES * self.members.len()
+        self.throughput.len() < MIN_SAMPLES_PER_MEMBER * self.members.len()
     }
 
-    /// Sets the clock. While this driver was stalled itself no member left anything unanswered, and latencies
-    /// that end then say little.
+    /// Sets the clock. After a stall of this driver itself, response timeouts start anew and the latencies
+    /// that end now are not used: answers may have waited to be read.
     pub(crate) fn set_now(&mut self, now: Timestamp) {
-        if now - self.planned_wake_up.unwrap_or(now) > STALL {
+        if now - self.planned_wake_up.unwrap_or(now) > STALL_THRESHOLD {
             for member in self.members.all_mut() {
-                member.oldest_unanswered = now;
+                member.unanswered_since = now;
             }
             self.stalled_at = now;
         }
--- a/src/remote_clock.rs
+++ b/src/remote_clock.rs
@@ -1,61 +1,64 @@
-//! Relates timestamps of members and discovery to this driver's own time line, by evidence alone.
+//! Estimates the relation between the members' clock and this driver's monotonic clock from evidence.
 //!
-//! # Two time lines
+//! # Two clocks
 //!
-//! A [`Timestamp`] is a point on this driver's monotonic time line, whose origin is arbitrary. A
-//! [`RemoteTimestamp`] is Unix time by the clock that members and discovery share: log positions, sessions' tokens and
-//! starts of members. Remote timestamps compare with one another without any clock. Only the age of one needs the relation
-//! of the two time lines, and this module estimates it. This driver's own wall clock takes no part.
+//! A [`Timestamp`] is a point in time of this driver's monotonic clock, whose origin is arbitrary. A
+//! [`RemoteTimestamp`] is Unix time of the clock that members and discovery share: log positions, session
+//! positions and starts of members. Remote timestamps are compared with each other without any clock; only
+//! the age of one requires the relation of the two clocks. This driver's own wall clock is not used.
 //!
 //! # Evidence
 //!
-//! - Nobody stamps the future, so an answer with stamp `r` that is received at local time `t` shows that the remote clock
-//!   was at `r` or later at `t`: a lower bound.
-//! - A member that acts as primary stands at the present while it executes. Its answer with stamp `r` to an execution that
-//!   was dispatched at local time `s` shows that the remote clock was at `r` or earlier at `s`: an upper bound.
+//! - Members do not stamp the future, so an answer with stamp `r` received at local time `t` shows that the
+//!   remote clock was at `r` or later at `t`: a lower bound.
+//! - The position of a member that acts as primary is current while it executes. Its answer with stamp `r` to
+//!   an execution dispatched at local time `s` shows that the remote clock was at `r` or earlier at `s`: an
+//!   upper bound.
 //!
-//! Members are heard directly. What clients and other drivers say is no evidence. Starts of members in a complete endpoint
-//! list are a substitute for lower bounds until answers are better.
+//! Only direct answers of members are evidence, not reports from clients and other drivers. Starts of members
+//! in a complete endpoint list provide a lower bound until answers provide a better one.
 //!
 //! # Error
 //!
-//! Assume that at most a quarter of the last [`MOST_HEARD`] members that stamped an answer (none of fewer than four)
-//! stamp the future, that fewer than half of the last [`MOST_PRIMARIES`] primaries answer with old positions that nothing
-//! contradicts, and that clocks run at rates that differ by at most [`MAX_DRIFT`]. Then:
+//! Assume that at most a quarter of the last [`MAX_TRACKED_MEMBERS`] members that stamped an answer (none of
+//! fewer than four) stamp the future, that fewer than half of the last [`MAX_TRACKED_PRIMARIES`] primaries
+//! answer with old positions that no other evidence contradicts, and that clock rates differ by at most
+//! [`MAX_DRIFT`]. Then:
 //!
-//! - [`RemoteClock::earliest`] is at or before the remote clock. It lags by the shortest time, replication lag included,
-//!   from a stamp to its receipt at a typical member.
-//! - [`RemoteClock::latest`] is at or after the remote clock. It is ahead by at most the median, over the primaries, of each
-//!   one's shortest round trip within the last one to two [`WINDOW`]s, plus the stamps' granularity of one millisecond, plus
-//!   [`MAX_DRIFT`] of the time since then.
+//! - [`RemoteClock::earliest`] is at or before the remote clock. It lags by the shortest time, replication lag
+//!   included, from a stamp to its receipt at a typical member.
+//! - [`RemoteClock::latest`] is at or after the remote clock. It is ahead by at most the median, over the
+//!   primaries, of each one's shortest round trip within the last one to two [`WINDOW`]s, plus the stamps'
+//!   granularity of one millisecond, plus [`MAX_DRIFT`] of the time since then.
 //!
-//! An upper bound below the lower bounds is an answer of a primary that stalled or was deposed, and is dropped; lower bounds
-//! win. Where no upper bound remains, [`RemoteClock::latest`] is unknown and callers take the careful side. A step of the
-//! remote clock ahead, or a suspended machine, is followed with the next answers; a step back within two [`WINDOW`]s, until
-//! which the estimate is too high, which is the careful side for reads.
+//! An upper bound below the lower bounds comes from a primary that stalled or was deposed, and is dropped:
+//! lower bounds take precedence. If no upper bound remains, [`RemoteClock::latest`] is unknown and callers
+//! choose the conservative alternative. The estimate follows a forward step of the remote clock, or a
+//! suspension of this machine, with the next answers. It follows a backward step within two [`WINDOW`]s;
+//! until then it is too high, which is conservative for reads.
 
 use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 
-/// Most members whose lower bounds count: those heard last.
-pub const MOST_HEARD: usize = 16;
-/// Most members whose upper bounds count: the primaries heard last.
-pub const MOST_PRIMARIES: usize = 8;
-/// Largest difference between the rates of two clocks: the most by which Linux slews a clock.
+/// Maximum number of members, the latest to answer, whose lower bounds are used.
+pub const MAX_TRACKED_MEMBERS: usize = 16;
+/// Maximum number of primaries, the latest to answer, whose upper bounds are used.
+pub const MAX_TRACKED_PRIMARIES: usize = 8;
+/// Maximum relative difference between the rates of two clocks; Linux slews a clock by at most this much.
 pub const MAX_DRIFT: f64 = 0.0005;
-/// Time for which a bound stands against worse ones of the same member, at least; twice this at most.
+/// Minimum time for which a member's bound is kept against looser ones; the maximum is twice as long.
 pub const WINDOW: TimeSpan = TimeSpan::millis(10_000);
 
 /// Granularity of remote timestamps, which are rounded down.
 const GRANULARITY: TimeSpan = TimeSpan::millis(1);
-/// Part of the members heard that may stamp the future: one in so many.
-const TOLERATED_PART: usize = 4;
+/// One in this many tracked members may stamp the future.
+const MEMBERS_PER_TOLERATED_FAULT: usize = 4;
 
-/// A bound of the remote clock's offset from the local time line.
+/// A bound of the remote clock's offset from the local clock.
 #[derive(Clone, Copy, Debug)]
 struct Bound {
     /// Remote minus local time, in microseconds.
     offset: i128,
-    /// Local time of the evidence, from which on the clocks may drift apart.
+    /// Local time of the evidence; the clocks may drift apart from then on.
     at: Timestamp,
 }
 
@@ -67,7 +70,7 @@
         }
     }
 
-    /// How far the clocks may have drifted apart since the evidence.
+    /// Maximum drift between the clocks since the evidence, in microseconds.
     fn drift(self, now: Timestamp) -> i128 {
         i128::from(((now - self.at) * MAX_DRIFT).0)
     }
@@ -81,7 +84,7 @@
     }
 }
 
-/// The tightest bound of the running and the previous window.
+/// The tightest bounds of the current and the previous window.
 #[derive(Clone, Copy, Debug, Default)]
 struct WindowedBound {
     current: Option<Bound>,
@@ -90,7 +93,7 @@
 }
 
 impl WindowedBound {
-    /// Adds a bound; `is_tighter` tells whether its first argument is tighter than the second.
+    /// Adds a bound. `is_tighter` returns whether its first argument is at least as tight as the second.
     fn add(&mut self, bound: Bound, is_tighter: impl Fn(Bound, Bound) -> bool) {
         if bound.at - self.began_at >= WINDOW {
             self.previous = self.current.take();
@@ -114,11 +117,11 @@
     }
 }
 
-/// What one member's answers show.
+/// Bounds from one member's answers.
 #[derive(Clone, Copy, Debug)]
 struct Source {
     member: u32,
-    heard_at: Timestamp,
+    last_received_at: Timestamp,
     lower: WindowedBound,
     upper: WindowedBound,
 }
@@ -127,17 +130,18 @@
     fn new(member: u32) -> Source {
         Source {
             member,
-            heard_at: Timestamp(0),
+            last_received_at: Timestamp(0),
             lower: WindowedBound::default(),
             upper: WindowedBound::default(),
         }
     }
 
     fn add_lower(&mut self, bound: Bound) {
-        self.heard_at = bound.at;
+        self.last_received_at = bound.at;
         let now = bound.at;
-        self.lower.add(bound, |a, b| a.offset >= b.offset_as_lower(now));
-        // Its own newer stamp disproves what an old position suggested.
+        self.lower
+            .add(bound, |new, old| new.offset >= old.offset_as_lower(now));
+        // A newer stamp of the same member shows that an upper bound came from an old position.
         if self
             .upper
             .smallest_upper(now)
@@ -147,34 +151,37 @@
         }
     }
 
-    /// Adds an upper bound, unless the member itself was further before: it answers with an old position then.
+    /// Adds an upper bound unless it contradicts an earlier stamp of the same member, which shows an old
+    /// position.
     fn add_upper(&mut self, bound: Bound) {
         let now = bound.at;
-        let own_lower = self.lower.largest_lower(now);
-        if own_lower.is_none_or(|lower| lower <= bound.offset) {
-            self.upper.add(bound, |a, b| a.offset <= b.offset_as_upper(now));
+        let member_lower = self.lower.largest_lower(now);
+        if member_lower.is_none_or(|lower| lower <= bound.offset) {
+            self.upper
+                .add(bound, |new, old| new.offset <= old.offset_as_upper(now));
         }
     }
 }
 
-/// The sources that were heard last.
+/// The sources that answered last.
 #[derive(Clone, Debug, Default)]
 struct RecentSources(Vec<Source>);
 
 impl RecentSources {
-    /// The source of this member, which takes the place of the one heard longest ago if there are `most`.
-    fn entry(&mut self, member: u32, most: usize) -> &mut Source {
+    /// The source of this member. If it is new and there are `max_sources`, it replaces the one whose last
+    /// answer is oldest.
+    fn entry(&mut self, member: u32, max_sources: usize) -> &mut Source {
         let known = self.0.iter().position(|source| source.member == member);
-        let place = known.unwrap_or_else(|| self.make_room(member, most));
-        &mut self.0[place]
+        let index = known.unwrap_or_else(|| self.insert(member, max_sources));
+        &mut self.0[index]
     }
 
-    fn make_room(&mut self, member: u32, most: usize) -> usize {
-        if self.0.len() < most {
+    fn insert(&mut self, member: u32, max_sources: usize) -> usize {
+        if self.0.len() < max_sources {
             self.0.push(Source::new(member));
             return self.0.len() - 1;
         }
-        let by_time = |place: &usize| self.0[*place].heard_at;
+        let by_time = |index: &usize| self.0[*index].last_received_at;
         let oldest = (0..self.0.len()).min_by_key(by_time).unwrap_or(0);
         self.0[oldest] = Source::new(member);
         oldest
@@ -188,35 +195,36 @@
 /// An answer that carries a stamp of the member's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct StampedAnswer {
-    /// The member that gave it.
+    /// Id of the member.
     pub member: u32,
-    /// The stamp, rounded down to the millisecond.
+    /// The member's timestamp, rounded down to the millisecond.
     pub stamp: RemoteTimestamp,
-    /// Local time at which it was received, or later.
+    /// Local time of the receipt, or later.
     pub received_at: Timestamp,
-    /// Where the member acted as primary and stamped the answer while executing: local time of the dispatch, or earlier.
+    /// Local time of the dispatch or earlier, if the member acted as primary and stamped the answer while
+    /// executing.
     pub stamped_after: Option<Timestamp>,
 }
 
-/// The bounds that all sources together prove, as of the last evidence.
+/// Bounds from all sources, as of the last evidence.
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
     lower: Option<Bound>,
     upper: Option<Bound>,
 }
 
-/// The relation of the members' clock to this driver's time line. See the module's documentation.
+/// Estimate of the members' clock by this driver's monotonic clock. See the module's documentation.
 #[derive(Clone, Debug, Default)]
 pub struct RemoteClock {
     is_shared: bool,
-    heard: RecentSources,
+    members: RecentSources,
     primaries: RecentSources,
-    listed: Option<Bound>,
+    listed_starts: Option<Bound>,
     estimate: Estimate,
 }
 
 impl RemoteClock {
-    /// The host's time line is the members' clock itself, as in a simulator: nothing is to be estimated.
+    /// A clock for hosts whose own clock is the members' clock, as in a simulator; it needs no evidence.
     pub fn shared() -> RemoteClock {
         RemoteClock {
             is_shared: true,
@@ -224,50 +232,55 @@
         }
     }
 
-    /// Learns from a member's answer.
+    /// Updates the estimate from a member's answer.
     pub fn observe(&mut self, answer: &StampedAnswer) {
         if self.is_shared {
             return;
         }
         let now = answer.received_at;
         let lower = Bound::new(answer.stamp, now, now);
-        self.heard.entry(answer.member, MOST_HEARD).add_lower(lower);
+        self.members
+            .entry(answer.member, MAX_TRACKED_MEMBERS)
+            .add_lower(lower);
         if let Some(stamped_after) = answer.stamped_after {
             let upper = Bound::new(answer.stamp + GRANULARITY, stamped_after, now);
-            let primary = self.primaries.entry(answer.member, MOST_PRIMARIES);
+            let primary = self.primaries.entry(answer.member, MAX_TRACKED_PRIMARIES);
             primary.add_lower(lower);
             primary.add_upper(upper);
         }
         self.update_estimate(now);
     }
 
-    /// Learns from the starts of members in a complete endpoint list. The latest ones are left out: one wrong entry must
-    /// not make the other members seem older than they are.
+    /// Updates the estimate from the starts of members in a complete endpoint list. Ignores the latest
+    /// starts, so that one wrong entry does not make other members appear older than they are.
     pub fn observe_starts(&mut self, now: Timestamp, starts: impl Iterator<Item = RemoteTimestamp>) {
         if self.is_shared {
             return;
         }
         let mut latest_first: Vec<RemoteTimestamp> = starts.collect();
         latest_first.sort_unstable_by(|a, b| b.cmp(a));
-        let left_out = (latest_first.len() / TOLERATED_PART).max(1);
-        let start = latest_first.get(left_out);
-        self.listed = start.map(|start| Bound::new(*start, now, now));
+        let ignored = (latest_first.len() / MEMBERS_PER_TOLERATED_FAULT).max(1);
+        let start = latest_first.get(ignored);
+        self.listed_starts = start.map(|start| Bound::new(*start, now, now));
         self.update_estimate(now);
     }
 
-    /// Forgets a member that is no longer there.
-    pub fn forget(&mut self, member: u32) {
-        self.heard.remove(member);
+    /// Removes a member that is gone.
+    pub fn remove_member(&mut self, member: u32) {
+        self.members.remove(member);
         self.primaries.remove(member);
     }
 
     fn update_estimate(&mut self, now: Timestamp) {
-        let heard = self.heard_lower(now);
-        let lower = heard
+        let tracked_lower = self.tracked_lower(now);
+        let lower = tracked_lower
             .into_iter()
-            .chain(self.listed.map(|listed| listed.offset_as_lower(now)))
+            .chain(
+                self.listed_starts
+                    .map(|listed_starts| listed_starts.offset_as_lower(now)),
+            )
             .max();
-        let upper = self.proven_upper(now, heard);
+        let upper = self.consistent_upper(now, tracked_lower);
         let bound = |offset: i128| Bound { offset, at: now };
         self.estimate = Estimate {
             lower: lower.map(bound),
@@ -275,29 +288,30 @@
         };
     }
 
-    /// The largest lower bound of the members heard, without as many of the largest as may be wrong.
-    fn heard_lower(&self, now: Timestamp) -> Option<i128> {
-        let sources = self.heard.0.iter();
+    /// The largest lower bound of the tracked members, leaving out as many of the largest as may be wrong.
+    fn tracked_lower(&self, now: Timestamp) -> Option<i128> {
+        let sources = self.members.0.iter();
         let mut lowers: Vec<i128> = sources
             .filter_map(|source| source.lower.largest_lower(now))
             .collect();
         lowers.sort_unstable_by(|a, b| b.cmp(a));
-        let tolerated = lowers.len() / TOLERATED_PART;
+        let tolerated = lowers.len() / MEMBERS_PER_TOLERATED_FAULT;
         lowers.get(tolerated).copied()
     }
 
-    /// The median of the primaries' upper bounds that the lower bound doesn't disprove; of two, the larger.
-    fn proven_upper(&self, now: Timestamp, lower: Option<i128>) -> Option<i128> {
+    /// The median of the primaries' upper bounds that are consistent with the lower bound; of two, the
+    /// larger.
+    fn consistent_upper(&self, now: Timestamp, lower: Option<i128>) -> Option<i128> {
         let sources = self.primaries.0.iter();
         let uppers = sources.filter_map(|source| source.upper.smallest_upper(now));
-        let mut possible: Vec<i128> = uppers
+        let mut consistent: Vec<i128> = uppers
             .filter(|upper| lower.is_none_or(|lower| lower <= *upper))
             .collect();
-        possible.sort_unstable();
-        possible.get(possible.len() / 2).copied()
+        consistent.sort_unstable();
+        consistent.get(consistent.len() / 2).copied()
     }
 
-    /// A remote time that the members' clock had reached at this local time; `None` without evidence.
+    /// Lower bound of the members' clock at this local time; `None` without evidence.
     pub fn earliest(&self, at: Timestamp) -> Option<RemoteTimestamp> {
         if self.is_shared {
             return Some(RemoteTimestamp(at.0));
@@ -306,7 +320,7 @@
         Some(remote_time(at, lower.offset_as_lower(at)))
     }
 
-    /// A remote time that the members' clock had not passed at this local time; `None` without evidence.
+    /// Upper bound of the members' clock at this local time; `None` without evidence.
     pub fn latest(&self, at: Timestamp) -> Option<RemoteTimestamp> {
         if self.is_shared {
             return Some(RemoteTimestamp(at.0));
@@ -316,7 +330,8 @@
     }
 }
 
-/// The remote time at a local time, by the offset between the two; saturates at both ends.
+/// The remote time at a local time, given the offset between the clocks in microseconds; saturates at both
+/// ends.
 fn remote_time(at: Timestamp, offset: i128) -> RemoteTimestamp {
     let remote = i128::from(at.0) + offset;
     RemoteTimestamp(u64::try_from(remote.max(0)).unwrap_or(u64::MAX))
--- a/src/state/in_flight.rs
+++ b/src/state/in_flight.rs
@@ -1,4 +1,4 @@
-//! Executions that members have not answered yet.
+//! Executions in flight.
 
 use super::StatementState;
 use crate::time::Timestamp;
@@ -13,37 +13,37 @@
     pub(crate) attempt: u8,
 }
 
-/// An execution from its dispatch to its end.
+/// An execution between its dispatch and its end.
 pub(crate) struct InFlightExecution {
-    /// Place of the member.
-    pub(crate) member: usize,
+    /// Index of the member in the member table.
+    pub(crate) member_index: usize,
     /// Index of the workload.
     pub(crate) workload: usize,
-    /// Session of the statement, whose answer may come after the statement's end.
+    /// Session of the statement; needed when the answer arrives after the statement was removed.
     pub(crate) session: u64,
     /// Time at which it was dispatched.
     pub(crate) dispatched_at: Timestamp,
     /// Its cancellation was requested.
     pub(crate) is_cancelled: bool,
-    /// No connection was idle, so one is established for it.
+    /// A connection is established for it, since none was idle.
     pub(crate) new_connection: bool,
-    /// A health check proved the member alive while this stayed unanswered: it no longer counts against the member's
-    /// concurrency limit.
+    /// It stayed unanswered although a health check proved the member alive, and no longer counts against the
+    /// member's concurrency limit.
     pub(crate) abandoned: bool,
-    /// Its connection is being established, and nothing of it was sent.
+    /// Its connection is being established; nothing was sent yet.
     pub(crate) is_connecting: bool,
 }
 
 impl InFlightExecution {
-    /// An execution of `statement` at `member`, dispatched now.
+    /// An execution of `statement` at the member with this index, dispatched at `now`.
     pub(crate) fn new(
-        member: usize,
+        member_index: usize,
         statement: &StatementState,
         now: Timestamp,
         new_connection: bool,
     ) -> InFlightExecution {
         InFlightExecution {
-            member,
+            member_index,
             workload: statement.workload,
             session: statement.session,
             dispatched_at: now,
@@ -54,15 +54,16 @@
         }
     }
 
-    /// Abandons it if it was dispatched to `member` before then; returns whether that is new.
-    fn abandon(&mut self, member: usize, before: Timestamp) -> bool {
-        let is_new = self.member == member && self.dispatched_at < before && !self.abandoned;
+    /// Abandons the execution if it was dispatched to this member earlier than `before`; returns whether it
+    /// was not abandoned already.
+    fn abandon(&mut self, member_index: usize, before: Timestamp) -> bool {
+        let is_new = self.member_index == member_index && self.dispatched_at < before && !self.abandoned;
         self.abandoned |= is_new;
         is_new
     }
 }
 
-/// All executions in flight, in the order of their ids.
+/// All executions in flight, ordered by id.
 #[derive(Default)]
 pub(crate) struct InFlightTable(BTreeMap<ExecutionId, InFlightExecution>);
 
@@ -83,7 +84,7 @@
         self.0.get_mut(&ExecutionId { statement, attempt })
     }
 
-    /// The first execution, by id, that `selects`.
+    /// The first execution by id for which `selects` is true.
     pub(crate) fn find(
         &self,
         selects: impl Fn(ExecutionId, &InFlightExecution) -> bool,
@@ -102,13 +103,13 @@
         attempts.map(|(_, execution)| execution)
     }
 
-    /// Cancels those that `selects` and that aren't cancelled yet; returns their ids.
+    /// Cancels the executions for which `selects` is true; returns the ids of those not cancelled before.
     pub(crate) fn cancel(&mut self, selects: impl Fn(&InFlightExecution) -> bool) -> Vec<ExecutionId> {
         let selected = self.0.iter_mut().filter(|(_, execution)| selects(execution));
         selected.filter_map(Self::cancel_one).collect()
     }
 
-    /// The same over the attempts of one statement.
+    /// Like [`InFlightTable::cancel`], limited to the attempts of one statement.
     pub(crate) fn cancel_statement(
         &mut self,
         statement: u32,
@@ -119,10 +120,13 @@
         selected.filter_map(Self::cancel_one).collect()
     }
 
-    /// Abandons what was dispatched to `member` before then; returns how many executions that is.
-    pub(crate) fn abandon(&mut self, member: usize, before: Timestamp) -> usize {
+    /// Abandons the executions dispatched to this member earlier than `before`; returns how many were not
+    /// abandoned already.
+    pub(crate) fn abandon(&mut self, member_index: usize, before: Timestamp) -> usize {
         let executions = self.0.values_mut();
-        executions.map(|e| usize::from(e.abandon(member, before))).sum()
+        executions
+            .map(|e| usize::from(e.abandon(member_index, before)))
+            .sum()
     }
 
     fn attempts_of(statement: u32) -> std::ops::RangeInclusive<ExecutionId> {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a driver remembers between inputs: records, queues, counters and estimators. Nothing here decides.
+//! State that a driver keeps between inputs: records, queues, counters and estimators. Contains no decisions.
 
 mod estimators;
 mod group;
@@ -14,7 +14,7 @@
 pub(crate) use estimators::{smooth, TypicalLatencies};
 pub(crate) use group::{Group, GroupTable};
 pub(crate) use in_flight::{ExecutionId, InFlightExecution, InFlightTable};
-pub(crate) use member_table::{Member, MemberTable, Placed, WarmUpBudget};
+pub(crate) use member_table::{Member, MemberSlot, MemberTable, WarmUpBudget};
 pub(crate) use seeded_rng::SeededRng;
 pub(crate) use session_positions::SessionPositions;
 pub(crate) use sliding_window::SlidingWindow;
--- a/src/state/seeded_rng.rs
+++ b/src/state/seeded_rng.rs
@@ -1,10 +1,10 @@
-//! Randomness that repeats from a seed.
+//! Reproducible random numbers.
 
 use serde::{Deserialize, Serialize};
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// Uniform draws from the instance's seed and a counter.
+/// Uniform random numbers, computed from a seed and a counter.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct SeededRng {
     seed: u64,
@@ -12,17 +12,15 @@
 }
 
 impl SeededRng {
-    /// A generator at its first draw.
     pub(crate) fn new(seed: u64) -> SeededRng {
         SeededRng { seed, draws: 0 }
     }
 
-    /// The seed that it started from.
     pub(crate) fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// The next draw, from 0 up to but not including 1.
+    /// The next number, from 0 up to but not including 1.
     pub(crate) fn draw(&mut self) -> f64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, self.draws).hash(&mut hasher);
--- a/src/state/session_positions.rs
+++ b/src/state/session_positions.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Position of each remembered session, and one that covers all that were dropped.
+/// Position of each tracked session, and the newest one of the sessions that were dropped.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct SessionPositions {
     positions: BTreeMap<u64, RemoteTimestamp>,
@@ -12,14 +12,14 @@
 }
 
 impl SessionPositions {
-    /// Position that a read of the session must see; for an unknown session the newest one dropped.
+    /// Position that a read of the session must see; for an untracked session the newest one dropped.
     pub(crate) fn required(&self, session: u64) -> RemoteTimestamp {
-        let known = self.positions.get(&session).copied();
-        known.unwrap_or(self.newest_dropped)
+        let tracked = self.positions.get(&session).copied();
+        tracked.unwrap_or(self.newest_dropped)
     }
 
-    /// Records a write. At `capacity` all sessions are dropped first; reads stay safe, since unknown sessions then need
-    /// the newest position dropped.
+    /// Records a write. At `capacity` all sessions are dropped first, which is safe since reads of untracked
+    /// sessions then require the newest position dropped.
     pub(crate) fn record(&mut self, session: u64, position: RemoteTimestamp, capacity: usize) {
         let newest = position.max(self.required(session));
         if self.positions.len() >= capacity {
@@ -30,12 +30,12 @@
         self.positions.insert(session, newest);
     }
 
-    /// Brings all positions, that of unknown sessions too, within these bounds.
+    /// Clamps all positions, including that of untracked sessions, to these bounds.
     pub(crate) fn clamp_all(&mut self, oldest: RemoteTimestamp, newest: RemoteTimestamp) {
         let clamp = |position: RemoteTimestamp| position.max(oldest).min(newest);
         self.newest_dropped = clamp(self.newest_dropped);
-        for known in self.positions.values_mut() {
-            *known = clamp(*known);
+        for tracked in self.positions.values_mut() {
+            *tracked = clamp(*tracked);
         }
     }
 }
--- a/src/state/sliding_window.rs
+++ b/src/state/sliding_window.rs
@@ -1,4 +1,4 @@
-//! A sum over the recent past.
+//! Sum over a sliding time window.
 
 use crate::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
     work: TimeSpan,
 }
 
-/// Work of completed executions within a span before the last sample.
+/// Work of completed executions within a time span that ends at the last sample.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct SlidingWindow {
     samples: VecDeque<Sample>,
@@ -33,7 +33,8 @@
         self.samples.len()
     }
 
-    /// Sum of the samples since a time. The last sample may be long ago: those before it are kept until the next one.
+    /// Sum of the samples since a time. Excludes expired samples, which are dropped only when the next one is
+    /// added.
     pub(crate) fn total_since(&self, since: Timestamp) -> TimeSpan {
         let expired = self.samples.iter().take_while(|sample| sample.at < since);
         expired.fold(self.total, |total, sample| total - sample.work)
--- a/src/state/statement.rs
+++ b/src/state/statement.rs
@@ -1,8 +1,8 @@
-//! An open statement.
+//! State of an open statement.
 
 use crate::time::{RemoteTimestamp, TimeSpan, Timestamp};
 
-/// Place of a waiting statement in its group's queues: the least is served first.
+/// Priority of a waiting statement in its group's queues; the lowest is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePriority {
     /// Expected work per unit of value.
@@ -18,8 +18,8 @@
 pub(crate) struct IndeterminateAttempt {
     /// Time at which it was dispatched.
     pub(crate) dispatched_at: Timestamp,
-    /// Place of the member that received it.
-    pub(crate) member: usize,
+    /// Index of the member that received it.
+    pub(crate) member_index: usize,
 }
 
 /// A statement from its acceptance to its final answer.
@@ -27,7 +27,7 @@
 pub(crate) struct StatementState {
     /// Index of its workload.
     pub(crate) workload: usize,
-    /// Place of its group.
+    /// Index of its group.
     pub(crate) group: usize,
     /// Key of its session; zero if it has none.
     pub(crate) session: u64,
@@ -37,17 +37,17 @@
     pub(crate) expected_work: Option<TimeSpan>,
     /// Value of its answer.
     pub(crate) importance: f64,
-    /// Admission share that a member must have to take it, from 0 to 1; drawn once.
+    /// Minimum admission share of a member that takes it, from 0 to 1; drawn at random once.
     pub(crate) admission_threshold: f64,
     /// Time at which it was accepted.
     pub(crate) accepted_at: Timestamp,
-    /// End of its SLO time.
+    /// Time at which its SLO time ends.
     pub(crate) slo_deadline: Timestamp,
-    /// Time by which it needs its final answer.
+    /// Time by which it must have its final answer.
     pub(crate) answer_deadline: Timestamp,
-    /// End of the time in which it may be dispatched.
+    /// Time from which on it may no longer be dispatched.
     pub(crate) dispatch_deadline: Timestamp,
-    /// End of the time for which it waits if it was never dispatched.
+    /// Time from which on it no longer waits if it was never dispatched.
     pub(crate) unsent_deadline: Timestamp,
     /// Time of its entry in the timer queue.
     pub(crate) next_check_at: Timestamp,
@@ -55,18 +55,18 @@
     pub(crate) attempts: usize,
     /// The first attempt that may have been executed.
     pub(crate) indeterminate: Option<IndeterminateAttempt>,
-    /// Places of members that failed it and are not tried again.
+    /// Indices of members that failed it and are not tried again.
     pub(crate) excluded_members: Vec<usize>,
-    /// It isn't dispatched before this.
+    /// Time before which it is not dispatched.
     pub(crate) backoff_until: Timestamp,
-    /// Its place in the group's queues, while it waits.
+    /// Its priority in the group's queue, while it waits.
     pub(crate) queue_priority: Option<QueuePriority>,
 }
 
 impl StatementState {
-    /// Places of members that it refers to; they must not be given to other members meanwhile.
+    /// Indices of members that it refers to and that must not be reused meanwhile.
     pub(crate) fn referenced_members(&self) -> impl Iterator<Item = usize> + '_ {
-        let indeterminate = self.indeterminate.map(|attempt| attempt.member);
+        let indeterminate = self.indeterminate.map(|attempt| attempt.member_index);
         self.excluded_members.iter().copied().chain(indeterminate)
     }
 }
--- a/src/state/timer_queue.rs
+++ b/src/state/timer_queue.rs
@@ -1,18 +1,19 @@
-//! Timers of many keys, in order of time.
+//! Timers by key, ordered by time.
 
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// At most one timer a key. The caller remembers each key's time, so that the queue needs no second index.
+/// Queue with at most one timer per key. The caller stores each key's time, so that no index by key is
+/// needed.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(bound = "K: Ord + Serialize + serde::de::DeserializeOwned")]
 pub(crate) struct TimerQueue<K>(BTreeSet<(Timestamp, K)>);
 
 impl<K: Ord + Copy> TimerQueue<K> {
-    /// Moves the timer of `key` from its `former` time to `next`; `None` removes it.
-    pub(crate) fn reschedule(&mut self, key: K, former: Timestamp, next: Option<Timestamp>) {
-        self.0.remove(&(former, key));
+    /// Moves the timer of `key` from its `previous` time to `next`; `None` removes it.
+    pub(crate) fn reschedule(&mut self, key: K, previous: Timestamp, next: Option<Timestamp>) {
+        self.0.remove(&(previous, key));
         self.0.extend(next.map(|at| (at, key)));
     }
 
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -1,4 +1,4 @@
-//! Token buckets of tenants.
+//! Token buckets for tenants' quotas.
 
 use crate::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -12,12 +12,12 @@
     refilled_at: Timestamp,
 }
 
-/// What is left of each tenant's quota of statements. A bucket holds one second's worth, and at least one statement.
+/// Token bucket of each tenant. Its capacity is one second's quota, and at least one statement.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct TenantQuotas(BTreeMap<usize, TokenBucket>);
 
 impl TenantQuotas {
-    /// Takes one statement from a tenant's bucket; returns whether one was left.
+    /// Takes one token from a tenant's bucket; returns whether one was available.
     pub(crate) fn try_take(&mut self, tenant: usize, per_second: f64, now: Timestamp) -> bool {
         let bucket = self.0.entry(tenant).or_insert(TokenBucket {
             tokens: 0.0,
@@ -26,10 +26,10 @@
         let refill = (now - bucket.refilled_at).ratio(SECOND) * per_second;
         bucket.tokens = (bucket.tokens + refill).min(per_second.max(1.0));
         bucket.refilled_at = now;
-        let is_within = bucket.tokens >= 1.0;
-        if is_within {
+        let is_available = bucket.tokens >= 1.0;
+        if is_available {
             bucket.tokens -= 1.0;
         }
-        is_within
+        is_available
     }
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,15 +1,15 @@
-//! Clock types of the decision rules: points in time by two clocks and differences between them, kept apart by type.
+//! Time types: points in time of two clocks, distinguished by type, and differences between them.
 //!
-//! All count microseconds. All arithmetic saturates, so a clock that steps back yields zero instead of a panic.
-//! [`RemoteClock`](crate::remote_clock::RemoteClock) relates the two clocks.
+//! All count microseconds. All arithmetic saturates, so a clock that steps back yields zero instead of a
+//! panic. [`RemoteClock`](crate::remote_clock::RemoteClock) relates the two clocks.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Mul, Sub};
 
-/// Longest time for which a driver may be held up between reading its clock and the write that follows.
+/// Maximum delay of a driver between reading its clock and the write that follows.
 pub const MAX_WRITE_DELAY: TimeSpan = TimeSpan::millis(150);
 
-/// A point in time in microseconds of the host's monotonic clock, whose origin means nothing.
+/// A point in time in microseconds of the host's monotonic clock, whose origin is arbitrary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Timestamp(pub u64);
 
@@ -17,8 +17,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TimeSpan(pub u64);
 
-/// A point in time in microseconds of Unix time, by the clock that members and discovery share: a log position, a start of
-/// a member. The host's own wall clock may differ from it by any amount.
+/// A point in time in microseconds of Unix time, by the clock that members and discovery share, such as a log
+/// position or the start of a member. The host's own wall clock may differ by any amount.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RemoteTimestamp(pub u64);
 
@@ -40,7 +40,7 @@
         TimeSpan(milliseconds.saturating_mul(1000))
     }
 
-    /// This span divided by `other`; an empty `other` counts as one microsecond.
+    /// This span divided by `other`; a zero `other` counts as one microsecond.
     pub fn ratio(self, other: TimeSpan) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
@@ -60,7 +60,7 @@
     }
 }
 
-/// The time since an earlier point; zero if `earlier` is in fact the later one.
+/// The time since `earlier`; zero if that is the later one.
 impl Sub for Timestamp {
     type Output = TimeSpan;
     fn sub(self, earlier: Timestamp) -> TimeSpan {
@@ -82,7 +82,7 @@
     }
 }
 
-/// The time since an earlier point; zero if `earlier` is in fact the later one.
+/// The time since `earlier`; zero if that is the later one.
 impl Sub for RemoteTimestamp {
     type Output = TimeSpan;
     fn sub(self, earlier: RemoteTimestamp) -> TimeSpan {
--- a/src/zone_health.rs
+++ b/src/zone_health.rs
@@ -1,30 +1,32 @@
-//! When each zone last answered, and when it was left. Nothing here chooses.
+//! Detection of unresponsive zones.
 //!
-//! One driver meets a member too rarely to learn of it alone what it learns of all members of a zone together.
+//! A driver of a large fleet sends to a single member too rarely to detect that it is unreachable, but often
+//! enough to all members of a zone together.
 
 use crate::time::{TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// An execution is overdue after so many of the longest typical latencies.
-const OVERDUE_LATENCIES: f64 = 2.5;
-/// So many overdue executions, without an answer from their zone since, are not chance.
-const LEAST_OVERDUE: usize = 2;
-/// A zone that was left is tried again after this.
-const RETRY_ZONE_AFTER: TimeSpan = TimeSpan::millis(1500);
+/// Multiple of the maximum typical latency after which an execution counts as delayed.
+const DELAY_THRESHOLD_LATENCIES: f64 = 2.5;
+/// Number of delayed executions, without an answer from their zone since, from which on the zone is
+/// unresponsive.
+const MIN_DELAYED_EXECUTIONS: usize = 2;
+/// Time after which an avoided zone is tried again.
+const ZONE_RETRY_DELAY: TimeSpan = TimeSpan::millis(1500);
 
-/// Executions dispatched before this time are overdue.
-pub fn delayed_before(now: Timestamp, longest_typical: TimeSpan) -> Timestamp {
-    now - longest_typical * OVERDUE_LATENCIES
+/// Time before which an execution in flight must have been dispatched to count as delayed.
+pub fn delayed_before(now: Timestamp, max_typical: TimeSpan) -> Timestamp {
+    now - max_typical * DELAY_THRESHOLD_LATENCIES
 }
 
-/// Last answer and last departure of each zone, by the zone's index.
+/// Time of the last answer from each zone, and time since which it is avoided, by zone index.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneHealth {
     answered_at: Vec<Timestamp>,
-    left_at: Vec<Timestamp>,
+    avoided_at: Vec<Timestamp>,
 }
 
-/// Zones are numbered densely, by the settings and the list.
+/// Zone indices are dense, so the vector stays short.
 fn set(times: &mut Vec<Timestamp>, zone: u16, now: Timestamp) {
     let index = usize::from(zone);
     times.resize(times.len().max(index + 1), Timestamp(0));
@@ -36,31 +38,32 @@
 }
 
 impl ZoneHealth {
-    /// A member of the zone has answered.
+    /// Records an answer from a member of the zone.
     pub fn record_answer(&mut self, zone: u16, now: Timestamp) {
         set(&mut self.answered_at, zone, now);
     }
 
-    /// The zone is avoided from now on, until it answers or it is time to try again.
-    pub fn leave(&mut self, zone: u16, now: Timestamp) {
-        set(&mut self.left_at, zone, now);
+    /// Avoids the zone until it answers or `ZONE_RETRY_DELAY` has passed.
+    pub fn avoid(&mut self, zone: u16, now: Timestamp) {
+        set(&mut self.avoided_at, zone, now);
     }
 
-    /// Whether nothing comes from the zone, by the dispatch times of the executions in flight there.
-    pub fn is_silent(
+    /// Whether the zone is avoided, or has delayed executions without an answer since. `dispatched` are the
+    /// dispatch times of the executions in flight there.
+    pub fn is_zone_unresponsive(
         &self,
         zone: u16,
         dispatched: &mut dyn Iterator<Item = Timestamp>,
         now: Timestamp,
-        longest_typical: TimeSpan,
+        max_typical: TimeSpan,
     ) -> bool {
         let answered_at = get(&self.answered_at, zone);
-        let left_at = get(&self.left_at, zone);
-        if left_at > answered_at && now < left_at + RETRY_ZONE_AFTER {
+        let avoided_at = get(&self.avoided_at, zone);
+        if avoided_at > answered_at && now < avoided_at + ZONE_RETRY_DELAY {
             return true;
         }
-        let overdue = delayed_before(now, longest_typical);
-        let unanswered = dispatched.filter(|at| *at > answered_at && *at < overdue);
-        unanswered.count() >= LEAST_OVERDUE
+        let threshold = delayed_before(now, max_typical);
+        let unanswered = dispatched.filter(|at| *at > answered_at && *at < threshold);
+        unanswered.count() >= MIN_DELAYED_EXECUTIONS
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A driver at a made-up store, and what it did at each call.
-#![allow(dead_code)] // each test file uses a part
+//! Test harness: one driver and builders of its inputs.
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 use asterlatch::interface::*;
 use asterlatch::policy::RoutingPolicy;
@@ -11,25 +11,25 @@
 pub(crate) const FRESH: usize = 3;
 pub(crate) const SESSION: usize = 4;
 
-pub(crate) fn ms(n: u64) -> TimeSpan {
-    TimeSpan::millis(n)
+pub(crate) fn ms(milliseconds: u64) -> TimeSpan {
+    TimeSpan::millis(milliseconds)
 }
 
-pub(crate) fn at(n: u64) -> Timestamp {
-    Timestamp(1_000_000_000) + ms(n)
+pub(crate) fn at(now_ms: u64) -> Timestamp {
+    Timestamp(1_000_000_000) + ms(now_ms)
 }
 
-/// The members' clock, which the driver shares unless a test says otherwise.
-pub(crate) fn remote(n: u64) -> RemoteTimestamp {
-    RemoteTimestamp(at(n).0)
+/// A time of the members' clock, which is the driver's clock unless a test states otherwise.
+pub(crate) fn remote_at(now_ms: u64) -> RemoteTimestamp {
+    RemoteTimestamp(at(now_ms).0)
 }
 
 pub(crate) fn settings() -> Settings {
-    let row = |freshness, repeat| WorkloadSettings {
+    let workload = |freshness, safety| WorkloadSettings {
         importance: 1.0,
         late_share: 0.0,
         slo_time: ms(500),
-        retry_safety: repeat,
+        retry_safety: safety,
         deduplication_scope: DeduplicationScope::Group,
         deduplication_window: ms(1000),
         freshness,
@@ -38,11 +38,11 @@
         driver_count: 1,
         tick: ms(1),
         workloads: vec![
-            row(Freshness::Any, RetrySafety::Idempotent),
-            row(Freshness::Bounded(ms(300)), RetrySafety::Idempotent),
-            row(Freshness::Write, RetrySafety::NonIdempotent),
-            row(Freshness::Fresh, RetrySafety::Idempotent),
-            row(Freshness::Session, RetrySafety::Idempotent),
+            workload(Freshness::Any, RetrySafety::Idempotent),
+            workload(Freshness::Bounded(ms(300)), RetrySafety::Idempotent),
+            workload(Freshness::Write, RetrySafety::NonIdempotent),
+            workload(Freshness::Fresh, RetrySafety::Idempotent),
+            workload(Freshness::Session, RetrySafety::Idempotent),
         ],
         over_quota_share: 1.0,
         members_check_reads: true,
@@ -61,13 +61,13 @@
     }
 }
 
-pub(crate) fn with(change: impl FnOnce(&mut Settings)) -> Settings {
-    let mut s = settings();
-    change(&mut s);
-    s
+pub(crate) fn settings_with(change: impl FnOnce(&mut Settings)) -> Settings {
+    let mut settings = settings();
+    change(&mut settings);
+    settings
 }
 
-pub(crate) fn member(id: u32) -> MemberEntry {
+pub(crate) fn member_entry(id: u32) -> MemberEntry {
     MemberEntry {
         id,
         fleet_key: u64::from(id),
@@ -78,193 +78,223 @@
     }
 }
 
-pub(crate) fn standing(id: u32, standing: MemberState) -> MemberEntry {
-    let plain = member(id);
+pub(crate) fn member_in_state(id: u32, listed_state: MemberState) -> MemberEntry {
+    let entry = member_entry(id);
     MemberEntry {
-        state: standing,
-        ..plain
+        state: listed_state,
+        ..entry
     }
 }
 
-pub(crate) fn drained(id: u32) -> MemberEntry {
-    standing(id, MemberState::Draining)
+pub(crate) fn draining_member(id: u32) -> MemberEntry {
+    member_in_state(id, MemberState::Draining)
 }
 
-pub(crate) fn started(id: u32, when: RemoteTimestamp) -> MemberEntry {
-    let (started, plain) = (Some(when), member(id));
+pub(crate) fn started_member(id: u32, started_at: RemoteTimestamp) -> MemberEntry {
+    let (start, entry) = (Some(started_at), member_entry(id));
     MemberEntry {
-        started_at: started,
-        ..plain
+        started_at: start,
+        ..entry
     }
 }
 
-pub(crate) fn statement(id: u32, workload: usize, left: u64) -> Statement {
+pub(crate) fn statement(id: u32, workload: usize, time_left_ms: u64) -> Statement {
     Statement {
         id,
         workload,
         group: 7,
         session: 9,
-        time_left: ms(left),
+        time_left: ms(time_left_ms),
         ..Statement::default()
     }
 }
 
-pub(crate) fn ended(
-    stmt: u32,
+pub(crate) fn execution_end(
+    statement_id: u32,
     member: u32,
-    ending: ExecutionOutcome,
-    took: u64,
-    sighting: ReplicaStatus,
+    execution_outcome: ExecutionOutcome,
+    latency_ms: u64,
+    reported: ReplicaStatus,
 ) -> ExecutionEnd {
-    let (number, took, settled) = (0, ms(took), ending == ExecutionOutcome::Completed);
+    let (first_attempt, duration, is_final) = (
+        0,
+        ms(latency_ms),
+        execution_outcome == ExecutionOutcome::Completed,
+    );
     ExecutionEnd {
-        statement: stmt,
-        attempt: number,
+        statement: statement_id,
+        attempt: first_attempt,
         member,
-        outcome: ending,
-        latency: took,
-        is_answered: settled,
-        status: sighting,
+        outcome: execution_outcome,
+        latency: duration,
+        is_answered: is_final,
+        status: reported,
     }
 }
 
-pub(crate) struct Bench {
+pub(crate) struct Harness {
     pub(crate) driver: RoutingPolicy,
-    next: u32,
-    numbers: std::collections::BTreeMap<u32, u8>,
+    last_statement: u32,
+    attempts: std::collections::BTreeMap<u32, u8>,
 }
 
-pub(crate) fn bench(settings: &Settings, members: u32) -> Bench {
+pub(crate) fn new_harness(settings: &Settings, members: u32) -> Harness {
     let mut driver = RoutingPolicy::new(settings, 5, at(0));
     driver.set_shared_clock();
-    let entries: Vec<_> = (1..=members).map(member).collect();
+    let entries: Vec<_> = (1..=members).map(member_entry).collect();
     driver.on_endpoint_list(at(0), &entries, true);
-    Bench {
+    Harness {
         driver,
-        next: 0,
-        numbers: Default::default(),
+        last_statement: 0,
+        attempts: Default::default(),
     }
 }
 
-impl Bench {
-    pub(crate) fn take(&mut self, now: u64, workload: usize) -> (u32, Actions) {
-        self.take_by(now, workload, 2000, 0)
+impl Harness {
+    /// Submits a statement; returns its id and the actions.
+    pub(crate) fn submit(&mut self, now: u64, workload: usize) -> (u32, Actions) {
+        self.submit_with(now, workload, 2000, 0)
     }
 
-    pub(crate) fn goes(&mut self, now: u64, workload: usize) -> Vec<u32> {
-        sent_to(&self.take(now, workload).1)
+    /// Submits a statement; returns the members to which it was sent.
+    pub(crate) fn route(&mut self, now: u64, workload: usize) -> Vec<u32> {
+        sent_to(&self.submit(now, workload).1)
     }
 
-    pub(crate) fn take_by(&mut self, now: u64, workload: usize, left: u64, tenant: usize) -> (u32, Actions) {
-        self.next += 1;
-        let plain = statement(self.next, workload, left);
-        let stmt = Statement { tenant, ..plain };
-        (self.next, self.driver.on_statement(at(now), &stmt))
+    pub(crate) fn submit_with(
+        &mut self,
+        now: u64,
+        workload: usize,
+        time_left_ms: u64,
+        tenant: usize,
+    ) -> (u32, Actions) {
+        self.last_statement += 1;
+        let default = statement(self.last_statement, workload, time_left_ms);
+        let statement = Statement { tenant, ..default };
+        (self.last_statement, self.driver.on_statement(at(now), &statement))
     }
 
-    /// Id of the statement that was sent last.
+    /// Id of the statement that was submitted last.
     pub(crate) fn last_statement(&self) -> u32 {
-        self.next
+        self.last_statement
     }
 
-    pub(crate) fn told(&mut self, now: u64, entry: MemberEntry) -> Actions {
+    pub(crate) fn update_endpoint(&mut self, now: u64, entry: MemberEntry) -> Actions {
         self.driver.on_endpoint_list(at(now), &[entry], false)
     }
 
-    pub(crate) fn end(
+    pub(crate) fn end_execution(
         &mut self,
         now: u64,
-        stmt: u32,
-        number: u8,
+        statement: u32,
+        attempt: u8,
         member: u32,
-        ending: ExecutionOutcome,
+        outcome: ExecutionOutcome,
     ) -> Actions {
-        self.end_seen(now, stmt, number, member, ending, ReplicaStatus::default())
+        self.end_with_status(now, statement, attempt, member, outcome, ReplicaStatus::default())
     }
 
-    pub(crate) fn end_seen(
+    pub(crate) fn end_with_status(
         &mut self,
         now: u64,
-        s: u32,
-        number: u8,
-        m: u32,
-        e: ExecutionOutcome,
-        seen: ReplicaStatus,
+        statement: u32,
+        attempt_number: u8,
+        member: u32,
+        outcome: ExecutionOutcome,
+        status: ReplicaStatus,
     ) -> Actions {
-        let first = ended(s, m, e, 50, seen);
+        let first = execution_end(statement, member, outcome, 50, status);
         let end = ExecutionEnd {
-            attempt: number,
+            attempt: attempt_number,
             ..first
         };
         self.driver.on_execution_ended(at(now), &end)
     }
 
-    pub(crate) fn see(&mut self, now: u64, member: u32, position: u64, primary: bool) -> Actions {
-        let sighting = seen(position, primary);
-        self.driver
-            .on_health_check(at(now), member, true, ms(1), sighting)
+    pub(crate) fn answer_health_check(
+        &mut self,
+        now: u64,
+        member: u32,
+        position: u64,
+        is_primary: bool,
+    ) -> Actions {
+        let status = replica_status(position, is_primary);
+        self.driver.on_health_check(at(now), member, true, ms(1), status)
     }
 
-    pub(crate) fn run_through(&mut self, now: u64, workload: usize, ending: ExecutionOutcome) -> usize {
-        self.run_by(now, workload, |_| ending).len()
+    pub(crate) fn run_statement(&mut self, now: u64, workload: usize, outcome: ExecutionOutcome) -> usize {
+        self.run_statement_with(now, workload, |_| outcome).len()
     }
 
-    /// Ends every execution that a statement leads to, also those of others that waited; the members they went to.
-    pub(crate) fn run_by(
+    /// Submits a statement and ends all executions that follow, including those of statements that had
+    /// waited. Returns the members that executed them.
+    pub(crate) fn run_statement_with(
         &mut self,
         now: u64,
         workload: usize,
-        ending: impl Fn(u32) -> ExecutionOutcome,
+        outcome: impl Fn(u32) -> ExecutionOutcome,
     ) -> Vec<u32> {
-        let (_, r) = self.take(now, workload);
-        let (mut todo, mut members) = (r.executions, Vec::new());
-        while let Some(e) = todo.pop() {
-            let number = self.numbers.entry(e.statement).or_default();
-            let n = std::mem::replace(number, *number + 1);
-            let r = self.end(now + 1, e.statement, n, e.member, ending(e.member));
-            todo.extend(r.executions);
-            members.push(e.member);
+        let (_, actions) = self.submit(now, workload);
+        let (mut pending, mut members) = (actions.executions, Vec::new());
+        while let Some(execution) = pending.pop() {
+            let next_attempt = self.attempts.entry(execution.statement).or_default();
+            let attempt = std::mem::replace(next_attempt, *next_attempt + 1);
+            let actions = self.end_execution(
+                now + 1,
+                execution.statement,
+                attempt,
+                execution.member,
+                outcome(execution.member),
+            );
+            pending.extend(actions.executions);
+            members.push(execution.member);
         }
         members
     }
 
-    pub(crate) fn crowd(&mut self, now: u64) -> Vec<(u32, u32)> {
-        let all = (0..40).flat_map(|_| self.take(now, READ).1.executions);
-        all.map(|e| (e.statement, e.member)).collect()
+    /// Submits 40 reads; returns the executions that started, as statement and member.
+    pub(crate) fn saturate(&mut self, now: u64) -> Vec<(u32, u32)> {
+        let executions = (0..40).flat_map(|_| self.submit(now, READ).1.executions);
+        executions.map(|e| (e.statement, e.member)).collect()
     }
 
-    pub(crate) fn run_until(&mut self, from: u64, until: u64) -> Actions {
-        let mut all = Actions::default();
+    /// Advances the clock millisecond by millisecond; returns all actions.
+    pub(crate) fn advance_through(&mut self, from: u64, until: u64) -> Actions {
+        let mut merged = Actions::default();
         for now in from..=until {
-            let r = self.driver.advance_to(at(now));
-            all.cancellations.extend(r.cancellations);
-            all.executions.extend(r.executions);
-            all.answers.extend(r.answers);
-            all.health_checks.extend(r.health_checks);
-            all.poll_endpoint_list |= r.poll_endpoint_list;
+            let actions = self.driver.advance_to(at(now));
+            merged.cancellations.extend(actions.cancellations);
+            merged.executions.extend(actions.executions);
+            merged.answers.extend(actions.answers);
+            merged.health_checks.extend(actions.health_checks);
+            merged.poll_endpoint_list |= actions.poll_endpoint_list;
         }
-        all
+        merged
     }
 }
 
-pub(crate) fn seen(position: u64, primary: bool) -> ReplicaStatus {
+pub(crate) fn replica_status(position: u64, is_primary: bool) -> ReplicaStatus {
     ReplicaStatus {
-        position: Some(remote(position)),
-        is_primary: Some(primary),
+        position: Some(remote_at(position)),
+        is_primary: Some(is_primary),
     }
 }
 
-pub(crate) fn sent_to(r: &Actions) -> Vec<u32> {
-    r.executions.iter().map(|e| e.member).collect()
+/// Members to which executions are sent.
+pub(crate) fn sent_to(actions: &Actions) -> Vec<u32> {
+    actions.executions.iter().map(|e| e.member).collect()
 }
 
-pub(crate) fn answer(r: &Actions, id: u32) -> &'static str {
-    let found = r.answers.iter().filter_map(|a| match a {
-        Answer::Rejected { statement: stmt, .. } if *stmt == id => Some("rejected"),
-        Answer::Aborted { statement: stmt } if *stmt == id => Some("aborted"),
+/// The final answer to a statement, or an empty string.
+pub(crate) fn answer(actions: &Actions, id: u32) -> &'static str {
+    let answers = actions.answers.iter().filter_map(|answer| match answer {
+        Answer::Rejected {
+            statement: answered, ..
+        } if *answered == id => Some("rejected"),
+        Answer::Aborted { statement: answered } if *answered == id => Some("aborted"),
         _ => None,
     });
-    let all: Vec<_> = found.collect();
-    assert!(all.len() < 2, "more than one final answer");
-    all.first().copied().unwrap_or("")
+    let answers: Vec<_> = answers.collect();
+    assert!(answers.len() < 2, "statement {id} has more than one final answer");
+    answers.first().copied().unwrap_or("")
 }
--- a/tests/member_updates.rs
+++ b/tests/member_updates.rs
@@ -1,195 +1,223 @@
-//! What other drivers have told: it counts as far as it is safe, and never as a member's own word to this one.
+//! Reports about members, sessions and prior attempts from other drivers.
 
 mod common;
 use asterlatch::interface::*;
 use asterlatch::time::TimeSpan;
 use common::*;
 
-fn told(
-    b: &mut Bench,
+fn report_status(
+    harness: &mut Harness,
     now: u64,
     member: u32,
-    ago: u64,
+    age_ms: u64,
     position: Option<u64>,
-    primary: Option<bool>,
+    acts_as_primary: Option<bool>,
 ) -> Actions {
-    let sighting = ReplicaStatus {
-        position: position.map(remote),
-        is_primary: primary,
+    let status = ReplicaStatus {
+        position: position.map(remote_at),
+        is_primary: acts_as_primary,
     };
-    b.driver
-        .on_member_update(at(now), member, MemberUpdate::Status(ms(ago), sighting))
+    harness
+        .driver
+        .on_member_update(at(now), member, MemberUpdate::Status(ms(age_ms), status))
 }
 
-/// (told of replica 2 at 10,000: how far it was, how long ago; where a read goes that may be 300 ms old)
 #[test]
-fn reported_position_covers_no_more_than_own_report() {
+fn on_member_update_outdated_position_does_not_cover_bounded_read() {
+    // (name, position of replica 2 as reported at 10,000, age of the report; whether it gets a read with a
+    // bound of 300 ms)
     #[rustfmt::skip]
     let table = [
         ("current", Some(9_900), 50, true),
         ("too far behind", Some(9_600), 50, false),
-        ("nothing told", None, 50, false),
-        // It was current then; nobody knows what it is now, and members here don't check reads.
-        ("long ago", Some(9_000), 1000, false),
+        ("no position", None, 50, false),
+        // Its current position is unknown, and members do not check reads.
+        ("old report", Some(9_000), 1000, false),
     ];
-    for (name, position, ago, ready) in table {
-        let s = with(|s| s.members_check_reads = false);
-        let mut b = bench(&s, 2);
-        b.see(9_990, 1, 9_990, true);
-        told(&mut b, 10_000, 2, ago, position, None);
-        let went = b.goes(10_000, BOUNDED);
-        assert_eq!(went, [if ready { 2 } else { 1 }], "{name}");
+    for (name, position, age_ms, is_ready) in table {
+        let settings = settings_with(|settings| settings.members_check_reads = false);
+        let mut harness = new_harness(&settings, 2);
+        harness.answer_health_check(9_990, 1, 9_990, true);
+        report_status(&mut harness, 10_000, 2, age_ms, position, None);
+        let members = harness.route(10_000, BOUNDED);
+        assert_eq!(members, [if is_ready { 2 } else { 1 }], "{name}");
     }
 }
 
 #[test]
-fn own_report_outweighs_older_reports() {
-    let s = with(|s| s.members_check_reads = false);
-    let mut b = bench(&s, 2);
-    b.see(9_990, 1, 9_990, true);
-    b.see(9_990, 2, 9_950, false);
-    told(&mut b, 10_000, 2, 10, Some(9_000), None);
-    assert_eq!(b.goes(10_000, BOUNDED), [2]);
+fn on_member_update_older_position_does_not_replace_direct_report() {
+    let settings = settings_with(|settings| settings.members_check_reads = false);
+    let mut harness = new_harness(&settings, 2);
+    harness.answer_health_check(9_990, 1, 9_990, true);
+    harness.answer_health_check(9_990, 2, 9_950, false);
+    report_status(&mut harness, 10_000, 2, 10, Some(9_000), None);
+    assert_eq!(harness.route(10_000, BOUNDED), [2]);
 }
 
-/// A role counts by the position it was told at, whoever heard it.
 #[test]
-fn primary_reported_by_others_takes_writes() {
-    let mut b = bench(&settings(), 3);
-    b.see(1000, 1, 1000, true);
-    told(&mut b, 2000, 2, 5, Some(1990), Some(true));
-    assert_eq!(b.goes(2001, WRITE), [2]);
-    // An older claim, told late, changes nothing.
-    told(&mut b, 2002, 3, 900, Some(1100), Some(true));
-    assert_eq!(b.goes(2003, WRITE), [2]);
-    // It has stepped back since.
-    told(&mut b, 2010, 2, 1, Some(2009), Some(false));
-    assert!(b.goes(2011, WRITE).is_empty(), "nobody is named: it waits");
-    // Of one that isn't known here nothing holds.
-    assert!(told(&mut b, 2012, 99, 1, Some(2011), Some(true))
+fn on_member_update_role_at_latest_position_decides_the_primary() {
+    let mut harness = new_harness(&settings(), 3);
+    harness.answer_health_check(1000, 1, 1000, true);
+    report_status(&mut harness, 2000, 2, 5, Some(1990), Some(true));
+    assert_eq!(harness.route(2001, WRITE), [2]);
+    // A delayed report of an older role changes nothing.
+    report_status(&mut harness, 2002, 3, 900, Some(1100), Some(true));
+    assert_eq!(harness.route(2003, WRITE), [2]);
+    // Member 2 reports that it is a replica again.
+    report_status(&mut harness, 2010, 2, 1, Some(2009), Some(false));
+    assert!(
+        harness.route(2011, WRITE).is_empty(),
+        "the write waits for a primary"
+    );
+    // Reports about unknown members are ignored.
+    assert!(report_status(&mut harness, 2012, 99, 1, Some(2011), Some(true))
         .executions
         .is_empty());
 }
 
-/// Others' word says nothing of how this driver fares with a member.
 #[test]
-fn reports_of_others_do_not_readmit_ejected_member() {
-    let mut b = bench(&settings(), 2);
-    b.see(0, 1, 0, true);
-    let (stmt, r) = b.take(1, WRITE);
-    assert_eq!(sent_to(&r), [1]);
-    b.end(2, stmt, 0, 1, ExecutionOutcome::ConnectionLost);
-    told(&mut b, 3, 1, 1, Some(2), Some(true));
-    assert!(b.goes(4, WRITE).is_empty(), "a probe or an answer does");
-    assert_eq!(sent_to(&b.see(5, 1, 5, true)), [1]);
+fn on_member_update_ejected_member_stays_ejected() {
+    let mut harness = new_harness(&settings(), 2);
+    harness.answer_health_check(0, 1, 0, true);
+    let (id, actions) = harness.submit(1, WRITE);
+    assert_eq!(sent_to(&actions), [1]);
+    harness.end_execution(2, id, 0, 1, ExecutionOutcome::ConnectionLost);
+    report_status(&mut harness, 3, 1, 1, Some(2), Some(true));
+    assert!(
+        harness.route(4, WRITE).is_empty(),
+        "only a health check or an answer readmits it"
+    );
+    assert_eq!(sent_to(&harness.answer_health_check(5, 1, 5, true)), [1]);
 }
 
 #[test]
-fn session_reads_its_write_through_another_driver() {
-    let s = with(|s| {
-        s.carries_session_position = false;
-        s.members_check_reads = false;
+fn on_session_position_session_read_sees_write_through_another_driver() {
+    let settings = settings_with(|settings| {
+        settings.carries_session_position = false;
+        settings.members_check_reads = false;
     });
-    let mut b = bench(&s, 2);
-    b.see(9_000, 1, 9_000, true);
-    b.see(9_000, 2, 8_990, false);
-    assert_eq!(b.goes(9_001, SESSION), [2], "nothing written is known");
-    b.driver.on_session_position(9, remote(8_995));
-    assert_eq!(b.goes(9_002, SESSION), [1], "the replica isn't that far");
-    b.see(9_010, 2, 9_000, false);
-    assert_eq!(b.goes(9_011, SESSION), [2]);
-    b.driver.on_session_position(9, remote(8_000));
-    assert_eq!(b.goes(9_012, SESSION), [2], "an older word undoes nothing");
+    let mut harness = new_harness(&settings, 2);
+    harness.answer_health_check(9_000, 1, 9_000, true);
+    harness.answer_health_check(9_000, 2, 8_990, false);
+    assert_eq!(
+        harness.route(9_001, SESSION),
+        [2],
+        "no write of the session is known"
+    );
+    harness.driver.on_session_position(9, remote_at(8_995));
+    assert_eq!(
+        harness.route(9_002, SESSION),
+        [1],
+        "the replica lags behind the write"
+    );
+    harness.answer_health_check(9_010, 2, 9_000, false);
+    assert_eq!(harness.route(9_011, SESSION), [2]);
+    harness.driver.on_session_position(9, remote_at(8_000));
+    assert_eq!(
+        harness.route(9_012, SESSION),
+        [2],
+        "an older position changes nothing"
+    );
 }
 
-/// (workload's repeats, scope; sent so long ago; to member 1 of zone 0 or 2 of zone 1; where it goes and what is told)
 #[test]
-fn prior_attempt_elsewhere_allows_dispatch_only_where_safe() {
-    let long = TimeSpan(u64::MAX / 4);
+fn on_statement_prior_attempt_is_dispatched_only_where_safe() {
+    // (name, retry safety, deduplication scope, age and member of the prior attempt, expected members,
+    // expected answer); member 1 is in zone 0 and member 2 in zone 1
+    let unknown_age = TimeSpan(u64::MAX / 4);
     #[rustfmt::skip]
     let table = [
-        ("none is doubted", RetrySafety::NonIdempotent, DeduplicationScope::Group, None, vec![1], ""),
-        ("it may have run", RetrySafety::NonIdempotent, DeduplicationScope::All, Some((ms(10), 1)), vec![], "aborted"),
-        ("it may have run at any time", RetrySafety::NonIdempotent, DeduplicationScope::All, Some((long, 0)), vec![], "aborted"),
-        ("the store still drops its repeats", RetrySafety::Deduplicated, DeduplicationScope::All, Some((ms(790), 1)), vec![1], ""),
-        ("a write that is held up could come too late", RetrySafety::Deduplicated, DeduplicationScope::All, Some((ms(810), 1)), vec![], "rejected"),
-        ("no more", RetrySafety::Deduplicated, DeduplicationScope::All, Some((ms(1000), 1)), vec![], "rejected"),
-        ("nobody knows since when", RetrySafety::Deduplicated, DeduplicationScope::Group, Some((long, 0)), vec![], "aborted"),
-        ("dropped in the other zone only", RetrySafety::Deduplicated, DeduplicationScope::Zone, Some((ms(10), 2)), vec![], ""),
-        ("dropped in its zone", RetrySafety::Deduplicated, DeduplicationScope::Zone, Some((ms(10), 1)), vec![1], ""),
-        ("harmless whatever was", RetrySafety::Idempotent, DeduplicationScope::All, Some((long, 0)), vec![1], ""),
+        ("no prior attempt", RetrySafety::NonIdempotent, DeduplicationScope::Group, None, vec![1], ""),
+        ("may have been executed", RetrySafety::NonIdempotent, DeduplicationScope::All, Some((ms(10), 1)), vec![], "aborted"),
+        ("may have been executed at any time", RetrySafety::NonIdempotent, DeduplicationScope::All, Some((unknown_age, 0)), vec![], "aborted"),
+        ("within the deduplication window", RetrySafety::Deduplicated, DeduplicationScope::All, Some((ms(790), 1)), vec![1], ""),
+        ("a delayed write could arrive after the window", RetrySafety::Deduplicated, DeduplicationScope::All, Some((ms(810), 1)), vec![], "rejected"),
+        ("after the deduplication window", RetrySafety::Deduplicated, DeduplicationScope::All, Some((ms(1000), 1)), vec![], "rejected"),
+        ("within a window of unknown start", RetrySafety::Deduplicated, DeduplicationScope::Group, Some((unknown_age, 0)), vec![], "aborted"),
+        ("deduplicated only in the other zone", RetrySafety::Deduplicated, DeduplicationScope::Zone, Some((ms(10), 2)), vec![], ""),
+        ("deduplicated in its zone", RetrySafety::Deduplicated, DeduplicationScope::Zone, Some((ms(10), 1)), vec![1], ""),
+        ("idempotent", RetrySafety::Idempotent, DeduplicationScope::All, Some((unknown_age, 0)), vec![1], ""),
     ];
-    for (name, repeat, scope, doubted, goes, told) in table {
-        let s = with(|s| {
-            s.workloads[WRITE].retry_safety = repeat;
-            s.workloads[WRITE].deduplication_scope = scope;
+    for (name, retry_safety, scope, prior_attempt, members, expected) in table {
+        let settings = settings_with(|settings| {
+            settings.workloads[WRITE].retry_safety = retry_safety;
+            settings.workloads[WRITE].deduplication_scope = scope;
         });
-        let mut b = bench(&s, 2);
-        let zoned = MemberEntry { zone: 1, ..member(2) };
-        b.told(0, zoned);
-        b.see(1, 1, 1, true);
-        let stmt = Statement {
-            prior_attempt: doubted.map(|(age, member)| PriorAttempt { age, member }),
+        let mut harness = new_harness(&settings, 2);
+        let entry = MemberEntry {
+            zone: 1,
+            ..member_entry(2)
+        };
+        harness.update_endpoint(0, entry);
+        harness.answer_health_check(1, 1, 1, true);
+        let statement = Statement {
+            prior_attempt: prior_attempt.map(|(age, member)| PriorAttempt { age, member }),
             is_client_retry: true,
             ..statement(500, WRITE, 2000)
         };
-        let r = b.driver.on_statement(at(2000), &stmt);
-        assert_eq!(sent_to(&r), goes, "{name}");
-        assert_eq!(answer(&r, 500), told, "{name}");
-        // What waits has its one answer in time; what has one has no other.
-        let later = answer(&b.run_until(2001, 4100), 500);
-        let waits = goes.is_empty() && told.is_empty();
+        let actions = harness.driver.on_statement(at(2000), &statement);
+        assert_eq!(sent_to(&actions), members, "{name}");
+        assert_eq!(answer(&actions, 500), expected, "{name}");
+        // A waiting statement is answered in time, and no statement is answered twice.
+        let later_answer = answer(&harness.advance_through(2001, 4100), 500);
+        let is_waiting = members.is_empty() && expected.is_empty();
         assert!(
-            if waits {
-                !later.is_empty()
+            if is_waiting {
+                !later_answer.is_empty()
             } else {
-                told.is_empty() || later.is_empty()
+                expected.is_empty() || later_answer.is_empty()
             },
-            "{name}: {later}"
+            "{name}: {later_answer}"
         );
     }
 }
 
-/// What all have sent a cold member is known: then that binds, and neither its own last send nor caution does.
+/// A valid budget replaces the driver's own warm-up plan.
 #[test]
-fn warm_up_budget_binds_while_valid() {
-    let settings = with(|s| s.may_use_gone_members = false);
-    let cold = |allowed: Option<(u64, u64)>| {
-        let mut b = bench(&settings, 1);
-        b.told(0, started(1, remote(0)));
-        if let Some((work, until)) = allowed {
+fn on_member_update_warm_up_budget_limits_dispatch_while_valid() {
+    let settings = settings_with(|settings| settings.may_use_gone_members = false);
+    let dispatched = |budget: Option<(u64, u64)>| {
+        let mut harness = new_harness(&settings, 1);
+        harness.update_endpoint(0, started_member(1, remote_at(0)));
+        if let Some((work, until)) = budget {
             let (work, until) = (ms(work), at(until));
-            b.driver
+            harness
+                .driver
                 .on_member_update(at(1), 1, MemberUpdate::WarmUpBudget { work, until });
         }
-        // Statements of 100 ms; how many go out at once.
-        (0..20).map(|_| b.goes(2, WRITE).len()).sum::<usize>()
+        // Number of statements of 100 ms that are dispatched at once.
+        (0..20).map(|_| harness.route(2, WRITE).len()).sum::<usize>()
     };
-    let alone = cold(None);
-    assert!(alone <= 1, "{alone}");
+    let without_budget = dispatched(None);
+    assert!(without_budget <= 1, "{without_budget}");
     assert_eq!(
-        cold(Some((450, 200))),
+        dispatched(Some((450, 200))),
         5,
-        "what is allowed, and what it takes to pass it"
+        "the budget, and the execution that exhausts it"
+    );
+    assert_eq!(dispatched(Some((0, 200))), 0);
+    assert_eq!(
+        dispatched(Some((450, 2))),
+        without_budget,
+        "the budget has expired"
     );
-    assert_eq!(cold(Some((0, 200))), 0);
-    assert_eq!(cold(Some((450, 2))), alone, "it isn't known any more");
-    // When it isn't, what went out before is still its debt.
-    let mut b = bench(&settings, 1);
-    b.told(0, started(1, remote(0)));
+    // After its expiry, earlier dispatches still delay the next one.
+    let mut harness = new_harness(&settings, 1);
+    harness.update_endpoint(0, started_member(1, remote_at(0)));
     let (work, until) = (ms(450), at(50));
-    b.driver
+    harness
+        .driver
         .on_member_update(at(1), 1, MemberUpdate::WarmUpBudget { work, until });
-    assert_eq!(b.goes(2, WRITE), [1]);
-    assert!(b.goes(51, WRITE).is_empty());
-    let view = b.driver.warming_members(at(51));
-    assert_eq!(view.len(), 1);
+    assert_eq!(harness.route(2, WRITE), [1]);
+    assert!(harness.route(51, WRITE).is_empty());
+    let warming = harness.driver.warming_members(at(51));
+    assert_eq!(warming.len(), 1);
     assert!(
-        view[0].warm_up_fraction < 0.3 && view[0].carried_load > 0.0,
-        "{view:?}"
+        warming[0].warm_up_fraction < 0.3 && warming[0].carried_load > 0.0,
+        "{warming:?}"
     );
     assert!(
-        b.driver.warming_members(at(20_000)).is_empty(),
-        "it is warm by then"
+        harness.driver.warming_members(at(20_000)).is_empty(),
+        "the member is warm"
     );
 }
--- a/tests/peer_process.rs
+++ b/tests/peer_process.rs
@@ -1,33 +1,38 @@
-//! Two drivers that serve the same members side by side, as while one takes the other's service over.
+//! Two processes of one driver that serve the same members, as during a handover.
 
 mod common;
 use asterlatch::interface::*;
 use asterlatch::policy::RoutingPolicy;
 use common::*;
 
-/// (open elsewhere, whether a write may go out beside the ones that are out)
 #[test]
-fn peer_in_flight_counts_against_concurrency_limit() {
-    for (elsewhere, goes) in [(0, true), (7, true), (8, false), (100, false)] {
-        let mut b = bench(&settings(), 1);
-        b.driver
-            .on_member_update(at(0), 1, MemberUpdate::InFlight(elsewhere));
-        assert_eq!(!b.goes(1, WRITE).is_empty(), goes, "{elsewhere} elsewhere");
-        // What waits goes out as soon as that has ended, or the other is gone.
-        let mut again = bench(&settings(), 1);
+fn on_member_update_peer_in_flight_counts_against_concurrency_limit() {
+    // (executions in flight at the peer, whether a write is dispatched)
+    for (peer_in_flight, is_dispatched) in [(0, true), (7, true), (8, false), (100, false)] {
+        let mut harness = new_harness(&settings(), 1);
+        harness
+            .driver
+            .on_member_update(at(0), 1, MemberUpdate::InFlight(peer_in_flight));
+        assert_eq!(
+            !harness.route(1, WRITE).is_empty(),
+            is_dispatched,
+            "{peer_in_flight} at the peer"
+        );
+        // A waiting write is dispatched once the peer has fewer executions in flight or is gone.
+        let mut again = new_harness(&settings(), 1);
         again
             .driver
-            .on_member_update(at(0), 1, MemberUpdate::InFlight(elsewhere));
-        let (_, r) = again.take(1, WRITE);
-        let went = sent_to(&r).len();
-        let less = again.driver.on_member_update(at(2), 1, MemberUpdate::InFlight(3));
-        let alone = again.driver.set_peer_process(at(3), false);
+            .on_member_update(at(0), 1, MemberUpdate::InFlight(peer_in_flight));
+        let (_, actions) = again.submit(1, WRITE);
+        let dispatched = sent_to(&actions).len();
+        let fewer_in_flight = again.driver.on_member_update(at(2), 1, MemberUpdate::InFlight(3));
+        let peer_gone = again.driver.set_peer_process(at(3), false);
         assert_eq!(
-            went + sent_to(&less).len() + sent_to(&alone).len(),
+            dispatched + sent_to(&fewer_in_flight).len() + sent_to(&peer_gone).len(),
             1,
-            "{elsewhere} elsewhere"
+            "{peer_in_flight} at the peer"
         );
-        // A member that isn't known here binds nothing.
+        // Updates about unknown members are ignored.
         assert!(again
             .driver
             .on_member_update(at(4), 99, MemberUpdate::InFlight(5))
@@ -36,52 +41,62 @@
     }
 }
 
-/// Who leaves gets nothing new, and the one beside it may always be full: its last ones go out one by one.
+/// A draining process sends its last statements one by one, even if the peer is at the limit.
 #[test]
-fn draining_process_ignores_peer_in_flight() {
-    let mut b = bench(&settings(), 1);
-    b.driver.set_peer_process(at(0), true);
-    b.driver.on_member_update(at(0), 1, MemberUpdate::InFlight(1000));
-    assert_eq!(b.goes(1, WRITE), [1], "one");
-    assert!(b.goes(2, WRITE).is_empty(), "but not two at once");
-    let mut stays = bench(&settings(), 1);
-    stays.driver.set_peer_process(at(0), false);
-    stays
+fn set_peer_process_draining_process_ignores_peer_in_flight() {
+    let mut harness = new_harness(&settings(), 1);
+    harness.driver.set_peer_process(at(0), true);
+    harness
         .driver
         .on_member_update(at(0), 1, MemberUpdate::InFlight(1000));
-    assert!(stays.goes(1, WRITE).is_empty(), "who stays waits");
+    assert_eq!(harness.route(1, WRITE), [1], "first write");
+    assert!(
+        harness.route(2, WRITE).is_empty(),
+        "second write while the first is in flight"
+    );
+    let mut remaining = new_harness(&settings(), 1);
+    remaining.driver.set_peer_process(at(0), false);
+    remaining
+        .driver
+        .on_member_update(at(0), 1, MemberUpdate::InFlight(1000));
+    assert!(
+        remaining.route(1, WRITE).is_empty(),
+        "the remaining process waits"
+    );
 }
 
-/// How many statements a cold member is sent by both together within a second. It starts once these processes are old
-/// enough not to have had a predecessor whose dispatches count as well.
-fn sent_cold(yields: bool) -> (usize, usize, usize) {
+/// Statements sent to a member within a second after its start, by a lone process and by two peer processes.
+/// The member starts late enough that no predecessor's dispatches count.
+fn dispatches_to_warming_member(yields: bool) -> (usize, usize, usize) {
     const START: u64 = 5000;
     let settings = settings();
-    let mut alone = bench(&settings, 1);
-    let told = |b: &mut Bench| b.told(START, started(1, remote(START)));
-    told(&mut alone);
-    let (mut old, mut new) = (bench(&settings, 1), bench(&settings, 1));
-    [&mut old, &mut new].into_iter().for_each(|b| drop(told(b)));
-    old.driver.set_peer_process(at(START + 1), yields);
-    new.driver.set_peer_process(at(START + 1), false);
+    let mut lone = new_harness(&settings, 1);
+    let announce =
+        |harness: &mut Harness| harness.update_endpoint(START, started_member(1, remote_at(START)));
+    announce(&mut lone);
+    let (mut draining, mut successor) = (new_harness(&settings, 1), new_harness(&settings, 1));
+    [&mut draining, &mut successor]
+        .into_iter()
+        .for_each(|harness| drop(announce(harness)));
+    draining.driver.set_peer_process(at(START + 1), yields);
+    successor.driver.set_peer_process(at(START + 1), false);
     let mut sent = [0; 3];
     for now in START + 2..START + 1000 {
-        for (n, b) in [&mut alone, &mut old, &mut new].into_iter().enumerate() {
-            // Whatever waited goes out in its time, and so does a new one.
-            let mut r = b.driver.advance_to(at(now));
-            r.executions.extend(b.take(now, WRITE).1.executions);
-            sent[n] += r.executions.len();
-            let mut ends = r.executions;
-            while let Some(e) = ends.pop() {
-                let end = ended(
-                    e.statement,
-                    e.member,
+        for (process, harness) in [&mut lone, &mut draining, &mut successor].into_iter().enumerate() {
+            let mut actions = harness.driver.advance_to(at(now));
+            actions.executions.extend(harness.submit(now, WRITE).1.executions);
+            sent[process] += actions.executions.len();
+            let mut ends = actions.executions;
+            while let Some(execution) = ends.pop() {
+                let end = execution_end(
+                    execution.statement,
+                    execution.member,
                     ExecutionOutcome::Completed,
                     1,
-                    seen(now, true),
+                    replica_status(now, true),
                 );
-                let more = b.driver.on_execution_ended(at(now), &end).executions;
-                sent[n] += more.len();
+                let more = harness.driver.on_execution_ended(at(now), &end).executions;
+                sent[process] += more.len();
                 ends.extend(more);
             }
         }
@@ -90,66 +105,70 @@
 }
 
 #[test]
-fn warming_member_gets_from_both_processes_no_more_than_from_one() {
-    let (alone, old, new) = sent_cold(true);
-    assert_eq!(old, 0, "it is the other's");
-    assert!(new > 0 && new <= alone, "{new} of {alone}");
-    let (alone, old, new) = sent_cold(false);
+fn set_peer_process_warming_member_gets_no_more_than_from_one_process() {
+    let (lone, draining, successor) = dispatches_to_warming_member(true);
+    assert_eq!(draining, 0, "warming members are left to the peer");
+    assert!(successor > 0 && successor <= lone, "{successor} of {lone}");
+    let (lone, draining, successor) = dispatches_to_warming_member(false);
     assert!(
-        old + new > alone,
-        "{old} and {new} against {alone}: or this proves nothing"
+        draining + successor > lone,
+        "without yielding {draining} and {successor} should exceed {lone}"
     );
 }
 
-/// What went out since the memory was written down isn't in it, so it is reckoned with from the first.
+/// Dispatches since the learned state was handed over are not part of it and must be assumed.
 #[test]
-fn warming_member_after_peer_start_is_charged_as_if_just_used() {
+fn set_peer_process_warming_member_is_charged_as_if_just_used() {
     let settings = settings();
-    let mut b = bench(&settings, 1);
-    b.told(1, started(1, remote(0)));
-    let mut quiet = bench(&settings, 1);
-    quiet.told(1, started(1, remote(0)));
-    // Long after, a debt is paid off; one that is new again isn't.
-    b.driver.set_peer_process(at(5000), false);
-    assert!(b.goes(5001, WRITE).is_empty());
-    assert_eq!(quiet.goes(5001, WRITE), [1]);
+    let mut harness = new_harness(&settings, 1);
+    harness.update_endpoint(1, started_member(1, remote_at(0)));
+    let mut without_peer = new_harness(&settings, 1);
+    without_peer.update_endpoint(1, started_member(1, remote_at(0)));
+    // Earlier dispatches no longer count by now, but the assumed one does.
+    harness.driver.set_peer_process(at(5000), false);
+    assert!(harness.route(5001, WRITE).is_empty());
+    assert_eq!(without_peer.route(5001, WRITE), [1]);
 }
 
 #[test]
-fn drain_reported_by_peer_is_kept() {
-    // (started here, started there; whether it binds)
+fn on_member_update_drain_applies_unless_member_started_again() {
+    // (start known to this driver, start of the draining instance, whether the drain applies)
     let table = [
         (None, None, true),
-        (None, Some(remote(10)), true),
-        (Some(remote(10)), Some(remote(10)), true),
-        // It has started anew since.
-        (Some(remote(10)), None, false),
-        (Some(remote(10)), Some(remote(9)), false),
+        (None, Some(remote_at(10)), true),
+        (Some(remote_at(10)), Some(remote_at(10)), true),
+        // The member has started again since.
+        (Some(remote_at(10)), None, false),
+        (Some(remote_at(10)), Some(remote_at(9)), false),
     ];
-    for (here, there, binds) in table {
-        let s = with(|s| s.cold_start_fraction = 1.0);
-        let mut b = bench(&s, 2);
-        let plain = member(1);
-        b.told(
+    for (known_start, draining_start, applies) in table {
+        let settings = settings_with(|settings| settings.cold_start_fraction = 1.0);
+        let mut harness = new_harness(&settings, 2);
+        let entry = member_entry(1);
+        harness.update_endpoint(
             20,
             MemberEntry {
-                started_at: here,
-                ..plain
+                started_at: known_start,
+                ..entry
             },
         );
-        b.see(21, 1, 21, true);
-        let before = b.goes(25_000, WRITE);
-        b.driver
-            .on_member_update(at(25_001), 1, MemberUpdate::Draining(there));
-        let after = b.goes(25_002, WRITE);
-        assert_eq!(before, [1], "{here:?} {there:?}");
-        assert_eq!(after.is_empty(), binds, "{here:?} {there:?}");
-        // Nor is it probed, nor gets it reads.
-        let r = b.run_until(25_003, 26_000);
-        assert!(!binds || !r.health_checks.contains(&1), "{here:?} {there:?}");
+        harness.answer_health_check(21, 1, 21, true);
+        let before = harness.route(25_000, WRITE);
+        harness
+            .driver
+            .on_member_update(at(25_001), 1, MemberUpdate::Draining(draining_start));
+        let after = harness.route(25_002, WRITE);
+        assert_eq!(before, [1], "{known_start:?} {draining_start:?}");
+        assert_eq!(after.is_empty(), applies, "{known_start:?} {draining_start:?}");
+        // A draining member is not health-checked.
+        let actions = harness.advance_through(25_003, 26_000);
+        assert!(
+            !applies || !actions.health_checks.contains(&1),
+            "{known_start:?} {draining_start:?}"
+        );
     }
-    let mut nobody = RoutingPolicy::new(&settings(), 1, at(0));
-    assert!(nobody
+    let mut without_members = RoutingPolicy::new(&settings(), 1, at(0));
+    assert!(without_members
         .on_member_update(at(1), 7, MemberUpdate::Draining(None))
         .executions
         .is_empty());
--- a/tests/remote_clock.rs
+++ b/tests/remote_clock.rs
@@ -1,35 +1,35 @@
-//! The relation of the members' clock to a driver's time line: what it guarantees, and against what.
+//! Bounds of the members' clock: accuracy and robustness against wrong evidence.
 
-use asterlatch::remote_clock::{RemoteClock, StampedAnswer, MAX_DRIFT, MOST_PRIMARIES, WINDOW};
+use asterlatch::remote_clock::{RemoteClock, StampedAnswer, MAX_DRIFT, MAX_TRACKED_PRIMARIES, WINDOW};
 use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
 
 const HOUR_MS: u64 = 3_600_000;
-/// The members' clock when a world begins.
+/// Initial time of the members' clock.
 const REMOTE_START: u64 = 1_767_225_600_000_000;
 
-fn ms(n: u64) -> TimeSpan {
-    TimeSpan::millis(n)
+fn ms(milliseconds: u64) -> TimeSpan {
+    TimeSpan::millis(milliseconds)
 }
 
-/// Two clocks, and members whose answers a driver hears.
-struct World {
+/// Simulation of the two clocks and of members that answer a driver.
+struct ClockSimulation {
     clock: RemoteClock,
-    chance: fastrand::Rng,
-    /// Time since the beginning by the members' clock.
-    passed: TimeSpan,
+    rng: fastrand::Rng,
+    /// Elapsed time by the members' clock.
+    elapsed: TimeSpan,
     local_start: Timestamp,
-    /// How much faster the driver's clock runs.
+    /// Relative rate by which the driver's clock is faster.
     drift: f64,
-    /// How far the members' clock was set.
+    /// Sum of the steps of the members' clock.
     remote_step_ms: i64,
 }
 
-impl World {
-    fn new(seed: u64, local_start: Timestamp, drift: f64) -> World {
-        World {
+impl ClockSimulation {
+    fn new(seed: u64, local_start: Timestamp, drift: f64) -> ClockSimulation {
+        ClockSimulation {
             clock: RemoteClock::default(),
-            chance: fastrand::Rng::with_seed(seed),
-            passed: TimeSpan(0),
+            rng: fastrand::Rng::with_seed(seed),
+            elapsed: TimeSpan(0),
             local_start,
             drift,
             remote_step_ms: 0,
@@ -37,26 +37,26 @@
     }
 
     fn local_now(&self) -> Timestamp {
-        self.local_start + self.passed * (1.0 + self.drift)
+        self.local_start + self.elapsed * (1.0 + self.drift)
     }
 
     fn remote_now(&self) -> RemoteTimestamp {
         let stepped = (REMOTE_START as i64 + self.remote_step_ms * 1000) as u64;
-        RemoteTimestamp(stepped) + self.passed
+        RemoteTimestamp(stepped) + self.elapsed
     }
 
-    fn pass(&mut self, span: TimeSpan) {
-        self.passed = self.passed + span;
+    fn advance(&mut self, span: TimeSpan) {
+        self.elapsed = self.elapsed + span;
     }
 
-    /// A member answers after a round trip of at most this many milliseconds; `behind` is the age of what it has.
-    fn answer(&mut self, member: u32, is_primary: bool, most_ms: u64, behind: TimeSpan) {
+    /// Lets a member answer within a round trip of `max_round_trip_ms`, at a position that lags by `lag`.
+    fn answer(&mut self, member: u32, is_primary: bool, max_round_trip_ms: u64, lag: TimeSpan) {
         let sent_at = self.local_now();
-        let to_member = TimeSpan(self.chance.u64(200..most_ms * 500));
-        self.pass(to_member);
-        let stamp = RemoteTimestamp::from_millis((self.remote_now() - behind).as_millis());
-        let back = TimeSpan(self.chance.u64(200..most_ms * 500));
-        self.pass(back);
+        let request_time = TimeSpan(self.rng.u64(200..max_round_trip_ms * 500));
+        self.advance(request_time);
+        let stamp = RemoteTimestamp::from_millis((self.remote_now() - lag).as_millis());
+        let response_time = TimeSpan(self.rng.u64(200..max_round_trip_ms * 500));
+        self.advance(response_time);
         self.clock.observe(&StampedAnswer {
             member,
             stamp,
@@ -65,20 +65,19 @@
         });
     }
 
-    /// How far the upper bound is ahead, and the lower bound behind.
+    /// Errors of the upper and of the lower bound.
     fn errors(&self) -> (TimeSpan, TimeSpan) {
         let (now, remote) = (self.local_now(), self.remote_now());
-        let latest = self.clock.latest(now).expect("is known");
-        let earliest = self.clock.earliest(now).expect("is known");
+        let latest = self.clock.latest(now).expect("an upper bound");
+        let earliest = self.clock.earliest(now).expect("a lower bound");
         assert!(earliest <= remote, "{earliest:?} is after {remote:?}");
         assert!(latest >= remote, "{latest:?} is before {remote:?}");
         (latest - remote, remote - earliest)
     }
 }
 
-/// Whatever the driver's time line shows, both bounds hold, and each is as tight as the module states.
 #[test]
-fn both_bounds_hold_on_any_time_line() {
+fn observe_any_clock_offset_keeps_documented_error_bounds() {
     let near = REMOTE_START;
     let hour = HOUR_MS * 1000;
     for (seed, local_start) in [near, near - hour, near + hour, near + 5_000_000, 1_000_000]
@@ -86,21 +85,21 @@
         .enumerate()
     {
         for drift in [0.0, MAX_DRIFT * 0.9, -MAX_DRIFT * 0.9] {
-            let mut world = World::new(seed as u64, Timestamp(local_start), drift);
+            let mut simulation = ClockSimulation::new(seed as u64, Timestamp(local_start), drift);
             for step in 0..4000 {
-                let member = world.chance.u32(0..9);
+                let member = simulation.rng.u32(0..9);
                 let is_primary = member < 3;
-                let lag = if is_primary { 0 } else { world.chance.u64(1..120) };
-                world.answer(member, is_primary, 8, ms(lag));
-                let idle = TimeSpan(world.chance.u64(0..40_000));
-                world.pass(idle);
-                // With one of each kind at least.
+                let lag = if is_primary { 0 } else { simulation.rng.u64(1..120) };
+                simulation.answer(member, is_primary, 8, ms(lag));
+                let idle = TimeSpan(simulation.rng.u64(0..40_000));
+                simulation.advance(idle);
+                // By now both kinds of evidence are available.
                 if step > 100 {
-                    let (ahead, behind) = world.errors();
-                    // A round trip, the stamp's granularity, and the drift of two windows and some.
-                    let drifted = (WINDOW + WINDOW) * MAX_DRIFT * 2.0;
-                    assert!(ahead <= ms(8 + 1 + 1) + drifted, "{ahead:?} {drift}");
-                    assert!(behind <= ms(120 + 8) + drifted, "{behind:?} {drift}");
+                    let (ahead, behind) = simulation.errors();
+                    // Round trip, granularity of the stamp, and drift over two windows with a margin.
+                    let max_drift = (WINDOW + WINDOW) * MAX_DRIFT * 2.0;
+                    assert!(ahead <= ms(8 + 1 + 1) + max_drift, "{ahead:?} {drift}");
+                    assert!(behind <= ms(120 + 8) + max_drift, "{behind:?} {drift}");
                 }
             }
         }
@@ -108,108 +107,114 @@
 }
 
 #[test]
-fn nothing_is_known_before_evidence() {
-    let mut world = World::new(1, Timestamp(REMOTE_START), 0.0);
-    let now = world.local_now();
-    assert_eq!((world.clock.earliest(now), world.clock.latest(now)), (None, None));
-    // A replica bounds from below alone: it may be behind by any time.
-    world.answer(5, false, 4, ms(10));
-    let now = world.local_now();
-    assert!(world.clock.earliest(now).is_some() && world.clock.latest(now).is_none());
-    world.answer(1, true, 4, ms(0));
-    let (ahead, _) = world.errors();
+fn latest_without_answer_of_primary_is_unknown() {
+    let mut simulation = ClockSimulation::new(1, Timestamp(REMOTE_START), 0.0);
+    let now = simulation.local_now();
+    assert_eq!(
+        (simulation.clock.earliest(now), simulation.clock.latest(now)),
+        (None, None)
+    );
+    // A replica may lag by any time, so it provides only a lower bound.
+    simulation.answer(5, false, 4, ms(10));
+    let now = simulation.local_now();
+    assert!(simulation.clock.earliest(now).is_some() && simulation.clock.latest(now).is_none());
+    simulation.answer(1, true, 4, ms(0));
+    let (ahead, _) = simulation.errors();
     assert!(
         ahead <= ms(6),
-        "the first answer of a primary bounds from above: {ahead:?}"
+        "the first answer of a primary provides an upper bound: {ahead:?}"
     );
 }
 
-/// The bound grows with the time since the evidence, as the clocks may drift apart.
+/// The clocks may drift apart without evidence.
 #[test]
-fn bounds_widen_while_nothing_is_heard() {
-    let mut world = World::new(2, Timestamp(REMOTE_START), MAX_DRIFT * -0.99);
-    world.answer(1, true, 4, ms(0));
-    world.pass(ms(HOUR_MS));
-    let (ahead, behind) = world.errors();
+fn latest_without_recent_evidence_widens_by_drift() {
+    let mut simulation = ClockSimulation::new(2, Timestamp(REMOTE_START), MAX_DRIFT * -0.99);
+    simulation.answer(1, true, 4, ms(0));
+    simulation.advance(ms(HOUR_MS));
+    let (ahead, behind) = simulation.errors();
     assert!(ahead <= ms(4000) && behind <= ms(4000), "{ahead:?} {behind:?}");
 }
 
-/// One of four and more members with a clock ahead moves nothing.
 #[test]
-fn member_an_hour_ahead_moves_no_bound() {
-    let mut world = World::new(3, Timestamp(REMOTE_START + 77), 0.0);
+fn observe_one_member_an_hour_ahead_moves_no_bound() {
+    let mut simulation = ClockSimulation::new(3, Timestamp(REMOTE_START + 77), 0.0);
     for _ in 0..50 {
         for member in 0..6 {
-            world.answer(member, member < 3, 4, ms(u64::from(member) * 5));
+            simulation.answer(member, member < 3, 4, ms(u64::from(member) * 5));
         }
-        world.remote_step_ms += HOUR_MS as i64;
-        world.answer(7, false, 4, ms(0));
-        world.remote_step_ms -= HOUR_MS as i64;
-        let (ahead, behind) = world.errors();
+        simulation.remote_step_ms += HOUR_MS as i64;
+        simulation.answer(7, false, 4, ms(0));
+        simulation.remote_step_ms -= HOUR_MS as i64;
+        let (ahead, behind) = simulation.errors();
         assert!(ahead <= ms(6) && behind <= ms(40), "{ahead:?} {behind:?}");
     }
 }
 
-/// A primary that stalled answers with what it had. Its own newer answers show that, or those of others.
+/// A primary that stalled answers with an old position, which earlier answers of any member contradict.
 #[test]
-fn old_answer_of_a_primary_lowers_no_bound() {
-    for own_history in [true, false] {
-        let mut world = World::new(4, Timestamp(REMOTE_START), 0.0);
-        if own_history {
-            world.answer(1, true, 4, ms(0));
+fn observe_old_answer_of_primary_lowers_no_bound() {
+    for same_member_answered in [true, false] {
+        let mut simulation = ClockSimulation::new(4, Timestamp(REMOTE_START), 0.0);
+        if same_member_answered {
+            simulation.answer(1, true, 4, ms(0));
         } else {
-            world.answer(2, false, 4, ms(20));
-            world.answer(3, true, 4, ms(0));
+            simulation.answer(2, false, 4, ms(20));
+            simulation.answer(3, true, 4, ms(0));
         }
         for _ in 0..20 {
-            world.answer(1, true, 4, ms(4000));
-            let (ahead, _) = world.errors();
+            simulation.answer(1, true, 4, ms(4000));
+            let (ahead, _) = simulation.errors();
             assert!(ahead <= ms(6), "{ahead:?}");
         }
     }
 }
 
-/// The first answer heard may be such a one: anybody's newer answer takes its bound away again.
+/// A newer answer of any member must drop the bound from a stalled primary.
 #[test]
-fn first_answer_of_a_stalled_primary_is_disproved() {
-    let mut world = World::new(5, Timestamp(REMOTE_START), 0.0);
-    world.answer(1, true, 4, ms(4000));
-    world.answer(2, false, 4, ms(30));
-    let now = world.local_now();
-    assert_eq!(world.clock.latest(now), None, "the careful side");
-    world.answer(3, true, 4, ms(0));
-    let (ahead, _) = world.errors();
+fn observe_newer_answer_drops_bound_of_stalled_primary() {
+    let mut simulation = ClockSimulation::new(5, Timestamp(REMOTE_START), 0.0);
+    simulation.answer(1, true, 4, ms(4000));
+    simulation.answer(2, false, 4, ms(30));
+    let now = simulation.local_now();
+    assert_eq!(
+        simulation.clock.latest(now),
+        None,
+        "unknown is the conservative result"
+    );
+    simulation.answer(3, true, 4, ms(0));
+    let (ahead, _) = simulation.errors();
     assert!(ahead <= ms(6), "{ahead:?}");
 }
 
-/// A machine that was suspended, or members' clocks that were set ahead, are followed with the next answers; members' clocks
-/// that were set back within two windows, and until then the bound is on the careful side.
+/// Forward steps of the members' clock are followed with the next answers, backward steps within two windows;
+/// until then the upper bound stays conservative.
 #[test]
-fn steps_of_the_members_clock_are_followed() {
+fn observe_steps_of_the_members_clock_are_followed() {
     let hour = HOUR_MS as i64;
     for step in [hour, 5_000, -5_000, -hour] {
-        let mut world = World::new(6, Timestamp(REMOTE_START), 0.0);
-        let all_answer = |world: &mut World| {
+        let mut simulation = ClockSimulation::new(6, Timestamp(REMOTE_START), 0.0);
+        let all_members_answer = |simulation: &mut ClockSimulation| {
             for member in 0..5 {
-                world.answer(member, member < 2, 4, ms(0));
+                simulation.answer(member, member < 2, 4, ms(0));
             }
         };
-        all_answer(&mut world);
-        world.remote_step_ms += step;
-        all_answer(&mut world);
+        all_members_answer(&mut simulation);
+        simulation.remote_step_ms += step;
+        all_members_answer(&mut simulation);
         if step > 0 {
-            let (ahead, _) = world.errors();
+            let (ahead, _) = simulation.errors();
             assert!(ahead <= ms(6), "{ahead:?}");
         }
         let mut waited = TimeSpan(0);
         while waited < WINDOW + WINDOW + ms(200) {
-            let latest = world.clock.latest(world.local_now());
-            assert!(latest.is_none_or(|latest| latest >= world.remote_now()));
-            all_answer(&mut world);
-            world.pass(ms(100));
+            let latest = simulation.clock.latest(simulation.local_now());
+            assert!(latest.is_none_or(|latest| latest >= simulation.remote_now()));
+            all_members_answer(&mut simulation);
+            simulation.advance(ms(100));
             waited = waited + ms(100);
         }
-        let (ahead, _) = world.errors();
+        let (ahead, _) = simulation.errors();
         assert!(
             ahead <= ms(6) + (WINDOW + WINDOW) * MAX_DRIFT,
             "{step}: {ahead:?}"
@@ -217,13 +222,13 @@
     }
 }
 
-/// A list's latest starts are left out, so one wrong entry doesn't make the others seem old.
+/// The latest starts are ignored, so that one wrong entry does not make other members appear old.
 #[test]
-fn starts_in_a_list_bound_from_below_without_the_latest() {
+fn observe_starts_gives_lower_bound_without_the_latest() {
     let now = Timestamp(REMOTE_START);
-    let start = |ago_ms: u64| RemoteTimestamp(REMOTE_START) - ms(ago_ms);
+    let start = |age_ms: u64| RemoteTimestamp(REMOTE_START) - ms(age_ms);
     let future = RemoteTimestamp(REMOTE_START) + ms(HOUR_MS);
-    // (starts; the bound by them)
+    // (starts, expected lower bound)
     let table: [(&[RemoteTimestamp], Option<RemoteTimestamp>); 4] = [
         (&[], None),
         (&[future], None),
@@ -238,29 +243,29 @@
     }
 }
 
-/// Members come and go without end: only those heard last count, and one that is gone is forgotten.
+/// Members are replaced over and over: only the latest ones count, and removed ones leave no bound.
 #[test]
-fn gone_members_are_forgotten() {
-    let mut world = World::new(8, Timestamp(REMOTE_START), 0.0);
-    // Primaries that are far away, each heard once.
+fn remove_member_gone_members_leave_no_bound() {
+    let mut simulation = ClockSimulation::new(8, Timestamp(REMOTE_START), 0.0);
+    // Distant primaries with one answer each.
     for member in 0..1000 {
-        world.answer(member, true, 200, ms(0));
+        simulation.answer(member, true, 200, ms(0));
     }
-    // As many near ones as count.
-    for member in 1000..1000 + MOST_PRIMARIES as u32 {
-        world.answer(member, true, 4, ms(0));
+    // As many near primaries as are tracked.
+    for member in 1000..1000 + MAX_TRACKED_PRIMARIES as u32 {
+        simulation.answer(member, true, 4, ms(0));
     }
-    let (ahead, _) = world.errors();
-    assert!(ahead <= ms(6), "only the last ones count: {ahead:?}");
+    let (ahead, _) = simulation.errors();
+    assert!(ahead <= ms(6), "only the last primaries count: {ahead:?}");
     for member in 0..2000 {
-        world.clock.forget(member);
+        simulation.clock.remove_member(member);
     }
-    world.answer(5000, false, 4, ms(3));
-    assert_eq!(world.clock.latest(world.local_now()), None);
+    simulation.answer(5000, false, 4, ms(3));
+    assert_eq!(simulation.clock.latest(simulation.local_now()), None);
 }
 
 #[test]
-fn shared_clock_needs_no_evidence() {
+fn shared_without_evidence_returns_local_time() {
     let mut clock = RemoteClock::shared();
     let now = Timestamp(5_000_000);
     clock.observe(&StampedAnswer {
@@ -273,9 +278,8 @@
     assert_eq!(clock.earliest(now), Some(RemoteTimestamp(now.0)));
 }
 
-/// Stamps and times at the ends of their range saturate.
 #[test]
-fn extreme_stamps_do_not_panic() {
+fn observe_extreme_stamps_does_not_panic() {
     let mut clock = RemoteClock::default();
     for (member, stamp) in [(1, 0), (2, u64::MAX), (3, 1)] {
         for now in [0, u64::MAX, 1_000_000] {
--- a/tests/replica_preference.rs
+++ b/tests/replica_preference.rs
@@ -1,5 +1,4 @@
-//! Which replica each driver has first: how even that is over the fleet, how much changes when somebody comes or goes, and
-//! what the module makes of it.
+//! Balance and stability of replica preferences over a fleet, and their use in replica selection.
 
 mod common;
 use asterlatch::interface::*;
@@ -8,152 +7,170 @@
 use common::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A fleet of which all know each other, or nobody anybody; groups of replicas.
+/// Drivers that all know each other, or know only themselves, and groups of replicas.
 #[derive(Clone)]
-struct World {
+struct FleetModel {
     drivers: BTreeSet<u64>,
     groups: Vec<Vec<Replica>>,
-    known: bool,
+    know_each_other: bool,
 }
 
-fn key(n: u64) -> u64 {
-    // Names hash to anything.
-    n.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ 0xABCD
+fn key(number: u64) -> u64 {
+    // Spreads consecutive numbers like hashes of names.
+    number.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ 0xABCD
 }
 
-impl World {
-    /// Groups of a primary, which has no part in this, and two or three replicas, as the deployments have them.
-    fn new(drivers: u64, members: u64, known: bool) -> World {
+impl FleetModel {
+    /// Groups of one primary, which has no preference, and two or three replicas.
+    fn new(drivers: u64, members: u64, know_each_other: bool) -> FleetModel {
         let mut groups = Vec::new();
         let mut next = 0;
         while next < members {
             let size = 2 + u64::from(groups.len() % 4 == 3);
-            let replica = |n| Replica {
-                fleet_key: key(1_000_000 + n),
+            let replica = |number| Replica {
+                fleet_key: key(1_000_000 + number),
                 capacity: 1.0,
             };
             groups.push((next..next + size).map(replica).collect());
             next += size + 1;
         }
         let drivers = (0..drivers).map(key).collect();
-        World {
+        FleetModel {
             drivers,
             groups,
-            known,
+            know_each_other,
         }
     }
 
-    fn firsts(&self, driver: u64) -> ReplicaPreference {
-        let mut firsts = ReplicaPreference::new(driver);
-        if self.known {
-            let mut others = self.drivers.clone();
-            others.remove(&driver);
-            firsts.set_drivers(driver, &others);
+    fn preference(&self, driver: u64) -> ReplicaPreference {
+        let mut preference = ReplicaPreference::new(driver);
+        if self.know_each_other {
+            let mut peers = self.drivers.clone();
+            peers.remove(&driver);
+            preference.set_drivers(driver, &peers);
         }
-        firsts
+        preference
     }
 
-    /// First replica of each driver in each group.
-    fn all(&self) -> BTreeMap<(u64, usize), u64> {
-        let mut all = BTreeMap::new();
+    /// First choice of each driver in each group.
+    fn first_choices(&self) -> BTreeMap<(u64, usize), u64> {
+        let mut first_choices = BTreeMap::new();
         for driver in &self.drivers {
-            let firsts = self.firsts(*driver);
-            for (g, group) in self.groups.iter().enumerate() {
-                all.insert((*driver, g), group[firsts.rank(group)[0]].fleet_key);
+            let preference = self.preference(*driver);
+            for (group_index, group) in self.groups.iter().enumerate() {
+                first_choices.insert((*driver, group_index), group[preference.rank(group)[0]].fleet_key);
             }
         }
-        all
+        first_choices
     }
 
-    fn worst(&self, traffic: impl Fn(u64) -> f64) -> f64 {
-        busiest(self, &self.all(), traffic)
+    fn max_relative_load(&self, traffic: impl Fn(u64) -> f64) -> f64 {
+        max_relative_load(self, &self.first_choices(), traffic)
     }
 
-    /// Part of all firsts that differ from before, of those both know.
-    fn changed(&self, before: &World) -> f64 {
-        let (old, new) = (before.all(), self.all());
+    /// Fraction of first choices that differ from `before`, of the drivers and groups in both.
+    fn changed_fraction(&self, before: &FleetModel) -> f64 {
+        let (old, new) = (before.first_choices(), self.first_choices());
         let both = old.iter().filter_map(|(k, v)| Some((v, new.get(k)?)));
-        let (count, differ) = both.fold((0, 0), |(c, d), (a, b)| (c + 1, d + usize::from(a != b)));
-        differ as f64 / count as f64
+        let (count, changed) = both.fold((0, 0), |(c, d), (a, b)| (c + 1, d + usize::from(a != b)));
+        changed as f64 / count as f64
     }
 }
 
-/// Load of the busiest replica over the mean of its group, by each driver's traffic.
-fn busiest(world: &World, firsts: &BTreeMap<(u64, usize), u64>, traffic: impl Fn(u64) -> f64) -> f64 {
+/// Maximum load of a replica relative to the mean of its group, given each driver's traffic.
+fn max_relative_load(
+    fleet: &FleetModel,
+    first_choices: &BTreeMap<(u64, usize), u64>,
+    traffic: impl Fn(u64) -> f64,
+) -> f64 {
     let mut load: BTreeMap<u64, f64> = BTreeMap::new();
-    for ((driver, _), replica) in firsts {
+    for ((driver, _), replica) in first_choices {
         *load.entry(*replica).or_default() += traffic(*driver);
     }
-    let whole: f64 = world.drivers.iter().map(|d| traffic(*d)).sum();
-    let over = |group: &Vec<Replica>| {
-        let mean = whole / group.len() as f64;
-        let most = group
+    let total: f64 = fleet.drivers.iter().map(|d| traffic(*d)).sum();
+    let relative_load = |group: &Vec<Replica>| {
+        let mean = total / group.len() as f64;
+        let loads = group
             .iter()
             .map(|r| load.get(&r.fleet_key).copied().unwrap_or(0.0));
-        most.fold(0.0, f64::max) / mean
+        loads.fold(0.0, f64::max) / mean
     };
-    world.groups.iter().map(over).fold(0.0, f64::max)
+    fleet.groups.iter().map(relative_load).fold(0.0, f64::max)
 }
 
 #[test]
-fn busiest_replica_is_close_to_the_mean() {
-    // Drivers, whether they know each other, the bound with even traffic.
-    for (drivers, known, most) in [
-        // Alone: the root of half of the drivers over half of them, three times, for the worst of 109 members.
+fn rank_even_traffic_keeps_busiest_replica_close_to_the_mean() {
+    // (drivers, whether they know each other, maximum relative load)
+    for (drivers, know_each_other, max) in [
+        // Three standard deviations, for the busiest of 109 members.
         (300, false, 1.25),
         (1000, false, 1.15),
-        // Known: the even part rounded up; of five over two that is three.
+        // The even share rounded up, for example three of five drivers over two replicas.
         (300, true, 1.005),
         (100, true, 1.03),
         (5, true, 1.81),
     ] {
-        let world = World::new(drivers, 109, known);
-        let worst = world.worst(|_| 1.0);
-        assert!(worst <= most, "{drivers} {known}: {worst}");
+        let fleet = FleetModel::new(drivers, 109, know_each_other);
+        let load = fleet.max_relative_load(|_| 1.0);
+        assert!(load <= max, "{drivers} {know_each_other}: {load}");
     }
 }
 
-/// Traffic from a tenth of the mean to ten times: what evens that out is that members' shares are heeded, not this order.
+/// With drivers' traffic from a tenth of the mean to ten times the mean, admission shares balance the
+/// members, not this order.
 #[test]
-fn known_drivers_do_not_worsen_uneven_traffic() {
-    let traffic = |d: u64| [0.1, 0.5, 1.0, 1.0, 1.0, 3.0, 10.0][(d % 7) as usize];
-    let (alone, known) = (World::new(300, 109, false), World::new(300, 109, true));
-    let (alone, known) = (alone.worst(traffic), known.worst(traffic));
-    assert!(alone < 1.6 && known < 1.5, "{alone} {known}");
+fn rank_uneven_traffic_is_not_worse_for_drivers_that_know_each_other() {
+    let traffic = |driver: u64| [0.1, 0.5, 1.0, 1.0, 1.0, 3.0, 10.0][(driver % 7) as usize];
+    let (separate, mutual) = (FleetModel::new(300, 109, false), FleetModel::new(300, 109, true));
+    let (separate, mutual) = (
+        separate.max_relative_load(traffic),
+        mutual.max_relative_load(traffic),
+    );
+    assert!(separate < 1.6 && mutual < 1.5, "{separate} {mutual}");
 }
 
 #[test]
-fn change_of_one_replica_moves_few_drivers() {
-    for known in [false, true] {
-        let before = World::new(100, 40, known);
-        let mut less = before.clone();
-        less.drivers.remove(&key(17));
-        let changed = less.changed(&before);
-        // One in a hundred is gone; who took its places has left others, at most a few each.
-        let most = if known { 0.05 } else { 0.0 };
-        assert!(changed <= most, "known {known}: {changed}");
+fn rank_removal_of_driver_or_replica_changes_few_first_choices() {
+    for know_each_other in [false, true] {
+        let before = FleetModel::new(100, 40, know_each_other);
+        let mut reduced = before.clone();
+        reduced.drivers.remove(&key(17));
+        let changed = reduced.changed_fraction(&before);
+        // Removing one driver of a hundred moves at most a few others, which take its replicas.
+        let max = if know_each_other { 0.05 } else { 0.0 };
+        assert!(changed <= max, "{know_each_other}: {changed}");
 
-        // A replica goes: those who had it first change, and where parts are kept even a few others.
-        let mut less = before.clone();
-        let gone = less.groups[3].remove(1).fleet_key;
-        let had: Vec<_> = before.all().into_iter().filter(|(_, r)| *r == gone).collect();
-        let all = less.all();
-        let left = before
-            .all()
+        // Removing a replica moves the drivers that preferred it and, for an even balance, a few others.
+        let mut reduced = before.clone();
+        let removed = reduced.groups[3].remove(1).fleet_key;
+        let affected: Vec<_> = before
+            .first_choices()
+            .into_iter()
+            .filter(|(_, r)| *r == removed)
+            .collect();
+        let after = reduced.first_choices();
+        let moved = before
+            .first_choices()
             .into_iter()
-            .filter(|(k, r)| *r != gone && k.1 == 3 && all[k] != *r);
-        let most = if known { had.len() } else { 0 };
-        assert!(left.count() <= most, "known {known}: others moved as well");
-        let taken: BTreeSet<u64> = had.iter().map(|(k, _)| all[k]).collect();
-        assert!(taken.len() > 1, "those who lost it spread over the others");
+            .filter(|(k, r)| *r != removed && k.1 == 3 && after[k] != *r);
+        let max = if know_each_other { affected.len() } else { 0 };
+        assert!(
+            moved.count() <= max,
+            "{know_each_other}: too many other drivers moved"
+        );
+        let replacements: BTreeSet<u64> = affected.iter().map(|(k, _)| after[k]).collect();
+        assert!(
+            replacements.len() > 1,
+            "all affected drivers moved to one replica"
+        );
     }
 }
 
 #[test]
-fn larger_replica_is_first_of_more_drivers() {
-    for (known, slack) in [(false, 0.2), (true, 0.02)] {
-        let mut world = World::new(300, 3, known);
-        world.groups = vec![vec![
+fn rank_larger_replica_is_preferred_in_proportion_to_capacity() {
+    for (know_each_other, tolerance) in [(false, 0.2), (true, 0.02)] {
+        let mut fleet = FleetModel::new(300, 3, know_each_other);
+        fleet.groups = vec![vec![
             Replica {
                 fleet_key: 1,
                 capacity: 1.0,
@@ -163,159 +180,177 @@
                 capacity: 3.0,
             },
         ]];
-        let large = world.all().values().filter(|r| **r == 2).count() as f64 / 300.0;
-        assert!((large - 0.75).abs() < slack * 0.75, "known {known}: {large}");
+        let large = fleet.first_choices().values().filter(|r| **r == 2).count() as f64 / 300.0;
+        assert!(
+            (large - 0.75).abs() < tolerance * 0.75,
+            "{know_each_other}: {large}"
+        );
     }
 }
 
-/// Two that differ on who is there for a while: each still has one first in each group, and the sum strays by no more than
-/// those few.
+/// While drivers differ on the set of live drivers, the balance is off by at most the difference.
 #[test]
-fn differing_driver_sets_stay_balanced() {
-    let world = World::new(60, 40, true);
-    let mut late = world.clone();
-    for n in 0..6 {
-        late.drivers.remove(&key(n));
+fn rank_differing_driver_sets_stay_balanced() {
+    let fleet = FleetModel::new(60, 40, true);
+    let mut outdated = fleet.clone();
+    for number in 0..6 {
+        outdated.drivers.remove(&key(number));
     }
-    let (new, old) = (world.all(), late.all());
+    let (new, old) = (fleet.first_choices(), outdated.first_choices());
     let mut load: BTreeMap<u64, usize> = BTreeMap::new();
-    for (k, replica) in &new {
-        // Every second driver hasn't heard of the six yet.
-        let replica = old.get(k).filter(|_| k.0 % 2 == 0).unwrap_or(replica);
+    for (driver_and_group, replica) in &new {
+        // Every second driver does not know the last six yet.
+        let replica = old
+            .get(driver_and_group)
+            .filter(|_| driver_and_group.0 % 2 == 0)
+            .unwrap_or(replica);
         *load.entry(*replica).or_default() += 1;
     }
-    for group in &world.groups {
-        let even = 60 / group.len();
-        for r in group {
-            let has = load.get(&r.fleet_key).copied().unwrap_or(0);
-            assert!(has.abs_diff(even) <= 6, "{has} against {even}");
+    for group in &fleet.groups {
+        let even_share = 60 / group.len();
+        for replica in group {
+            let drivers = load.get(&replica.fleet_key).copied().unwrap_or(0);
+            assert!(
+                drivers.abs_diff(even_share) <= 6,
+                "{drivers} instead of {even_share}"
+            );
         }
     }
 }
 
 #[test]
 fn rank_lists_each_replica_once() {
-    let world = World::new(24, 20, true);
-    for driver in &world.drivers {
-        for group in &world.groups {
-            let mut order = world.firsts(*driver).rank(group);
+    let fleet = FleetModel::new(24, 20, true);
+    for driver in &fleet.drivers {
+        for group in &fleet.groups {
+            let mut order = fleet.preference(*driver).rank(group);
             order.sort_unstable();
             assert_eq!(order, (0..group.len()).collect::<Vec<_>>());
         }
     }
     assert!(
         ReplicaPreference::new(3).rank(&[]).is_empty(),
-        "a group may be a primary alone"
+        "a group may have no replicas"
     );
 }
 
-/// The module: of a large fleet each driver keeps to its own replica; positions go first all the same, and so does a
-/// replica that others let in more than this one. Smaller fleets go by turns.
+/// Log positions take precedence over the preference.
 #[test]
-fn large_fleet_driver_stays_with_its_own_replica() {
-    let mut firsts = BTreeSet::new();
+fn on_statement_large_fleet_driver_stays_with_its_preferred_replica() {
+    let mut preferred_replicas = BTreeSet::new();
     for seed in 0..8 {
-        let settings = with(|s| {
-            s.driver_count = 300;
-            s.members_check_reads = false;
+        let settings = settings_with(|settings| {
+            settings.driver_count = 300;
+            settings.members_check_reads = false;
         });
         let mut driver = RoutingPolicy::new(&settings, seed, at(0));
         driver.set_shared_clock();
-        driver.on_endpoint_list(at(0), &[1, 2, 3, 4].map(member), true);
-        let see = |driver: &mut RoutingPolicy, now: u64, m: u32, position: u64| {
-            driver.on_health_check(at(now), m, true, ms(1), seen(position, m == 1));
+        driver.on_endpoint_list(at(0), &[1, 2, 3, 4].map(member_entry), true);
+        let answer_health_check = |driver: &mut RoutingPolicy, now: u64, member: u32, position: u64| {
+            driver.on_health_check(
+                at(now),
+                member,
+                true,
+                ms(1),
+                replica_status(position, member == 1),
+            );
         };
-        let mut next = 0;
-        let mut reads = |driver: &mut RoutingPolicy, now: u64| {
-            next += 1;
-            let r = driver.on_statement(at(now), &statement(next, BOUNDED, 2000));
-            let e = r.executions[0];
+        let mut last_statement = 0;
+        let mut read = |driver: &mut RoutingPolicy, now: u64| {
+            last_statement += 1;
+            let actions = driver.on_statement(at(now), &statement(last_statement, BOUNDED, 2000));
+            let execution = actions.executions[0];
             driver.on_execution_ended(
                 at(now + 1),
-                &ended(
-                    e.statement,
-                    e.member,
+                &execution_end(
+                    execution.statement,
+                    execution.member,
                     ExecutionOutcome::Completed,
                     1,
                     ReplicaStatus::default(),
                 ),
             );
-            e.member
+            execution.member
         };
-        (1..=4).for_each(|m| see(&mut driver, 10_000, m, 10_000));
-        let went: BTreeSet<u32> = (0..4).map(|n| reads(&mut driver, 10_001 + n)).collect();
-        assert_eq!(went.len(), 1, "seed {seed}: {went:?}");
-        let own = *went.first().expect("went somewhere");
-        assert_ne!(own, 1, "the primary is nobody's own");
-        firsts.insert(own);
-        // Of the others newer positions are known, of its own none that proves the bound.
+        (1..=4).for_each(|m| answer_health_check(&mut driver, 10_000, m, 10_000));
+        let members: BTreeSet<u32> = (0..4).map(|n| read(&mut driver, 10_001 + n)).collect();
+        assert_eq!(members.len(), 1, "seed {seed}: {members:?}");
+        let preferred = *members.first().expect("the reads were executed");
+        assert_ne!(preferred, 1, "the primary is no preferred replica");
+        preferred_replicas.insert(preferred);
+        // Only the other replicas report positions that satisfy the bound.
         let late = 10_000 + 60_000;
         (1..=4)
-            .filter(|m| *m != own)
-            .for_each(|m| see(&mut driver, late, m, late));
-        let other = reads(&mut driver, late + 1);
+            .filter(|m| *m != preferred)
+            .for_each(|m| answer_health_check(&mut driver, late, m, late));
+        let other = read(&mut driver, late + 1);
         assert!(
-            other != own && other != 1,
-            "seed {seed}: {other}, a position goes before the order"
+            other != preferred && other != 1,
+            "seed {seed}: {other} does not cover the read"
+        );
+        answer_health_check(&mut driver, late + 2, preferred, late + 2);
+        assert_eq!(
+            read(&mut driver, late + 3),
+            preferred,
+            "returns to the preferred replica"
         );
-        see(&mut driver, late + 2, own, late + 2);
-        assert_eq!(reads(&mut driver, late + 3), own, "and it has them back");
     }
     assert!(
-        firsts.len() > 1,
-        "different drivers have different ones: {firsts:?}"
+        preferred_replicas.len() > 1,
+        "all drivers prefer one replica: {preferred_replicas:?}"
     );
 }
 
-/// What others tell of who is there changes the order at once, and only where it says something new.
 #[test]
-fn unchanged_driver_set_reports_no_change() {
+fn set_fleet_drivers_unchanged_set_returns_false() {
     let mut driver = RoutingPolicy::new(&settings(), 1, at(0));
-    let others = BTreeSet::from([key(1), key(2)]);
-    let news: Vec<bool> = [&others, &others, &BTreeSet::new()]
-        .map(|o| driver.set_fleet_drivers(key(0), o, 3))
+    let peers = BTreeSet::from([key(1), key(2)]);
+    let changes: Vec<bool> = [&peers, &peers, &BTreeSet::new()]
+        .map(|peers| driver.set_fleet_drivers(key(0), peers, 3))
         .to_vec();
-    assert_eq!(news, [true, false, true]);
+    assert_eq!(changes, [true, false, true]);
 }
 
-/// The table of options in docs/subsets.md.
+/// Compares ways to assign replicas to drivers, by balance and stability.
 #[test]
 #[ignore = "prints figures"]
 fn figures() {
-    let rounds = |w: &World| -> BTreeMap<(u64, usize), u64> {
-        let drivers = w.drivers.iter().enumerate();
-        let pairs = drivers.flat_map(|(n, d)| {
-            let of = |(g, group): (usize, &Vec<Replica>)| ((*d, g), group[(n + g) % group.len()].fleet_key);
-            w.groups.iter().enumerate().map(of).collect::<Vec<_>>()
+    let round_robin = |fleet: &FleetModel| -> BTreeMap<(u64, usize), u64> {
+        let drivers = fleet.drivers.iter().enumerate();
+        let pairs = drivers.flat_map(|(i, driver)| {
+            let choice =
+                |(g, group): (usize, &Vec<Replica>)| ((*driver, g), group[(i + g) % group.len()].fleet_key);
+            fleet.groups.iter().enumerate().map(choice).collect::<Vec<_>>()
         });
         pairs.collect()
     };
-    let uneven = |d: u64| [0.1, 0.5, 1.0, 1.0, 1.0, 3.0, 10.0][(d % 7) as usize];
-    println!("| order, drivers | busiest, even traffic | busiest, a tenth to ten times | moved: a driver gone | a member gone |");
+    let uneven = |driver: u64| [0.1, 0.5, 1.0, 1.0, 1.0, 3.0, 10.0][(driver % 7) as usize];
+    println!("| assignment, drivers | max load, even traffic | max load, uneven traffic | moved: driver removed | replica removed |");
     for drivers in [20, 100, 300, 1000] {
-        for (name, known) in [
-            ("rendezvous alone", Some(false)),
-            ("parts rounded up", Some(true)),
-            ("rounds", None),
+        for (name, know_each_other) in [
+            ("rendezvous", Some(false)),
+            ("balanced rendezvous", Some(true)),
+            ("round robin", None),
         ] {
-            let world = World::new(drivers, 109, known == Some(true));
-            let firsts = |w: &World| known.map_or_else(|| rounds(w), |_| w.all());
-            let moved = |other: &World| {
-                let (old, new) = (firsts(&world), firsts(other));
+            let fleet = FleetModel::new(drivers, 109, know_each_other == Some(true));
+            let first_choices =
+                |w: &FleetModel| know_each_other.map_or_else(|| round_robin(w), |_| w.first_choices());
+            let moved = |other: &FleetModel| {
+                let (old, new) = (first_choices(&fleet), first_choices(other));
                 let both = old.iter().filter_map(|(k, v)| Some((v, new.get(k)?)));
-                let (all, differ) = both.fold((0, 0), |(c, d), (a, b)| (c + 1, d + usize::from(a != b)));
-                100.0 * f64::from(differ as u32) / f64::from(all)
+                let (count, changed) = both.fold((0, 0), |(c, d), (a, b)| (c + 1, d + usize::from(a != b)));
+                100.0 * f64::from(changed as u32) / f64::from(count)
             };
-            let (mut fewer, mut smaller) = (world.clone(), world.clone());
-            fewer.drivers.remove(&key(3));
-            smaller.groups[3].remove(1);
-            let all = firsts(&world);
+            let (mut without_driver, mut without_replica) = (fleet.clone(), fleet.clone());
+            without_driver.drivers.remove(&key(3));
+            without_replica.groups[3].remove(1);
+            let choices = first_choices(&fleet);
             println!(
                 "| {name}, {drivers} | {:.3} | {:.2} | {:.2} % | {:.2} % |",
-                busiest(&world, &all, |_| 1.0),
-                busiest(&world, &all, uneven),
-                moved(&fewer),
-                moved(&smaller)
+                max_relative_load(&fleet, &choices, |_| 1.0),
+                max_relative_load(&fleet, &choices, uneven),
+                moved(&without_driver),
+                moved(&without_replica)
             );
         }
     }
