--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -1,28 +1,29 @@
-//! A driver that goes on from what another has learned.
+//! Drivers that resume from learned state.
 
 mod common;
 use asterlatch::interface::*;
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
-use common::{ms, settings, with};
+use common::{ms, settings, settings_with};
 use std::collections::BTreeMap;
 
-/// Makes inputs from what drivers do, and gives each to all of them; they must do the same.
-struct World {
+/// Simulation that feeds the same random inputs to all drivers and checks that they act alike.
+struct Simulation {
     drivers: Vec<RoutingPolicy>,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     now: Timestamp,
-    next: u32,
-    /// Executions that are out: statement and number, member, when they went out.
-    out: Vec<(u32, u8, u32, Timestamp)>,
+    last_statement: u32,
+    /// Executions in flight: statement, attempt, member, time of the dispatch.
+    in_flight: Vec<(u32, u8, u32, Timestamp)>,
+    /// Next attempt of each open statement.
     open: BTreeMap<u32, u8>,
-    probes: Vec<u32>,
+    pending_health_checks: Vec<u32>,
     draining: Option<u32>,
-    inputs: usize,
+    input_count: usize,
 }
 
 const MEMBERS: u32 = 12;
-const ENDINGS: [ExecutionOutcome; 9] = [
+const OUTCOMES: [ExecutionOutcome; 9] = [
     ExecutionOutcome::Completed,
     ExecutionOutcome::Completed,
     ExecutionOutcome::Completed,
@@ -34,13 +35,13 @@
     ExecutionOutcome::ConnectionLost,
 ];
 
-/// A driver whose time line is the members' clock, as this world has one clock only.
+/// Sets the driver's clock as the members' clock, since the simulation has only one clock.
 fn with_shared_clock(mut driver: RoutingPolicy) -> RoutingPolicy {
     driver.set_shared_clock();
     driver
 }
 
-fn entry(id: u32, standing: MemberState, started: Option<RemoteTimestamp>) -> MemberEntry {
+fn entry(id: u32, member_state: MemberState, start: Option<RemoteTimestamp>) -> MemberEntry {
     MemberEntry {
         id,
         fleet_key: u64::from(id),
@@ -48,225 +49,239 @@
         zone: (id % 2) as u16,
         capacity: 1.0,
         listed_as_primary: id < 3,
-        state: standing,
-        started_at: started,
+        state: member_state,
+        started_at: start,
     }
 }
 
-impl World {
-    fn new(settings: &Settings, seed: u64) -> World {
+impl Simulation {
+    fn new(settings: &Settings, seed: u64) -> Simulation {
         let now = Timestamp(1_000_000_000);
-        let mut world = World {
+        let mut simulation = Simulation {
             drivers: vec![with_shared_clock(RoutingPolicy::new(settings, seed, now))],
-            chance: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
             now,
-            next: 0,
-            out: Vec::new(),
+            last_statement: 0,
+            in_flight: Vec::new(),
             open: BTreeMap::new(),
-            probes: Vec::new(),
+            pending_health_checks: Vec::new(),
             draining: None,
-            inputs: 0,
+            input_count: 0,
         };
-        let all: Vec<_> = (0..MEMBERS)
+        let entries: Vec<_> = (0..MEMBERS)
             .map(|id| entry(id, MemberState::Ready, None))
             .collect();
-        world.all(|d, now| d.on_endpoint_list(now, &all, true));
-        world
+        simulation.apply(|d, now| d.on_endpoint_list(now, &entries, true));
+        simulation
     }
 
     fn remote_now(&self) -> RemoteTimestamp {
         RemoteTimestamp(self.now.0)
     }
 
-    fn all(&mut self, input: impl Fn(&mut RoutingPolicy, Timestamp) -> Actions) {
-        self.inputs += 1;
+    /// Applies an input to all drivers and carries out the actions.
+    fn apply(&mut self, input: impl Fn(&mut RoutingPolicy, Timestamp) -> Actions) {
+        self.input_count += 1;
         let now = self.now;
         let mut results = self.drivers.iter_mut().map(|d| input(d, now));
-        let first = results.next().expect("has a driver");
+        let first = results.next().expect("the simulation has a driver");
         for other in results {
             assert_eq!(
                 format!("{other:?}"),
                 format!("{first:?}"),
                 "input {} at {now:?}",
-                self.inputs
+                self.input_count
             );
         }
-        for e in &first.executions {
-            let number = self.open.get_mut(&e.statement).expect("is open");
-            self.out.push((e.statement, *number, e.member, now));
-            *number += 1;
+        for execution in &first.executions {
+            let attempt = self
+                .open
+                .get_mut(&execution.statement)
+                .expect("the statement is open");
+            self.in_flight
+                .push((execution.statement, *attempt, execution.member, now));
+            *attempt += 1;
         }
         for answer in &first.answers {
-            let (Answer::Rejected { statement: stmt, .. } | Answer::Aborted { statement: stmt }) = answer;
-            self.open.remove(stmt);
+            let (Answer::Rejected {
+                statement: answered, ..
+            }
+            | Answer::Aborted { statement: answered }) = answer;
+            self.open.remove(answered);
         }
-        self.probes.extend(&first.health_checks);
+        self.pending_health_checks.extend(&first.health_checks);
     }
 
-    fn end(&mut self, at: usize, ending: ExecutionOutcome) {
-        let (stmt, number, member, sent) = self.out.swap_remove(at);
-        let settled = ending == ExecutionOutcome::Completed && self.open.remove(&stmt).is_some();
-        let lag = ms(self.chance.u64(0..400));
-        let sighting = ReplicaStatus {
-            position: self.chance.bool().then_some(self.remote_now() - lag),
+    fn end_execution(&mut self, index: usize, ending: ExecutionOutcome) {
+        let (ended, number, member, sent_at) = self.in_flight.swap_remove(index);
+        let is_final = ending == ExecutionOutcome::Completed && self.open.remove(&ended).is_some();
+        let lag = ms(self.rng.u64(0..400));
+        let reported = ReplicaStatus {
+            position: self.rng.bool().then_some(self.remote_now() - lag),
             is_primary: Some(member < 3),
         };
-        let sighting = if ending == ExecutionOutcome::Completed {
-            sighting
+        let reported = if ending == ExecutionOutcome::Completed {
+            reported
         } else {
             ReplicaStatus::default()
         };
-        let settled = settled || !self.open.contains_key(&stmt);
-        let took = self.now - sent;
+        let is_final = is_final || !self.open.contains_key(&ended);
+        let duration = self.now - sent_at;
         let end = ExecutionEnd {
-            statement: stmt,
+            statement: ended,
             attempt: number,
             member,
             outcome: ending,
-            latency: took,
-            is_answered: settled,
-            status: sighting,
+            latency: duration,
+            is_answered: is_final,
+            status: reported,
         };
-        self.all(|d, now| d.on_execution_ended(now, &end));
+        self.apply(|d, now| d.on_execution_ended(now, &end));
     }
 
     fn step(&mut self) {
-        self.now = self.now + TimeSpan(self.chance.u64(0..3000));
-        match self.chance.u32(0..100) {
+        self.now = self.now + TimeSpan(self.rng.u64(0..3000));
+        match self.rng.u32(0..100) {
             0..35 => {
-                self.next += 1;
+                self.last_statement += 1;
                 let statement = Statement {
-                    id: self.next,
-                    workload: self.chance.usize(0..5),
-                    group: self.chance.u32(0..3),
-                    session: self.chance.u64(1..50),
-                    is_client_retry: self.chance.u8(0..10) == 0,
-                    time_left: ms(self.chance.u64(50..2000)),
+                    id: self.last_statement,
+                    workload: self.rng.usize(0..5),
+                    group: self.rng.u32(0..3),
+                    session: self.rng.u64(1..50),
+                    is_client_retry: self.rng.u8(0..10) == 0,
+                    time_left: ms(self.rng.u64(50..2000)),
                     session_position: self
-                        .chance
+                        .rng
                         .bool()
-                        .then(|| self.remote_now() - ms(self.chance.u64(0..500))),
+                        .then(|| self.remote_now() - ms(self.rng.u64(0..500))),
                     ..Statement::default()
                 };
-                self.open.insert(self.next, 0);
-                self.all(|d, now| d.on_statement(now, &statement));
+                self.open.insert(self.last_statement, 0);
+                self.apply(|d, now| d.on_statement(now, &statement));
             }
-            35..75 if !self.out.is_empty() => {
-                let (at, ending) = (
-                    self.chance.usize(0..self.out.len()),
-                    self.chance.usize(0..ENDINGS.len()),
+            35..75 if !self.in_flight.is_empty() => {
+                let (index, outcome) = (
+                    self.rng.usize(0..self.in_flight.len()),
+                    self.rng.usize(0..OUTCOMES.len()),
                 );
-                self.end(at, ENDINGS[ending]);
+                self.end_execution(index, OUTCOMES[outcome]);
             }
-            75..85 if !self.probes.is_empty() => {
-                let member = self.probes.swap_remove(0);
-                let ok = self.chance.u8(0..5) > 0;
-                let position = Some(self.remote_now() - ms(self.chance.u64(0..200)));
-                let sighting = ReplicaStatus {
+            75..85 if !self.pending_health_checks.is_empty() => {
+                let member = self.pending_health_checks.swap_remove(0);
+                let is_answered = self.rng.u8(0..5) > 0;
+                let position = Some(self.remote_now() - ms(self.rng.u64(0..200)));
+                let status = ReplicaStatus {
                     position,
                     is_primary: Some(member < 3),
                 };
-                self.all(|d, now| d.on_health_check(now, member, ok, ms(1), sighting));
+                self.apply(|d, now| d.on_health_check(now, member, is_answered, ms(1), status));
             }
             85..87 if !self.open.is_empty() => {
-                let at = self.chance.usize(0..self.open.len());
-                let stmt = *self.open.keys().nth(at).expect("is there");
-                self.open.remove(&stmt);
-                self.all(|d, now| d.on_statement_withdrawn(now, stmt));
+                let index = self.rng.usize(0..self.open.len());
+                let statement = *self.open.keys().nth(index).expect("an open statement");
+                self.open.remove(&statement);
+                self.apply(|d, now| d.on_statement_withdrawn(now, statement));
             }
             87 => {
-                // One at a time drains and comes back cold.
-                let told = match self.draining.take() {
+                // One member at a time drains and starts again.
+                let update = match self.draining.take() {
                     Some(id) => entry(id, MemberState::Ready, Some(self.remote_now())),
                     None => {
-                        let id = self.chance.u32(3..MEMBERS);
+                        let id = self.rng.u32(3..MEMBERS);
                         self.draining = Some(id);
                         entry(id, MemberState::Draining, None)
                     }
                 };
-                self.all(|d, now| d.on_endpoint_list(now, &[told], false));
+                self.apply(|d, now| d.on_endpoint_list(now, &[update], false));
             }
-            _ => self.all(RoutingPolicy::advance_to),
+            _ => self.apply(RoutingPolicy::advance_to),
         }
     }
 
-    /// Until nothing is open, so that all that was learned is in what is written out.
-    fn quiet(&mut self) {
-        while !self.out.is_empty() || !self.open.is_empty() {
+    /// Runs until no statement is open, so that the learned state is complete.
+    fn drain(&mut self) {
+        while !self.in_flight.is_empty() || !self.open.is_empty() {
             self.now = self.now + ms(5);
-            match self.out.is_empty() {
-                true => self.all(RoutingPolicy::advance_to),
-                false => self.end(0, ExecutionOutcome::Completed),
+            match self.in_flight.is_empty() {
+                true => self.apply(RoutingPolicy::advance_to),
+                false => self.end_execution(0, ExecutionOutcome::Completed),
             }
         }
     }
 }
 
 #[test]
-fn resumed_driver_decides_like_the_original() {
-    let plain = settings();
-    let fleet = with(|s| {
-        s.driver_count = 14;
-        s.members_check_reads = false;
-        s.carries_session_position = false;
+fn resume_driver_decides_like_the_original() {
+    let default = settings();
+    let tracked_sessions = settings_with(|settings| {
+        settings.driver_count = 14;
+        settings.members_check_reads = false;
+        settings.carries_session_position = false;
     });
-    let asks = with(|s| {
-        s.poll_endpoint_list = true;
-        s.tenant_quotas = vec![50.0];
-        s.over_quota_share = 0.3;
+    let polled_with_quotas = settings_with(|settings| {
+        settings.poll_endpoint_list = true;
+        settings.tenant_quotas = vec![50.0];
+        settings.over_quota_share = 0.3;
     });
-    for (n, settings) in [plain, fleet, asks].into_iter().enumerate() {
-        let mut world = World::new(&settings, 11 + n as u64);
-        (0..20_000).for_each(|_| world.step());
-        world.quiet();
-        world.probes.clear();
-        let bytes = postcard::to_stdvec(&world.drivers[0]).expect("can be written");
-        let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("can be read");
+    for (index, settings) in [default, tracked_sessions, polled_with_quotas]
+        .into_iter()
+        .enumerate()
+    {
+        let mut simulation = Simulation::new(&settings, 11 + index as u64);
+        (0..20_000).for_each(|_| simulation.step());
+        simulation.drain();
+        simulation.pending_health_checks.clear();
+        let bytes = postcard::to_stdvec(&simulation.drivers[0]).expect("serialize the learned state");
+        let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("deserialize the learned state");
         assert_eq!(
-            postcard::to_stdvec(&learned).expect("can be written"),
+            postcard::to_stdvec(&learned).expect("serialize the learned state"),
             bytes,
-            "nothing is lost on the way"
+            "deserializing and serializing changes the learned state"
         );
-        world.drivers.push(with_shared_clock(RoutingPolicy::resume(
-            learned, &settings, true, world.now,
+        simulation.drivers.push(with_shared_clock(RoutingPolicy::resume(
+            learned,
+            &settings,
+            true,
+            simulation.now,
         )));
-        // The first look of the one that goes on must change nothing either: both are told the time.
-        world.all(RoutingPolicy::advance_to);
-        let from = world.inputs;
-        while world.inputs < from + 100_000 {
-            world.step();
+        // The first input after the handover is a wake-up.
+        simulation.apply(RoutingPolicy::advance_to);
+        let first_input = simulation.input_count;
+        while simulation.input_count < first_input + 100_000 {
+            simulation.step();
         }
     }
 }
 
-/// A driver that goes on with statements of the other still out owes nobody their answers, and believes nobody late.
+/// The predecessor's statements in flight must neither be answered nor make members appear unresponsive.
 #[test]
-fn resumed_driver_drops_unanswered_executions() {
+fn resume_executions_in_flight_are_dropped() {
     let settings = settings();
-    let mut world = World::new(&settings, 5);
-    (0..5000).for_each(|_| world.step());
-    assert!(!world.out.is_empty() && !world.open.is_empty());
-    let bytes = postcard::to_stdvec(&world.drivers[0]).expect("can be written");
-    let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("can be read");
-    let later = world.now + ms(60_000);
-    let mut next = with_shared_clock(RoutingPolicy::resume(learned, &settings, false, later));
-    let results = next.advance_to(later);
-    assert!(results.answers.is_empty() && results.executions.is_empty() && results.cancellations.is_empty());
-    // What ends for the other is none of its business.
-    let (stmt, number, member, _) = world.out[0];
-    let (ending, took, settled, sighting) =
+    let mut simulation = Simulation::new(&settings, 5);
+    (0..5000).for_each(|_| simulation.step());
+    assert!(!simulation.in_flight.is_empty() && !simulation.open.is_empty());
+    let bytes = postcard::to_stdvec(&simulation.drivers[0]).expect("serialize the learned state");
+    let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("deserialize the learned state");
+    let later = simulation.now + ms(60_000);
+    let mut successor = with_shared_clock(RoutingPolicy::resume(learned, &settings, false, later));
+    let actions = successor.advance_to(later);
+    assert!(actions.answers.is_empty() && actions.executions.is_empty() && actions.cancellations.is_empty());
+    // The end of one of the predecessor's executions is ignored.
+    let (ended, number, member, _) = simulation.in_flight[0];
+    let (ending, duration, is_final, reported) =
         (ExecutionOutcome::TimedOut, ms(1), true, ReplicaStatus::default());
     let end = ExecutionEnd {
-        statement: stmt,
+        statement: ended,
         attempt: number,
         member,
         outcome: ending,
-        latency: took,
-        is_answered: settled,
-        status: sighting,
+        latency: duration,
+        is_answered: is_final,
+        status: reported,
     };
-    assert!(next.on_execution_ended(later, &end).executions.is_empty());
-    // It knows members, roles and positions: a write goes to the primary at once.
+    assert!(successor.on_execution_ended(later, &end).executions.is_empty());
+    // Members, roles and positions are known, so a write is sent to the primary at once.
     let statement = Statement {
         id: 1,
         workload: 2,
@@ -274,22 +289,22 @@
         time_left: ms(1000),
         ..Statement::default()
     };
-    let results = next.on_statement(later, &statement);
+    let actions = successor.on_statement(later, &statement);
     assert_eq!(
-        results.executions.iter().map(|e| e.member).collect::<Vec<_>>(),
+        actions.executions.iter().map(|e| e.member).collect::<Vec<_>>(),
         [1]
     );
 }
 
 #[test]
-fn arbitrary_bytes_fail_or_give_a_complete_driver() {
-    let mut world = World::new(&settings(), 3);
-    (0..500).for_each(|_| world.step());
-    let bytes = postcard::to_stdvec(&world.drivers[0]).expect("can be written");
-    for cut in 0..bytes.len().min(400) {
+fn deserialize_truncated_state_fails() {
+    let mut simulation = Simulation::new(&settings(), 3);
+    (0..500).for_each(|_| simulation.step());
+    let bytes = postcard::to_stdvec(&simulation.drivers[0]).expect("serialize the learned state");
+    for length in 0..bytes.len().min(400) {
         assert!(
-            postcard::from_bytes::<RoutingPolicy>(&bytes[..cut]).is_err(),
-            "cut at {cut}"
+            postcard::from_bytes::<RoutingPolicy>(&bytes[..length]).is_err(),
+            "truncated to {length} bytes"
         );
     }
 }
@@ -301,24 +316,27 @@
 }
 
 fn fleet_with_quotas() -> Settings {
-    with(|s| {
-        s.driver_count = 3;
-        s.members_check_reads = false;
-        s.carries_session_position = false;
-        s.tenant_quotas = vec![50.0];
-        s.over_quota_share = 0.3;
+    settings_with(|settings| {
+        settings.driver_count = 3;
+        settings.members_check_reads = false;
+        settings.carries_session_position = false;
+        settings.tenant_quotas = vec![50.0];
+        settings.over_quota_share = 0.3;
     })
 }
 
-/// What the build before has learned is read, means what it meant, and is written again byte by byte alike.
+/// The learned state of an earlier build must be readable, keep its meaning, and serialize to the same bytes.
 #[test]
-fn learned_state_of_earlier_build_reads_unchanged() {
-    let bytes = std::fs::read(learned_fixture()).expect("lies there");
-    let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("can be read");
-    assert_eq!(postcard::to_stdvec(&learned).expect("can be written"), bytes);
+fn deserialize_state_of_earlier_build_reads_unchanged() {
+    let bytes = std::fs::read(learned_fixture()).expect("read the fixture");
+    let learned: RoutingPolicy = postcard::from_bytes(&bytes).expect("deserialize the learned state");
+    assert_eq!(
+        postcard::to_stdvec(&learned).expect("serialize the learned state"),
+        bytes
+    );
     let now = Timestamp(1_010_000_000);
-    let mut next = with_shared_clock(RoutingPolicy::resume(learned, &fleet_with_quotas(), false, now));
-    let mut taken = |id, workload, group| {
+    let mut successor = with_shared_clock(RoutingPolicy::resume(learned, &fleet_with_quotas(), false, now));
+    let mut route = |id, workload, group| {
         let statement = Statement {
             id,
             workload,
@@ -326,15 +344,14 @@
             time_left: ms(1000),
             ..Statement::default()
         };
-        let results = next.on_statement(now, &statement);
-        assert!(results.answers.is_empty(), "statement {id}");
-        results.executions.iter().map(|e| e.member).collect::<Vec<_>>()
+        let actions = successor.on_statement(now, &statement);
+        assert!(actions.answers.is_empty(), "statement {id}");
+        actions.executions.iter().map(|e| e.member).collect::<Vec<_>>()
     };
-    // Primaries are 0, 1 and 2, each of the group of its own number; of each group are the members that leave this
-    // remainder by three.
+    // Member `n` is in group `n % 3`; members 0, 1 and 2 are the primaries.
     for group in 0..3 {
-        assert_eq!(taken(group + 1, 2, group), [group], "a write");
-        let reads = taken(group + 11, 0, group);
+        assert_eq!(route(group + 1, 2, group), [group], "a write");
+        let reads = route(group + 11, 0, group);
         assert!(
             reads.len() == 1 && reads[0] % 3 == group && reads[0] < MEMBERS,
             "a read of group {group}: {reads:?}"
@@ -343,14 +360,14 @@
 }
 
 #[test]
-#[ignore = "writes the fixture: only by a build whose state is to be kept"]
+#[ignore = "writes the fixture; to be run only by a build whose format must stay readable"]
 fn write_fixtures() {
-    let mut world = World::new(&fleet_with_quotas(), 17);
-    (0..3000).for_each(|_| world.step());
-    world.quiet();
-    // Some executions are out, so that theirs is in the state as well.
-    (0..10).for_each(|_| world.step());
-    assert!(!world.out.is_empty());
-    let bytes = postcard::to_stdvec(&world.drivers[0]).expect("can be written");
-    std::fs::write(learned_fixture(), bytes).expect("is written");
+    let mut simulation = Simulation::new(&fleet_with_quotas(), 17);
+    (0..3000).for_each(|_| simulation.step());
+    simulation.drain();
+    // The state is to include executions in flight.
+    (0..10).for_each(|_| simulation.step());
+    assert!(!simulation.in_flight.is_empty());
+    let bytes = postcard::to_stdvec(&simulation.drivers[0]).expect("serialize the learned state");
+    std::fs::write(learned_fixture(), bytes).expect("write the fixture");
 }
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,42 +1,45 @@
-//! What all drivers of a fleet send together to a member that has just started: independent drivers in virtual time.
+//! Total load of all drivers of a fleet on a member that has just started, simulated with independent
+//! drivers.
 //!
-//! A member that the settings allow N calls of mean work in the overload window may get N + 2 root N + 2 in any such window,
-//! N + 3 root N + 3 where N is under 30. One that has just started carries one core times its warm-up fraction.
+//! A member for which the settings allow N calls of mean work per overload window may get `N + 2 * sqrt(N) +
+//! 2` calls in any window, or `N + 3 * sqrt(N) + 3` for N below 30. A warming member's capacity is one core
+//! times its warm-up fraction.
 
 mod common;
 use asterlatch::interface::*;
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
-use common::{at, member, ms, started, statement, with, READ};
+use common::{at, member_entry, ms, settings_with, started_member, statement, READ};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 const PRIMARY: u32 = 1;
 const WARM: [u32; 2] = [2, 4];
 const COLD: u32 = 3;
-/// When the cold member starts, in milliseconds: drivers have learned by then what warm members carry.
+/// Time of the cold member's start, in milliseconds; by then drivers have measured the load of warm members.
 const COLD_START_MS: u64 = 8_000;
 const END_MS: u64 = COLD_START_MS + 8_000;
-/// Part of their capacity that warm members use.
+/// Utilization of the warm members.
 const UTILIZATION: f64 = 0.9;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
-    /// The same traffic all the time.
-    None,
-    /// Nobody sends for four seconds behind the start; then the warm replicas drain and every driver sends at once.
-    BurstBehindQuiet,
-    /// A tenth of the drivers restarts every half a second.
+enum Scenario {
+    /// Constant traffic.
+    Steady,
+    /// No traffic for four seconds after the start; then the warm replicas drain and all drivers send at
+    /// once.
+    BurstAfterQuiet,
+    /// A tenth of the drivers restarts every half second.
     RollingRestart,
-    /// Every driver sends at once, seven in ten of them restart, and every driver sends at once again.
+    /// All drivers send at once, 70 % of them restart, and all send at once again.
     MassRestart,
 }
 
-const TROUBLES: [Trouble; 4] = [
-    Trouble::None,
-    Trouble::BurstBehindQuiet,
-    Trouble::RollingRestart,
-    Trouble::MassRestart,
+const SCENARIOS: [Scenario; 4] = [
+    Scenario::Steady,
+    Scenario::BurstAfterQuiet,
+    Scenario::RollingRestart,
+    Scenario::MassRestart,
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -72,24 +75,24 @@
     settings: Settings,
     latency: TimeSpan,
     drivers: Vec<Driver>,
-    /// Sum of the drivers' parts of the traffic up to each.
-    cumulated_parts: Vec<f64>,
+    /// Cumulative sum of the drivers' traffic weights.
+    cumulative_weights: Vec<f64>,
     events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     sequence: u64,
     last_statement: u32,
     list: BTreeMap<u32, MemberEntry>,
     random: fastrand::Rng,
     calls_to_cold: Vec<Timestamp>,
-    /// When each member has finished what it was sent: it executes one call after another.
+    /// Time at which each member has finished its calls, which it executes one after another.
     busy_until: BTreeMap<u32, Timestamp>,
 }
 
 impl Fleet {
-    /// Drivers with uneven parts of the traffic: some several times the mean, some next to none.
+    /// Drivers with uneven traffic: some with several times the mean, some with almost none.
     fn new(count: usize, settings: Settings, latency: TimeSpan, seed: u64) -> Fleet {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut sum = 0.0;
-        let mut part_of = |driver: usize| {
+        let mut cumulative_weight = |driver: usize| {
             sum += if driver.is_multiple_of(3) {
                 1.0
             } else {
@@ -97,17 +100,17 @@
             };
             sum
         };
-        let cumulated_parts = (0..count).map(&mut part_of).collect();
+        let cumulative_weights = (0..count).map(&mut cumulative_weight).collect();
         let known = [PRIMARY, WARM[0], WARM[1]];
         let mut fleet = Fleet {
             settings,
             latency,
             drivers: Vec::new(),
-            cumulated_parts,
+            cumulative_weights,
             events: BinaryHeap::new(),
             sequence: 0,
             last_statement: 0,
-            list: known.map(|id| (id, member(id))).into_iter().collect(),
+            list: known.map(|id| (id, member_entry(id))).into_iter().collect(),
             random,
             calls_to_cold: Vec::new(),
             busy_until: BTreeMap::new(),
@@ -138,21 +141,21 @@
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn drawn_driver(&mut self) -> usize {
-        let total = *self.cumulated_parts.last().expect("a driver");
-        let drawn = self.random.f64() * total;
-        self.cumulated_parts.partition_point(|sum| *sum < drawn)
+    fn random_driver(&mut self) -> usize {
+        let total = *self.cumulative_weights.last().expect("the fleet has drivers");
+        let target = self.random.f64() * total;
+        self.cumulative_weights.partition_point(|sum| *sum < target)
     }
 
     fn carry_out(&mut self, now: Timestamp, driver: usize, actions: Actions) {
         let incarnation = self.drivers[driver].incarnation;
         for execution in actions.executions {
-            let number = self.drivers[driver]
+            let next_attempt = self.drivers[driver]
                 .attempts
                 .entry(execution.statement)
                 .or_default();
-            let attempt = *number;
-            *number += 1;
+            let attempt = *next_attempt;
+            *next_attempt += 1;
             if execution.member == COLD {
                 self.calls_to_cold.push(now);
             }
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Latency of a call that a member gets now.
+    /// Latency of a call that a member receives now.
     fn execute(&mut self, now: Timestamp, member: u32) -> TimeSpan {
         let fraction = match member {
             COLD => warm_up_fraction(&self.settings, now - at(COLD_START_MS)),
@@ -202,7 +205,7 @@
     fn on_event(&mut self, now: Timestamp, event: Event) {
         match event {
             Event::Arrival => {
-                let driver = self.drawn_driver();
+                let driver = self.random_driver();
                 self.send_statement(now, driver);
             }
             Event::Burst => {
@@ -212,10 +215,10 @@
             }
             Event::WarmDrain => {
                 for id in WARM {
-                    self.announce(now, common::drained(id));
+                    self.announce(now, common::draining_member(id));
                 }
             }
-            Event::ColdStart => self.announce(now, started(COLD, RemoteTimestamp(now.0))),
+            Event::ColdStart => self.announce(now, started_member(COLD, RemoteTimestamp(now.0))),
             Event::Restart { driver } => {
                 let policy = self.new_policy(now);
                 let incarnation = self.drivers[driver].incarnation + 1;
@@ -227,7 +230,7 @@
             }
             Event::WakeUp { driver, incarnation } if incarnation == self.drivers[driver].incarnation => {
                 let actions = self.drivers[driver].policy.advance_to(now);
-                // A wake-up that plans the same moment again would not end.
+                // A wake-up for the current time would repeat without end.
                 let later = actions.wake_up_at.filter(|at| *at > now);
                 self.carry_out(
                     now,
@@ -262,29 +265,29 @@
         }
     }
 
-    fn plan(&mut self, trouble: Trouble) {
+    fn schedule(&mut self, scenario: Scenario) {
         // Two warm replicas share the reads.
-        let per_ms = 2.0 * UTILIZATION / (self.latency.0 as f64 / 1000.0);
-        let quiet = match trouble {
-            Trouble::BurstBehindQuiet => COLD_START_MS..COLD_START_MS + 4_000,
+        let arrivals_per_ms = 2.0 * UTILIZATION / (self.latency.0 as f64 / 1000.0);
+        let quiet = match scenario {
+            Scenario::BurstAfterQuiet => COLD_START_MS..COLD_START_MS + 4_000,
             _ => 0..0,
         };
         let mut arrival = 0.0;
         while arrival < END_MS as f64 {
-            arrival += -self.random.f64().max(1e-12).ln() / per_ms;
+            arrival += -self.random.f64().max(1e-12).ln() / arrivals_per_ms;
             if !quiet.contains(&(arrival as u64)) {
                 self.push(Timestamp(at(0).0 + (arrival * 1000.0) as u64), Event::Arrival);
             }
         }
         self.push(at(COLD_START_MS), Event::ColdStart);
         let count = self.drivers.len();
-        match trouble {
-            Trouble::None => {}
-            Trouble::BurstBehindQuiet => {
+        match scenario {
+            Scenario::Steady => {}
+            Scenario::BurstAfterQuiet => {
                 self.push(at(quiet.end), Event::WarmDrain);
                 self.push(at(quiet.end), Event::Burst);
             }
-            Trouble::RollingRestart => {
+            Scenario::RollingRestart => {
                 for step in 0..10 {
                     for driver in (0..count).filter(|driver| driver % 10 == step) {
                         let restart_ms = COLD_START_MS + 1_000 + 500 * step as u64;
@@ -292,7 +295,7 @@
                     }
                 }
             }
-            Trouble::MassRestart => {
+            Scenario::MassRestart => {
                 self.push(at(COLD_START_MS + 4_000), Event::Burst);
                 for driver in (0..count).filter(|driver| driver % 10 < 7) {
                     self.push(at(COLD_START_MS + 4_100), Event::Restart { driver });
@@ -311,7 +314,7 @@
         }
     }
 
-    /// The window with the most calls above what a member of one core may get: calls, and calls that were allowed.
+    /// The window in which a member of one core most exceeds its maximum: its calls, and the maximum.
     fn worst_window(&self) -> (usize, f64) {
         let window = self.settings.overload_window;
         let mut first = 0;
@@ -321,10 +324,10 @@
                 first += 1;
             }
             let age = self.calls_to_cold[first] - at(COLD_START_MS);
-            let most = most_calls(allowed_calls(&self.settings, age, self.latency));
+            let limit = max_calls(allowed_calls(&self.settings, age, self.latency));
             let calls = last + 1 - first;
-            if calls as f64 - most > worst.0 as f64 - worst.1 {
-                worst = (calls, most);
+            if calls as f64 - limit > worst.0 as f64 - worst.1 {
+                worst = (calls, limit);
             }
         }
         worst
@@ -332,54 +335,54 @@
 }
 
 fn warm_up_fraction(settings: &Settings, age: TimeSpan) -> f64 {
-    let cold = settings.cold_start_fraction;
-    (cold + (1.0 - cold) * age.ratio(settings.warm_up_time)).min(1.0)
+    let cold_fraction = settings.cold_start_fraction;
+    (cold_fraction + (1.0 - cold_fraction) * age.ratio(settings.warm_up_time)).min(1.0)
 }
 
-/// Calls that the settings allow a member of one core that started so long ago.
+/// Number of calls that the settings allow a member of one core of this age.
 fn allowed_calls(settings: &Settings, age: TimeSpan, mean_work: TimeSpan) -> f64 {
     let fraction = warm_up_fraction(settings, age);
     settings.overload_multiple * fraction * settings.overload_window.ratio(mean_work)
 }
 
-/// The rule: calls above which a member that is allowed `allowed` falls.
-fn most_calls(allowed: f64) -> f64 {
-    let (roots, constant) = if allowed < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
-    allowed + roots * allowed.sqrt() + constant
+/// Maximum number of calls that a member survives if `allowed` calls are allowed.
+fn max_calls(allowed: f64) -> f64 {
+    let (factor, constant) = if allowed < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
+    allowed + factor * allowed.sqrt() + constant
 }
 
-/// Settings under which a member of one core is allowed `calls` at its start, and the latency of a call.
+/// Settings that allow a member of one core `calls` calls at its start, and the latency of a call.
 fn deployment(drivers: usize, calls: f64, multiple: f64) -> (Settings, TimeSpan) {
-    let cold = if calls < 30.0 { 0.15 } else { 0.5 };
+    let cold_fraction = if calls < 30.0 { 0.15 } else { 0.5 };
     let window = ms(2000);
-    let latency = TimeSpan((multiple * cold * window.0 as f64 / calls) as u64);
-    let settings = with(|s| {
-        s.driver_count = drivers as u32;
-        s.cold_start_fraction = cold;
-        s.warm_up_time = ms(15_000);
-        s.overload_multiple = multiple;
-        s.overload_window = window;
-        s.workloads[READ].slo_time = (latency * 4.0).max(ms(1000));
+    let latency = TimeSpan((multiple * cold_fraction * window.0 as f64 / calls) as u64);
+    let settings = settings_with(|settings| {
+        settings.driver_count = drivers as u32;
+        settings.cold_start_fraction = cold_fraction;
+        settings.warm_up_time = ms(15_000);
+        settings.overload_multiple = multiple;
+        settings.overload_window = window;
+        settings.workloads[READ].slo_time = (latency * 4.0).max(ms(1000));
     });
     (settings, latency)
 }
 
 fn assert_within_budget(drivers: usize, calls: f64, multiple: f64) {
-    for trouble in TROUBLES {
+    for scenario in SCENARIOS {
         let (settings, latency) = deployment(drivers, calls, multiple);
         let mut fleet = Fleet::new(drivers, settings, latency, calls as u64 + drivers as u64);
-        fleet.plan(trouble);
+        fleet.schedule(scenario);
         fleet.run();
-        let (sent, most) = fleet.worst_window();
+        let (sent, limit) = fleet.worst_window();
         assert!(
-            sent as f64 <= most,
-            "{drivers} drivers, {calls} calls allowed, multiple {multiple}, {trouble:?}: {sent} calls in a window, {most:.1} at most"
+            sent as f64 <= limit,
+            "{drivers} drivers, {calls} calls allowed, multiple {multiple}, {scenario:?}: {sent} calls in a window, limit {limit:.1}"
         );
     }
 }
 
 #[test]
-fn slow_start_few_drivers_stay_within_the_budget_in_any_window() {
+fn on_statement_warming_member_few_drivers_stay_within_budget() {
     for drivers in [1, 2, 5, 20] {
         for calls in [1.0, 2.0, 5.0, 29.0, 30.0, 100.0] {
             for multiple in [1.0, 2.0, 4.0] {
@@ -390,7 +393,7 @@
 }
 
 #[test]
-fn slow_start_many_drivers_stay_within_the_budget_in_any_window() {
+fn on_statement_warming_member_many_drivers_stay_within_budget() {
     for drivers in [30, 100, 300, 900] {
         for calls in [1.0, 5.0, 29.0, 30.0, 100.0] {
             for multiple in [1.0, 4.0] {
@@ -401,7 +404,7 @@
 }
 
 #[test]
-fn slow_start_large_members_stay_within_the_budget_in_any_window() {
+fn on_statement_large_warming_member_drivers_stay_within_budget() {
     for drivers in [1, 30, 300, 900] {
         for calls in [500.0, 2000.0] {
             assert_within_budget(drivers, calls, 4.0);
