--- a/tests/peer_process.rs
+++ b/tests/peer_process.rs
@@ -65,15 +65,15 @@
     );
 }
 
-/// Statements sent to a member within a second after its start, by a lone process and by two peer processes.
-/// The member starts late enough that no predecessor's dispatches count.
+/// Statements sent to a member within a second after its start, by a single process and by two peer
+/// processes. The member starts late enough that no predecessor's dispatches count.
 fn dispatches_to_warming_member(yields: bool) -> (usize, usize, usize) {
     const START: u64 = 5000;
     let settings = settings();
-    let mut lone = new_harness(&settings, 1);
+    let mut single = new_harness(&settings, 1);
     let announce =
         |harness: &mut Harness| harness.update_endpoint(START, started_member(1, remote_at(START)));
-    announce(&mut lone);
+    announce(&mut single);
     let (mut draining, mut successor) = (new_harness(&settings, 1), new_harness(&settings, 1));
     [&mut draining, &mut successor]
         .into_iter()
@@ -82,7 +82,10 @@
     successor.driver.set_peer_process(at(START + 1), false);
     let mut sent = [0; 3];
     for now in START + 2..START + 1000 {
-        for (process, harness) in [&mut lone, &mut draining, &mut successor].into_iter().enumerate() {
+        for (process, harness) in [&mut single, &mut draining, &mut successor]
+            .into_iter()
+            .enumerate()
+        {
             let mut actions = harness.driver.advance_to(at(now));
             actions.executions.extend(harness.submit(now, WRITE).1.executions);
             sent[process] += actions.executions.len();
@@ -106,13 +109,13 @@
 
 #[test]
 fn set_peer_process_warming_member_gets_no_more_than_from_one_process() {
-    let (lone, draining, successor) = dispatches_to_warming_member(true);
+    let (single, draining, successor) = dispatches_to_warming_member(true);
     assert_eq!(draining, 0, "warming members are left to the peer");
-    assert!(successor > 0 && successor <= lone, "{successor} of {lone}");
-    let (lone, draining, successor) = dispatches_to_warming_member(false);
+    assert!(successor > 0 && successor <= single, "{successor} of {single}");
+    let (single, draining, successor) = dispatches_to_warming_member(false);
     assert!(
-        draining + successor > lone,
-        "without yielding {draining} and {successor} should exceed {lone}"
+        draining + successor > single,
+        "without yielding {draining} and {successor} should exceed {single}"
     );
 }
 
--- a/tests/remote_clock.rs
+++ b/tests/remote_clock.rs
@@ -95,11 +95,14 @@
                 simulation.advance(idle);
                 // By now both kinds of evidence are available.
                 if step > 100 {
-                    let (ahead, behind) = simulation.errors();
+                    let (upper_error, lower_error) = simulation.errors();
                     // Round trip, granularity of the stamp, and drift over two windows with a margin.
                     let max_drift = (WINDOW + WINDOW) * MAX_DRIFT * 2.0;
-                    assert!(ahead <= ms(8 + 1 + 1) + max_drift, "{ahead:?} {drift}");
-                    assert!(behind <= ms(120 + 8) + max_drift, "{behind:?} {drift}");
+                    assert!(
+                        upper_error <= ms(8 + 1 + 1) + max_drift,
+                        "{upper_error:?} {drift}"
+                    );
+                    assert!(lower_error <= ms(120 + 8) + max_drift, "{lower_error:?} {drift}");
                 }
             }
         }
@@ -119,10 +122,10 @@
     let now = simulation.local_now();
     assert!(simulation.clock.earliest(now).is_some() && simulation.clock.latest(now).is_none());
     simulation.answer(1, true, 4, ms(0));
-    let (ahead, _) = simulation.errors();
+    let (upper_error, _) = simulation.errors();
     assert!(
-        ahead <= ms(6),
-        "the first answer of a primary provides an upper bound: {ahead:?}"
+        upper_error <= ms(6),
+        "the first answer of a primary provides an upper bound: {upper_error:?}"
     );
 }
 
@@ -132,8 +135,11 @@
     let mut simulation = ClockSimulation::new(2, Timestamp(REMOTE_START), MAX_DRIFT * -0.99);
     simulation.answer(1, true, 4, ms(0));
     simulation.advance(ms(HOUR_MS));
-    let (ahead, behind) = simulation.errors();
-    assert!(ahead <= ms(4000) && behind <= ms(4000), "{ahead:?} {behind:?}");
+    let (upper_error, lower_error) = simulation.errors();
+    assert!(
+        upper_error <= ms(4000) && lower_error <= ms(4000),
+        "{upper_error:?} {lower_error:?}"
+    );
 }
 
 #[test]
@@ -146,8 +152,11 @@
         simulation.remote_step_ms += HOUR_MS as i64;
         simulation.answer(7, false, 4, ms(0));
         simulation.remote_step_ms -= HOUR_MS as i64;
-        let (ahead, behind) = simulation.errors();
-        assert!(ahead <= ms(6) && behind <= ms(40), "{ahead:?} {behind:?}");
+        let (upper_error, lower_error) = simulation.errors();
+        assert!(
+            upper_error <= ms(6) && lower_error <= ms(40),
+            "{upper_error:?} {lower_error:?}"
+        );
     }
 }
 
@@ -164,8 +173,8 @@
         }
         for _ in 0..20 {
             simulation.answer(1, true, 4, ms(4000));
-            let (ahead, _) = simulation.errors();
-            assert!(ahead <= ms(6), "{ahead:?}");
+            let (upper_error, _) = simulation.errors();
+            assert!(upper_error <= ms(6), "{upper_error:?}");
         }
     }
 }
@@ -183,8 +192,8 @@
         "unknown is the conservative result"
     );
     simulation.answer(3, true, 4, ms(0));
-    let (ahead, _) = simulation.errors();
-    assert!(ahead <= ms(6), "{ahead:?}");
+    let (upper_error, _) = simulation.errors();
+    assert!(upper_error <= ms(6), "{upper_error:?}");
 }
 
 /// Forward steps of the members' clock are followed with the next answers, backward steps within two windows;
@@ -203,8 +212,8 @@
         simulation.remote_step_ms += step;
         all_members_answer(&mut simulation);
         if step > 0 {
-            let (ahead, _) = simulation.errors();
-            assert!(ahead <= ms(6), "{ahead:?}");
+            let (upper_error, _) = simulation.errors();
+            assert!(upper_error <= ms(6), "{upper_error:?}");
         }
         let mut waited = TimeSpan(0);
         while waited < WINDOW + WINDOW + ms(200) {
@@ -214,10 +223,10 @@
             simulation.advance(ms(100));
             waited = waited + ms(100);
         }
-        let (ahead, _) = simulation.errors();
+        let (upper_error, _) = simulation.errors();
         assert!(
-            ahead <= ms(6) + (WINDOW + WINDOW) * MAX_DRIFT,
-            "{step}: {ahead:?}"
+            upper_error <= ms(6) + (WINDOW + WINDOW) * MAX_DRIFT,
+            "{step}: {upper_error:?}"
         );
     }
 }
@@ -255,8 +264,11 @@
     for member in 1000..1000 + MAX_TRACKED_PRIMARIES as u32 {
         simulation.answer(member, true, 4, ms(0));
     }
-    let (ahead, _) = simulation.errors();
-    assert!(ahead <= ms(6), "only the last primaries count: {ahead:?}");
+    let (upper_error, _) = simulation.errors();
+    assert!(
+        upper_error <= ms(6),
+        "only the last primaries count: {upper_error:?}"
+    );
     for member in 0..2000 {
         simulation.clock.remove_member(member);
     }
