--- a/src/remote_clock.rs
+++ b/src/remote_clock.rs
@@ -25,8 +25,8 @@
 //! answer with old positions that no other evidence contradicts, and that clock rates differ by at most
 //! [`MAX_DRIFT`]. Then:
 //!
-//! - [`RemoteClock::earliest`] is at or before the remote clock. It lags by the shortest time, replication lag
-//!   included, from a stamp to its receipt at a typical member.
+//! - [`RemoteClock::earliest`] is at or before the remote clock. It lags by the shortest time, replication
+//!   lag included, from a stamp to its receipt at a typical member.
 //! - [`RemoteClock::latest`] is at or after the remote clock. It is ahead by at most the median, over the
 //!   primaries, of each one's shortest round trip within the last one to two [`WINDOW`]s, plus the stamps'
 //!   granularity of one millisecond, plus [`MAX_DRIFT`] of the time since then.
--- a/tests/replica_preference.rs
+++ b/tests/replica_preference.rs
@@ -318,7 +318,7 @@
         pairs.collect()
     };
     let uneven = |driver: u64| [0.1, 0.5, 1.0, 1.0, 1.0, 3.0, 10.0][(driver % 7) as usize];
-    println!("| assignment, drivers | max load, even traffic | max load, uneven traffic | moved: driver removed | replica removed |");
+    println!("| assignment, drivers | max load, even | uneven traffic | moved: driver removed | replica |");
     for drivers in [20, 100, 300, 1000] {
         for (name, know_each_other) in [
             ("rendezvous", Some(false)),
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -376,7 +376,7 @@
         let (sent, limit) = fleet.worst_window();
         assert!(
             sent as f64 <= limit,
-            "{drivers} drivers, {calls} calls allowed, multiple {multiple}, {scenario:?}: {sent} calls in a window, limit {limit:.1}"
+            "{drivers} drivers, {calls} calls, multiple {multiple}, {scenario:?}: {sent} > {limit:.1}"
         );
     }
 }
