--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -2,10 +2,10 @@
 //!
 //! `cargo test -p asterlatch-driver --test configuration_fixtures -- --ignored` writes the fixtures anew from the build as it is.
 
-use asterlatch_config::host::MACHINE;
-use asterlatch_config::load::{read, Folder};
+use asterlatch_config::load::{read, FolderSource};
+use asterlatch_config::service_schema::DEFAULT_MACHINE;
 use asterlatch_driver::program::config::{self, Config};
-use asterlatch_driver::program::operators::{registry, InForce};
+use asterlatch_driver::program::operators::{schema, AppliedSettings};
 use std::fmt::Write;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -72,18 +72,22 @@
     text
 }
 
-fn every_setting_in_force() -> InForce {
+fn every_setting_in_force() -> AppliedSettings {
     let path = package().join(EVERY_SETTING);
-    let (folder, name) = Folder::of(path.to_str().expect("is text"));
-    let outcome = read(&name, &folder, registry(), MACHINE);
-    InForce::of(&outcome.meaning.expect("is valid"))
+    let (folder, name) = FolderSource::containing(path.to_str().expect("is text"));
+    let outcome = read(&name, &folder, schema(), DEFAULT_MACHINE);
+    AppliedSettings::from_resolved(&outcome.settings.expect("is valid"))
 }
 
 /// What the parts of the program take over, by the setting that states it. Times in microseconds, shares in millionths.
-fn described_in_force(force: &InForce) -> String {
+#[expect(clippy::too_many_lines, reason = "one row for each setting")]
+fn described_in_force(force: &AppliedSettings) -> String {
     let limits = &force.limits;
     let [crowded, filling] = limits.crowded_idle_timeouts;
-    let (serving, taking) = (&force.handover.predecessor, &force.handover.successor);
+    let (serving, taking) = (
+        &force.handover_timeouts.predecessor,
+        &force.handover_timeouts.successor,
+    );
     let mut text = lines(&[
         ("descriptors.reserve", limits.reserved_descriptors.to_string()),
         ("descriptors.clients", limits.client_share.0.to_string()),
@@ -95,9 +99,9 @@
         ),
         ("clients.message", limits.message_timeout.0.to_string()),
         ("clients.rest", limits.client_idle_timeout.0.to_string()),
-        ("clients.filling_from", filling.from.0.to_string()),
+        ("clients.filling_from", filling.min_active_share.0.to_string()),
         ("clients.filling_rest", filling.timeout.0.to_string()),
-        ("clients.crowded_from", crowded.from.0.to_string()),
+        ("clients.crowded_from", crowded.min_active_share.0.to_string()),
         ("clients.crowded_rest", crowded.timeout.0.to_string()),
         ("clients.just_came", limits.arrival_grace.0.to_string()),
         ("clients.accept_again", limits.accept_backoff.0.to_string()),
@@ -111,12 +115,15 @@
         ("discovery.list_late", limits.list_timeout.0.to_string()),
         ("discovery.first_pause", limits.initial_backoff.0.to_string()),
         ("discovery.longest_pause", limits.max_backoff.0.to_string()),
-        ("phases.arrivals", force.times.arrivals.0.to_string()),
-        ("phases.linger", force.times.linger.0.to_string()),
-        ("phases.longest_drain", force.times.longest_drain.0.to_string()),
-        ("process.stack", force.stacks.bytes.to_string()),
-        ("process.spare_stacks", force.stacks.spare.to_string()),
-        ("log.lines", force.lines_a_second.to_string()),
+        ("phases.arrivals", force.phase_durations.arrivals.0.to_string()),
+        ("phases.linger", force.phase_durations.linger.0.to_string()),
+        (
+            "phases.longest_drain",
+            force.phase_durations.max_drain.0.to_string(),
+        ),
+        ("process.stack", force.coroutine_stacks.bytes.to_string()),
+        ("process.spare_stacks", force.coroutine_stacks.spare.to_string()),
+        ("log.lines", force.log_lines_per_second.to_string()),
         ("upgrade.hello", serving.hello.0.to_string()),
         ("upgrade.ready", serving.ready.0.to_string()),
         ("upgrade.taken", serving.commit_acknowledged.0.to_string()),
@@ -129,8 +136,8 @@
         ("upgrade.beat", taking.heartbeat_interval.0.to_string()),
         ("upgrade.probation", taking.probation.0.to_string()),
     ]);
-    for (name, own) in &force.workloads {
-        let timeout = own.timeout.map(|span| span.0);
+    for (name, own) in &force.workload_limits {
+        let timeout = own.max_timeout.map(|span| span.0);
         text += &lines(&[
             ("workload", name.clone()),
             ("workload.timeout", format!("{timeout:?}")),
