--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -223,12 +223,12 @@
     }
 
     pub(crate) fn run_statement(&mut self, now: u64, workload: usize, outcome: ExecutionOutcome) -> usize {
-        self.run_statement_with(now, workload, |_| outcome).len()
+        self.run_with(now, workload, |_| outcome).len()
     }
 
     /// Submits a statement and ends all executions that follow, including those of statements that had
     /// waited. Returns the members that executed them.
-    pub(crate) fn run_statement_with(
+    pub(crate) fn run_with(
         &mut self,
         now: u64,
         workload: usize,
--- a/tests/replica_selection.rs
+++ b/tests/replica_selection.rs
@@ -305,9 +305,8 @@
         assert_eq!(executions, 200);
         for (n, member) in (0..failures).flat_map(|n| [1, 2, 3].map(|member| (n, member))) {
             let workload = if member == 1 { FRESH } else { READ };
-            let mut fail = || {
-                harness.run_statement_with(800 + n, workload, |m| if m == member { Errored } else { NotSent })
-            };
+            let mut fail =
+                || harness.run_with(800 + n, workload, |m| if m == member { Errored } else { NotSent });
             assert!(
                 (0..9).any(|_| fail().contains(&member)),
                 "nothing is sent to {member}"
@@ -437,7 +436,7 @@
     for (is_answered, has_capacity) in [(true, true), (false, false)] {
         let mut harness = new_harness(&settings(), 1);
         harness.answer_health_check(0, 1, 0, true);
-        (0..20).for_each(|n| drop(harness.run_statement_with(5 * n, WRITE, |_| Completed)));
+        (0..20).for_each(|n| drop(harness.run_with(5 * n, WRITE, |_| Completed)));
         let (unanswered, actions) = harness.submit(200, WRITE);
         assert_eq!(sent_to(&actions), [1]);
         let checked_at =
@@ -479,7 +478,7 @@
         let settings = settings_with(|s| s.driver_count = drivers);
         let mut harness = new_harness(&settings, 2);
         harness.answer_health_check(0, 1, 0, true);
-        assert_eq!(harness.run_statement_with(0, WRITE, |_| ConnectionLost), [1]);
+        assert_eq!(harness.run_with(0, WRITE, |_| ConnectionLost), [1]);
         let health_checks = harness
             .run_until(2, 3000)
             .health_checks
@@ -517,12 +516,11 @@
     for (outcome, stays) in [(NoConnection, true), (Completed, false)] {
         let mut harness = new_harness(&settings(), 4);
         for round in 0..8 {
-            harness.run_statement_with(100 * round, READ, |m| if m == 2 { Completed } else { outcome });
+            harness.run_with(100 * round, READ, |m| if m == 2 { Completed } else { outcome });
             (1..5).for_each(|m| drop(harness.answer_health_check(100 * round + 2, m, 0, m == 1)));
             harness.run_until(100 * round + 2, 100 * round + 99);
         }
-        let mut members =
-            (0..6).flat_map(|n| harness.run_statement_with(1000 + 100 * n, READ, |_| Completed));
+        let mut members = (0..6).flat_map(|n| harness.run_with(1000 + 100 * n, READ, |_| Completed));
         assert_eq!(members.all(|m| m == 2), stays, "{outcome:?}");
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -214,7 +214,7 @@
                     .update_endpoint(now, member_in_state(id - 2, MemberState::Gone))
                     .removed_members,
             );
-            let members = harness.run_statement_with(now + 1, READ, |_| Completed);
+            let members = harness.run_with(now + 1, READ, |_| Completed);
             assert!(!members.contains(&(id - 2)) || may_use_gone, "{id}");
             harness.driver.advance_to(at(now + 10));
         }
@@ -279,7 +279,7 @@
                 if now == 4000 {
                     harness.update_endpoint(now, started_member(3, remote_at(now) - ms(age)));
                 }
-                let members = harness.run_statement_with(now, READ, |_| Completed);
+                let members = harness.run_with(now, READ, |_| Completed);
                 sent += members.iter().filter(|m| **m == 3).count();
             }
         }
