--- a/tests/replica_preference.rs
+++ b/tests/replica_preference.rs
@@ -307,7 +307,7 @@
 /// Compares ways to assign replicas to drivers, by balance and stability.
 #[test]
 #[ignore = "prints figures"]
-fn figures() {
+fn rank_compared_with_other_assignments_prints_figures() {
     let round_robin = |fleet: &FleetModel| -> BTreeMap<(u64, usize), u64> {
         let drivers = fleet.drivers.iter().enumerate();
         let pairs = drivers.flat_map(|(i, driver)| {
