--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -1,4 +1,4 @@
-//! The routing service on real sockets, in four layers, of which each calls only those before it.
+//! The routing service on real sockets, in four layers. Each layer calls only the ones declared before it.
 
 pub mod transport;
 
--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -1,4 +1,4 @@
-//! The routing service on real sockets: `asterlatch serve`.
+//! Command line of the routing service.
 
 use asterlatch_driver::program::config::{self, Config, ConfigError};
 use asterlatch_driver::program::log::{self, Format};
@@ -12,32 +12,32 @@
 #[command(
     name = "asterlatch",
     version,
-    about = "Routes statements over the members of a replicated store"
+    about = "Routes client statements to the members of a replicated store"
 )]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
 
-/// The operators' file, and what a faulty one leads to.
+/// The operators' file, and the handling of an invalid one.
 #[derive(Args)]
 struct OperatorsArguments {
-    /// The operators' file
+    /// Path of the operators' file
     #[arg(long, env = "ASTERLATCH_OPERATORS")]
     operators: Option<String>,
-    /// A folder for former generations of its meaning
+    /// Folder that stores the generations of its settings
     #[arg(long, env = "ASTERLATCH_STATE", requires = "operators")]
     state: Option<PathBuf>,
-    /// Don't start on a former generation where the file is faulty
+    /// Fail if the file is invalid, instead of starting with the newest stored generation
     #[arg(long)]
     strict: bool,
 }
 
-impl From<OperatorsArguments> for operators::Given {
-    fn from(arguments: OperatorsArguments) -> operators::Given {
-        operators::Given {
+impl From<OperatorsArguments> for operators::OperatorsOptions {
+    fn from(arguments: OperatorsArguments) -> operators::OperatorsOptions {
+        operators::OperatorsOptions {
             file: arguments.operators,
-            state: arguments.state,
+            state_folder: arguments.state,
             strict: arguments.strict,
         }
     }
@@ -45,60 +45,61 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve clients until told to leave (SIGTERM); SIGUSR1 prints the counters, SIGHUP reads the configuration again
+    /// Serve clients until SIGTERM or SIGINT; SIGUSR1 logs the counters, SIGHUP reloads the configuration
     Serve {
-        /// The configuration, a JSON file
+        /// Path of the configuration file, in JSON
         #[arg(long, env = "RELAY_CONFIG")]
         config: String,
         #[command(flatten)]
         operators: OperatorsArguments,
-        /// A Unix socket to ask for upgrades at; SIGUSR2 asks for one to the same program
+        /// Path of the control socket, for `upgrade` and `fleet`; SIGUSR2 upgrades to the same program
         #[arg(long, env = "ASTERLATCH_CONTROL")]
         control: Option<PathBuf>,
-        /// How lines of the log are written
+        /// Format of log lines
         #[arg(long, value_enum, default_value_t, env = "ASTERLATCH_LOG_FORMAT")]
         log_format: Format,
     },
-    /// Read the configuration and say whether it could be served, without serving
+    /// Check whether the configuration can be served, without serving it
     Check {
-        /// The configuration, a JSON file
+        /// Path of the configuration file, in JSON
         #[arg(long, env = "RELAY_CONFIG")]
         config: String,
-        /// The operators' file
+        /// Path of the operators' file
         #[arg(long, env = "ASTERLATCH_OPERATORS")]
         operators: Option<String>,
     },
-    /// Check, format, compare and show operators' files; go back to former ones
+    /// Check, format, compare and show operators' files; list and roll back stored generations
     #[command(subcommand)]
     Config(commands::Command),
-    /// Have a new process take a running service over: 0 once it is proven, 1 where the former one serves on
+    /// Hand a running service over to a new process; exits with 0 once that has passed its probation, and
+    /// with 1 if the old process continues to serve
     Upgrade {
-        /// The running service's socket
+        /// Control socket of the running service
         #[arg(long, env = "ASTERLATCH_CONTROL")]
         control: PathBuf,
-        /// The program to start
+        /// Executable of the new process
         #[arg(long)]
         to: PathBuf,
     },
-    /// Show what a running service shares with other drivers, and who of them is there
+    /// Show the drivers of the fleet and the records that a running service shares with them
     Fleet {
         #[arg(value_enum)]
         what: gossip::QueryKind,
-        /// The running service's socket
+        /// Control socket of the running service
         #[arg(long, env = "ASTERLATCH_CONTROL")]
         control: PathBuf,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Read what a driver has kept, and say what its next start would trust of that, and why; nothing is changed
+    /// Show which records of a driver's stored snapshot its next start would use, and why; changes nothing
     Recover {
-        /// The folder that `serve --state` was given
+        /// The folder given to `serve --state`
         folder: PathBuf,
-        /// Of this driver; else of whom the copy says it is
+        /// Name of the driver; by default the one that the snapshot names
         #[arg(long)]
         name: Option<String>,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
@@ -110,7 +111,7 @@
     config::load(path, |variable| std::env::var(variable).ok())
 }
 
-/// Exit code of a command that asked a running service, which has answered already.
+/// Exit code of a command whose answer from a running service has been printed.
 fn exit_code(succeeded: bool) -> ExitCode {
     if succeeded {
         ExitCode::SUCCESS
--- a/crates/driver/src/program/commands/files.rs
+++ b/crates/driver/src/program/commands/files.rs
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Exit code of a diff where a file can't be read.
+/// Exit code of a diff with an invalid file.
 const DIFF_UNREADABLE: u8 = 2;
 
 pub(super) fn check(file: &str, machine: Machine) -> CommandOutput {
@@ -33,7 +33,7 @@
     }
 }
 
-/// The resolved settings of a file; the error is all that is wrong with it.
+/// Returns the resolved settings of a file, or its diagnostics.
 fn resolve(file: &str, machine: Machine) -> Result<Meaning, String> {
     let outcome = read(file, machine);
     let diagnostics = outcome.text();
@@ -71,22 +71,22 @@
 /// Why a file can't be formatted, or is not formatted.
 #[derive(Debug, Error)]
 enum FormatError {
-    #[error("{file}:1:1: can't be read: {cause:?}")]
+    #[error("{file}:1:1: cannot read the file: {cause:?}")]
     Unreadable { file: String, cause: Missing },
-    #[error("{file}:1:1: longer than {LONGEST_FILE} bytes")]
+    #[error("{file}:1:1: the file has more than {LONGEST_FILE} bytes")]
     TooLong { file: String },
-    #[error("{file}:1:1: not UTF-8")]
+    #[error("{file}:1:1: the file is not UTF-8")]
     NotUtf8 { file: String },
-    /// Diagnostics of the parser, without the last line's end.
+    /// Diagnostics of the parser, without the final newline.
     #[error("{diagnostics}")]
     Syntax { diagnostics: String },
-    #[error("{file}:1:1: not in its form; asterlatch config format {file} writes it so")]
+    #[error("{file}:1:1: not formatted; run asterlatch config format {file}")]
     NotFormatted { file: String },
-    #[error("{file}:1:1: can't be written: {source}")]
+    #[error("{file}:1:1: cannot write the file: {source}")]
     Unwritable { file: String, source: io::Error },
 }
 
-/// A file's text and its formatted text. Included files stay out of it.
+/// A file's text and its formatted text, without included files.
 struct FormattedFile {
     identity: String,
     text: String,
@@ -121,7 +121,7 @@
     }
 }
 
-/// The file's identity and text.
+/// Returns the identity and the text of a file.
 fn read_text(file: &str) -> Result<(String, String), FormatError> {
     let name = || file.to_owned();
     let unreadable = |cause| FormatError::Unreadable { file: name(), cause };
@@ -170,7 +170,7 @@
     })
 }
 
-/// Writes a new file and renames it: readers find the former text or the new one, complete.
+/// Replaces a file atomically: a reader gets either the old text or the new one.
 fn replace(path: &Path, text: &str) -> io::Result<()> {
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(".new");
--- a/crates/driver/src/program/commands/generations.rs
+++ b/crates/driver/src/program/commands/generations.rs
@@ -1,4 +1,4 @@
-//! Commands on stored generations of the operators' file: history, rollback.
+//! Commands on the stored generations of an operators' file: history, rollback.
 
 use super::CommandOutput;
 use crate::program::operators::schema;
@@ -9,9 +9,8 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Digits of a generation's hash that are shown.
 const SHOWN_HASH_DIGITS: usize = 12;
-/// Fewest generations that a rollback leaves: the one it stores and the one before.
+/// Minimum number of generations that a rollback retains: the one it stores and the previous one.
 const MIN_RETAINED: i64 = 2;
 
 /// Why a command on stored generations fails.
@@ -21,11 +20,11 @@
     Folder(#[from] io::Error),
     #[error(transparent)]
     Keep(#[from] KeepError),
-    #[error("it holds {available} changes to go back by, not {steps}")]
+    #[error("cannot go back by {steps} changes: only {available} are stored")]
     TooFewChanges { available: usize, steps: usize },
     #[error("generation {number} is damaged")]
     Damaged { number: u64 },
-    #[error("generation {number} can't be read here: {cause}")]
+    #[error("cannot decode generation {number}: {cause}")]
     Unreadable { number: u64, cause: String },
 }
 
@@ -36,13 +35,13 @@
     }
 }
 
-/// Unlike the store itself this makes no folder that isn't there.
+/// Opens the store without creating a missing folder, which [`Store::open`] would create.
 fn open_existing(folder: &Path) -> io::Result<Store> {
     std::fs::read_dir(folder)?;
     Store::open(folder)
 }
 
-/// One line a generation, the newest first.
+/// One line per generation, newest first.
 pub(super) fn history(folder: &Path) -> Result<String, GenerationsError> {
     let contents = open_existing(folder)?.contents()?;
     let stored = &contents.stored;
@@ -50,9 +49,9 @@
         let line = history_line(generation, &stored[index + 1..]);
         (generation.number, line)
     });
-    let unread = contents.unread.iter().map(|one| {
-        let line = format!("{} can't be read now: {}\n", one.number, one.error);
-        (one.number, line)
+    let unread = contents.unread.iter().map(|generation| {
+        let line = format!("{} unreadable: {}\n", generation.number, generation.error);
+        (generation.number, line)
     });
     let mut lines: Vec<_> = known.chain(unread).collect();
     lines.sort_by_key(|(number, _)| std::cmp::Reverse(*number));
@@ -73,26 +72,26 @@
     }
 }
 
-/// What changed from the previous readable generation to this one.
+/// Describes the changes from the previous readable generation to this one.
 fn describe_change(previous: Option<&str>, canonical: &str) -> String {
     let new = match Meaning::from_canonical(schema(), canonical) {
         Ok((settings, _)) => settings,
-        Err(error) => return format!("can't be read here: {error}"),
+        Err(error) => return format!("cannot be decoded: {error}"),
     };
     let previous = previous.map(|canonical| Meaning::from_canonical(schema(), canonical));
     let Some(Ok((old, _))) = previous else {
-        return "the oldest kept".to_owned();
+        return "oldest stored".to_owned();
     };
     let changes = changes(schema(), &old, &new);
     if changes.is_empty() {
-        return "the same again".to_owned();
+        return "no changes".to_owned();
     }
     let texts: Vec<_> = changes.iter().map(|change| change.written(schema())).collect();
     texts.join("; ")
 }
 
-/// Stores the generation again as the newest one that lies so many changes back. While any of them can't be read nothing
-/// is stored: it isn't known how many changes there are.
+/// Stores the generation from `steps` changes ago as the newest one. Nothing is stored while a generation is
+/// unreadable, since the number of changes is then unknown.
 pub(super) fn rollback(folder: &Path, steps: usize) -> Result<String, GenerationsError> {
     let store = open_existing(folder)?;
     let generations = store.all()?;
@@ -105,26 +104,30 @@
     let (settings, _) = Meaning::from_canonical(schema(), canonical)
         .map_err(|cause| GenerationsError::Unreadable { number, cause })?;
     let retained = settings.amount(schema(), "activation", "kept");
-    let kept = store.keep(0, canonical, retained.max(MIN_RETAINED) as usize, |_| ());
-    describe_rollback(number, kept)
+    let result = store.keep(0, canonical, retained.max(MIN_RETAINED) as usize, |_| ());
+    describe_rollback(number, result)
 }
 
-/// Says which generation is in force for the next start, also where something behind its rename has failed.
-fn describe_rollback(from: u64, kept: Result<u64, KeepError>) -> Result<String, GenerationsError> {
-    let (stored, doubt) = match kept {
+/// Reports which generation the next start uses, even if a step after storing it has failed.
+fn describe_rollback(from: u64, result: Result<u64, KeepError>) -> Result<String, GenerationsError> {
+    let (stored, warning) = match result {
         Ok(number) => (number, None),
         Err(KeepError::NotStored(source)) => return Err(KeepError::NotStored(source).into()),
         Err(KeepError::NotDurable { number, source }) => {
-            let text =
-                format!("it may be lost in a power failure, store it again once the disk works: {source}");
+            let text = format!(
+                "it may not survive a power failure, repeat the rollback once the disk works: \
+                 {source}"
+            );
             (number, Some(text))
         }
         Err(KeepError::OldNotLetGo { number, source }) => {
             (number, Some(format!("older ones could not be removed: {source}")))
         }
     };
-    let doubt = doubt.map(|text| format!("{text}\n")).unwrap_or_default();
-    Ok(format!("generation {from} is stored again as {stored}\n{doubt}"))
+    let warning = warning.map(|text| format!("{text}\n")).unwrap_or_default();
+    Ok(format!(
+        "generation {from} is stored again as {stored}\n{warning}"
+    ))
 }
 
 fn rollback_target(generations: &[Stored], steps: usize) -> Result<u64, GenerationsError> {
--- a/crates/driver/src/program/commands/mod.rs
+++ b/crates/driver/src/program/commands/mod.rs
@@ -1,4 +1,4 @@
-//! `asterlatch config ...`: what operators do with their files and with stored generations, without a running service.
+//! `asterlatch config ...`: commands on operators' files and stored generations, without a running service.
 
 mod files;
 mod generations;
@@ -11,61 +11,62 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-/// A subcommand of `asterlatch config`. Doc comments of its fields would be printed by `--help`.
+/// A subcommand of `asterlatch config`. `--help` prints doc comments of its fields, so they have none.
 #[allow(missing_docs)]
 #[derive(Subcommand)]
 pub enum Command {
-    /// Say all that is wrong with a file: 0 where nothing is, 1 otherwise
+    /// Check a file and print all diagnostics; exits with 0 if the file is valid, else with 1
     Check {
         file: String,
         #[command(flatten)]
         machine: MachineArguments,
     },
-    /// Write a file in its one form; with --check only say whether it is
+    /// Rewrite a file in canonical format, or with --check only check its format
     Format {
         file: String,
-        /// Change nothing; 1 where something would change
+        /// Write nothing; exits with 1 if the file is not formatted
         #[arg(long)]
         check: bool,
     },
-    /// Say what changes in meaning: 0 nothing, 1 something, 2 where one can't be read
+    /// Print the settings that differ between two files; exits with 0 if none do, with 1 if some do, with 2
+    /// if a file is invalid
     Diff {
         old: String,
         new: String,
         #[command(flatten)]
         machine: MachineArguments,
     },
-    /// Print the whole meaning as JSON, defaults included
+    /// Print all settings that a file results in as JSON, including defaults
     Show {
         file: String,
         #[command(flatten)]
         machine: MachineArguments,
     },
-    /// Print everything that may be set, as Markdown
+    /// Print a reference of all settings, as Markdown
     Reference,
-    /// Print the stored generations of a folder, the newest first
+    /// Print the stored generations in a folder, newest first
     History { folder: PathBuf },
-    /// Store an earlier generation as the newest one, for the next start without a valid file
+    /// Store an earlier generation as the newest one, which the next start without a valid file uses
     Rollback {
         folder: PathBuf,
-        /// How many changes to go back by
+        /// Number of changes to go back
         #[arg(default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..))]
         steps: u16,
     },
 }
 
-/// The machine that settings are held against.
+/// Limits of the machine, against which settings are checked.
 #[derive(Args)]
 pub struct MachineArguments {
-    /// Memory of the process, such as 192MiB
+    /// Memory limit of the process, such as 192MiB
     #[arg(long, value_parser = parse_memory)]
     memory: Option<i64>,
-    /// Descriptors of the process
+    /// Descriptor limit of the process
     #[arg(long, value_parser = clap::value_parser!(i64).range(1..))]
     descriptors: Option<i64>,
 }
 
-/// The error is what `clap` prints.
+/// The error is a message for `clap` to print.
 fn parse_memory(text: &str) -> Result<i64, String> {
     match Quantity::read(text) {
         Ok(Quantity {
@@ -85,7 +86,7 @@
     }
 }
 
-/// What a command prints, standard error first, and its exit code.
+/// Output of a command and its exit code. Standard error is printed first.
 #[derive(Default)]
 struct CommandOutput {
     stderr: String,
@@ -110,10 +111,10 @@
     }
 }
 
-/// Carries a command out, prints its output, and returns its exit code.
+/// Executes a command, prints its output, and returns its exit code.
 pub fn run(command: &Command) -> u8 {
     let output = execute(command);
-    // Output that nobody reads is no failure of the command.
+    // A closed output stream is not a failure of the command.
     let _ = std::io::stderr().write_all(output.stderr.as_bytes());
     let _ = std::io::stdout().write_all(output.stdout.as_bytes());
     output.exit_code
--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file: a JSON object that `asterlatch serve` reads at its start, and in part again on SIGHUP.
+//! The configuration file: a JSON object that `asterlatch serve` reads at startup; SIGHUP reloads part of it.
 
 use crate::protocol::endpoint_list::{self, EndpointList};
 use crate::protocol::statement_comment::hash_id;
@@ -10,23 +10,23 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Memory limit if the file gives none.
+/// Memory limit if the file states none.
 const DEFAULT_MEMORY_MB: u64 = 192;
-/// Descriptor limit if the file gives none.
+/// Descriptor limit if the file states none.
 const DEFAULT_SOCKETS: u64 = 1024;
 const BYTES_PER_MB: usize = 1024 * 1024;
 
-/// A configuration that can be served.
+/// A valid configuration.
 pub struct Config {
-    /// Name of this driver; empty if none is given.
+    /// Name of this driver; empty if none is configured.
     pub name: String,
     /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// What a reload changes.
+    /// The part that a reload applies.
     pub runtime: RuntimeConfig,
     /// Seed of the policy's random decisions.
     pub seed: u64,
-    /// Endpoint list to start with, before discovery answers.
+    /// Endpoint list in use until discovery returns one.
     pub known_endpoints: Option<EndpointList>,
     /// The deployment's settings for the policy.
     pub settings: Settings,
@@ -36,70 +36,70 @@
     pub settings_hash: u64,
 }
 
-/// The configuration file can't be served.
+/// Why a configuration file can't be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file can't be read.
-    #[error("{path}: {source}")]
+    #[error("cannot read {path}: {source}")]
     Unreadable {
         /// The file.
         path: String,
-        /// What the operating system reports.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file is no JSON.
-    #[error("{path}: {source}")]
+    /// The file is not JSON.
+    #[error("cannot parse {path}: {source}")]
     InvalidJson {
         /// The file.
         path: String,
-        /// Place and cause.
+        /// Location and cause.
         source: serde_json::Error,
     },
-    /// A value is missing or wrong.
-    #[error("{path}: {source}")]
+    /// A value is missing or invalid.
+    #[error("invalid configuration {path}: {source}")]
     InvalidValue {
         /// The file.
         path: String,
-        /// Which one.
+        /// The value and its fault.
         source: ValueError,
     },
 }
 
-/// A value of the configuration is missing or wrong.
+/// A value of the configuration is missing or invalid.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum ValueError {
-    /// Neither the file nor the environment has it.
-    #[error("neither '{name}' nor {variable} is given")]
+    /// Neither the file nor the environment states it.
+    #[error("'{name}' is missing, and {variable} is not set")]
     Missing {
         /// Key in the file.
         name: &'static str,
-        /// Environment variable that stands in for it.
+        /// Environment variable that is its fallback.
         variable: &'static str,
     },
-    /// It is no IP address with a port.
-    #[error("'{name}' is no address: {text}")]
+    /// The value is not an IP address with a port.
+    #[error("'{name}' is not a socket address: {text}")]
     InvalidAddress {
         /// Key in the file.
         name: &'static str,
-        /// What is given.
+        /// The invalid value.
         text: String,
     },
     /// The file has no settings.
-    #[error("no settings")]
+    #[error("'settings' is missing")]
     SettingsMissing,
-    /// The settings can't be read.
+    /// The settings are invalid.
     #[error("{0}")]
     InvalidSettings(#[from] asterlatch_settings::SettingsError),
-    /// No statement could be served.
-    #[error("the settings name no workload")]
+    /// Without a workload no statement could be served.
+    #[error("'settings' has no workload")]
     WorkloadsMissing,
 }
 
-/// Reads the file at `path`. `environment` returns the value of a variable; it stands in for a name and addresses that the
-/// file doesn't have.
+/// Reads the file at `path`. `environment` returns the value of an environment variable, the fallback for a
+/// name or an address that the file doesn't state.
 ///
 /// # Errors
-/// If the file can't be read, or a value is missing or wrong.
+/// If the file can't be read, or a value is missing or invalid.
 pub fn load(path: &str, environment: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let text = std::fs::read(path).map_err(|source| ConfigError::Unreadable {
         path: path.to_owned(),
@@ -118,7 +118,7 @@
 /// Reads a configuration from the file's JSON value; `environment` as in [`load`].
 ///
 /// # Errors
-/// If a value is missing or wrong.
+/// If a value is missing or invalid.
 pub fn read(value: &Value, environment: impl Fn(&str) -> Option<String>) -> Result<Config, ValueError> {
     let file = ConfigFile { value, environment };
     let settings_value = value.get("settings").ok_or(ValueError::SettingsMissing)?;
@@ -144,7 +144,7 @@
     })
 }
 
-/// The file's value, with the environment that stands in for some of it.
+/// The parsed file, with the environment as fallback.
 struct ConfigFile<'a, E> {
     value: &'a Value,
     environment: E,
@@ -152,8 +152,8 @@
 
 impl<E: Fn(&str) -> Option<String>> ConfigFile<'_, E> {
     fn text(&self, name: &'static str, variable: &'static str) -> Result<String, ValueError> {
-        let given = self.value.get(name).and_then(Value::as_str);
-        given
+        let configured = self.value.get(name).and_then(Value::as_str);
+        configured
             .map(str::to_owned)
             .or_else(|| (self.environment)(variable))
             .ok_or(ValueError::Missing { name, variable })
@@ -172,13 +172,13 @@
     }
 }
 
-/// A seed is a hexadecimal number; other texts are hashed.
+/// Parses a hexadecimal seed; any other text is hashed.
 fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_id(text))
 }
 
 impl Config {
-    /// Keys whose values differ in `newer` and only a restart takes over.
+    /// Keys whose values differ in `newer` and that only a restart applies.
     pub fn changes_requiring_restart(&self, newer: &Config) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != newer.name),
--- a/crates/driver/src/program/control_socket.rs
+++ b/crates/driver/src/program/control_socket.rs
@@ -1,4 +1,5 @@
-//! The control socket: operators ask it for upgrades and for the state of the fleet, one line a connection.
+//! The control socket: accepts requests of operators for upgrades and for the state of the fleet, one per
+//! connection.
 
 use crate::program::gossip::{GossipHandle, Query, QueryKind};
 use crate::routing::events::{ControlEvent, Event};
@@ -11,16 +12,15 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Whoever sends no request delays those behind it by no more than this.
+/// Bounds how long a connection without a request delays the next one.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest request in bytes.
-const MAX_REQUEST: u64 = 4096;
+const MAX_REQUEST_BYTES: u64 = 4096;
 /// Only the process's user may connect.
 const SOCKET_MODE: u32 = 0o600;
 
 /// The control socket can't be opened or used.
 #[derive(Debug, Error)]
-#[error("{}: {source}", path.display())]
+#[error("cannot use {}: {source}", path.display())]
 pub struct ControlSocketError {
     path: PathBuf,
     source: io::Error,
@@ -37,25 +37,25 @@
 
 /// A request for an upgrade.
 pub struct UpgradeRequest {
-    /// Program of the successor.
+    /// Executable of the successor.
     pub program: PathBuf,
-    /// Connection on which the progress is reported, a line each.
+    /// Connection to which progress is reported, one line per step.
     pub requester: UnixStream,
 }
 
-/// Where requests go.
+/// Receivers of requests.
 struct RequestHandler {
     queue: Sender<Event>,
     upgrade_requests: Sender<UpgradeRequest>,
-    /// Set if this driver takes part in gossip.
+    /// `None` if this driver doesn't gossip.
     gossip: Option<GossipHandle>,
 }
 
-/// Listens at this path on a thread of its own, for processes of this user. Upgrade requests wake the event loop by
-/// `queue`; questions about the fleet go to the gossip thread.
+/// Listens at `path` on its own thread, for processes of the same user. Upgrade requests wake the event loop
+/// through `queue`; queries about the fleet go to the gossip thread.
 ///
 /// # Errors
-/// If the socket can't be made at this path or the thread can't be started.
+/// If the socket can't be created or the thread can't be started.
 pub fn listen(
     path: &Path,
     queue: Sender<Event>,
@@ -73,7 +73,8 @@
 }
 
 fn bind(path: &Path) -> io::Result<UnixListener> {
-    // A former process may have left its socket there, or may still listen: without the name nobody reaches it.
+    // A predecessor may have left its socket at this path or still listen on it; removing the path makes it
+    // unreachable.
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
@@ -84,11 +85,11 @@
 }
 
 fn spawn(listener: UnixListener, handler: RequestHandler) -> io::Result<()> {
-    let own_user = rustix::process::getuid();
+    let current_user = rustix::process::getuid();
     let serve_all = move || {
         for stream in listener.incoming().flatten() {
             let peer = rustix::net::sockopt::socket_peercred(&stream);
-            if peer.is_ok_and(|peer| peer.uid == own_user) && !handler.serve(stream) {
+            if peer.is_ok_and(|peer| peer.uid == current_user) && !handler.serve(stream) {
                 return;
             }
         }
@@ -100,7 +101,7 @@
 }
 
 impl RequestHandler {
-    /// Reads one request and passes it on; whether the event loop is still there.
+    /// Reads and forwards one request; returns false once the event loop has ended.
     fn serve(&self, stream: UnixStream) -> bool {
         let Ok(request) = read_request(&stream) else {
             return true;
@@ -108,7 +109,7 @@
         match request.split_once(' ') {
             Some(("upgrade", program)) => self.request_upgrade(program, stream),
             Some(("fleet", arguments)) => {
-                self.show_fleet(arguments, stream);
+                self.query_fleet(arguments, stream);
                 true
             }
             _ => true,
@@ -124,23 +125,22 @@
             && self.queue.send(Event::Control(ControlEvent::WakeUp)).is_ok()
     }
 
-    /// `status table`, `facts json` and the like, which the gossip thread answers.
-    fn show_fleet(&self, arguments: &str, mut reply: UnixStream) {
+    /// Forwards a query such as `status table` or `facts json` to the gossip thread.
+    fn query_fleet(&self, arguments: &str, mut reply: UnixStream) {
         let (name, format) = arguments.split_once(' ').unwrap_or((arguments, "table"));
-        let answer = match (QueryKind::named(name), &self.gossip) {
-            (Some(what), Some(gossip)) => {
-                let json = format == "json";
+        let answer = match (QueryKind::from_name(name), &self.gossip) {
+            (Some(query_kind), Some(gossip)) => {
+                let is_json = format == "json";
                 return gossip.query(Query {
-                    kind: what,
-                    as_json: json,
+                    kind: query_kind,
+                    as_json: is_json,
                     reply,
                 });
             }
             (_, None) => {
-                "failed: nothing is shared with other drivers: shared.port of the operators' file is 0"
-                    .to_owned()
+                "failed: this driver does not gossip: shared.port in the operators' file is 0".to_owned()
             }
-            (None, Some(_)) => format!("failed: '{name}' is not known here"),
+            (None, Some(_)) => format!("failed: unknown query '{name}'"),
         };
         let _ = writeln!(reply, "{answer}");
     }
@@ -149,24 +149,24 @@
 fn read_request(stream: &UnixStream) -> io::Result<String> {
     let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
     let mut line = String::new();
-    BufReader::new(stream.try_clone()?.take(MAX_REQUEST)).read_line(&mut line)?;
+    BufReader::new(stream.try_clone()?.take(MAX_REQUEST_BYTES)).read_line(&mut line)?;
     line.truncate(line.trim_end_matches('\n').len());
     Ok(line)
 }
 
-/// Asks the service at this control socket for an upgrade to `program`, prints its progress, and returns whether it
-/// succeeded.
+/// Requests an upgrade to `program` at the control socket of a service, prints its progress, and returns
+/// whether it succeeded.
 ///
 /// # Errors
-/// If the service can't be reached or `program` is no path.
+/// If the service can't be reached or `program` is not a valid path.
 pub fn request_upgrade(control: &Path, program: &Path) -> Result<bool, ControlSocketError> {
     let mut stream = UnixStream::connect(control).map_err(ControlSocketError::at(control))?;
     let program = std::path::absolute(program).map_err(ControlSocketError::at(program))?;
     writeln!(stream, "upgrade {}", program.display()).map_err(ControlSocketError::at(control))?;
-    let mut last = String::new();
+    let mut last_line = String::new();
     for line in BufReader::new(stream).lines() {
-        last = line.map_err(ControlSocketError::at(control))?;
-        println!("{last}");
+        last_line = line.map_err(ControlSocketError::at(control))?;
+        println!("{last_line}");
     }
-    Ok(last.starts_with("done"))
+    Ok(last_line.starts_with("done"))
 }
--- a/crates/driver/src/program/gossip/mod.rs
+++ b/crates/driver/src/program/gossip/mod.rs
@@ -1,7 +1,7 @@
-//! Gossip with other drivers in service: its settings, its thread and its snapshot on disk.
+//! Gossip with other drivers: its settings, its thread and its snapshot on disk.
 //!
-//! The thread runs a `GossipNode`. The event loop sends it commands through a [`GossipHandle`] and never waits for it; its
-//! events come back through the event loop's queue.
+//! The thread runs a `GossipNode`. The event loop sends it commands through a [`GossipHandle`] without
+//! waiting for it, and receives its events through the event loop's queue.
 
 mod query;
 pub mod snapshot_file;
@@ -34,8 +34,8 @@
 use std::sync::mpsc::{channel, Sender};
 use thread::{GossipThread, ThreadMessage};
 
-/// Environment variable by which tests have this process speak as a later build may.
-pub const LATER_WIRE: &str = "ASTERLATCH_LAB_LATER_WIRE";
+/// Environment variable with which tests make this process use the wire format of a later build.
+pub const LATER_WIRE_VARIABLE: &str = "ASTERLATCH_LAB_LATER_WIRE";
 
 /// The section `shared` of the operators' file.
 #[derive(Clone, Debug, PartialEq)]
@@ -44,13 +44,13 @@
     others: Vec<Other>,
     node: NodeSettings,
     routing: GossipSettings,
-    /// Time between two writes of the snapshot; zero writes none.
+    /// Interval between two writes of the snapshot; zero disables them.
     snapshot_interval: TimeSpan,
 }
 
 impl GossipConfig {
-    /// What the operators' file says; `None` where drivers don't gossip.
-    pub fn from_meaning(meaning: &Meaning) -> Option<GossipConfig> {
+    /// Reads the section `shared`; `None` if gossip is disabled.
+    pub fn from_resolved(meaning: &Meaning) -> Option<GossipConfig> {
         let amount = |row| meaning.amount(schema(), "shared", row).max(0);
         let span = |row| TimeSpan(amount(row) as u64);
         let port = u16::try_from(amount("port")).ok().filter(|port| *port > 0)?;
@@ -76,7 +76,7 @@
             query_timeout: span("ask"),
             retry_window: span("window"),
             max_recorded_statements: amount("ids") as usize,
-            // The deployment's, set at the start.
+            // From the deployment's settings; set by `event_loop_side`.
             overload_window: TimeSpan(0),
             overload_multiple: 0.0,
         };
@@ -89,7 +89,7 @@
         })
     }
 
-    /// The folder for the snapshot; `None` if none is written.
+    /// The folder of the snapshot; `None` if none is written.
     fn snapshot_folder(&self, state: Option<&Path>) -> Result<Option<PathBuf>, GossipError> {
         if self.snapshot_interval == TimeSpan(0) {
             return Ok(None);
@@ -98,13 +98,14 @@
         Ok(Some(folder.to_owned()))
     }
 
-    /// The node's settings in this deployment. Drivers of other deployments, or with other settings, form other fleets.
+    /// The node's settings in this deployment. Drivers with different deployment settings form different
+    /// fleets.
     fn node_settings(&self, config: &Config) -> NodeSettings {
-        let speaks_later = std::env::var_os(LATER_WIRE).is_some();
+        let uses_later_wire = std::env::var_os(LATER_WIRE_VARIABLE).is_some();
         NodeSettings {
             fleet: format!("{:016x}", config.settings_hash),
             name: config.name.clone(),
-            dialect: if speaks_later {
+            dialect: if uses_later_wire {
                 Dialect::Later
             } else {
                 Dialect::Current
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The event loop's side.
+    /// Creates the event loop's side of gossip.
     fn event_loop_side(
         &self,
         config: &Config,
@@ -121,10 +122,10 @@
         now: Timestamp,
         handle: GossipHandle,
     ) -> Gossip {
-        let rules = &config.settings;
+        let deployment = &config.settings;
         let settings = GossipSettings {
-            overload_window: rules.overload_window,
-            overload_multiple: rules.overload_multiple,
+            overload_window: deployment.overload_window,
+            overload_multiple: deployment.overload_multiple,
             ..self.routing
         };
         let identity = DriverIdentity {
@@ -141,13 +142,13 @@
     }
 }
 
-/// The first eight bytes of the file's hash, by which drivers compare their files.
+/// The first eight bytes of the file's hash, with which drivers compare their operators' files.
 fn file_hash(meaning: &Meaning) -> u64 {
     let canonical = hash(&meaning.canonical(schema()));
     u64::from_str_radix(canonical.get(..16).unwrap_or_default(), 16).unwrap_or(0)
 }
 
-/// Sends messages to the gossip thread, from any thread. A thread that has ended ignores them.
+/// Sends messages to the gossip thread, from any thread. Once that has ended they are dropped.
 #[derive(Clone)]
 pub struct GossipHandle {
     messages: Sender<ThreadMessage>,
@@ -155,7 +156,7 @@
 }
 
 impl GossipHandle {
-    /// Has a query answered; a thread that has ended drops the socket, which the operator sees.
+    /// Sends a query to the thread. If that has ended the socket is closed, and the operator gets no answer.
     pub fn query(&self, query: Query) {
         let _ = self.messages.send(ThreadMessage::Query(query));
         self.wake();
@@ -171,29 +172,29 @@
     }
 }
 
-/// Gossip could not be started.
+/// Why gossip can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum GossipError {
     /// The address can't be bound.
-    #[error("shared.port: {address}: {source}")]
+    #[error("cannot bind {address} for gossip (shared.port): {source}")]
     Bind {
-        /// The address.
+        /// Gossip address of this driver.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A snapshot is wanted and there is no folder for it.
-    #[error("shared.keep: no folder is given with --state")]
+    /// Snapshots are enabled without a folder for them.
+    #[error("shared.keep requires a folder, and --state is not given")]
     NoStateFolder,
     /// The thread that writes the snapshot can't be started.
-    #[error("shared.keep: {0}")]
+    #[error("cannot start the snapshot thread: {0}")]
     SnapshotThread(#[source] io::Error),
     /// The gossip thread can't be started.
-    #[error("shared: {0}")]
+    #[error("cannot start the gossip thread: {0}")]
     Thread(#[source] io::Error),
 }
 
-/// What [`start`] returns.
+/// Gossip after its start.
 pub struct StartedGossip {
     /// The event loop's side.
     pub gossip: Gossip,
@@ -201,10 +202,10 @@
     pub handle: GossipHandle,
 }
 
-/// Starts the gossip thread, with the records of a former incarnation that are still usable.
+/// Starts the gossip thread with those records of the previous incarnation that are still usable.
 ///
 /// # Errors
-/// If the address can't be bound, a snapshot is wanted without a folder, or a thread can't be started.
+/// If the address can't be bound, snapshots are enabled without a folder, or a thread can't be started.
 pub fn start(
     gossip: &GossipConfig,
     config: &Config,
@@ -219,18 +220,18 @@
     let settings = gossip.node_settings(config);
     let now = clock.now();
     let folder = gossip.snapshot_folder(state)?;
-    let former = folder.as_ref().map(|folder| read_former(folder, &settings));
-    let former = former.unwrap_or_default();
-    let incarnation = now.0.max(former.incarnation.saturating_add(1));
+    let previous = folder.as_ref().map(|folder| read_previous(folder, &settings));
+    let previous = previous.unwrap_or_default();
+    let incarnation = now.0.max(previous.incarnation.saturating_add(1));
     let mut node = GossipNode::new(settings, incarnation, config.seed ^ now.0, now);
-    let former_file = former.file;
-    let log_lines = restore(&mut node, former, now, folder.is_some());
+    let previous_file = previous.file;
+    let log_lines = restore(&mut node, previous, now, folder.is_some());
     let (messages, inbox) = channel();
     let waker = socket.waker();
     let handle = GossipHandle { messages, waker };
     let event_loop_side = gossip.event_loop_side(config, incarnation, now, handle.clone());
     let writer =
-        folder.map(|f| SnapshotWriter::start(&f, former_file, gossip.snapshot_interval, now, &handle));
+        folder.map(|f| SnapshotWriter::start(&f, previous_file, gossip.snapshot_interval, now, &handle));
     let thread = GossipThread {
         snapshot_writer: writer.transpose().map_err(GossipError::SnapshotThread)?,
         log_lines,
@@ -239,8 +240,8 @@
         inbox,
         queue,
         clock,
-        foreign: 0,
-        not_sent: 0,
+        unknown_senders: 0,
+        send_failures: 0,
     };
     let builder = std::thread::Builder::new().name("sharing".to_owned());
     let spawned = builder.spawn(move || thread.run());
@@ -251,46 +252,51 @@
     })
 }
 
-/// What a former incarnation of this driver has written.
+/// Snapshot that the previous incarnation of this driver wrote.
 #[derive(Default)]
-struct FormerSnapshot {
+struct PreviousSnapshot {
     records: Vec<ObservedRecord>,
     incarnation: u64,
-    /// Whether the disk gave it, damaged or not.
+    /// Whether the file could be read, even if its contents are damaged.
     file: Former,
-    /// Why it can't be read, or not to its end.
+    /// Why the snapshot can't be used, or not to its end.
     error: Option<String>,
 }
 
-fn read_former(folder: &Path, settings: &NodeSettings) -> FormerSnapshot {
-    match snapshot_file::read_patiently(folder) {
-        Ok(None) => FormerSnapshot::default(),
+fn read_previous(folder: &Path, settings: &NodeSettings) -> PreviousSnapshot {
+    match snapshot_file::read_with_retries(folder) {
+        Ok(None) => PreviousSnapshot::default(),
         Ok(Some(bytes)) => {
             let contents = snapshot::read(&bytes, &settings.fleet, &settings.name);
-            FormerSnapshot {
+            PreviousSnapshot {
                 records: contents.records,
                 incarnation: contents.incarnation,
                 file: Former::Read,
                 error: contents.error.map(|error| error.to_string()),
             }
         }
-        Err(error) => FormerSnapshot {
+        Err(error) => PreviousSnapshot {
             file: Former::Unread,
             error: Some(error.to_string()),
-            ..FormerSnapshot::default()
+            ..PreviousSnapshot::default()
         },
     }
 }
 
-/// Restores what is still usable; returns log lines.
-fn restore(node: &mut GossipNode, former: FormerSnapshot, now: Timestamp, has_folder: bool) -> Vec<String> {
-    let found = former.records.into_iter().map(StoredRecord::from);
-    let Classified { usable, report } = report::classify(found, now);
-    let mut lines: Vec<String> = former.error.into_iter().collect();
+/// Restores the records that are still usable; returns log lines.
+fn restore(
+    node: &mut GossipNode,
+    previous: PreviousSnapshot,
+    now: Timestamp,
+    has_folder: bool,
+) -> Vec<String> {
+    let stored = previous.records.into_iter().map(StoredRecord::from);
+    let Classified { usable, report } = report::classify(stored, now);
+    let mut lines: Vec<String> = previous.error.into_iter().collect();
     if has_folder {
         lines.push(report.to_string());
     }
-    // No peer is known yet, so nothing is sent; the event loop learns these records with the first events.
+    // No peer is known yet, so nothing is sent; the event loop receives these records with the first events.
     for UsableRecord { record, age } in usable {
         node.restore(now, record, age);
     }
--- a/crates/driver/src/program/gossip/query.rs
+++ b/crates/driver/src/program/gossip/query.rs
@@ -1,22 +1,22 @@
-//! What operators may ask of a running service's gossip, and how `asterlatch fleet` asks it.
+//! Operators' queries of a running service's gossip, as `asterlatch fleet` sends them.
 
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 
-/// What is shown.
+/// Subject of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum QueryKind {
-    /// Who of the fleet is there, and how this driver stands
+    /// Drivers of the fleet, and counters of this one
     Status,
-    /// All that is shared, as this driver holds it
+    /// All shared records that this driver stores
     Facts,
-    /// What can't both be true
+    /// Records that contradict each other
     Differences,
 }
 
 impl QueryKind {
-    /// The word for it at the control socket.
+    /// Name of the kind at the control socket.
     pub fn name(self) -> &'static str {
         match self {
             QueryKind::Status => "status",
@@ -25,8 +25,8 @@
         }
     }
 
-    /// The kind of this name.
-    pub fn named(name: &str) -> Option<QueryKind> {
+    /// The kind with this name.
+    pub fn from_name(name: &str) -> Option<QueryKind> {
         [QueryKind::Status, QueryKind::Facts, QueryKind::Differences]
             .into_iter()
             .find(|kind| kind.name() == name)
@@ -35,23 +35,24 @@
 
 /// An operator's query; the answer goes to the socket.
 pub struct Query {
-    /// What is asked for.
+    /// Subject of the query.
     pub kind: QueryKind,
-    /// As JSON, not as a table.
+    /// Whether the answer is JSON instead of tables.
     pub as_json: bool,
     /// Receives the answer.
     pub reply: UnixStream,
 }
 
-/// The control socket could not be used.
+/// The service can't be queried.
 #[derive(Debug, thiserror::Error)]
-#[error("{}: {source}", path.display())]
+#[error("cannot query the service at {}: {source}", path.display())]
 pub struct QueryError {
     path: PathBuf,
     source: io::Error,
 }
 
-/// Queries a running service at its control socket and prints the answer; returns whether it had one.
+/// Queries a running service at its control socket and prints the answer; returns whether the query
+/// succeeded.
 ///
 /// # Errors
 /// If the control socket can't be reached or read.
@@ -61,8 +62,8 @@
         source,
     };
     let mut stream = UnixStream::connect(control).map_err(failed)?;
-    let form = if as_json { "json" } else { "table" };
-    writeln!(stream, "fleet {} {form}", kind.name()).map_err(failed)?;
+    let format = if as_json { "json" } else { "table" };
+    writeln!(stream, "fleet {} {format}", kind.name()).map_err(failed)?;
     let mut text = String::new();
     stream.read_to_string(&mut text).map_err(failed)?;
     print!("{text}");
--- a/crates/driver/src/program/gossip/snapshot_file.rs
+++ b/crates/driver/src/program/gossip/snapshot_file.rs
@@ -1,5 +1,5 @@
-//! The file that holds the snapshot of the replicated state, written on a thread of its own: however slow the disk is,
-//! only the next write waits for it.
+//! The file of the replicated state's snapshot, written on its own thread: a slow disk delays only the next
+//! write.
 
 use asterlatch_gossip::snapshot::WriteRequest;
 use asterlatch_storage::log_file::{Former, LogFile, LogNames};
@@ -10,49 +10,47 @@
 use std::thread;
 use std::time::Duration;
 
-/// The snapshot, the file that is to replace it, and one that a start could not read.
+/// Names of the snapshot, of the file that will replace it, and of a file that a start could not read.
 const NAMES: LogNames = LogNames {
     log: "shared.log",
     replacement: "shared.new",
     unread: "shared.unread",
 };
 
-/// Attempts of a start to read the snapshot, and the time between two.
 const READ_ATTEMPTS: u32 = 5;
-const READ_PAUSE: Duration = Duration::from_millis(100);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Bytes to be written.
+/// A write of the snapshot.
 pub(super) struct WriteJob {
-    /// Whether they are appended or replace the file.
+    /// Whether the bytes are appended or replace the file.
     pub(super) request: WriteRequest,
-    /// The bytes.
+    /// Bytes to write.
     pub(super) bytes: Vec<u8>,
-    /// Number of records in them.
+    /// Number of records in the bytes.
     pub(super) records: usize,
 }
 
-/// The end of a write.
+/// Result of a [`WriteJob`].
 pub(super) struct WriteResult {
-    /// What was requested.
+    /// Request of the job.
     pub(super) request: WriteRequest,
-    /// Number of records.
+    /// Number of records of the job.
     pub(super) records: usize,
-    /// Whether it succeeded.
     pub(super) result: Result<(), SnapshotFileError>,
 }
 
-/// The file could not be read or written.
+/// The snapshot can't be read or written.
 #[derive(Debug, thiserror::Error)]
-#[error("{}: {source}", path.display())]
+#[error("cannot access {}: {source}", path.display())]
 pub struct SnapshotFileError {
     path: PathBuf,
     source: io::Error,
 }
 
-/// The bytes of the snapshot in a folder; `None` if none was ever written.
+/// Reads the snapshot in a folder; `None` if there is none.
 ///
 /// # Errors
-/// If the file is there and can't be read.
+/// If the file exists and can't be read.
 pub fn read(folder: &Path) -> Result<Option<Vec<u8>>, SnapshotFileError> {
     let path = folder.join(NAMES.log);
     match std::fs::read(&path) {
@@ -62,49 +60,50 @@
     }
 }
 
-/// As [`read`], again where that fails: a disk or the lack of descriptors may pass.
+/// As [`read`], with retries: a disk error or a lack of descriptors may be transient.
 ///
 /// # Errors
-/// If the file is there and could not be read in any attempt. It may be sound: the first write puts it aside.
-pub(super) fn read_patiently(folder: &Path) -> Result<Option<Vec<u8>>, SnapshotFileError> {
-    let mut found = read(folder);
+/// If the file exists and every attempt failed. The file may be intact, so the first write moves it aside.
+pub(super) fn read_with_retries(folder: &Path) -> Result<Option<Vec<u8>>, SnapshotFileError> {
+    let mut result = read(folder);
     for _ in 1..READ_ATTEMPTS {
-        if found.is_ok() {
+        if result.is_ok() {
             break;
         }
-        thread::sleep(READ_PAUSE);
-        found = read(folder);
+        thread::sleep(READ_RETRY_DELAY);
+        result = read(folder);
     }
-    found
+    result
 }
 
-/// Starts the thread. It takes one job at a time and calls `on_written` after each, until that returns false or the sender
-/// is dropped. A `former` snapshot that wasn't read is put aside before the first write.
+/// Starts the thread. It runs one job at a time and calls `on_written` after each, until that returns false
+/// or the sender is dropped. A `previous` snapshot that could not be read is moved aside before the first
+/// write.
 ///
 /// # Errors
 /// If the thread can't be started.
 pub(super) fn start(
     folder: &Path,
-    former: Former,
+    previous: Former,
     mut on_written: impl FnMut(WriteResult) -> bool + Send + 'static,
 ) -> io::Result<SyncSender<WriteJob>> {
-    // A file that may grow no further is an error like a full disk, not the end of the process.
+    // Turns exceeding the file size limit into a write error; by default the signal ends the process.
     // SAFETY: ignoring a signal touches no memory.
     unsafe { libc::signal(libc::SIGXFSZ, libc::SIG_IGN) };
     let (sender, jobs): (_, Receiver<WriteJob>) = sync_channel(1);
-    let mut file = LogFile::new(OsFileSystem, folder, NAMES, former);
+    let mut file = LogFile::new(OsFileSystem, folder, NAMES, previous);
     let write_all = move || {
         for job in jobs {
             let result = write(&mut file, &job).map_err(|source| SnapshotFileError {
                 path: file.path(),
                 source,
             });
-            let done = WriteResult {
+            let outcome = WriteResult {
                 request: job.request,
                 records: job.records,
                 result,
             };
-            if !on_written(done) {
+            if !on_written(outcome) {
                 return;
             }
         }
--- a/crates/driver/src/program/gossip/snapshot_writer.rs
+++ b/crates/driver/src/program/gossip/snapshot_writer.rs
@@ -1,4 +1,4 @@
-//! Keeps the snapshot of the replicated state on disk up to date.
+//! Writes the snapshot of the replicated state on schedule.
 
 use super::snapshot_file::{self, SnapshotFileError, WriteJob, WriteResult};
 use super::GossipHandle;
@@ -11,21 +11,21 @@
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, SyncSender};
 
-/// The schedule of the snapshot's writes, with the thread that carries them out.
+/// Schedules the snapshot's writes, which a thread executes one at a time.
 pub(super) struct SnapshotWriter {
     schedule: SnapshotSchedule,
     jobs: SyncSender<WriteJob>,
     results: Receiver<WriteResult>,
-    /// Continues the file that was written last; `None` if it has to be rewritten.
+    /// Encodes records to append to the file; `None` if the file has to be rewritten.
     encoder: Option<SnapshotEncoder>,
 }
 
 impl SnapshotWriter {
-    /// Starts the thread. `former` tells whether the snapshot of the folder was read; `handle` wakes the gossip thread after
-    /// each write.
+    /// Starts the thread. `previous` states whether the snapshot in the folder was read; `handle` wakes the
+    /// gossip thread after each write.
     pub(super) fn start(
         folder: &Path,
-        former: Former,
+        previous: Former,
         interval: TimeSpan,
         now: Timestamp,
         handle: &GossipHandle,
@@ -39,7 +39,7 @@
         };
         Ok(SnapshotWriter {
             schedule: SnapshotSchedule::new(now, interval),
-            jobs: snapshot_file::start(folder, former, on_written)?,
+            jobs: snapshot_file::start(folder, previous, on_written)?,
             results,
             encoder: None,
         })
@@ -50,40 +50,40 @@
         self.schedule.is_failing()
     }
 
-    /// When the next write may be due.
+    /// Time at which the next write may be due.
     pub(super) fn next_at(&self) -> Timestamp {
         self.schedule.next_at()
     }
 
-    /// Starts a write if one is due; returns log lines on writes that ended.
+    /// Starts a write if one is due; returns log lines about finished writes.
     pub(super) fn poll(&mut self, node: &mut GossipNode, now: Timestamp) -> Vec<String> {
-        let lines = self.take_results(now);
+        let lines = self.collect_results(now);
         if node.has_changed() {
             self.schedule.mark_changed();
         }
         if let Some(request) = self.schedule.next_request(now) {
             let job = self.write_job(node, request);
-            // One at a time, so there is room for it.
+            // At most one write is in flight, so the channel has room.
             let _ = self.jobs.try_send(job);
         }
         lines
     }
 
-    fn take_results(&mut self, now: Timestamp) -> Vec<String> {
+    fn collect_results(&mut self, now: Timestamp) -> Vec<String> {
         let mut lines = Vec::new();
-        while let Ok(done) = self.results.try_recv() {
-            if done.result.is_err() {
+        while let Ok(outcome) = self.results.try_recv() {
+            if outcome.result.is_err() {
                 self.encoder = None;
             }
             let change = self
                 .schedule
-                .on_written(now, done.request, done.records, done.result);
+                .on_written(now, outcome.request, outcome.records, outcome.result);
             lines.extend(change.as_ref().map(describe_change));
         }
         lines
     }
 
-    /// The changed records if the file can be appended to, otherwise all of them.
+    /// Encodes the changed records if the file can be appended to, otherwise all records.
     fn write_job(&mut self, node: &mut GossipNode, request: WriteRequest) -> WriteJob {
         let changed = node.take_changed();
         let mut bytes = Vec::new();
@@ -123,7 +123,7 @@
 
 fn describe_change(change: &WriteStatusChange<SnapshotFileError>) -> String {
     match change {
-        WriteStatusChange::Failing(error) => format!("nothing is kept until that is mended: {error}"),
-        WriteStatusChange::Recovered => "the copy is kept again".to_owned(),
+        WriteStatusChange::Failing(error) => format!("cannot write the snapshot, will retry: {error}"),
+        WriteStatusChange::Recovered => "the snapshot is written again".to_owned(),
     }
 }
--- a/crates/driver/src/program/gossip/status.rs
+++ b/crates/driver/src/program/gossip/status.rs
@@ -1,4 +1,5 @@
-//! What operators see of the fleet: its drivers, the shared records and their conflicts, as JSON values.
+//! Answers to operators' queries about the fleet, as JSON values: its drivers, the shared records and their
+//! conflicts.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::node::GossipNode;
@@ -6,43 +7,43 @@
 use asterlatch_gossip::state::ReplicatedState;
 use serde_json::{json, Value};
 
-/// What of the gossip thread is shown beside the node's own figures.
+/// Status of the gossip thread.
 pub(super) struct ThreadStatus {
-    /// `nothing`, `well` or `fails`.
-    pub(super) keeps: &'static str,
-    /// Datagrams from senders that are no peers.
-    pub(super) foreign: u64,
-    /// Datagrams that the kernel did not take.
-    pub(super) not_sent: u64,
+    /// `nothing` if no snapshot is written, `fails` if the last write failed, else `well`.
+    pub(super) snapshot_status: &'static str,
+    /// Number of datagrams from senders that are not peers.
+    pub(super) unknown_senders: u64,
+    /// Number of datagrams that could not be sent.
+    pub(super) send_failures: u64,
 }
 
 struct DriverRow<'a> {
     name: &'a str,
     presence: &'a str,
     incarnation: u64,
-    heard_ago: Option<TimeSpan>,
+    last_received_ago: Option<TimeSpan>,
     delay: TimeSpan,
     caught_up: bool,
 }
 
 /// The drivers of the fleet and the counters of gossip.
 pub(super) fn status(node: &GossipNode, thread: &ThreadStatus, now: Timestamp) -> Value {
-    let own = node.membership.own();
-    let own_row = DriverRow {
-        name: &own.name,
+    let identity = node.membership.own();
+    let this_row = DriverRow {
+        name: &identity.name,
         presence: "this one",
-        incarnation: own.incarnation,
-        heard_ago: None,
+        incarnation: identity.incarnation,
+        last_received_ago: None,
         delay: TimeSpan(0),
         caught_up: !node.anti_entropy.is_behind(),
     };
-    let mut drivers = vec![driver_value(node, &own_row)];
+    let mut drivers = vec![driver_value(node, &this_row)];
     for peer in node.membership.peers() {
         let row = DriverRow {
             name: &peer.name,
             presence: peer.state.name(),
             incarnation: peer.incarnation,
-            heard_ago: peer.last_heard.map(|at| now - at),
+            last_received_ago: peer.last_heard.map(|at| now - at),
             delay: peer.delay,
             caught_up: peer.caught_up,
         };
@@ -71,7 +72,7 @@
         "driver": row.name,
         "presence": row.presence,
         "life": row.incarnation,
-        "heard_ms_ago": row.heard_ago.map(|ago| ago.0 / 1000),
+        "heard_ms_ago": row.last_received_ago.map(|ago| ago.0 / 1000),
         "late_ms": row.delay.0 / 1000,
         "caught_up": row.caught_up,
         "list": list,
@@ -82,7 +83,7 @@
 fn counters(node: &GossipNode, thread: &ThreadStatus) -> Value {
     let metrics = &node.metrics;
     json!({
-        "keeps": thread.keeps,
+        "keeps": thread.snapshot_status,
         "facts": node.state.len(),
         "datagrams_sent": metrics.datagrams_sent,
         "bytes_sent": metrics.bytes_sent,
@@ -91,8 +92,8 @@
         "garbled": metrics.malformed,
         "unknown_version": metrics.unknown_version,
         "passed_over": metrics.ignored,
-        "foreign": thread.foreign,
-        "not_sent": thread.not_sent,
+        "foreign": thread.unknown_senders,
+        "not_sent": thread.send_failures,
         "facts_told": metrics.records_sent,
         "facts_heard": metrics.records_received,
         "facts_new": metrics.records_new,
@@ -101,7 +102,7 @@
     })
 }
 
-/// All records, and a hash over them by which drivers' copies are compared.
+/// All records, and a hash over them with which drivers' states can be compared.
 pub(super) fn records(node: &GossipNode, now: Timestamp) -> Value {
     let rows = node.state.entries().map(|entry| {
         let RecordKey { kind, subject } = entry.record.key();
@@ -114,12 +115,12 @@
         })
     });
     let digests = ReplicatedState::digests(&node.state);
-    let mark = digests
+    let combined_digest = digests
         .iter()
         .fold(0u64, |all, digest| all.rotate_left(7) ^ digest);
     json!({
         "facts": rows.collect::<Vec<_>>(),
-        "copy": [{ "mark": format!("{mark:016x}") }],
+        "copy": [{ "mark": format!("{combined_digest:016x}") }],
     })
 }
 
@@ -139,7 +140,7 @@
     json!({ "differences": rows.collect::<Vec<_>>() })
 }
 
-/// A record's values as text.
+/// Formats the values of a record.
 fn describe_record(record: &Record) -> String {
     match record {
         Record::Member {
@@ -150,21 +151,22 @@
             replica_at,
             ..
         } => format!(
-            "group {group}, at {position}, primary at {primary_at}, replica at {replica_at}, started {started_ms}"
+            "group {group}, at {position}, primary at {primary_at}, replica at {replica_at}, \
+             started {started_ms}"
         ),
         Record::Drain {
             list_version, state, ..
         } => format!("{state:?} by list {list_version}"),
         Record::WarmUp {
             work_us, carried_us, ..
-        } => format!("{work_us} us of work, carries {carried_us} us a second"),
+        } => format!("{work_us} us of work, warm members carry {carried_us} microcores"),
         Record::Session { position, .. } => format!("written at {position}"),
         Record::Lease { lease, .. } => format!(
-            "{:?} by {:016x}, term {}, said {} times",
+            "{:?}, holder {:016x}, term {}, {} renewals",
             lease.state, lease.holder, lease.term, lease.renewals
         ),
         Record::Load { shares, .. } => format!("shares of {} members", shares.len()),
-        Record::Unanswered { outstanding_us, .. } => format!("sent {} ms before", outstanding_us / 1000),
+        Record::Unanswered { outstanding_us, .. } => format!("outstanding for {} ms", outstanding_us / 1000),
         Record::Driver {
             incarnation,
             list_version,
@@ -172,7 +174,8 @@
             caught_up,
             ..
         } => format!(
-            "life {incarnation}, list {list_version}, file {operators_file:016x}, caught up {caught_up}"
+            "incarnation {incarnation}, list {list_version}, file {operators_file:016x}, \
+             caught up {caught_up}"
         ),
     }
 }
--- a/crates/driver/src/program/gossip/table.rs
+++ b/crates/driver/src/program/gossip/table.rs
@@ -1,8 +1,8 @@
-//! Text forms of what operators ask for.
+//! Rendering of answers to operators.
 
 use serde_json::{Map, Value};
 
-/// As JSON for programs, or as tables for people.
+/// Renders lists of rows as JSON, or as one table per list.
 pub fn render(value: &Value, as_json: bool) -> String {
     if as_json {
         return serde_json::to_string_pretty(value).unwrap_or_default() + "\n";
@@ -11,7 +11,7 @@
     sections.map(|(name, rows)| render_section(name, rows)).collect()
 }
 
-/// A list of rows with its columns in one line each.
+/// Renders a list of rows as a table.
 fn render_section(name: &str, rows: &Value) -> String {
     let rows = rows.as_array().into_iter().flatten();
     let rows: Vec<&Map<String, Value>> = rows.filter_map(Value::as_object).collect();
--- a/crates/driver/src/program/gossip/thread.rs
+++ b/crates/driver/src/program/gossip/thread.rs
@@ -1,4 +1,4 @@
-//! The gossip thread: carries datagrams to the gossip node and back, and its events to the event loop.
+//! The gossip thread: passes datagrams to and from the gossip node, and its events to the event loop.
 
 use super::query::{Query, QueryKind};
 use super::snapshot_writer::SnapshotWriter;
@@ -14,44 +14,45 @@
 use std::sync::mpsc::{Receiver, Sender};
 use std::time::Duration;
 
-/// The longest sleep: a clock that is set can't block the thread for ever.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// Longest time for which an operator who doesn't read blocks the thread.
+/// Bounds each wait, so that a change of the clock can't block the thread.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+/// Bounds how long an operator who doesn't read the answer blocks the thread.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A message for the thread.
 pub(super) enum ThreadMessage {
-    /// Of the event loop.
+    /// From the event loop.
     Command(GossipCommand),
-    /// Of an operator.
+    /// From an operator.
     Query(Query),
 }
 
-/// Whether the thread goes on.
+/// Whether the thread continues.
 #[derive(Clone, Copy, PartialEq)]
 enum Flow {
     Continue,
     End,
 }
 
-/// The state of the thread, which owns the node and its socket.
+/// State of the thread, which owns the node and its socket.
 pub(super) struct GossipThread {
     pub(super) snapshot_writer: Option<SnapshotWriter>,
-    /// Lines that the event loop is to log.
+    /// Lines for the event loop to log.
     pub(super) log_lines: Vec<String>,
     pub(super) node: GossipNode,
     pub(super) socket: DatagramSocket,
     pub(super) inbox: Receiver<ThreadMessage>,
     pub(super) queue: Sender<Event>,
     pub(super) clock: Clock,
-    /// Datagrams from senders that are no peers.
-    pub(super) foreign: u64,
-    /// Datagrams that the kernel did not take.
-    pub(super) not_sent: u64,
+    /// Number of datagrams from senders that are not peers.
+    pub(super) unknown_senders: u64,
+    /// Number of datagrams that could not be sent.
+    pub(super) send_failures: u64,
 }
 
 impl GossipThread {
-    /// Runs until this driver leaves, the event loop is gone or the socket fails; the service itself goes on then.
+    /// Runs until this driver leaves the fleet, the event loop ends or the socket fails. The service
+    /// continues without gossip.
     pub(super) fn run(mut self) {
         while self.step() == Flow::Continue {}
     }
@@ -65,7 +66,7 @@
         if self.send_log_lines() == Flow::End || self.receive_datagram(now) == Flow::End {
             return Flow::End;
         }
-        self.take_messages()
+        self.process_messages()
     }
 
     fn send_log_lines(&mut self) -> Flow {
@@ -85,26 +86,29 @@
     }
 
     fn receive_datagram(&mut self, now: Timestamp) -> Flow {
-        let writes_at = self.snapshot_writer.as_ref().map(SnapshotWriter::next_at);
-        let next = self.node.next_at().min(writes_at.unwrap_or(Timestamp(u64::MAX)));
-        let timeout = Duration::from_micros((next - now).0).min(LONGEST_WAIT);
+        let next_write_at = self.snapshot_writer.as_ref().map(SnapshotWriter::next_at);
+        let wake_at = self
+            .node
+            .next_at()
+            .min(next_write_at.unwrap_or(Timestamp(u64::MAX)));
+        let timeout = Duration::from_micros((wake_at - now).0).min(MAX_WAIT);
         let outputs = match self.socket.receive(timeout) {
             Ok(DatagramEvent::Received(from, bytes)) => {
                 let now = self.clock.now();
                 self.node.handle(now, NodeInput::Datagram { from, bytes })
             }
             Ok(DatagramEvent::UnknownSender(_)) => {
-                self.foreign += 1;
+                self.unknown_senders += 1;
                 Vec::new()
             }
             Ok(DatagramEvent::Woken) => Vec::new(),
             Ok(DatagramEvent::TimedOut) => self.node.handle(self.clock.now(), NodeInput::Tick),
             Err(_) => return Flow::End,
         };
-        self.carry_out(outputs)
+        self.execute(outputs)
     }
 
-    fn take_messages(&mut self) -> Flow {
+    fn process_messages(&mut self) -> Flow {
         while let Ok(message) = self.inbox.try_recv() {
             let now = self.clock.now();
             let command = match message {
@@ -114,21 +118,21 @@
                 }
                 ThreadMessage::Command(command) => command,
             };
-            let leaves = matches!(command, GossipCommand::Leave);
+            let is_leaving = matches!(command, GossipCommand::Leave);
             let outputs = self.node.handle(now, command);
-            if self.carry_out(outputs) == Flow::End || leaves {
+            if self.execute(outputs) == Flow::End || is_leaving {
                 return Flow::End;
             }
         }
         Flow::Continue
     }
 
-    fn carry_out(&mut self, outputs: Vec<NodeOutput>) -> Flow {
+    fn execute(&mut self, outputs: Vec<NodeOutput>) -> Flow {
         for output in outputs {
             match output {
                 NodeOutput::Send { to, bytes } => {
                     let is_sent = self.socket.send(to, &bytes);
-                    self.not_sent += u64::from(!is_sent);
+                    self.send_failures += u64::from(!is_sent);
                 }
                 event => {
                     if self.report(GossipMessage::Output(event)) == Flow::End {
@@ -153,15 +157,15 @@
     }
 
     fn thread_status(&self) -> ThreadStatus {
-        let keeps = match &self.snapshot_writer {
+        let snapshot_status = match &self.snapshot_writer {
             None => "nothing",
             Some(writer) if writer.is_failing() => "fails",
             Some(_) => "well",
         };
         ThreadStatus {
-            keeps,
-            foreign: self.foreign,
-            not_sent: self.not_sent,
+            snapshot_status,
+            unknown_senders: self.unknown_senders,
+            send_failures: self.send_failures,
         }
     }
 }
--- a/crates/driver/src/program/log.rs
+++ b/crates/driver/src/program/log.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error, a bounded number of each topic a second, with a count of those suppressed. `tracing`
-//! carries them; their form is decided here, once for the process.
+//! The log: lines on standard error, rate-limited per topic, with a count of the suppressed ones. Lines go
+//! through `tracing`; this module formats them.
 
 use crate::routing::event_loop::Observer;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -13,28 +13,27 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How lines are written.
+/// Format of log lines.
 // Doc comments of the variants are printed by `--help`, so `Text` has none.
 #[allow(missing_docs)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, clap::ValueEnum)]
 pub enum Format {
     #[default]
     Text,
-    /// One object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Lines of each topic a second, where operators set nothing.
+/// Limit per topic unless operators set another one.
 const DEFAULT_LINES_PER_SECOND: u32 = 5;
-/// The time over which lines are counted.
 const RATE_WINDOW: TimeSpan = TimeSpan::millis(1000);
 
-/// Limits the rate of each topic's lines. Each thread that logs by the macro `log!` needs one of its own.
+/// Limits the rate of each topic's lines. Each thread that uses the macro `log!` needs its own.
 pub struct Log {
     topics: BTreeMap<&'static str, TopicRate>,
-    /// Lines of each topic a second; it may change at any time.
+    /// Limit per topic; it may change at any time.
     pub lines_per_second: u32,
-    /// Number of lines that were suppressed so far, of all topics.
+    /// Number of suppressed lines of all topics since the start.
     pub suppressed_lines: u64,
 }
 
@@ -50,18 +49,19 @@
 
 #[derive(Default)]
 struct TopicRate {
-    window_began_at: Timestamp,
+    window_started_at: Timestamp,
     lines: u32,
-    /// Lines suppressed since the last admitted one.
+    /// Number of lines suppressed since the last admitted one.
     suppressed: u64,
 }
 
 impl Log {
-    /// Whether a line of this topic may be written; if so, how many were suppressed since the topic's last line.
+    /// Whether a line of this topic may be written; if so, the number of lines suppressed since the topic's
+    /// last one.
     pub fn admit(&mut self, now: Timestamp, topic: &'static str) -> Option<u64> {
         let rate = self.topics.entry(topic).or_default();
-        if now - rate.window_began_at >= RATE_WINDOW {
-            rate.window_began_at = now;
+        if now - rate.window_started_at >= RATE_WINDOW {
+            rate.window_started_at = now;
             rate.lines = 0;
         }
         rate.lines += 1;
@@ -74,7 +74,7 @@
     }
 }
 
-/// Writes a line under a topic, if its rate admits it. Only then is the text formatted, so a flood of lines costs little.
+/// Writes a line under a topic unless its rate limit is reached. A suppressed line is not formatted.
 macro_rules! log {
     ($log:expr, $now:expr, $topic:expr, $($text:tt)*) => {
         if let Some(suppressed) = $log.admit($now, $topic) {
@@ -90,20 +90,20 @@
     }
 }
 
-/// Sets the form of this process's lines; later calls change nothing. Lines that can't be written are lost.
+/// Sets the format of this process's lines; later calls have no effect. Lines that can't be written are lost.
 pub fn start(format: Format) {
     let subscriber = tracing_subscriber::fmt()
         .with_writer(io::stderr)
         .log_internal_errors(false)
         .event_format(LineFormatter(format))
         .finish();
-    // Fails if a subscriber is set already.
+    // Fails if a subscriber is already set.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
 struct LineFormatter(Format);
 
-/// What a line is made of.
+/// The fields of a line.
 #[derive(Default)]
 struct Line {
     topic: String,
@@ -147,7 +147,7 @@
     }
 }
 
-#[expect(clippy::disallowed_methods, reason = "shown to operators alone")]
+#[expect(clippy::disallowed_methods, reason = "only shown to operators")]
 fn wall_clock() -> SystemTime {
     SystemTime::now()
 }
@@ -155,7 +155,7 @@
 fn text_line(line: &Line) -> String {
     let note = match line.suppressed {
         0 => String::new(),
-        suppressed => format!(" ({suppressed} lines left out)"),
+        suppressed => format!(" ({suppressed} lines suppressed)"),
     };
     format!("asterlatch: {}: {}{note}", line.topic, line.text)
 }
--- a/crates/driver/src/program/mod.rs
+++ b/crates/driver/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The process: command line, configuration, phases, signals, log and counters.
+//! The process: commands, configuration, phases, signals, log and metrics.
 
 pub mod commands;
 pub mod config;
--- a/crates/driver/src/program/operators/applied_settings.rs
+++ b/crates/driver/src/program/operators/applied_settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a meaning of the operators' file puts in force.
+//! The operators' file's settings, as the parts of the program use them.
 
 use super::schema;
 use crate::program::phases::PhaseDurations;
@@ -9,36 +9,36 @@
 use asterlatch_handover::{predecessor, successor};
 use std::collections::BTreeMap;
 
-/// Rates are stored in thousandths an hour.
+/// Rates are stored in thousandths per hour.
 const RATE_UNITS_PER_SECOND: i64 = 3_600_000;
 
 /// Timeouts of a handover, for both sides.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HandoverTimeouts {
-    /// Of the process that serves.
+    /// Timeouts of the predecessor.
     pub predecessor: predecessor::Timeouts,
-    /// Of one that takes over.
+    /// Timeouts of the successor.
     pub successor: successor::Timeouts,
 }
 
-/// Settings of the operators' file, as the parts of the program take them over.
+/// Settings of the operators' file, grouped by the part of the program that applies them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppliedSettings {
-    /// Of the event loop.
+    /// Limits of the event loop.
     pub limits: Limits,
-    /// Of single workloads, by name.
+    /// Limits of individual workloads, by name.
     pub workload_limits: BTreeMap<String, WorkloadLimits>,
-    /// Of the process's phases.
+    /// Durations of the process's phases.
     pub phase_durations: PhaseDurations,
-    /// Of the coroutine runtime; takes effect at the start only.
+    /// Stacks of the coroutine runtime; only a restart applies them.
     pub coroutine_stacks: CoroutineStacks,
-    /// Log lines a topic and second.
+    /// Log lines per topic.
     pub log_lines_per_second: u32,
-    /// Of a handover.
+    /// Timeouts of a handover.
     pub handover_timeouts: HandoverTimeouts,
 }
 
-/// Reads amounts of a meaning; negative ones count as zero.
+/// Reads amounts of settings; negative ones count as zero.
 struct Amounts<'a>(&'a Meaning);
 
 impl Amounts<'_> {
@@ -91,15 +91,15 @@
 
     fn workload_limits(&self) -> BTreeMap<String, WorkloadLimits> {
         let row = |name| schema().find("workload", name).map(|(_, row)| row);
-        let (timeout, longest) = (row("timeout"), row("longest"));
+        let (max_timeout, max_bytes) = (row("timeout"), row("longest"));
         let entries = self.0.entries(schema(), "workload");
         let limits = entries.map(|(name, amounts)| {
             let amount = |row: Option<usize>| Some(amounts.get(row?)?.as_ref()?.amount);
-            let own = WorkloadLimits {
-                timeout: amount(timeout).map(|us| TimeSpan(us as u64)),
-                max_bytes: amount(longest).map(|bytes| bytes as usize),
+            let workload_limits = WorkloadLimits {
+                timeout: amount(max_timeout).map(|us| TimeSpan(us as u64)),
+                max_bytes: amount(max_bytes).map(|bytes| bytes as usize),
             };
-            (name.to_owned(), own)
+            (name.to_owned(), workload_limits)
         });
         limits.collect()
     }
@@ -114,9 +114,9 @@
                 heartbeat: upgrade("silence"),
             },
             successor: successor::Timeouts {
-                // The predecessor has a timeout of its own, which ends first.
+                // The predecessor's own timeout elapses first.
                 predecessor_response: upgrade("ready") + upgrade("ready"),
-                // As long as the predecessor lets this one be silent: it sends ten heartbeats meanwhile.
+                // The predecessor's own timeout for heartbeats, within which it sends ten of them.
                 predecessor_heartbeat: upgrade("silence"),
                 heartbeat_interval: upgrade("beat"),
                 probation: upgrade("probation"),
--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -1,5 +1,6 @@
-//! The operators' file in service: read and stored on a thread of its own (`worker`), decided on by
-//! `asterlatch_config::generations`, applied by the main thread. Without a file nothing of this runs.
+//! The operators' file of a running process: a thread (`worker`) reads the file and stores its generations,
+//! `asterlatch_config::generations` decides which settings are active, and the main thread applies them.
+//! Without a file there is no thread.
 
 mod applied_settings;
 mod start;
@@ -19,48 +20,48 @@
 use asterlatch_config::registry::{Machine, Registry, WANTS};
 use asterlatch_config::store::KeepError;
 use asterlatch_handover::predecessor;
-pub use start::{start, Given, Start, StartLine};
+pub use start::{load_initial_settings, InitialSettings, LogLine, OperatorsOptions};
 use std::io;
 use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, Sender};
 use std::sync::OnceLock;
 pub use worker::WorkerHandle;
-use worker::{Done, Job, StoreReport};
+use worker::{Job, JobResult, StoreReport};
 
-/// Log topic of decisions on the file. Diagnostics have a topic of their own, so that a long list of them can't use up the
-/// lines of the one that matters.
-pub const DECISIONS: &str = "operators";
+/// Log topic of decisions on the file. Diagnostics have a separate topic, so that many of them can't use up
+/// the rate limit of the decisions.
+pub const DECISIONS_TOPIC: &str = "operators";
 /// Log topic of diagnostics of a file.
-pub const DETAILS: &str = "operators file";
+pub const DIAGNOSTICS_TOPIC: &str = "operators file";
 
-/// Time between two samples of the driver's metrics.
+/// Interval between two samples of the metrics.
 const SAMPLE_INTERVAL: TimeSpan = TimeSpan::millis(250);
 
 /// The operators' file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorsError {
     /// The stored generations can't be read.
-    #[error("{}: {source}", folder.display())]
+    #[error("cannot read the generations in {}: {source}", folder.display())]
     Store {
-        /// Their folder.
+        /// Folder of the generations.
         folder: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file is faulty, and `--strict` was given.
-    #[error("the operators' file is faulty\n{}", errors.trim_end())]
-    Faulty {
-        /// Its diagnostics.
+    /// The file is invalid, and `--strict` was given.
+    #[error("the operators' file is invalid\n{}", errors.trim_end())]
+    Invalid {
+        /// Diagnostics of the file.
         errors: String,
     },
-    /// The file is faulty, and no generation is stored.
-    #[error("the operators' file is faulty, and no former generation is kept\n{}", errors.trim_end())]
+    /// The file is invalid, and no generation is stored.
+    #[error("the operators' file is invalid, and no generation is stored\n{}", errors.trim_end())]
     NoStoredGeneration {
-        /// Its diagnostics.
+        /// Diagnostics of the file.
         errors: String,
     },
-    /// The thread can't be started.
-    #[error("operators: {0}")]
+    /// The worker thread can't be started.
+    #[error("cannot start the thread of the operators' file: {0}")]
     Thread(#[source] io::Error),
 }
 
@@ -70,7 +71,7 @@
     SCHEMA.get_or_init(host::registry)
 }
 
-/// The limits of the process, against which a file is checked.
+/// Limits of the process, against which an operators' file is checked.
 pub fn machine(config: &Config) -> Machine {
     Machine {
         memory: config.runtime.max_memory as i64,
@@ -78,11 +79,11 @@
     }
 }
 
-/// Reads the file of this path.
+/// Reads and checks the operators' file at `path`.
 pub fn read(path: &str, machine: Machine) -> Outcome {
     let (folder, name) = Folder::of(path);
     let mut outcome = load::read(&name, &folder, schema(), machine);
-    // Diagnostics name files as the command line did.
+    // Diagnostics name files as the command line does.
     if let Some(parent) = path.strip_suffix(&name).filter(|parent| !parent.is_empty()) {
         for file in &mut outcome.files {
             file.name.insert_str(0, parent);
@@ -91,7 +92,7 @@
     outcome
 }
 
-/// How many settings differ, and which wants the live ones may cause.
+/// Counts the settings that differ, and collects the shortages that changes of live ones may cause.
 fn difference(old: &Meaning, new: &Meaning) -> Difference {
     let mut difference = Difference::default();
     for change in changes(schema(), old, new) {
@@ -119,65 +120,65 @@
     }
 }
 
-/// Stored generations at most.
-fn most_stored(meaning: &Meaning) -> usize {
+/// Maximum number of stored generations.
+fn max_stored_generations(meaning: &Meaning) -> usize {
     meaning.amount(schema(), "activation", "kept").max(1) as usize
 }
 
-/// Whether a read is under way, and whether the file has changed again since it began.
+/// Whether a read is in progress, and whether the file may have changed since it began.
 #[derive(Clone, Copy, PartialEq)]
-enum Reading {
+enum ReadState {
     Idle,
-    UnderWay,
-    UnderWayAndOutdated,
+    InProgress,
+    InProgressAndOutdated,
 }
 
-/// The operators' file of a running process. Owned by the main thread.
+/// The operators' file of a running process. Only the main thread uses it.
 pub struct Operators {
     generations: Generations<Meaning>,
-    /// None without a file.
+    /// `None` without an operators' file.
     jobs: Option<Sender<Job>>,
-    results: Receiver<Done>,
-    reading: Reading,
+    results: Receiver<JobResult>,
+    read_state: ReadState,
     stores_generations: bool,
-    /// The highest fill, by want, since the last sample.
-    highest_fill: [u64; WANTS.len()],
+    /// Highest utilization since the last sample, by resource.
+    max_utilization: [u64; WANTS.len()],
     sampled_at: Timestamp,
-    /// Timeouts of the next handover, as they are in force now.
-    pub upgrade_times: predecessor::Timeouts,
+    /// Timeouts of the next handover, by the active settings.
+    pub predecessor_timeouts: predecessor::Timeouts,
 }
 
 impl Operators {
-    /// Begins with the meaning that the process started with, which is what a rollback goes to.
+    /// Begins with the settings that the process started with, to which a rollback returns.
     ///
     /// # Errors
     /// If the thread that reads the file can't be started.
     pub fn new(
-        given: &Given,
-        start: Start,
-        upgrade_times: predecessor::Timeouts,
+        options: &OperatorsOptions,
+        initial: InitialSettings,
+        predecessor_timeouts: predecessor::Timeouts,
         worker: WorkerHandle,
     ) -> Operators {
-        let canonical = start.meaning.canonical(schema());
+        let canonical = initial.meaning.canonical(schema());
         let digest = hash(&canonical);
-        let number = start.number;
-        let most = most_stored(&start.meaning);
-        let generations = Generations::new(number, digest, start.meaning, difference, probation_terms);
+        let number = initial.number;
+        let max_stored = max_stored_generations(&initial.meaning);
+        let generations = Generations::new(number, digest, initial.meaning, difference, probation_terms);
         let operators = Operators {
             generations,
             jobs: worker.jobs,
             results: worker.results,
-            reading: Reading::Idle,
-            stores_generations: given.state.is_some(),
-            highest_fill: [0; WANTS.len()],
+            read_state: ReadState::Idle,
+            stores_generations: options.state_folder.is_some(),
+            max_utilization: [0; WANTS.len()],
             sampled_at: Timestamp(0),
-            upgrade_times,
+            predecessor_timeouts,
         };
-        operators.store(number, canonical, most);
+        operators.store(number, canonical, max_stored);
         operators
     }
 
-    fn store(&self, number: u64, canonical: String, most: usize) {
+    fn store(&self, number: u64, canonical: String, max_stored: usize) {
         if !self.stores_generations {
             return;
         }
@@ -185,89 +186,91 @@
             let _ = jobs.send(Job::Store {
                 number,
                 canonical,
-                most,
+                max_stored,
             });
         }
     }
 
-    /// The file may have changed. Reads follow one another: what changes while one is under way is read next.
-    pub fn changed(&mut self, machine: Machine) {
-        if self.reading != Reading::Idle {
-            self.reading = Reading::UnderWayAndOutdated;
+    /// Reads the file, since it may have changed. A change during a read causes another read after it.
+    pub fn reload(&mut self, machine: Machine) {
+        if self.read_state != ReadState::Idle {
+            self.read_state = ReadState::InProgressAndOutdated;
             return;
         }
         if let Some(jobs) = &self.jobs {
             let ticket = self.generations.begin_read();
             if jobs.send(Job::Read { ticket, machine }).is_ok() {
-                self.reading = Reading::UnderWay;
+                self.read_state = ReadState::InProgress;
             }
         }
     }
 
-    /// Takes results of the thread and the driver's metrics into account, and applies what follows from them.
-    pub fn steer(
+    /// Processes results of the thread and the metrics, and executes the resulting commands.
+    pub fn advance_to(
         &mut self,
         event_loop: &mut EventLoop<Log>,
         phases: &mut Phases,
         now: Timestamp,
         machine: Machine,
     ) {
-        while let Ok(done) = self.results.try_recv() {
-            self.on_done(event_loop, phases, now, machine, done);
+        while let Ok(result) = self.results.try_recv() {
+            self.on_job_result(event_loop, phases, now, machine, result);
         }
         if self.jobs.is_some() {
-            self.watch(event_loop, phases, now);
+            self.track_utilization(event_loop, phases, now);
         }
     }
 
-    fn on_done(
+    fn on_job_result(
         &mut self,
         event_loop: &mut EventLoop<Log>,
         phases: &mut Phases,
         now: Timestamp,
         machine: Machine,
-        done: Done,
+        result: JobResult,
     ) {
-        let (ticket, outcome, text) = match done {
-            Done::Read {
+        let (ticket, outcome, text) = match result {
+            JobResult::Read {
                 ticket,
                 outcome,
                 text,
             } => (ticket, outcome, text),
-            Done::Stored(report) => {
-                let line = describe_store(&report);
-                log!(event_loop.observer, now, DECISIONS, "{line}");
+            JobResult::Stored(report) => {
+                let line = format_store_report(&report);
+                log!(event_loop.observer, now, DECISIONS_TOPIC, "{line}");
                 return;
             }
         };
-        let is_outdated = self.reading == Reading::UnderWayAndOutdated;
-        self.reading = Reading::Idle;
+        let is_outdated = self.read_state == ReadState::InProgressAndOutdated;
+        self.read_state = ReadState::Idle;
         if is_outdated {
-            self.changed(machine);
+            self.reload(machine);
         }
         for line in text.lines() {
-            log!(event_loop.observer, now, DETAILS, "{line}");
+            log!(event_loop.observer, now, DIAGNOSTICS_TOPIC, "{line}");
         }
-        // What was counted until now was counted before the change, also what no sample holds yet.
-        self.watch(event_loop, phases, now);
-        self.sample(event_loop, phases, now);
+        // Everything counted until now was counted under the previous settings, including what no sample
+        // contains yet.
+        self.track_utilization(event_loop, phases, now);
+        self.record_sample(event_loop, phases, now);
         let effects = self.generations.read_ended(now, ticket, outcome);
-        self.carry_out(event_loop, phases, now, effects);
+        self.execute(event_loop, phases, now, effects);
     }
 
-    /// Takes a sample if one is due. A sample holds the highest fill since the last one: a full moment between two counts.
-    fn watch(&mut self, event_loop: &mut EventLoop<Log>, phases: &mut Phases, now: Timestamp) {
-        for (highest, fill) in self.highest_fill.iter_mut().zip(fill(event_loop)) {
-            *highest = (*highest).max(fill);
+    /// Tracks the highest utilization, so that a short peak between two samples counts, and records a sample
+    /// if one is due.
+    fn track_utilization(&mut self, event_loop: &mut EventLoop<Log>, phases: &mut Phases, now: Timestamp) {
+        for (highest, current) in self.max_utilization.iter_mut().zip(utilization(event_loop)) {
+            *highest = (*highest).max(current);
         }
         if now - self.sampled_at >= SAMPLE_INTERVAL {
-            self.sample(event_loop, phases, now);
+            self.record_sample(event_loop, phases, now);
         }
     }
 
-    fn sample(&mut self, event_loop: &mut EventLoop<Log>, phases: &mut Phases, now: Timestamp) {
+    fn record_sample(&mut self, event_loop: &mut EventLoop<Log>, phases: &mut Phases, now: Timestamp) {
         self.sampled_at = now;
-        let fill = std::mem::replace(&mut self.highest_fill, fill(event_loop));
+        let fill = std::mem::replace(&mut self.max_utilization, utilization(event_loop));
         let metrics = &event_loop.metrics;
         let sample = Sample {
             demand: [
@@ -283,10 +286,10 @@
             fill,
         };
         let effects = self.generations.counted(now, sample);
-        self.carry_out(event_loop, phases, now, effects);
+        self.execute(event_loop, phases, now, effects);
     }
 
-    /// When to call `steer` again although nothing comes in.
+    /// When to call `advance_to` next if nothing else causes it.
     pub fn next_at(&self) -> Timestamp {
         if !self.generations.is_on_probation() {
             return Timestamp(u64::MAX);
@@ -295,7 +298,7 @@
         probation_ends_at.min(self.sampled_at + SAMPLE_INTERVAL)
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         event_loop: &mut EventLoop<Log>,
         phases: &mut Phases,
@@ -305,23 +308,27 @@
         for effect in effects {
             match effect {
                 Effect::TakeOver(meaning) => {
-                    let force = AppliedSettings::from_resolved(&meaning);
-                    self.upgrade_times = force.handover_timeouts.predecessor;
-                    take_over(event_loop, phases, &force);
+                    let settings = AppliedSettings::from_resolved(&meaning);
+                    self.predecessor_timeouts = settings.handover_timeouts.predecessor;
+                    apply_settings(event_loop, phases, &settings);
                 }
                 Effect::Keep(Generation { number, meaning, .. }) => {
-                    self.store(number, meaning.canonical(schema()), most_stored(&meaning));
+                    self.store(
+                        number,
+                        meaning.canonical(schema()),
+                        max_stored_generations(&meaning),
+                    );
                 }
                 Effect::Tell(told) => {
-                    log!(event_loop.observer, now, DECISIONS, "{}", describe(&told));
+                    log!(event_loop.observer, now, DECISIONS_TOPIC, "{}", describe(&told));
                 }
             }
         }
     }
 }
 
-/// How full the driver is, by want.
-fn fill(event_loop: &EventLoop<Log>) -> [u64; WANTS.len()] {
+/// Current utilization, by resource.
+fn utilization(event_loop: &EventLoop<Log>) -> [u64; WANTS.len()] {
     let clients = event_loop.open_clients() as u64;
     let connections = event_loop.metrics.open_member_connections;
     let memory = event_loop.reserved_memory() as u64;
@@ -329,26 +336,26 @@
 }
 
 /// Applies settings to the running process.
-pub fn take_over(event_loop: &mut EventLoop<Log>, phases: &mut Phases, force: &AppliedSettings) {
-    event_loop.set_limits(force.limits, &force.workload_limits);
-    event_loop.observer.lines_per_second = force.log_lines_per_second;
-    phases.durations = force.phase_durations;
+pub fn apply_settings(event_loop: &mut EventLoop<Log>, phases: &mut Phases, settings: &AppliedSettings) {
+    event_loop.set_limits(settings.limits, &settings.workload_limits);
+    event_loop.observer.lines_per_second = settings.log_lines_per_second;
+    phases.durations = settings.phase_durations;
 }
 
-fn describe_store(report: &StoreReport) -> String {
+fn format_store_report(report: &StoreReport) -> String {
     match report {
         StoreReport::Recovered { number } => {
-            format!("generation {number} is stored now, and survives a power failure")
+            format!("generation {number} is now stored durably")
         }
         StoreReport::Failed { number, error } => match error {
             KeepError::NotStored(source) => {
-                format!("generation {number} is not stored, and tried again: {source}")
+                format!("cannot store generation {number}, will retry: {source}")
             }
             KeepError::NotDurable { number, source } => format!(
-                "generation {number} is stored for the next start, but may be lost in a power failure, and is stored again: {source}"
+                "generation {number} is stored but may not survive a power failure, will retry: {source}"
             ),
             KeepError::OldNotLetGo { number, source } => {
-                format!("generation {number} is stored, older ones could not be removed: {source}")
+                format!("generation {number} is stored, but older ones could not be removed: {source}")
             }
         },
     }
@@ -356,27 +363,26 @@
 
 fn describe(told: &Told) -> String {
     match told {
-        Told::Same => "read again, it means the same".to_owned(),
-        Told::Rejected { errors } => format!("kept as it was: the file has {errors} errors"),
-        Told::Overtaken => "a read was overtaken by a newer one".to_owned(),
+        Told::Same => "reloaded, no setting has changed".to_owned(),
+        Told::Rejected { errors } => format!("file rejected, {errors} errors; settings unchanged"),
+        Told::Overtaken => "ignored a read that a newer one superseded".to_owned(),
         Told::Refused { why } => {
             let want = why.name();
-            format!("not taken again: this was gone back from for want of {want}; change the file")
+            format!("file rejected: the same settings were rolled back for lack of {want}; change the file")
         }
         Told::InForce {
             number,
             live,
             at_start,
         } => {
-            format!(
-                "generation {number} is in force: {live} settings changed, {at_start} wait for the next start"
-            )
+            format!("generation {number} is applied: {live} settings changed, {at_start} require a restart")
         }
-        Told::Kept { number } => format!("generation {number} is kept"),
+        Told::Kept { number } => format!("generation {number} is confirmed"),
         Told::GoneBack { from, to, why } => {
             let want = why.name();
             format!(
-                "WENT BACK from generation {from} to {to}: more was turned away for want of {want}, no fuller than before"
+                "ROLLED BACK from generation {from} to {to}: more was rejected for lack of {want}, at no \
+                 higher load"
             )
         }
     }
--- a/crates/driver/src/program/operators/start.rs
+++ b/crates/driver/src/program/operators/start.rs
@@ -1,6 +1,6 @@
-//! With which settings a process starts.
+//! The settings with which a process starts.
 
-use super::{read, schema, OperatorsError, DECISIONS, DETAILS};
+use super::{read, schema, OperatorsError, DECISIONS_TOPIC, DIAGNOSTICS_TOPIC};
 use asterlatch_config::load::Outcome;
 use asterlatch_config::meaning::Meaning;
 use asterlatch_config::registry::Machine;
@@ -10,47 +10,51 @@
 use std::thread;
 use std::time::Duration;
 
-/// Where the operators' file and its former generations are.
+/// Paths of the operators' file and its stored generations, and how to handle an invalid file.
 #[derive(Clone, Debug, Default)]
-pub struct Given {
-    /// The operators' file.
+pub struct OperatorsOptions {
+    /// Path of the operators' file.
     pub file: Option<String>,
-    /// The folder of former generations.
-    pub state: Option<PathBuf>,
-    /// A start with a faulty file fails, whatever generations are stored.
+    /// Folder of the stored generations.
+    pub state_folder: Option<PathBuf>,
+    /// Whether a start with an invalid file fails even if a generation is stored.
     pub strict: bool,
 }
 
-/// A log line with its topic.
-pub struct StartLine {
-    /// Topic of the line.
+/// A log line of the start, with its topic.
+pub struct LogLine {
+    /// Log topic.
     pub topic: &'static str,
-    /// Its text.
+    /// Text of the line.
     pub text: String,
 }
 
-/// What a start found.
-pub struct Start {
+/// The settings of a start.
+pub struct InitialSettings {
     pub(super) number: u64,
-    /// The meaning to start with.
+    /// The settings to start with.
     pub meaning: Meaning,
-    /// Lines to be logged.
-    pub lines: Vec<StartLine>,
+    /// Lines to log.
+    pub lines: Vec<LogLine>,
 }
 
-/// Finds the meaning to start with: the file's, otherwise the generation that was stored last.
+/// Determines the settings to start with: those of the file, or of the newest readable generation if the file
+/// is invalid.
 ///
 /// # Errors
-/// If the stored generations can't be read, or the file is faulty and may not, or can't, be replaced by one of them.
-pub fn start(given: &Given, machine: Machine) -> Result<Start, OperatorsError> {
-    let stored = match &given.state {
-        Some(folder) => stored_generations(folder)?,
+/// If the stored generations can't be read, or the file is invalid and no generation may or can replace it.
+pub fn load_initial_settings(
+    options: &OperatorsOptions,
+    machine: Machine,
+) -> Result<InitialSettings, OperatorsError> {
+    let stored = match &options.state_folder {
+        Some(folder) => read_stored_generations(folder)?,
         None => Contents::default(),
     };
-    let lines = unusable_lines(&stored);
+    let lines = unusable_generation_lines(&stored);
     let newest = stored.newest_number();
-    let Some(path) = &given.file else {
-        return Ok(Start {
+    let Some(path) = &options.file else {
+        return Ok(InitialSettings {
             number: newest,
             meaning: Meaning::default_of(schema()),
             lines,
@@ -58,29 +62,28 @@
     };
     let outcome = read(path, machine);
     if outcome.meaning.is_none() {
-        return start_on_stored(given, &stored.stored, &outcome, lines);
+        return load_newest_generation(options, &stored.stored, &outcome, lines);
     }
-    Ok(Start {
+    Ok(InitialSettings {
         number: newest + 1,
         meaning: outcome.meaning.unwrap_or_else(|| Meaning::default_of(schema())),
         lines,
     })
 }
 
-/// Attempts to read what the disk doesn't give at once, and the time between two.
 const READ_ATTEMPTS: u32 = 5;
-const READ_PAUSE: Duration = Duration::from_millis(100);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The stored generations; reading is tried again where it fails, for a newer generation than those that could be read
-/// may be sound.
-fn stored_generations(folder: &Path) -> Result<Contents, OperatorsError> {
+/// Reads the stored generations, with retries: an unreadable generation may be intact and newer than the
+/// readable ones.
+fn read_stored_generations(folder: &Path) -> Result<Contents, OperatorsError> {
     let read = || -> io::Result<Contents> { Store::open(folder)?.contents() };
     let mut contents = read();
     for _ in 1..READ_ATTEMPTS {
         if contents.as_ref().is_ok_and(|contents| contents.unread.is_empty()) {
             break;
         }
-        thread::sleep(READ_PAUSE);
+        thread::sleep(READ_RETRY_DELAY);
         contents = read();
     }
     contents.map_err(|source| OperatorsError::Store {
@@ -89,54 +92,62 @@
     })
 }
 
-fn unusable_lines(contents: &Contents) -> Vec<StartLine> {
-    let damaged = contents.stored.iter().filter_map(|one| {
-        let reason = one.canonical.as_ref().err()?.reason();
-        Some(format!("stored generation {} {reason}, passed over", one.number))
+fn unusable_generation_lines(contents: &Contents) -> Vec<LogLine> {
+    let damaged = contents.stored.iter().filter_map(|generation| {
+        let reason = generation.canonical.as_ref().err()?.reason();
+        Some(format!(
+            "ignored stored generation {}: it {reason}",
+            generation.number
+        ))
     });
-    let unread = contents.unread.iter().map(|one| {
-        let (number, error) = (one.number, &one.error);
-        format!("stored generation {number} can't be read now, passed over and left as it is: {error}")
+    let unread = contents.unread.iter().map(|generation| {
+        let (number, error) = (generation.number, &generation.error);
+        format!("cannot read stored generation {number}, which is ignored and left in place: {error}")
     });
     let lines = damaged.chain(unread);
-    lines.map(|text| StartLine { topic: DETAILS, text }).collect()
+    lines
+        .map(|text| LogLine {
+            topic: DIAGNOSTICS_TOPIC,
+            text,
+        })
+        .collect()
 }
 
-/// Starts with the newest stored generation that can be read, since the file is faulty.
-fn start_on_stored(
-    given: &Given,
+/// Loads the newest readable generation in place of an invalid file.
+fn load_newest_generation(
+    options: &OperatorsOptions,
     stored: &[Stored],
     outcome: &Outcome,
-    mut lines: Vec<StartLine>,
-) -> Result<Start, OperatorsError> {
+    mut lines: Vec<LogLine>,
+) -> Result<InitialSettings, OperatorsError> {
     let errors = outcome.text();
-    if given.strict {
-        return Err(OperatorsError::Faulty { errors });
+    if options.strict {
+        return Err(OperatorsError::Invalid { errors });
     }
-    let readable = stored.iter().find_map(|one| {
-        let canonical = one.canonical.as_ref().ok()?;
+    let readable = stored.iter().find_map(|generation| {
+        let canonical = generation.canonical.as_ref().ok()?;
         let (meaning, unknown) = Meaning::from_canonical(schema(), canonical).ok()?;
-        Some((one.number, meaning, unknown))
+        Some((generation.number, meaning, unknown))
     });
     let Some((number, meaning, unknown)) = readable else {
         return Err(OperatorsError::NoStoredGeneration { errors });
     };
-    let mut add = |topic, text| lines.push(StartLine { topic, text });
+    let mut add = |topic, text| lines.push(LogLine { topic, text });
     for line in errors.lines() {
-        add(DETAILS, line.to_owned());
+        add(DIAGNOSTICS_TOPIC, line.to_owned());
     }
     if !unknown.is_empty() {
-        let all = unknown.join(", ");
+        let names = unknown.join(", ");
         add(
-            DETAILS,
-            format!("generation {number} states what is not known here: {all}"),
+            DIAGNOSTICS_TOPIC,
+            format!("generation {number} has settings that this version does not know: {names}"),
         );
     }
     add(
-        DECISIONS,
-        format!("THE FILE IS FAULTY: serving on generation {number}, the one kept last"),
+        DECISIONS_TOPIC,
+        format!("FILE INVALID: serving with generation {number}, the newest stored one"),
     );
-    Ok(Start {
+    Ok(InitialSettings {
         number,
         meaning,
         lines,
--- a/crates/driver/src/program/operators/worker.rs
+++ b/crates/driver/src/program/operators/worker.rs
@@ -1,7 +1,7 @@
-//! Reads the operators' file and stores generations on a thread of its own: a large file or a slow disk must not delay
-//! statements. While the disk fails, the generation kept last is stored again, later each time.
+//! A thread that reads the operators' file and stores generations, so that a large file or a slow disk can't
+//! delay statements. While the disk fails, storing the newest generation is retried with a growing backoff.
 
-use super::{read, schema, Given, OperatorsError};
+use super::{read, schema, OperatorsError, OperatorsOptions};
 use crate::routing::events::{ControlEvent, Event};
 use asterlatch_config::generation_writer::GenerationWriter;
 use asterlatch_config::generations::Read;
@@ -13,11 +13,11 @@
 use std::path::PathBuf;
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 
-/// Work for the thread.
+/// A job for the thread.
 pub(super) enum Job {
     /// Read the file.
     Read {
-        /// Number of the read.
+        /// Ticket of the read.
         ticket: u64,
         /// Limits of the process, against which the file is checked.
         machine: Machine,
@@ -26,35 +26,35 @@
     Store {
         /// Number of the generation.
         number: u64,
-        /// Its canonical text.
+        /// Canonical text of its settings.
         canonical: String,
-        /// Generations to be kept at most.
-        most: usize,
+        /// Maximum number of stored generations.
+        max_stored: usize,
     },
 }
 
-/// Work that is done.
-pub(super) enum Done {
+/// Result of a job, or of a retry.
+pub(super) enum JobResult {
     /// The file was read.
     Read {
-        /// Number of the read.
+        /// Ticket of the read.
         ticket: u64,
-        /// Its meaning, or how many errors it has.
+        /// The settings of the file, or the number of its errors.
         outcome: Read<Meaning>,
-        /// Diagnostics, a line each.
+        /// Diagnostics, one per line.
         text: String,
     },
-    /// An attempt to store a generation has ended in a way that operators want to know of.
+    /// Storing a generation failed, or succeeded after a failure.
     Stored(StoreReport),
 }
 
-/// What operators are told of storing generations.
+/// Report to operators about storing a generation.
 pub(super) enum StoreReport {
     /// The first attempt failed.
     Failed {
         /// Number of the generation.
         number: u64,
-        /// How far it came, and why no further.
+        /// The step that failed, and why.
         error: KeepError,
     },
     /// A later attempt succeeded.
@@ -66,7 +66,7 @@
 
 type DiskWriter = GenerationWriter<OsFileSystem>;
 
-/// Whether the thread goes on.
+/// Whether the thread continues.
 #[derive(Clone, Copy, PartialEq)]
 enum Flow {
     Continue,
@@ -77,19 +77,19 @@
 pub struct WorkerHandle {
     /// `None` without an operators' file: there is no thread.
     pub(super) jobs: Option<Sender<Job>>,
-    pub(super) results: Receiver<Done>,
+    pub(super) results: Receiver<JobResult>,
 }
 
 impl WorkerHandle {
-    /// Starts the thread if there is an operators' file; it ends with this handle or with the event loop.
+    /// Starts the thread if there is an operators' file. It ends with this handle or with the event loop.
     ///
     /// # Errors
     /// If the thread can't be started.
-    pub fn start(given: &Given, queue: &Sender<Event>) -> Result<WorkerHandle, OperatorsError> {
+    pub fn start(options: &OperatorsOptions, queue: &Sender<Event>) -> Result<WorkerHandle, OperatorsError> {
         let (sender, results) = channel();
-        let worker = given.file.clone().map(|file| Worker {
+        let worker = options.file.clone().map(|file| Worker {
             file,
-            state: given.state.clone(),
+            state_folder: options.state_folder.clone(),
             results: sender,
             queue: queue.clone(),
         });
@@ -100,11 +100,11 @@
     }
 }
 
-/// The thread's own state.
+/// State of the thread.
 struct Worker {
     file: String,
-    state: Option<PathBuf>,
-    results: Sender<Done>,
+    state_folder: Option<PathBuf>,
+    results: Sender<JobResult>,
     queue: Sender<Event>,
 }
 
@@ -113,7 +113,7 @@
     fn start(self) -> Result<Sender<Job>, OperatorsError> {
         let (sender, jobs) = channel();
         let mut writer = self
-            .state
+            .state_folder
             .as_deref()
             .map(|folder| GenerationWriter::new(Store::on(OsFileSystem, folder)));
         let run = move || while self.step(&jobs, writer.as_mut()) == Flow::Continue {};
@@ -122,29 +122,29 @@
         Ok(sender)
     }
 
-    /// The next job, or another attempt to store the pending generation.
+    /// Runs the next job, or retries to store the pending generation.
     fn step(&self, jobs: &Receiver<Job>, mut writer: Option<&mut DiskWriter>) -> Flow {
         let pause = writer.as_ref().and_then(|writer| writer.pause());
         let received = match pause {
             Some(pause) => jobs.recv_timeout(pause),
             None => jobs.recv().map_err(RecvTimeoutError::from),
         };
-        let done = match received {
+        let result = match received {
             Ok(Job::Read { ticket, machine }) => Some(self.read(ticket, machine)),
             Ok(Job::Store {
                 number,
                 canonical,
-                most,
+                max_stored,
             }) => writer
                 .as_mut()
-                .and_then(|writer| store(writer, number, canonical, most)),
-            Err(RecvTimeoutError::Timeout) => writer.as_mut().and_then(|writer| store_again(writer)),
+                .and_then(|writer| store(writer, number, canonical, max_stored)),
+            Err(RecvTimeoutError::Timeout) => writer.as_mut().and_then(|writer| retry_store(writer)),
             Err(RecvTimeoutError::Disconnected) => return Flow::End,
         };
-        let Some(done) = done else {
+        let Some(result) = result else {
             return Flow::Continue;
         };
-        match self.results.send(done).is_ok() && self.wake().is_ok() {
+        match self.results.send(result).is_ok() && self.wake().is_ok() {
             true => Flow::Continue,
             false => Flow::End,
         }
@@ -154,7 +154,7 @@
         self.queue.send(Event::Control(ControlEvent::WakeUp))
     }
 
-    fn read(&self, ticket: u64, machine: Machine) -> Done {
+    fn read(&self, ticket: u64, machine: Machine) -> JobResult {
         let outcome = read(&self.file, machine);
         let reports = outcome.reports.iter();
         let text = reports.map(|r| report::text(r, &outcome.files)).collect();
@@ -166,7 +166,7 @@
             }
             None => Read::Faulty { errors },
         };
-        Done::Read {
+        JobResult::Read {
             ticket,
             outcome,
             text,
@@ -174,18 +174,18 @@
     }
 }
 
-/// Stores a generation; `None` if there is nothing to be told.
-fn store(writer: &mut DiskWriter, number: u64, canonical: String, most: usize) -> Option<Done> {
-    let error = writer.keep(number, canonical, most).err()?;
-    Some(Done::Stored(StoreReport::Failed { number, error }))
+/// Stores a generation; `None` if there is nothing to report.
+fn store(writer: &mut DiskWriter, number: u64, canonical: String, max_stored: usize) -> Option<JobResult> {
+    let error = writer.keep(number, canonical, max_stored).err()?;
+    Some(JobResult::Stored(StoreReport::Failed { number, error }))
 }
 
-/// Stores the pending generation; `None` if it is still pending.
-fn store_again(writer: &mut DiskWriter) -> Option<Done> {
+/// Retries to store the pending generation; `None` if it is still pending.
+fn retry_store(writer: &mut DiskWriter) -> Option<JobResult> {
     let result = writer.retry()?;
     let number = match result {
         Ok(number) | Err(KeepError::OldNotLetGo { number, .. }) => number,
         Err(_) => return None,
     };
-    Some(Done::Stored(StoreReport::Recovered { number }))
+    Some(JobResult::Stored(StoreReport::Recovered { number }))
 }
--- a/crates/driver/src/program/phases.rs
+++ b/crates/driver/src/program/phases.rs
@@ -2,7 +2,7 @@
 
 use asterlatch::time::{TimeSpan, Timestamp, MAX_WRITE_DELAY};
 
-/// A phase of the process; each follows the one before.
+/// A phase of the process, in the order in which they follow.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Phase {
     /// The listener is not open yet.
@@ -10,12 +10,12 @@
     Starting,
     /// Clients are accepted and served.
     Serving,
-    /// Shutdown was requested: clients that still arrive for a while are served.
+    /// Shutdown was requested; new clients are still accepted and served for a while.
     Leaving {
-        /// When it was requested.
+        /// When shutdown was requested.
         since: Timestamp,
     },
-    /// No client is accepted any more; each is closed after the answer that it waits for.
+    /// No client is accepted any more, and each open one is closed after its pending answer.
     Draining {
         /// When the drain began.
         since: Timestamp,
@@ -25,7 +25,7 @@
 }
 
 impl Phase {
-    /// The phase as the log names it.
+    /// Name of the phase in the log.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
@@ -37,33 +37,34 @@
     }
 }
 
-/// Time from SIGTERM to SIGKILL on the platform, beyond the longest time that clients wait.
+/// Time from SIGTERM to SIGKILL on the platform, in addition to the longest client wait.
 const KILL_GRACE: TimeSpan = TimeSpan::millis(700);
-/// Longest client wait that the platform grants a shutdown.
-const MAX_COUNTED_WAIT: TimeSpan = TimeSpan::millis(3000);
-/// Time before SIGKILL by which the process exits: its signal may be handled 50 ms late, a write may be held up
+/// Longest client wait that the platform grants to a shutdown.
+const MAX_GRANTED_WAIT: TimeSpan = TimeSpan::millis(3000);
+/// How long before SIGKILL the process exits: SIGTERM may be handled 50 ms late, a write may be delayed
 /// ([`MAX_WRITE_DELAY`]), and the exit itself takes time.
-const EXIT_RESERVE: TimeSpan = TimeSpan::millis(250);
-/// Time between the last final answer and the exit, in which clients are written to and closed.
-const CLOSE_TIME: TimeSpan = TimeSpan::millis(150);
-const _: () = assert!(EXIT_RESERVE.0 >= MAX_WRITE_DELAY.0);
+const EXIT_MARGIN: TimeSpan = TimeSpan::millis(250);
+/// Time between the last final answer and the exit, to write to clients and close them.
+const CLIENT_CLOSE_TIME: TimeSpan = TimeSpan::millis(150);
+const _: () = assert!(EXIT_MARGIN.0 >= MAX_WRITE_DELAY.0);
 
-/// What a shutdown has to keep to, whatever members and clients do.
+/// Deadlines of a shutdown, whatever members and clients do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// Every statement has its final answer by then.
+    /// Every statement has its final answer by this time.
     pub last_answer_at: Timestamp,
     /// The process exits at this time at the latest.
     pub exit_at: Timestamp,
 }
 
 impl ShutdownSchedule {
-    /// The schedule of a shutdown that was requested then, where clients wait for so long at most.
-    pub fn new(requested_at: Timestamp, longest_client_wait: TimeSpan) -> ShutdownSchedule {
-        let kill_at = requested_at + longest_client_wait.min(MAX_COUNTED_WAIT) + KILL_GRACE;
-        let exit_at = kill_at - EXIT_RESERVE;
+    /// The schedule of a shutdown requested at `requested_at`, where no client waits longer than
+    /// `max_client_wait`.
+    pub fn new(requested_at: Timestamp, max_client_wait: TimeSpan) -> ShutdownSchedule {
+        let kill_at = requested_at + max_client_wait.min(MAX_GRANTED_WAIT) + KILL_GRACE;
+        let exit_at = kill_at - EXIT_MARGIN;
         ShutdownSchedule {
-            last_answer_at: exit_at - CLOSE_TIME,
+            last_answer_at: exit_at - CLIENT_CLOSE_TIME,
             exit_at,
         }
     }
@@ -74,10 +75,10 @@
 pub struct PhaseDurations {
     /// How long clients are still accepted after shutdown was requested.
     pub arrivals: TimeSpan,
-    /// How long a drain waits for a client that doesn't read its answer. It counts from the last open statement, since
-    /// the next statement of a client may be on its way to the event loop.
+    /// How long a drain waits for a client that doesn't read its answer, counted from the last open
+    /// statement: the next statement of a client may be on its way to the event loop.
     pub linger: TimeSpan,
-    /// Longest drain.
+    /// Longest duration of a drain.
     pub max_drain: TimeSpan,
 }
 
@@ -95,23 +96,23 @@
 #[derive(Default)]
 pub struct Phases {
     phase: Phase,
-    /// Durations in force; they may change at any time.
+    /// Current durations; they may change at any time.
     pub durations: PhaseDurations,
-    /// End of a requested shutdown, where the deployment states how long clients wait.
+    /// Deadline of a requested shutdown, if the deployment states how long clients wait.
     exit_at: Option<Timestamp>,
-    /// When a statement was last seen open.
+    /// Last time at which a statement was open.
     last_busy_at: Timestamp,
 }
 
-/// What the phases depend on.
+/// Inputs of the phases.
 pub struct ProcessState {
-    /// The process is asked to shut down, or a successor has taken over.
+    /// Shutdown was requested, or a successor has taken over.
     pub is_shutting_down: bool,
-    /// The listener was opened.
+    /// The listener has been opened.
     pub is_listening: bool,
     /// The listener is closed again.
     pub is_listener_closed: bool,
-    /// Clients of this process, those included that are being sent to a successor.
+    /// Clients of this process, including those that are being sent to a successor.
     pub open_clients: usize,
     /// Statements without a final answer.
     pub open_statements: usize,
@@ -123,12 +124,12 @@
         self.phase
     }
 
-    /// The process exits at this time at the latest.
+    /// Sets the latest time at which the process exits.
     pub fn limit_shutdown(&mut self, exit_at: Timestamp) {
         self.exit_at = Some(exit_at);
     }
 
-    /// Enters the next phase if that is due, and returns it.
+    /// Enters the next phase if it is due, and returns it.
     pub fn advance(&mut self, now: Timestamp, state: &ProcessState) -> Option<Phase> {
         if state.open_statements > 0 {
             self.last_busy_at = now;
@@ -153,7 +154,7 @@
         self.exit_at.map_or(deadline, |exit_at| deadline.min(exit_at))
     }
 
-    /// When the next phase is due by time alone.
+    /// When a phase change is next due by time alone; `Timestamp(u64::MAX)` if none is.
     pub fn next_at(&self, now: Timestamp) -> Timestamp {
         match self.phase {
             Phase::Leaving { since } => since + self.durations.arrivals,
--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -1,5 +1,5 @@
-//! `asterlatch recover`: reads the snapshot in a folder, and reports what a start would use of it, and why. Nothing is
-//! written, and no service is asked.
+//! `asterlatch recover`: reports which records of a stored snapshot a start would use, and why. It writes
+//! nothing and contacts no service.
 
 use super::gossip::snapshot_file::{self, SnapshotFileError};
 use super::gossip::table;
@@ -9,21 +9,22 @@
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 
-/// The snapshot can't be reported on.
+/// Why there is no report on the snapshot.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoverError {
-    /// It can't be read.
+    /// The snapshot can't be read.
     #[error(transparent)]
     Unreadable(#[from] SnapshotFileError),
-    /// None was ever written.
-    #[error("{}: nothing was ever kept there", .0.display())]
+    /// The folder holds no snapshot.
+    #[error("{}: no snapshot is stored there", .0.display())]
     Missing(PathBuf),
     /// The report can't be printed.
     #[error(transparent)]
     Report(#[from] serde_json::Error),
 }
 
-/// What a start would use of the snapshot, for the driver of this name, or for the one that the snapshot names.
+/// Classifies the records of the snapshot as a start of the driver `name` would; without a name, of the
+/// driver that the snapshot names.
 fn examine(
     folder: &Path,
     name: Option<&str>,
@@ -38,9 +39,9 @@
         contents.error,
         None | Some(SnapshotError::Truncated { .. } | SnapshotError::Corrupted { .. })
     );
-    let found = contents.records.into_iter().map(StoredRecord::from);
-    let report = report::classify(found, clock.now()).report;
-    let copy = json!({
+    let stored = contents.records.into_iter().map(StoredRecord::from);
+    let report = report::classify(stored, clock.now()).report;
+    let snapshot_row = json!({
         "of": stated_owner.map(|owner| owner.name),
         "life": owner.incarnation,
         "bytes": bytes.len(),
@@ -50,7 +51,7 @@
         "nothing_used": !is_used,
         "from_the_future": report.from_future,
     });
-    Ok((copy, report))
+    Ok((snapshot_row, report))
 }
 
 /// Prints the report, as JSON or as tables.
@@ -58,10 +59,10 @@
 /// # Errors
 /// If the folder can't be read or holds no snapshot.
 pub fn run(folder: &Path, name: Option<&str>, as_json: bool) -> Result<(), RecoverError> {
-    let (copy, report) = examine(folder, name, &Clock::start())?;
+    let (snapshot_row, report) = examine(folder, name, &Clock::start())?;
     let rows = serde_json::to_value(&report.rows)?;
-    let all = json!({ "copy": [copy], "kept": rows });
-    print!("{}", table::render(&all, as_json));
+    let sections = json!({ "copy": [snapshot_row], "kept": rows });
+    print!("{}", table::render(&sections, as_json));
     if !as_json {
         println!("{report}");
     }
--- a/crates/driver/src/program/serve/check.rs
+++ b/crates/driver/src/program/serve/check.rs
@@ -5,8 +5,8 @@
 use crate::program::operators::{self, OperatorsError};
 use std::net::TcpListener;
 
-/// Checks whether this configuration and this operators' file could be served, by everything that serving needs of them,
-/// and prints a summary. It binds the listen address for a moment.
+/// Checks whether a configuration and an operators' file can be served, and prints a summary. Binds the
+/// listen address briefly.
 ///
 /// # Errors
 /// If the operators' file is faulty or the listen address can't be bound.
@@ -26,14 +26,14 @@
     Ok(())
 }
 
-/// Prints warnings on standard error.
+/// Prints warnings to standard error.
 fn check_operators_file(config: &Config, path: &str) -> Result<(), ServeError> {
     let outcome = operators::read(path, operators::machine(config));
     let text = outcome.text();
     let text = text.trim_end();
     if outcome.meaning.is_none() {
         let errors = text.to_owned();
-        return Err(OperatorsError::Faulty { errors }.into());
+        return Err(OperatorsError::Invalid { errors }.into());
     }
     if !text.is_empty() {
         eprintln!("{text}");
--- a/crates/driver/src/program/serve/connectors.rs
+++ b/crates/driver/src/program/serve/connectors.rs
@@ -1,4 +1,4 @@
-//! How the event loop opens and resumes connections on real sockets.
+//! Callbacks with which the event loop opens and resumes connections.
 
 use super::startup::Startup;
 use crate::protocol::client_session::ClientSession;
@@ -13,7 +13,7 @@
 use crate::transport::connection;
 use crate::transport::memory_budget::MemoryBudget;
 
-/// Connectors whose connections report to the event loop's queue.
+/// Creates connectors whose connections report to the event loop's queue.
 pub(super) fn connectors(startup: &Startup) -> Connectors {
     let max_message = messages::max_message(startup.memory.members.capacity());
     Connectors {
@@ -37,7 +37,7 @@
 fn dial_discovery(startup: &Startup) -> DialDiscovery {
     let queue = startup.queue.clone();
     let clock = startup.clock;
-    // There is one connection to discovery, whose answers are bounded by the protocol.
+    // There is a single connection to discovery, and the protocol bounds its answers.
     let memory = MemoryBudget::new(usize::MAX);
     Box::new(move |request| {
         let watch = DiscoveryWatch::new(
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -1,4 +1,4 @@
-//! What the process does between the event loop's waits: signals, reloads, upgrades, phases.
+//! Work of the process between the event loop's waits: signals, reloads, upgrades, phases.
 
 use super::deferred_services::DeferredServices;
 use crate::program::config::{Config, ConfigError};
@@ -12,16 +12,16 @@
 use asterlatch::time::Timestamp;
 use asterlatch_config::registry::Machine;
 
-/// Everything that steers the event loop from outside. Only the event loop's thread uses it.
+/// State of the process that controls the event loop. Only the event loop's thread uses it.
 pub(super) struct ControlLoop<'a, F> {
     pub(super) config: &'a Config,
     /// Reads the configuration again.
     pub(super) load_config: F,
-    /// Limits of the machine that the operators' file is checked against.
+    /// Limits of the machine against which the operators' file is checked.
     pub(super) machine: Machine,
-    /// The side of a successor, while its predecessor is there.
+    /// Role of a successor; `None` once its predecessor has exited.
     pub(super) successor: Option<SuccessorRole>,
-    /// The side of a predecessor.
+    /// Role of a predecessor.
     pub(super) predecessor: PredecessorRole,
     pub(super) operators: Operators,
     pub(super) phases: Phases,
@@ -30,7 +30,8 @@
 }
 
 impl<F: Fn() -> Result<Config, ConfigError>> ControlLoop<'_, F> {
-    /// Does what is due, and returns when to run again at the latest; `None` once the process has stopped.
+    /// Performs the work that is due, and returns the latest time of the next call; `None` once the process
+    /// has stopped.
     pub(super) fn advance_to(
         &mut self,
         event_loop: &mut EventLoop<Log>,
@@ -40,8 +41,8 @@
             self.on_control_event(event_loop, now, event);
         }
         self.operators
-            .steer(event_loop, &mut self.phases, now, self.machine);
-        self.predecessor.set_timeouts(self.operators.upgrade_times);
+            .advance_to(event_loop, &mut self.phases, now, self.machine);
+        self.predecessor.set_timeouts(self.operators.predecessor_timeouts);
         let may_begin = self.may_begin_upgrade();
         self.predecessor.advance_to(event_loop, now, may_begin);
         self.is_shutting_down |= self.predecessor.has_handed_over();
@@ -62,7 +63,7 @@
         deadlines.into_iter().min()
     }
 
-    /// Not before the predecessor has left, nor in shutdown.
+    /// No upgrade begins before the predecessor has exited, nor during shutdown.
     fn may_begin_upgrade(&self) -> bool {
         self.successor.is_none() && !self.is_shutting_down
     }
@@ -80,7 +81,7 @@
                 event_loop.observer,
                 now,
                 "upgrade",
-                "not begun: this process is on probation, or leaves"
+                "cannot start: this process is on probation or shutting down"
             ),
             ControlEvent::ReportMetrics => report_metrics(event_loop, now),
             ControlEvent::Reload => self.reload(event_loop, now),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// A second request changes nothing.
+    /// Further requests have no effect.
     fn begin_shutdown(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let is_first = !std::mem::replace(&mut self.is_shutting_down, true);
         if let Some(longest_wait) = self.config.settings.longest_client_wait.filter(|_| is_first) {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Reads the configuration again; one that can't be read in whole changes nothing. The operators' file follows.
+    /// Reloads the configuration, then the operators' file. An invalid configuration changes nothing.
     fn reload(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         match (self.load_config)() {
             Ok(newer) => {
@@ -111,14 +112,14 @@
                     event_loop.observer,
                     now,
                     "configuration",
-                    "kept as it was: {error}"
+                    "unchanged, reload failed: {error}"
                 );
             }
         }
-        self.operators.changed(self.machine);
+        self.operators.reload(self.machine);
     }
 
-    /// Once the predecessor has left, what belongs to one process starts here.
+    /// Once the predecessor has exited, starts the services that only one process may run.
     fn advance_successor(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let Some(successor) = &mut self.successor else {
             return;
@@ -126,17 +127,17 @@
         successor.advance_to(event_loop, now);
         if successor.is_complete() {
             self.successor = None;
-            self.services.start_late(event_loop, now);
+            self.services.start_deferred(event_loop, now);
         }
     }
 
-    /// Enters all phases that are due, and returns the last one.
+    /// Enters all phases that are due, and returns the current one.
     fn advance_phases(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) -> Phase {
         let state = ProcessState {
             is_shutting_down: self.is_shutting_down,
             is_listening: event_loop.is_listening(),
             is_listener_closed: event_loop.is_listener_closed(),
-            // Clients that still wait to be sent to a successor are held here.
+            // Clients that are queued for a successor still belong to this process.
             open_clients: event_loop.open_clients() + self.predecessor.unsent_connections(),
             open_statements: event_loop.open_statements(),
         };
@@ -153,28 +154,28 @@
     }
 }
 
-/// Puts in force what of a newer configuration doesn't need a restart, and logs the rest.
+/// Applies the part of a newer configuration that needs no restart, and logs which other keys changed.
 fn apply_config(event_loop: &mut EventLoop<Log>, now: Timestamp, config: &Config, newer: &Config) {
     event_loop.metrics.reloads += 1;
     event_loop.set_config(now, newer.runtime);
-    let unchanged = config.changes_requiring_restart(newer);
-    let note = if unchanged.is_empty() {
+    let pending_keys = config.changes_requiring_restart(newer);
+    let note = if pending_keys.is_empty() {
         String::new()
     } else {
-        format!("; kept until the next start: {}", unchanged.join(", "))
+        format!("; pending until a restart: {}", pending_keys.join(", "))
     };
     let discovery = newer.runtime.discovery;
     log!(
         event_loop.observer,
         now,
         "configuration",
-        "read again, discovery at {discovery}{note}"
+        "reloaded, discovery at {discovery}{note}"
     );
 }
 
 /// Logs all metrics in one line.
 pub(super) fn report_metrics(event_loop: &mut EventLoop<Log>, now: Timestamp) {
     event_loop.metrics.log_lines_left_out = event_loop.observer.suppressed_lines;
-    let line = counters::line(&event_loop.metrics);
+    let line = counters::format_line(&event_loop.metrics);
     log!(event_loop.observer, now, "counters", "{line}");
 }
--- a/crates/driver/src/program/serve/deferred_services.rs
+++ b/crates/driver/src/program/serve/deferred_services.rs
@@ -1,4 +1,4 @@
-//! Gossip and the control socket, which belong to one process of the service at a time.
+//! Gossip and the control socket, which only one process of the service runs at a time.
 
 use super::start_retry::StartRetry;
 use super::startup::Startup;
@@ -7,7 +7,7 @@
 use crate::program::control_socket::{self, UpgradeRequest};
 use crate::program::gossip::{self, GossipConfig, GossipHandle};
 use crate::program::log::{log, Log};
-use crate::program::operators::Given;
+use crate::program::operators::OperatorsOptions;
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::Event;
 use crate::transport::clock::Clock;
@@ -22,8 +22,8 @@
     upgrade_requests: Sender<UpgradeRequest>,
 }
 
-/// Gossip and the control socket. A successor starts them once its predecessor has left: while that may have to serve
-/// on, it keeps its name among the other drivers and its socket.
+/// Gossip and the control socket. A successor starts them once its predecessor has exited: until then the
+/// predecessor may have to continue, with its identity in the fleet and its control socket.
 pub(super) struct DeferredServices<'a> {
     config: &'a Config,
     clock: Clock,
@@ -34,11 +34,11 @@
 }
 
 impl<'a> DeferredServices<'a> {
-    /// Nothing is started yet.
+    /// Starts neither of them.
     pub(super) fn new(
         startup: &Startup<'a>,
         meaning: &Meaning,
-        given: &'a Given,
+        options: &'a OperatorsOptions,
         control_path: Option<&'a Path>,
         upgrade_requests: Sender<UpgradeRequest>,
     ) -> DeferredServices<'a> {
@@ -46,8 +46,8 @@
             config: startup.config,
             clock: startup.clock,
             queue: startup.queue.clone(),
-            gossip: GossipConfig::from_meaning(meaning),
-            state_folder: given.state.as_deref(),
+            gossip: GossipConfig::from_resolved(meaning),
+            state_folder: options.state_folder.as_deref(),
             control_socket: control_path.map(|path| PendingControlSocket {
                 path,
                 upgrade_requests,
@@ -55,10 +55,10 @@
         }
     }
 
-    /// Starts both, or leaves that to [`DeferredServices::start_late`] if this process has a predecessor.
+    /// Starts both, or defers that to [`DeferredServices::start_deferred`] if this process has a predecessor.
     ///
     /// # Errors
-    /// If either can't be started; the control socket is left out if gossip fails.
+    /// If either can't be started; if gossip fails the control socket is not started.
     pub(super) fn start_or_defer(
         &mut self,
         event_loop: &mut EventLoop<Log>,
@@ -75,10 +75,10 @@
         Ok(())
     }
 
-    /// Starts both in a process that already serves: failures are logged.
-    pub(super) fn start_late(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
+    /// Starts both in a process that already serves; failures are only logged.
+    pub(super) fn start_deferred(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let gossip = self.start_gossip(event_loop).unwrap_or_else(|error| {
-            log!(event_loop.observer, now, "fleet", "nothing is shared: {error}");
+            log!(event_loop.observer, now, "fleet", "gossip is disabled: {error}");
             None
         });
         if let Err(error) = self.start_control_socket(gossip) {
@@ -86,7 +86,7 @@
                 event_loop.observer,
                 now,
                 "upgrade",
-                "no further one can be asked for: {error}"
+                "the control socket is disabled: {error}"
             );
         }
     }
--- a/crates/driver/src/program/serve/error.rs
+++ b/crates/driver/src/program/serve/error.rs
@@ -1,4 +1,4 @@
-//! Why `asterlatch serve` and `asterlatch check` fail.
+//! Error of `asterlatch serve` and `asterlatch check`.
 
 use crate::program::control_socket::ControlSocketError;
 use crate::program::gossip::GossipError;
@@ -12,7 +12,7 @@
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// Shutdown was requested before the process served.
-    #[error("shut down before it served")]
+    #[error("shut down before serving")]
     ShutDown,
     /// The operators' file or its stored generations can't be used.
     #[error(transparent)]
@@ -20,18 +20,18 @@
     /// The handover from the predecessor failed.
     #[error(transparent)]
     Successor(#[from] SuccessorError),
-    /// Signals can't be handled.
-    #[error("signals: {0}")]
+    /// Signals can't be blocked or received.
+    #[error("cannot handle signals: {0}")]
     Signals(#[source] io::Error),
-    /// The listen address can't be bound or listened at.
-    #[error("{address}: {source}")]
+    /// The listen address can't be bound or listened on.
+    #[error("cannot listen on {address}: {source}")]
     Listener {
         /// The listen address.
         address: SocketAddr,
-        /// What the operating system reports.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// This driver can't gossip with others.
+    /// Gossip can't be started.
     #[error(transparent)]
     Gossip(#[from] GossipError),
     /// The control socket can't be opened.
--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -1,7 +1,7 @@
-//! `asterlatch serve` and `asterlatch check`: puts the parts of the process together and runs them.
+//! `asterlatch serve` and `asterlatch check`: assembles the parts of the process and runs them.
 //!
-//! [`serve`] makes everything that could fail before it takes clients. The calling thread then runs the event loop, with
-//! the control loop ahead of each of its waits.
+//! [`serve`] creates everything that can fail before it accepts clients. The calling thread then runs the
+//! event loop, with the control loop before each of its waits.
 
 mod check;
 mod connectors;
@@ -32,17 +32,19 @@
 use std::path::Path;
 use std::sync::mpsc::{channel, Sender};
 
-/// Serves until shutdown or until a successor has taken over. `load_config` reads the configuration again for a reload.
+/// Serves until shutdown or until a successor has taken over. `load_config` reads the configuration for a
+/// reload.
 ///
 /// # Errors
-/// If the process can't start; once it serves it doesn't fail. What may pass by itself is tried again for a while.
+/// If the process can't start; once it serves it doesn't fail. Transient failures are retried for a limited
+/// time.
 pub fn serve(
     config: Config,
     load_config: impl Fn() -> Result<Config, ConfigError>,
-    given: &operators::Given,
+    options: &operators::OperatorsOptions,
     control_path: Option<&Path>,
 ) -> Result<(), ServeError> {
-    match start_and_run(config, load_config, given, control_path) {
+    match start_and_run(config, load_config, options, control_path) {
         Err(ServeError::ShutDown) => Ok(()),
         result => result,
     }
@@ -51,7 +53,7 @@
 fn start_and_run(
     config: Config,
     load_config: impl Fn() -> Result<Config, ConfigError>,
-    given: &operators::Given,
+    options: &operators::OperatorsOptions,
     control_path: Option<&Path>,
 ) -> Result<(), ServeError> {
     // Before any thread is started.
@@ -61,11 +63,11 @@
     let (queue, events) = channel();
     retry.run(|| forward_signals(&signals, &queue, &shutdown))?;
     let machine = operators::machine(&config);
-    let start = retry.run(|| Ok(operators::start(given, machine)?))?;
-    let settings = AppliedSettings::from_resolved(&start.meaning);
+    let initial = retry.run(|| Ok(operators::load_initial_settings(options, machine)?))?;
+    let settings = AppliedSettings::from_resolved(&initial.meaning);
     let mut successor = SuccessorRole::from_environment(settings.handover_timeouts.successor)?;
     transport::coroutines::start(settings.coroutine_stacks);
-    let inherited = Inheritance::load(successor.as_mut(), &config)?;
+    let inherited = InheritedState::load(successor.as_mut(), &config)?;
     let clock = inherited.clock;
     let startup = Startup {
         config: &config,
@@ -74,7 +76,7 @@
         queue,
         journal: inherited.journal,
     };
-    // Before members are dialled, for a retry takes its time.
+    // Before members are dialed, since retries take time.
     let listener = retry.run(|| startup.bind_or_inherit(successor.as_mut()))?;
     let mut event_loop = startup.event_loop(settings.limits, inherited.resumed);
     if let Some(successor) = &mut successor {
@@ -86,14 +88,20 @@
         startup.queue.clone(),
         upgrade_request_receiver,
     );
-    let mut services = DeferredServices::new(&startup, &start.meaning, given, control_path, upgrade_requests);
+    let mut services = DeferredServices::new(
+        &startup,
+        &initial.meaning,
+        options,
+        control_path,
+        upgrade_requests,
+    );
     services.start_or_defer(&mut event_loop, successor.is_some(), &retry)?;
     startup.listen(&mut event_loop, listener, successor.is_some(), &retry)?;
     let mut phases = Phases::default();
-    operators::take_over(&mut event_loop, &mut phases, &settings);
-    startup.log_all(&mut event_loop, &start.lines);
-    let worker = retry.run(|| Ok(operators::WorkerHandle::start(given, &startup.queue)?))?;
-    let operators = Operators::new(given, start, settings.handover_timeouts.predecessor, worker);
+    operators::apply_settings(&mut event_loop, &mut phases, &settings);
+    startup.log_all(&mut event_loop, &initial.lines);
+    let worker = retry.run(|| Ok(operators::WorkerHandle::start(options, &startup.queue)?))?;
+    let operators = Operators::new(options, initial, settings.handover_timeouts.predecessor, worker);
     drop(startup);
     let mut control_loop = ControlLoop {
         config: &config,
@@ -121,25 +129,25 @@
     forwarding.map_err(ServeError::Signals)
 }
 
-/// What a process goes on from; without a predecessor only a new clock.
-struct Inheritance {
+/// State from the predecessor; without one, only a new clock.
+struct InheritedState {
     resumed: Option<ResumedService>,
     clock: Clock,
-    /// Runs while the predecessor may have to go on with the clients.
+    /// Journals client I/O while the predecessor may have to resume the clients.
     journal: Option<IoJournalWriter>,
 }
 
-impl Inheritance {
-    fn load(successor: Option<&mut SuccessorRole>, config: &Config) -> Result<Inheritance, ServeError> {
+impl InheritedState {
+    fn load(successor: Option<&mut SuccessorRole>, config: &Config) -> Result<InheritedState, ServeError> {
         let Some(successor) = successor else {
-            return Ok(Inheritance {
+            return Ok(InheritedState {
                 resumed: None,
                 clock: Clock::start(),
                 journal: None,
             });
         };
         let resumed = successor.load(config)?;
-        Ok(Inheritance {
+        Ok(InheritedState {
             clock: resumed.clock,
             resumed: Some(resumed),
             journal: successor.open_journal()?,
@@ -147,7 +155,7 @@
     }
 }
 
-/// Everything that could fail is made by now, so the predecessor may hand over.
+/// Commits the handover: everything that can fail has been created by now.
 fn commit_handover(
     successor: &mut SuccessorRole,
     startup: &Startup,
@@ -155,7 +163,7 @@
 ) -> Result<(), ServeError> {
     successor.commit()?;
     successor.spawn_reader(startup.queue.clone())?;
-    // The predecessor may have dispatched requests since it wrote its state, so they count from the start.
+    // The predecessor may have dispatched executions since it wrote its state, so they count from the start.
     event_loop.set_co_serving(startup.clock.now(), CoServing::WithPredecessor);
     Ok(())
 }
--- a/crates/driver/src/program/serve/start_retry.rs
+++ b/crates/driver/src/program/serve/start_retry.rs
@@ -1,5 +1,5 @@
-//! Retries what a start needs and this host lacks for a moment: descriptors, memory, threads, an address that a
-//! predecessor holds until it has ended.
+//! Retries steps of a start that fail for a transient lack of descriptors, memory, threads, or of an address
+//! that a predecessor holds until it exits.
 
 use super::ServeError;
 use crate::program::signals::ShutdownRequest;
@@ -8,54 +8,53 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// How long a start goes on trying: longer than a predecessor takes from SIGTERM to its end, shorter than the ten seconds
-/// within which a driver has to be ready.
-const TIME_TO_START: Duration = Duration::from_secs(5);
-/// Pause after the first failure; it doubles with each.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-/// Longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+/// Time limit of all retries: longer than a predecessor takes from SIGTERM to its exit, shorter than the ten
+/// seconds within which a driver must be ready.
+const START_TIMEOUT: Duration = Duration::from_secs(5);
+/// Backoff after the first failure; it doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(250);
 
-/// The retries of one start, all within the same time.
+/// Retries of one start, with a common time limit.
 pub(super) struct StartRetry {
     shutdown: ShutdownRequest,
-    ends_at: Instant,
+    deadline: Instant,
 }
 
 impl StartRetry {
-    /// The time begins now. A request for shutdown ends a pause.
+    /// The time limit begins now. A shutdown request ends a backoff.
     pub(super) fn new(shutdown: ShutdownRequest) -> StartRetry {
         StartRetry {
             shutdown,
-            ends_at: Instant::now() + TIME_TO_START,
+            deadline: Instant::now() + START_TIMEOUT,
         }
     }
 
     /// Calls `attempt` until it succeeds.
     ///
     /// # Errors
-    /// Its error, at once if that doesn't pass by itself, else the last one once the time is over;
+    /// Returns an error of `attempt` at once if it isn't transient, else the last one after the time limit;
     /// [`ServeError::ShutDown`] if shutdown is requested meanwhile.
     pub(super) fn run<T>(&self, mut attempt: impl FnMut() -> Result<T, ServeError>) -> Result<T, ServeError> {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
             let error = match attempt() {
-                Ok(made) => return Ok(made),
+                Ok(value) => return Ok(value),
                 Err(error) => error,
             };
-            if !is_passing(&error) || Instant::now() + pause > self.ends_at {
+            if !is_transient(&error) || Instant::now() + backoff > self.deadline {
                 return Err(error);
             }
-            if self.shutdown.wait(pause) {
+            if self.shutdown.wait(backoff) {
                 return Err(ServeError::ShutDown);
             }
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 }
 
-/// Whether the kernel reported a failure that may pass by itself, at whichever call of a start.
-fn is_passing(error: &ServeError) -> bool {
+/// Whether the error was caused by a transient failure of a system call.
+fn is_transient(error: &ServeError) -> bool {
     let mut cause: Option<&(dyn Error + 'static)> = Some(error);
     while let Some(error) = cause {
         if let Some(error) = error.downcast_ref::<io::Error>() {
--- a/crates/driver/src/program/serve/startup.rs
+++ b/crates/driver/src/program/serve/startup.rs
@@ -1,11 +1,11 @@
-//! Makes the event loop and its listener.
+//! Creates the event loop and its listener.
 
 use super::connectors::connectors;
 use super::start_retry::StartRetry;
 use super::ServeError;
 use crate::program::config::Config;
 use crate::program::log::{log, Log};
-use crate::program::operators::StartLine;
+use crate::program::operators::LogLine;
 use crate::program::upgrade::{ResumedService, SuccessorRole};
 use crate::protocol::client_session::ClientSession;
 use crate::routing::event_loop::{EventLoop, EventLoopOptions};
@@ -18,19 +18,20 @@
 use std::net::TcpListener;
 use std::sync::mpsc::Sender;
 
-/// What the parts of the process are made of.
+/// Common inputs of the parts of the process.
 pub(super) struct Startup<'a> {
     pub(super) config: &'a Config,
     pub(super) clock: Clock,
     /// Queue of the event loop.
     pub(super) queue: Sender<Event>,
     pub(super) memory: MemoryBudgets,
-    /// Records the I/O of clients while a predecessor may have to go on with them.
+    /// Journals client I/O while a predecessor may have to resume the clients.
     pub(super) journal: Option<IoJournalWriter>,
 }
 
 impl Startup<'_> {
-    /// An event loop that goes on from the predecessor's state, or starts with the configured endpoint list.
+    /// Creates an event loop that resumes from the predecessor's state, or starts with the configured
+    /// endpoint list.
     pub(super) fn event_loop(&self, limits: Limits, resumed: Option<ResumedService>) -> EventLoop<Log> {
         let options = EventLoopOptions {
             seed: self.config.seed,
@@ -52,7 +53,7 @@
         event_loop
     }
 
-    /// The predecessor's listener, else a new one.
+    /// Returns the predecessor's listener, else binds a new one.
     pub(super) fn bind_or_inherit(
         &self,
         successor: Option<&mut SuccessorRole>,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Accepts clients, at first none if `is_paused`.
+    /// Starts accepting clients; if `is_paused`, only once the event loop enables it.
     pub(super) fn listen(
         &self,
         event_loop: &mut EventLoop<Log>,
@@ -94,8 +95,8 @@
         Ok(())
     }
 
-    /// Logs lines, each under its topic.
-    pub(super) fn log_all(&self, event_loop: &mut EventLoop<Log>, lines: &[StartLine]) {
+    /// Logs each line under its topic.
+    pub(super) fn log_all(&self, event_loop: &mut EventLoop<Log>, lines: &[LogLine]) {
         for line in lines {
             log!(event_loop.observer, self.clock.now(), line.topic, "{}", line.text);
         }
--- a/crates/driver/src/program/signals.rs
+++ b/crates/driver/src/program/signals.rs
@@ -1,8 +1,8 @@
-//! Signals, as control events of the event loop: SIGTERM and SIGINT shut down, SIGUSR1 logs the metrics, SIGHUP reloads
-//! the configuration, SIGUSR2 upgrades to the same program.
+//! Signals as control events of the event loop: SIGTERM and SIGINT shut down, SIGUSR1 logs the metrics,
+//! SIGHUP reloads the configuration, SIGUSR2 upgrades to the same program.
 //!
-//! They are blocked on every thread, and one thread takes them from the kernel with `sigwait`. There is no handler and no
-//! pipe between a handler and that thread, so no call that fails can lose a signal.
+//! They are blocked on every thread, and one thread receives them with `sigwait`. Without a signal handler
+//! and a pipe from it, no failing system call can lose a signal.
 
 use crate::routing::events::{ControlEvent, Event};
 use nix::sys::signal::{SigSet, Signal};
@@ -11,7 +11,6 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// The signals that are taken.
 const SIGNALS: [Signal; 5] = [
     Signal::SIGHUP,
     Signal::SIGINT,
@@ -20,10 +19,10 @@
     Signal::SIGUSR2,
 ];
 
-/// Time between two waits of which the first failed, which `sigwait` documents for invalid signals alone.
-const RETRY_PAUSE: Duration = Duration::from_millis(5);
+/// Delay after a failed `sigwait`, which by its documentation fails only for invalid signals.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Whether shutdown was requested, for those who wait before the event loop runs. Clones share it.
+/// Whether shutdown was requested, for code that waits before the event loop runs. Clones share the state.
 #[derive(Clone, Default)]
 pub struct ShutdownRequest(Arc<(Mutex<bool>, Condvar)>);
 
@@ -34,7 +33,7 @@
         changed.notify_all();
     }
 
-    /// Waits until shutdown is requested, at most for so long; returns whether it is.
+    /// Waits until shutdown is requested, at most for `timeout`; returns whether it was.
     pub fn wait(&self, timeout: Duration) -> bool {
         let (is_requested, changed) = &*self.0;
         let locked = is_requested.lock().unwrap_or_else(PoisonError::into_inner);
@@ -44,22 +43,24 @@
     }
 }
 
-/// Signals that wait with the kernel until [`BlockedSignals::forward`] takes them.
+/// Signals that stay pending in the kernel until [`BlockedSignals::forward`] receives them.
 pub struct BlockedSignals(SigSet);
 
 impl BlockedSignals {
-    /// Blocks the signals on this thread and on those that it starts later. To be called before any other thread exists:
-    /// the kernel gives a signal to any thread that doesn't block it, and that would end the process.
+    /// Blocks the signals on this thread and on those that it starts later. Must be called before any other
+    /// thread exists: the kernel delivers a signal to any thread that doesn't block it, which would end the
+    /// process.
     ///
     /// # Errors
-    /// If the kernel refuses it.
+    /// If the signal mask can't be set.
     pub fn block() -> io::Result<BlockedSignals> {
         let signals: SigSet = SIGNALS.into_iter().collect();
         signals.thread_block()?;
         Ok(BlockedSignals(signals))
     }
 
-    /// Turns them into events from now on, on a thread of its own that ends with the event loop, and sets `shutdown`.
+    /// Starts a thread that sends each signal to the event loop's `queue` and sets `shutdown` on a request
+    /// for it. The thread ends with the event loop.
     ///
     /// # Errors
     /// If the thread can't be started.
@@ -75,7 +76,7 @@
                         return;
                     }
                 }
-                Err(_) => std::thread::sleep(RETRY_PAUSE),
+                Err(_) => std::thread::sleep(RETRY_DELAY),
             }
         };
         std::thread::Builder::new()
--- a/crates/driver/src/program/upgrade/co_serving.rs
+++ b/crates/driver/src/program/upgrade/co_serving.rs
@@ -1,4 +1,4 @@
-//! What the peer process and this one tell each other while both serve, taken from and given to the event loop.
+//! Messages that both processes exchange while they serve together, passed from and to the event loop.
 
 use crate::program::log::Log;
 use crate::routing::event_loop::EventLoop;
@@ -6,7 +6,7 @@
 use asterlatch_handover::co_serving::{CoServingMessage, CoServingState};
 use asterlatch_handover::message::HandoverMessage;
 
-/// Takes over what the peer process sent, and returns the answer to it.
+/// Applies messages of the peer process, and returns the acknowledgement if one is due.
 pub(super) fn on_messages(
     event_loop: &mut EventLoop<Log>,
     now: Timestamp,
@@ -21,7 +21,8 @@
     answer.map(|message| HandoverMessage::CoServing(vec![message]))
 }
 
-/// What the peer process is still to be told: draining members and executions in flight.
+/// The next message to the peer process, about draining members and executions in flight; `None` if there is
+/// nothing new.
 pub(super) fn next_message(
     event_loop: &mut EventLoop<Log>,
     state: &mut CoServingState,
--- a/crates/driver/src/program/upgrade/handover_state.rs
+++ b/crates/driver/src/program/upgrade/handover_state.rs
@@ -1,4 +1,4 @@
-//! The state that goes from a predecessor to its successor: what the policy has learned, the members, and the clock.
+//! The state that a predecessor sends to its successor: the state of the policy, the members, and the clock.
 
 use crate::program::log::Log;
 use crate::routing::event_loop::{EventLoop, ResumedState};
@@ -8,51 +8,51 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Version of the serialized state, beside the version of the handover protocol.
-const FORM: u32 = 2;
+/// Version of the serialized state, independent of the version of the handover protocol.
+const STATE_VERSION: u32 = 2;
 
-/// The serialized state; `postcard` is positional, so the order of the fields is fixed. Timestamps count from the
-/// predecessor's clock, which advances with the machine's monotonic clock: no wall clock is relied on.
+/// The serialized state; `postcard` is positional, so the order of the fields is fixed. Timestamps are those
+/// of the predecessor's clock, which advances with the machine's monotonic clock, not with the wall clock.
 #[derive(Serialize, Deserialize)]
 struct HandoverState {
-    form: u32,
-    /// The predecessor's clock when it wrote this.
+    version: u32,
+    /// The predecessor's clock when it wrote the state.
     now: Timestamp,
     /// The machine's monotonic clock at the same moment.
     monotonic: TimeSpan,
-    /// Hash of the deployment's settings, which give ids of workloads their meaning.
+    /// Hash of the deployment's settings, which assign the ids of workloads.
     settings_hash: u64,
     policy: Vec<u8>,
     members: Vec<u8>,
 }
 
-/// Why a successor can't go on from its predecessor's state.
+/// Why a successor can't resume from its predecessor's state.
 #[derive(Debug, Error)]
 pub enum HandoverStateError {
-    /// The bytes are no serialized state.
-    #[error("the state can't be read: {0}")]
+    /// The bytes are not a serialized state.
+    #[error("cannot decode the handover state: {0}")]
     Unreadable(#[source] postcard::Error),
-    /// The predecessor writes another form.
-    #[error("the state has form {form}, not {FORM}")]
-    FormMismatch {
-        /// Form that the predecessor writes.
-        form: u32,
+    /// The predecessor writes another version of the state.
+    #[error("the handover state has version {version}, not {STATE_VERSION}")]
+    VersionMismatch {
+        /// Version that the predecessor writes.
+        version: u32,
     },
-    /// The predecessor serves with other settings.
-    #[error("the deployment's settings have changed: only a new start takes those over")]
+    /// The predecessor runs with other settings.
+    #[error("the deployment's settings have changed, which requires a restart")]
     SettingsChanged,
-    /// The policy's part can't be deserialized.
-    #[error("what was learned can't be read: {0}")]
+    /// The state of the policy can't be deserialized.
+    #[error("cannot decode the policy state: {0}")]
     PolicyUnreadable(#[source] postcard::Error),
-    /// The members' part can't be deserialized.
-    #[error("the members can't be read: {0}")]
+    /// The members can't be deserialized.
+    #[error("cannot decode the members: {0}")]
     MembersUnreadable(#[source] postcard::Error),
     /// The state arrived without the listener.
-    #[error("no listener came")]
+    #[error("the handover state came without a listener")]
     ListenerMissing,
 }
 
-/// Serializes the state of a service that runs with settings of this hash.
+/// Serializes the state of a service whose settings have this hash.
 ///
 /// # Errors
 /// If a part can't be serialized.
@@ -63,7 +63,7 @@
 ) -> Result<Vec<u8>, postcard::Error> {
     let learned = event_loop.learned_state();
     let state = HandoverState {
-        form: FORM,
+        version: STATE_VERSION,
         now,
         monotonic: TimeSpan(monotonic_micros()),
         settings_hash,
@@ -73,22 +73,24 @@
     postcard::to_stdvec(&state)
 }
 
-/// What a successor goes on from.
+/// State from which a successor resumes the service.
 pub struct ResumedService {
     /// Continues the predecessor's clock.
     pub clock: Clock,
-    /// What the predecessor has learned.
+    /// State of the predecessor's event loop.
     pub learned: ResumedState,
 }
 
-/// Reads a predecessor's state in a process that runs with settings of this hash.
+/// Deserializes a predecessor's state in a process whose settings have this hash.
 ///
 /// # Errors
-/// If the state is unreadable, of another form or of other settings.
+/// If the state can't be decoded, or has another version or other settings.
 pub(super) fn deserialize(bytes: &[u8], settings_hash: u64) -> Result<ResumedService, HandoverStateError> {
     let state: HandoverState = postcard::from_bytes(bytes).map_err(HandoverStateError::Unreadable)?;
-    if state.form != FORM {
-        return Err(HandoverStateError::FormMismatch { form: state.form });
+    if state.version != STATE_VERSION {
+        return Err(HandoverStateError::VersionMismatch {
+            version: state.version,
+        });
     }
     if state.settings_hash != settings_hash {
         return Err(HandoverStateError::SettingsChanged);
--- a/crates/driver/src/program/upgrade/mod.rs
+++ b/crates/driver/src/program/upgrade/mod.rs
@@ -1,8 +1,8 @@
-//! Carries out what the state machines of `asterlatch-handover` decide: the predecessor's role starts a successor and hands over
-//! to it, the successor's role takes over from a predecessor.
+//! Executes the actions of the state machines of `asterlatch-handover`: the predecessor's role starts a
+//! successor and hands the service over to it, the successor's role takes over from a predecessor.
 //!
-//! Both roles are used by the event loop's thread alone, which never waits in them once it serves. Threads of their own
-//! read and write the sockets; they queue what arrives and wake the event loop.
+//! Only the event loop's thread uses the roles, and once the process serves it never blocks in them. Separate
+//! threads read and write the sockets; they queue received messages and wake the event loop.
 
 mod co_serving;
 mod handover_state;
@@ -15,5 +15,5 @@
 pub use predecessor::PredecessorRole;
 pub use successor::{SuccessorError, SuccessorRole};
 
-/// Environment variable that names, to a successor, the descriptor of its socket to the predecessor.
+/// Environment variable with the number of the successor's descriptor for its socket to the predecessor.
 const SOCKET_VARIABLE: &str = "ASTERLATCH_TAKEOVER";
--- a/crates/driver/src/program/upgrade/predecessor.rs
+++ b/crates/driver/src/program/upgrade/predecessor.rs
@@ -1,4 +1,5 @@
-//! The predecessor's role: starts and kills a successor, and sends it state, listener, clients and member connections.
+//! The predecessor's role: starts and kills a successor, and sends it the state, the listener, clients and
+//! member connections.
 
 use super::co_serving;
 use super::handover_state::serialize;
@@ -24,31 +25,31 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 
-/// One upgrade after another, as the process sees them that serves. Only the event loop's thread uses it.
+/// Upgrades from the side of the serving process, one at a time. Only the event loop's thread uses it.
 pub struct PredecessorRole {
     machine: Predecessor,
     link: EventLoopLink,
     events: Receiver<predecessor::Event>,
     requests: Receiver<UpgradeRequest>,
-    /// The successor started last.
+    /// The most recent successor.
     successor: Option<SuccessorProcess>,
     /// Clients that the successor serves on probation.
     retained_clients: RetainedClients,
-    /// Event descriptor by which the successor reports that its I/O journal is incomplete.
+    /// Event descriptor through which the successor reports that it abandoned its I/O journal.
     journal_abandoned: Option<OwnedFd>,
     last_transfer_id: u64,
     co_serving: CoServingState,
     unsent_connections: Arc<AtomicUsize>,
-    /// Program of the current or last upgrade.
+    /// Executable of the current or most recent upgrade.
     program: PathBuf,
-    /// Whoever asked for the current upgrade, to report its progress to.
+    /// Connection that requested the current upgrade, for reports of its progress.
     requester: Option<UnixStream>,
     settings_hash: u64,
     has_handed_over: bool,
 }
 
 impl PredecessorRole {
-    /// No upgrade is under way. `queue` wakes the event loop; `requests` come from the control socket.
+    /// `queue` wakes the event loop; `requests` come from the control socket.
     pub fn new(
         settings_hash: u64,
         queue: Sender<Event>,
@@ -78,13 +79,13 @@
         }
     }
 
-    /// Begins an upgrade to this very program, as it is on disk now.
+    /// Begins an upgrade to this process's own executable, as it is on disk now.
     pub fn upgrade_to_own_program(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let program = std::env::args_os().next().map(PathBuf::from);
         self.begin_upgrade(event_loop, now, program.unwrap_or_default(), None);
     }
 
-    /// The process is asked to shut down.
+    /// Handles a request for shutdown.
     pub fn on_shutdown(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         self.on_event(event_loop, now, predecessor::Event::ShutdownRequested);
     }
@@ -94,7 +95,7 @@
         self.machine.timeouts = timeouts;
     }
 
-    /// Handles requests, what arrived from the successor and what is due. Requests are refused unless `may_begin`.
+    /// Handles requests, events of the successor and timeouts. Requests are rejected unless `may_begin`.
     pub fn advance_to(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, may_begin: bool) {
         while let Ok(UpgradeRequest { program, requester }) = self.requests.try_recv() {
             if may_begin {
@@ -102,7 +103,7 @@
             } else {
                 reply(
                     Some(&requester),
-                    "failed: this process is on probation, or leaves",
+                    "failed: this process is on probation or shutting down",
                 );
             }
         }
@@ -117,17 +118,17 @@
         self.send_co_serving(event_loop);
     }
 
-    /// When [`PredecessorRole::advance_to`] has something to do.
+    /// When [`PredecessorRole::advance_to`] is next due.
     pub fn next_at(&self) -> Timestamp {
         self.machine.next_deadline()
     }
 
-    /// Number of client and member connections that are queued for the successor and not sent yet.
+    /// Number of client and member connections that are queued for the successor.
     pub fn unsent_connections(&self) -> usize {
         self.unsent_connections.load(Ordering::Acquire)
     }
 
-    /// The service is the successor's: this process is to shut down.
+    /// Whether the successor owns the service, so that this process shuts down.
     pub fn has_handed_over(&self) -> bool {
         self.has_handed_over
     }
@@ -140,25 +141,25 @@
         requester: Option<UnixStream>,
     ) {
         if let Err(error) = check_capacity(&resource_usage(event_loop)) {
-            log!(event_loop.observer, now, "upgrade", "not begun: {error}");
+            log!(event_loop.observer, now, "upgrade", "cannot start: {error}");
             reply(requester.as_ref(), &format!("failed: {error}"));
             return;
         }
         let actions = self.machine.on_event(now, predecessor::Event::UpgradeRequested);
         if actions.contains(&Action::Report(Progress::Busy)) {
-            // The current upgrade's requester stays.
+            // The requester of the upgrade in progress stays.
             log!(
                 event_loop.observer,
                 now,
                 "upgrade",
-                "not begun: another one is under way"
+                "cannot start: another upgrade is in progress"
             );
-            reply(requester.as_ref(), "failed: another upgrade is under way");
+            reply(requester.as_ref(), "failed: another upgrade is in progress");
             return;
         }
         self.program = program;
         self.requester = requester;
-        self.carry_out(event_loop, now, actions);
+        self.execute(event_loop, now, actions);
     }
 
     fn on_successor_event(
@@ -185,10 +186,10 @@
 
     fn on_event(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, event: predecessor::Event) {
         let actions = self.machine.on_event(now, event);
-        self.carry_out(event_loop, now, actions);
+        self.execute(event_loop, now, actions);
     }
 
-    fn carry_out(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, actions: Vec<Action>) {
+    fn execute(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::StartSuccessor => self.start_successor(),
@@ -233,7 +234,8 @@
         }
     }
 
-    /// Sends state and descriptors. If they can't be had nothing is sent, and the successor's timeout ends the upgrade.
+    /// Sends state and descriptors. If either fails nothing is sent, and the successor's timeout ends the
+    /// upgrade.
     fn send_state(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let state = match serialize(event_loop, now, self.settings_hash) {
             Ok(state) => state,
@@ -242,7 +244,7 @@
                     event_loop.observer,
                     now,
                     "upgrade",
-                    "the state can't be written out: {error}"
+                    "cannot serialize the handover state: {error}"
                 );
                 return;
             }
@@ -253,38 +255,38 @@
                 event_loop.observer,
                 now,
                 "upgrade",
-                "no descriptors to send: {error}"
+                "cannot open the descriptors for the successor: {error}"
             ),
         }
     }
 
-    /// What goes along with the state: the listener, the I/O journal's socket, and the event descriptor by which the
-    /// successor abandons the journal. The journal is read from now on.
+    /// Opens the descriptors that are sent with the state: the listener, the I/O journal's socket, and the
+    /// event descriptor through which the successor abandons the journal. Starts reading the journal.
     fn open_descriptors(&mut self, event_loop: &EventLoop<Log>) -> io::Result<Vec<OwnedFd>> {
         let successor = self.successor.as_ref().ok_or(io::ErrorKind::NotConnected)?;
         let listener = event_loop
             .listener_descriptor()
             .ok_or(io::ErrorKind::NotConnected)?;
-        let (ours, theirs) = UnixStream::pair()?;
+        let (local, remote) = UnixStream::pair()?;
         let abandoned = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
         let abandoned_copy = abandoned.try_clone()?;
-        // The successor's clients may take as much memory here as they may take there.
+        // The retained clients may take as much memory here as in the successor.
         self.retained_clients = RetainedClients::new(event_loop.client_memory_capacity());
-        successor.add_journal_reader(self.retained_clients.spawn_journal_reader(ours)?);
+        successor.add_journal_reader(self.retained_clients.spawn_journal_reader(local)?);
         self.journal_abandoned = Some(abandoned);
-        Ok(vec![listener.into(), theirs.into(), abandoned_copy])
+        Ok(vec![listener.into(), remote.into(), abandoned_copy])
     }
 
-    /// Goes on with the clients of the dead successor.
+    /// Resumes the clients of the dead successor.
     fn reclaim_clients(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let Some(abandoned) = self.journal_abandoned.take() else {
             return;
         };
         let reclaimed = self.retained_clients.reclaim(&abandoned);
         let count = reclaimed.clients.len();
-        let cut = reclaimed.cut;
+        let disconnected = reclaimed.disconnected;
         event_loop.metrics.clients_taken_back += count as u64;
-        event_loop.metrics.clients_cut += cut;
+        event_loop.metrics.clients_cut += disconnected;
         for client in reclaimed.clients {
             event_loop.adopt_client(now, client);
         }
@@ -293,18 +295,18 @@
                 event_loop.observer,
                 now,
                 "upgrade",
-                "{cut} clients cut off, for the ledger isn't whole: {reason}"
+                "{disconnected} clients disconnected, the I/O journal is incomplete: {reason}"
             ),
             None => log!(
                 event_loop.observer,
                 now,
                 "upgrade",
-                "{count} clients taken back, {cut} cut off"
+                "{count} clients reclaimed, {disconnected} disconnected"
             ),
         }
     }
 
-    /// Reports to the log and to the requester, which the upgrade's end lets go.
+    /// Reports to the log and to the requester, whose connection is closed at the end of the upgrade.
     fn report(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, progress: &Progress) {
         let text = self.progress_text(progress);
         log!(event_loop.observer, now, "upgrade", "{text}");
@@ -318,21 +320,22 @@
         match progress {
             Progress::Requested => {
                 let pid = self.successor.as_ref().map_or(0, |successor| successor.pid);
-                format!("begun, to {} as process {pid}", self.program.display())
+                format!("started {} as process {pid}", self.program.display())
             }
-            Progress::Busy => "not begun: another one is under way, or this process leaves".to_owned(),
-            Progress::Committed => "the new process could serve and is told to".to_owned(),
-            Progress::Done => "done, the service is the new process's".to_owned(),
-            Progress::Failed(error) => format!("failed, this process serves on: {error}"),
+            Progress::Busy => "cannot start: an upgrade or a shutdown is in progress".to_owned(),
+            Progress::Committed => "the successor is ready and asked to serve".to_owned(),
+            Progress::Done => "done, the successor owns the service".to_owned(),
+            Progress::Failed(error) => format!("failed, this process continues to serve: {error}"),
         }
     }
 
-    /// Whether the successor takes clients and connections.
+    /// Whether the successor accepts client and member connections.
     fn can_move_connections(&self) -> bool {
         matches!(self.machine.phase, Phase::Standby | Phase::Done)
     }
 
-    /// Idle connections that no successor takes are closed; others are opened as they are needed.
+    /// Sends idle member connections to the successor, or closes them if it doesn't accept any; new ones are
+    /// opened on demand.
     fn move_member_connections(&mut self, event_loop: &mut EventLoop<Log>) {
         let can_move = self.can_move_connections();
         for TransferredConnection { member, stream } in event_loop.take_transferred_connections() {
@@ -342,7 +345,7 @@
         }
     }
 
-    /// Clients that no successor takes stay here.
+    /// Sends clients to the successor, or resumes them here if it doesn't accept any.
     fn move_clients(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let can_move = self.can_move_connections();
         for client in event_loop.take_transferred_clients() {
@@ -373,7 +376,7 @@
         self.send(message, vec![connection]);
     }
 
-    /// Tells the successor what both must know. Unless both serve, that is left for whoever takes over.
+    /// Sends co-serving messages to the successor while both processes serve.
     fn send_co_serving(&mut self, event_loop: &mut EventLoop<Log>) {
         if !self.machine.is_co_serving() {
             return;
@@ -390,14 +393,15 @@
     }
 }
 
-/// Writes a line to whoever asked for an upgrade, and may have gone since.
+/// Writes a line to the requester of an upgrade; ignores that it may have disconnected.
 fn reply(requester: Option<&UnixStream>, line: &str) {
     if let Some(mut requester) = requester {
         let _ = writeln!(requester, "{line}");
     }
 }
 
-/// What both processes would need and what they may take. What the kernel doesn't tell counts as zero.
+/// Resources that both processes would need, and their limits. Values that the kernel doesn't report count as
+/// zero.
 fn resource_usage(event_loop: &EventLoop<Log>) -> ResourceUsage {
     let usage = event_loop.process_usage();
     let capacity = event_loop.process_capacity();
@@ -411,7 +415,7 @@
     }
 }
 
-/// Second field of `/proc/self/statm`.
+/// Resident pages of this process, the second field of `/proc/self/statm`.
 fn resident_pages() -> u64 {
     let fields = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = fields.split(' ').nth(1);
--- a/crates/driver/src/program/upgrade/retained_clients.rs
+++ b/crates/driver/src/program/upgrade/retained_clients.rs
@@ -1,5 +1,6 @@
-//! What a predecessor retains of the clients that a successor serves on probation: copies of their connections, and the
-//! replay state of the successor's I/O journal. If the successor dies, the predecessor goes on with them.
+//! Clients that a successor serves on probation, as the predecessor retains them: duplicates of their
+//! sockets, and the replay state of the successor's I/O journal. If the successor dies, the predecessor
+//! resumes them.
 
 use crate::routing::handover::TransferredClient;
 use crate::transport::io_journal::is_abandoned;
@@ -18,34 +19,34 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 
-/// A copy of a client's connection.
+/// A duplicate of a client's socket.
 struct RetainedSocket {
     stream: TcpStream,
-    /// What the kernel had counted when the successor began with it.
+    /// The kernel's byte counts when the successor took the connection over.
     initial_counts: SocketByteCounts,
 }
 
 impl RetainedSocket {
-    /// What the kernel has counted since the successor began with it; `None` if that can't be told.
+    /// Bytes transferred since the successor took the connection over; `None` if the counts are unavailable.
     fn counts_since(&self) -> Option<SocketByteCounts> {
-        let total = counts(&self.stream).ok()?;
+        let totals = counts(&self.stream).ok()?;
         Some(SocketByteCounts {
-            read: total.read.checked_sub(self.initial_counts.read)?,
-            written: total.written.checked_sub(self.initial_counts.written)?,
+            read: totals.read.checked_sub(self.initial_counts.read)?,
+            written: totals.written.checked_sub(self.initial_counts.written)?,
         })
     }
 }
 
 #[derive(Default)]
 struct Table {
-    /// `None` once nothing is known of the clients any more.
+    /// `None` once the state of the clients is unknown.
     replay: Option<JournalReplay>,
     sockets: BTreeMap<ConnectionKey, RetainedSocket>,
     error: Option<ReplayError>,
 }
 
 impl Table {
-    /// Forgets all clients: what the journal says of them is incomplete.
+    /// Drops all clients, since the journal is incomplete.
     fn abandon(&mut self, error: ReplayError) {
         self.replay = None;
         self.error = Some(error);
@@ -58,7 +59,7 @@
         if let Err(error) = replay.begin_transfer(client) {
             return self.abandon(error);
         }
-        // Neither process reads or writes the connection now, so the counts hold.
+        // Neither process reads or writes the connection at this point, so the counts are exact.
         if let (Ok(stream), Ok(initial_counts)) = (stream.try_clone(), counts(stream)) {
             let socket = RetainedSocket {
                 stream,
@@ -103,24 +104,25 @@
     }
 }
 
-/// The clients that one successor serves; clones share them. The event loop's thread transfers and reclaims clients, the
-/// journal's reader applies records. Dropping the last clone closes the copies.
+/// The clients that one successor serves; clones share them. The event loop's thread transfers and reclaims
+/// clients, the journal's reader thread applies records. Dropping the last clone closes the duplicate
+/// sockets.
 #[derive(Clone, Default)]
 pub(super) struct RetainedClients(Arc<Mutex<Table>>);
 
-/// What is left of a dead successor's clients.
+/// Clients reclaimed from a dead successor.
 #[derive(Default)]
 pub(super) struct Reclaimed {
-    /// Clients that can go on here.
+    /// Clients that this process can resume.
     pub(super) clients: Vec<TransferredClient>,
-    /// Number of clients that were cut off, since no consistent answer to them is possible.
-    pub(super) cut: u64,
-    /// Why none can go on, if the journal was incomplete; as operators read it.
+    /// Number of clients that were disconnected, since no consistent answer to them is possible.
+    pub(super) disconnected: u64,
+    /// Why no client can be resumed, if the journal is incomplete; for the log.
     pub(super) incomplete: Option<String>,
 }
 
 impl RetainedClients {
-    /// No clients; the replay state may take so many bytes.
+    /// Creates an empty table whose replay state may take `memory_limit` bytes.
     pub(super) fn new(memory_limit: usize) -> RetainedClients {
         let table = Table {
             replay: Some(JournalReplay::new(memory_limit)),
@@ -133,17 +135,18 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A client is sent to the successor. It is cut off on reclaim if its connection can't be copied.
+    /// Records that a client is sent to the successor. If its socket can't be duplicated, the client is
+    /// disconnected on reclaim.
     pub(super) fn begin_transfer(&self, client: ClientState, stream: &TcpStream) {
         self.table().begin_transfer(client, stream);
     }
 
-    /// The successor had no descriptor for this client, whose connection therefore ends.
+    /// Drops a client whose descriptor the successor didn't receive.
     pub(super) fn cancel_transfer(&self, transfer_id: u64) {
         self.table().cancel_transfer(transfer_id);
     }
 
-    /// Reads the journal on a thread of its own, which ends with the successor's end of the socket.
+    /// Reads the journal on its own thread, which ends when the successor's end of the socket is closed.
     ///
     /// # Errors
     /// If the thread can't be started.
@@ -166,13 +169,13 @@
             .spawn(read_all)
     }
 
-    /// Forgets all clients: the service is the successor's.
+    /// Drops all clients, since the successor owns the service.
     pub(super) fn clear(&self) {
         *self.table() = Table::default();
     }
 
-    /// Takes the clients back. The successor must be dead and its journal read to the end; `abandoned` is the event
-    /// descriptor by which it reports that it stopped writing the journal.
+    /// Reclaims the clients. The successor must have exited and its journal must be read to the end;
+    /// `abandoned` is the event descriptor through which it reports that it stopped writing the journal.
     pub(super) fn reclaim(&self, abandoned: &OwnedFd) -> Reclaimed {
         let table = std::mem::take(&mut *self.table());
         let Some(replay) = table.replay else {
@@ -184,8 +187,8 @@
         if is_abandoned(abandoned) {
             return Reclaimed {
                 clients: Vec::new(),
-                cut: table.sockets.len() as u64,
-                incomplete: Some("the new process couldn't write it on".to_owned()),
+                disconnected: table.sockets.len() as u64,
+                incomplete: Some("the successor stopped writing it".to_owned()),
             };
         }
         recover(replay, table.sockets)
@@ -202,9 +205,9 @@
                 reclaimed.clients.push(client);
             }
             (_, socket) => {
-                reclaimed.cut += 1;
+                reclaimed.disconnected += 1;
                 if let Some(socket) = socket {
-                    // Copies elsewhere would keep the connection open.
+                    // Duplicates in other processes would keep the connection open.
                     let _ = socket.stream.shutdown(Shutdown::Both);
                 }
             }
