--- a/crates/driver/src/program/upgrade/successor.rs
+++ b/crates/driver/src/program/upgrade/successor.rs
@@ -1,5 +1,5 @@
-//! The successor's role: takes state, listener and clients over from a predecessor, and records on probation what it does
-//! with the clients.
+//! The successor's role: takes the state, the listener and clients over from a predecessor, and journals its
+//! client I/O while on probation.
 
 use super::handover_state::{deserialize, HandoverStateError, ResumedService};
 use super::{co_serving, SOCKET_VARIABLE};
@@ -24,32 +24,32 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Standard input, output and error come first; no socket is passed as one of them.
+/// First descriptor after standard input, output and error.
 const FIRST_PASSED_DESCRIPTOR: i32 = 3;
-/// Longest wait for a message; the deadline is checked again after it.
+/// Bounds each wait for a message; the deadline is checked again after it.
 const MAX_WAIT_MICROS: u64 = 60_000_000;
 
-/// Why this process can't take over. It exits, and the predecessor serves on if it still runs.
+/// Why this process can't take over. It exits, and a predecessor that still runs continues to serve.
 #[derive(Debug, Error)]
 pub enum SuccessorError {
-    /// The environment variable holds no number of a descriptor.
-    #[error("{SOCKET_VARIABLE} names no descriptor")]
+    /// The environment variable is not the number of a descriptor.
+    #[error("{SOCKET_VARIABLE} is not a descriptor number")]
     InvalidDescriptor,
     /// The passed descriptor can't be used.
-    #[error("{SOCKET_VARIABLE}: {0}")]
+    #[error("cannot use the descriptor of {SOCKET_VARIABLE}: {0}")]
     PassedSocket(#[source] io::Error),
     /// The handover was aborted.
     #[error(transparent)]
     Aborted(#[from] AbortReason),
     /// The I/O journal's socket can't be used.
-    #[error("ledger: {0}")]
+    #[error("cannot use the I/O journal's socket: {0}")]
     Journal(#[source] io::Error),
-    /// The predecessor's messages can't be read on a thread of their own.
-    #[error("takeover: {0}")]
+    /// The thread that reads the predecessor's messages can't be started.
+    #[error("cannot start the reader of the predecessor's messages: {0}")]
     Reader(#[source] io::Error),
 }
 
-/// What the reader's thread passes on from the predecessor.
+/// Events that the reader thread receives from the predecessor.
 enum PredecessorEvent {
     Protocol(successor::Event),
     Client(TransferredClient),
@@ -57,7 +57,7 @@
 }
 
 impl PredecessorEvent {
-    /// Nothing follows this event.
+    /// Whether no event follows this one.
     fn is_last(&self) -> bool {
         matches!(self, PredecessorEvent::Protocol(event) if ends_connection(event))
     }
@@ -70,13 +70,14 @@
     )
 }
 
-/// The I/O journal's socket, and the event descriptor that tells the predecessor of its end.
+/// The I/O journal's socket, and the event descriptor that notifies the predecessor of an abandoned journal.
 struct JournalDescriptors {
     socket: UnixStream,
     abandoned: OwnedFd,
 }
 
-/// A handover as the successor sees it. The calls come in the order of the methods here, all on the event loop's thread.
+/// A handover from the side of the successor. The methods must be called in their order here, on the event
+/// loop's thread.
 pub struct SuccessorRole {
     machine: Successor,
     socket: UnixStream,
@@ -86,27 +87,27 @@
     has_predecessor_exited: bool,
     listener: Option<TcpListener>,
     journal_descriptors: Option<JournalDescriptors>,
-    /// Set until the journal ends.
+    /// `None` once the journal has ended.
     journal: Option<IoJournalWriter>,
     co_serving: CoServingState,
     started_at: Timestamp,
 }
 
 impl SuccessorRole {
-    /// The role that the environment gives this process, if a predecessor started it. It must be called once, before
-    /// the process opens any descriptor or starts a thread.
+    /// Creates the role from the environment; `None` if no predecessor started this process. Must be called
+    /// once, before the process opens any descriptor or starts a thread.
     ///
     /// # Errors
-    /// If the variable names no descriptor, or one that can't be used.
+    /// If the environment variable is no descriptor, or the descriptor can't be used.
     pub fn from_environment(timeouts: successor::Timeouts) -> Result<Option<SuccessorRole>, SuccessorError> {
         let Some(value) = std::env::var_os(SOCKET_VARIABLE) else {
             return Ok(None);
         };
-        // Processes that this one starts must not inherit it.
+        // Child processes must not inherit it.
         std::env::remove_var(SOCKET_VARIABLE);
         let descriptor = parse_descriptor(&value).ok_or(SuccessorError::InvalidDescriptor)?;
-        // SAFETY: the predecessor opened the descriptor for this process. Nothing else here owns that number, as this
-        // runs before anything is opened.
+        // SAFETY: the predecessor opened the descriptor for this process, and nothing else owns it, as no
+        // other descriptor has been opened yet.
         let socket = unsafe { UnixStream::from_raw_fd(descriptor) };
         rustix::io::fcntl_setfd(&socket, rustix::io::FdFlags::CLOEXEC)
             .map_err(|errno| SuccessorError::PassedSocket(errno.into()))?;
@@ -125,7 +126,7 @@
         }))
     }
 
-    /// Sends the hello, and waits for state and listener.
+    /// Sends the hello message, and waits for state and listener.
     ///
     /// # Errors
     /// If the handover is aborted.
@@ -160,7 +161,7 @@
         Ok(resumed)
     }
 
-    /// The writer of the I/O journal, which runs for as long as the predecessor may have to go on with the clients.
+    /// Opens the I/O journal, which is written for as long as the predecessor may have to resume the clients.
     ///
     /// # Errors
     /// If the journal's socket can't be used.
@@ -172,12 +173,12 @@
         Ok(self.journal.clone())
     }
 
-    /// Takes the predecessor's listener.
+    /// The inherited listener; `None` after the first call.
     pub fn take_listener(&mut self) -> Option<TcpListener> {
         self.listener.take()
     }
 
-    /// Reports that this process can serve, and waits for the commit.
+    /// Reports that this process is ready to serve, and waits for the commit.
     ///
     /// # Errors
     /// If the handover is aborted.
@@ -200,8 +201,8 @@
         }
     }
 
-    /// Reads the predecessor's messages on a thread of their own from now on. It wakes the event loop by `queue`, and ends
-    /// with the predecessor's end of the socket.
+    /// Reads the predecessor's messages on a separate thread from now on. The thread wakes the event loop
+    /// through `queue`, and ends when the predecessor closes its end of the socket.
     ///
     /// # Errors
     /// If the thread can't be started.
@@ -232,14 +233,14 @@
         }
         self.check_journal(event_loop, now);
         for action in actions {
-            self.carry_out(event_loop, now, monotonic, action);
+            self.execute(event_loop, now, monotonic, action);
         }
         if !self.has_predecessor_exited {
             if let Some(message) = co_serving::next_message(event_loop, &mut self.co_serving) {
                 self.send(&message);
             }
         }
-        // Only now: the predecessor was notified that the service is not its own any more.
+        // Only after the predecessor was notified that it no longer owns the service.
         if self.machine.phase == successor::Phase::Serving {
             if let Some(journal) = self.journal.take() {
                 journal.stop();
@@ -277,13 +278,13 @@
 
     fn on_predecessor_exited(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         self.has_predecessor_exited = true;
-        // It has no executions in flight any more.
+        // An exited process has no executions in flight.
         event_loop.set_co_serving(now, CoServing::Alone);
         event_loop.metrics.in_flight_at_peer_process = 0;
-        log!(event_loop.observer, now, "upgrade", "the former process has left");
+        log!(event_loop.observer, now, "upgrade", "the predecessor has exited");
     }
 
-    /// Lets go of a journal that had to be abandoned.
+    /// Drops a journal that was abandoned.
     fn check_journal(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let abandoned = self.journal.take_if(|journal| !journal.is_on());
         if abandoned.is_some() {
@@ -291,12 +292,12 @@
                 event_loop.observer,
                 now,
                 "upgrade",
-                "the ledger is given up: the former process doesn't read it"
+                "the I/O journal is abandoned: the predecessor does not read it"
             );
         }
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         event_loop: &mut EventLoop<Log>,
         now: Timestamp,
@@ -312,14 +313,14 @@
                     event_loop.observer,
                     now,
                     "upgrade",
-                    "{progress}, {elapsed_ms} ms after this process began"
+                    "{progress}, {elapsed_ms} ms after the start of this process"
                 );
             }
             Action::LoadState(_) | Action::StartServing | Action::Abort(_) => {}
         }
     }
 
-    /// When [`SuccessorRole::advance_to`] has something to do, by the service's clock.
+    /// When [`SuccessorRole::advance_to`] is next due, by the service's clock.
     pub fn next_at(&self, now: Timestamp) -> Timestamp {
         match self.machine.next_deadline() {
             Timestamp(u64::MAX) => Timestamp(u64::MAX),
@@ -327,7 +328,8 @@
         }
     }
 
-    /// The service is this process's own, and the predecessor has exited: no client comes from it any more.
+    /// Whether this process owns the service and the predecessor has exited, so that no client comes from it
+    /// any more.
     pub fn is_complete(&self) -> bool {
         self.has_predecessor_exited && self.machine.phase == successor::Phase::Serving
     }
@@ -337,7 +339,7 @@
     }
 
     fn send(&self, message: &HandoverMessage) {
-        // A predecessor that has exited is noticed by the end of its socket.
+        // The end of the socket reports the predecessor's exit.
         let _ = send(&self.socket, message, &[]);
     }
 
@@ -351,11 +353,11 @@
         };
         let event = match reader.read() {
             Received::Message(message, descriptors) => {
-                self.take_descriptors(descriptors);
+                self.store_descriptors(descriptors);
                 successor::Event::Message(message)
             }
             Received::Invalid(_) => successor::Event::InvalidFrame,
-            // A read that times out is reported like the end of the socket.
+            // A timed-out read is reported as a closed socket.
             Received::Closed if self.machine.next_deadline() <= monotonic_now() => {
                 successor::Event::TimerElapsed
             }
@@ -364,8 +366,9 @@
         self.on_event(event)
     }
 
-    /// Those that come with the state: the listener, the journal's socket and its event descriptor.
-    fn take_descriptors(&mut self, descriptors: Vec<OwnedFd>) {
+    /// Stores the descriptors that come with the state: the listener, the journal's socket and its event
+    /// descriptor.
+    fn store_descriptors(&mut self, descriptors: Vec<OwnedFd>) {
         let mut descriptors = descriptors.into_iter();
         if let (Some(listener), Some(journal), Some(abandoned)) =
             (descriptors.next(), descriptors.next(), descriptors.next())
@@ -379,7 +382,7 @@
     }
 }
 
-/// The handover's clock, which both processes share.
+/// Time on the monotonic clock, which both processes share.
 fn monotonic_now() -> Timestamp {
     Timestamp(monotonic_micros())
 }
@@ -389,7 +392,7 @@
     (descriptor >= FIRST_PASSED_DESCRIPTOR).then_some(descriptor)
 }
 
-/// Passes on what the predecessor sends, until it ends or the event loop is gone.
+/// Passes the predecessor's messages to the event loop, until either ends.
 fn read_all(
     mut reader: FrameReader,
     socket: &UnixStream,
@@ -408,8 +411,8 @@
     }
 }
 
-/// Waits for the predecessor's next message; `None` for a connection whose descriptor is missing: the kernel drops those
-/// that exceed the process's limit.
+/// Waits for the predecessor's next message; `None` for a connection whose descriptor is missing: the kernel
+/// drops descriptors above the process's limit.
 fn next_event(reader: &mut FrameReader, socket: &UnixStream) -> Option<PredecessorEvent> {
     let event = match reader.read() {
         Received::Message(HandoverMessage::ClientConnection(client), descriptors) => {
--- a/crates/driver/src/program/upgrade/successor_process.rs
+++ b/crates/driver/src/program/upgrade/successor_process.rs
@@ -1,4 +1,4 @@
-//! The successor as a child process of the predecessor: its start, its threads and its end.
+//! The successor as a child process of the predecessor: its start, its I/O threads and its exit.
 
 use super::SOCKET_VARIABLE;
 use crate::routing::events::{ControlEvent, Event};
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// A message with the descriptors that go along.
+/// A message with the descriptors to send along.
 struct OutgoingMessage {
     message: HandoverMessage,
     descriptors: Vec<OwnedFd>,
@@ -32,55 +32,55 @@
     }
 }
 
-/// By which the threads of a successor's process reach the event loop; clones share it.
+/// Link from a successor's I/O threads to the event loop; clones share it.
 #[derive(Clone)]
 pub(super) struct EventLoopLink {
-    /// What the successor sends, and its end.
+    /// Messages and exit of the successor.
     pub(super) events: Sender<predecessor::Event>,
     /// Queue of the event loop, to wake it.
     pub(super) queue: Sender<Event>,
-    /// Messages with a client or a member connection that are queued and not sent yet.
+    /// Number of queued messages that carry a client or member connection.
     pub(super) unsent_connections: Arc<AtomicUsize>,
 }
 
 impl EventLoopLink {
-    /// Wakes the event loop; whether it is still there.
+    /// Wakes the event loop; returns false once it has ended.
     pub(super) fn wake(&self) -> bool {
         self.queue.send(Event::Control(ControlEvent::WakeUp)).is_ok()
     }
 
-    /// Passes an event on; whether the event loop is still there.
+    /// Passes an event to the event loop; returns false once it has ended.
     pub(super) fn notify(&self, event: predecessor::Event) -> bool {
         self.events.send(event).is_ok() && self.wake()
     }
 }
 
-/// A running or ended successor. Dropping it neither kills the process nor waits for it: its writer ends once what is
-/// queued was sent, its reader with the process.
+/// A running or exited successor. Dropping it neither kills the process nor waits for it: its writer thread
+/// ends once the queued messages are sent, its reader thread with the process.
 pub(super) struct SuccessorProcess {
-    /// Its process id.
+    /// Process id.
     pub(super) pid: u32,
-    /// Refers to the process also where its id is given to another one.
+    /// Refers to this process even after its id is reused.
     pidfd: OwnedFd,
     messages: Sender<OutgoingMessage>,
     journal_readers: Sender<JoinHandle<()>>,
 }
 
 impl SuccessorProcess {
-    /// Starts `program` with this process's arguments, and the threads that write to it and read from it.
+    /// Starts `program` with this process's arguments, and its I/O threads.
     ///
     /// # Errors
-    /// If the program can't be started, or could not be killed for certain later.
+    /// If the program can't be started, or no descriptor of its process can be opened.
     pub(super) fn start(program: &Path, link: &EventLoopLink) -> io::Result<SuccessorProcess> {
         let (socket, child) = spawn_child(program)?;
         let pid = child.id();
         let (child, pidfd) = open_pidfd(child)?;
         let (messages, outgoing) = channel();
         let (journal_readers, journal_reader_handles) = channel();
-        let writing_end = socket.try_clone()?;
+        let write_socket = socket.try_clone()?;
         let writer_link = link.clone();
         let reader_link = link.clone();
-        spawn_thread(move || write_all(&writing_end, outgoing, &writer_link))?;
+        spawn_thread(move || write_all(&write_socket, outgoing, &writer_link))?;
         spawn_thread(move || {
             let mut reader = FrameReader::new(socket);
             read_all(&mut reader, &reader_link);
@@ -94,40 +94,41 @@
         })
     }
 
-    /// Queues a message. One to a dead successor is lost.
+    /// Queues a message. Messages to an exited successor are dropped.
     pub(super) fn send(&self, message: HandoverMessage, descriptors: Vec<OwnedFd>) {
         let _ = self.messages.send(OutgoingMessage { message, descriptors });
     }
 
-    /// The process's end is reported only after this reader of its journal has ended.
+    /// Delays the report of the process's exit until this reader of its I/O journal has ended.
     pub(super) fn add_journal_reader(&self, reader: JoinHandle<()>) {
         let _ = self.journal_readers.send(reader);
     }
 
-    /// Kills the process; one that has exited needs no signal.
+    /// Kills the process; has no effect after its exit.
     pub(super) fn kill(&self) {
         let _ = pidfd_send_signal(&self.pidfd, Signal::KILL);
     }
 }
 
 fn spawn_child(program: &Path) -> io::Result<(UnixStream, Child)> {
-    let (ours, theirs) = UnixStream::pair()?;
-    // Only the successor's end is inherited. No other process is started meanwhile.
-    rustix::io::fcntl_setfd(&theirs, rustix::io::FdFlags::empty())?;
+    let (local, remote) = UnixStream::pair()?;
+    // Only the successor inherits its end: no other process is started meanwhile.
+    rustix::io::fcntl_setfd(&remote, rustix::io::FdFlags::empty())?;
     let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
     let mut command = Command::new(program);
     command.args(arguments);
-    command.env(SOCKET_VARIABLE, theirs.as_raw_fd().to_string());
+    command.env(SOCKET_VARIABLE, remote.as_raw_fd().to_string());
     let child = command.spawn()?;
-    Ok((ours, child))
+    Ok((local, child))
 }
 
-/// Kills the child if it gets no descriptor, since it could not be killed for certain later.
+/// Opens a descriptor of the child's process. Without one the child is killed at once: later its id may
+/// belong to another process.
 fn open_pidfd(mut child: Child) -> io::Result<(Child, OwnedFd)> {
     let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
     let pidfd = match pid {
         Some(pid) => pidfd_open(pid, PidfdFlags::empty()).map_err(io::Error::from),
-        None => Err(io::Error::other("no process")),
+        None => Err(io::Error::other("invalid process id")),
     };
     match pidfd {
         Ok(pidfd) => Ok((child, pidfd)),
@@ -145,11 +146,11 @@
     Ok(())
 }
 
-/// Sends what is queued. The descriptors close as they are sent.
+/// Sends queued messages. The local descriptors are closed after each.
 fn write_all(socket: &UnixStream, outgoing: Receiver<OutgoingMessage>, link: &EventLoopLink) {
     for queued in outgoing {
         let descriptors: Vec<_> = queued.descriptors.iter().map(AsFd::as_fd).collect();
-        // A successor that can't be reached is noticed by its end, or by its missing heartbeats.
+        // An unreachable successor is detected by its exit or by its missing heartbeats.
         let _ = send(socket, &queued.message, &descriptors);
         if queued.moves_connection() {
             link.unsent_connections.fetch_sub(1, Ordering::AcqRel);
@@ -158,7 +159,7 @@
     }
 }
 
-/// Passes on what the successor sends.
+/// Passes messages of the successor to the event loop, until the socket closes or a frame is invalid.
 fn read_all(reader: &mut FrameReader, link: &EventLoopLink) {
     loop {
         let event = match reader.read() {
@@ -173,7 +174,7 @@
     }
 }
 
-/// A closed socket doesn't prove the process's end; only the kernel does.
+/// Reports the exit of the process, which a closed socket doesn't prove.
 fn wait_for_exit(mut child: Child, journal_readers: &Receiver<JoinHandle<()>>, link: &EventLoopLink) {
     let _ = child.wait();
     for reader in journal_readers.try_iter() {
--- a/crates/driver/tests/failing_calls.rs
+++ b/crates/driver/tests/failing_calls.rs
@@ -25,7 +25,7 @@
     driver.program.signal("USR1");
     driver.told("counters");
     driver.program.signal("HUP");
-    driver.told("read again");
+    driver.told("reloaded");
     // Without a control socket a successor can't be proven, but the attempt is logged.
     driver.program.signal("USR2");
     driver.told("upgrade");
--- a/crates/driver/tests/kept.rs
+++ b/crates/driver/tests/kept.rs
@@ -212,13 +212,13 @@
         assert_eq!(stage.ask(id), "T D C Z");
         id += 1;
     }
-    stage.operated.told("nothing is kept until that is mended");
+    stage.operated.told("cannot write the snapshot, will retry");
     // Ids go on from the last one: one that was used before would be a statement that is known already.
     for next in id..id + 50 {
         assert_eq!(stage.ask(next), "T D C Z");
     }
     limit(None);
-    stage.operated.told("the copy is kept again");
+    stage.operated.told("the snapshot is written again");
     stage.await_kept(2);
     assert_eq!(stage.count("keeps"), "well");
 }
@@ -239,9 +239,9 @@
         assert_eq!(stage.ask(id), "T D C Z");
         id += 1;
     }
-    stage.operated.told("nothing is kept until that is mended");
+    stage.operated.told("cannot write the snapshot, will retry");
     std::fs::remove_file(&state).expect("is removed");
-    stage.operated.told("the copy is kept again");
+    stage.operated.told("the snapshot is written again");
     stage.await_kept(2);
 }
 
@@ -260,7 +260,7 @@
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1), "{said}");
     assert!(
-        said.contains("shared.keep: no folder is given with --state"),
+        said.contains("shared.keep requires a folder, and --state is not given"),
         "{said}"
     );
 }
@@ -321,7 +321,7 @@
     );
     let (fine, output) = recover("/nowhere", &[]);
     assert!(
-        !fine && String::from_utf8_lossy(&output.stderr).contains("/nowhere: nothing was ever kept there")
+        !fine && String::from_utf8_lossy(&output.stderr).contains("/nowhere: no snapshot is stored there")
     );
     let _ = std::fs::remove_dir_all(copy);
 }
--- a/crates/driver/tests/operators.rs
+++ b/crates/driver/tests/operators.rs
@@ -24,7 +24,7 @@
     };
     assert_eq!(long(&mut client), "E54000 Z");
     operated.change("workload(\"view\", longest = 1KiB)\nlog(lines = 50/s)\n");
-    operated.told("generation 2 is in force: 2 settings changed, 0 wait");
+    operated.told("generation 2 is applied: 2 settings changed, 0 require");
     assert_eq!(
         long(&mut client),
         "T D C Z",
@@ -32,12 +32,12 @@
     );
     operated.change("workload(\"view\", longest = 256)\n");
     operated.told("workload(\"view\").longest is a size");
-    operated.told("kept as it was: the file has 1 errors");
+    operated.told("file rejected, 1 errors; settings unchanged");
     assert_eq!(long(&mut client), "T D C Z");
     operated.change("process(stack = 128KiB)\nworkload(\"view\", longest = 1KiB)\nlog(lines = 50/s)\n");
-    operated.told("generation 3 is in force: 0 settings changed, 1 wait for the next start");
+    operated.told("generation 3 is applied: 0 settings changed, 1 require a restart");
     operated.change("workload(\"view\", longest = 1KiB)\nlog(lines = 50/s)\nprocess(stack = 2 * 64KiB)\n");
-    operated.told("read again, it means the same");
+    operated.told("reloaded, no setting has changed");
     // Signals in a row, and the one to leave among them: each file is whole, and the process ends well.
     for n in 1..20 {
         operated.change(&format!("log(lines = {n}/s)\n"));
@@ -66,27 +66,27 @@
     ask_all(&mut clients);
     // Of 208 descriptors 10 are left for clients: fewer than are open.
     operated.change(&format!("{terms}descriptors(clients = 5%)\n"));
-    operated.told("generation 2 is in force");
+    operated.told("generation 2 is applied");
     let end = Instant::now() + PATIENCE;
     let told = loop {
         assert!(Instant::now() < end, "it never went back");
         // Each newcomer takes the place of one that rests, or is turned away.
         drop(TcpStream::connect(operated.program.listen));
         match operated.lines.recv_timeout(Duration::from_millis(20)) {
-            Ok(line) if line.contains("WENT BACK") => break line,
+            Ok(line) if line.contains("ROLLED BACK") => break line,
             _ => {}
         }
     };
     assert!(
-        told.contains("from generation 2 to 1: more was turned away for want of places for clients"),
+        told.contains("from generation 2 to 1: more was rejected for lack of places for clients"),
         "{told}"
     );
     let mut clients: Vec<_> = (0..30).map(|_| operated.program.client()).collect();
     ask_all(&mut clients);
     operated.program.signal("HUP");
-    operated.told("not taken again");
+    operated.told("file rejected: the same settings were rolled back");
     operated.change(&format!("{terms}log(lines = 6/s)\n"));
-    operated.told("generation 3 is kept");
+    operated.told("generation 3 is confirmed");
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let first = operated("state1", member.address, &arguments);
     stored(1);
     first.change(&good.replace("256B", "300B"));
-    first.told("generation 2 is kept");
+    first.told("generation 2 is confirmed");
     stored(2);
     drop(first.program);
     folder.write("o.latch", "workload(\"view\", longest = 256");
@@ -124,8 +124,8 @@
     )
     .expect("is written");
     let second = operated("state2", member.address, &arguments);
-    second.told("stored generation 9 doesn't begin as one, passed over");
-    second.told("serving on generation 2");
+    second.told("ignored stored generation 9: it doesn't begin as one");
+    second.told("serving with generation 2");
     let mut client = second.program.client();
     let text = format!(
         "/* id=2f,c=view,d=25000,cluster=1 */ SELECT '{}'\0",
@@ -157,7 +157,7 @@
     );
     assert_eq!(run(&["config", "rollback", &state, "9"]).0, Some(1));
     let third = operated("state3", member.address, &arguments);
-    third.told("THE FILE IS FAULTY");
+    third.told("FILE INVALID");
     let mut client = third.program.client();
     client
         .write_all(&message(b'Q', text_of(230).as_bytes()))
@@ -207,7 +207,7 @@
         (&["diff", &plain, &same], 0, ""), (&["diff", &plain, &other], 1, "clients.rest: 9s -> 8s (live; bears on"),
         (&["diff", &plain, &faulty], 2, "the bare number 8"), (&["diff", &missing, &plain], 2, "can't be read"),
         (&["show", &same], 0, "\"rest\": \"9s\""), (&["show", &faulty], 1, "bare number"),
-        (&["format", "--check", &same], 1, "not in its form"), (&["format", "--check", &plain], 0, ""),
+        (&["format", "--check", &same], 1, "not formatted"), (&["format", "--check", &plain], 0, ""),
         (&["format", &same], 0, ""), (&["format", "--check", &same], 0, ""), (&["history", &missing], 1, "missing.latch"),
     ];
     for (arguments, code, words) in cases {
@@ -290,10 +290,10 @@
     let arguments = ["--operators", &file, "--state", &state];
     let first = operated("unread1", member.address, &arguments);
     first.change(&good.replace("256B", "300B"));
-    first.told("generation 2 is kept");
+    first.told("generation 2 is confirmed");
     // The thread that stores reads the file as well: what it answers to now, it does behind that store.
     first.change(&format!("{good}# said again\n"));
-    first.told("generation 3 is in force");
+    first.told("generation 3 is applied");
     drop(first.program);
     let unread = folder.0.join("kept/generation-00000000000000000009.latch.json");
     std::fs::create_dir(&unread).expect("is made");
@@ -308,10 +308,7 @@
     let count = || std::fs::read_dir(&state).expect("lists").count();
     let before = count();
     let (code, text) = run(&["config", "history", &state]);
-    assert!(
-        code == Some(0) && text.starts_with("9 can't be read now: "),
-        "{text}"
-    );
+    assert!(code == Some(0) && text.starts_with("9 unreadable: "), "{text}");
     // How many changes there are isn't known.
     let (code, text) = run(&["config", "rollback", &state]);
     assert!(
@@ -320,9 +317,9 @@
     );
     assert_eq!(count(), before, "nothing was stored");
     let second = operated("unread2", member.address, &arguments);
-    second.told("stored generation 9 can't be read now, passed over and left as it is");
+    second.told("cannot read stored generation 9, which is ignored and left in place");
     second.change(&good.replace("256B", "512B"));
-    second.told("generation 11 is kept");
+    second.told("generation 11 is confirmed");
     drop(second.program);
     assert!(unread.is_dir(), "it was removed");
 }
--- a/crates/driver/tests/program.rs
+++ b/crates/driver/tests/program.rs
@@ -162,7 +162,7 @@
     std::fs::write(&process.path, &good[..good.len() / 2]).expect("is written");
     process.signal("HUP");
     let mut lines = BufReader::new(process.child.stderr.as_mut().expect("piped")).lines();
-    assert!(lines.any(|l| l.is_ok_and(|l| l.contains("configuration: kept as it was"))));
+    assert!(lines.any(|l| l.is_ok_and(|l| l.contains("configuration: unchanged, reload failed"))));
     let (discovery, at) = listener();
     let mut value: serde_json::Value = serde_json::from_str(&good).expect("is JSON");
     value["discovery"] = at.to_string().into();
@@ -182,7 +182,7 @@
     let (good, log) = process.finish();
     assert!(
         good && log.contains(&format!(
-            "read again, discovery at {at}; kept until the next start: settings"
+            "reloaded, discovery at {at}; pending until a restart: settings"
         )),
         "{log}"
     );
--- a/crates/driver/tests/upgrade.rs
+++ b/crates/driver/tests/upgrade.rs
@@ -63,14 +63,14 @@
     fn begin(&self) -> (u32, JoinHandle<Output>) {
         let mut command = self.command(env!("CARGO_BIN_EXE_asterlatch"));
         let asking = thread::spawn(move || command.output().expect("runs"));
-        let begun = self.operated.told("upgrade: begun, to");
+        let begun = self.operated.told("upgrade: started ");
         let pid = begun
             .rsplit(' ')
             .next()
             .and_then(|n| n.parse().ok())
             .expect("names the process");
         self.operated
-            .told("upgrade: the new process could serve and is told to");
+            .told("upgrade: the successor is ready and asked to serve");
         (pid, asking)
     }
 
@@ -83,11 +83,8 @@
             let log: Vec<String> = std::iter::from_fn(next).collect();
             panic!("{text}\nlog:\n{}", log.join("\n"));
         }
-        assert!(
-            text.ends_with("done, the service is the new process's\n"),
-            "{text}"
-        );
-        self.operated.told("upgrade: the former process has left");
+        assert!(text.ends_with("done, the successor owns the service\n"), "{text}");
+        self.operated.told("upgrade: the predecessor has exited");
         self.pid = Some(pid);
     }
 
@@ -109,7 +106,7 @@
     fn configure(&self, text: &str) {
         std::fs::write(&self.operated.program.path, text).expect("is written");
         self.operated.program.signal("HUP");
-        self.operated.told("configuration: read again");
+        self.operated.told("configuration: reloaded");
     }
 
     /// One statement on a connection of its own.
@@ -274,7 +271,7 @@
             assert_eq!(output.status.code(), Some(1));
             stage
                 .operated
-                .told("upgrade: failed, this process serves on: the new process ended");
+                .told("upgrade: failed, this process continues to serve: the new process ended");
         }
         stage.upgrade();
         let outcome = load.check(&member, from);
@@ -337,7 +334,9 @@
             output.status.code() == Some(1) && text.contains(words),
             "{name}: {text}"
         );
-        stage.operated.told("upgrade: failed, this process serves on");
+        stage
+            .operated
+            .told("upgrade: failed, this process continues to serve");
         assert_eq!(stage.ask("post", n as u32 + 1), "T D C Z", "{name}");
     }
     // A deployment that has changed: what was learned means something else there.
@@ -366,10 +365,10 @@
     std::fs::set_permissions(&hang, std::fs::Permissions::from_mode(0o755)).expect("is set");
     let mut first = stage.command(&hang);
     let first = thread::spawn(move || first.output().expect("runs"));
-    let begun = stage.operated.told("upgrade: begun");
+    let begun = stage.operated.told("upgrade: started ");
     let second = stage.request(env!("CARGO_BIN_EXE_asterlatch"));
     assert_eq!(second.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&second.stdout).contains("another upgrade is under way"));
+    assert!(String::from_utf8_lossy(&second.stdout).contains("another upgrade is in progress"));
     assert_eq!(stage.ask("view", 1), "T D C Z");
     stage.operated.program.signal("TERM");
     assert_eq!(first.join().expect("ends").status.code(), Some(1));
@@ -419,12 +418,12 @@
         (
             "KILL",
             true,
-            "upgrade: failed, this process serves on: the new process ended",
+            "upgrade: failed, this process continues to serve: the new process ended",
         ),
         (
             "STOP",
             true,
-            "upgrade: failed, this process serves on: the new process was unresponsive while Standby",
+            "upgrade: failed, this process continues to serve: the new process was unresponsive while Standby",
         ),
         (
             "KILL",
@@ -449,7 +448,7 @@
         if to_new {
             // And the next upgrade goes through.
             stage.operated.change(TIMES);
-            stage.operated.told("is in force");
+            stage.operated.told("is applied");
             stage.upgrade();
             assert_eq!(stage.ask("post", 30), "T D C Z");
         }
@@ -498,9 +497,9 @@
     }
     stage.signal(pid, "KILL");
     assert_eq!(asking.join().expect("ends").status.code(), Some(1));
-    let told = stage.operated.told("clients taken back");
+    let told = stage.operated.told("clients reclaimed");
     // One more is the stand-in's own look whether the program listens, if it hasn't gone by then.
-    assert!(told.contains("9 clients taken back, 0 cut off"), "{told}");
+    assert!(told.contains("9 clients reclaimed, 0 disconnected"), "{told}");
     (0..6).for_each(|_| assert_eq!(member.told(), "ended", "what the dead one had out"));
     for clients in [&mut moved, &mut came] {
         assert_eq!(answer(&mut clients[1]).0, "E40003 Z", "a write that may have run");
@@ -559,10 +558,12 @@
     assert_eq!(answer(&mut client).0, "T D C Z");
     stage
         .operated
-        .told("the ledger is given up: the former process doesn't read it");
+        .told("the I/O journal is abandoned: the predecessor does not read it");
     stage.signal(pid, "KILL");
     stage.signal(old, "CONT");
-    stage.operated.told("clients cut off, for the ledger isn't whole");
+    stage
+        .operated
+        .told("clients disconnected, the I/O journal is incomplete");
     assert_eq!(answer(&mut client).0, "", "cut off, not answered twice");
     assert_eq!(stage.ask("post", 10), "T D C Z");
 }
@@ -776,7 +777,7 @@
         let (said, value) = answer(&mut slow);
         assert_eq!((said.as_str(), value.len()), ("T D C Z", LARGE), "answer {n}");
     }
-    stage.operated.told("upgrade: the former process has left");
+    stage.operated.told("upgrade: the predecessor has exited");
     send(&mut slow, "post", 100);
     assert_eq!(answer(&mut slow).0, "T D C Z", "goes on in the other");
     assert_eq!(ran(&member), BTreeMap::from([(100, 1)]), "nothing ran again");
@@ -810,8 +811,8 @@
         thread::sleep(Duration::from_millis(10));
     }
     stage.signal(pid, "KILL");
-    let told = stage.operated.told("clients taken back");
-    assert!(told.contains(" 1 cut off"), "{told}");
+    let told = stage.operated.told("clients reclaimed");
+    assert!(told.contains(" 1 disconnected"), "{told}");
     let mut answers = 0;
     loop {
         let (said, value) = answer(&mut half);
@@ -886,9 +887,9 @@
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("is set");
     let mut command = stage.command(&path);
     let asking = thread::spawn(move || command.output().expect("runs"));
-    let begun = stage.operated.told("upgrade: begun, to");
+    let begun = stage.operated.told("upgrade: started ");
     stage.pid = begun.rsplit(' ').next().and_then(|n| n.parse().ok());
-    stage.operated.told("the new process could serve and is told to");
+    stage.operated.told("the successor is ready and asked to serve");
     let (mut served, mut let_go) = (0, 0);
     for (n, client) in clients.iter_mut().enumerate() {
         // To one that was let go it may not even be written.
@@ -929,13 +930,13 @@
     stage.pid = Some(pid);
     for process in [stage.operated.program.child.id(), pid] {
         stage.signal(process, "HUP");
-        stage.operated.told("configuration: read again");
+        stage.operated.told("configuration: reloaded");
         assert_eq!(stage.ask("post", process), "T D C Z");
     }
     send(&mut kept, "post", 7);
     assert_eq!(answer(&mut kept).0, "T D C Z");
     assert!(asking.join().expect("ends").status.success());
-    stage.operated.told("upgrade: the former process has left");
+    stage.operated.told("upgrade: the predecessor has exited");
     assert!(ran(&member).values().all(|n| *n == 1));
 }
 
@@ -960,7 +961,7 @@
         assert!(is_told, "{text}");
         stage
             .operated
-            .told("upgrade: not begun: both processes together need");
+            .told("upgrade: cannot start: both processes together need");
         assert_eq!(stage.ask("post", n as u32 + 1), "T D C Z");
     }
     stage.configure(&config);
@@ -1052,7 +1053,7 @@
             assert_eq!(stage.ask("post", (kills + 1) << 8), "T D C Z");
             let mut command = stage.command(env!("CARGO_BIN_EXE_asterlatch"));
             let asking = thread::spawn(move || command.output().expect("runs"));
-            let begun = stage.operated.told("upgrade: begun, to");
+            let begun = stage.operated.told("upgrade: started ");
             let pid: u32 = begun
                 .rsplit(' ')
                 .next()
@@ -1101,7 +1102,9 @@
             assert!(ran.values().all(|n| *n == 1), "nothing ran twice: {ran:?}");
             if !kills_old && !done {
                 // It was killed before it was proven: the first one serves on, and tells so.
-                stage.operated.told("upgrade: failed, this process serves on");
+                stage
+                    .operated
+                    .told("upgrade: failed, this process continues to serve");
                 old_left += 1;
                 continue;
             }
--- a/crates/driver/tests/versions.rs
+++ b/crates/driver/tests/versions.rs
@@ -233,7 +233,7 @@
         ])
         .spawn()
         .expect("runs");
-    let begun = operated.told("upgrade: begun, to");
+    let begun = operated.told("upgrade: started ");
     let pid: i32 = begun
         .rsplit(' ')
         .next()
@@ -241,7 +241,7 @@
         .expect("names it");
     // Whatever fails here, it ends with the test.
     let new = Ends(rustix::process::Pid::from_raw(pid).expect("a process"));
-    operated.told("the new process could serve and is told to");
+    operated.told("the successor is ready and asked to serve");
     assert_eq!(
         other.asks(2),
         DispatchStatus::Unknown,
@@ -258,7 +258,7 @@
         assert_eq!(answer(&mut client).0, answered, "{id}");
     }
     drop(new);
-    operated.told("upgrade: failed, this process serves on");
+    operated.told("upgrade: failed, this process continues to serve");
     let _ = asking.wait();
     assert_eq!(
         other.asks(3),
