--- a/crates/driver/src/program/control_socket.rs
+++ b/crates/driver/src/program/control_socket.rs
@@ -27,7 +27,7 @@
 }
 
 impl ControlSocketError {
-    fn at(path: &Path) -> impl Fn(io::Error) -> ControlSocketError + '_ {
+    fn for_path(path: &Path) -> impl Fn(io::Error) -> ControlSocketError + '_ {
         |source| ControlSocketError {
             path: path.to_owned(),
             source,
@@ -69,7 +69,7 @@
     };
     bind(path)
         .and_then(|listener| spawn(listener, handler))
-        .map_err(ControlSocketError::at(path))
+        .map_err(ControlSocketError::for_path(path))
 }
 
 fn bind(path: &Path) -> io::Result<UnixListener> {
@@ -160,12 +160,12 @@
 /// # Errors
 /// If the service can't be reached or `program` is not a valid path.
 pub fn request_upgrade(control: &Path, program: &Path) -> Result<bool, ControlSocketError> {
-    let mut stream = UnixStream::connect(control).map_err(ControlSocketError::at(control))?;
-    let program = std::path::absolute(program).map_err(ControlSocketError::at(program))?;
-    writeln!(stream, "upgrade {}", program.display()).map_err(ControlSocketError::at(control))?;
+    let mut stream = UnixStream::connect(control).map_err(ControlSocketError::for_path(control))?;
+    let program = std::path::absolute(program).map_err(ControlSocketError::for_path(program))?;
+    writeln!(stream, "upgrade {}", program.display()).map_err(ControlSocketError::for_path(control))?;
     let mut last_line = String::new();
     for line in BufReader::new(stream).lines() {
-        last_line = line.map_err(ControlSocketError::at(control))?;
+        last_line = line.map_err(ControlSocketError::for_path(control))?;
         println!("{last_line}");
     }
     Ok(last_line.starts_with("done"))
--- a/crates/driver/src/program/gossip/snapshot_file.rs
+++ b/crates/driver/src/program/gossip/snapshot_file.rs
@@ -55,7 +55,7 @@
     let path = folder.join(NAMES.log);
     match std::fs::read(&path) {
         Ok(bytes) => Ok(Some(bytes)),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(source) => Err(SnapshotFileError { path, source }),
     }
 }
--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -72,7 +72,7 @@
 }
 
 /// Limits of the process, against which an operators' file is checked.
-pub fn machine(config: &Config) -> Machine {
+pub fn machine_limits(config: &Config) -> Machine {
     Machine {
         memory: config.runtime.max_memory as i64,
         descriptors: config.runtime.max_descriptors as i64,
--- a/crates/driver/src/program/operators/start.rs
+++ b/crates/driver/src/program/operators/start.rs
@@ -47,25 +47,25 @@
     options: &OperatorsOptions,
     machine: Machine,
 ) -> Result<InitialSettings, OperatorsError> {
-    let stored = match &options.state_folder {
+    let contents = match &options.state_folder {
         Some(folder) => read_stored_generations(folder)?,
         None => Contents::default(),
     };
-    let lines = unusable_generation_lines(&stored);
-    let newest = stored.newest_number();
+    let lines = unusable_generation_lines(&contents);
+    let newest_number = contents.newest_number();
     let Some(path) = &options.file else {
         return Ok(InitialSettings {
-            number: newest,
+            number: newest_number,
             meaning: Meaning::default_of(schema()),
             lines,
         });
     };
     let outcome = read(path, machine);
     if outcome.meaning.is_none() {
-        return load_newest_generation(options, &stored.stored, &outcome, lines);
+        return load_newest_generation(options, &contents.stored, &outcome, lines);
     }
     Ok(InitialSettings {
-        number: newest + 1,
+        number: newest_number + 1,
         meaning: outcome.meaning.unwrap_or_else(|| Meaning::default_of(schema())),
         lines,
     })
--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -25,7 +25,7 @@
 
 /// Classifies the records of the snapshot as a start of the driver `name` would; without a name, of the
 /// driver that the snapshot names.
-fn examine(
+fn classify_snapshot(
     folder: &Path,
     name: Option<&str>,
     clock: &Clock,
@@ -59,7 +59,7 @@
 /// # Errors
 /// If the folder can't be read or holds no snapshot.
 pub fn run(folder: &Path, name: Option<&str>, as_json: bool) -> Result<(), RecoverError> {
-    let (snapshot_row, report) = examine(folder, name, &Clock::start())?;
+    let (snapshot_row, report) = classify_snapshot(folder, name, &Clock::start())?;
     let rows = serde_json::to_value(&report.rows)?;
     let sections = json!({ "copy": [snapshot_row], "kept": rows });
     print!("{}", table::render(&sections, as_json));
--- a/crates/driver/src/program/serve/check.rs
+++ b/crates/driver/src/program/serve/check.rs
@@ -28,7 +28,7 @@
 
 /// Prints warnings to standard error.
 fn check_operators_file(config: &Config, path: &str) -> Result<(), ServeError> {
-    let outcome = operators::read(path, operators::machine(config));
+    let outcome = operators::read(path, operators::machine_limits(config));
     let text = outcome.text();
     let text = text.trim_end();
     if outcome.meaning.is_none() {
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -47,7 +47,7 @@
         self.predecessor.advance_to(event_loop, now, may_begin);
         self.is_shutting_down |= self.predecessor.has_handed_over();
         self.advance_successor(event_loop, now);
-        let successor_at = self
+        let successor_deadline = self
             .successor
             .as_ref()
             .map_or(Timestamp(u64::MAX), |successor| successor.next_at(now));
@@ -58,7 +58,7 @@
             self.phases.next_at(now),
             self.operators.next_at(),
             self.predecessor.next_at(),
-            successor_at,
+            successor_deadline,
         ];
         deadlines.into_iter().min()
     }
@@ -92,8 +92,8 @@
     /// Further requests have no effect.
     fn begin_shutdown(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let is_first = !std::mem::replace(&mut self.is_shutting_down, true);
-        if let Some(longest_wait) = self.config.settings.longest_client_wait.filter(|_| is_first) {
-            let schedule = ShutdownSchedule::new(now, longest_wait);
+        if let Some(max_wait) = self.config.settings.longest_client_wait.filter(|_| is_first) {
+            let schedule = ShutdownSchedule::new(now, max_wait);
             self.phases.limit_shutdown(schedule.exit_at);
             event_loop.begin_shutdown(now, schedule.last_answer_at);
         }
@@ -103,7 +103,7 @@
     fn reload(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         match (self.load_config)() {
             Ok(newer) => {
-                self.machine = operators::machine(&newer);
+                self.machine = operators::machine_limits(&newer);
                 apply_config(event_loop, now, self.config, &newer);
             }
             Err(error) => {
--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -62,7 +62,7 @@
     let retry = StartRetry::new(shutdown.clone());
     let (queue, events) = channel();
     retry.run(|| forward_signals(&signals, &queue, &shutdown))?;
-    let machine = operators::machine(&config);
+    let machine = operators::machine_limits(&config);
     let initial = retry.run(|| Ok(operators::load_initial_settings(options, machine)?))?;
     let settings = AppliedSettings::from_resolved(&initial.meaning);
     let mut successor = SuccessorRole::from_environment(settings.handover_timeouts.successor)?;
--- a/crates/driver/src/program/upgrade/predecessor.rs
+++ b/crates/driver/src/program/upgrade/predecessor.rs
@@ -27,7 +27,7 @@
 
 /// Upgrades from the side of the serving process, one at a time. Only the event loop's thread uses it.
 pub struct PredecessorRole {
-    machine: Predecessor,
+    state_machine: Predecessor,
     link: EventLoopLink,
     events: Receiver<predecessor::Event>,
     requests: Receiver<UpgradeRequest>,
@@ -58,7 +58,7 @@
         let (event_sender, events) = channel();
         let unsent_connections = Arc::<AtomicUsize>::default();
         PredecessorRole {
-            machine: Predecessor::new(predecessor::Timeouts::default()),
+            state_machine: Predecessor::new(predecessor::Timeouts::default()),
             link: EventLoopLink {
                 events: event_sender,
                 queue,
@@ -92,7 +92,7 @@
 
     /// Sets the timeouts of phases that begin from now on.
     pub fn set_timeouts(&mut self, timeouts: predecessor::Timeouts) {
-        self.machine.timeouts = timeouts;
+        self.state_machine.timeouts = timeouts;
     }
 
     /// Handles requests, events of the successor and timeouts. Requests are rejected unless `may_begin`.
@@ -110,7 +110,7 @@
         while let Ok(event) = self.events.try_recv() {
             self.on_successor_event(event_loop, now, event);
         }
-        if self.machine.next_deadline() <= now {
+        if self.state_machine.next_deadline() <= now {
             self.on_event(event_loop, now, predecessor::Event::TimerElapsed);
         }
         self.move_member_connections(event_loop);
@@ -120,7 +120,7 @@
 
     /// When [`PredecessorRole::advance_to`] is next due.
     pub fn next_at(&self) -> Timestamp {
-        self.machine.next_deadline()
+        self.state_machine.next_deadline()
     }
 
     /// Number of client and member connections that are queued for the successor.
@@ -145,7 +145,9 @@
             reply(requester.as_ref(), &format!("failed: {error}"));
             return;
         }
-        let actions = self.machine.on_event(now, predecessor::Event::UpgradeRequested);
+        let actions = self
+            .state_machine
+            .on_event(now, predecessor::Event::UpgradeRequested);
         if actions.contains(&Action::Report(Progress::Busy)) {
             // The requester of the upgrade in progress stays.
             log!(
@@ -185,7 +187,7 @@
     }
 
     fn on_event(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, event: predecessor::Event) {
-        let actions = self.machine.on_event(now, event);
+        let actions = self.state_machine.on_event(now, event);
         self.execute(event_loop, now, actions);
     }
 
@@ -331,7 +333,7 @@
 
     /// Whether the successor accepts client and member connections.
     fn can_move_connections(&self) -> bool {
-        matches!(self.machine.phase, Phase::Standby | Phase::Done)
+        matches!(self.state_machine.phase, Phase::Standby | Phase::Done)
     }
 
     /// Sends idle member connections to the successor, or closes them if it doesn't accept any; new ones are
@@ -378,7 +380,7 @@
 
     /// Sends co-serving messages to the successor while both processes serve.
     fn send_co_serving(&mut self, event_loop: &mut EventLoop<Log>) {
-        if !self.machine.is_co_serving() {
+        if !self.state_machine.is_co_serving() {
             return;
         }
         if let Some(message) = co_serving::next_message(event_loop, &mut self.co_serving) {
--- a/crates/driver/src/program/upgrade/retained_clients.rs
+++ b/crates/driver/src/program/upgrade/retained_clients.rs
@@ -38,14 +38,14 @@
 }
 
 #[derive(Default)]
-struct Table {
+struct ClientTable {
     /// `None` once the state of the clients is unknown.
     replay: Option<JournalReplay>,
     sockets: BTreeMap<ConnectionKey, RetainedSocket>,
     error: Option<ReplayError>,
 }
 
-impl Table {
+impl ClientTable {
     /// Drops all clients, since the journal is incomplete.
     fn abandon(&mut self, error: ReplayError) {
         self.replay = None;
@@ -108,7 +108,7 @@
 /// clients, the journal's reader thread applies records. Dropping the last clone closes the duplicate
 /// sockets.
 #[derive(Clone, Default)]
-pub(super) struct RetainedClients(Arc<Mutex<Table>>);
+pub(super) struct RetainedClients(Arc<Mutex<ClientTable>>);
 
 /// Clients reclaimed from a dead successor.
 #[derive(Default)]
@@ -124,14 +124,14 @@
 impl RetainedClients {
     /// Creates an empty table whose replay state may take `memory_limit` bytes.
     pub(super) fn new(memory_limit: usize) -> RetainedClients {
-        let table = Table {
+        let table = ClientTable {
             replay: Some(JournalReplay::new(memory_limit)),
-            ..Table::default()
+            ..ClientTable::default()
         };
         RetainedClients(Arc::new(Mutex::new(table)))
     }
 
-    fn table(&self) -> MutexGuard<'_, Table> {
+    fn table(&self) -> MutexGuard<'_, ClientTable> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -171,7 +171,7 @@
 
     /// Drops all clients, since the successor owns the service.
     pub(super) fn clear(&self) {
-        *self.table() = Table::default();
+        *self.table() = ClientTable::default();
     }
 
     /// Reclaims the clients. The successor must have exited and its journal must be read to the end;
--- a/crates/driver/src/program/upgrade/successor.rs
+++ b/crates/driver/src/program/upgrade/successor.rs
@@ -79,7 +79,7 @@
 /// A handover from the side of the successor. The methods must be called in their order here, on the event
 /// loop's thread.
 pub struct SuccessorRole {
-    machine: Successor,
+    state_machine: Successor,
     socket: UnixStream,
     /// Reads the socket until [`SuccessorRole::spawn_reader`] moves it to a thread.
     reader: Option<FrameReader>,
@@ -113,7 +113,7 @@
             .map_err(|errno| SuccessorError::PassedSocket(errno.into()))?;
         let reader = socket.try_clone().map_err(SuccessorError::PassedSocket)?;
         Ok(Some(SuccessorRole {
-            machine: Successor::new(timeouts),
+            state_machine: Successor::new(timeouts),
             socket,
             reader: Some(FrameReader::new(reader)),
             events: None,
@@ -228,8 +228,11 @@
         while let Some(Ok(event)) = self.events.as_ref().map(Receiver::try_recv) {
             actions.extend(self.on_predecessor_event(event_loop, now, monotonic, event));
         }
-        if self.machine.next_deadline() <= monotonic {
-            actions.extend(self.machine.on_event(monotonic, successor::Event::TimerElapsed));
+        if self.state_machine.next_deadline() <= monotonic {
+            actions.extend(
+                self.state_machine
+                    .on_event(monotonic, successor::Event::TimerElapsed),
+            );
         }
         self.check_journal(event_loop, now);
         for action in actions {
@@ -241,7 +244,7 @@
             }
         }
         // Only after the predecessor was notified that it no longer owns the service.
-        if self.machine.phase == successor::Phase::Serving {
+        if self.state_machine.phase == successor::Phase::Serving {
             if let Some(journal) = self.journal.take() {
                 journal.stop();
             }
@@ -270,7 +273,7 @@
                 if ends_connection(&event) {
                     self.on_predecessor_exited(event_loop, now);
                 }
-                return self.machine.on_event(monotonic, event);
+                return self.state_machine.on_event(monotonic, event);
             }
         }
         Vec::new()
@@ -322,7 +325,7 @@
 
     /// When [`SuccessorRole::advance_to`] is next due, by the service's clock.
     pub fn next_at(&self, now: Timestamp) -> Timestamp {
-        match self.machine.next_deadline() {
+        match self.state_machine.next_deadline() {
             Timestamp(u64::MAX) => Timestamp(u64::MAX),
             at => now + (at - monotonic_now()),
         }
@@ -331,11 +334,11 @@
     /// Whether this process owns the service and the predecessor has exited, so that no client comes from it
     /// any more.
     pub fn is_complete(&self) -> bool {
-        self.has_predecessor_exited && self.machine.phase == successor::Phase::Serving
+        self.has_predecessor_exited && self.state_machine.phase == successor::Phase::Serving
     }
 
     fn on_event(&mut self, event: successor::Event) -> Vec<Action> {
-        self.machine.on_event(monotonic_now(), event)
+        self.state_machine.on_event(monotonic_now(), event)
     }
 
     fn send(&self, message: &HandoverMessage) {
@@ -345,7 +348,7 @@
 
     /// Waits for the predecessor's next message, its exit, or the deadline.
     fn wait(&mut self) -> Vec<Action> {
-        let wait = self.machine.next_deadline() - monotonic_now();
+        let wait = self.state_machine.next_deadline() - monotonic_now();
         let timeout = Duration::from_micros(wait.0.clamp(1, MAX_WAIT_MICROS));
         let _ = self.socket.set_read_timeout(Some(timeout));
         let Some(reader) = &mut self.reader else {
@@ -358,7 +361,7 @@
             }
             Received::Invalid(_) => successor::Event::InvalidFrame,
             // A timed-out read is reported as a closed socket.
-            Received::Closed if self.machine.next_deadline() <= monotonic_now() => {
+            Received::Closed if self.state_machine.next_deadline() <= monotonic_now() => {
                 successor::Event::TimerElapsed
             }
             Received::Closed => successor::Event::PredecessorExited,
