--- a/crates/driver/src/program/gossip/mod.rs
+++ b/crates/driver/src/program/gossip/mod.rs
@@ -17,8 +17,8 @@
 use crate::transport::clock::Clock;
 use crate::transport::datagrams::{DatagramSocket, DatagramWaker};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_config::host::{drivers, Other};
-use asterlatch_config::meaning::{hash, Meaning};
+use asterlatch_config::resolved::{hash, ResolvedSettings};
+use asterlatch_config::service_schema::{configured_peers, ConfiguredPeer};
 use asterlatch_gossip::codec::Dialect;
 use asterlatch_gossip::membership::MembershipTiming;
 use asterlatch_gossip::node::{GossipNode, NodeSettings};
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipConfig {
     port: u16,
-    others: Vec<Other>,
+    peers: Vec<ConfiguredPeer>,
     node: NodeSettings,
     routing: GossipSettings,
     /// Interval between two writes of the snapshot; zero disables them.
@@ -50,15 +50,15 @@
 
 impl GossipConfig {
     /// Reads the section `shared`; `None` if gossip is disabled.
-    pub fn from_resolved(meaning: &Meaning) -> Option<GossipConfig> {
-        let amount = |row| meaning.amount(schema(), "shared", row).max(0);
-        let span = |row| TimeSpan(amount(row) as u64);
+    pub fn from_resolved(resolved: &ResolvedSettings) -> Option<GossipConfig> {
+        let amount = |setting| resolved.amount(schema(), "shared", setting).max(0);
+        let span = |setting| TimeSpan(amount(setting) as u64);
         let port = u16::try_from(amount("port")).ok().filter(|port| *port > 0)?;
-        let others = drivers(schema(), meaning);
+        let peers = configured_peers(schema(), resolved);
         let node = NodeSettings {
             fleet: String::new(),
             name: String::new(),
-            peers: others.iter().map(|other| other.name.clone()).collect(),
+            peers: peers.iter().map(|peer| peer.name.clone()).collect(),
             gossip_interval: span("tick"),
             fanout: amount("fanout") as usize,
             anti_entropy_interval: span("compare"),
@@ -68,12 +68,12 @@
                 suspicion_timeout: span("suspicion"),
             },
             inquiry_timeout: span("ask"),
-            operators_file: file_hash(meaning),
+            operators_file: file_hash(resolved),
             dialect: Dialect::Current,
         };
         let routing = GossipSettings {
             tick: span("tick"),
-            query_timeout: span("ask"),
+            inquiry_timeout: span("ask"),
             retry_window: span("window"),
             max_recorded_statements: amount("ids") as usize,
             // From the deployment's settings; set by `event_loop_side`.
@@ -82,7 +82,7 @@
         };
         Some(GossipConfig {
             port,
-            others,
+            peers,
             node,
             routing,
             snapshot_interval: span("keep"),
@@ -132,10 +132,14 @@
             name: config.name.clone(),
             incarnation,
         };
-        let queried = self.others.iter().enumerate().filter(|(_, other)| other.asked);
+        let queried = self
+            .peers
+            .iter()
+            .enumerate()
+            .filter(|(_, other)| other.receives_inquiries);
         let peers = FleetPeers {
             names: self.node.peers.clone(),
-            queried: queried.map(|(index, _)| index).collect(),
+            inquiry_peers: queried.map(|(index, _)| index).collect(),
         };
         let send = Box::new(move |command| handle.send(command));
         Gossip::new(now, settings, identity, peers, send)
@@ -143,8 +147,8 @@
 }
 
 /// The first eight bytes of the file's hash, with which drivers compare their operators' files.
-fn file_hash(meaning: &Meaning) -> u64 {
-    let canonical = hash(&meaning.canonical(schema()));
+fn file_hash(resolved: &ResolvedSettings) -> u64 {
+    let canonical = hash(&resolved.canonical(schema()));
     u64::from_str_radix(canonical.get(..16).unwrap_or_default(), 16).unwrap_or(0)
 }
 
@@ -214,8 +218,8 @@
     state: Option<&Path>,
 ) -> Result<StartedGossip, GossipError> {
     let address = SocketAddr::new(config.listen.ip(), gossip.port);
-    let peers = gossip.others.iter().map(|other| other.address).collect();
-    let bound = DatagramSocket::bind(address, peers);
+    let peer_addresses = gossip.peers.iter().map(|peer| peer.address).collect();
+    let bound = DatagramSocket::bind(address, peer_addresses);
     let socket = bound.map_err(|source| GossipError::Bind { address, source })?;
     let settings = gossip.node_settings(config);
     let now = clock.now();
--- a/crates/driver/src/program/gossip/status.rs
+++ b/crates/driver/src/program/gossip/status.rs
@@ -28,7 +28,7 @@
 
 /// The drivers of the fleet and the counters of gossip.
 pub(super) fn status(node: &GossipNode, thread: &ThreadStatus, now: Timestamp) -> Value {
-    let identity = node.membership.own();
+    let identity = node.membership.identity();
     let this_row = DriverRow {
         name: &identity.name,
         presence: "this one",
@@ -43,7 +43,7 @@
             name: &peer.name,
             presence: peer.state.name(),
             incarnation: peer.incarnation,
-            last_received_ago: peer.last_heard.map(|at| now - at),
+            last_received_ago: peer.last_received_at.map(|at| now - at),
             delay: peer.delay,
             caught_up: peer.caught_up,
         };
@@ -158,15 +158,17 @@
             list_version, state, ..
         } => format!("{state:?} by list {list_version}"),
         Record::WarmUp {
-            work_us, carried_us, ..
-        } => format!("{work_us} us of work, warm members carry {carried_us} microcores"),
+            work_us,
+            carried_microcores,
+            ..
+        } => format!("{work_us} us of work, warm members carry {carried_microcores} microcores"),
         Record::Session { position, .. } => format!("written at {position}"),
         Record::Lease { lease, .. } => format!(
             "{:?}, holder {:016x}, term {}, {} renewals",
             lease.state, lease.holder, lease.term, lease.renewals
         ),
         Record::Load { shares, .. } => format!("shares of {} members", shares.len()),
-        Record::Unanswered { outstanding_us, .. } => format!("outstanding for {} ms", outstanding_us / 1000),
+        Record::DelayedExecution { outstanding_us, .. } => format!("sent {} ms ago", outstanding_us / 1000),
         Record::Driver {
             incarnation,
             list_version,
--- a/crates/driver/src/program/log.rs
+++ b/crates/driver/src/program/log.rs
@@ -1,7 +1,7 @@
 //! The log: lines on standard error, rate-limited per topic, with a count of the suppressed ones. Lines go
 //! through `tracing`; this module formats them.
 
-use crate::routing::event_loop::Observer;
+use crate::routing::event_loop::Logger;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use std::fmt::{self, Arguments, Write};
@@ -84,7 +84,7 @@
 }
 pub(crate) use log;
 
-impl Observer for Log {
+impl Logger for Log {
     fn log(&mut self, now: Timestamp, topic: &'static str, text: Arguments) {
         log!(self, now, topic, "{text}");
     }
--- a/crates/driver/src/program/operators/applied_settings.rs
+++ b/crates/driver/src/program/operators/applied_settings.rs
@@ -5,7 +5,7 @@
 use crate::routing::limits::{CrowdedIdleTimeout, Limits, Share, WorkloadLimits};
 use crate::transport::coroutines::CoroutineStacks;
 use asterlatch::time::TimeSpan;
-use asterlatch_config::meaning::Meaning;
+use asterlatch_config::resolved::ResolvedSettings;
 use asterlatch_handover::{predecessor, successor};
 use std::collections::BTreeMap;
 
@@ -39,30 +39,30 @@
 }
 
 /// Reads amounts of settings; negative ones count as zero.
-struct Amounts<'a>(&'a Meaning);
+struct Amounts<'a>(&'a ResolvedSettings);
 
 impl Amounts<'_> {
-    fn amount(&self, section: &str, row: &str) -> i64 {
-        self.0.amount(schema(), section, row).max(0)
+    fn amount(&self, section: &str, setting: &str) -> i64 {
+        self.0.amount(schema(), section, setting).max(0)
     }
 
-    fn count(&self, section: &str, row: &str) -> usize {
-        self.amount(section, row) as usize
+    fn count(&self, section: &str, setting: &str) -> usize {
+        self.amount(section, setting) as usize
     }
 
-    fn span(&self, section: &str, row: &str) -> TimeSpan {
-        TimeSpan(self.amount(section, row) as u64)
+    fn span(&self, section: &str, setting: &str) -> TimeSpan {
+        TimeSpan(self.amount(section, setting) as u64)
     }
 
-    fn share(&self, section: &str, row: &str) -> Share {
-        Share(self.amount(section, row) as u32)
+    fn share(&self, section: &str, setting: &str) -> Share {
+        Share(self.amount(section, setting) as u32)
     }
 
     fn limits(&self) -> Limits {
-        let client = |row| self.span("clients", row);
-        let discovery = |row| self.span("discovery", row);
+        let client = |setting| self.span("clients", setting);
+        let discovery = |setting| self.span("discovery", setting);
         let crowded = |from, timeout| CrowdedIdleTimeout {
-            from: self.share("clients", from),
+            min_active_share: self.share("clients", from),
             timeout: client(timeout),
         };
         Limits {
@@ -90,13 +90,13 @@
     }
 
     fn workload_limits(&self) -> BTreeMap<String, WorkloadLimits> {
-        let row = |name| schema().find("workload", name).map(|(_, row)| row);
-        let (max_timeout, max_bytes) = (row("timeout"), row("longest"));
+        let setting_index = |name| schema().find("workload", name).map(|(_, setting)| setting);
+        let (max_timeout, max_bytes) = (setting_index("timeout"), setting_index("longest"));
         let entries = self.0.entries(schema(), "workload");
         let limits = entries.map(|(name, amounts)| {
-            let amount = |row: Option<usize>| Some(amounts.get(row?)?.as_ref()?.amount);
+            let amount = |setting: Option<usize>| Some(amounts.get(setting?)?.as_ref()?.amount);
             let workload_limits = WorkloadLimits {
-                timeout: amount(max_timeout).map(|us| TimeSpan(us as u64)),
+                max_timeout: amount(max_timeout).map(|us| TimeSpan(us as u64)),
                 max_bytes: amount(max_bytes).map(|bytes| bytes as usize),
             };
             (name.to_owned(), workload_limits)
@@ -105,7 +105,7 @@
     }
 
     fn handover_timeouts(&self) -> HandoverTimeouts {
-        let upgrade = |row| self.span("upgrade", row);
+        let upgrade = |setting| self.span("upgrade", setting);
         HandoverTimeouts {
             predecessor: predecessor::Timeouts {
                 hello: upgrade("hello"),
@@ -126,9 +126,9 @@
 }
 
 impl AppliedSettings {
-    /// The settings that a meaning states.
-    pub fn from_resolved(meaning: &Meaning) -> AppliedSettings {
-        let amounts = Amounts(meaning);
+    /// Groups the resolved settings of a file.
+    pub fn from_resolved(resolved: &ResolvedSettings) -> AppliedSettings {
+        let amounts = Amounts(resolved);
         let log_lines_per_second = amounts.amount("log", "lines") / RATE_UNITS_PER_SECOND;
         AppliedSettings {
             limits: amounts.limits(),
--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -12,13 +12,13 @@
 use crate::routing::event_loop::EventLoop;
 pub use applied_settings::{AppliedSettings, HandoverTimeouts};
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_config::generations::{Difference, Effect, Generation, Generations, Told};
-use asterlatch_config::host;
-use asterlatch_config::load::{self, Folder, Outcome};
-use asterlatch_config::meaning::{changes, hash, Meaning};
-use asterlatch_config::probation::{Sample, Terms};
-use asterlatch_config::registry::{Machine, Registry, WANTS};
-use asterlatch_config::store::KeepError;
+use asterlatch_config::generations::{Command, Decision, Difference, Generation, Generations};
+use asterlatch_config::load::{self, FolderSource, LoadOutcome};
+use asterlatch_config::probation::{ProbationCriteria, Sample};
+use asterlatch_config::resolved::{changes, hash, ResolvedSettings};
+use asterlatch_config::schema::{Machine, Schema, RESOURCES};
+use asterlatch_config::service_schema;
+use asterlatch_config::store::StoreError;
 use asterlatch_handover::predecessor;
 pub use start::{load_initial_settings, InitialSettings, LogLine, OperatorsOptions};
 use std::io;
@@ -66,9 +66,9 @@
 }
 
 /// The settings that operators' files may state.
-pub fn schema() -> &'static Registry {
-    static SCHEMA: OnceLock<Registry> = OnceLock::new();
-    SCHEMA.get_or_init(host::registry)
+pub fn schema() -> &'static Schema {
+    static SCHEMA: OnceLock<Schema> = OnceLock::new();
+    SCHEMA.get_or_init(service_schema::schema)
 }
 
 /// Limits of the process, against which an operators' file is checked.
@@ -80,8 +80,8 @@
 }
 
 /// Reads and checks the operators' file at `path`.
-pub fn read(path: &str, machine: Machine) -> Outcome {
-    let (folder, name) = Folder::of(path);
+pub fn read(path: &str, machine: Machine) -> LoadOutcome {
+    let (folder, name) = FolderSource::containing(path);
     let mut outcome = load::read(&name, &folder, schema(), machine);
     // Diagnostics name files as the command line does.
     if let Some(parent) = path.strip_suffix(&name).filter(|parent| !parent.is_empty()) {
@@ -92,37 +92,37 @@
     outcome
 }
 
-/// Counts the settings that differ, and collects the shortages that changes of live ones may cause.
-fn difference(old: &Meaning, new: &Meaning) -> Difference {
+/// Counts the settings that differ, and collects the resources that changes of live ones may exhaust.
+fn difference(old: &ResolvedSettings, new: &ResolvedSettings) -> Difference {
     let mut difference = Difference::default();
     for change in changes(schema(), old, new) {
         if !change.is_live(schema()) {
-            difference.at_start += 1;
+            difference.at_next_start += 1;
             continue;
         }
         difference.live += 1;
-        for want in schema().row(&change.path).may_want {
-            if !difference.may_want.contains(want) {
-                difference.may_want.push(*want);
+        for resource in schema().setting(&change.path).may_exhaust {
+            if !difference.may_exhaust.contains(resource) {
+                difference.may_exhaust.push(*resource);
             }
         }
     }
     difference
 }
 
-/// The terms of probation that a meaning states.
-fn probation_terms(meaning: &Meaning) -> Terms {
-    let amount = |row| meaning.amount(schema(), "activation", row).max(0);
-    Terms {
+/// The criteria of probation that the settings state.
+fn probation_criteria(settings: &ResolvedSettings) -> ProbationCriteria {
+    let amount = |setting| settings.amount(schema(), "activation", setting).max(0);
+    ProbationCriteria {
         probation: TimeSpan(amount("probation") as u64),
         margin: amount("margin") as f64 / 1e6,
-        least: amount("least") as u64,
+        min_rejections: amount("least") as u64,
     }
 }
 
 /// Maximum number of stored generations.
-fn max_stored_generations(meaning: &Meaning) -> usize {
-    meaning.amount(schema(), "activation", "kept").max(1) as usize
+fn max_stored_generations(settings: &ResolvedSettings) -> usize {
+    settings.amount(schema(), "activation", "kept").max(1) as usize
 }
 
 /// Whether a read is in progress, and whether the file may have changed since it began.
@@ -135,14 +135,14 @@
 
 /// The operators' file of a running process. Only the main thread uses it.
 pub struct Operators {
-    generations: Generations<Meaning>,
+    generations: Generations<ResolvedSettings>,
     /// `None` without an operators' file.
     jobs: Option<Sender<Job>>,
     results: Receiver<JobResult>,
     read_state: ReadState,
     stores_generations: bool,
     /// Highest utilization since the last sample, by resource.
-    max_utilization: [u64; WANTS.len()],
+    max_utilization: [u64; RESOURCES.len()],
     sampled_at: Timestamp,
     /// Timeouts of the next handover, by the active settings.
     pub predecessor_timeouts: predecessor::Timeouts,
@@ -159,18 +159,18 @@
         predecessor_timeouts: predecessor::Timeouts,
         worker: WorkerHandle,
     ) -> Operators {
-        let canonical = initial.meaning.canonical(schema());
+        let canonical = initial.resolved.canonical(schema());
         let digest = hash(&canonical);
         let number = initial.number;
-        let max_stored = max_stored_generations(&initial.meaning);
-        let generations = Generations::new(number, digest, initial.meaning, difference, probation_terms);
+        let max_stored = max_stored_generations(&initial.resolved);
+        let generations = Generations::new(number, digest, initial.resolved, difference, probation_criteria);
         let operators = Operators {
             generations,
             jobs: worker.jobs,
             results: worker.results,
             read_state: ReadState::Idle,
             stores_generations: options.state_folder.is_some(),
-            max_utilization: [0; WANTS.len()],
+            max_utilization: [0; RESOURCES.len()],
             sampled_at: Timestamp(0),
             predecessor_timeouts,
         };
@@ -237,7 +237,7 @@
             } => (ticket, outcome, text),
             JobResult::Stored(report) => {
                 let line = format_store_report(&report);
-                log!(event_loop.observer, now, DECISIONS_TOPIC, "{line}");
+                log!(event_loop.logger, now, DECISIONS_TOPIC, "{line}");
                 return;
             }
         };
@@ -247,14 +247,14 @@
             self.reload(machine);
         }
         for line in text.lines() {
-            log!(event_loop.observer, now, DIAGNOSTICS_TOPIC, "{line}");
+            log!(event_loop.logger, now, DIAGNOSTICS_TOPIC, "{line}");
         }
         // Everything counted until now was counted under the previous settings, including what no sample
         // contains yet.
         self.track_utilization(event_loop, phases, now);
         self.record_sample(event_loop, phases, now);
-        let effects = self.generations.read_ended(now, ticket, outcome);
-        self.execute(event_loop, phases, now, effects);
+        let commands = self.generations.on_read(now, ticket, outcome);
+        self.execute(event_loop, phases, now, commands);
     }
 
     /// Tracks the highest utilization, so that a short peak between two samples counts, and records a sample
@@ -278,15 +278,15 @@
                 metrics.clients_accepted + metrics.executions_sent,
                 metrics.statements_taken,
             ],
-            turned_away: [
+            rejected: [
                 metrics.clients_rejected + metrics.clients_evicted,
                 metrics.accepts_failed + metrics.ended_never_sent,
                 metrics.rejected_for_memory,
             ],
             fill,
         };
-        let effects = self.generations.counted(now, sample);
-        self.execute(event_loop, phases, now, effects);
+        let commands = self.generations.on_sample(now, sample);
+        self.execute(event_loop, phases, now, commands);
     }
 
     /// When to call `advance_to` next if nothing else causes it.
@@ -303,24 +303,30 @@
         event_loop: &mut EventLoop<Log>,
         phases: &mut Phases,
         now: Timestamp,
-        effects: Vec<Effect<Meaning>>,
+        commands: Vec<Command<ResolvedSettings>>,
     ) {
-        for effect in effects {
-            match effect {
-                Effect::TakeOver(meaning) => {
-                    let settings = AppliedSettings::from_resolved(&meaning);
+        for command in commands {
+            match command {
+                Command::Apply(resolved) => {
+                    let settings = AppliedSettings::from_resolved(&resolved);
                     self.predecessor_timeouts = settings.handover_timeouts.predecessor;
                     apply_settings(event_loop, phases, &settings);
                 }
-                Effect::Keep(Generation { number, meaning, .. }) => {
+                Command::Store(Generation { number, settings, .. }) => {
                     self.store(
                         number,
-                        meaning.canonical(schema()),
-                        max_stored_generations(&meaning),
+                        settings.canonical(schema()),
+                        max_stored_generations(&settings),
                     );
                 }
-                Effect::Tell(told) => {
-                    log!(event_loop.observer, now, DECISIONS_TOPIC, "{}", describe(&told));
+                Command::Report(decision) => {
+                    log!(
+                        event_loop.logger,
+                        now,
+                        DECISIONS_TOPIC,
+                        "{}",
+                        describe_decision(&decision)
+                    );
                 }
             }
         }
@@ -328,7 +334,7 @@
 }
 
 /// Current utilization, by resource.
-fn utilization(event_loop: &EventLoop<Log>) -> [u64; WANTS.len()] {
+fn utilization(event_loop: &EventLoop<Log>) -> [u64; RESOURCES.len()] {
     let clients = event_loop.open_clients() as u64;
     let connections = event_loop.metrics.open_member_connections;
     let memory = event_loop.reserved_memory() as u64;
@@ -338,7 +344,7 @@
 /// Applies settings to the running process.
 pub fn apply_settings(event_loop: &mut EventLoop<Log>, phases: &mut Phases, settings: &AppliedSettings) {
     event_loop.set_limits(settings.limits, &settings.workload_limits);
-    event_loop.observer.lines_per_second = settings.log_lines_per_second;
+    event_loop.logger.lines_per_second = settings.log_lines_per_second;
     phases.durations = settings.phase_durations;
 }
 
@@ -348,40 +354,42 @@
             format!("generation {number} is now stored durably")
         }
         StoreReport::Failed { number, error } => match error {
-            KeepError::NotStored(source) => {
+            StoreError::NotStored(source) => {
                 format!("cannot store generation {number}, will retry: {source}")
             }
-            KeepError::NotDurable { number, source } => format!(
+            StoreError::NotDurable { number, source } => format!(
                 "generation {number} is stored but may not survive a power failure, will retry: {source}"
             ),
-            KeepError::OldNotLetGo { number, source } => {
+            StoreError::OldNotRemoved { number, source } => {
                 format!("generation {number} is stored, but older ones could not be removed: {source}")
             }
         },
     }
 }
 
-fn describe(told: &Told) -> String {
-    match told {
-        Told::Same => "reloaded, no setting has changed".to_owned(),
-        Told::Rejected { errors } => format!("file rejected, {errors} errors; settings unchanged"),
-        Told::Overtaken => "ignored a read that a newer one superseded".to_owned(),
-        Told::Refused { why } => {
-            let want = why.name();
-            format!("file rejected: the same settings were rolled back for lack of {want}; change the file")
+fn describe_decision(decision: &Decision) -> String {
+    match decision {
+        Decision::Unchanged => "reloaded, no setting has changed".to_owned(),
+        Decision::Rejected { error_count } => format!("not applied: the file has {error_count} errors"),
+        Decision::Superseded => "ignored a read that a newer one superseded".to_owned(),
+        Decision::AlreadyRolledBack { resource } => {
+            let resource = resource.name();
+            format!("not applied: these settings were rolled back for lack of {resource}; change the file")
         }
-        Told::InForce {
+        Decision::Applied {
             number,
             live,
-            at_start,
+            at_next_start,
         } => {
-            format!("generation {number} is applied: {live} settings changed, {at_start} require a restart")
+            format!(
+                "generation {number} is applied: {live} settings changed, {at_next_start} require a restart"
+            )
         }
-        Told::Kept { number } => format!("generation {number} is confirmed"),
-        Told::GoneBack { from, to, why } => {
-            let want = why.name();
+        Decision::Confirmed { number } => format!("generation {number} is confirmed"),
+        Decision::RolledBack { from, to, resource } => {
+            let resource = resource.name();
             format!(
-                "ROLLED BACK from generation {from} to {to}: more was rejected for lack of {want}, at no \
+                "ROLLED BACK from generation {from} to {to}: more was rejected for lack of {resource}, at no \
                  higher load"
             )
         }
--- a/crates/driver/src/program/operators/start.rs
+++ b/crates/driver/src/program/operators/start.rs
@@ -1,10 +1,10 @@
 //! The settings with which a process starts.
 
 use super::{read, schema, OperatorsError, DECISIONS_TOPIC, DIAGNOSTICS_TOPIC};
-use asterlatch_config::load::Outcome;
-use asterlatch_config::meaning::Meaning;
-use asterlatch_config::registry::Machine;
-use asterlatch_config::store::{Contents, Store, Stored};
+use asterlatch_config::load::LoadOutcome;
+use asterlatch_config::resolved::ResolvedSettings;
+use asterlatch_config::schema::Machine;
+use asterlatch_config::store::{Contents, GenerationStore, StoredGeneration};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::thread;
@@ -33,7 +33,7 @@
 pub struct InitialSettings {
     pub(super) number: u64,
     /// The settings to start with.
-    pub meaning: Meaning,
+    pub resolved: ResolvedSettings,
     /// Lines to log.
     pub lines: Vec<LogLine>,
 }
@@ -56,17 +56,19 @@
     let Some(path) = &options.file else {
         return Ok(InitialSettings {
             number: newest_number,
-            meaning: Meaning::default_of(schema()),
+            resolved: ResolvedSettings::defaults(schema()),
             lines,
         });
     };
     let outcome = read(path, machine);
-    if outcome.meaning.is_none() {
+    if outcome.settings.is_none() {
         return load_newest_generation(options, &contents.stored, &outcome, lines);
     }
     Ok(InitialSettings {
         number: newest_number + 1,
-        meaning: outcome.meaning.unwrap_or_else(|| Meaning::default_of(schema())),
+        resolved: outcome
+            .settings
+            .unwrap_or_else(|| ResolvedSettings::defaults(schema())),
         lines,
     })
 }
@@ -77,10 +79,13 @@
 /// Reads the stored generations, with retries: an unreadable generation may be intact and newer than the
 /// readable ones.
 fn read_stored_generations(folder: &Path) -> Result<Contents, OperatorsError> {
-    let read = || -> io::Result<Contents> { Store::open(folder)?.contents() };
+    let read = || -> io::Result<Contents> { GenerationStore::open(folder)?.contents() };
     let mut contents = read();
     for _ in 1..READ_ATTEMPTS {
-        if contents.as_ref().is_ok_and(|contents| contents.unread.is_empty()) {
+        if contents
+            .as_ref()
+            .is_ok_and(|contents| contents.unreadable.is_empty())
+        {
             break;
         }
         thread::sleep(READ_RETRY_DELAY);
@@ -93,18 +98,18 @@
 }
 
 fn unusable_generation_lines(contents: &Contents) -> Vec<LogLine> {
-    let damaged = contents.stored.iter().filter_map(|generation| {
+    let damaged_lines = contents.stored.iter().filter_map(|generation| {
         let reason = generation.canonical.as_ref().err()?.reason();
         Some(format!(
             "ignored stored generation {}: it {reason}",
             generation.number
         ))
     });
-    let unread = contents.unread.iter().map(|generation| {
+    let unreadable_lines = contents.unreadable.iter().map(|generation| {
         let (number, error) = (generation.number, &generation.error);
         format!("cannot read stored generation {number}, which is ignored and left in place: {error}")
     });
-    let lines = damaged.chain(unread);
+    let lines = damaged_lines.chain(unreadable_lines);
     lines
         .map(|text| LogLine {
             topic: DIAGNOSTICS_TOPIC,
@@ -116,20 +121,20 @@
 /// Loads the newest readable generation in place of an invalid file.
 fn load_newest_generation(
     options: &OperatorsOptions,
-    stored: &[Stored],
-    outcome: &Outcome,
+    stored: &[StoredGeneration],
+    outcome: &LoadOutcome,
     mut lines: Vec<LogLine>,
 ) -> Result<InitialSettings, OperatorsError> {
-    let errors = outcome.text();
+    let errors = outcome.render_diagnostics();
     if options.strict {
         return Err(OperatorsError::Invalid { errors });
     }
     let readable = stored.iter().find_map(|generation| {
         let canonical = generation.canonical.as_ref().ok()?;
-        let (meaning, unknown) = Meaning::from_canonical(schema(), canonical).ok()?;
-        Some((generation.number, meaning, unknown))
+        let (resolved, unknown) = ResolvedSettings::from_canonical(schema(), canonical).ok()?;
+        Some((generation.number, resolved, unknown))
     });
-    let Some((number, meaning, unknown)) = readable else {
+    let Some((number, resolved, unknown)) = readable else {
         return Err(OperatorsError::NoStoredGeneration { errors });
     };
     let mut add = |topic, text| lines.push(LogLine { topic, text });
@@ -149,7 +154,7 @@
     );
     Ok(InitialSettings {
         number,
-        meaning,
+        resolved,
         lines,
     })
 }
--- a/crates/driver/src/program/serve/control_loop.rs
+++ b/crates/driver/src/program/serve/control_loop.rs
@@ -10,7 +10,7 @@
 use crate::routing::event_loop::EventLoop;
 use crate::routing::events::ControlEvent;
 use asterlatch::time::Timestamp;
-use asterlatch_config::registry::Machine;
+use asterlatch_config::schema::Machine;
 
 /// State of the process that controls the event loop. Only the event loop's thread uses it.
 pub(super) struct ControlLoop<'a, F> {
@@ -78,7 +78,7 @@
                 self.predecessor.upgrade_to_own_program(event_loop, now)
             }
             ControlEvent::Upgrade => log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "cannot start: this process is on probation or shutting down"
@@ -92,7 +92,7 @@
     /// Further requests have no effect.
     fn begin_shutdown(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let is_first = !std::mem::replace(&mut self.is_shutting_down, true);
-        if let Some(max_wait) = self.config.settings.longest_client_wait.filter(|_| is_first) {
+        if let Some(max_wait) = self.config.settings.max_client_wait.filter(|_| is_first) {
             let schedule = ShutdownSchedule::new(now, max_wait);
             self.phases.limit_shutdown(schedule.exit_at);
             event_loop.begin_shutdown(now, schedule.last_answer_at);
@@ -109,7 +109,7 @@
             Err(error) => {
                 event_loop.metrics.reloads_failed += 1;
                 log!(
-                    event_loop.observer,
+                    event_loop.logger,
                     now,
                     "configuration",
                     "unchanged, reload failed: {error}"
@@ -143,7 +143,7 @@
         };
         while let Some(phase) = self.phases.advance(now, &state) {
             let name = &self.config.name;
-            log!(event_loop.observer, now, "phase", "{name} is {}", phase.name());
+            log!(event_loop.logger, now, "phase", "{name} is {}", phase.name());
             match phase {
                 Phase::Draining { .. } => event_loop.begin_drain(),
                 Phase::Stopped => event_loop.leave_gossip(),
@@ -166,7 +166,7 @@
     };
     let discovery = newer.runtime.discovery;
     log!(
-        event_loop.observer,
+        event_loop.logger,
         now,
         "configuration",
         "reloaded, discovery at {discovery}{note}"
@@ -175,7 +175,7 @@
 
 /// Logs all metrics in one line.
 pub(super) fn report_metrics(event_loop: &mut EventLoop<Log>, now: Timestamp) {
-    event_loop.metrics.log_lines_left_out = event_loop.observer.suppressed_lines;
+    event_loop.metrics.log_lines_left_out = event_loop.logger.suppressed_lines;
     let line = counters::format_line(&event_loop.metrics);
-    log!(event_loop.observer, now, "counters", "{line}");
+    log!(event_loop.logger, now, "counters", "{line}");
 }
--- a/crates/driver/src/program/serve/deferred_services.rs
+++ b/crates/driver/src/program/serve/deferred_services.rs
@@ -12,7 +12,7 @@
 use crate::routing::events::Event;
 use crate::transport::clock::Clock;
 use asterlatch::time::Timestamp;
-use asterlatch_config::meaning::Meaning;
+use asterlatch_config::resolved::ResolvedSettings;
 use std::path::Path;
 use std::sync::mpsc::Sender;
 
@@ -37,7 +37,7 @@
     /// Starts neither of them.
     pub(super) fn new(
         startup: &Startup<'a>,
-        meaning: &Meaning,
+        resolved: &ResolvedSettings,
         options: &'a OperatorsOptions,
         control_path: Option<&'a Path>,
         upgrade_requests: Sender<UpgradeRequest>,
@@ -46,7 +46,7 @@
             config: startup.config,
             clock: startup.clock,
             queue: startup.queue.clone(),
-            gossip: GossipConfig::from_resolved(meaning),
+            gossip: GossipConfig::from_resolved(resolved),
             state_folder: options.state_folder.as_deref(),
             control_socket: control_path.map(|path| PendingControlSocket {
                 path,
@@ -78,12 +78,12 @@
     /// Starts both in a process that already serves; failures are only logged.
     pub(super) fn start_deferred(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
         let gossip = self.start_gossip(event_loop).unwrap_or_else(|error| {
-            log!(event_loop.observer, now, "fleet", "gossip is disabled: {error}");
+            log!(event_loop.logger, now, "fleet", "gossip is disabled: {error}");
             None
         });
         if let Err(error) = self.start_control_socket(gossip) {
             log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "the control socket is disabled: {error}"
--- a/crates/driver/src/program/serve/mod.rs
+++ b/crates/driver/src/program/serve/mod.rs
@@ -64,7 +64,7 @@
     retry.run(|| forward_signals(&signals, &queue, &shutdown))?;
     let machine = operators::machine_limits(&config);
     let initial = retry.run(|| Ok(operators::load_initial_settings(options, machine)?))?;
-    let settings = AppliedSettings::from_resolved(&initial.meaning);
+    let settings = AppliedSettings::from_resolved(&initial.resolved);
     let mut successor = SuccessorRole::from_environment(settings.handover_timeouts.successor)?;
     transport::coroutines::start(settings.coroutine_stacks);
     let inherited = InheritedState::load(successor.as_mut(), &config)?;
@@ -90,7 +90,7 @@
     );
     let mut services = DeferredServices::new(
         &startup,
-        &initial.meaning,
+        &initial.resolved,
         options,
         control_path,
         upgrade_requests,
--- a/crates/driver/src/program/serve/startup.rs
+++ b/crates/driver/src/program/serve/startup.rs
@@ -98,7 +98,7 @@
     /// Logs each line under its topic.
     pub(super) fn log_all(&self, event_loop: &mut EventLoop<Log>, lines: &[LogLine]) {
         for line in lines {
-            log!(event_loop.observer, self.clock.now(), line.topic, "{}", line.text);
+            log!(event_loop.logger, self.clock.now(), line.topic, "{}", line.text);
         }
     }
 }
--- a/crates/driver/src/program/upgrade/predecessor.rs
+++ b/crates/driver/src/program/upgrade/predecessor.rs
@@ -141,7 +141,7 @@
         requester: Option<UnixStream>,
     ) {
         if let Err(error) = check_capacity(&resource_usage(event_loop)) {
-            log!(event_loop.observer, now, "upgrade", "cannot start: {error}");
+            log!(event_loop.logger, now, "upgrade", "cannot start: {error}");
             reply(requester.as_ref(), &format!("failed: {error}"));
             return;
         }
@@ -151,7 +151,7 @@
         if actions.contains(&Action::Report(Progress::Busy)) {
             // The requester of the upgrade in progress stays.
             log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "cannot start: another upgrade is in progress"
@@ -243,7 +243,7 @@
             Ok(state) => state,
             Err(error) => {
                 log!(
-                    event_loop.observer,
+                    event_loop.logger,
                     now,
                     "upgrade",
                     "cannot serialize the handover state: {error}"
@@ -254,7 +254,7 @@
         match self.open_descriptors(event_loop) {
             Ok(descriptors) => self.send(HandoverMessage::State(state), descriptors),
             Err(error) => log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "cannot open the descriptors for the successor: {error}"
@@ -294,13 +294,13 @@
         }
         match reclaimed.incomplete {
             Some(reason) => log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "{disconnected} clients disconnected, the I/O journal is incomplete: {reason}"
             ),
             None => log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "{count} clients reclaimed, {disconnected} disconnected"
@@ -311,7 +311,7 @@
     /// Reports to the log and to the requester, whose connection is closed at the end of the upgrade.
     fn report(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp, progress: &Progress) {
         let text = self.progress_text(progress);
-        log!(event_loop.observer, now, "upgrade", "{text}");
+        log!(event_loop.logger, now, "upgrade", "{text}");
         reply(self.requester.as_ref(), &text);
         if matches!(progress, Progress::Busy | Progress::Done | Progress::Failed(_)) {
             self.requester = None;
@@ -406,7 +406,7 @@
 /// zero.
 fn resource_usage(event_loop: &EventLoop<Log>) -> ResourceUsage {
     let usage = event_loop.process_usage();
-    let capacity = event_loop.process_capacity();
+    let capacity = event_loop.service_capacity();
     ResourceUsage {
         descriptor_limit: capacity.descriptors,
         open_descriptors: fs::read_dir("/proc/self/fd").map_or(0, Iterator::count),
--- a/crates/driver/src/program/upgrade/successor.rs
+++ b/crates/driver/src/program/upgrade/successor.rs
@@ -284,7 +284,7 @@
         // An exited process has no executions in flight.
         event_loop.set_co_serving(now, CoServing::Alone);
         event_loop.metrics.in_flight_at_peer_process = 0;
-        log!(event_loop.observer, now, "upgrade", "the predecessor has exited");
+        log!(event_loop.logger, now, "upgrade", "the predecessor has exited");
     }
 
     /// Drops a journal that was abandoned.
@@ -292,7 +292,7 @@
         let abandoned = self.journal.take_if(|journal| !journal.is_on());
         if abandoned.is_some() {
             log!(
-                event_loop.observer,
+                event_loop.logger,
                 now,
                 "upgrade",
                 "the I/O journal is abandoned: the predecessor does not read it"
@@ -313,7 +313,7 @@
             Action::Report(progress) => {
                 let elapsed_ms = (monotonic - self.started_at).0 / 1000;
                 log!(
-                    event_loop.observer,
+                    event_loop.logger,
                     now,
                     "upgrade",
                     "{progress}, {elapsed_ms} ms after the start of this process"
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -2,8 +2,8 @@
 //!
 //! `cargo test -p asterlatch-driver --test configuration_fixtures -- --ignored` writes the fixtures anew from the build as it is.
 
-use asterlatch_config::host::MACHINE;
-use asterlatch_config::load::{read, Folder};
+use asterlatch_config::load::{read, FolderSource};
+use asterlatch_config::service_schema::DEFAULT_MACHINE;
 use asterlatch_driver::program::config::{self, Config};
 use asterlatch_driver::program::operators::{schema, AppliedSettings};
 use std::fmt::Write;
@@ -74,12 +74,13 @@
 
 fn every_setting_in_force() -> AppliedSettings {
     let path = package().join(EVERY_SETTING);
-    let (folder, name) = Folder::of(path.to_str().expect("is text"));
-    let outcome = read(&name, &folder, schema(), MACHINE);
-    AppliedSettings::from_resolved(&outcome.meaning.expect("is valid"))
+    let (folder, name) = FolderSource::containing(path.to_str().expect("is text"));
+    let outcome = read(&name, &folder, schema(), DEFAULT_MACHINE);
+    AppliedSettings::from_resolved(&outcome.settings.expect("is valid"))
 }
 
 /// What the parts of the program take over, by the setting that states it. Times in microseconds, shares in millionths.
+#[expect(clippy::too_many_lines, reason = "one row for each setting")]
 fn described_in_force(force: &AppliedSettings) -> String {
     let limits = &force.limits;
     let [crowded, filling] = limits.crowded_idle_timeouts;
@@ -98,9 +99,9 @@
         ),
         ("clients.message", limits.message_timeout.0.to_string()),
         ("clients.rest", limits.client_idle_timeout.0.to_string()),
-        ("clients.filling_from", filling.from.0.to_string()),
+        ("clients.filling_from", filling.min_active_share.0.to_string()),
         ("clients.filling_rest", filling.timeout.0.to_string()),
-        ("clients.crowded_from", crowded.from.0.to_string()),
+        ("clients.crowded_from", crowded.min_active_share.0.to_string()),
         ("clients.crowded_rest", crowded.timeout.0.to_string()),
         ("clients.just_came", limits.arrival_grace.0.to_string()),
         ("clients.accept_again", limits.accept_backoff.0.to_string()),
@@ -136,7 +137,7 @@
         ("upgrade.probation", taking.probation.0.to_string()),
     ]);
     for (name, own) in &force.workload_limits {
-        let timeout = own.timeout.map(|span| span.0);
+        let timeout = own.max_timeout.map(|span| span.0);
         text += &lines(&[
             ("workload", name.clone()),
             ("workload.timeout", format!("{timeout:?}")),
--- a/crates/driver/tests/operators.rs
+++ b/crates/driver/tests/operators.rs
@@ -32,7 +32,7 @@
     );
     operated.change("workload(\"view\", longest = 256)\n");
     operated.told("workload(\"view\").longest is a size");
-    operated.told("file rejected, 1 errors; settings unchanged");
+    operated.told("not applied: the file has 1 errors");
     assert_eq!(long(&mut client), "T D C Z");
     operated.change("process(stack = 128KiB)\nworkload(\"view\", longest = 1KiB)\nlog(lines = 50/s)\n");
     operated.told("generation 3 is applied: 0 settings changed, 1 require a restart");
@@ -84,7 +84,7 @@
     let mut clients: Vec<_> = (0..30).map(|_| operated.program.client()).collect();
     ask_all(&mut clients);
     operated.program.signal("HUP");
-    operated.told("file rejected: the same settings were rolled back");
+    operated.told("not applied: these settings were rolled back");
     operated.change(&format!("{terms}log(lines = 6/s)\n"));
     operated.told("generation 3 is confirmed");
 }
