--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -236,7 +236,7 @@
                 text,
             } => (ticket, outcome, text),
             JobResult::Stored(report) => {
-                let line = format_store_report(&report);
+                let line = describe_store_report(&report);
                 log!(event_loop.logger, now, DECISIONS_TOPIC, "{line}");
                 return;
             }
@@ -348,7 +348,7 @@
     phases.durations = settings.phase_durations;
 }
 
-fn format_store_report(report: &StoreReport) -> String {
+fn describe_store_report(report: &StoreReport) -> String {
     match report {
         StoreReport::Recovered { number } => {
             format!("generation {number} is now stored durably")
@@ -390,7 +390,7 @@
             let resource = resource.name();
             format!(
                 "ROLLED BACK from generation {from} to {to}: more was rejected for lack of {resource}, at no \
-                 higher load"
+                 higher utilization"
             )
         }
     }
