--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -150,9 +150,6 @@
 
 impl Operators {
     /// Begins with the settings that the process started with, to which a rollback returns.
-    ///
-    /// # Errors
-    /// If the thread that reads the file can't be started.
     pub fn new(
         options: &OperatorsOptions,
         initial: InitialSettings,
