--- a/crates/driver/tests/clocks.rs
+++ b/crates/driver/tests/clocks.rs
@@ -73,7 +73,7 @@
     let load = load_generator::start(&deployment.store, deployment.listen, arrivals, from, 48);
     meanwhile(&mut deployment, folder);
     let records = load.finish();
-    deployment.end();
+    deployment.stop();
     let report = check(&lock(&deployment.store), &records);
     let _ = std::fs::remove_dir_all(folder);
     report
@@ -84,8 +84,8 @@
     assert_eq!(report.violation_count(), 0, "{report}");
     let bounded = report.rows.iter().find(|row| row.name == "balance-view");
     let bounded = bounded.expect("is a workload");
-    assert!(bounded.asked > 300, "or this proves little: {report}");
-    assert!(bounded.completed * 100 >= bounded.asked * 95, "{report}");
+    assert!(bounded.submitted > 300, "or this proves little: {report}");
+    assert!(bounded.completed * 100 >= bounded.submitted * 95, "{report}");
 }
 
 #[test]
@@ -128,7 +128,7 @@
         for _ in 0..2 {
             thread::sleep(Duration::from_millis(1000));
             deployment
-                .next
+                .next_program
                 .get_or_insert_with(|| (&program_with_clock(folder, -HOUR)).into());
             deployment.upgrade().expect("is handed over");
         }
--- a/crates/driver/tests/failing_calls.rs
+++ b/crates/driver/tests/failing_calls.rs
@@ -3,7 +3,7 @@
 mod stand;
 
 use asterlatch_fault_injection::FaultPlan;
-use asterlatch_testbed::program_under_test::inject;
+use asterlatch_testbed::program_under_test::inject_faults;
 use stand::{
     config, described, failing, failing_first, free_address, listener, member, operated_faulty, program,
     read_head, serve_faulty, silent_discovery, start, Folder, Manner, Program,
@@ -120,7 +120,7 @@
         let text = described(free_address(), silent_discovery(), member.address);
         let path = config("start-lasting", &text);
         let mut command = program("serve", &path);
-        inject(&mut command, &failing_first(calls, 1)).expect("cargo has built the shared object");
+        inject_faults(&mut command, &failing_first(calls, 1)).expect("cargo has built the shared object");
         let mut process = Program {
             child: start(&mut command),
             listen: free_address(),
@@ -140,7 +140,7 @@
     let path = config("start-ended", &text);
     let mut command = program("serve", &path);
     // It fails for good: without the signal the start would end with an error.
-    inject(&mut command, &failing("bind=EADDRINUSE", 1)).expect("cargo has built the shared object");
+    inject_faults(&mut command, &failing("bind=EADDRINUSE", 1)).expect("cargo has built the shared object");
     let child = start(&mut command);
     let listen = free_address();
     let process = Program { child, listen, path };
--- a/crates/driver/tests/failing_demo.rs
+++ b/crates/driver/tests/failing_demo.rs
@@ -47,10 +47,10 @@
     let from = wall_clock_now();
     let load = load_generator::start(&deployment.store, deployment.listen, arrivals, from, CLIENTS);
     let records = load.finish();
-    deployment.end();
+    deployment.stop();
     let report = check(&lock(&deployment.store), &records);
     let _ = std::fs::remove_dir_all(&folder);
-    (report.violation_count(), report.asked())
+    (report.violation_count(), report.submitted())
 }
 
 #[test]
--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -61,7 +61,7 @@
 /// All rules hold over all processes, copies come to be equal, and no payment that was repeated elsewhere ran twice.
 fn holds(scene: &str) -> RunReport {
     let outcome = play(scene, true);
-    assert!(outcome.all_rules_kept(), "{outcome}");
+    assert!(outcome.has_no_violations(), "{outcome}");
     assert!(outcome.completed > 500, "{outcome}");
     let retries = outcome.retries;
     assert!(retries.retried > 0, "or this proves little: {outcome}");
@@ -128,6 +128,8 @@
 fn drivers_without_gossip_duplicate_payments_and_miss_drains() {
     let outcome = play("drain", false);
     assert!(outcome.retries.executed_twice > 0, "{outcome}");
-    let late = outcome.violations.get("drains: sent long after it was told");
+    let late = outcome
+        .violations
+        .get("drains: statement sent to a draining member after the grace period");
     assert!(late.is_some(), "{outcome}");
 }
--- a/crates/driver/tests/stand/mod.rs
+++ b/crates/driver/tests/stand/mod.rs
@@ -15,7 +15,7 @@
 pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
 
 use asterlatch_fault_injection::FaultPlan;
-use asterlatch_testbed::program_under_test::inject;
+use asterlatch_testbed::program_under_test::inject_faults;
 pub(crate) use asterlatch_testbed::wire::message;
 use asterlatch_testbed::wire::{self, data_row, parameter_status};
 
@@ -267,7 +267,7 @@
         .and_then(|l| l.parse().ok())
         .expect("is given");
     let mut command = program("serve", &path);
-    inject(&mut command, faults).expect("cargo has built the shared object");
+    inject_faults(&mut command, faults).expect("cargo has built the shared object");
     let child = start(command.args(arguments));
     let process = Program { child, listen, path };
     let end = Instant::now() + PATIENCE;
--- a/crates/testbed/src/adverse/clients.rs
+++ b/crates/testbed/src/adverse/clients.rs
@@ -211,7 +211,7 @@
     // By driver: what a session wrote at another one binds nothing.
     for records in loads {
         let report = check(&lock(&surroundings.store), &records);
-        asked += report.asked();
+        asked += report.submitted();
         completed += report.completed();
         for (rule, count) in report
             .violations
--- a/crates/testbed/src/adverse/mod.rs
+++ b/crates/testbed/src/adverse/mod.rs
@@ -219,7 +219,7 @@
 pub const RELOADS_MISSED: &str = "reloads: configurations that were not loaded";
 
 /// Finds a scenario by its name.
-pub fn find(name: &str) -> Option<&'static AdverseScenario> {
+pub fn find_scenario(name: &str) -> Option<&'static AdverseScenario> {
     SCENARIOS.iter().find(|scenario| scenario.name == name)
 }
 
@@ -253,8 +253,8 @@
             OtherClients::Silent => clients::silent(surroundings, STATEMENTS_PER_SECOND),
         };
         let mut report = run_beside(program, &self.plan(seed)?, beside)?;
-        if (report.completed as f64) < self.min_completed * report.asked as f64 {
-            let missing = report.asked - report.completed;
+        if (report.completed as f64) < self.min_completed * report.submitted as f64 {
+            let missing = report.submitted - report.completed;
             report.violations.insert(TOO_FEW_COMPLETED, missing);
         }
         if self.counts_lists {
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -74,7 +74,7 @@
     /// Name of the workload.
     pub name: &'static str,
     /// All of its statements.
-    pub asked: u64,
+    pub submitted: u64,
     /// Answered with a row.
     pub completed: u64,
     /// Reported as not executed.
@@ -161,7 +161,7 @@
         };
         rows.push(WorkloadSummary {
             name: workload.name,
-            asked: own.len() as u64,
+            submitted: own.len() as u64,
             completed: count(|outcome| matches!(outcome, ClientOutcome::Row { .. })),
             rejected: count(|outcome| *outcome == ClientOutcome::Rejected),
             aborted: count(|outcome| *outcome == ClientOutcome::Aborted),
@@ -240,8 +240,8 @@
     }
 
     /// All statements.
-    pub fn asked(&self) -> u64 {
-        self.rows.iter().map(|r| r.asked).sum()
+    pub fn submitted(&self) -> u64 {
+        self.rows.iter().map(|r| r.submitted).sum()
     }
 }
 
@@ -264,7 +264,7 @@
         writeln!(f)?;
         for r in &self.rows {
             write!(f, "{:<14}", r.name)?;
-            for n in [r.asked, r.completed, r.rejected, r.aborted, r.lost, r.refused] {
+            for n in [r.submitted, r.completed, r.rejected, r.aborted, r.lost, r.refused] {
                 write!(f, "{n:>11}")?;
             }
             r.latencies.iter().try_for_each(|ms| write!(f, "{ms:>11.1}"))?;
@@ -280,7 +280,7 @@
             return write!(
                 f,
                 "rules kept: each of {} statements has one true answer in time",
-                self.asked()
+                self.submitted()
             );
         }
         for (n, count) in self.violations.iter().enumerate().filter(|(_, c)| **c > 0) {
@@ -301,7 +301,7 @@
             f,
             "{} breaches in {} statements",
             self.violation_count(),
-            self.asked()
+            self.submitted()
         )
     }
 }
--- a/crates/testbed/src/cli/adverse.rs
+++ b/crates/testbed/src/cli/adverse.rs
@@ -1,7 +1,7 @@
 //! `adverse`: scenarios of trouble beyond the operators' bench.
 
 use super::arguments::SetupArguments;
-use crate::adverse::{find, AdverseScenario, SCENARIOS};
+use crate::adverse::{find_scenario, AdverseScenario, SCENARIOS};
 use crate::error::{Error, Result};
 
 /// Runs the named scenarios, or all, each with so many seeds; whether all rules were kept.
@@ -20,7 +20,7 @@
             );
             let report = scenario.run(&program, seed)?;
             println!("{report}");
-            failed += u64::from(!report.all_rules_kept());
+            failed += u64::from(!report.has_no_violations());
         }
     }
     println!(
@@ -32,7 +32,7 @@
 
 fn named(name: &str) -> Result<&'static AdverseScenario> {
     let names: Vec<_> = SCENARIOS.iter().map(|scenario| scenario.name).collect();
-    find(name).ok_or_else(|| Error::UnknownScenario {
+    find_scenario(name).ok_or_else(|| Error::UnknownScenario {
         name: name.to_owned(),
         known: names.join(", "),
     })
--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -171,7 +171,7 @@
 
 /// Ends the program and prints the check of all records; whether all rules were kept.
 pub(super) fn conclude(mut deployment: Deployment, records: &[StatementRecord]) -> bool {
-    deployment.end();
+    deployment.stop();
     let report = check(&lock(&deployment.store), records);
     println!("{report}");
     let _ = std::fs::remove_dir_all(&deployment.folder);
--- a/crates/testbed/src/cli/fleet.rs
+++ b/crates/testbed/src/cli/fleet.rs
@@ -25,5 +25,5 @@
     );
     let report = arguments.run(drivers, &text, arguments.basis.seed)?;
     println!("{report}");
-    Ok(report.all_rules_kept())
+    Ok(report.has_no_violations())
 }
--- a/crates/testbed/src/cli/trial_fleet.rs
+++ b/crates/testbed/src/cli/trial_fleet.rs
@@ -25,7 +25,11 @@
         while let Some((scenario, seed)) = next() {
             let report = arguments.run(scenario.drivers, scenario.script, seed)?;
             print_line(scenario.name, seed, &report);
-            let count = if report.all_rules_kept() { &passed } else { &failed };
+            let count = if report.has_no_violations() {
+                &passed
+            } else {
+                &failed
+            };
             count.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
@@ -44,14 +48,14 @@
 
 fn print_line(scenario: &str, seed: u64, report: &RunReport) {
     let retries = report.retries;
-    let verdict = if report.all_rules_kept() {
+    let verdict = if report.has_no_violations() {
         "kept".to_owned()
     } else {
         format!("{:?}", report.violations)
     };
     println!(
         "{scenario:<18} seed {seed:<4} asked {:>6}, rejected {:>4}, in doubt {:>4}; repeats {:>4}, untrue {}, doubled {}; {verdict}",
-        report.asked,
+        report.submitted,
         report.rejected,
         report.aborted,
         retries.retried,
--- a/crates/testbed/src/cli/upgrade.rs
+++ b/crates/testbed/src/cli/upgrade.rs
@@ -72,7 +72,7 @@
 pub(super) fn run(common: &LoadArguments, options: UpgradeOptions) -> Result<bool> {
     let script = FaultScript::parse(&fault_text(common, &options))?;
     let mut deployment = common.deploy(script)?;
-    deployment.next = options.next.as_ref().map(|file| common.program(file));
+    deployment.next_program = options.next.as_ref().map(|file| common.program(file));
     let seconds = f64::from(options.count) * options.period() + 0.5;
     let (load, from) = common.start_load(&deployment, seconds);
     lock(&deployment.store).started_at = from;
@@ -109,7 +109,7 @@
         let at = from + options.begin_of(n) + options.calm_before;
         pause(at - wall_clock_now());
         if options.restart {
-            deployment.end();
+            deployment.stop();
             deployment.start_program()?;
         } else {
             deployment.upgrade()?;
--- a/crates/testbed/src/cluster/evaluate.rs
+++ b/crates/testbed/src/cluster/evaluate.rs
@@ -41,7 +41,7 @@
     for record in records {
         count_retry(&store, record, &mut run.retries);
     }
-    run.asked = report.asked();
+    run.submitted = report.submitted();
     run.completed = report.completed();
     run.rejected = report.rows.iter().map(|r| r.rejected).sum();
     run.aborted = report.rows.iter().map(|r| r.aborted).sum();
@@ -75,7 +75,7 @@
     }
     let of_store = [
         (
-            "drains: sent long after it was told",
+            "drains: statement sent to a draining member after the grace period",
             report.executions_after_drain,
         ),
         ("cold: a member was pushed over", store.overloads_while_warming_up),
--- a/crates/testbed/src/cluster/report.rs
+++ b/crates/testbed/src/cluster/report.rs
@@ -32,7 +32,7 @@
     /// Retries of non-idempotent writes.
     pub retries: RetryCounts,
     /// All statements.
-    pub asked: u64,
+    pub submitted: u64,
     /// Answered with a row.
     pub completed: u64,
     /// Reported as not executed.
@@ -66,7 +66,7 @@
     }
 
     /// Whether no rule was violated.
-    pub fn all_rules_kept(&self) -> bool {
+    pub fn has_no_violations(&self) -> bool {
         self.violations.is_empty()
     }
 }
@@ -128,7 +128,7 @@
             self.reads_at_primaries * 100.0,
             self.stale_roaming_reads
         )?;
-        let each = self.cpu_seconds * 1e6 / self.asked.max(1) as f64;
+        let each = self.cpu_seconds * 1e6 / self.submitted.max(1) as f64;
         writeln!(f, "drivers' processor time {each:.0} us a statement")?;
         if self.gossip_bytes_per_second > 0.0 {
             self.write_gossip(f)?;
@@ -140,7 +140,7 @@
         for (what, count) in &self.violations {
             writeln!(f, "broken: {count} times {what}")?;
         }
-        if self.all_rules_kept() {
+        if self.has_no_violations() {
             writeln!(f, "rules kept over all processes")?;
         }
         Ok(())
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -27,7 +27,7 @@
     pub folder: PathBuf,
     driver: ProgramUnderTest,
     /// Another build: each upgrade changes over to it and makes the former build the next. `None` for the same build.
-    pub next: Option<ProgramUnderTest>,
+    pub next_program: Option<ProgramUnderTest>,
     child: Option<Child>,
     /// Process id of the serving process; 0 after its end.
     pid: u32,
@@ -143,7 +143,7 @@
             listen,
             folder: folder.to_owned(),
             driver: driver.into(),
-            next: None,
+            next_program: None,
             child: None,
             pid: 0,
             logs: 0,
@@ -192,7 +192,7 @@
 
     /// Hands over to a new process; returns the output of the program's `upgrade`.
     pub fn upgrade(&mut self) -> Result<String> {
-        if let Some(next) = &mut self.next {
+        if let Some(next) = &mut self.next_program {
             std::mem::swap(&mut self.driver, next);
         }
         let output = Command::new(&self.driver.file)
@@ -220,7 +220,7 @@
     }
 
     /// Has the serving process drain, and waits for its end.
-    pub fn end(&mut self) {
+    pub fn stop(&mut self) {
         // The system may reuse the id after the process has ended.
         let pid = std::mem::take(&mut self.pid);
         let _ = Command::new("kill").arg(pid.to_string()).status();
@@ -238,7 +238,7 @@
 impl Drop for Deployment {
     fn drop(&mut self) {
         if self.pid > 0 {
-            self.end();
+            self.stop();
         }
     }
 }
--- a/crates/testbed/src/program_under_test.rs
+++ b/crates/testbed/src/program_under_test.rs
@@ -41,7 +41,7 @@
     pub fn command(&self) -> Result<Command> {
         let mut command = Command::new(&self.file);
         process_guard::end_with_this_process(&mut command)?;
-        inject(&mut command, &self.faults)?;
+        inject_faults(&mut command, &self.faults)?;
         Ok(command)
     }
 }
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// If there are faults and the shared object isn't there.
-pub fn inject(command: &mut Command, faults: &FaultPlan) -> Result<()> {
+pub fn inject_faults(command: &mut Command, faults: &FaultPlan) -> Result<()> {
     if !faults.is_empty() {
         command.env("LD_PRELOAD", preload_file()?);
         command.envs(faults.environment());
