--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -1,18 +1,18 @@
-//! Open-loop arrivals: statements become due at a rate that doesn't depend on answers.
+//! Open-loop arrivals: statements become due at a rate that doesn't depend on response times.
 
 use crate::store_model::Workload;
 use asterlatch::time::TimeSpan;
 
-/// A statement that is due.
+/// A statement and its due time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Due time from the begin of the load.
+    /// Due time since the start of the load.
     pub at: TimeSpan,
     /// Unique over all seeds.
     pub id: u64,
     /// Index into the workloads.
     pub workload: usize,
-    /// From 1.
+    /// Group number, from 1.
     pub group: u32,
     /// Client session, from 0.
     pub session: u32,
@@ -22,25 +22,25 @@
 pub struct Arrivals {
     rng: fastrand::Rng,
     shares: Vec<f64>,
-    rate: f64,
+    rate_per_s: f64,
     groups: u32,
     until: TimeSpan,
-    at: f64,
-    next: u64,
+    elapsed_s: f64,
+    last_id: u64,
 }
 
 impl Arrivals {
-    /// `rate` statements a second until `until`, over groups `1..=groups`.
-    pub fn new(workloads: &[Workload], rate: f64, groups: u32, until: TimeSpan, seed: u64) -> Arrivals {
+    /// Generates `rate_per_s` statements per second until `until`, over groups `1..=groups`.
+    pub fn new(workloads: &[Workload], rate_per_s: f64, groups: u32, until: TimeSpan, seed: u64) -> Arrivals {
         Arrivals {
             rng: fastrand::Rng::with_seed(seed),
             shares: workloads.iter().map(|workload| workload.share).collect(),
-            rate,
+            rate_per_s,
             groups,
             until,
-            at: 0.0,
-            // No two experiments share ids.
-            next: seed << 40,
+            elapsed_s: 0.0,
+            // Runs with different seeds don't share ids.
+            last_id: seed << 40,
         }
     }
 }
@@ -49,21 +49,21 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        self.at += -(1.0 - self.rng.f64()).ln() / self.rate;
-        let at = TimeSpan((self.at * 1e6) as u64);
+        self.elapsed_s += -(1.0 - self.rng.f64()).ln() / self.rate_per_s;
+        let at = TimeSpan((self.elapsed_s * 1e6) as u64);
         if at >= self.until {
             return None;
         }
-        self.next += 1;
-        let mut drawn = self.rng.f64() * self.shares.iter().sum::<f64>();
-        let chosen = self.shares.iter().position(|share| {
-            drawn -= share;
-            drawn < 0.0
+        self.last_id += 1;
+        let mut remaining_share = self.rng.f64() * self.shares.iter().sum::<f64>();
+        let workload = self.shares.iter().position(|share| {
+            remaining_share -= share;
+            remaining_share < 0.0
         });
         Some(Arrival {
             at,
-            id: self.next,
-            workload: chosen.unwrap_or(self.shares.len() - 1),
+            id: self.last_id,
+            workload: workload.unwrap_or(self.shares.len() - 1),
             group: self.rng.u32(1..=self.groups),
             session: self.rng.u32(0..200),
         })
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -1,4 +1,4 @@
-//! Compares what clients were told with what members executed.
+//! Compares the answers that clients received with what members executed.
 
 use crate::store_model::{StoreModel, WorkloadKind};
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -6,66 +6,66 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
-/// What a client knows of its statement.
+/// Outcome of a statement from its client's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// A row that names the statement which it was made for, and a position.
+    /// A row, which names a statement and a log position.
     Row {
-        /// The statement that the row was made for.
+        /// Id of the statement that produced the row.
         id: u64,
-        /// Log position of its data.
+        /// Log position of the data.
         position: Timestamp,
     },
     /// Reported as not executed, or as safe to retry.
     Rejected,
-    /// It may have been executed.
+    /// Reported as possibly executed.
     Aborted,
-    /// The connection ended, or no answer came in time or long after.
+    /// The connection ended, or the client gave up well after its timeout.
     NoAnswer,
     /// No connection was accepted.
     ConnectionRefused,
 }
 
-/// One statement as its client saw it.
+/// A statement and its outcome from its client's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementRecord {
-    /// Names the statement over all attempts.
+    /// The same for all attempts.
     pub id: u64,
     /// Index into the workloads.
     pub workload: usize,
-    /// From 1.
+    /// Group number, from 1.
     pub group: u32,
     /// Client session, from 0.
     pub session: u32,
-    /// When it was to be sent.
+    /// When the statement was due to be sent.
     pub due: Timestamp,
-    /// When it was last sent.
+    /// When the last attempt was sent.
     pub sent: Timestamp,
-    /// When its answer had come.
+    /// When the final answer was complete.
     pub answered: Timestamp,
-    /// What the client was told.
+    /// Outcome of the last attempt.
     pub outcome: ClientOutcome,
-    /// Bytes came after the final answer.
+    /// Whether the connection carried data after the final answer.
     pub has_trailing_bytes: bool,
 }
 
-/// Tolerance of the protocol for late answers and stale reads.
+/// Tolerance for late answers and stale reads.
 const PROTOCOL_SLACK: TimeSpan = TimeSpan::millis(50);
 
-/// Index in [`VIOLATIONS`] of reads older than what their session wrote.
+/// Index in [`VIOLATIONS`] of reads older than a write of their session.
 pub const STALE_SESSION_READ: usize = 8;
 
-/// Violations, in the order of the rules.
+/// Descriptions of the rules' violations. `violated_rules` returns its results in this order.
 pub const VIOLATIONS: [&str; 9] = [
     "lost: no final answer",
-    "late: answered after its time",
-    "twice: something came behind the final answer",
-    "foreign: a row that was made for another statement",
-    "doubled: a write ran twice",
-    "untrue: said to be written and was not",
-    "untrue: said to be unwritten and was",
-    "stale: older than its bound allows",
-    "stale: older than what its session wrote",
+    "late: answered after its timeout",
+    "twice: data after the final answer",
+    "foreign: a row of another statement",
+    "duplicate: a write was executed more than once",
+    "false: a write reported as executed was not",
+    "false: a write reported as not executed was",
+    "stale: older than its staleness bound",
+    "stale: older than a write of its session",
 ];
 
 /// Counts of one workload's statements by outcome.
@@ -73,7 +73,7 @@
 pub struct WorkloadSummary {
     /// Name of the workload.
     pub name: &'static str,
-    /// All of its statements.
+    /// Statements that clients sent.
     pub submitted: u64,
     /// Answered with a row.
     pub completed: u64,
@@ -81,9 +81,9 @@
     pub rejected: u64,
     /// Reported as possibly executed.
     pub aborted: u64,
-    /// Without any answer.
+    /// Without a final answer.
     pub lost: u64,
-    /// Without any connection.
+    /// Not sent, as no connection was accepted.
     pub refused: u64,
     /// Median, 99th percentile and maximum in milliseconds, from the due time.
     pub latencies: [f64; 3],
@@ -92,13 +92,13 @@
 /// Result of a check.
 #[derive(Clone, Debug, Default)]
 pub struct CheckReport {
-    /// One for each workload.
+    /// One row for each workload.
     pub rows: Vec<WorkloadSummary>,
-    /// Count by rule, in the order of [`VIOLATIONS`].
+    /// Number of violations of each rule, in the order of [`VIOLATIONS`].
     pub violations: [u64; VIOLATIONS.len()],
-    /// The id of the first statement that violated each rule.
+    /// Id of the first statement that violated a rule, by the rule's index.
     pub first_by_rule: BTreeMap<usize, u64>,
-    /// Executions at members that had been listed as draining for longer than the grace.
+    /// Executions at members that had been listed as draining for longer than the grace period.
     pub executions_after_drain: u64,
     /// Executions at all members.
     pub executions: u64,
@@ -114,20 +114,20 @@
 
 /// Latencies of statements answered with a row, from their due times, in microseconds.
 pub fn latencies<'a>(records: impl IntoIterator<Item = &'a StatementRecord>) -> Histogram<u64> {
-    // Three significant digits over any time that a client waits.
-    let mut latencies = Histogram::new_with_bounds(1, 100_000_000, 3).expect("three digits are had");
-    for r in records {
-        if matches!(r.outcome, ClientOutcome::Row { .. }) {
-            latencies.saturating_record((r.answered - r.due).0);
+    let mut latencies =
+        Histogram::new_with_bounds(1, 100_000_000, 3).expect("bounds and precision are valid");
+    for record in records {
+        if matches!(record.outcome, ClientOutcome::Row { .. }) {
+            latencies.saturating_record((record.answered - record.due).0);
         }
     }
     latencies
 }
 
-/// By group and session: when a write's answer had come, and the position that it named.
+/// Writes by group and session: when each was answered, and the log position in the answer.
 type SessionWrites = BTreeMap<(u32, u32), Vec<(Timestamp, Timestamp)>>;
 
-/// Compares what clients were told with what members executed.
+/// Compares the answers that clients received with what members executed.
 pub fn check(store: &StoreModel, records: &[StatementRecord]) -> CheckReport {
     let mut report = CheckReport {
         rows: summaries(store, records),
@@ -155,19 +155,19 @@
 fn summaries(store: &StoreModel, records: &[StatementRecord]) -> Vec<WorkloadSummary> {
     let mut rows = Vec::new();
     for (index, workload) in store.workloads.iter().enumerate() {
-        let own: Vec<_> = records.iter().filter(|r| r.workload == index).collect();
+        let matching: Vec<_> = records.iter().filter(|r| r.workload == index).collect();
         let count = |is_counted: fn(&ClientOutcome) -> bool| {
-            own.iter().filter(|r| is_counted(&r.outcome)).count() as u64
+            matching.iter().filter(|r| is_counted(&r.outcome)).count() as u64
         };
         rows.push(WorkloadSummary {
             name: workload.name,
-            submitted: own.len() as u64,
+            submitted: matching.len() as u64,
             completed: count(|outcome| matches!(outcome, ClientOutcome::Row { .. })),
             rejected: count(|outcome| *outcome == ClientOutcome::Rejected),
             aborted: count(|outcome| *outcome == ClientOutcome::Aborted),
             lost: count(|outcome| *outcome == ClientOutcome::NoAnswer),
             refused: count(|outcome| *outcome == ClientOutcome::ConnectionRefused),
-            latencies: percentiles(&latencies(own)),
+            latencies: percentiles(&latencies(matching)),
         });
     }
     rows
@@ -186,7 +186,7 @@
     writes
 }
 
-/// Which of [`VIOLATIONS`] a record shows.
+/// Whether a record violates each rule, in the order of [`VIOLATIONS`].
 fn violated_rules(
     store: &StoreModel,
     writes: &SessionWrites,
@@ -203,16 +203,16 @@
         .filter(|(answered, _)| *answered < record.sent)
         .map(|(_, position)| *position)
         .max();
-    let is_older_than = |least: Timestamp| row.is_some_and(|(_, position)| position < least);
+    let is_older_than = |minimum: Timestamp| row.is_some_and(|(_, position)| position < minimum);
     let deduplicated = match workload.kind {
         WorkloadKind::Write { deduplicated } => Some(deduplicated),
         _ => None,
     };
     let has_answer = record.outcome != ClientOutcome::NoAnswer;
-    let longest = TimeSpan(workload.timeout.0 + PROTOCOL_SLACK.0);
+    let max_latency = TimeSpan(workload.timeout.0 + PROTOCOL_SLACK.0);
     [
         !has_answer,
-        has_answer && record.answered - record.sent > longest,
+        has_answer && record.answered - record.sent > max_latency,
         record.has_trailing_bytes,
         row.is_some_and(|(id, _)| id != record.id),
         deduplicated == Some(false) && executions > 1,
@@ -229,7 +229,7 @@
 }
 
 impl CheckReport {
-    /// Violations of all rules.
+    /// Number of violations of all rules, executions after a drain included.
     pub fn violation_count(&self) -> u64 {
         self.violations.iter().sum::<u64>() + self.executions_after_drain
     }
@@ -239,7 +239,7 @@
         self.rows.iter().map(|r| r.completed).sum()
     }
 
-    /// All statements.
+    /// Statements that clients sent.
     pub fn submitted(&self) -> u64 {
         self.rows.iter().map(|r| r.submitted).sum()
     }
@@ -247,7 +247,7 @@
 
 impl Display for CheckReport {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
-        let head = [
+        let headings = [
             "workload",
             "asked",
             "completed",
@@ -257,49 +257,58 @@
             "refused",
             "p50 ms",
             "p99 ms",
-            "most ms",
+            "max ms",
         ];
-        write!(f, "{:<14}", head[0])?;
-        head[1..].iter().try_for_each(|h| write!(f, "{h:>11}"))?;
+        write!(f, "{:<14}", headings[0])?;
+        headings[1..]
+            .iter()
+            .try_for_each(|heading| write!(f, "{heading:>11}"))?;
         writeln!(f)?;
-        for r in &self.rows {
-            write!(f, "{:<14}", r.name)?;
-            for n in [r.submitted, r.completed, r.rejected, r.aborted, r.lost, r.refused] {
-                write!(f, "{n:>11}")?;
+        for row in &self.rows {
+            write!(f, "{:<14}", row.name)?;
+            for count in [
+                row.submitted,
+                row.completed,
+                row.rejected,
+                row.aborted,
+                row.lost,
+                row.refused,
+            ] {
+                write!(f, "{count:>11}")?;
             }
-            r.latencies.iter().try_for_each(|ms| write!(f, "{ms:>11.1}"))?;
+            row.latencies.iter().try_for_each(|ms| write!(f, "{ms:>11.1}"))?;
             writeln!(f)?;
         }
         let (executions, connections, health_checks) =
             (self.executions, self.connections, self.health_checks);
         writeln!(
             f,
-            "at members: {executions} executions, {connections} connections, {health_checks} probes"
+            "at members: {executions} executions, {connections} connections, {health_checks} health checks"
         )?;
         if self.violation_count() == 0 {
             return write!(
                 f,
-                "rules kept: each of {} statements has one true answer in time",
+                "rules kept: each of {} statements has one correct answer in time",
                 self.submitted()
             );
         }
-        for (n, count) in self.violations.iter().enumerate().filter(|(_, c)| **c > 0) {
+        for (rule, count) in self.violations.iter().enumerate().filter(|(_, c)| **c > 0) {
             writeln!(
                 f,
-                "broken: {count} times {}, first by statement {:x}",
-                VIOLATIONS[n], self.first_by_rule[&n]
+                "broken: {count} times {}, first for statement {:x}",
+                VIOLATIONS[rule], self.first_by_rule[&rule]
             )?;
         }
         if self.executions_after_drain > 0 {
             writeln!(
                 f,
-                "broken: {} executions went to members that drained",
+                "broken: {} executions at members that had been draining for longer than the grace period",
                 self.executions_after_drain
             )?;
         }
         write!(
             f,
-            "{} breaches in {} statements",
+            "{} violations in {} statements",
             self.violation_count(),
             self.submitted()
         )
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment on loopback: members, discovery, and one process of the built program.
+//! A deployment on the loopback interface: members, discovery, and one process of the built program.
 
 use crate::discovery;
 use crate::error::{Error, Result};
@@ -17,59 +17,65 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// One process of the program with members and discovery; dropping it ends the process.
+/// One process of the program with members and discovery; dropping it terminates the process.
 pub struct Deployment {
     /// What members store and execute.
     pub store: SharedStore,
-    /// Where the program listens.
+    /// Address at which the program accepts clients.
     pub listen: SocketAddr,
-    /// Holds configuration and logs.
+    /// Folder of configuration and logs.
     pub folder: PathBuf,
-    driver: ProgramUnderTest,
-    /// Another build: each upgrade changes over to it and makes the former build the next. `None` for the same build.
+    program: ProgramUnderTest,
+    /// Another build: each upgrade swaps it with the running one. `None` to upgrade to the same build.
     pub next_program: Option<ProgramUnderTest>,
     child: Option<Child>,
-    /// Process id of the serving process; 0 after its end.
+    /// Id of the serving process; 0 once it has been stopped.
     pid: u32,
-    logs: u32,
+    log_count: u32,
 }
 
-/// What tells a driver's configuration from others'.
+/// Settings that differ between the drivers of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct DriverIdentity<'a> {
-    /// Its name.
+    /// Name of the driver.
     pub name: &'a str,
-    /// Where it listens.
+    /// Address at which it accepts clients.
     pub listen: SocketAddr,
-    /// Where its discovery is.
+    /// Address of its discovery.
     pub discovery: SocketAddr,
 }
 
 /// Size of the replicated store.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
-    /// Groups of members.
+    /// Number of groups of members.
     pub groups: u32,
-    /// Replicas in each group, beside its primary.
+    /// Number of replicas in each group, in addition to its primary.
     pub replicas: u32,
 }
 
-/// A driver's configuration, with the endpoint list that it starts with and the count of drivers.
-pub fn driver_config(store: &SharedStore, identity: DriverIdentity, known: Value, drivers: u32) -> Value {
+/// Builds a driver's configuration; `endpoint_list` is the list that it starts with, `drivers` the number of drivers.
+pub fn driver_config(
+    store: &SharedStore,
+    identity: DriverIdentity,
+    endpoint_list: Value,
+    drivers: u32,
+) -> Value {
     let (workloads, rejects_stale_reads) = {
         let store = lock(store);
         (store.workloads.clone(), store.rejects_stale_reads)
     };
-    let each = |f: fn(&WorkloadKind) -> Value| -> Vec<_> { workloads.iter().map(|w| f(&w.kind)).collect() };
+    let each =
+        |field: fn(&WorkloadKind) -> Value| -> Vec<_> { workloads.iter().map(|w| field(&w.kind)).collect() };
     let categories: Vec<_> = workloads
         .iter()
-        .map(|w| {
-            let repeat = match w.kind {
+        .map(|workload| {
+            let idempotency = match workload.kind {
                 WorkloadKind::Write { deduplicated: false } => "fragile",
                 WorkloadKind::Write { deduplicated: true } => "dedup",
                 _ => "retryable",
             };
-            json!({"name": w.name, "idempotency": repeat, "objective_us": w.timeout.0 / 2, "worth": 1.0,
+            json!({"name": workload.name, "idempotency": idempotency, "objective_us": workload.timeout.0 / 2, "worth": 1.0,
                 "late_worth": 0.3, "key_scope": "all", "window_us": 2_000_000})
         })
         .collect();
@@ -77,7 +83,7 @@
         "name": identity.name, "listen": identity.listen.to_string(),
         "discovery": identity.discovery.to_string(), "seed": identity.name.bytes().map(u64::from).sum::<u64>().to_string(),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": known,
+        "known": endpoint_list,
         "settings": {
             "categories": categories, "zones": ["heredia", "cartago"], "tick_us": 5000, "peers_total": drivers,
             "family_info": {
@@ -96,7 +102,7 @@
     })
 }
 
-/// Succeeds if a program at this address answers.
+/// Succeeds if a program at this address answers an empty query.
 pub fn check_serving(listen: SocketAddr) -> io::Result<()> {
     let mut stream = TcpStream::connect(listen)?;
     stream.set_read_timeout(Some(START_TIMEOUT))?;
@@ -105,13 +111,13 @@
     read_message(&mut stream, true).map(drop)
 }
 
-/// How long a program may take until it serves.
+/// Time within which a started program has to serve.
 pub const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Deployment {
-    /// Starts members, discovery and the program, whose logs and files lie in `folder`.
+    /// Starts members, discovery and the program; configuration and logs go to `folder`.
     pub fn start(
-        driver: impl Into<ProgramUnderTest>,
+        program: impl Into<ProgramUnderTest>,
         folder: &Path,
         topology: Topology,
         script: FaultScript,
@@ -125,28 +131,28 @@
         let listening = members.into_iter().map(|m| Ok((m, member::start(&store, m)?)));
         let addresses: discovery::Addresses = listening.collect::<io::Result<_>>()?;
         let discovery = discovery::start(&store, &addresses, 0)?;
-        // Bound for a moment, so that the system picks the port.
+        // Bound and released at once: the system chooses a free port.
         let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let known = discovery::endpoint_list(&store, &addresses);
+        let endpoint_list = discovery::endpoint_list(&store, &addresses);
         let identity = DriverIdentity {
             name: "lab",
             listen,
             discovery,
         };
-        let config = driver_config(&store, identity, known, 1);
+        let config = driver_config(&store, identity, endpoint_list, 1);
         std::fs::write(folder.join("config.json"), config.to_string())?;
-        let times =
+        let operators_file =
             "upgrade(hello = 5s, ready = 5s, taken = 1s, probation = 500ms, beat = 100ms, silence = 2s)\n";
-        std::fs::write(folder.join("operators.latch"), times)?;
+        std::fs::write(folder.join("operators.latch"), operators_file)?;
         let mut deployment = Deployment {
             store,
             listen,
             folder: folder.to_owned(),
-            driver: driver.into(),
+            program: program.into(),
             next_program: None,
             child: None,
             pid: 0,
-            logs: 0,
+            log_count: 0,
         };
         deployment.start_program()?;
         Ok(deployment)
@@ -156,12 +162,12 @@
         self.folder.join(name)
     }
 
-    /// Starts the program, and waits until it answers.
+    /// Starts the program and waits until it serves.
     pub fn start_program(&mut self) -> Result<()> {
-        self.logs += 1;
-        let log = File::create(self.path(&format!("driver-{}.log", self.logs)))?;
+        self.log_count += 1;
+        let log = File::create(self.path(&format!("driver-{}.log", self.log_count)))?;
         let child = self
-            .driver
+            .program
             .command()?
             .arg("serve")
             .arg("--config")
@@ -175,14 +181,14 @@
             .stderr(log)
             .spawn()
             .map_err(|source| Error::StartProgram {
-                program: self.driver.file.clone(),
+                program: self.program.file.clone(),
                 source,
             })?;
         self.pid = child.id();
         self.child = Some(child);
-        let end = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_TIMEOUT;
         while let Err(e) = check_serving(self.listen) {
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return Err(Error::ProgramNotServing(e));
             }
             thread::sleep(Duration::from_millis(2));
@@ -190,46 +196,46 @@
         Ok(())
     }
 
-    /// Hands over to a new process; returns the output of the program's `upgrade`.
+    /// Runs the program's `upgrade`, which hands over to a new process; returns its output.
     pub fn upgrade(&mut self) -> Result<String> {
         if let Some(next) = &mut self.next_program {
-            std::mem::swap(&mut self.driver, next);
+            std::mem::swap(&mut self.program, next);
         }
-        let output = Command::new(&self.driver.file)
+        let output = Command::new(&self.program.file)
             .arg("upgrade")
             .arg("--control")
             .arg(self.path("control"))
             .arg("--to")
-            .arg(&self.driver.file)
+            .arg(&self.program.file)
             .output()?;
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         if !output.status.success() {
             return Err(Error::UpgradeFailed(text));
         }
-        // The predecessor ends by itself; the successor isn't a child of this process.
+        // The predecessor exits by itself; the successor isn't a child of this process.
         if let Some(mut child) = self.child.take() {
             child.wait()?;
         }
-        let number = text
+        let pid = text
             .split(" as process ")
             .nth(1)
             .and_then(|t| t.split_whitespace().next());
-        let number = number.and_then(|n| n.parse().ok());
-        self.pid = number.ok_or_else(|| Error::UnnamedSuccessor(text.clone()))?;
+        let pid = pid.and_then(|pid| pid.parse().ok());
+        self.pid = pid.ok_or_else(|| Error::UnnamedSuccessor(text.clone()))?;
         Ok(text)
     }
 
-    /// Has the serving process drain, and waits for its end.
+    /// Sends SIGTERM, on which the process drains, and waits until it has exited.
     pub fn stop(&mut self) {
-        // The system may reuse the id after the process has ended.
+        // Cleared first: the system may reuse the id once the process has exited.
         let pid = std::mem::take(&mut self.pid);
         let _ = Command::new("kill").arg(pid.to_string()).status();
         if let Some(mut child) = self.child.take() {
             let _ = child.wait();
             return;
         }
-        let end = Instant::now() + START_TIMEOUT;
-        while Path::new(&format!("/proc/{pid}")).exists() && Instant::now() < end {
+        let deadline = Instant::now() + START_TIMEOUT;
+        while Path::new(&format!("/proc/{pid}")).exists() && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -1,10 +1,10 @@
-//! Errors of the test bed itself; rules that a program breaks are results, not errors.
+//! Errors of the test bed itself; violations by the program under test are results, not errors.
 
 use crate::fault_script::ParseError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why an experiment can't be run.
+/// Why a run could not be completed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A socket, file or process of the test bed failed.
@@ -14,71 +14,71 @@
     #[error(transparent)]
     Script(#[from] ParseError),
     /// A fault script can't be read.
-    #[error("{path}: {source}")]
+    #[error("cannot read fault script {path}: {source}")]
     ReadScript {
         /// The script's file.
         path: PathBuf,
-        /// What reading it gave.
+        /// The error of reading it.
         source: io::Error,
     },
     /// No scenario has this name.
-    #[error("no scene '{name}': {known}")]
+    #[error("unknown scenario '{name}'; known scenarios: {known}")]
     UnknownScenario {
-        /// As asked for.
+        /// The requested name.
         name: String,
-        /// All names.
+        /// Names of all scenarios, separated by commas.
         known: String,
     },
     /// The program under test can't be started.
-    #[error("{program}: {source}")]
+    #[error("cannot start {program}: {source}")]
     StartProgram {
-        /// Its file.
+        /// Path of the executable.
         program: PathBuf,
-        /// What starting it gave.
+        /// The error of spawning it.
         source: io::Error,
     },
-    /// The shared object with the faults isn't there.
-    #[error("{path}: not built; cargo build -p asterlatch-fault-preload")]
-    NoPreload {
-        /// Where it should be.
+    /// The shared object that injects faults is missing.
+    #[error("cannot find {path}; build it with `cargo build -p asterlatch-fault-preload`")]
+    MissingPreload {
+        /// Expected path.
         path: PathBuf,
     },
     /// The only process of a deployment didn't serve in time.
-    #[error("the program doesn't serve: {0}")]
+    #[error("the program did not serve in time: {0}")]
     ProgramNotServing(#[source] io::Error),
     /// A process of a cluster didn't serve in time.
-    #[error("driver {driver} doesn't serve: {source}\n{log}")]
+    #[error("driver {driver} did not serve in time: {source}\n{log}")]
     DriverNotServing {
         /// From 1.
         driver: u32,
-        /// The last attempt to talk to it.
+        /// The error of the last connection attempt.
         source: io::Error,
         /// Log of its first start.
         log: String,
     },
     /// The drivers of a cluster didn't list each other in time.
-    #[error("the drivers don't find each other")]
+    #[error("the drivers did not discover each other in time")]
     MembershipTimeout,
-    /// A driver's answer about shared state is no JSON.
-    #[error("fleet {command} of driver {driver}: {source} {stderr}")]
+    /// The output of the program's `fleet` command isn't JSON.
+    #[error("cannot parse output of `fleet {command}` for driver {driver}: {source} {stderr}")]
     InvalidStatus {
-        /// The program's subcommand of `fleet`.
+        /// Subcommand of `fleet`.
         command: String,
         /// From 1.
         driver: u32,
-        /// Where parsing stopped.
+        /// The JSON error.
         source: serde_json::Error,
-        /// What the program wrote beside it.
+        /// The command's standard error.
         stderr: String,
     },
     /// The program reported a failed upgrade, with this output.
-    #[error("{0}")]
+    #[error("upgrade failed: {0}")]
     UpgradeFailed(String),
     /// The program's output after an upgrade doesn't name the successor.
-    #[error("names no process: {0}")]
+    #[error("upgrade output names no successor process: {0}")]
     UnnamedSuccessor(String),
     /// A thread that runs clusters panicked.
-    #[error("a play panicked")]
+    #[error("a run panicked")]
     RunPanicked,
 }
 
--- a/crates/testbed/src/process_guard.rs
+++ b/crates/testbed/src/process_guard.rs
@@ -1,25 +1,24 @@
-//! Ends the processes under test when the test bed ends, however it ends.
+//! Kills the processes under test when the test bed ends, also by SIGKILL.
 //!
-//! They belong to the process group of a guard, a shell that waits at a pipe of which the test bed alone holds the other
-//! end. The kernel closes that end with the test bed, by SIGKILL too, and the guard then kills its group. Successors of
-//! the program under test are in the group as well. A parent death signal would be bound to the thread that has started
-//! the process, and its successors would not have it.
+//! They belong to the process group of a guard, a shell that reads from a pipe whose other end only the test bed holds.
+//! When the test bed ends, the kernel closes the pipe and the guard kills its process group, successors of the program
+//! included. `PR_SET_PDEATHSIG` would not do: it depends on the spawning thread, and successors don't inherit it.
 
 use std::io;
 use std::os::unix::process::CommandExt;
 use std::process::{Child, Command, Stdio};
 use std::sync::{Mutex, PoisonError};
 
-/// Waits for the end of its input, then kills its process group and thereby itself.
+/// Waits for the end of its input, then kills its process group, itself included.
 const GUARD_SCRIPT: &str = "read _; kill -KILL 0";
 
-/// Holds its end of the pipe until this process ends.
+/// The running guard; keeps the write end of its pipe open until this process ends.
 static GUARD: Mutex<Option<Child>> = Mutex::new(None);
 
-/// Has the process that this command starts end with the test bed.
+/// Puts the process that `command` starts into the guard's process group, so that it ends with the test bed.
 ///
 /// # Errors
-/// If the guard can't be started.
+/// The guard can't be started.
 pub fn end_with_this_process(command: &mut Command) -> io::Result<()> {
     let mut guard = GUARD.lock().unwrap_or_else(PoisonError::into_inner);
     let group = match &*guard {
--- a/crates/testbed/src/program_under_test.rs
+++ b/crates/testbed/src/program_under_test.rs
@@ -1,4 +1,4 @@
-//! The built program, and the faults that it is started with.
+//! The built program and the faults that are injected into it.
 
 use crate::error::{Error, Result};
 use crate::process_guard;
@@ -6,15 +6,15 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// File of the shared object that injects faults, as cargo builds it.
+/// File name of the shared object that injects faults.
 const PRELOAD_FILE: &str = "libasterlatch_fault_preload.so";
 
-/// The program that a test bed starts.
+/// An executable to be tested, with its injected faults.
 #[derive(Clone, Debug)]
 pub struct ProgramUnderTest {
-    /// Its file.
+    /// Path of the executable.
     pub file: PathBuf,
-    /// System calls of it that fail, and the shift of its wall clock. They hold for its successors too.
+    /// Failing system calls and shift of the wall clock, also of its successors.
     pub faults: FaultPlan,
 }
 
@@ -34,10 +34,10 @@
 }
 
 impl ProgramUnderTest {
-    /// A command that starts it; the process ends with the test bed.
+    /// Returns a command that starts the program; its process ends with the test bed.
     ///
     /// # Errors
-    /// If the guard can't be started, or the shared object with the faults isn't there.
+    /// The guard can't be started, or the shared object that injects faults is missing.
     pub fn command(&self) -> Result<Command> {
         let mut command = Command::new(&self.file);
         process_guard::end_with_this_process(&mut command)?;
@@ -46,10 +46,10 @@
     }
 }
 
-/// Injects these faults into the process that this command starts, and into no other.
+/// Injects `faults` into the process that `command` starts.
 ///
 /// # Errors
-/// If there are faults and the shared object isn't there.
+/// The shared object that injects faults is missing; not checked if `faults` is empty.
 pub fn inject_faults(command: &mut Command, faults: &FaultPlan) -> Result<()> {
     if !faults.is_empty() {
         command.env("LD_PRELOAD", preload_file()?);
@@ -58,16 +58,16 @@
     Ok(())
 }
 
-/// The shared object beside this executable, or where cargo leaves what packages depend on.
+/// Finds the shared object next to this executable, or in `deps`, where cargo puts dependencies.
 fn preload_file() -> Result<PathBuf> {
     let executable = std::env::current_exe()?;
-    let beside = executable.with_file_name(PRELOAD_FILE);
-    let built_for_packages = executable.with_file_name("deps").join(PRELOAD_FILE);
-    if beside.exists() {
-        Ok(beside)
-    } else if built_for_packages.exists() {
-        Ok(built_for_packages)
+    let sibling = executable.with_file_name(PRELOAD_FILE);
+    let built_as_dependency = executable.with_file_name("deps").join(PRELOAD_FILE);
+    if sibling.exists() {
+        Ok(sibling)
+    } else if built_as_dependency.exists() {
+        Ok(built_as_dependency)
     } else {
-        Err(Error::NoPreload { path: beside })
+        Err(Error::MissingPreload { path: sibling })
     }
 }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,6 +1,6 @@
-//! Named fault scripts for a cluster, and how many drivers each needs.
+//! Named fault scripts for a cluster, with the number of drivers that each needs.
 
-/// Scenarios for five drivers: name and fault script.
+/// Name and fault script of scenarios for five drivers.
 pub const SCENARIOS: [(&str, &str); 14] = [
     ("calm", "0s link 1 to 2 slow 0ms for 1ms"),
     ("killed", "1s driver 2 is killed for 2s"),
@@ -33,13 +33,13 @@
     ),
 ];
 
-/// Enough drivers that each sees little of the load by itself.
+/// Number of drivers at which each observes only a small part of the load.
 pub const WIDE_DRIVERS: u32 = 12;
-/// Scenarios for [`WIDE_DRIVERS`] drivers or more.
+/// Name and fault script of scenarios for at least [`WIDE_DRIVERS`] drivers.
 pub const WIDE_SCENARIOS: [(&str, &str); 7] = [
     ("silent", "1s member 2 hangs for 3s"),
     ("silent-lossy", "0s links lose 50% for 6s\n1s member 2 hangs for 3s"),
-    // Whichever driver holds the lease on checking member 2, another follows when it is stopped or killed.
+    // Stops and kills drivers, so that the lease on health checks of member 2 has to change its holder.
     (
         "holder",
         "500ms member 2 is down for 4s\n1s driver 1 stops for 2s\n1s driver 2 stops for 2s\n1s driver 3 stops for 2s\n1s driver 4 stops for 2s\n2s driver 5 is killed for 1s\n2s driver 6 is killed for 1s",
@@ -48,7 +48,7 @@
         "third",
         "1s driver 1 is killed for 2s\n1s driver 2 is killed for 2s\n1s driver 3 is killed for 2s\n1s driver 4 is killed for 2s",
     ),
-    // Four start late, and three others leave.
+    // Four drivers join during the run, and three others leave.
     (
         "grows-and-shrinks",
         "0s driver 9 is killed for 2s\n0s driver 10 is killed for 2s\n0s driver 11 is killed for 2s\n0s driver 12 is killed for 2s\n3s driver 1 is killed for 2s\n3s driver 2 is killed for 2s\n3s driver 3 is killed for 2s",
@@ -63,7 +63,7 @@
     ),
 ];
 
-/// All scenarios, with `drivers` processes where the scenario leaves that open.
+/// All scenarios with `drivers` processes; [`WIDE_SCENARIOS`] have at least [`WIDE_DRIVERS`].
 pub fn scenarios(drivers: u32) -> impl Iterator<Item = Scenario> {
     let narrow = SCENARIOS.into_iter().map(move |(name, script)| Scenario {
         name,
@@ -81,9 +81,9 @@
 /// A named fault script for a cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Scenario {
-    /// As on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// Processes of the program.
+    /// Number of driver processes.
     pub drivers: u32,
     /// Text of the fault script.
     pub script: &'static str,
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of PostgreSQL's protocol, and the comment at the head of a statement.
+//! Messages of PostgreSQL's protocol, and the comment before a statement.
 
 use crate::store_model::Statement;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -6,37 +6,36 @@
 use std::net::TcpStream;
 use std::time::SystemTime;
 
-/// The system's clock, in microseconds since 1970: members and discovery of a test bed stamp with it.
-#[expect(clippy::disallowed_methods, reason = "stands for the members' clock")]
+/// The system's wall clock, which members and discovery use for their timestamps.
+#[expect(clippy::disallowed_methods, reason = "stands in for the members' clock")]
 pub fn wall_clock_now() -> Timestamp {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    Timestamp(since.unwrap_or_default().as_micros() as u64)
+    let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    Timestamp(since_epoch.unwrap_or_default().as_micros() as u64)
 }
 
-/// A message: its kind, its length and its body.
+/// Encodes a message: its kind, its length and its body.
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// Longest message in a test bed.
 const MAX_MESSAGE_BYTES: usize = 1 << 24;
 
-/// Reads the next message: its kind (0 without `has_kind`) and its body.
+/// Reads the next message and returns its kind and body. Without `has_kind`, as for the startup message, the kind is 0.
 pub fn read_message(stream: &mut TcpStream, has_kind: bool) -> io::Result<(u8, Vec<u8>)> {
-    let mut head = [0; 5];
-    let from = usize::from(!has_kind);
-    stream.read_exact(&mut head[from..])?;
-    let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
+    let mut header = [0; 5];
+    let start = usize::from(!has_kind);
+    stream.read_exact(&mut header[start..])?;
+    let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize;
     let length = length
         .checked_sub(4)
-        .filter(|l| *l <= MAX_MESSAGE_BYTES)
+        .filter(|length| *length <= MAX_MESSAGE_BYTES)
         .ok_or(ErrorKind::InvalidData)?;
     let mut body = vec![0; length];
     stream.read_exact(&mut body)?;
-    Ok((head[0], body))
+    Ok((header[0], body))
 }
 
-/// Sends the startup message and reads up to the first `ReadyForQuery`.
+/// Sends the startup message and reads responses up to the first `ReadyForQuery`.
 pub fn start_session(stream: &mut TcpStream) -> io::Result<()> {
     let fields = b"user\0api\0database\0ledger\0\0";
     let mut startup = (fields.len() as u32 + 8).to_be_bytes().to_vec();
@@ -47,17 +46,17 @@
     Ok(())
 }
 
-/// An `ErrorResponse`.
+/// Encodes an `ErrorResponse`.
 pub fn error_response(code: &str, text: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{code}\0M{text}\0\0").as_bytes())
 }
 
-/// A `ParameterStatus`.
+/// Encodes a `ParameterStatus`.
 pub fn parameter_status(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
-/// A row of one binary column.
+/// Encodes a result of one row with one binary column.
 pub fn data_row(value: &[u8]) -> Vec<u8> {
     let mut column = 1u16.to_be_bytes().to_vec();
     column.extend(b"blob\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
@@ -72,19 +71,19 @@
     .concat()
 }
 
-/// The value that a member returns: the statement that it was made for, and its log position.
+/// Encodes the value that a member returns: the statement's id and the log position of the data.
 pub fn encode_value(id: u64, position: Timestamp) -> Vec<u8> {
     format!("{id:x}@{}", position.0 / 1000).into_bytes()
 }
 
-/// The statement's id and the position in a value, or `None` if it is no such value.
+/// Decodes a value of [`encode_value`]; `None` if it is malformed.
 pub fn decode_value(value: &[u8]) -> Option<(u64, Timestamp)> {
     let (id, ms) = std::str::from_utf8(value).ok()?.split_once('@')?;
-    let at = Timestamp(0) + TimeSpan::millis(ms.parse().ok()?);
-    Some((u64::from_str_radix(id, 16).ok()?, at))
+    let position = Timestamp(0) + TimeSpan::millis(ms.parse().ok()?);
+    Some((u64::from_str_radix(id, 16).ok()?, position))
 }
 
-/// Parses a statement by its head comment; `names` are those of the workloads, by index.
+/// Parses the comment before a statement; `names` are the workloads' names, by index. `None` if it is invalid.
 pub fn parse_statement(text: &str, names: &[&str]) -> Option<Statement> {
     let comment = text.trim_start().strip_prefix("/*")?.split("*/").next()?;
     let field = |name: &str| {
@@ -99,34 +98,34 @@
     })
 }
 
-/// The time that a statement's head comment leaves, in milliseconds.
+/// Parses the remaining time of a statement, in milliseconds, from the comment before it.
 pub fn parse_timeout_ms(text: &str) -> Option<u64> {
     let comment = text.trim_start().strip_prefix("/*")?.split("*/").next()?;
     let mut fields = comment.trim().split(',').filter_map(|f| f.split_once('='));
     fields.find(|(name, _)| *name == "d")?.1.parse().ok()
 }
 
-/// A client's statement, as its query names it.
+/// A client's statement and the fields of its comment.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientStatement {
-    /// Names the statement over all attempts.
+    /// The same for all attempts.
     pub id: u64,
-    /// Name of its workload.
+    /// Name of the workload.
     pub workload: &'static str,
-    /// How long the client still waits.
+    /// Remaining time until the client gives up.
     pub timeout: TimeSpan,
-    /// From 1.
+    /// Group number, from 1.
     pub group: u32,
-    /// Also the key that is read or written.
+    /// Client session; it reads and writes a key of its own.
     pub session: u32,
-    /// Whether it writes the key; otherwise it reads it.
+    /// Whether the statement writes its key or reads it.
     pub is_write: bool,
     /// An attempt after the first.
     pub is_retry: bool,
 }
 
 impl ClientStatement {
-    /// The query message.
+    /// Encodes the query message.
     pub fn encode(&self) -> Vec<u8> {
         let ClientStatement {
             id,
@@ -136,12 +135,12 @@
             ..
         } = self;
         let milliseconds = self.timeout.0 / 1000;
-        let again = if self.is_retry { ",r=1" } else { "" };
-        let head = format!("/* id={id:x},c={workload},d={milliseconds},cluster={group}{again} */");
+        let retry_field = if self.is_retry { ",r=1" } else { "" };
+        let header = format!("/* id={id:x},c={workload},d={milliseconds},cluster={group}{retry_field} */");
         let text = if self.is_write {
-            format!("{head} INSERT INTO rows (handle, blob) VALUES ('s{session}', 'x') RETURNING blob\0")
+            format!("{header} INSERT INTO rows (handle, blob) VALUES ('s{session}', 'x') RETURNING blob\0")
         } else {
-            format!("{head} SELECT blob FROM rows WHERE handle = 's{session}'\0")
+            format!("{header} SELECT blob FROM rows WHERE handle = 's{session}'\0")
         };
         message(b'Q', text.as_bytes())
     }
