--- a/crates/testbed/src/fault_script/mod.rs
+++ b/crates/testbed/src/fault_script/mod.rs
@@ -1,4 +1,4 @@
-//! Fault scripts: which fault holds when, one a line.
+//! Fault scripts: one fault per line, with its start and duration.
 //!
 //! ```text
 //! 2s member 3 slow 50ms for 1s
@@ -12,7 +12,7 @@
 //! 7s links lose 30% for 5s
 //! ```
 //!
-//! Times count from the start of the load. The script is stateless: callers ask what holds at a moment.
+//! Times count from the start of the load. A script has no state: callers query which faults are active at a time.
 
 mod parse;
 
@@ -22,38 +22,38 @@
 /// A fault of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberFault {
-    /// Each statement takes this much longer.
+    /// Adds this delay to each statement.
     Slow(TimeSpan),
-    /// Accepts connections and statements, and never answers.
+    /// Accepts connections and statements but never answers.
     Unresponsive,
-    /// Closes each connection, open or new.
+    /// Closes all connections, open and new.
     Down,
-    /// Answers with an error that leaves open whether the statement was executed.
+    /// Answers with an error that doesn't tell whether the statement was executed.
     Failing,
     /// Executes statements and closes the connection instead of answering.
     DropsAnswers,
-    /// Its log position is this far behind the primary.
+    /// Its log position is behind the primary by this time.
     Lagging(TimeSpan),
     /// Discovery lists it as draining.
     Draining,
-    /// Closes connections that have been idle for a moment.
+    /// Closes idle connections.
     ClosesIdle,
-    /// Resets a connection that was idle for a moment when a message comes on it, unread.
+    /// Resets an idle connection when the next message arrives, without reading it.
     ResetsIdle,
-    /// Has forgotten a connection that was idle for a moment: what comes on it is neither executed nor answered.
+    /// Neither executes nor answers what arrives on an idle connection, and leaves it open.
     ForgetsIdle,
-    /// Every second statement with little time left is neither executed nor answered.
+    /// Neither executes nor answers every second statement with a short remaining time.
     DropsShort,
-    /// Discovery lists it as started at the fault's begin, so that it is in slow start.
+    /// Discovery lists it as started when the fault begins, which puts it into slow start.
     WarmingUp,
 }
 
-/// The member that a fault is for.
+/// The member that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// By number, from 1.
+    /// Member by number, from 1.
     Member(u32),
-    /// Whichever member is primary of this group at the time.
+    /// The current primary of this group.
     Primary(u32),
 }
 
@@ -62,48 +62,48 @@
 pub enum FaultEvent {
     /// A member's fault.
     Member {
-        /// Who has the fault.
+        /// The affected member.
         target: Target,
-        /// Which fault.
+        /// Kind of the fault.
         fault: MemberFault,
-        /// Begin.
+        /// Start time.
         from: TimeSpan,
-        /// End, exclusive.
+        /// End time, exclusive.
         until: TimeSpan,
     },
     /// The group's primary changes.
     PrimaryChange {
-        /// From 1.
+        /// Group number, from 1.
         group: u32,
-        /// The new primary.
+        /// Member number of the new primary.
         to: u32,
-        /// When it takes over.
+        /// Time of the change.
         at: TimeSpan,
     },
-    /// A fault of one process of the program, numbered from 1.
+    /// A fault of one process of the program.
     Driver {
-        /// From 1.
+        /// Driver number, from 1.
         driver: u32,
-        /// Which fault.
+        /// Kind of the fault.
         fault: DriverFault,
-        /// Begin.
+        /// Start time.
         from: TimeSpan,
-        /// End, exclusive.
+        /// End time, exclusive.
         until: TimeSpan,
     },
-    /// A fault of the links between processes of the program; an empty list means all of them.
+    /// A fault of the network links between drivers.
     Link {
         /// Senders; empty for all drivers.
         from_drivers: Vec<u32>,
         /// Receivers; empty for all drivers.
         to_drivers: Vec<u32>,
-        /// Whether the fault also holds from receivers to senders.
+        /// Whether the fault also affects the reverse direction.
         both_ways: bool,
-        /// Which fault.
+        /// Kind of the fault.
         fault: LinkFault,
-        /// Begin.
+        /// Start time.
         from: TimeSpan,
-        /// End, exclusive.
+        /// End time, exclusive.
         until: TimeSpan,
     },
 }
@@ -111,112 +111,112 @@
 /// A fault of one process of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DriverFault {
-    /// SIGKILL at the begin, restarted at the end.
+    /// SIGKILL at the start, restart at the end.
     Killed,
-    /// SIGSTOP at the begin, SIGCONT at the end.
+    /// SIGSTOP at the start, SIGCONT at the end.
     Stopped,
-    /// Discovery doesn't answer it.
+    /// Discovery doesn't answer the driver.
     DiscoveryStalled,
-    /// Discovery closes its connections unanswered.
+    /// Discovery closes the driver's connections without an answer.
     DiscoveryRefused,
-    /// Discovery answers it this much later, piece by piece.
+    /// Discovery sends its responses in pieces, spread over this time.
     DiscoveryDelayed(TimeSpan),
-    /// Discovery answers all that have this fault one after another, each taking this long.
+    /// Discovery answers the drivers with this fault one at a time, each after this delay.
     DiscoveryCrowded(TimeSpan),
-    /// Discovery's answers to it have no length and end with their connection.
+    /// Discovery's responses have no `Content-Length`; the end of the connection ends them.
     DiscoveryWithoutLength,
-    /// SIGHUP this many times within the span, each with a configuration that names another address of discovery.
+    /// This many SIGHUPs between start and end, each after a change of the discovery address in the configuration.
     Reloaded(u32),
-    /// From its next start on its clock is this many seconds ahead of the others (negative: behind).
+    /// The driver's clock is ahead by this many seconds from its next start on; negative: behind.
     ClockOffset(i64),
-    /// SIGKILL at the begin, restarted at the end on a copy of this driver's disk.
+    /// SIGKILL at the start, restart at the end with a copy of this driver's shared log.
     RestartedOnDiskOf(u32),
-    /// SIGKILL at the begin, restarted at the end as a build with a later version of the gossip wire.
+    /// SIGKILL at the start, restart at the end as a build with a later version of the gossip protocol.
     LaterBuild,
 }
 
-/// What a link does to datagrams.
+/// How a link disturbs datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Drops all of them.
+    /// Drops all datagrams.
     Cut,
-    /// Delays each by this much.
+    /// Delays each datagram by this time.
     Delay(TimeSpan),
-    /// Drops this many of a thousand.
+    /// Drops this many datagrams per thousand.
     Loss(u32),
-    /// Flips a bit in this many of a thousand.
+    /// Flips a bit in this many datagrams per thousand.
     Corruption(u32),
 }
 
-/// All faults of a link in one direction, taken together: the largest of each kind.
+/// All active faults of a link in one direction, combined: the maximum of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkState {
     /// All datagrams are dropped.
     pub cut: bool,
-    /// Each datagram is delayed by this much.
+    /// Delay of each datagram.
     pub delay: TimeSpan,
-    /// Datagrams dropped of a thousand.
+    /// Dropped datagrams per thousand.
     pub loss_per_mille: u32,
-    /// Datagrams with a flipped bit of a thousand.
+    /// Datagrams with a flipped bit per thousand.
     pub corruption_per_mille: u32,
 }
 
-/// Fault events in the order of their lines.
+/// A parsed script: its fault events in the order of their lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultScript(pub Vec<FaultEvent>);
 
-/// A driver's fault and its span.
+/// A fault of a driver with its start and end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledDriverFault {
-    /// From 1.
+    /// Driver number, from 1.
     pub driver: u32,
-    /// Which fault.
+    /// Kind of the fault.
     pub fault: DriverFault,
-    /// Begin.
+    /// Start time.
     pub from: TimeSpan,
-    /// Exclusive.
+    /// End time, exclusive.
     pub until: TimeSpan,
 }
 
 impl FaultScript {
-    /// The group's primary at `now` and since when; `first` until the script changes it.
-    pub fn primary(&self, now: TimeSpan, group: u32, first: u32) -> (u32, TimeSpan) {
-        let switches = self.0.iter().filter_map(|e| match e {
+    /// The group's primary at `now` and the time since which it is; `initial` until the script changes it.
+    pub fn primary(&self, now: TimeSpan, group: u32, initial: u32) -> (u32, TimeSpan) {
+        let changes = self.0.iter().filter_map(|event| match event {
             FaultEvent::PrimaryChange { group: g, to, at } if *g == group && *at <= now => Some((*at, *to)),
             _ => None,
         });
-        switches
+        changes
             .max_by_key(|(at, _)| *at)
-            .map_or((first, TimeSpan(0)), |(at, to)| (to, at))
+            .map_or((initial, TimeSpan(0)), |(at, to)| (to, at))
     }
 
-    /// Faults of a member at `now`, each with its begin.
+    /// Active faults of a member at `now`, each with its start time.
     pub fn faults(
         &self,
         now: TimeSpan,
         member: u32,
         is_primary_of: Option<u32>,
     ) -> impl Iterator<Item = (MemberFault, TimeSpan)> + '_ {
-        self.0.iter().filter_map(move |e| match e {
+        self.0.iter().filter_map(move |event| match event {
             FaultEvent::Member {
                 target,
                 fault,
                 from,
                 until,
             } if (*from..*until).contains(&now) => {
-                let meant = match target {
+                let is_target = match target {
                     Target::Member(m) => *m == member,
                     Target::Primary(g) => is_primary_of == Some(*g),
                 };
-                meant.then_some((*fault, *from))
+                is_target.then_some((*fault, *from))
             }
             _ => None,
         })
     }
 
-    /// When a member was last restarted, up to `now`.
+    /// Time of a member's last restart, up to `now`.
     pub fn last_start(&self, now: TimeSpan, member: u32) -> Option<TimeSpan> {
-        let starts = self.0.iter().filter_map(|e| match e {
+        let starts = self.0.iter().filter_map(|event| match event {
             FaultEvent::Member {
                 target: Target::Member(m),
                 fault: MemberFault::WarmingUp,
@@ -228,9 +228,9 @@
         starts.max()
     }
 
-    /// When the endpoint list changes next after `now`: a drain begins or ends, or a member was restarted.
+    /// Time of the first change of the endpoint list after `now`: a drain begins or ends, or a member is restarted.
     pub fn next_endpoint_list_change(&self, now: TimeSpan) -> Option<TimeSpan> {
-        let times = self.0.iter().filter_map(|e| match e {
+        let times = self.0.iter().filter_map(|event| match event {
             FaultEvent::Member {
                 fault: MemberFault::Draining | MemberFault::WarmingUp,
                 from,
@@ -242,7 +242,7 @@
         times.flatten().filter(|at| *at > now).min()
     }
 
-    /// Faults of drivers, by begin and driver.
+    /// All faults of drivers, sorted by start time and driver.
     pub fn driver_faults(&self) -> Vec<ScheduledDriverFault> {
         let all = self.0.iter().filter_map(|event| match event {
             FaultEvent::Driver {
@@ -263,7 +263,7 @@
         all
     }
 
-    /// Whether this fault of a driver holds at `now`.
+    /// Whether a driver has this fault at `now`.
     pub fn has_driver_fault(&self, now: TimeSpan, driver: u32, fault: DriverFault) -> bool {
         self.driver_faults().iter().any(|scheduled| {
             scheduled.driver == driver
@@ -272,21 +272,22 @@
         })
     }
 
-    /// Faults of a driver at `now`.
+    /// Active faults of a driver at `now`.
     pub fn faults_of_driver(&self, now: TimeSpan, driver: u32) -> impl Iterator<Item = DriverFault> {
         let faults = self.driver_faults().into_iter();
-        let holds = move |s: &ScheduledDriverFault| s.driver == driver && (s.from..s.until).contains(&now);
-        faults.filter(holds).map(|scheduled| scheduled.fault)
+        let is_active =
+            move |s: &ScheduledDriverFault| s.driver == driver && (s.from..s.until).contains(&now);
+        faults.filter(is_active).map(|scheduled| scheduled.fault)
     }
 
-    /// Whether any member ever has this fault.
+    /// Whether the script gives this fault to any member.
     pub fn mentions(&self, sought: MemberFault) -> bool {
         let is_sought =
             |event: &FaultEvent| matches!(event, FaultEvent::Member { fault, .. } if *fault == sought);
         self.0.iter().any(is_sought)
     }
 
-    /// Faults at `now` of the link from driver `sender` to driver `receiver`.
+    /// Combined faults at `now` of the link from driver `sender` to driver `receiver`.
     pub fn link_state(&self, now: TimeSpan, sender: u32, receiver: u32) -> LinkState {
         let mut state = LinkState::default();
         for event in &self.0 {
@@ -301,9 +302,9 @@
             else {
                 continue;
             };
-            let contains = |drivers: &[u32], n: u32| drivers.is_empty() || drivers.contains(&n);
-            let forward = contains(from_drivers, sender) && contains(to_drivers, receiver);
-            let backward = *both_ways && contains(from_drivers, receiver) && contains(to_drivers, sender);
+            let matches = |drivers: &[u32], driver: u32| drivers.is_empty() || drivers.contains(&driver);
+            let forward = matches(from_drivers, sender) && matches(to_drivers, receiver);
+            let backward = *both_ways && matches(from_drivers, receiver) && matches(to_drivers, sender);
             if (*from..*until).contains(&now) && (forward || backward) {
                 state.add(*fault);
             }
@@ -316,9 +317,11 @@
     fn add(&mut self, fault: LinkFault) {
         match fault {
             LinkFault::Cut => self.cut = true,
-            LinkFault::Delay(by) => self.delay = self.delay.max(by),
-            LinkFault::Loss(part) => self.loss_per_mille = self.loss_per_mille.max(part),
-            LinkFault::Corruption(part) => self.corruption_per_mille = self.corruption_per_mille.max(part),
+            LinkFault::Delay(delay) => self.delay = self.delay.max(delay),
+            LinkFault::Loss(per_mille) => self.loss_per_mille = self.loss_per_mille.max(per_mille),
+            LinkFault::Corruption(per_mille) => {
+                self.corruption_per_mille = self.corruption_per_mille.max(per_mille)
+            }
         }
     }
 }
--- a/crates/testbed/src/fault_script/parse.rs
+++ b/crates/testbed/src/fault_script/parse.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {kind}")]
 pub struct ParseError {
-    /// From 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// Cause.
     #[source]
     pub kind: ParseErrorKind,
 }
@@ -18,95 +18,102 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseErrorKind {
     /// A word that should be a time span.
-    #[error("'{0}' is no span like 50ms or 1.5s")]
+    #[error("'{0}' is not a time span such as 50ms or 1.5s")]
     InvalidSpan(String),
     /// A span that is negative or longer than a day.
-    #[error("'{0}' is out of bounds")]
+    #[error("time span '{0}' is negative or longer than a day")]
     SpanOutOfBounds(String),
     /// A word that should be a number.
-    #[error("'{0}' is no number")]
+    #[error("'{0}' is not a number")]
     InvalidNumber(String),
     /// A word that should be a percentage.
-    #[error("'{0}' is no share like 30%")]
-    InvalidShare(String),
+    #[error("'{0}' is not a percentage such as 30%")]
+    InvalidPercentage(String),
     /// `for SPAN` is missing.
-    #[error("doesn't say for how long")]
+    #[error("missing duration: 'for SPAN'")]
     MissingDuration,
-    /// A split without its second side.
-    #[error("a split is 'from' others")]
+    /// A split without `from` and its second side.
+    #[error("split without 'from'")]
     SplitWithoutFrom,
     /// An unknown fault of a driver.
-    #[error("names nothing that befalls a driver: is killed, is renewed, stops, reloads N times, hears no list, is refused lists, hears lists SPAN late, in turns of SPAN or without length, is SPAN ahead or behind")]
+    #[error(
+        "unknown driver fault; expected: is killed, is killed and given the disk of N, is renewed, \
+        stops, reloads N times, hears no list, is refused lists, \
+        hears lists SPAN late, in turns of SPAN or without length, is SPAN ahead or behind"
+    )]
     UnknownDriverFault,
     /// An unknown fault of a link.
-    #[error("names nothing that befalls a link: is cut, slow, loses, garbles")]
+    #[error("unknown link fault; expected: is cut, slow SPAN, loses N%, garbles N%")]
     UnknownLinkFault,
     /// An unknown fault of a member.
-    #[error("names no fault: slow, lags, hangs, is down, fails, loses answers, closes idle, resets idle, forgets idle, drops short, drains, starts")]
+    #[error(
+        "unknown member fault; expected: slow SPAN, lags SPAN, hangs, is down, fails, loses answers, \
+        closes idle, resets idle, forgets idle, drops short, drains, starts"
+    )]
     UnknownMemberFault,
     /// An unknown subject.
-    #[error("names neither member, primary, group, driver, link nor split")]
+    #[error("unknown subject; expected: member, primary, group, driver, link, links or split")]
     UnknownTarget,
     /// A line without words.
-    #[error("is empty")]
+    #[error("line is empty")]
     Empty,
 }
 
 type Result<T> = std::result::Result<T, ParseErrorKind>;
 
-/// A fault and the words behind it.
+/// A fault and the remaining words of its line.
 type Parsed<'words, 'text, T> = (T, &'words [&'text str]);
 
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// The longest span: a day, longer than any experiment.
+/// A day, longer than any run.
 const MAX_SPAN_US: f64 = 86_400e6;
 
-/// `50ms`, `1.5s`.
-fn span(text: &str) -> Result<TimeSpan> {
+/// Parses a time span such as `50ms` or `1.5s`.
+fn parse_span(text: &str) -> Result<TimeSpan> {
     let invalid = || ParseErrorKind::InvalidSpan(text.to_owned());
-    let (number, unit) = match (text.strip_suffix("ms"), text.strip_suffix('s')) {
+    let (number, unit_us) = match (text.strip_suffix("ms"), text.strip_suffix('s')) {
         (Some(number), _) => (number, MICROSECONDS_PER_MILLISECOND),
         (_, Some(number)) => (number, MICROSECONDS_PER_SECOND),
         _ => return Err(invalid()),
     };
     let number: f64 = number.parse().map_err(|_| invalid())?;
-    if !(0.0..=MAX_SPAN_US).contains(&(number * unit)) {
+    if !(0.0..=MAX_SPAN_US).contains(&(number * unit_us)) {
         return Err(ParseErrorKind::SpanOutOfBounds(text.to_owned()));
     }
-    Ok(TimeSpan((number * unit) as u64))
+    Ok(TimeSpan((number * unit_us) as u64))
 }
 
-fn number(text: &str) -> Result<u32> {
+fn parse_number(text: &str) -> Result<u32> {
     text.parse()
         .map_err(|_| ParseErrorKind::InvalidNumber(text.to_owned()))
 }
 
-fn numbers(words: &[&str]) -> Result<Vec<u32>> {
-    words.iter().map(|word| number(word)).collect()
+fn parse_numbers(words: &[&str]) -> Result<Vec<u32>> {
+    words.iter().map(|word| parse_number(word)).collect()
 }
 
-/// `30%`, in thousandths.
-fn share(text: &str) -> Result<u32> {
+/// Parses a percentage such as `30%`; returns parts per thousand.
+fn parse_per_mille(text: &str) -> Result<u32> {
     let percent = text.strip_suffix('%').and_then(|n| n.parse::<f64>().ok());
     let percent = percent.filter(|n| (0.0..=100.0).contains(n));
-    let percent = percent.ok_or_else(|| ParseErrorKind::InvalidShare(text.to_owned()))?;
+    let percent = percent.ok_or_else(|| ParseErrorKind::InvalidPercentage(text.to_owned()))?;
     Ok((percent * 10.0) as u32)
 }
 
-/// The end of an event that begins at `from`, by the line's last words, `for SPAN`.
-fn end_of(from: TimeSpan, rest: &[&str]) -> Result<TimeSpan> {
+/// Parses `for SPAN` at the end of a line; returns the end of an event that starts at `from`.
+fn parse_end(from: TimeSpan, rest: &[&str]) -> Result<TimeSpan> {
     match rest {
-        ["for", length] => Ok(TimeSpan(from.0 + span(length)?.0)),
+        ["for", duration] => Ok(TimeSpan(from.0 + parse_span(duration)?.0)),
         _ => Err(ParseErrorKind::MissingDuration),
     }
 }
 
-fn member_fault<'w, 't>(words: &'w [&'t str]) -> Result<Parsed<'w, 't, MemberFault>> {
+fn parse_member_fault<'w, 't>(words: &'w [&'t str]) -> Result<Parsed<'w, 't, MemberFault>> {
     match words {
-        ["slow", by, rest @ ..] => Ok((MemberFault::Slow(span(by)?), rest)),
-        ["lags", by, rest @ ..] => Ok((MemberFault::Lagging(span(by)?), rest)),
+        ["slow", by, rest @ ..] => Ok((MemberFault::Slow(parse_span(by)?), rest)),
+        ["lags", by, rest @ ..] => Ok((MemberFault::Lagging(parse_span(by)?), rest)),
         ["hangs", rest @ ..] => Ok((MemberFault::Unresponsive, rest)),
         ["is", "down", rest @ ..] => Ok((MemberFault::Down, rest)),
         ["fails", rest @ ..] => Ok((MemberFault::Failing, rest)),
@@ -121,68 +128,74 @@
     }
 }
 
-fn driver_fault<'w, 't>(words: &'w [&'t str]) -> Result<Parsed<'w, 't, DriverFault>> {
+fn parse_driver_fault<'w, 't>(words: &'w [&'t str]) -> Result<Parsed<'w, 't, DriverFault>> {
     match words {
         ["is", "killed", "and", "given", "the", "disk", "of", other, rest @ ..] => {
-            Ok((DriverFault::RestartedOnDiskOf(number(other)?), rest))
+            Ok((DriverFault::RestartedOnDiskOf(parse_number(other)?), rest))
         }
         ["is", "renewed", rest @ ..] => Ok((DriverFault::LaterBuild, rest)),
         ["is", "killed", rest @ ..] => Ok((DriverFault::Killed, rest)),
         ["is", by, direction @ ("ahead" | "behind"), rest @ ..] => {
-            let seconds = (span(by)?.0 / 1_000_000) as i64;
+            let seconds = (parse_span(by)?.0 / 1_000_000) as i64;
             let sign = if *direction == "ahead" { 1 } else { -1 };
             Ok((DriverFault::ClockOffset(sign * seconds), rest))
         }
         ["stops", rest @ ..] => Ok((DriverFault::Stopped, rest)),
         ["is", "refused", "lists", rest @ ..] => Ok((DriverFault::DiscoveryRefused, rest)),
         ["hears", "lists", "without", "length", rest @ ..] => Ok((DriverFault::DiscoveryWithoutLength, rest)),
-        ["hears", "lists", by, "late", rest @ ..] => Ok((DriverFault::DiscoveryDelayed(span(by)?), rest)),
+        ["hears", "lists", by, "late", rest @ ..] => {
+            Ok((DriverFault::DiscoveryDelayed(parse_span(by)?), rest))
+        }
         ["hears", "lists", "in", "turns", "of", each, rest @ ..] => {
-            Ok((DriverFault::DiscoveryCrowded(span(each)?), rest))
+            Ok((DriverFault::DiscoveryCrowded(parse_span(each)?), rest))
         }
-        ["reloads", times, "times", rest @ ..] => Ok((DriverFault::Reloaded(number(times)?), rest)),
+        ["reloads", times, "times", rest @ ..] => Ok((DriverFault::Reloaded(parse_number(times)?), rest)),
         ["hears", "no", "list", rest @ ..] => Ok((DriverFault::DiscoveryStalled, rest)),
         _ => Err(ParseErrorKind::UnknownDriverFault),
     }
 }
 
-fn link_fault<'w, 't>(words: &'w [&'t str]) -> Result<Parsed<'w, 't, LinkFault>> {
+fn parse_link_fault<'w, 't>(words: &'w [&'t str]) -> Result<Parsed<'w, 't, LinkFault>> {
     match words {
         ["is" | "are", "cut", rest @ ..] => Ok((LinkFault::Cut, rest)),
-        ["slow", by, rest @ ..] => Ok((LinkFault::Delay(span(by)?), rest)),
-        ["lose" | "loses", part, rest @ ..] => Ok((LinkFault::Loss(share(part)?), rest)),
-        ["garble" | "garbles", part, rest @ ..] => Ok((LinkFault::Corruption(share(part)?), rest)),
+        ["slow", by, rest @ ..] => Ok((LinkFault::Delay(parse_span(by)?), rest)),
+        ["lose" | "loses", percentage, rest @ ..] => {
+            Ok((LinkFault::Loss(parse_per_mille(percentage)?), rest))
+        }
+        ["garble" | "garbles", percentage, rest @ ..] => {
+            Ok((LinkFault::Corruption(parse_per_mille(percentage)?), rest))
+        }
         _ => Err(ParseErrorKind::UnknownLinkFault),
     }
 }
 
-fn member_event(from: TimeSpan, target: Target, rest: &[&str]) -> Result<FaultEvent> {
-    let (fault, rest) = member_fault(rest)?;
+fn parse_member_event(from: TimeSpan, target: Target, rest: &[&str]) -> Result<FaultEvent> {
+    let (fault, rest) = parse_member_fault(rest)?;
     Ok(FaultEvent::Member {
         target,
         fault,
         from,
-        until: end_of(from, rest)?,
+        until: parse_end(from, rest)?,
     })
 }
 
-fn driver_event(from: TimeSpan, driver: u32, rest: &[&str]) -> Result<FaultEvent> {
-    let (fault, rest) = driver_fault(rest)?;
+fn parse_driver_event(from: TimeSpan, driver: u32, rest: &[&str]) -> Result<FaultEvent> {
+    let (fault, rest) = parse_driver_fault(rest)?;
     Ok(FaultEvent::Driver {
         driver,
         fault,
         from,
-        until: end_of(from, rest)?,
+        until: parse_end(from, rest)?,
     })
 }
 
-/// `link A to B ...` in one direction, `link A and B ...` in both.
-fn link_event(from: TimeSpan, ends: [&str; 2], both_ways: bool, rest: &[&str]) -> Result<FaultEvent> {
-    let (fault, rest) = link_fault(rest)?;
-    let until = end_of(from, rest)?;
+/// Parses a link's fault: `link A to B ...` affects one direction, `link A and B ...` both.
+fn parse_link_event(from: TimeSpan, ends: [&str; 2], both_ways: bool, rest: &[&str]) -> Result<FaultEvent> {
+    let (fault, rest) = parse_link_fault(rest)?;
+    let until = parse_end(from, rest)?;
     Ok(FaultEvent::Link {
-        from_drivers: vec![number(ends[0])?],
-        to_drivers: vec![number(ends[1])?],
+        from_drivers: vec![parse_number(ends[0])?],
+        to_drivers: vec![parse_number(ends[1])?],
         both_ways,
         fault,
         from,
@@ -190,27 +203,27 @@
     })
 }
 
-fn all_links_event(from: TimeSpan, rest: &[&str]) -> Result<FaultEvent> {
-    let (fault, rest) = link_fault(rest)?;
+fn parse_all_links_event(from: TimeSpan, rest: &[&str]) -> Result<FaultEvent> {
+    let (fault, rest) = parse_link_fault(rest)?;
     Ok(FaultEvent::Link {
         from_drivers: Vec::new(),
         to_drivers: Vec::new(),
         both_ways: true,
         fault,
         from,
-        until: end_of(from, rest)?,
+        until: parse_end(from, rest)?,
     })
 }
 
-/// `split 1 2 from 3 4 for 8s`: no datagram passes between the two sides.
-fn split_event(from: TimeSpan, rest: &[&str]) -> Result<FaultEvent> {
+/// Parses `split 1 2 from 3 4 for 8s`: no datagram passes between the two sides.
+fn parse_split_event(from: TimeSpan, rest: &[&str]) -> Result<FaultEvent> {
     let position = |word: &str| rest.iter().position(|w| *w == word);
-    let middle = position("from").ok_or(ParseErrorKind::SplitWithoutFrom)?;
-    let end = position("for").ok_or(ParseErrorKind::MissingDuration)?;
-    let until = end_of(from, &rest[end..])?;
+    let from_index = position("from").ok_or(ParseErrorKind::SplitWithoutFrom)?;
+    let for_index = position("for").ok_or(ParseErrorKind::MissingDuration)?;
+    let until = parse_end(from, &rest[for_index..])?;
     Ok(FaultEvent::Link {
-        from_drivers: numbers(&rest[..middle])?,
-        to_drivers: numbers(rest.get(middle + 1..end).unwrap_or_default())?,
+        from_drivers: parse_numbers(&rest[..from_index])?,
+        to_drivers: parse_numbers(rest.get(from_index + 1..for_index).unwrap_or_default())?,
         both_ways: true,
         fault: LinkFault::Cut,
         from,
@@ -218,40 +231,42 @@
     })
 }
 
-fn event(line: &str) -> Result<FaultEvent> {
+fn parse_event(line: &str) -> Result<FaultEvent> {
     let words: Vec<&str> = line.split_whitespace().collect();
     let (at, rest) = words.split_first().ok_or(ParseErrorKind::Empty)?;
-    let at = span(at)?;
+    let at = parse_span(at)?;
     match rest {
-        ["driver", driver, rest @ ..] => driver_event(at, number(driver)?, rest),
-        ["link", one, direction @ ("to" | "and"), other, rest @ ..] => {
-            link_event(at, [one, other], *direction == "and", rest)
+        ["driver", driver, rest @ ..] => parse_driver_event(at, parse_number(driver)?, rest),
+        ["link", first, direction @ ("to" | "and"), second, rest @ ..] => {
+            parse_link_event(at, [first, second], *direction == "and", rest)
         }
-        ["links", rest @ ..] => all_links_event(at, rest),
-        ["split", rest @ ..] => split_event(at, rest),
+        ["links", rest @ ..] => parse_all_links_event(at, rest),
+        ["split", rest @ ..] => parse_split_event(at, rest),
         ["group", group, "switches", "to", member] => Ok(FaultEvent::PrimaryChange {
-            group: number(group)?,
-            to: number(member)?,
+            group: parse_number(group)?,
+            to: parse_number(member)?,
             at,
         }),
-        ["member", member, rest @ ..] => member_event(at, Target::Member(number(member)?), rest),
-        ["primary", "of", group, rest @ ..] => member_event(at, Target::Primary(number(group)?), rest),
+        ["member", member, rest @ ..] => parse_member_event(at, Target::Member(parse_number(member)?), rest),
+        ["primary", "of", group, rest @ ..] => {
+            parse_member_event(at, Target::Primary(parse_number(group)?), rest)
+        }
         _ => Err(ParseErrorKind::UnknownTarget),
     }
 }
 
 impl FaultScript {
-    /// Parses a script; empty lines and lines that begin with `#` are skipped.
+    /// Parses a script; skips empty lines and lines that begin with `#`.
     ///
     /// # Errors
-    /// The first line that can't be parsed.
+    /// The first invalid line.
     pub fn parse(text: &str) -> std::result::Result<FaultScript, ParseError> {
         let mut events = Vec::new();
         for (index, line) in text.lines().enumerate() {
             if line.trim().is_empty() || line.trim_start().starts_with('#') {
                 continue;
             }
-            let event = event(line).map_err(|kind| ParseError {
+            let event = parse_event(line).map_err(|kind| ParseError {
                 line: index + 1,
                 kind,
             })?;
