--- a/crates/testbed/src/adverse/clients.rs
+++ b/crates/testbed/src/adverse/clients.rs
@@ -3,7 +3,7 @@
 use crate::arrivals::Arrivals;
 use crate::checker::{check, ClientOutcome, StatementRecord, VIOLATIONS};
 use crate::cluster::{Findings, Surroundings};
-use crate::load_generator::{self, answer};
+use crate::load_generator::{self, read_answer};
 use crate::member::{lock, pause};
 use crate::store_model::WorkloadKind;
 use crate::wire::{message, read_message, start_session, wall_clock_now, ClientStatement};
@@ -129,13 +129,13 @@
         Stop::LaterText => {
             start_session(&mut stream)?;
             stream.write_all(&read_of(id + 1))?;
-            answer(&mut stream)?;
+            read_answer(&mut stream)?;
             stream.write_all(half)?;
         }
         Stop::Pipelined => {
             start_session(&mut stream)?;
             stream.write_all(&[&read_of(id + 1)[..], half].concat())?;
-            answer(&mut stream)?;
+            read_answer(&mut stream)?;
         }
     }
     let stopped_at = Instant::now();
@@ -367,7 +367,7 @@
         let sent: Timestamp = wall_clock_now();
         let answered = stream
             .write_all(&statement.encode())
-            .and_then(|()| answer(&mut stream));
+            .and_then(|()| read_answer(&mut stream));
         if answered.is_ok() {
             self.idle = Some(stream);
         }
--- a/crates/testbed/src/cluster/setup.rs
+++ b/crates/testbed/src/cluster/setup.rs
@@ -49,8 +49,8 @@
             for other in one + 1..=plan.drivers {
                 let ends = (links.own[one as usize - 1], links.own[other as usize - 1]);
                 let proxy = link_proxy::start(store, (one, other), ends, plan.seed)?;
-                links.proxied.insert((one, other), proxy.at.0);
-                links.proxied.insert((other, one), proxy.at.1);
+                links.proxied.insert((one, other), proxy.addresses.0);
+                links.proxied.insert((other, one), proxy.addresses.1);
                 links.proxies.push(proxy);
             }
         }
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery over HTTP: the complete endpoint list, and a watch that waits for a newer version.
+//! Discovery over HTTP: serves the complete endpoint list, and watches that wait for a newer version.
 
 use crate::fault_script::DriverFault;
 use crate::member::{listen, lock, pause, SharedStore};
@@ -12,27 +12,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two looks at the script.
+/// Interval between checks of the fault script.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Longest wait of a watch.
-const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Maximum wait of a watch.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
-/// Where each member listens, by number.
+/// Address of each member, by number.
 pub type Addresses = BTreeMap<u32, SocketAddr>;
 
-/// The endpoint list at this moment; its index grows with each change that the script makes.
+/// Returns the current endpoint list; its index grows with each change by the fault script.
 pub fn endpoint_list(store: &SharedStore, addresses: &Addresses) -> Value {
     let store = lock(store);
     let now = wall_clock_now();
     let mut index = 1;
-    let mut at = TimeSpan(0);
+    let mut last_change = TimeSpan(0);
     while let Some(next) = store
         .script
-        .next_endpoint_list_change(at)
-        .filter(|n| *n <= now - store.started_at)
+        .next_endpoint_list_change(last_change)
+        .filter(|next| *next <= now - store.started_at)
     {
-        at = next;
+        last_change = next;
         index += 1;
     }
     let entry = |(member, address): (&u32, &SocketAddr)| {
@@ -49,7 +49,7 @@
     json!({"index": index, "snapshot": true, "endpoints": endpoints})
 }
 
-/// Starts discovery for one driver (from 1; 0 if there is only one); the script may stall it.
+/// Starts discovery for `driver`, numbered from 1, under its scripted faults; 0 if there is only one driver.
 pub fn start(store: &SharedStore, addresses: &Addresses, driver: u32) -> io::Result<SocketAddr> {
     let (shared, addresses) = (store.clone(), addresses.clone());
     listen(store, move |stream| serve(stream, &shared, &addresses, driver))
@@ -77,7 +77,7 @@
             }
             list = endpoint_list(store, addresses);
         }
-        // While stalled, neither a poll nor a watch that was open before is answered.
+        // A stall also holds back the response to a watch that was open before.
         while has_driver_fault(store, driver, DriverFault::DiscoveryStalled) {
             thread::sleep(POLL_INTERVAL);
         }
@@ -86,52 +86,57 @@
             list["snapshot"] = json!(false);
         }
         let body = list.to_string();
-        if send(&mut stream, store, driver, &body)? == Framing::UntilClose {
+        if send_response(&mut stream, store, driver, &body)? == Framing::UntilClose {
             return Ok(());
         }
     }
     Ok(())
 }
 
-/// How a response ends.
+/// How the client recognizes the end of a response.
 #[derive(Clone, Copy, PartialEq)]
 enum Framing {
-    /// By its length.
-    Length,
-    /// With its connection.
+    /// By `Content-Length`.
+    ContentLength,
+    /// By the end of the connection.
     UntilClose,
 }
 
-/// Pieces of a slow response.
-const SLOW_PIECES: usize = 5;
+/// Number of pieces in which a delayed response is sent.
+const DELAYED_PIECES: usize = 5;
 
-/// Sends a response as the script has it now.
-fn send(stream: &mut TcpStream, store: &SharedStore, driver: u32, body: &str) -> io::Result<Framing> {
-    let (faults, turn) = {
+/// Sends a response under the faults that are active now.
+fn send_response(
+    stream: &mut TcpStream,
+    store: &SharedStore,
+    driver: u32,
+    body: &str,
+) -> io::Result<Framing> {
+    let (faults, discovery_lock) = {
         let store = lock(store);
         let now = wall_clock_now() - store.started_at;
         let faults: Vec<_> = store.script.faults_of_driver(now, driver).collect();
-        (faults, store.discovery_turn.clone())
+        (faults, store.discovery_lock.clone())
     };
     let without_length = faults.contains(&DriverFault::DiscoveryWithoutLength);
-    let head = match without_length {
+    let header = match without_length {
         true => "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".to_owned(),
         false => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()),
     };
-    let response = head + body;
+    let response = header + body;
     let delay = faults.iter().find_map(|fault| match fault {
-        DriverFault::DiscoveryDelayed(by) => Some(*by),
+        DriverFault::DiscoveryDelayed(delay) => Some(*delay),
         _ => None,
     });
-    let own_turn = faults.iter().find_map(|fault| match fault {
-        DriverFault::DiscoveryCrowded(each) => Some(*each),
+    let serialized_delay = faults.iter().find_map(|fault| match fault {
+        DriverFault::DiscoveryCrowded(delay) => Some(*delay),
         _ => None,
     });
-    if let Some(each) = own_turn {
-        let _turn = turn.lock().unwrap_or_else(PoisonError::into_inner);
-        pause(each);
+    if let Some(serialized_delay) = serialized_delay {
+        let _guard = discovery_lock.lock().unwrap_or_else(PoisonError::into_inner);
+        pause(serialized_delay);
     }
-    let pieces = delay.map_or(1, |_| SLOW_PIECES);
+    let pieces = delay.map_or(1, |_| DELAYED_PIECES);
     for piece in response.as_bytes().chunks(response.len().div_ceil(pieces)) {
         pause(TimeSpan(delay.unwrap_or_default().0 / pieces as u64));
         stream.write_all(piece)?;
@@ -142,47 +147,47 @@
         return Ok(Framing::UntilClose);
     }
     store.lists_with_length += 1;
-    Ok(Framing::Length)
+    Ok(Framing::ContentLength)
 }
 
-/// A request's query.
+/// Parameters of a request.
 struct Request {
-    /// The index that the client has, if it watches.
-    after: Option<u64>,
-    /// How long a watch waits for a newer index.
+    /// Index of the list that the client has, if it watches for a newer one.
+    known_version: Option<u64>,
+    /// Maximum wait for a newer list.
     wait: Duration,
 }
 
 impl Request {
-    /// Reads a request up to the empty line behind its headers; `None` at the connection's end.
+    /// Reads a request up to the empty line after its headers; `None` at the end of the connection.
     fn read(lines: &mut impl BufRead) -> io::Result<Option<Request>> {
-        let mut first = String::new();
-        if lines.read_line(&mut first)? == 0 {
+        let mut request_line = String::new();
+        if lines.read_line(&mut request_line)? == 0 {
             return Ok(None);
         }
-        let mut line = first.clone();
+        let mut line = request_line.clone();
         while line.trim() != "" {
             line.clear();
             if lines.read_line(&mut line)? == 0 {
                 return Ok(None);
             }
         }
-        let path = first.split(' ').nth(1).unwrap_or_default();
-        let field = |name: &str| -> Option<u64> {
+        let path = request_line.split(' ').nth(1).unwrap_or_default();
+        let parameter = |name: &str| -> Option<u64> {
             let query = path.split_once('?')?.1;
-            let fields = query.split('&').filter_map(|f| f.split_once('='));
-            fields
+            let pairs = query.split('&').filter_map(|f| f.split_once('='));
+            pairs
                 .filter(|(n, _)| *n == name)
                 .find_map(|(_, value)| value.parse().ok())
         };
         Ok(Some(Request {
-            after: field("after"),
-            wait: Duration::from_millis(field("wait_ms").unwrap_or(0)).min(MAX_WAIT),
+            known_version: parameter("after"),
+            wait: Duration::from_millis(parameter("wait_ms").unwrap_or(0)).min(MAX_WATCH_WAIT),
         }))
     }
 
     fn is_waiting_for_newer(&self, list: &Value) -> bool {
-        self.after
-            .is_some_and(|after| list["index"].as_u64() <= Some(after))
+        self.known_version
+            .is_some_and(|known_version| list["index"].as_u64() <= Some(known_version))
     }
 }
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -1,4 +1,4 @@
-//! Open-loop clients of one driver: a statement is sent when it is due, whether or not others still wait.
+//! Open-loop clients of one driver: a statement is sent when it is due, however many others await their answers.
 
 use crate::arrivals::{Arrival, Arrivals};
 use crate::checker::{ClientOutcome, StatementRecord};
@@ -12,13 +12,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How long a client listens after its timeout, to tell late answers from missing ones.
+/// Time for which a client reads on after its timeout, to tell late answers from missing ones.
 const LATE_ANSWER_WAIT: TimeSpan = TimeSpan::millis(1000);
 
 /// A running load.
 pub struct Load(Vec<JoinHandle<Vec<StatementRecord>>>);
 
-/// Starts `clients` threads; due times of arrivals count from `from`.
+/// Starts `clients` client threads; due times of arrivals count from `from`.
 pub fn start(
     store: &SharedStore,
     address: SocketAddr,
@@ -50,12 +50,12 @@
 }
 
 impl Load {
-    /// Waits for all clients; records by due time.
+    /// Waits for all clients; returns their records, sorted by due time.
     pub fn finish(self) -> Vec<StatementRecord> {
-        let ended = self.0.into_iter().filter_map(|client| client.join().ok());
-        let mut all: Vec<StatementRecord> = ended.flatten().collect();
-        all.sort_by_key(|r| (r.due, r.id));
-        all
+        let finished = self.0.into_iter().filter_map(|client| client.join().ok());
+        let mut records: Vec<StatementRecord> = finished.flatten().collect();
+        records.sort_by_key(|r| (r.due, r.id));
+        records
     }
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl Client {
-    /// Notes whether bytes came after the last answer.
+    /// Records whether the idle connection carries data after the last answer.
     fn check_trailing_bytes(&mut self) {
         let Some(stream) = &self.idle_connection else {
             return;
@@ -92,8 +92,8 @@
         self.check_trailing_bytes();
         let (name, kind, timeout) = {
             let store = lock(&self.store);
-            let w = &store.workloads[arrival.workload];
-            (w.name, w.kind, w.timeout)
+            let workload = &store.workloads[arrival.workload];
+            (workload.name, workload.kind, workload.timeout)
         };
         let query = ClientStatement {
             id: arrival.id,
@@ -107,21 +107,21 @@
         .encode();
         let mut sent = wall_clock_now();
         let mut outcome = ClientOutcome::ConnectionRefused;
-        // If the connection ended and no member received the statement, it is sent once more on a new connection.
-        for again in [false, true] {
-            let idle_connection = self.idle_connection.take().filter(|_| !again);
-            let until = wall_clock_now() + timeout;
+        // A statement that no member has received is sent once more, on a new connection.
+        for is_second_attempt in [false, true] {
+            let idle_connection = self.idle_connection.take().filter(|_| !is_second_attempt);
+            let deadline = wall_clock_now() + timeout;
             let mut stream = idle_connection
                 .ok_or(io::Error::from(ErrorKind::NotConnected))
                 .or_else(|_| self.connect(timeout));
-            while stream.is_err() && wall_clock_now() < until {
+            while stream.is_err() && wall_clock_now() < deadline {
                 pause(TimeSpan::millis(5));
                 stream = self.connect(timeout);
             }
             let Ok(mut stream) = stream else { break };
             let _ = stream.set_read_timeout(Some(Duration::from_micros(timeout.0 + LATE_ANSWER_WAIT.0)));
             sent = wall_clock_now();
-            outcome = match stream.write_all(&query).and_then(|()| answer(&mut stream)) {
+            outcome = match stream.write_all(&query).and_then(|()| read_answer(&mut stream)) {
                 Ok(outcome) => {
                     self.idle_connection = Some(stream);
                     outcome
@@ -146,8 +146,8 @@
     }
 }
 
-/// Reads the final answer, up to `ReadyForQuery`.
-pub fn answer(stream: &mut TcpStream) -> io::Result<ClientOutcome> {
+/// Reads messages up to `ReadyForQuery`; returns the outcome that they report.
+pub fn read_answer(stream: &mut TcpStream) -> io::Result<ClientOutcome> {
     let mut outcome = None;
     loop {
         let (kind, body) = read_message(stream, true)?;
@@ -158,7 +158,7 @@
                 outcome = Some(ClientOutcome::Row { id, position });
             }
             b'E' => {
-                let code = body.split(|b| *b == 0).find_map(|f| f.strip_prefix(b"C"));
+                let code = body.split(|b| *b == 0).find_map(|field| field.strip_prefix(b"C"));
                 let is_rejection = matches!(code, Some(b"53300" | b"57P03"));
                 outcome = Some(if is_rejection {
                     ClientOutcome::Rejected
--- a/crates/testbed/src/member.rs
+++ b/crates/testbed/src/member.rs
@@ -1,4 +1,4 @@
-//! Members on loopback sockets, each with a port of its own, and one thread a connection.
+//! Members on loopback sockets, each with its own port and one thread per connection.
 
 use crate::fault_script::MemberFault;
 use crate::store_model::{Reply, StoreModel};
@@ -13,33 +13,33 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A connection counts as idle once it has had no statement for this long.
+/// Time after the last answer from which a connection counts as idle.
 const IDLE_AFTER: Duration = Duration::from_millis(60);
-/// Between two looks at an idle connection that may be closed.
-const IDLE_POLL: Duration = Duration::from_millis(10);
-/// Statements with at most this much time left may be dropped.
-const SHORT_MS: u64 = 20;
+/// Interval between checks of whether an idle connection has to be closed.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum remaining time of a statement that `MemberFault::DropsShort` affects.
+const MAX_SHORT_TIMEOUT_MS: u64 = 20;
 
-/// The store model that all threads of a test bed share.
+/// The store model, shared by all threads of the test bed.
 pub type SharedStore = Arc<Mutex<StoreModel>>;
 
-/// Locks the store, also after a thread panicked while it held the lock.
+/// Locks the store, even if a thread has panicked with the lock held.
 pub fn lock(store: &SharedStore) -> MutexGuard<'_, StoreModel> {
     store.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Blocks the thread for this long.
+/// Blocks the current thread for `span`.
 pub fn pause(span: TimeSpan) {
     thread::sleep(Duration::from_micros(span.0));
 }
 
-/// Starts a member; returns the address at which it listens.
+/// Starts a member's threads; returns the address at which it listens.
 pub fn start(store: &SharedStore, member: u32) -> io::Result<SocketAddr> {
     let shared = store.clone();
     listen(store, move |stream| serve(stream, &shared, member))
 }
 
-/// Listens on a free port of loopback, with a thread a connection, until the store is shut down.
+/// Listens on a free loopback port, with one thread per connection, until the store is shut down.
 pub(crate) fn listen(
     store: &SharedStore,
     serve: impl Fn(TcpStream) -> io::Result<()> + Clone + Send + 'static,
@@ -53,7 +53,7 @@
                 return;
             }
             let serve = serve.clone();
-            // A connection that breaks ends its thread and is reported nowhere.
+            // An error only ends its connection.
             thread::spawn(move || drop(serve(stream)));
         }
     });
@@ -76,9 +76,9 @@
     let mut answered_at = None;
     loop {
         match await_message(&mut stream, store, member, answered_at)? {
-            Idle::Kept => {}
-            Idle::Closed => return Ok(()),
-            Idle::Forgotten => return stream.read_to_end(&mut Vec::new()).map(drop),
+            IdleAction::Continue => {}
+            IdleAction::Close => return Ok(()),
+            IdleAction::Ignore => return stream.read_to_end(&mut Vec::new()).map(drop),
         }
         let (kind, body) = read_message(&mut stream, true)?;
         if kind != b'Q' {
@@ -91,8 +91,8 @@
                 answered_at = Some(Instant::now());
             }
             Response::Close => return Ok(()),
-            Response::Silence => {
-                // Until the client gives up.
+            Response::NoAnswer => {
+                // Returns when the client closes the connection.
                 read_message(&mut stream, true)?;
                 return Ok(());
             }
@@ -100,59 +100,59 @@
     }
 }
 
-/// What becomes of a connection between two statements.
-enum Idle {
-    /// The next one is executed.
-    Kept,
-    /// The connection is closed; the system resets it if something came that wasn't read.
-    Closed,
-    /// It stays open, and nothing on it is answered.
-    Forgotten,
+/// How a connection proceeds before the next statement.
+enum IdleAction {
+    /// The next statement is read and executed.
+    Continue,
+    /// The connection is closed; the system resets it if it has unread data.
+    Close,
+    /// The connection stays open, and nothing on it is answered.
+    Ignore,
 }
 
-/// Waits for the next message, and leaves it unread.
+/// Waits for the next message without reading it, and applies the faults of idle connections.
 fn await_message(
     stream: &mut TcpStream,
     store: &SharedStore,
     member: u32,
     answered_at: Option<Instant>,
-) -> io::Result<Idle> {
+) -> io::Result<IdleAction> {
     let Some(answered_at) = answered_at else {
-        return Ok(Idle::Kept);
+        return Ok(IdleAction::Continue);
     };
-    let closes = lock(store).script.mentions(MemberFault::ClosesIdle);
-    stream.set_read_timeout(closes.then_some(IDLE_POLL))?;
-    let has = |fault| lock(store).has_fault(wall_clock_now(), member, fault);
+    let polls = lock(store).script.mentions(MemberFault::ClosesIdle);
+    stream.set_read_timeout(polls.then_some(IDLE_POLL_INTERVAL))?;
+    let has_fault = |fault| lock(store).has_fault(wall_clock_now(), member, fault);
     loop {
         let peeked = stream.peek(&mut [0]);
         let is_idle = answered_at.elapsed() >= IDLE_AFTER;
         match peeked {
-            Ok(_) if is_idle && has(MemberFault::ResetsIdle) => return Ok(Idle::Closed),
-            Ok(_) if is_idle && has(MemberFault::ForgetsIdle) => return Ok(Idle::Forgotten),
+            Ok(_) if is_idle && has_fault(MemberFault::ResetsIdle) => return Ok(IdleAction::Close),
+            Ok(_) if is_idle && has_fault(MemberFault::ForgetsIdle) => return Ok(IdleAction::Ignore),
             Ok(_) => break,
             Err(e) if !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return Err(e),
-            Err(_) if is_idle && has(MemberFault::ClosesIdle) => return Ok(Idle::Closed),
+            Err(_) if is_idle && has_fault(MemberFault::ClosesIdle) => return Ok(IdleAction::Close),
             Err(_) => {}
         }
     }
     stream.set_read_timeout(None)?;
-    Ok(Idle::Kept)
+    Ok(IdleAction::Continue)
 }
 
 enum Response {
-    /// These messages, then `ReadyForQuery`.
+    /// Send these messages, then `ReadyForQuery`.
     Send(Vec<u8>),
     Close,
-    /// Nothing, with the connection left open.
-    Silence,
+    /// Send nothing and leave the connection open.
+    NoAnswer,
 }
 
-/// Answers one query; blocks for as long as its execution takes.
+/// Answers one query; blocks for the duration of its execution.
 fn respond(text: &str, store: &SharedStore, member: u32) -> Response {
     let now = wall_clock_now();
     if text.starts_with("SHOW") || text.starts_with("SELECT 1") {
         let Some((position, is_primary)) = lock(store).health_check(now, member) else {
-            return Response::Silence;
+            return Response::NoAnswer;
         };
         let seconds = position.0 as f64 / 1e6;
         let report = format!("x0={seconds:.3},x1={}", u8::from(is_primary));
@@ -162,11 +162,11 @@
         let mut store = lock(store);
         let names: Vec<_> = store.workloads.iter().map(|w| w.name).collect();
         let Some(statement) = parse_statement(text, &names) else {
-            return Response::Send(error_response("08P01", "no statement of this form"));
+            return Response::Send(error_response("08P01", "invalid statement comment"));
         };
-        let is_short = parse_timeout_ms(text).is_some_and(|ms| ms <= SHORT_MS);
+        let is_short = parse_timeout_ms(text).is_some_and(|ms| ms <= MAX_SHORT_TIMEOUT_MS);
         if is_short && statement.id % 2 == 0 && store.has_fault(now, member, MemberFault::DropsShort) {
-            return Response::Silence;
+            return Response::NoAnswer;
         }
         (statement, store.execute(now, member, &statement))
     };
@@ -181,11 +181,15 @@
         Reply::Row { position } => {
             [data_row(&encode_value(statement.id, position)), as_of(position)].concat()
         }
-        Reply::NoPrimary => error_response("25006", "this is no primary"),
-        Reply::Behind => [error_response("72000", "too far behind"), as_of(position)].concat(),
-        Reply::Failed => error_response("XX000", "something went wrong"),
+        Reply::NoPrimary => error_response("25006", "member is not the primary"),
+        Reply::Behind => [
+            error_response("72000", "log position is behind the requested one"),
+            as_of(position),
+        ]
+        .concat(),
+        Reply::Failed => error_response("XX000", "injected failure"),
         Reply::ConnectionLost | Reply::Refused => return Response::Close,
-        Reply::NoAnswer => return Response::Silence,
+        Reply::NoAnswer => return Response::NoAnswer,
     };
     let rank = parameter_status("rank", if is_primary { "source" } else { "copy" });
     Response::Send([answer, rank].concat())
