--- a/crates/testbed/src/adverse/mod.rs
+++ b/crates/testbed/src/adverse/mod.rs
@@ -1,49 +1,49 @@
-//! Scenarios of kinds of trouble that operators judge beyond the days of their bench, with two or three drivers each.
+//! Adverse scenarios with two or three drivers: idle connections, faults of discovery, stalled clients, short timeouts.
 //!
-//! Times are compressed where the length isn't the point: a quiet time of hours is twenty seconds, an outage of discovery of
-//! minutes is as long as the pauses between two calls grow. Rules are judged by [`crate::checker`], and by the clients of
-//! [`clients`] for themselves.
+//! Times are compressed: an idle period of hours becomes twenty seconds, and an outage of discovery lasts until the
+//! backoff between requests has reached its maximum. [`crate::checker`] checks the ordinary load; the additional clients
+//! in [`clients`] check their own results.
 
 pub mod clients;
 
-use crate::cluster::{run_beside, ClusterPlan, Findings, RunReport, Surroundings};
+use crate::cluster::{run_with_extra_clients, ClusterPlan, Findings, RunContext, RunReport};
 use crate::error::Result;
 use crate::fault_script::{DriverFault, FaultScript};
 use crate::roaming_clients::RoamingBehavior;
 use std::path::Path;
 
-/// Clients beside the ordinary load.
+/// Additional clients that run next to the ordinary load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OtherClients {
-    /// None.
+pub enum ExtraClients {
+    /// No additional clients.
     None,
-    /// They stop in the middle of a request, and stay.
-    Stopping,
-    /// Their statements have 1 to 20 ms left.
-    Hurried,
-    /// They send nothing until the last six seconds, and then as much as the ordinary load.
-    Silent,
+    /// Clients that stall in the middle of a request.
+    Stalled,
+    /// Clients whose statements have timeouts of 1 to 20 ms.
+    ShortTimeout,
+    /// Clients that are idle until the last six seconds.
+    LoadAfterIdle,
 }
 
 /// One scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdverseScenario {
-    /// As on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// Processes of the program.
+    /// Number of driver processes.
     pub drivers: u32,
-    /// Length of the load.
+    /// Length of the load, in seconds.
     pub seconds: f64,
-    /// Statements a second of the ordinary load.
+    /// Statements per second of the ordinary load.
     pub rate: f64,
-    /// Fault script.
+    /// Text of the fault script.
     pub script: &'static str,
-    /// Who else is there.
-    pub others: OtherClients,
-    /// Share of the ordinary load that has to be answered with a row.
+    /// Additional clients.
+    pub extra_clients: ExtraClients,
+    /// Minimum fraction of the ordinary load that has to be answered with a row.
     pub min_completed: f64,
-    /// Whether discovery's lists without a length have to be used, at least half of them.
-    pub counts_lists: bool,
+    /// Whether at least half of the endpoint lists without a length have to be applied.
+    pub checks_applied_lists: bool,
 }
 
 const fn scenario(name: &'static str, drivers: u32, seconds: f64, script: &'static str) -> AdverseScenario {
@@ -53,9 +53,9 @@
         seconds,
         rate: STATEMENTS_PER_SECOND,
         script,
-        others: OtherClients::None,
+        extra_clients: ExtraClients::None,
         min_completed: 0.9,
-        counts_lists: false,
+        checks_applied_lists: false,
     }
 }
 
@@ -67,10 +67,10 @@
         26.0,
         "20s member 2 hangs for 1500ms\n20s primary of 2 loses answers for 200ms\n20200ms member 3 drains for 5s",
     ),
-    // Longer than connections to members may be idle (30 s), and than drivers keep idle clients.
+    // Longer than connections to members may be idle (30 s), and than drivers keep connections of idle clients.
     AdverseScenario {
         rate: 0.5,
-        others: OtherClients::Silent,
+        extra_clients: ExtraClients::LoadAfterIdle,
         min_completed: 0.0,
         ..scenario(
             "fault-after-silence",
@@ -134,7 +134,7 @@
          0s driver 3 hears lists in turns of 150ms for 8s\n1s member 2 drains for 3s\n3s member 6 drains for 5s",
     ),
     AdverseScenario {
-        counts_lists: true,
+        checks_applied_lists: true,
         ..scenario(
             "lists-without-length",
             2,
@@ -175,11 +175,11 @@
         )
     },
     AdverseScenario {
-        others: OtherClients::Stopping,
+        extra_clients: ExtraClients::Stalled,
         ..scenario("clients-stop", 3, 6.0, "1s member 2 hangs for 1s")
     },
     AdverseScenario {
-        others: OtherClients::Hurried,
+        extra_clients: ExtraClients::ShortTimeout,
         ..scenario(
             "little-time",
             2,
@@ -189,7 +189,7 @@
         )
     },
     AdverseScenario {
-        others: OtherClients::Hurried,
+        extra_clients: ExtraClients::ShortTimeout,
         ..scenario(
             "little-time-at-hanging-members",
             2,
@@ -208,15 +208,15 @@
     abandon_per_mille: 0,
 };
 
-/// Rule of a scenario: too few statements were answered with a row.
+/// Violation: too few statements were answered with a row.
 pub const TOO_FEW_COMPLETED: &str =
-    "served: fewer statements were answered with a row than the scenario asks for";
-/// Rule of a scenario: complete lists without a length were passed over.
-pub const LISTS_PASSED_OVER: &str =
-    "lists: fewer than half of the complete ones without a length were applied";
+    "served: fewer statements were answered with a row than the scenario requires";
+/// Violation: complete endpoint lists without a length were not applied.
+pub const TOO_FEW_LISTS_APPLIED: &str =
+    "lists: fewer than half of the complete lists without a length were applied";
 
-/// Rule of a scenario: SIGHUP without effect.
-pub const RELOADS_MISSED: &str = "reloads: configurations that were not loaded";
+/// Violation: a SIGHUP didn't load the changed configuration.
+pub const MISSED_RELOADS: &str = "reloads: changed configurations were not loaded";
 
 /// Finds a scenario by its name.
 pub fn find_scenario(name: &str) -> Option<&'static AdverseScenario> {
@@ -224,7 +224,7 @@
 }
 
 impl AdverseScenario {
-    /// What a run starts.
+    /// Builds the plan of a run.
     fn plan(&self, seed: u64) -> Result<ClusterPlan> {
         Ok(ClusterPlan {
             drivers: self.drivers,
@@ -240,32 +240,32 @@
         })
     }
 
-    /// Runs it once, and adds its own rules to those of the checker.
+    /// Runs the scenario once and checks its own rules in addition to those of the checker.
     ///
     /// # Errors
-    /// If the test bed itself fails.
+    /// The test bed itself fails; violations are part of the report.
     pub fn run(&self, program: &Path, seed: u64) -> Result<RunReport> {
-        let others = self.others;
-        let beside = move |surroundings: &Surroundings| match others {
-            OtherClients::None => Findings::default(),
-            OtherClients::Stopping => clients::stopping(surroundings),
-            OtherClients::Hurried => clients::hurried(surroundings),
-            OtherClients::Silent => clients::silent(surroundings, STATEMENTS_PER_SECOND),
+        let extra_clients = self.extra_clients;
+        let run_extra_clients = move |context: &RunContext| match extra_clients {
+            ExtraClients::None => Findings::default(),
+            ExtraClients::Stalled => clients::run_stalled_clients(context),
+            ExtraClients::ShortTimeout => clients::run_short_timeout_clients(context),
+            ExtraClients::LoadAfterIdle => clients::run_load_after_idle(context, STATEMENTS_PER_SECOND),
         };
-        let mut report = run_beside(program, &self.plan(seed)?, beside)?;
+        let mut report = run_with_extra_clients(program, &self.plan(seed)?, run_extra_clients)?;
         if (report.completed as f64) < self.min_completed * report.submitted as f64 {
             let missing = report.submitted - report.completed;
             report.violations.insert(TOO_FEW_COMPLETED, missing);
         }
-        if self.counts_lists {
-            count_lists(&mut report, self.drivers);
+        if self.checks_applied_lists {
+            check_applied_lists(&mut report, self.drivers);
         }
-        self.count_reloads(&mut report)?;
+        self.check_reloads(&mut report)?;
         Ok(report)
     }
 
-    /// Each SIGHUP of the script has to be carried out.
-    fn count_reloads(&self, report: &mut RunReport) -> Result<()> {
+    /// Checks that each SIGHUP of the script has loaded the changed configuration.
+    fn check_reloads(&self, report: &mut RunReport) -> Result<()> {
         let faults = FaultScript::parse(self.script)?.driver_faults();
         let sent: u64 = faults
             .iter()
@@ -282,24 +282,25 @@
             .notes
             .push(format!("configurations: {sent} sent, {reloads} loaded"));
         if reloads < sent {
-            report.violations.insert(RELOADS_MISSED, sent - reloads);
+            report.violations.insert(MISSED_RELOADS, sent - reloads);
         }
         Ok(())
     }
 }
 
-/// At least half of the complete lists without a length have to be applied. The list that each driver starts with counts as
-/// applied, and so does every one with a length.
-fn count_lists(report: &mut RunReport, drivers: u32) {
-    let (with, without) = (report.lists_with_length, report.lists_without_length);
+/// Checks that at least half of the complete endpoint lists without a length were applied. Each driver's initial list and
+/// all lists with a length are assumed to be applied.
+fn check_applied_lists(report: &mut RunReport, drivers: u32) {
+    let (with_length, without_length) = (report.lists_with_length, report.lists_without_length);
     let applied = report.counter("endpoint_lists_applied");
     report.notes.push(format!(
-        "lists: {with} sent with length, {without} without; {drivers} known at the start, {applied} applied with them"
+        "lists: {with_length} sent with length, {without_length} without; {applied} applied, {drivers} initial ones included"
     ));
-    let applied_without = applied.saturating_sub(with + u64::from(drivers));
-    if without == 0 || applied_without * 2 < without {
-        report
-            .violations
-            .insert(LISTS_PASSED_OVER, (without - applied_without.min(without)).max(1));
+    let applied_without_length = applied.saturating_sub(with_length + u64::from(drivers));
+    if without_length == 0 || applied_without_length * 2 < without_length {
+        report.violations.insert(
+            TOO_FEW_LISTS_APPLIED,
+            (without_length - applied_without_length.min(without_length)).max(1),
+        );
     }
 }
--- a/crates/testbed/src/cluster/driver_faults.rs
+++ b/crates/testbed/src/cluster/driver_faults.rs
@@ -1,4 +1,4 @@
-//! Applies the fault script to driver processes, and ends them.
+//! Applies the fault script to driver processes, and terminates them.
 
 use super::{Cluster, Outage};
 use crate::error::Result;
@@ -9,15 +9,15 @@
 use std::collections::BTreeMap;
 use std::process::Command;
 
-/// The begin or the end of a driver's fault.
+/// Start or end of a driver's fault.
 struct FaultStep {
     at: TimeSpan,
     driver: u32,
     fault: DriverFault,
-    begins: bool,
+    is_start: bool,
 }
 
-/// Begins and ends of all faults that act on processes `1..=drivers`, by time and driver.
+/// Starts and ends of all faults that act on processes `1..=drivers`, sorted by time and driver.
 fn fault_steps(script: &FaultScript, drivers: usize) -> Vec<FaultStep> {
     let mut steps = Vec::new();
     for scheduled in script.driver_faults() {
@@ -39,16 +39,16 @@
                 at: TimeSpan(scheduled.from.0 + u64::from(n) * interval),
                 driver: scheduled.driver,
                 fault: scheduled.fault,
-                begins: true,
+                is_start: true,
             }));
             continue;
         }
-        for (at, begins) in [(scheduled.from, true), (scheduled.until, false)] {
+        for (at, is_start) in [(scheduled.from, true), (scheduled.until, false)] {
             steps.push(FaultStep {
                 at,
                 driver: scheduled.driver,
                 fault: scheduled.fault,
-                begins,
+                is_start,
             });
         }
     }
@@ -66,20 +66,20 @@
         }
     }
 
-    /// Kills, stops and restarts drivers as the script says, with times counted from `from`; returns after the last step.
+    /// Kills, stops and restarts drivers by the script, whose times count from `from`; returns after the last step.
     pub(super) fn apply_driver_faults(&mut self, from: Timestamp, script: &FaultScript) -> Result<()> {
-        let mut open: BTreeMap<u32, Timestamp> = BTreeMap::new();
+        let mut active_since: BTreeMap<u32, Timestamp> = BTreeMap::new();
         for step in fault_steps(script, self.processes.len()) {
             pause((from + step.at) - wall_clock_now());
-            if step.begins {
-                self.begin_fault(step.driver, step.fault)?;
+            if step.is_start {
+                self.start_fault(step.driver, step.fault)?;
                 if !matches!(step.fault, DriverFault::Reloaded(_)) {
-                    open.insert(step.driver, from + step.at);
+                    active_since.insert(step.driver, from + step.at);
                 }
                 continue;
             }
             self.end_fault(step.driver, step.fault)?;
-            if let Some(since) = open.remove(&step.driver) {
+            if let Some(since) = active_since.remove(&step.driver) {
                 self.observed_outages.push(Outage {
                     driver: step.driver,
                     from: since,
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    fn begin_fault(&mut self, driver: u32, fault: DriverFault) -> Result<()> {
+    fn start_fault(&mut self, driver: u32, fault: DriverFault) -> Result<()> {
         match fault {
             DriverFault::Killed | DriverFault::RestartedOnDiskOf(_) | DriverFault::LaterBuild => {
                 self.signal(driver, "KILL");
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Writes a configuration with the other address of discovery, beside the former one and renamed over it.
+    /// Replaces a driver's configuration file atomically by one with the other address of discovery.
     fn change_discovery(&mut self, driver: u32) -> Result<()> {
         let path = self.path(driver, "json");
         let text = std::fs::read_to_string(&path)?;
@@ -121,19 +121,19 @@
         let discoveries = &mut self.processes[driver as usize - 1].discoveries;
         discoveries.rotate_left(1);
         config["discovery"] = discoveries[0].to_string().into();
-        let beside = self.path(driver, "json.new");
-        std::fs::write(&beside, config.to_string())?;
-        Ok(std::fs::rename(&beside, &path)?)
+        let temporary = self.path(driver, "json.new");
+        std::fs::write(&temporary, config.to_string())?;
+        Ok(std::fs::rename(&temporary, &path)?)
     }
 
     fn end_fault(&mut self, driver: u32, fault: DriverFault) -> Result<()> {
         match fault {
-            DriverFault::RestartedOnDiskOf(other) => {
-                let log_of = |number| self.path(number, "state").join("shared.log");
-                std::fs::copy(log_of(other), log_of(driver))?;
+            DriverFault::RestartedOnDiskOf(source) => {
+                let log_path = |number| self.path(number, "state").join("shared.log");
+                std::fs::copy(log_path(source), log_path(driver))?;
             }
             DriverFault::Killed | DriverFault::LaterBuild => {
-                // A kill after an upgrade brings the former build back.
+                // A kill after an upgrade brings the previous build back.
                 self.processes[driver as usize - 1].runs_later_build = fault == DriverFault::LaterBuild;
             }
             DriverFault::Stopped => {
@@ -152,7 +152,7 @@
         self.await_serving(driver)
     }
 
-    /// Terminates all drivers; returns their counters, summed over the drivers' last logs.
+    /// Terminates all drivers; returns the sums of the counters in their last logs.
     pub(super) fn terminate(&mut self) -> BTreeMap<String, u64> {
         for process in &self.processes {
             self.signal(process.number, "CONT");
@@ -169,7 +169,7 @@
             for pair in log.unwrap_or_default().split_whitespace() {
                 let count = pair
                     .split_once('=')
-                    .and_then(|(name, n)| Some((name, n.parse::<u64>().ok()?)));
+                    .and_then(|(name, value)| Some((name, value.parse::<u64>().ok()?)));
                 if let Some((name, count)) = count {
                     *counters.entry(name.to_owned()).or_default() += count;
                 }
--- a/crates/testbed/src/cluster/evaluate.rs
+++ b/crates/testbed/src/cluster/evaluate.rs
@@ -1,4 +1,4 @@
-//! Checks the records of a run against the store model, over all drivers together.
+//! Checks the records of a run against the store model, for all drivers together.
 
 use super::{Cluster, Outage, RetryCounts, RunReport};
 use crate::checker::{check, CheckReport, ClientOutcome, StatementRecord, STALE_SESSION_READ, VIOLATIONS};
@@ -7,10 +7,10 @@
 use crate::store_model::{ReadCounts, StoreModel, WorkloadKind};
 use asterlatch::time::TimeSpan;
 
-/// Missing answers of a stopped or killed driver are excused for this long before and after.
+/// Missing answers are excused for this long before and after a driver was stopped or killed.
 const OUTAGE_MARGIN: TimeSpan = TimeSpan::millis(1500);
 
-/// Whether an attempt ran while its driver was out, or close to that.
+/// Whether an attempt ran during an outage of its driver or within the margin around it.
 fn is_excused(outages: &[Outage], attempt: &Attempt) -> bool {
     outages.iter().any(|outage| {
         outage.driver == attempt.driver
@@ -19,11 +19,11 @@
     })
 }
 
-/// Fills in what the records of all clients prove.
+/// Fills in the results of checking all clients' records.
 pub(super) fn evaluate(cluster: &Cluster, records: &[RoamingRecord], run: &mut RunReport) {
     let store = lock(&cluster.store);
     let outages = &cluster.observed_outages;
-    let plain: Vec<_> = records
+    let checkable: Vec<_> = records
         .iter()
         .map(|record| checkable_record(outages, record))
         .collect();
@@ -33,10 +33,10 @@
         .filter(|a| a.outcome == ClientOutcome::NoAnswer && !a.abandoned && !is_excused(outages, a))
         .count();
     if lost > 0 {
-        let rule = "lost: no answer from a driver that was up";
+        let rule = "lost: no answer from a running driver";
         run.violations.insert(rule, lost as u64);
     }
-    let report = check(&store, &plain);
+    let report = check(&store, &checkable);
     add_violations(&report, &store, run);
     for record in records {
         count_retry(&store, record, &mut run.retries);
@@ -45,20 +45,20 @@
     run.completed = report.completed();
     run.rejected = report.rows.iter().map(|r| r.rejected).sum();
     run.aborted = report.rows.iter().map(|r| r.aborted).sum();
-    run.reads_at_primaries = store.reads.values().copied().sum::<ReadCounts>().primary_share();
+    run.primary_read_fraction = store.reads.values().copied().sum::<ReadCounts>().primary_share();
     run.summary = report.to_string();
 }
 
-/// The statement as one client record, without what single attempts are checked for.
+/// The statement as one record for the checker, without outcomes that are checked for each attempt.
 fn checkable_record(outages: &[Outage], roaming: &RoamingRecord) -> StatementRecord {
     let mut record = roaming.record;
     if record.outcome == ClientOutcome::NoAnswer {
-        // Missing answers are counted by attempt.
+        // Missing answers are counted for each attempt.
         record.outcome = ClientOutcome::ConnectionRefused;
     }
     let last = roaming.attempts.last();
     if last.is_some_and(|attempt| is_excused(outages, attempt)) {
-        // A driver that was stopped answers after it is resumed.
+        // A stopped driver answers late, once it is resumed.
         record.answered = record.answered.min(record.sent);
     }
     record
@@ -66,26 +66,29 @@
 
 fn add_violations(report: &CheckReport, store: &StoreModel, run: &mut RunReport) {
     for (rule, count) in report.violations.iter().enumerate().filter(|(_, c)| **c > 0) {
-        // What a session wrote at one driver is no promise at another; it is counted.
+        // Read-your-writes holds only within one driver; stale reads at another are counted, not violations.
         if rule == STALE_SESSION_READ {
             run.stale_roaming_reads = *count;
         } else {
             run.violations.insert(VIOLATIONS[rule], *count);
         }
     }
-    let of_store = [
+    let store_violations = [
         (
             "drains: statement sent to a draining member after the grace period",
             report.executions_after_drain,
         ),
-        ("cold: a member was pushed over", store.overloads_while_warming_up),
+        (
+            "cold: a member in slow start was overloaded",
+            store.overloads_while_warming_up,
+        ),
     ];
-    for (rule, count) in of_store.into_iter().filter(|(_, count)| *count > 0) {
+    for (rule, count) in store_violations.into_iter().filter(|(_, count)| *count > 0) {
         run.violations.insert(rule, count);
     }
 }
 
-/// Counts a non-idempotent write that was retried after an attempt without an answer.
+/// Counts a non-idempotent write if it was retried after an attempt without an answer.
 fn count_retry(store: &StoreModel, roaming: &RoamingRecord, retries: &mut RetryCounts) {
     let kind = store.workloads[roaming.record.workload].kind;
     if kind != (WorkloadKind::Write { deduplicated: false }) {
@@ -95,16 +98,16 @@
         .attempts
         .iter()
         .position(|attempt| attempt.outcome == ClientOutcome::NoAnswer);
-    let Some(retry) = unanswered.and_then(|n| roaming.attempts.get(n + 1)) else {
+    let Some(retry) = unanswered.and_then(|index| roaming.attempts.get(index + 1)) else {
         return;
     };
     let effects = store
         .effects
         .get(&roaming.record.id)
         .map_or(&[][..], Vec::as_slice);
-    let had_executed = effects.iter().any(|effect| effect.at <= retry.sent);
+    let was_executed = effects.iter().any(|effect| effect.at <= retry.sent);
     retries.retried += 1;
-    retries.executed_before_retry += u64::from(had_executed);
+    retries.executed_before_retry += u64::from(was_executed);
     retries.executed_twice += u64::from(effects.len() > 1);
     match roaming.record.outcome {
         ClientOutcome::Aborted => retries.reported_in_doubt += 1,
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program with one store behind them, link proxies between them, and scripted faults.
+//! Several processes of the program that share one store, with link proxies between them and scripted faults.
 
 mod driver_faults;
 mod evaluate;
@@ -23,43 +23,43 @@
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 
-/// What a run starts, and under which load and faults.
+/// Processes, load and faults of a run.
 #[derive(Clone, Debug)]
 pub struct ClusterPlan {
-    /// Processes of the program.
+    /// Number of driver processes.
     pub drivers: u32,
-    /// Groups of members.
+    /// Number of groups of members.
     pub groups: u32,
-    /// Replicas in each group, beside its primary.
+    /// Number of replicas in each group, in addition to its primary.
     pub replicas: u32,
-    /// Faults, from the begin of the load.
+    /// Faults; times count from the start of the load.
     pub script: FaultScript,
     /// Whether drivers share state by gossip.
     pub gossip_enabled: bool,
-    /// Length of the load.
+    /// Length of the load, in seconds.
     pub seconds: f64,
-    /// Statements a second.
+    /// Statements per second.
     pub rate: f64,
-    /// Clients, each with one statement at a time.
+    /// Number of clients, each with one statement at a time.
     pub clients: usize,
-    /// How clients use several drivers.
+    /// How clients choose among several drivers.
     pub behavior: RoamingBehavior,
-    /// Of arrivals, clients and link proxies.
+    /// Seed of arrivals, clients and link proxies.
     pub seed: u64,
 }
 
-/// A span in which a driver was killed or stopped.
+/// A period in which a driver was killed or stopped.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// From 1.
+    /// Driver number, from 1.
     pub driver: u32,
-    /// When the fault began.
+    /// Start of the fault.
     pub from: Timestamp,
-    /// When the driver served again.
+    /// Time from which the driver served again.
     pub until: Timestamp,
 }
 
-/// A running cluster; dropping it kills its processes and ends the threads of members and discovery.
+/// A running cluster; dropping it kills its processes and stops the threads of members and discovery.
 pub struct Cluster {
     /// What members store and execute.
     pub store: SharedStore,
@@ -67,22 +67,22 @@
     folder: PathBuf,
     program: PathBuf,
     processes: Vec<DriverProcess>,
-    /// Faults of processes, as they were carried out.
+    /// Outages of drivers, with the times at which they were carried out.
     pub observed_outages: Vec<Outage>,
     _link_proxies: Vec<Link>,
-    /// Addresses of members and discovery, to wake their threads at the end.
+    /// Addresses of members and discovery; connecting to them wakes their threads for the shutdown.
     listeners: Vec<SocketAddr>,
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // Otherwise hundreds of runs in one process leave thousands of threads, and each fork copies their memory.
+        // Without this, hundreds of runs in one process would leave thousands of threads and slow down each fork.
         lock(&self.store).is_shut_down = true;
         for listener in &self.listeners {
             let _ = TcpStream::connect(listener);
         }
-        for p in &mut self.processes {
-            if let Some(mut child) = p.child.take() {
+        for process in &mut self.processes {
+            if let Some(mut child) = process.child.take() {
                 let _ = child.kill();
                 let _ = child.wait();
             }
@@ -90,37 +90,37 @@
     }
 }
 
-/// What other clients find beside the load.
+/// Results of additional clients.
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
-    /// Count of violations by rule.
+    /// Number of violations, by rule.
     pub violations: BTreeMap<&'static str, u64>,
-    /// What was measured, a line each.
+    /// Measurements, one line each.
     pub notes: Vec<String>,
 }
 
-/// What other clients use beside the load.
-pub struct Surroundings {
+/// The running cluster, as additional clients use it.
+pub struct RunContext {
     /// What members store and execute.
     pub store: SharedStore,
     /// Addresses of all drivers, in the order of their numbers.
     pub drivers: Vec<SocketAddr>,
-    /// Length of the load, which begins now.
+    /// Length of the load, which starts now, in seconds.
     pub seconds: f64,
-    /// Of random choices.
+    /// Seed of random choices.
     pub seed: u64,
 }
 
-/// Starts a cluster, applies the script under load, and checks all records.
+/// Starts a cluster, applies the fault script under load, and checks all records.
 pub fn run(program: &Path, plan: &ClusterPlan) -> Result<RunReport> {
-    run_beside(program, plan, |_| Findings::default())
+    run_with_extra_clients(program, plan, |_| Findings::default())
 }
 
-/// As [`run`], with other clients on a thread beside the load.
-pub fn run_beside(
+/// Like [`run`], with additional clients on a thread of their own.
+pub fn run_with_extra_clients(
     program: &Path,
     plan: &ClusterPlan,
-    beside: impl FnOnce(&Surroundings) -> Findings + Send + 'static,
+    run_extra_clients: impl FnOnce(&RunContext) -> Findings + Send + 'static,
 ) -> Result<RunReport> {
     let mut cluster = Cluster::start(program, plan)?;
     if plan.gossip_enabled {
@@ -146,16 +146,16 @@
         from,
         options,
     );
-    let surroundings = Surroundings {
+    let context = RunContext {
         store: cluster.store.clone(),
         drivers: cluster.listen_addresses(),
         seconds: plan.seconds,
         seed: plan.seed,
     };
-    let others = std::thread::spawn(move || beside(&surroundings));
+    let extra_clients = std::thread::spawn(move || run_extra_clients(&context));
     cluster.apply_driver_faults(from, &plan.script)?;
     let records = load.finish();
-    let findings = others.join().map_err(|_| Error::RunPanicked)?;
+    let findings = extra_clients.join().map_err(|_| Error::RunPanicked)?;
     let mut run = RunReport {
         cpu_seconds: cluster.cpu_seconds(),
         violations: findings.violations,
@@ -176,19 +176,20 @@
     Ok(run)
 }
 
-/// Gossip traffic since `from`, and how long the copies take to become equal.
+/// Measures the gossip traffic since `from`, and the time until the drivers' replicated state is equal.
 fn measure_gossip(cluster: &Cluster, drivers: u32, from: Timestamp, run: &mut RunReport) -> Result<()> {
     let seconds = (wall_clock_now() - from).ratio(TimeSpan::millis(1000));
     let mut bytes = 0.0;
     for number in 1..=drivers {
-        let status = cluster.query_status(number, "status")?;
+        let status = cluster.query_fleet(number, "status")?;
         bytes += status["counts"][0]["bytes_sent"].as_f64().unwrap_or(0.0);
     }
     run.gossip_bytes_per_second = bytes / seconds / f64::from(drivers);
-    let converged = cluster.await_equal_copies(START_TIMEOUT)?;
-    run.convergence_seconds = converged.map(|span| span.as_secs_f64());
-    if converged.is_none() {
-        run.violations.insert("copies never equal", 1);
+    let convergence_time = cluster.await_convergence(START_TIMEOUT)?;
+    run.convergence_seconds = convergence_time.map(|span| span.as_secs_f64());
+    if convergence_time.is_none() {
+        run.violations
+            .insert("gossip: replicated state never converged", 1);
     }
     Ok(())
 }
--- a/crates/testbed/src/cluster/observe.rs
+++ b/crates/testbed/src/cluster/observe.rs
@@ -1,4 +1,4 @@
-//! What a running cluster reports: membership, replicated state, processor time.
+//! Observes a running cluster: membership, replicated state, processor time.
 
 use super::{Cluster, DriverProcess};
 use crate::deployment::START_TIMEOUT;
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 impl Cluster {
-    /// Waits until each driver lists all others as present and caught up.
+    /// Waits until each driver reports all drivers as present and caught up.
     pub fn await_membership(&self) -> Result<()> {
-        let end = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_TIMEOUT;
         while !self.is_membership_complete()? {
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return Err(Error::MembershipTimeout);
             }
             thread::sleep(Duration::from_millis(20));
@@ -23,45 +23,45 @@
 
     fn is_membership_complete(&self) -> Result<bool> {
         for process in &self.processes {
-            let status = self.query_status(process.number, "status")?;
+            let status = self.query_fleet(process.number, "status")?;
             let rows = status["drivers"].as_array().cloned().unwrap_or_default();
-            let fine = |r: &Value| {
-                let presence = r["presence"].as_str().unwrap_or_default();
-                r["caught_up"] == true && (presence == "there" || presence == "this one")
+            let is_ready = |row: &Value| {
+                let presence = row["presence"].as_str().unwrap_or_default();
+                row["caught_up"] == true && (presence == "there" || presence == "this one")
             };
-            if rows.len() != self.processes.len() || !rows.iter().all(fine) {
+            if rows.len() != self.processes.len() || !rows.iter().all(is_ready) {
                 return Ok(false);
             }
         }
         Ok(true)
     }
 
-    /// Output of the program's `fleet WHAT` about a driver.
-    pub fn query_status(&self, number: u32, what: &str) -> Result<Value> {
+    /// Runs `fleet SUBCOMMAND --json` of the program for a driver; returns its output.
+    pub fn query_fleet(&self, number: u32, subcommand: &str) -> Result<Value> {
         let output = Command::new(&self.program)
-            .args(["fleet", what, "--json", "--control"])
+            .args(["fleet", subcommand, "--json", "--control"])
             .arg(self.path(number, "control"))
             .output()?;
         serde_json::from_slice(&output.stdout).map_err(|source| Error::InvalidStatus {
-            command: what.to_owned(),
+            command: subcommand.to_owned(),
             driver: number,
             source,
             stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
         })
     }
 
-    /// How long it takes until all copies are equal once no change comes; `None` if longer than `most`.
-    pub fn await_equal_copies(&self, most: Duration) -> Result<Option<Duration>> {
-        let waiting_since = Instant::now();
-        while waiting_since.elapsed() < most {
-            let marks: Result<Vec<Value>> = self
+    /// Waits until the drivers' replicated state is equal; returns the time that it took, or `None` after `timeout`.
+    pub fn await_convergence(&self, timeout: Duration) -> Result<Option<Duration>> {
+        let started_at = Instant::now();
+        while started_at.elapsed() < timeout {
+            let copies: Result<Vec<Value>> = self
                 .processes
                 .iter()
-                .map(|p| Ok(self.query_status(p.number, "facts")?["copy"].clone()))
+                .map(|p| Ok(self.query_fleet(p.number, "facts")?["copy"].clone()))
                 .collect();
-            let marks = marks?;
-            if marks.windows(2).all(|w| w[0] == w[1]) {
-                return Ok(Some(waiting_since.elapsed()));
+            let copies = copies?;
+            if copies.windows(2).all(|w| w[0] == w[1]) {
+                return Ok(Some(started_at.elapsed()));
             }
             thread::sleep(Duration::from_millis(50));
         }
@@ -70,13 +70,14 @@
 
     /// Processor time of all running drivers, in seconds.
     pub(super) fn cpu_seconds(&self) -> f64 {
-        let of = |p: &DriverProcess| -> Option<f64> {
-            let stat = std::fs::read_to_string(format!("/proc/{}/stat", p.child.as_ref()?.id())).ok()?;
+        let process_seconds = |process: &DriverProcess| -> Option<f64> {
+            let stat =
+                std::fs::read_to_string(format!("/proc/{}/stat", process.child.as_ref()?.id())).ok()?;
             let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-            let ticks = |n: usize| fields.get(n)?.parse::<f64>().ok();
-            // Fields 14 and 15: user and system time, in hundredths of a second.
+            let ticks = |index: usize| fields.get(index)?.parse::<f64>().ok();
+            // utime and stime, fields 14 and 15 of proc_pid_stat(5), in hundredths of a second.
             Some((ticks(11)? + ticks(12)?) / 100.0)
         };
-        self.processes.iter().filter_map(of).sum()
+        self.processes.iter().filter_map(process_seconds).sum()
     }
 }
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! One process of the program in a cluster.
+//! A driver process of a cluster: start, files and addresses.
 
 use super::Cluster;
 use crate::deployment::{check_serving, START_TIMEOUT};
@@ -15,33 +15,34 @@
 pub(super) struct DriverProcess {
     pub(super) number: u32,
     pub(super) listen: SocketAddr,
-    /// Addresses of its discovery, the one that its configuration names first.
+    /// Addresses of its discovery; the first is the one in its configuration.
     pub(super) discoveries: [SocketAddr; 2],
-    /// `None` while it is down.
+    /// `None` while the process is down.
     pub(super) child: Option<Child>,
     pub(super) starts: u32,
     pub(super) runs_later_build: bool,
 }
 
 impl Cluster {
-    pub(super) fn path(&self, number: u32, end: &str) -> PathBuf {
-        self.folder.join(format!("d{number}.{end}"))
+    pub(super) fn path(&self, number: u32, suffix: &str) -> PathBuf {
+        self.folder.join(format!("d{number}.{suffix}"))
     }
 
     /// Addresses of all drivers, in the order of their numbers.
     pub fn listen_addresses(&self) -> Vec<SocketAddr> {
-        self.processes.iter().map(|p| p.listen).collect()
+        self.processes.iter().map(|process| process.listen).collect()
     }
 
-    /// Offset of a driver's clock in seconds.
+    /// Offset of a driver's clock by the fault script, in seconds.
     fn clock_offset(&self, number: u32) -> i64 {
         let faults = self.script.driver_faults();
-        let own = faults.iter().filter(|scheduled| scheduled.driver == number);
-        own.filter_map(|scheduled| match scheduled.fault {
-            DriverFault::ClockOffset(seconds) => Some(seconds),
-            _ => None,
-        })
-        .sum()
+        let driver_faults = faults.iter().filter(|scheduled| scheduled.driver == number);
+        driver_faults
+            .filter_map(|scheduled| match scheduled.fault {
+                DriverFault::ClockOffset(seconds) => Some(seconds),
+                _ => None,
+            })
+            .sum()
     }
 
     pub(super) fn spawn_driver(&mut self, number: u32) -> Result<()> {
@@ -77,9 +78,9 @@
     }
 
     pub(super) fn await_serving(&self, number: u32) -> Result<()> {
-        let end = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_TIMEOUT;
         while let Err(e) = check_serving(self.processes[number as usize - 1].listen) {
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 let log = std::fs::read_to_string(self.path(number, "1.log")).unwrap_or_default();
                 return Err(Error::DriverNotServing {
                     driver: number,
--- a/crates/testbed/src/cluster/report.rs
+++ b/crates/testbed/src/cluster/report.rs
@@ -1,14 +1,14 @@
-//! Result of a run with a cluster, and its printed form.
+//! Result of a run with a cluster, and its text form.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
-/// Non-idempotent writes that a client retried at another driver after one gave no answer.
+/// Non-idempotent writes that a client retried at another driver after an attempt without an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryCounts {
-    /// All of them.
+    /// All retried writes.
     pub retried: u64,
-    /// Those that had been executed when they were retried.
+    /// Executed before the retry was sent.
     pub executed_before_retry: u64,
     /// Reported as possibly executed.
     pub reported_in_doubt: u64,
@@ -25,13 +25,13 @@
 /// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
-    /// Table of the checker's report.
+    /// Text of the checker's report.
     pub summary: String,
-    /// Count of violations by rule.
+    /// Number of violations, by rule.
     pub violations: BTreeMap<&'static str, u64>,
     /// Retries of non-idempotent writes.
     pub retries: RetryCounts,
-    /// All statements.
+    /// Statements that clients sent.
     pub submitted: u64,
     /// Answered with a row.
     pub completed: u64,
@@ -39,23 +39,23 @@
     pub rejected: u64,
     /// Reported as possibly executed.
     pub aborted: u64,
-    /// Share of all reads, from 0 to 1.
-    pub reads_at_primaries: f64,
-    /// Session reads older than a write of their session at another driver; no violation.
+    /// Fraction of reads that primaries executed, from 0 to 1.
+    pub primary_read_fraction: f64,
+    /// Session reads older than a write of their session at another driver; not a violation.
     pub stale_roaming_reads: u64,
-    /// Datagram bytes that a driver sends a second.
+    /// Mean bytes of gossip that a driver sends per second.
     pub gossip_bytes_per_second: f64,
-    /// Time until all copies were equal; `None` if they never were.
+    /// Time until the drivers' replicated state was equal; `None` if it never was.
     pub convergence_seconds: Option<f64>,
-    /// Processor time of all drivers that ran at the end.
+    /// Processor time of the drivers that ran at the end.
     pub cpu_seconds: f64,
     /// Counters, summed over the drivers' last logs.
     pub counters: BTreeMap<String, u64>,
-    /// What other clients have measured beside the load, a line each.
+    /// Measurements of additional clients and of the scenario, one line each.
     pub notes: Vec<String>,
-    /// Complete lists that discovery sent with a length, and without one.
+    /// Endpoint lists that discovery sent with a `Content-Length`.
     pub lists_with_length: u64,
-    /// See `lists_with_length`.
+    /// Endpoint lists that discovery sent without a `Content-Length`.
     pub lists_without_length: u64,
 }
 
@@ -76,8 +76,8 @@
         let r = &self.retries;
         writeln!(
             f,
-            "unsafe writes repeated at another driver: {}, of which {} had run; told in doubt {}, untouched {}, completed {}; \
-             untrue {}, doubled {}",
+            "non-idempotent writes retried at another driver: {}, {} already executed; reported in doubt {}, \
+             not executed {}, completed {}; false reports {}, executed twice {}",
             r.retried,
             r.executed_before_retry,
             r.reported_in_doubt,
@@ -89,12 +89,12 @@
     }
 
     fn write_gossip(&self, f: &mut Formatter) -> fmt::Result {
-        let equal = self
+        let convergence = self
             .convergence_seconds
             .map_or("never".to_owned(), |s| format!("after {s:.2} s"));
         writeln!(
             f,
-            "told: {:.0} bytes a driver and second; copies equal {equal}",
+            "gossip: {:.0} bytes per driver and second; replicated state equal {convergence}",
             self.gossip_bytes_per_second
         )
     }
@@ -103,7 +103,8 @@
         let count = |name: &str| self.counter(name);
         writeln!(
             f,
-            "connections opened {} (first {}, busy {}, again {}), probes {}, for all {}, left to others {}, members silent by word {}",
+            "connections opened {} (first {}, busy {}, again {}), health checks {}, for the fleet {}, left to peers {}, \
+             members unresponsive by consensus {}",
             count("connections_opened"),
             count("opened_first"),
             count("opened_busy"),
@@ -125,11 +126,14 @@
         writeln!(
             f,
             "reads at primaries {:.2} %, session reads older than a write at another driver: {}",
-            self.reads_at_primaries * 100.0,
+            self.primary_read_fraction * 100.0,
             self.stale_roaming_reads
         )?;
-        let each = self.cpu_seconds * 1e6 / self.submitted.max(1) as f64;
-        writeln!(f, "drivers' processor time {each:.0} us a statement")?;
+        let us_per_statement = self.cpu_seconds * 1e6 / self.submitted.max(1) as f64;
+        writeln!(
+            f,
+            "drivers' processor time {us_per_statement:.0} us per statement"
+        )?;
         if self.gossip_bytes_per_second > 0.0 {
             self.write_gossip(f)?;
         }
@@ -137,8 +141,8 @@
         for note in &self.notes {
             writeln!(f, "{note}")?;
         }
-        for (what, count) in &self.violations {
-            writeln!(f, "broken: {count} times {what}")?;
+        for (rule, count) in &self.violations {
+            writeln!(f, "broken: {count} times {rule}")?;
         }
         if self.has_no_violations() {
             writeln!(f, "rules kept over all processes")?;
