--- a/crates/testbed/src/bin/asterlatch-lab.rs
+++ b/crates/testbed/src/bin/asterlatch-lab.rs
@@ -1,4 +1,4 @@
-//! `asterlatch-lab`: former name of `asterlatch-testbed`, kept for scripts that call it.
+//! `asterlatch-lab`: alias of `asterlatch-testbed` for scripts that call it by its previous name.
 
 fn main() -> std::process::ExitCode {
     asterlatch_testbed::cli::main(env!("CARGO_BIN_NAME"))
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -249,7 +249,7 @@
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let headings = [
             "workload",
-            "asked",
+            "submitted",
             "completed",
             "rejected",
             "aborted",
--- a/crates/testbed/src/cli/adverse.rs
+++ b/crates/testbed/src/cli/adverse.rs
@@ -1,19 +1,22 @@
-//! `adverse`: scenarios of trouble beyond the operators' bench.
+//! `adverse`: scenarios with faults of discovery, idle connections, stalled clients and short timeouts.
 
 use super::arguments::SetupArguments;
 use crate::adverse::{find_scenario, AdverseScenario, SCENARIOS};
 use crate::error::{Error, Result};
 
-/// Runs the named scenarios, or all, each with so many seeds; whether all rules were kept.
-pub(super) fn run(basis: &SetupArguments, seeds: u64, names: &[String]) -> Result<bool> {
+/// Runs the named scenarios, or all, with `seeds` seeds each; returns whether no rule was violated.
+pub(super) fn run(setup: &SetupArguments, seeds: u64, names: &[String]) -> Result<bool> {
     let selected: Vec<&AdverseScenario> = match names {
         [] => SCENARIOS.iter().collect(),
-        names => names.iter().map(|name| named(name)).collect::<Result<_>>()?,
+        names => names
+            .iter()
+            .map(|name| require_scenario(name))
+            .collect::<Result<_>>()?,
     };
-    let program = basis.driver()?;
+    let program = setup.driver()?;
     let mut failed = 0;
     for scenario in &selected {
-        for seed in basis.seed..basis.seed + seeds {
+        for seed in setup.seed..setup.seed + seeds {
             println!(
                 "{}, seed {seed}, {} drivers:\n{}",
                 scenario.name, scenario.drivers, scenario.script
@@ -30,7 +33,7 @@
     Ok(failed == 0)
 }
 
-fn named(name: &str) -> Result<&'static AdverseScenario> {
+fn require_scenario(name: &str) -> Result<&'static AdverseScenario> {
     let names: Vec<_> = SCENARIOS.iter().map(|scenario| scenario.name).collect();
     find_scenario(name).ok_or_else(|| Error::UnknownScenario {
         name: name.to_owned(),
--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! Arguments that several commands share, and what is started by them.
+//! Arguments that several commands share, and the runs that they describe.
 
 use crate::arrivals::Arrivals;
 use crate::checker::{check, StatementRecord};
@@ -16,10 +16,10 @@
 use clap::Args;
 use std::path::{Path, PathBuf};
 
-/// What every command puts up.
+/// Arguments of all commands.
 #[derive(Args)]
 pub(super) struct SetupArguments {
-    /// The built program; without it the one that lies beside this one.
+    /// Executable of the program [default: `asterlatch` in the folder of this executable]
     #[arg(long)]
     driver: Option<PathBuf>,
     #[arg(long, default_value_t = 1)]
@@ -42,28 +42,28 @@
 #[derive(Args)]
 pub(super) struct FleetArguments {
     #[command(flatten)]
-    pub(super) basis: SetupArguments,
+    pub(super) setup: SetupArguments,
     #[arg(long, default_value_t = 5)]
     pub(super) drivers: u32,
-    /// Statements a second, over all drivers.
+    /// Statements per second, for all drivers together
     #[arg(long, default_value_t = 600.0)]
     pub(super) rate: f64,
     #[arg(long, default_value_t = 6.0)]
     pub(super) seconds: f64,
     #[arg(long, default_value_t = 64)]
     pub(super) clients: usize,
-    /// Of a thousand statements, those asked at another driver than their session's.
+    /// Statements per thousand that go to a random driver instead of their session's
     #[arg(long, default_value_t = 100)]
     pub(super) roam: u32,
-    /// Of a thousand writes, those whose client goes away at once and repeats them elsewhere.
+    /// Writes per thousand whose client disconnects soon after sending them and retries at another driver
     #[arg(long, default_value_t = 100)]
     pub(super) hasty: u32,
-    /// Each driver is alone: nothing is shared.
+    /// Disable gossip: drivers share no state
     #[arg(long)]
     pub(super) alone: bool,
 }
 
-/// One argument's list, which clap would else take for an argument that is given several times.
+/// List in a single argument; clap would treat a plain `Vec` as an argument that may be repeated.
 #[derive(Clone, Default)]
 struct CallList(Vec<CallFault>);
 
@@ -71,25 +71,25 @@
     FaultPlan::parse_calls(text).map(CallList)
 }
 
-/// Faults of the program's own system calls and wall clock.
+/// Injected faults of the program's system calls and wall clock.
 #[derive(Args)]
 struct FaultArguments {
-    /// System calls of the program that fail, as `accept,socket=EMFILE`; `all` for each of them.
+    /// System calls of the program that fail, e.g. `accept,socket=EMFILE`, or `all`
     #[arg(long, value_parser = parse_calls)]
     fail_calls: Option<CallList>,
-    /// Each of them fails every so many-th time.
+    /// Each of these calls fails every Nth time
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..))]
     every: u32,
-    /// So many failures of each of them at most.
+    /// Maximum number of failures of each of these calls [default: no limit]
     #[arg(long)]
     at_most: Option<u32>,
-    /// Seconds that the program's wall clock is ahead; negative if it is behind.
+    /// Seconds by which the program's wall clock is ahead; negative if it is behind
     #[arg(long, default_value_t = 0, allow_negative_numbers = true)]
     clock_offset: i64,
-    /// Milliseconds after its start from which the clock is off.
+    /// Milliseconds after the program's start from which the clock is shifted
     #[arg(long, default_value_t = 0)]
     clock_after: u64,
-    /// Milliseconds after its start until which the clock is off; without it for good.
+    /// Milliseconds after the program's start until which the clock is shifted [default: no end]
     #[arg(long)]
     clock_until: Option<u64>,
 }
@@ -112,22 +112,22 @@
 #[derive(Args)]
 pub(super) struct LoadArguments {
     #[command(flatten)]
-    pub(super) basis: SetupArguments,
-    /// Statements a second.
+    pub(super) setup: SetupArguments,
+    /// Statements per second
     #[arg(long, default_value_t = 500.0)]
     pub(super) rate: f64,
-    /// Members answer reads from what they have, however old that is.
+    /// Members answer reads even if their data is staler than the read allows
     #[arg(long)]
     pub(super) unchecked: bool,
     #[command(flatten)]
     faults: FaultArguments,
-    /// How many may wait for an answer at once.
+    /// Maximum number of statements in flight
     #[arg(long, default_value_t = 96)]
     pub(super) clients: usize,
 }
 
 impl LoadArguments {
-    /// The program in this file, with the faults that are asked for.
+    /// The program in `file` with the injected faults.
     pub(super) fn program(&self, file: &Path) -> ProgramUnderTest {
         ProgramUnderTest {
             faults: self.faults.plan(),
@@ -135,18 +135,18 @@
         }
     }
 
-    /// Starts one process of the program under this script.
+    /// Starts one process of the program under the fault script.
     pub(super) fn deploy(&self, script: FaultScript) -> Result<Deployment> {
         let folder = std::env::temp_dir().join(format!("asterlatch-lab-{}", std::process::id()));
         let topology = Topology {
-            groups: self.basis.groups,
-            replicas: self.basis.replicas,
+            groups: self.setup.groups,
+            replicas: self.setup.replicas,
         };
-        let program = self.program(&self.basis.driver()?);
+        let program = self.program(&self.setup.driver()?);
         Deployment::start(program, &folder, topology, script, !self.unchecked)
     }
 
-    /// Starts the load; returns it with its begin.
+    /// Starts the load; returns it with its start time.
     pub(super) fn start_load(
         &self,
         deployment: &Deployment,
@@ -155,13 +155,13 @@
         let from = wall_clock_now();
         let workloads = lock(&deployment.store).workloads.clone();
         let until = TimeSpan((seconds * 1e6) as u64);
-        let arrivals = Arrivals::new(&workloads, self.rate, self.basis.groups, until, self.basis.seed);
+        let arrivals = Arrivals::new(&workloads, self.rate, self.setup.groups, until, self.setup.seed);
         let load = load_generator::start(&deployment.store, deployment.listen, arrivals, from, self.clients);
         (load, from)
     }
 }
 
-/// Reads a fault script's text; an error names the file.
+/// Reads the text of a fault script.
 pub(super) fn read_script(path: &Path) -> Result<String> {
     std::fs::read_to_string(path).map_err(|source| Error::ReadScript {
         path: path.to_owned(),
@@ -169,8 +169,8 @@
     })
 }
 
-/// Ends the program and prints the check of all records; whether all rules were kept.
-pub(super) fn conclude(mut deployment: Deployment, records: &[StatementRecord]) -> bool {
+/// Stops the program, checks all records and prints the result; returns whether no rule was violated.
+pub(super) fn finish_and_check(mut deployment: Deployment, records: &[StatementRecord]) -> bool {
     deployment.stop();
     let report = check(&lock(&deployment.store), records);
     println!("{report}");
@@ -179,12 +179,12 @@
 }
 
 impl FleetArguments {
-    /// The plan of a run with this fault script.
+    /// Builds the plan of a run with the fault script in `text`.
     fn plan(&self, drivers: u32, text: &str, seed: u64) -> Result<ClusterPlan> {
         Ok(ClusterPlan {
             drivers,
-            groups: self.basis.groups,
-            replicas: self.basis.replicas,
+            groups: self.setup.groups,
+            replicas: self.setup.replicas,
             script: FaultScript::parse(text)?,
             gossip_enabled: !self.alone,
             seconds: self.seconds,
@@ -198,8 +198,8 @@
         })
     }
 
-    /// Runs one cluster.
+    /// Runs a cluster with the fault script in `text`.
     pub(super) fn run(&self, drivers: u32, text: &str, seed: u64) -> Result<cluster::RunReport> {
-        cluster::run(&self.basis.driver()?, &self.plan(drivers, text, seed)?)
+        cluster::run(&self.setup.driver()?, &self.plan(drivers, text, seed)?)
     }
 }
--- a/crates/testbed/src/cli/demo.rs
+++ b/crates/testbed/src/cli/demo.rs
@@ -1,6 +1,6 @@
-//! `demo`: one process of the program under load, with a few faults of each kind.
+//! `demo`: one process of the program under load, with faults of members.
 
-use super::arguments::{conclude, read_script, LoadArguments};
+use super::arguments::{finish_and_check, read_script, LoadArguments};
 use crate::error::Result;
 use crate::fault_script::FaultScript;
 use std::path::Path;
@@ -16,21 +16,21 @@
 9s primary of 3 loses answers for 100ms
 ";
 
-pub(super) fn run(common: &LoadArguments, seconds: f64, script: Option<&Path>) -> Result<bool> {
+pub(super) fn run(arguments: &LoadArguments, seconds: f64, script: Option<&Path>) -> Result<bool> {
     let text = match script {
         Some(path) => read_script(path)?,
         None => DEMO_FAULTS.to_owned(),
     };
     let script = FaultScript::parse(&text)?;
     println!(
-        "{} groups of {} members, {} statements a second for {seconds} s; faults:",
-        common.basis.groups,
-        common.basis.replicas + 1,
-        common.rate
+        "{} groups of {} members, {} statements per second for {seconds} s; faults:",
+        arguments.setup.groups,
+        arguments.setup.replicas + 1,
+        arguments.rate
     );
     println!("{}\n", text.trim());
-    let deployment = common.deploy(script)?;
-    let (load, _) = common.start_load(&deployment, seconds);
+    let deployment = arguments.deploy(script)?;
+    let (load, _) = arguments.start_load(&deployment, seconds);
     let records = load.finish();
-    Ok(conclude(deployment, &records))
+    Ok(finish_and_check(deployment, &records))
 }
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -15,10 +15,10 @@
 use std::process::ExitCode;
 use upgrade::UpgradeOptions;
 
-/// Least time without an event before an upgrade.
+/// Minimum time without faults before an upgrade.
 const MIN_CALM_SECONDS: f64 = 0.5;
 
-/// Stand-in members, discovery and clients around the built program.
+/// Test bed of the program with stand-in members, discovery and clients
 #[derive(Parser)]
 #[command(version)]
 struct CommandLine {
@@ -28,81 +28,81 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Three groups, the program, and ten seconds of load with faults: what became of each statement.
+    /// Run one process under load with faults of members, and check all answers
     Demo {
         #[command(flatten)]
-        common: LoadArguments,
-        /// For how many seconds clients ask.
+        arguments: LoadArguments,
+        /// Length of the load in seconds
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
-        /// Faults, a line each; without it a few of each kind.
+        /// File of the fault script [default: a few faults of each kind]
         #[arg(long)]
         script: Option<PathBuf>,
     },
-    /// Several processes of the program with faults between them.
+    /// Run several processes under load with faults of drivers, links and members, and check all answers
     Fleet {
         #[command(flatten)]
         arguments: FleetArguments,
-        /// What befalls whom: one of the scenes by name.
+        /// Name of the scenario
         #[arg(long, default_value = "killed")]
         scene: String,
-        /// Or a script, a line each.
+        /// File of a fault script, in place of a scenario
         #[arg(long)]
         script: Option<PathBuf>,
     },
-    /// Trouble beyond the operators' bench, with two or three drivers: idle connections, discovery, clients that stop.
+    /// Run scenarios with idle connections, faults of discovery, stalled clients and short timeouts
     Adverse {
         #[command(flatten)]
-        basis: SetupArguments,
-        /// Only these scenarios.
+        setup: SetupArguments,
+        /// Name of a scenario to run; may be repeated [default: all]
         #[arg(long)]
         scene: Vec<String>,
         #[arg(long, default_value_t = 1)]
         seeds: u64,
     },
-    /// All scenes, each with so many seeds.
+    /// Run all scenarios of `fleet`, each with several seeds
     TrialFleet {
         #[command(flatten)]
         arguments: FleetArguments,
         #[arg(long, default_value_t = 6)]
         seeds: u64,
-        /// So many plays at once: a play of five drivers takes about half of a core.
+        /// Number of concurrent runs; one of five drivers takes about half a core
         #[arg(long, default_value_t = 1)]
         jobs: usize,
-        /// Only these scenes.
+        /// Name of a scenario to run; may be repeated [default: all]
         #[arg(long)]
         scene: Vec<String>,
     },
-    /// Upgrades, or restarts in their place, under load: what clients notice.
+    /// Run upgrades or restarts of one process under load, and compare latencies before, during and after
     Upgrade {
         #[command(flatten)]
-        common: LoadArguments,
+        arguments: LoadArguments,
         #[arg(long, default_value_t = 20)]
         count: u32,
-        /// A restart instead: leaves, and begins with nothing learned.
+        /// Restart the process instead of upgrading it
         #[arg(long)]
         restart: bool,
-        /// Another build of the program: upgrades go to it and back in turn.
+        /// Executable of another build; upgrades alternate between both
         #[arg(long, conflicts_with = "restart")]
         next: Option<PathBuf>,
-        /// A member's fault beside every second one.
+        /// Inject a member's fault during every second upgrade
         #[arg(long)]
         faults: bool,
-        /// For how many seconds behind each one its effect is looked at.
+        /// Seconds after each upgrade in which its effect is measured
         #[arg(long, default_value_t = 2.0)]
         after: f64,
-        /// For how many seconds before each one nothing happens.
+        /// Seconds without faults before each upgrade
         #[arg(long, default_value_t = 2.0)]
         calm: f64,
     },
 }
 
-/// Runs the command line of the program called `name` and returns its exit code: 0 if every rule was kept, 1 if one was
-/// broken, 2 on an error.
+/// Runs the command line of the executable `name`; returns its exit code: 0 if no rule was violated, 1 if one was, 2 on
+/// an error.
 pub fn main(name: &'static str) -> ExitCode {
     let matches = CommandLine::command().name(name).get_matches();
-    let line = CommandLine::from_arg_matches(&matches).unwrap_or_else(|e| e.exit());
-    match run(line.command) {
+    let command_line = CommandLine::from_arg_matches(&matches).unwrap_or_else(|e| e.exit());
+    match run(command_line.command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
@@ -112,7 +112,7 @@
     }
 }
 
-/// Runs a command; whether all rules were kept.
+/// Runs a command; returns whether no rule was violated.
 fn run(command: Command) -> Result<bool> {
     match command {
         Command::Fleet {
@@ -126,14 +126,14 @@
             jobs,
             scene,
         } => trial_fleet::run(&arguments, seeds, jobs, &scene),
-        Command::Adverse { basis, scene, seeds } => adverse::run(&basis, seeds, &scene),
+        Command::Adverse { setup, scene, seeds } => adverse::run(&setup, seeds, &scene),
         Command::Demo {
-            common,
+            arguments,
             seconds,
             script,
-        } => demo::run(&common, seconds, script.as_deref()),
+        } => demo::run(&arguments, seconds, script.as_deref()),
         Command::Upgrade {
-            common,
+            arguments,
             count,
             restart,
             next,
@@ -146,14 +146,14 @@
                 restart,
                 next,
                 faults,
-                calm_before: span(calm.max(MIN_CALM_SECONDS)),
-                observed_after: span(after),
+                calm_before: seconds_to_span(calm.max(MIN_CALM_SECONDS)),
+                observed_after: seconds_to_span(after),
             };
-            upgrade::run(&common, options)
+            upgrade::run(&arguments, options)
         }
     }
 }
 
-fn span(seconds: f64) -> TimeSpan {
+fn seconds_to_span(seconds: f64) -> TimeSpan {
     TimeSpan((seconds.max(0.0) * 1e6) as u64)
 }
