--- a/crates/testbed/src/adverse/clients.rs
+++ b/crates/testbed/src/adverse/clients.rs
@@ -1,5 +1,5 @@
-//! Additional clients: some stall in the middle of a request, some send statements with a short timeout, and some send
-//! their load only after an idle period.
+//! Additional clients: some stall in the middle of a request, some send statements with a short timeout, and
+//! some send their load only after an idle period.
 
 use crate::arrivals::Arrivals;
 use crate::checker::{check, ClientOutcome, StatementRecord, VIOLATIONS};
@@ -202,7 +202,8 @@
 pub const TOO_FEW_COMPLETED_AFTER_IDLE: &str =
     "idle period: too few statements after it were answered with a row";
 
-/// Runs a short load, an idle period, and a load at `rate` statements per second at each driver in the last seconds.
+/// Runs a short load, an idle period, and a load at `rate` statements per second at each driver in the last
+/// seconds.
 pub fn run_load_after_idle(context: &RunContext, rate: f64) -> Findings {
     run_load_at_all(context, rate, TimeSpan::millis(500), context.seed + 1000);
     let idle_period = TimeSpan((context.seconds * 1e6) as u64 - 500_000) - LOAD_AFTER_IDLE;
@@ -291,8 +292,8 @@
     }
     let count = |outcome: fn(&ClientOutcome) -> bool| records.iter().filter(|r| outcome(&r.outcome)).count();
     findings.notes.push(format!(
-        "short timeout: {} submitted, {} completed, {} rejected, {} aborted, {} answered over 50 ms after their timeout, \
-         max latency {} ms",
+        "short timeout: {} submitted, {} completed, {} rejected, {} aborted, \
+         {} answered over 50 ms after their timeout, max latency {} ms",
         records.len(),
         count(|o| matches!(o, ClientOutcome::Row { .. })),
         count(|o| *o == ClientOutcome::Rejected),
@@ -322,7 +323,8 @@
         Ok(stream)
     }
 
-    /// Takes the idle connection unless its driver has closed it. Records data after the last answer as a violation.
+    /// Takes the idle connection unless its driver has closed it. Records data after the last answer as a
+    /// violation.
     fn take_idle_connection(&mut self) -> Option<TcpStream> {
         let stream = self.idle_connection.take()?;
         stream.set_nonblocking(true).ok()?;
--- a/crates/testbed/src/adverse/mod.rs
+++ b/crates/testbed/src/adverse/mod.rs
@@ -1,8 +1,9 @@
-//! Adverse scenarios with two or three drivers: idle connections, faults of discovery, stalled clients, short timeouts.
+//! Adverse scenarios with two or three drivers: idle connections, faults of discovery, stalled clients, short
+//! timeouts.
 //!
-//! Times are compressed: an idle period of hours becomes twenty seconds, and an outage of discovery lasts until the
-//! backoff between requests has reached its maximum. [`crate::checker`] checks the ordinary load; the additional clients
-//! in [`clients`] check their own results.
+//! Times are compressed: an idle period of hours becomes twenty seconds, and an outage of discovery lasts
+//! until the backoff between requests has reached its maximum. [`crate::checker`] checks the ordinary load;
+//! the additional clients in [`clients`] check their own results.
 
 pub mod clients;
 
@@ -67,7 +68,8 @@
         26.0,
         "20s member 2 hangs for 1500ms\n20s primary of 2 loses answers for 200ms\n20200ms member 3 drains for 5s",
     ),
-    // Longer than connections to members may be idle (30 s), and than drivers keep connections of idle clients.
+    // Longer than connections to members may be idle (30 s), and than drivers keep connections of idle
+    // clients.
     AdverseScenario {
         rate: 0.5,
         extra_clients: ExtraClients::LoadAfterIdle,
@@ -288,13 +290,14 @@
     }
 }
 
-/// Checks that at least half of the complete endpoint lists without a length were applied. Each driver's initial list and
-/// all lists with a length are assumed to be applied.
+/// Checks that at least half of the complete endpoint lists without a length were applied. Each driver's
+/// initial list and all lists with a length are assumed to be applied.
 fn check_applied_lists(report: &mut RunReport, drivers: u32) {
     let (with_length, without_length) = (report.lists_with_length, report.lists_without_length);
     let applied = report.counter("endpoint_lists_applied");
     report.notes.push(format!(
-        "lists: {with_length} sent with length, {without_length} without; {applied} applied, {drivers} initial ones included"
+        "lists: {with_length} sent with length, {without_length} without; \
+         {applied} applied, {drivers} initial ones included"
     ));
     let applied_without_length = applied.saturating_sub(with_length + u64::from(drivers));
     if without_length == 0 || applied_without_length * 2 < without_length {
--- a/crates/testbed/src/cli/fleet.rs
+++ b/crates/testbed/src/cli/fleet.rs
@@ -5,7 +5,8 @@
 use crate::scenario::scenarios;
 use std::path::Path;
 
-/// Runs a cluster under `script`, or without it under the named scenario; returns whether no rule was violated.
+/// Runs a cluster under `script`, or without it under the named scenario; returns whether no rule was
+/// violated.
 pub(super) fn run(arguments: &FleetArguments, scenario_name: &str, script: Option<&Path>) -> Result<bool> {
     let (drivers, text) = match script {
         Some(path) => (arguments.drivers, read_script(path)?),
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -97,8 +97,8 @@
     },
 }
 
-/// Runs the command line of the executable `name`; returns its exit code: 0 if no rule was violated, 1 if one was, 2 on
-/// an error.
+/// Runs the command line of the executable `name`; returns its exit code: 0 if no rule was violated, 1 if one
+/// was, 2 on an error.
 pub fn main(name: &'static str) -> ExitCode {
     let matches = CommandLine::command().name(name).get_matches();
     let command_line = CommandLine::from_arg_matches(&matches).unwrap_or_else(|e| e.exit());
--- a/crates/testbed/src/cli/trial_fleet.rs
+++ b/crates/testbed/src/cli/trial_fleet.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Mutex;
 
-/// Runs the scenarios in `names`, or all, with `seeds` seeds each and `jobs` clusters at a time; returns whether no rule
-/// was violated.
+/// Runs the scenarios in `names`, or all, with `seeds` seeds each and `jobs` clusters at a time; returns
+/// whether no rule was violated.
 pub(super) fn run(arguments: &FleetArguments, seeds: u64, jobs: usize, names: &[String]) -> Result<bool> {
     let is_selected =
         |name: &str| names.is_empty() || names.iter().any(|selected_name| selected_name == name);
--- a/crates/testbed/src/cluster/driver_faults.rs
+++ b/crates/testbed/src/cluster/driver_faults.rs
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Kills, stops and restarts drivers by the script, whose times count from `from`; returns after the last step.
+    /// Kills, stops and restarts drivers by the script, whose times count from `from`; returns after the last
+    /// step.
     pub(super) fn apply_driver_faults(&mut self, from: Timestamp, script: &FaultScript) -> Result<()> {
         let mut active_since: BTreeMap<u32, Timestamp> = BTreeMap::new();
         for step in fault_steps(script, self.processes.len()) {
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -76,7 +76,8 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // Without this, hundreds of runs in one process would leave thousands of threads and slow down each fork.
+        // Without this, hundreds of runs in one process would leave thousands of threads and slow down each
+        // fork.
         lock(&self.store).is_shut_down = true;
         for listener in &self.listeners {
             let _ = TcpStream::connect(listener);
--- a/crates/testbed/src/cluster/observe.rs
+++ b/crates/testbed/src/cluster/observe.rs
@@ -50,7 +50,8 @@
         })
     }
 
-    /// Waits until the drivers' replicated state is equal; returns the time that it took, or `None` after `timeout`.
+    /// Waits until the drivers' replicated state is equal; returns the time that it took, or `None` after
+    /// `timeout`.
     pub fn await_convergence(&self, timeout: Duration) -> Result<Option<Duration>> {
         let started_at = Instant::now();
         while started_at.elapsed() < timeout {
--- a/crates/testbed/src/cluster/report.rs
+++ b/crates/testbed/src/cluster/report.rs
@@ -103,8 +103,8 @@
         let count = |name: &str| self.counter(name);
         writeln!(
             f,
-            "connections opened {} (first {}, busy {}, again {}), health checks {}, for the fleet {}, left to peers {}, \
-             members unresponsive by consensus {}",
+            "connections opened {} (first {}, busy {}, again {}), \
+             health checks {}, for the fleet {}, left to peers {}, members unresponsive by consensus {}",
             count("connections_opened"),
             count("opened_first"),
             count("opened_busy"),
--- a/crates/testbed/src/cluster/setup.rs
+++ b/crates/testbed/src/cluster/setup.rs
@@ -20,8 +20,8 @@
 /// Number of clusters that this process has started.
 static CLUSTERS_STARTED: AtomicU32 = AtomicU32::new(0);
 
-/// A loopback address that differs for each driver of each cluster, so that no other process takes a driver's ports while
-/// it is down.
+/// A loopback address that differs for each driver of each cluster, so that no other process takes a driver's
+/// ports while it is down.
 fn driver_address(cluster_index: u32, number: u32) -> String {
     let id = std::process::id().wrapping_mul(97).wrapping_add(cluster_index);
     format!("127.{}.{}.{number}:0", 20 + id % 200, id / 200 % 250)
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -54,7 +54,8 @@
     pub replicas: u32,
 }
 
-/// Builds a driver's configuration; `endpoint_list` is the list that it starts with, `drivers` the number of drivers.
+/// Builds a driver's configuration; `endpoint_list` is the list that it starts with, `drivers` the number of
+/// drivers.
 pub fn driver_config(
     store: &SharedStore,
     identity: DriverIdentity,
--- a/crates/testbed/src/fault_script/mod.rs
+++ b/crates/testbed/src/fault_script/mod.rs
@@ -12,7 +12,8 @@
 //! 7s links lose 30% for 5s
 //! ```
 //!
-//! Times count from the start of the load. A script has no state: callers query which faults are active at a time.
+//! Times count from the start of the load. A script has no state: callers query which faults are active at a
+//! time.
 
 mod parse;
 
@@ -125,7 +126,8 @@
     DiscoveryCrowded(TimeSpan),
     /// Discovery's responses have no `Content-Length`; the end of the connection ends them.
     DiscoveryWithoutLength,
-    /// This many SIGHUPs between start and end, each after a change of the discovery address in the configuration.
+    /// This many SIGHUPs between start and end, each after a change of the discovery address in the
+    /// configuration.
     Reloaded(u32),
     /// The driver's clock is ahead by this many seconds from its next start on; negative: behind.
     ClockOffset(i64),
@@ -228,7 +230,8 @@
         starts.max()
     }
 
-    /// Time of the first change of the endpoint list after `now`: a drain begins or ends, or a member is restarted.
+    /// Time of the first change of the endpoint list after `now`: a drain begins or ends, or a member is
+    /// restarted.
     pub fn next_endpoint_list_change(&self, now: TimeSpan) -> Option<TimeSpan> {
         let times = self.0.iter().filter_map(|event| match event {
             FaultEvent::Member {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,11 +1,12 @@
 //! Test bed on one machine's loopback interface.
 //!
-//! Stand-in members, discovery and clients exchange the public protocols with the built program, under scripted faults.
-//! A checker compares the answers that clients received with what members executed.
+//! Stand-in members, discovery and clients exchange the public protocols with the built program, under
+//! scripted faults. A checker compares the answers that clients received with what members executed.
 //!
 //! [`fault_script`], [`store_model`], [`arrivals`] and [`checker`] do no I/O. [`member`], [`discovery`],
-//! [`link_proxy`], [`load_generator`] and [`roaming_clients`] own the sockets. [`deployment`] starts one process of the
-//! program, [`cluster`] several. [`adverse`] has scenarios with additional clients; [`cli`] is the command line.
+//! [`link_proxy`], [`load_generator`] and [`roaming_clients`] own the sockets. [`deployment`] starts one
+//! process of the program, [`cluster`] several. [`adverse`] has scenarios with additional clients; [`cli`] is
+//! the command line.
 
 pub mod adverse;
 pub mod arrivals;
--- a/crates/testbed/src/link_proxy.rs
+++ b/crates/testbed/src/link_proxy.rs
@@ -61,7 +61,8 @@
     let rng = |sender: u32, receiver: u32, index: u64| {
         fastrand::Rng::with_seed(seed ^ (u64::from(sender) << 32 | u64::from(receiver)) ^ index)
     };
-    // A datagram received on one socket is sent from the other, so that drivers see each other at the proxy's addresses.
+    // A datagram received on one socket is sent from the other, so that drivers see each other at the proxy's
+    // addresses.
     let directions = [
         Direction {
             sender: drivers.0,
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -1,4 +1,5 @@
-//! Open-loop clients of one driver: a statement is sent when it is due, however many others await their answers.
+//! Open-loop clients of one driver: a statement is sent when it is due, however many others await their
+//! answers.
 
 use crate::arrivals::{Arrival, Arrivals};
 use crate::checker::{ClientOutcome, StatementRecord};
--- a/crates/testbed/src/process_guard.rs
+++ b/crates/testbed/src/process_guard.rs
@@ -1,8 +1,9 @@
 //! Kills the processes under test when the test bed ends, also by SIGKILL.
 //!
-//! They belong to the process group of a guard, a shell that reads from a pipe whose other end only the test bed holds.
-//! When the test bed ends, the kernel closes the pipe and the guard kills its process group, successors of the program
-//! included. `PR_SET_PDEATHSIG` would not do: it depends on the spawning thread, and successors don't inherit it.
+//! They belong to the process group of a guard, a shell that reads from a pipe whose other end only the test
+//! bed holds. When the test bed ends, the kernel closes the pipe and the guard kills its process group,
+//! successors of the program included. `PR_SET_PDEATHSIG` would not do: it depends on the spawning thread,
+//! and successors don't inherit it.
 
 use std::io;
 use std::os::unix::process::CommandExt;
--- a/crates/testbed/src/roaming_clients.rs
+++ b/crates/testbed/src/roaming_clients.rs
@@ -1,5 +1,5 @@
-//! Clients of several drivers: a session mostly uses the same driver; a statement that was rejected or not answered is
-//! retried at another driver.
+//! Clients of several drivers: a session mostly uses the same driver; a statement that was rejected or not
+//! answered is retried at another driver.
 
 use crate::arrivals::{Arrival, Arrivals};
 use crate::checker::{ClientOutcome, StatementRecord};
@@ -213,7 +213,8 @@
         arrival.session as usize % driver_count
     }
 
-    /// Sends a statement and waits for its answer; if `abandoned`, disconnects after a short random time instead.
+    /// Sends a statement and waits for its answer; if `abandoned`, disconnects after a short random time
+    /// instead.
     fn attempt(
         &mut self,
         driver: usize,
--- a/crates/testbed/src/store_model.rs
+++ b/crates/testbed/src/store_model.rs
@@ -1,4 +1,5 @@
-//! Model of the replicated store: groups with a primary and replicas, log positions, and the executions of all writes.
+//! Model of the replicated store: groups with a primary and replicas, log positions, and the executions of
+//! all writes.
 
 use crate::fault_script::{FaultScript, MemberFault};
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -8,8 +9,9 @@
 /// Time for which a draining member may still receive statements after it was listed, tolerance included.
 const DRAIN_GRACE: TimeSpan = TimeSpan::millis(2050);
 
-/// A member in slow start is overloaded if its work within this window exceeds `OVERLOAD_MULTIPLE` times its capacity,
-/// which grows from `INITIAL_CAPACITY_FRACTION` to 1 within `WARM_UP_TIME`. The values match the drivers' settings.
+/// A member in slow start is overloaded if its work within this window exceeds `OVERLOAD_MULTIPLE` times its
+/// capacity, which grows from `INITIAL_CAPACITY_FRACTION` to 1 within `WARM_UP_TIME`. The values match the
+/// drivers' settings.
 const OVERLOAD_WINDOW: TimeSpan = TimeSpan::millis(2000);
 const OVERLOAD_MULTIPLE: f64 = 4.0;
 const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
@@ -208,7 +210,8 @@
 }
 
 impl StoreModel {
-    /// Creates a store with members numbered from 1, group by group. The first of each group is its initial primary.
+    /// Creates a store with members numbered from 1, group by group. The first of each group is its initial
+    /// primary.
     pub fn new(groups: u32, replicas: u32, script: FaultScript, started_at: Timestamp) -> StoreModel {
         StoreModel {
             script,
@@ -307,7 +310,8 @@
         Timestamp(position.0 / 1000 * 1000)
     }
 
-    /// Counts a health check; returns the member's position and whether it is primary, or `None` if it doesn't answer.
+    /// Counts a health check; returns the member's position and whether it is primary, or `None` if it
+    /// doesn't answer.
     pub fn health_check(&mut self, now: Timestamp, member: u32) -> Option<(Timestamp, bool)> {
         self.health_checks += 1;
         let is_unresponsive = self.has_fault(now, member, MemberFault::Unresponsive);
@@ -350,7 +354,8 @@
         work.map_or(0, |work| work.iter().map(|(_, time)| time.0).sum())
     }
 
-    /// Capacity in cores of a member in slow start, in proportion to the mean load of the warm members; otherwise `None`.
+    /// Capacity in cores of a member in slow start, in proportion to the mean load of the warm members;
+    /// otherwise `None`.
     fn slow_start_capacity(&self, now: Timestamp, member: u32) -> Option<f64> {
         let since = self.slow_start_since(now, member)?;
         let warm_members: Vec<u32> = self
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -20,7 +20,8 @@
 
 const MAX_MESSAGE_BYTES: usize = 1 << 24;
 
-/// Reads the next message and returns its kind and body. Without `has_kind`, as for the startup message, the kind is 0.
+/// Reads the next message and returns its kind and body. Without `has_kind`, as for the startup message, the
+/// kind is 0.
 pub fn read_message(stream: &mut TcpStream, has_kind: bool) -> io::Result<(u8, Vec<u8>)> {
     let mut header = [0; 5];
     let start = usize::from(!has_kind);
@@ -83,7 +84,8 @@
     Some((u64::from_str_radix(id, 16).ok()?, position))
 }
 
-/// Parses the comment before a statement; `names` are the workloads' names, by index. `None` if it is invalid.
+/// Parses the comment before a statement; `names` are the workloads' names, by index. `None` if it is
+/// invalid.
 pub fn parse_statement(text: &str, names: &[&str]) -> Option<Statement> {
     let comment = text.trim_start().strip_prefix("/*")?.split("*/").next()?;
     let field = |name: &str| {
--- a/crates/testbed/tests/models/checker.rs
+++ b/crates/testbed/tests/models/checker.rs
@@ -1,18 +1,18 @@
-//! The checker: each violation is found, and by itself.
+//! The checker: each violation is reported under its rule, and under no other.
 
 use crate::{at, START};
 use asterlatch_testbed::checker::{check, ClientOutcome, StatementRecord, VIOLATIONS};
 use asterlatch_testbed::fault_script::FaultScript;
 use asterlatch_testbed::store_model::{Effect, StoreModel};
 
-// Indexes into the workloads.
+// Indices into the workloads.
 const BOUNDED: usize = 0;
-const OWN: usize = 2;
+const READ_YOUR_WRITES: usize = 2;
 const POST: usize = 3;
 const DEDUPLICATED: usize = 4;
 
-/// A statement that was answered in time.
-fn good(workload: usize) -> StatementRecord {
+/// A statement without violations.
+fn valid_record(workload: usize) -> StatementRecord {
     StatementRecord {
         id: 1,
         workload,
@@ -37,30 +37,30 @@
 }
 
 #[test]
-fn check_record_with_one_violation_finds_it_alone() {
+fn check_record_with_one_violation_reports_only_its_rule() {
     #[rustfmt::skip]
     let cases: [(&str, StatementRecord, usize, Option<usize>); 19] = [
-        ("a read", good(BOUNDED), 0, None),
-        ("a write", good(POST), 1, None),
-        ("nothing was said", StatementRecord { outcome: ClientOutcome::NoAnswer, ..good(POST) }, 0, Some(0)),
-        ("in its last moment", StatementRecord { answered: at(1640), ..good(BOUNDED) }, 0, None),
-        ("too late", StatementRecord { answered: at(1660), ..good(BOUNDED) }, 0, Some(1)),
-        ("more was said", StatementRecord { has_trailing_bytes: true, ..good(BOUNDED) }, 0, Some(2)),
-        ("another's row", StatementRecord { outcome: row(2, 1005), ..good(BOUNDED) }, 0, Some(3)),
-        ("a write twice", good(POST), 2, Some(4)),
-        ("an aborted write twice", StatementRecord { outcome: ClientOutcome::Aborted, ..good(POST) }, 2, Some(4)),
-        ("a dropped write once", good(DEDUPLICATED), 1, None),
-        ("a write never", good(POST), 0, Some(5)),
-        ("a dropped write never", good(DEDUPLICATED), 0, Some(5)),
-        ("a rejected write that ran", StatementRecord { outcome: ClientOutcome::Rejected, ..good(POST) }, 1, Some(6)),
-        ("a rejected write that may be repeated", StatementRecord { outcome: ClientOutcome::Rejected, ..good(DEDUPLICATED) }, 1, None),
-        ("an aborted write that ran", StatementRecord { outcome: ClientOutcome::Aborted, ..good(POST) }, 1, None),
-        ("an aborted write that didn't", StatementRecord { outcome: ClientOutcome::Aborted, ..good(POST) }, 0, None),
-        ("refused", StatementRecord { outcome: ClientOutcome::ConnectionRefused, ..good(POST) }, 0, None),
-        ("as old as it may be", StatementRecord { outcome: row(1, 160), ..good(BOUNDED) }, 0, None),
-        ("older", StatementRecord { outcome: row(1, 140), ..good(BOUNDED) }, 0, Some(7)),
+        ("a read", valid_record(BOUNDED), 0, None),
+        ("a write", valid_record(POST), 1, None),
+        ("no answer", StatementRecord { outcome: ClientOutcome::NoAnswer, ..valid_record(POST) }, 0, Some(0)),
+        ("answered within the tolerance", StatementRecord { answered: at(1640), ..valid_record(BOUNDED) }, 0, None),
+        ("answered too late", StatementRecord { answered: at(1660), ..valid_record(BOUNDED) }, 0, Some(1)),
+        ("trailing bytes", StatementRecord { has_trailing_bytes: true, ..valid_record(BOUNDED) }, 0, Some(2)),
+        ("row of another statement", StatementRecord { outcome: row(2, 1005), ..valid_record(BOUNDED) }, 0, Some(3)),
+        ("a write executed twice", valid_record(POST), 2, Some(4)),
+        ("an aborted write executed twice", StatementRecord { outcome: ClientOutcome::Aborted, ..valid_record(POST) }, 2, Some(4)),
+        ("a deduplicated write executed once", valid_record(DEDUPLICATED), 1, None),
+        ("a completed write that was not executed", valid_record(POST), 0, Some(5)),
+        ("a completed deduplicated write that was not executed", valid_record(DEDUPLICATED), 0, Some(5)),
+        ("a rejected write that was executed", StatementRecord { outcome: ClientOutcome::Rejected, ..valid_record(POST) }, 1, Some(6)),
+        ("a rejected deduplicated write that was executed", StatementRecord { outcome: ClientOutcome::Rejected, ..valid_record(DEDUPLICATED) }, 1, None),
+        ("an aborted write that was executed", StatementRecord { outcome: ClientOutcome::Aborted, ..valid_record(POST) }, 1, None),
+        ("an aborted write that was not executed", StatementRecord { outcome: ClientOutcome::Aborted, ..valid_record(POST) }, 0, None),
+        ("connection refused", StatementRecord { outcome: ClientOutcome::ConnectionRefused, ..valid_record(POST) }, 0, None),
+        ("as old as its bound allows", StatementRecord { outcome: row(1, 160), ..valid_record(BOUNDED) }, 0, None),
+        ("older than its bound", StatementRecord { outcome: row(1, 140), ..valid_record(BOUNDED) }, 0, Some(7)),
     ];
-    for (name, record, ran, broken) in cases {
+    for (name, record, executions, violation) in cases {
         let mut store = StoreModel::new(1, 1, FaultScript::default(), START);
         store.effects.insert(
             1,
@@ -69,31 +69,31 @@
                     member: 1,
                     at: at(1001)
                 };
-                ran
+                executions
             ],
         );
         let report = check(&store, &[record]);
         let found: Vec<usize> = (0..VIOLATIONS.len())
-            .filter(|n| report.violations[*n] > 0)
+            .filter(|rule| report.violations[*rule] > 0)
             .collect();
-        assert_eq!(found, broken.into_iter().collect::<Vec<_>>(), "{name}");
+        assert_eq!(found, violation.into_iter().collect::<Vec<_>>(), "{name}");
         assert_eq!(
             report.to_string().contains("rules kept"),
-            broken.is_none(),
+            violation.is_none(),
             "{name}"
         );
     }
 }
 
 #[test]
-fn check_session_read_older_than_known_write_is_stale() {
-    // (the write's group, session and when it was known; the read's position; whether it is stale)
+fn check_session_read_older_than_answered_write_is_stale() {
+    // (group, session and answer time of the write; position of the read; whether the read is is_stale)
     #[rustfmt::skip]
-    let sessions = [
+    let cases = [
         (1, 1, 990, 980, false), (1, 1, 990, 970, true), (1, 1, 1001, 970, false),
         (2, 1, 990, 970, false), (1, 2, 990, 970, false),
     ];
-    for (group, session, answered, position, stale) in sessions {
+    for (group, session, answered, position, is_stale) in cases {
         let mut store = StoreModel::new(2, 1, FaultScript::default(), START);
         store.effects.insert(
             7,
@@ -111,18 +111,18 @@
             due: sent,
             answered: at(answered),
             outcome,
-            ..good(POST)
+            ..valid_record(POST)
         };
         let read = StatementRecord {
             outcome: row(1, position),
-            ..good(OWN)
+            ..valid_record(READ_YOUR_WRITES)
         };
         let report = check(&store, &[write, read]);
         assert_eq!(
             report.violations[8] > 0,
-            stale,
+            is_stale,
             "{group} {session} {answered} {position}"
         );
-        assert_eq!(report.violation_count(), u64::from(stale));
+        assert_eq!(report.violation_count(), u64::from(is_stale));
     }
 }
--- a/crates/testbed/tests/models/main.rs
+++ b/crates/testbed/tests/models/main.rs
@@ -1,4 +1,5 @@
-//! Fault scripts, the store model, arrivals, the checker and the wire, without sockets.
+//! Tests of the modules without I/O: fault scripts, the store model, arrivals, the checker and the wire
+//! format.
 
 mod arrivals;
 mod checker;
@@ -8,14 +9,14 @@
 
 use asterlatch::time::{TimeSpan, Timestamp};
 
-/// Begin of the load.
+/// Start of the load.
 const START: Timestamp = Timestamp(1_000_000_000_000);
 
-fn ms(n: u64) -> TimeSpan {
-    TimeSpan::millis(n)
+fn ms(milliseconds: u64) -> TimeSpan {
+    TimeSpan::millis(milliseconds)
 }
 
-/// Milliseconds after the begin.
-fn at(n: u64) -> Timestamp {
-    START + ms(n)
+/// Time in milliseconds after the start of the load.
+fn at(milliseconds: u64) -> Timestamp {
+    START + ms(milliseconds)
 }
