--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -260,23 +260,14 @@
             "max ms",
         ];
         write!(f, "{:<14}", headings[0])?;
-        headings[1..]
-            .iter()
-            .try_for_each(|heading| write!(f, "{heading:>11}"))?;
+        headings[1..].iter().try_for_each(|h| write!(f, "{h:>11}"))?;
         writeln!(f)?;
-        for row in &self.rows {
-            write!(f, "{:<14}", row.name)?;
-            for count in [
-                row.submitted,
-                row.completed,
-                row.rejected,
-                row.aborted,
-                row.lost,
-                row.refused,
-            ] {
+        for r in &self.rows {
+            write!(f, "{:<14}", r.name)?;
+            for count in [r.submitted, r.completed, r.rejected, r.aborted, r.lost, r.refused] {
                 write!(f, "{count:>11}")?;
             }
-            row.latencies.iter().try_for_each(|ms| write!(f, "{ms:>11.1}"))?;
+            r.latencies.iter().try_for_each(|ms| write!(f, "{ms:>11.1}"))?;
             writeln!(f)?;
         }
         let (executions, connections, health_checks) =
