--- a/crates/config/benches/cost.rs
+++ b/crates/config/benches/cost.rs
@@ -1,5 +1,6 @@
-//! Check and diff of files with 100, 1,000 and 10,000 entries over 50 includes, by divan, with what they allocate:
-//! `cargo bench -p asterlatch-config --bench cost`. `size` holds the cost of an entry against its bound.
+//! Time and allocations of checking and comparing files with 100, 1,000 and 10,000 entries in 50 includes:
+//! `cargo bench -p asterlatch-config --bench cost`. The `size` benchmark asserts the bound on the cost of an
+//! entry.
 
 use asterlatch_config::load::{read, MemorySource};
 use asterlatch_config::resolved::{changes, ResolvedSettings};
@@ -41,25 +42,25 @@
     MemorySource(files)
 }
 
-fn settings(files: &MemorySource) -> ResolvedSettings {
+fn resolve(files: &MemorySource) -> ResolvedSettings {
     let outcome = read(
         "root.latch",
         files,
         &service_schema::schema(),
         service_schema::DEFAULT_MACHINE,
     );
-    outcome.settings.expect("is valid")
+    outcome.settings.expect("the files are valid")
 }
 
 #[divan::bench(args = ENTRIES, sample_count = 20)]
 fn check(bencher: Bencher, entries: usize) {
     let files = files(entries, 1000);
-    bencher.bench_local(|| settings(&files));
+    bencher.bench_local(|| resolve(&files));
 }
 
 #[divan::bench(args = ENTRIES, sample_count = 20)]
 fn diff(bencher: Bencher, entries: usize) {
     let schema = service_schema::schema();
-    let (old, new) = (settings(&files(entries, 1000)), settings(&files(entries, 2000)));
+    let (old, new) = (resolve(&files(entries, 1000)), resolve(&files(entries, 2000)));
     bencher.bench_local(|| changes(&schema, &old, &new));
 }
--- a/crates/config/benches/size.rs
+++ b/crates/config/benches/size.rs
@@ -1,5 +1,5 @@
-//! What checking and comparing costs by the number of entries, and the most memory that it takes: `make bench-config`.
-//! Counts of bytes are the same from run to run; times are compared within this one run alone.
+//! Asserts that time and peak memory of checking and comparing files grow linearly with the entries:
+//! `make bench-config`. Byte counts are deterministic; times are compared only within a run.
 
 use asterlatch_config::load::{read, LoadOutcome, MemorySource};
 use asterlatch_config::resolved::changes;
@@ -9,25 +9,25 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-struct Counting;
-static NOW: AtomicUsize = AtomicUsize::new(0);
-static MOST: AtomicUsize = AtomicUsize::new(0);
+struct CountingAllocator;
+static CURRENT_BYTES: AtomicUsize = AtomicUsize::new(0);
+static PEAK_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call goes on to the system's allocator with the same arguments; only counts are kept beside it.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded to the system allocator with the same arguments.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        let now = NOW.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
-        MOST.fetch_max(now, Ordering::Relaxed);
+        let now = CURRENT_BYTES.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
+        PEAK_BYTES.fetch_max(now, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
     unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        NOW.fetch_sub(layout.size(), Ordering::Relaxed);
+        CURRENT_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(at, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const INCLUDES: usize = 50;
 const RUNS: usize = 40;
@@ -62,14 +62,14 @@
     outcome
 }
 
-/// The shortest of some runs: what the work takes when nothing else is in its way.
-fn shortest(mut run: impl FnMut()) -> Duration {
-    let one = |_| {
+/// Minimum time of [`RUNS`] runs, which excludes interference by other load.
+fn min_duration(mut run: impl FnMut()) -> Duration {
+    let measure = |_| {
         let start = Instant::now();
         run();
         start.elapsed()
     };
-    (0..RUNS).map(one).min().unwrap_or_default()
+    (0..RUNS).map(measure).min().unwrap_or_default()
 }
 
 fn main() {
@@ -78,21 +78,21 @@
     let mut rows = Vec::new();
     for entries in [100, 1000, 10_000] {
         let (old, new) = (files(entries, 1000), files(entries, 2000));
-        let before = NOW.load(Ordering::Relaxed);
-        MOST.store(before, Ordering::Relaxed);
+        let before = CURRENT_BYTES.load(Ordering::Relaxed);
+        PEAK_BYTES.store(before, Ordering::Relaxed);
         let outcome = check(&old);
-        let peak = MOST.load(Ordering::Relaxed) - before;
+        let peak = PEAK_BYTES.load(Ordering::Relaxed) - before;
         let (a, b) = (
-            outcome.settings.expect("valid"),
-            check(&new).settings.expect("valid"),
+            outcome.settings.expect("the files are valid"),
+            check(&new).settings.expect("the files are valid"),
         );
-        let checked = shortest(|| drop(check(&old)));
-        let compared = shortest(|| assert_eq!(changes(&schema, &a, &b).len(), entries));
-        let each = |d: Duration| d.as_secs_f64() / entries as f64;
+        let checked = min_duration(|| drop(check(&old)));
+        let compared = min_duration(|| assert_eq!(changes(&schema, &a, &b).len(), entries));
+        let per_entry = |d: Duration| d.as_secs_f64() / entries as f64;
         rows.push((
             entries,
-            each(checked),
-            each(compared),
+            per_entry(checked),
+            per_entry(compared),
             peak as f64 / entries as f64,
             peak,
         ));
@@ -108,14 +108,14 @@
         );
     }
     let (_, checked, compared, bytes, _) = rows[2];
-    for (what, ratio) in [
+    for (name, ratio) in [
         ("check", checked / base.1),
         ("diff", compared / base.2),
         ("memory", bytes / base.3),
     ] {
         assert!(
             ratio <= 1.5,
-            "{what}: an entry of 10,000 costs {ratio:.2} times one of 1,000"
+            "{name}: an entry of 10,000 costs {ratio:.2} times one of 1,000"
         );
     }
 }
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -1,8 +1,8 @@
-//! What is wrong and where, as `file:line:column: message` with the line itself.
+//! Diagnostics, rendered as `file:line:column: message` with the source line.
 
 use std::fmt::Write;
 
-/// A stretch of a file's text, in bytes.
+/// A byte range of a source file, which `file` gives by its number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceLocation {
     pub file: u32,
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
     Error,
-    /// Legal and unwise.
+    /// The settings are valid, but likely unintended.
     Warning,
 }
 
@@ -31,9 +31,9 @@
     pub severity: Severity,
     pub location: SourceLocation,
     pub message: String,
-    /// What would mend it.
+    /// A suggested fix.
     pub help: Option<String>,
-    /// Other places that have to do with it, each with its part in it.
+    /// Related locations, each with an explanation.
     pub related: Vec<(SourceLocation, String)>,
 }
 
@@ -53,24 +53,24 @@
         self
     }
 
-    pub fn with_related(mut self, location: SourceLocation, part: impl Into<String>) -> Diagnostic {
-        self.related.push((location, part.into()));
+    pub fn with_related(mut self, location: SourceLocation, explanation: impl Into<String>) -> Diagnostic {
+        self.related.push((location, explanation.into()));
         self
     }
 }
 
-/// A file as messages show it: its name as the operators know it, and its text.
+/// A source file: its name in diagnostics, and its text.
 #[derive(Clone, Debug, Default)]
 pub struct SourceFile {
     pub name: String,
     pub text: String,
 }
 
-/// More of a line than this is not shown.
-const WIDEST: usize = 160;
+/// Characters of a source line that are rendered.
+const MAX_LINE_CHARS: usize = 160;
 
 impl SourceFile {
-    /// Line and column, counted from one, columns in characters.
+    /// Line and column of a byte offset, both one-based; columns count characters.
     pub fn line_and_column(&self, start: u32) -> (usize, usize) {
         let start = (start as usize).min(self.text.len());
         let before = self.text.get(..start).unwrap_or_default();
@@ -88,38 +88,38 @@
     }
 }
 
-/// The characters of a line as they may be shown: nothing in a file steers the operator's terminal.
-fn shown(line: &str) -> String {
-    let tame = |c: char| match c {
+/// Replaces control characters and truncates: a file's content must not control the operator's terminal.
+fn printable_line(line: &str) -> String {
+    let replace_control = |c: char| match c {
         '\t' => ' ',
         c if c.is_control() => '\u{fffd}',
         c => c,
     };
-    line.chars().take(WIDEST).map(tame).collect()
+    line.chars().take(MAX_LINE_CHARS).map(replace_control).collect()
 }
 
-fn put_line(out: &mut String, files: &[SourceFile], location: SourceLocation) {
+fn write_source_line(out: &mut String, files: &[SourceFile], location: SourceLocation) {
     let Some(file) = files.get(location.file as usize) else {
         return;
     };
     let (_, column) = file.line_and_column(location.start);
-    let line = shown(file.line(location.start));
-    if column > WIDEST {
+    let line = printable_line(file.line(location.start));
+    if column > MAX_LINE_CHARS {
         return;
     }
     let left = line.chars().count().saturating_sub(column - 1).max(1);
-    let marked = file.text.get(location.start as usize..location.end as usize);
-    let marked = marked.and_then(|m| m.lines().next()).unwrap_or_default();
-    let wide = marked.chars().count().clamp(1, left);
+    let underlined = file.text.get(location.start as usize..location.end as usize);
+    let underlined = underlined.and_then(|m| m.lines().next()).unwrap_or_default();
+    let width = underlined.chars().count().clamp(1, left);
     let _ = writeln!(
         out,
         "    {line}\n    {}{}",
         " ".repeat(column - 1),
-        "^".repeat(wide)
+        "^".repeat(width)
     );
 }
 
-fn head(files: &[SourceFile], location: SourceLocation) -> String {
+fn format_location(files: &[SourceFile], location: SourceLocation) -> String {
     match files.get(location.file as usize) {
         Some(file) => {
             let (line, column) = file.line_and_column(location.start);
@@ -129,41 +129,46 @@
     }
 }
 
-/// One report as text, which ends its last line.
+/// Renders a diagnostic; every line ends with a newline.
 pub fn render(diagnostic: &Diagnostic, files: &[SourceFile]) -> String {
     let mut out = String::new();
-    let mark = match diagnostic.severity {
+    let prefix = match diagnostic.severity {
         Severity::Error => "",
         Severity::Warning => "warning: ",
     };
     let message: String = diagnostic.message.chars().take(600).collect();
     let _ = writeln!(
         out,
-        "{}: {mark}{}",
-        head(files, diagnostic.location),
-        shown_text(&message)
+        "{}: {prefix}{}",
+        format_location(files, diagnostic.location),
+        printable(&message)
     );
-    put_line(&mut out, files, diagnostic.location);
-    for (location, part) in &diagnostic.related {
-        let _ = writeln!(out, "  {}: {}", head(files, *location), shown_text(part));
+    write_source_line(&mut out, files, diagnostic.location);
+    for (location, explanation) in &diagnostic.related {
+        let _ = writeln!(
+            out,
+            "  {}: {}",
+            format_location(files, *location),
+            printable(explanation)
+        );
     }
     if let Some(help) = &diagnostic.help {
-        let _ = writeln!(out, "  help: {}", shown_text(help));
+        let _ = writeln!(out, "  help: {}", printable(help));
     }
     out
 }
 
-fn shown_text(text: &str) -> String {
+fn printable(text: &str) -> String {
     text.chars()
         .map(|c| if c.is_control() { '\u{fffd}' } else { c })
         .collect()
 }
 
-/// The known name that a misspelt one was meant for, if one is near.
+/// The known name with the smallest edit distance to a misspelt one, if it is similar enough.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    // Names are compared in time that grows with their product.
+    // The edit distance costs the product of the lengths.
     let name: String = name.chars().take(64).collect();
-    let near = |k: &'a str| Some((strsim::damerau_levenshtein(&name, k), k));
-    let (distance, found) = known.into_iter().filter_map(near).min()?;
+    let distance_to = |k: &'a str| Some((strsim::damerau_levenshtein(&name, k), k));
+    let (distance, found) = known.into_iter().filter_map(distance_to).min()?;
     (distance * 3 <= name.len().max(3)).then_some(found)
 }
--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -1,45 +1,46 @@
-//! The one form of a file. Works on brackets and lines rather than on the tree, so that nothing a file holds can be
-//! lost: every word stays in its place, but for commas at the ends of broken lists.
+//! Formatter. Works on the tokens of lines and brackets rather than on the syntax tree, so that nothing can
+//! be lost: all tokens keep their order, and only trailing commas are added or removed.
 
 use crate::lex::{tokens, Token};
 
-const WIDEST: usize = 100;
-const INDENT: usize = 4;
+const MAX_WIDTH: usize = 100;
+const INDENT_WIDTH: usize = 4;
 
-/// A piece of a line: a word, a comment, or a bracket with all in it.
+/// A piece of a line: a token, a comment, or a bracket with its content.
 #[derive(Debug)]
 enum Piece<'a> {
-    Word(Token, &'a str),
-    /// Text and whether it stands on a line of its own.
+    Token(Token, &'a str),
+    /// Its text, and whether it is on a line of its own.
     Comment(&'a str, bool),
     /// An empty line within brackets.
-    Gap,
+    BlankLine,
     Group(Token, Vec<Piece<'a>>),
 }
 
 struct Line<'a> {
-    indented: bool,
+    is_indented: bool,
     pieces: Vec<Piece<'a>>,
-    /// Empty lines stand before it.
-    gap: bool,
+    follows_blank_line: bool,
 }
 
-/// The text in its form. It must be well formed.
+/// Formats a text, which must be free of syntax errors.
 pub fn format(text: &str) -> String {
     let text = text.strip_prefix('\u{feff}').unwrap_or(text);
-    let lines = lines(text);
+    let lines = parse_lines(text);
     let mut out = String::new();
     for (n, line) in lines.iter().enumerate() {
-        let next_def = matches!(line.pieces.first(), Some(Piece::Word(Token::Def, _)));
-        let after_body = n > 0 && lines[n - 1].indented && !line.indented;
+        let begins_def = matches!(line.pieces.first(), Some(Piece::Token(Token::Def, _)));
+        let after_body = n > 0 && lines[n - 1].is_indented && !line.is_indented;
         if !out.is_empty()
-            && (line.gap || next_def && !is_comment(lines.get(n.wrapping_sub(1))) || after_body)
+            && (line.follows_blank_line
+                || begins_def && !is_comment(lines.get(n.wrapping_sub(1)))
+                || after_body)
         {
             out.push('\n');
         }
-        let indent = if line.indented { INDENT } else { 0 };
+        let indent = if line.is_indented { INDENT_WIDTH } else { 0 };
         out.push_str(&" ".repeat(indent));
-        put_all(&mut out, &line.pieces, indent);
+        write_pieces(&mut out, &line.pieces, indent);
         while out.ends_with(' ') {
             out.pop();
         }
@@ -52,44 +53,44 @@
     line.is_some_and(|l| matches!(l.pieces.as_slice(), [Piece::Comment(..)]))
 }
 
-fn lines(text: &str) -> Vec<Line<'_>> {
+fn parse_lines(text: &str) -> Vec<Line<'_>> {
     let mut lines: Vec<Line> = Vec::new();
     let mut all = tokens(text)
         .into_iter()
-        .map(|(token, at)| (token, &text[at]))
+        .map(|(token, range)| (token, &text[range]))
         .peekable();
-    let mut gap = false;
+    let mut follows_blank_line = false;
     while all.peek().is_some() {
-        let mut indented = false;
+        let mut is_indented = false;
         let mut pieces: Vec<Piece> = Vec::new();
         for (token, slice) in all.by_ref() {
             match token {
                 Token::Newline => break,
-                Token::Space => indented |= pieces.is_empty(),
+                Token::Space => is_indented |= pieces.is_empty(),
                 Token::Comment => pieces.push(Piece::Comment(slice.trim_end(), pieces.is_empty())),
                 token => {
-                    pieces.push(Piece::Word(token, slice));
+                    pieces.push(Piece::Token(token, slice));
                     if token.opens() {
                         break;
                     }
                 }
             }
         }
-        // A bracket takes lines in until it is closed.
-        while let Some(Piece::Word(token, _)) = pieces.last() {
+        // A bracket may span lines.
+        while let Some(Piece::Token(token, _)) = pieces.last() {
             if !token.opens() {
                 break;
             }
             let open = *token;
             pieces.pop();
-            pieces.push(group(open, &mut all));
+            pieces.push(parse_group(open, &mut all));
             for (token, slice) in all.by_ref() {
                 match token {
                     Token::Newline => break,
                     Token::Space => {}
                     Token::Comment => pieces.push(Piece::Comment(slice.trim_end(), false)),
                     token => {
-                        pieces.push(Piece::Word(token, slice));
+                        pieces.push(Piece::Token(token, slice));
                         if token.opens() {
                             break;
                         }
@@ -98,88 +99,88 @@
             }
         }
         if pieces.is_empty() {
-            gap = true;
+            follows_blank_line = true;
             continue;
         }
         lines.push(Line {
-            indented,
+            is_indented,
             pieces,
-            gap,
+            follows_blank_line,
         });
-        gap = false;
+        follows_blank_line = false;
     }
-    settle_comments(&mut lines);
+    align_comments(&mut lines);
     lines
 }
 
-/// Comments on lines of their own stand as deep as the statement behind them, if that is of the same body.
-fn settle_comments(lines: &mut [Line]) {
-    let mut body = false;
+/// Indents comments on lines of their own like the statement that follows in the same function body.
+fn align_comments(lines: &mut [Line]) {
+    let mut is_in_body = false;
     for line in lines.iter_mut().rev() {
         if is_comment(Some(line)) {
-            line.indented &= body;
+            line.is_indented &= is_in_body;
         } else {
-            body = line.indented;
+            is_in_body = line.is_indented;
         }
     }
 }
 
-type Words<'a, I> = std::iter::Peekable<I>;
+type Tokens<'a, I> = std::iter::Peekable<I>;
 
-fn group<'a, I: Iterator<Item = (Token, &'a str)>>(open: Token, all: &mut Words<'a, I>) -> Piece<'a> {
+fn parse_group<'a, I: Iterator<Item = (Token, &'a str)>>(open: Token, all: &mut Tokens<'a, I>) -> Piece<'a> {
     let mut pieces = Vec::new();
-    let mut newlines = 0;
+    let mut newline_count = 0;
     while let Some((token, slice)) = all.next() {
         if token != Token::Newline && token != Token::Space {
-            // Only between items: within one an empty line parts nothing.
-            let between = matches!(
+            // Blank lines are kept only between items.
+            let is_between_items = matches!(
                 pieces.last(),
-                Some(Piece::Word(Token::Comma, _) | Piece::Comment(..))
+                Some(Piece::Token(Token::Comma, _) | Piece::Comment(..))
             );
-            if newlines > 1 && between && !token.closes() {
-                pieces.push(Piece::Gap);
+            if newline_count > 1 && is_between_items && !token.closes() {
+                pieces.push(Piece::BlankLine);
             }
         }
         match token {
             Token::Space => continue,
             Token::Newline => {
-                newlines += 1;
+                newline_count += 1;
                 continue;
             }
-            Token::Comment => pieces.push(Piece::Comment(slice.trim_end(), newlines > 0)),
+            Token::Comment => pieces.push(Piece::Comment(slice.trim_end(), newline_count > 0)),
             token if token.closes() => break,
-            token if token.opens() => pieces.push(group(token, all)),
-            token => pieces.push(Piece::Word(token, slice)),
+            token if token.opens() => pieces.push(parse_group(token, all)),
+            token => pieces.push(Piece::Token(token, slice)),
         }
-        newlines = 0;
+        newline_count = 0;
     }
     Piece::Group(open, pieces)
 }
 
 fn brackets(open: Token) -> (char, char) {
     match open {
-        Token::OpenList => ('[', ']'),
-        Token::OpenDict => ('{', '}'),
+        Token::OpenBracket => ('[', ']'),
+        Token::OpenBrace => ('{', '}'),
         _ => ('(', ')'),
     }
 }
 
-/// Whether a space stands between two pieces on one line.
-fn spaced(before: &[Piece], next: &Piece) -> bool {
+/// Whether a space separates a piece from those before it on a line.
+fn needs_space(before: &[Piece], next: &Piece) -> bool {
     let Some(last) = before.last() else {
         return false;
     };
     match (last, next) {
-        (_, Piece::Word(Token::Comma | Token::Colon, _)) => false,
-        (Piece::Word(Token::Spread, _), _) => false,
-        (Piece::Word(Token::Minus, _), _) if is_sign(before) => false,
-        (_, Piece::Group(Token::OpenDict, _)) => true,
-        // Behind a value a bracket calls or asks it; behind anything else it begins one.
+        (_, Piece::Token(Token::Comma | Token::Colon, _)) => false,
+        (Piece::Token(Token::DoubleStar, _), _) => false,
+        (Piece::Token(Token::Minus, _), _) if is_unary_minus(before) => false,
+        (_, Piece::Group(Token::OpenBrace, _)) => true,
+        // After a value, a bracket is a call or an index.
         (
-            Piece::Word(
+            Piece::Token(
                 Token::Name
                 | Token::Load
-                | Token::Text
+                | Token::String
                 | Token::Number
                 | Token::True
                 | Token::False
@@ -193,16 +194,16 @@
     }
 }
 
-/// Whether the minus at the end has nothing to take from.
-fn is_sign(before: &[Piece]) -> bool {
+/// Whether the minus at the end of the pieces has no left operand.
+fn is_unary_minus(before: &[Piece]) -> bool {
     match before.len().checked_sub(2).map(|n| &before[n]) {
         None => true,
         Some(Piece::Group(..)) => false,
-        Some(Piece::Word(token, _)) => !matches!(
+        Some(Piece::Token(token, _)) => !matches!(
             token,
-            Token::Name | Token::Text | Token::Number | Token::True | Token::False | Token::None
+            Token::Name | Token::String | Token::Number | Token::True | Token::False | Token::None
         ),
-        Some(Piece::Comment(..) | Piece::Gap) => true,
+        Some(Piece::Comment(..) | Piece::BlankLine) => true,
     }
 }
 
@@ -214,42 +215,43 @@
     })
 }
 
-/// How wide the pieces are on one line.
+/// Width of the pieces on one line, in characters; stops counting far above the maximum.
 fn width(pieces: &[Piece]) -> usize {
-    let mut wide = 0;
+    let mut total = 0;
     for (n, piece) in pieces.iter().enumerate() {
         if is_last_comma(pieces, n) {
             continue;
         }
-        wide += usize::from(spaced(&pieces[..n], piece));
-        wide += match piece {
-            Piece::Word(_, slice) | Piece::Comment(slice, _) => slice.chars().count(),
+        total += usize::from(needs_space(&pieces[..n], piece));
+        total += match piece {
+            Piece::Token(_, slice) | Piece::Comment(slice, _) => slice.chars().count(),
             Piece::Group(_, inner) => 2 + width(inner),
-            Piece::Gap => 0,
+            Piece::BlankLine => 0,
         };
-        if wide > WIDEST * 2 {
-            return wide;
+        if total > MAX_WIDTH * 2 {
+            return total;
         }
     }
-    wide
+    total
 }
 
 fn is_last_comma(pieces: &[Piece], n: usize) -> bool {
     let rest = &pieces[n..];
-    matches!(rest.first(), Some(Piece::Word(Token::Comma, _)))
-        && rest[1..].iter().all(|p| matches!(p, Piece::Gap))
+    matches!(rest.first(), Some(Piece::Token(Token::Comma, _)))
+        && rest[1..].iter().all(|p| matches!(p, Piece::BlankLine))
 }
 
-/// Writes the pieces of a line, which begins at this indent; brackets are broken from the outside in, as needed.
-fn put_all(out: &mut String, pieces: &[Piece], indent: usize) {
+/// Writes the pieces of a line with this indentation. Breaks brackets that are too wide, the outer ones
+/// first.
+fn write_pieces(out: &mut String, pieces: &[Piece], indent: usize) {
     let line_start = out.rfind('\n').map_or(0, |n| n + 1);
     for (n, piece) in pieces.iter().enumerate() {
-        if spaced(&pieces[..n], piece) {
+        if needs_space(&pieces[..n], piece) {
             out.push(' ');
         }
         match piece {
-            Piece::Gap => {}
-            Piece::Word(_, slice) => out.push_str(slice),
+            Piece::BlankLine => {}
+            Piece::Token(_, slice) => out.push_str(slice),
             Piece::Comment(slice, _) => {
                 if !out.ends_with('\n') && !out.ends_with(' ') && out.len() > line_start {
                     out.push(' ');
@@ -260,127 +262,130 @@
                 out.push_str(slice);
             }
             Piece::Group(open, inner) => {
-                let from = out.rfind('\n').map_or(0, |n| n + 1);
-                let so_far = out[from..].chars().count();
-                let behind = pieces[n + 1..]
+                let current_line_start = out.rfind('\n').map_or(0, |n| n + 1);
+                let current_width = out[current_line_start..].chars().count();
+                let following = pieces[n + 1..]
                     .iter()
                     .take_while(|p| !matches!(p, Piece::Group(..) | Piece::Comment(..)));
-                let behind: usize = behind
+                let following: usize = following
                     .map(|p| match p {
-                        Piece::Word(_, s) => s.chars().count() + 1,
+                        Piece::Token(_, s) => s.chars().count() + 1,
                         _ => 0,
                     })
                     .sum();
-                let whole = so_far + width(inner) + 2 + behind.min(20);
-                if must_break(inner) || (whole > WIDEST && !inner.is_empty()) {
-                    put_broken(out, *open, inner, indent);
+                let line_width = current_width + width(inner) + 2 + following.min(20);
+                if must_break(inner) || (line_width > MAX_WIDTH && !inner.is_empty()) {
+                    write_broken(out, *open, inner, indent);
                 } else {
-                    put_flat(out, *open, inner);
+                    write_flat(out, *open, inner);
                 }
             }
         }
     }
 }
 
-fn put_flat(out: &mut String, open: Token, pieces: &[Piece]) {
+fn write_flat(out: &mut String, open: Token, pieces: &[Piece]) {
     let (start, end) = brackets(open);
     out.push(start);
     for (n, piece) in pieces.iter().enumerate() {
         if is_last_comma(pieces, n) {
             break;
         }
-        if matches!(piece, Piece::Gap) {
+        if matches!(piece, Piece::BlankLine) {
             continue;
         }
-        if spaced(&pieces[..n], piece) {
+        if needs_space(&pieces[..n], piece) {
             out.push(' ');
         }
         match piece {
-            Piece::Word(_, slice) => out.push_str(slice),
-            Piece::Group(open, inner) => put_flat(out, *open, inner),
-            Piece::Comment(..) | Piece::Gap => {}
+            Piece::Token(_, slice) => out.push_str(slice),
+            Piece::Group(open, inner) => write_flat(out, *open, inner),
+            Piece::Comment(..) | Piece::BlankLine => {}
         }
     }
     out.push(end);
 }
 
-/// One item a line. Items end at commas; comprehensions break before each clause and take no comma at the end.
-fn put_broken(out: &mut String, open: Token, pieces: &[Piece], indent: usize) {
+/// Writes one item per line. Comprehensions break before each clause, and get no trailing comma.
+fn write_broken(out: &mut String, open: Token, pieces: &[Piece], indent: usize) {
     let (start, end) = brackets(open);
-    let comprehends = pieces.iter().any(|p| matches!(p, Piece::Word(Token::For, _)));
-    // Right behind a value a bracket calls or asks it; only calls and lists may end in a comma.
-    let behind = |c: char| c.is_alphanumeric() || "_)]}\"%".contains(c);
-    let takes_comma = match open {
-        _ if comprehends => false,
-        Token::Open => out.ends_with(behind),
-        Token::OpenList => !out.ends_with(behind),
+    let is_comprehension = pieces.iter().any(|p| matches!(p, Piece::Token(Token::For, _)));
+    // After a value, a bracket is a call or an index; calls and lists allow a trailing comma.
+    let ends_value = |c: char| c.is_alphanumeric() || "_)]}\"%".contains(c);
+    let allows_trailing_comma = match open {
+        _ if is_comprehension => false,
+        Token::OpenParen => out.ends_with(ends_value),
+        Token::OpenBracket => !out.ends_with(ends_value),
         _ => true,
     };
-    let inner = indent + INDENT;
-    let pad = " ".repeat(inner);
+    let inner = indent + INDENT_WIDTH;
+    let padding = " ".repeat(inner);
     out.push(start);
-    // Pieces of the item that is not written yet.
-    let mut item = 0;
-    let mut at = 0;
-    while at < pieces.len() {
-        let piece = &pieces[at];
+    // Number of pieces of the current item, which is not written yet.
+    let mut item_pieces = 0;
+    let mut index = 0;
+    while index < pieces.len() {
+        let piece = &pieces[index];
         match piece {
-            Piece::Gap => {
-                if item == 0 {
+            Piece::BlankLine => {
+                if item_pieces == 0 {
                     out.push('\n');
                 }
             }
-            Piece::Comment(slice, own_line) => {
-                let behind = !own_line && !out.ends_with('\n');
-                if item == 0 && behind {
+            Piece::Comment(slice, is_own_line) => {
+                let is_trailing = !is_own_line && !out.ends_with('\n');
+                if item_pieces == 0 && is_trailing {
                     out.push_str("  ");
                     out.push_str(slice);
-                } else if item == 0 {
+                } else if item_pieces == 0 {
                     out.push('\n');
-                    out.push_str(&pad);
+                    out.push_str(&padding);
                     out.push_str(slice);
                 } else {
-                    // In the middle of an item: what was begun stands first, the rest on the next line.
-                    put_item(out, item, pieces, at, &pad, inner);
-                    item = 0;
-                    if takes_comma
-                        && pieces[at..]
+                    // A comment within an item: the item's first part goes before it, the rest on the next
+                    // line.
+                    write_item(out, item_pieces, pieces, index, &padding, inner);
+                    item_pieces = 0;
+                    if allows_trailing_comma
+                        && pieces[index..]
                             .iter()
-                            .all(|p| matches!(p, Piece::Comment(..) | Piece::Gap))
+                            .all(|p| matches!(p, Piece::Comment(..) | Piece::BlankLine))
                     {
                         out.push(',');
                     }
-                    if *own_line {
+                    if *is_own_line {
                         out.push('\n');
-                        out.push_str(&pad);
+                        out.push_str(&padding);
                     } else {
                         out.push_str("  ");
                     }
                     out.push_str(slice);
                 }
             }
-            Piece::Word(Token::Comma, _) if !comprehends => {
-                if item == 0 {
-                    // Its item went out before a comment; the comma has a line of its own.
+            Piece::Token(Token::Comma, _) if !is_comprehension => {
+                if item_pieces == 0 {
+                    // The item was written before a comment, so the comma gets a line of its own.
                     out.push('\n');
-                    out.push_str(&pad);
+                    out.push_str(&padding);
                 } else {
-                    put_item(out, item, pieces, at, &pad, inner);
-                    item = 0;
+                    write_item(out, item_pieces, pieces, index, &padding, inner);
+                    item_pieces = 0;
                 }
                 out.push(',');
             }
-            Piece::Word(Token::For | Token::If, _) if comprehends && item > 0 && clause_at(pieces, at) => {
-                put_item(out, item, pieces, at, &pad, inner);
-                item = 1;
+            Piece::Token(Token::For | Token::If, _)
+                if is_comprehension && item_pieces > 0 && begins_clause(pieces, index) =>
+            {
+                write_item(out, item_pieces, pieces, index, &padding, inner);
+                item_pieces = 1;
             }
-            _ => item += 1,
+            _ => item_pieces += 1,
         }
-        at += 1;
+        index += 1;
     }
-    if item > 0 {
-        put_item(out, item, pieces, at, &pad, inner);
-        if takes_comma {
+    if item_pieces > 0 {
+        write_item(out, item_pieces, pieces, index, &padding, inner);
+        if allows_trailing_comma {
             out.push(',');
         }
     }
@@ -389,19 +394,19 @@
     out.push(end);
 }
 
-/// Whether an 'if' begins a clause: behind the first 'for' every one does, before it none.
-fn clause_at(pieces: &[Piece], at: usize) -> bool {
-    match pieces[at] {
-        Piece::Word(Token::For, _) => true,
-        _ => pieces[..at]
+/// Whether a 'for' or 'if' begins a clause: an 'if' does after the first 'for'.
+fn begins_clause(pieces: &[Piece], index: usize) -> bool {
+    match pieces[index] {
+        Piece::Token(Token::For, _) => true,
+        _ => pieces[..index]
             .iter()
-            .any(|p| matches!(p, Piece::Word(Token::For, _))),
+            .any(|p| matches!(p, Piece::Token(Token::For, _))),
     }
 }
 
-/// Writes one item, the pieces before `end`, on a line of its own.
-fn put_item(out: &mut String, count: usize, pieces: &[Piece], end: usize, pad: &str, indent: usize) {
+/// Writes an item, the last `count` pieces before `end`, on a line of its own.
+fn write_item(out: &mut String, count: usize, pieces: &[Piece], end: usize, padding: &str, indent: usize) {
     out.push('\n');
-    out.push_str(pad);
-    put_all(out, &pieces[end - count..end], indent);
+    out.push_str(padding);
+    write_pieces(out, &pieces[end - count..end], indent);
 }
--- a/crates/config/src/fuzz_checks.rs
+++ b/crates/config/src/fuzz_checks.rs
@@ -1,4 +1,4 @@
-//! What must hold for any bytes: the fuzz target and a bounded test run the same.
+//! Invariants for arbitrary input, shared by the fuzz target and a test.
 
 use crate::format::format;
 use crate::load::{is_well_formed, read, LoadOutcome, MemorySource};
@@ -6,7 +6,7 @@
 use crate::service_schema;
 use std::collections::BTreeMap;
 
-fn root(bytes: &[u8]) -> LoadOutcome {
+fn load_root(bytes: &[u8]) -> LoadOutcome {
     let files = MemorySource(BTreeMap::from([("root.latch".to_owned(), bytes.to_owned())]));
     read(
         "root.latch",
@@ -16,14 +16,17 @@
     )
 }
 
-/// Reads the bytes as a root file, and panics where the language breaks a promise: a fault is told, and the form of a
-/// well-formed text is well formed, the form of itself, and means the same.
+/// Loads the bytes as a root file.
+///
+/// # Panics
+/// If an invariant is broken: invalid input has a diagnostic, and formatting is idempotent, keeps a
+/// well-formed text well formed, and keeps its settings.
 pub fn check_bytes(bytes: &[u8]) {
-    let outcome = root(bytes);
-    let told = outcome.render_diagnostics();
+    let outcome = load_root(bytes);
+    let diagnostics = outcome.render_diagnostics();
     assert!(
-        outcome.settings.is_some() || !told.is_empty(),
-        "nothing is told of a fault"
+        outcome.settings.is_some() || !diagnostics.is_empty(),
+        "invalid input has no diagnostic"
     );
     let Ok(text) = std::str::from_utf8(bytes) else {
         return;
@@ -31,23 +34,27 @@
     if !is_well_formed(text) {
         return;
     }
-    let formed = format(text);
+    let formatted = format(text);
     assert!(
-        is_well_formed(&formed),
-        "its form is not well formed:\n{text}\n{formed}"
+        is_well_formed(&formatted),
+        "the formatted text is not well formed:\n{text}\n{formatted}"
     );
-    assert_eq!(format(&formed), formed, "its form has another:\n{text}");
-    let again = root(formed.as_bytes());
     assert_eq!(
-        again.settings.is_some(),
+        format(&formatted),
+        formatted,
+        "formatting is not idempotent:\n{text}"
+    );
+    let formatted_outcome = load_root(formatted.as_bytes());
+    assert_eq!(
+        formatted_outcome.settings.is_some(),
         outcome.settings.is_some(),
-        "{text}\n{formed}\n{}",
-        again.render_diagnostics()
+        "{text}\n{formatted}\n{}",
+        formatted_outcome.render_diagnostics()
     );
-    if let (Some(a), Some(b)) = (&outcome.settings, &again.settings) {
+    if let (Some(a), Some(b)) = (&outcome.settings, &formatted_outcome.settings) {
         assert!(
             changes(&service_schema::schema(), a, b).is_empty(),
-            "its form means something else:\n{text}\n{formed}"
+            "the formatted text has other settings:\n{text}\n{formatted}"
         );
     }
 }
--- a/crates/config/src/generation_files.rs
+++ b/crates/config/src/generation_files.rs
@@ -1,15 +1,15 @@
-//! What is kept of former generations, decided from the names and texts of a folder: which to start from, which are
-//! damaged, which to let go. Reads and writes nothing itself.
+//! Names and contents of the files of stored generations: which one to start from, which are damaged, which
+//! to remove. Does no I/O.
 //!
-//! A generation is one file, `generation-NUMBER.latch.json`: a first line with its number, the length and the hash of
-//! what follows, then the canonical meaning. The newest whole one is the one to start from; no file names it, so no
-//! second write can contradict the first.
+//! A generation is one file, `generation-NUMBER.latch.json`: a header line with its number, and the length
+//! and hash of the rest, then the settings in canonical form. The newest intact one is the one to start from.
+//! No other file refers to it, so a single rename puts a generation in place.
 
 use crate::resolved::hash;
 
 const PREFIX: &str = "generation-";
 const SUFFIX: &str = ".latch.json";
-/// What is being written is called so; found at a start, it was never ended.
+/// Suffix of a file that is being written; one that is found at a start is left from an interrupted write.
 pub const TEMPORARY_SUFFIX: &str = ".unfinished";
 const MAGIC: &str = "asterlatch generation";
 
@@ -17,7 +17,7 @@
     format!("{PREFIX}{number:020}{SUFFIX}")
 }
 
-/// The number of a stored generation; nothing for files of any other kind.
+/// Number of the generation in a file of this name; `None` for other files.
 pub fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_prefix(PREFIX)?.strip_suffix(SUFFIX)?;
     (digits.len() == 20).then(|| digits.parse().ok())?
@@ -28,15 +28,15 @@
     format!("{MAGIC} {number} {length} {hash}\n{canonical}")
 }
 
-/// Why a stored generation isn't one.
+/// Why a stored generation is damaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Damage {
     NotText,
     NoHeader,
-    /// The file says another number than its name.
+    /// Its header has another number than its name.
     OtherNumber,
     CutShort,
-    /// More lies behind it than belongs to it.
+    /// It is longer than its header says.
     TooLong,
     OtherHash,
 }
@@ -44,38 +44,38 @@
 impl Damage {
     pub fn reason(self) -> &'static str {
         match self {
-            Damage::NotText => "is no text",
+            Damage::NotText => "is not UTF-8",
             Damage::NoHeader => "doesn't begin as one",
-            Damage::OtherNumber => "holds another number than its name",
-            Damage::CutShort => "is cut short",
-            Damage::TooLong => "holds more than belongs to it",
-            Damage::OtherHash => "has another hash than it says",
+            Damage::OtherNumber => "has another number in its header than in its name",
+            Damage::CutShort => "is truncated",
+            Damage::TooLong => "is longer than its header says",
+            Damage::OtherHash => "does not match the hash in its header",
         }
     }
 }
 
-/// The canonical text of a stored generation, if it is whole.
+/// Canonical text of a stored generation, if it is intact.
 pub fn decode(number: u64, bytes: &[u8]) -> Result<&str, Damage> {
     let text = std::str::from_utf8(bytes).map_err(|_| Damage::NotText)?;
-    let (head, canonical) = text.split_once('\n').ok_or(Damage::NoHeader)?;
-    let fields = head.strip_prefix(MAGIC).ok_or(Damage::NoHeader)?;
+    let (header, canonical) = text.split_once('\n').ok_or(Damage::NoHeader)?;
+    let fields = header.strip_prefix(MAGIC).ok_or(Damage::NoHeader)?;
     let mut fields = fields.split(' ').skip(1);
-    let mut next = || fields.next().ok_or(Damage::NoHeader);
-    let (told, length, told_hash) = (next()?, next()?, next()?);
-    let told: u64 = told.parse().map_err(|_| Damage::NoHeader)?;
+    let mut next_field = || fields.next().ok_or(Damage::NoHeader);
+    let (header_number, length, header_hash) = (next_field()?, next_field()?, next_field()?);
+    let header_number: u64 = header_number.parse().map_err(|_| Damage::NoHeader)?;
     let length: usize = length.parse().map_err(|_| Damage::NoHeader)?;
-    if told != number {
+    if header_number != number {
         return Err(Damage::OtherNumber);
     }
     match canonical.len().cmp(&length) {
         std::cmp::Ordering::Less => Err(Damage::CutShort),
         std::cmp::Ordering::Greater => Err(Damage::TooLong),
-        std::cmp::Ordering::Equal if hash(canonical) != told_hash => Err(Damage::OtherHash),
+        std::cmp::Ordering::Equal if hash(canonical) != header_hash => Err(Damage::OtherHash),
         std::cmp::Ordering::Equal => Ok(canonical),
     }
 }
 
-/// What of a folder is what, newest first.
+/// Files of a folder: numbers of generations, newest first, and names of interrupted writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FolderFiles {
     pub generations: Vec<u64>,
@@ -91,7 +91,7 @@
         ) {
             (Some(number), _) => files.generations.push(number),
             (None, true) => files.temporary.push(name),
-            // Not ours, so it stays.
+            // Other files stay.
             (None, false) => {}
         }
     }
@@ -100,35 +100,35 @@
     files
 }
 
-/// The generations to let go once there are so many whole ones: the oldest, never the newest whole one. Damaged ones
-/// go as soon as a whole one is newer: until then they are all that tells what happened.
+/// Generations to remove so that at most `max_generations` intact ones are left, and at least one. A damaged
+/// one is removed once a newer intact one exists; until then it may be needed for diagnosis.
 pub fn generations_to_remove(newest_first: &[(u64, bool)], max_generations: usize) -> Vec<u64> {
-    let mut whole = 0;
-    let mut gone = Vec::new();
-    for (number, is_whole) in newest_first {
-        if *is_whole && whole < max_generations.max(1) {
-            whole += 1;
-        } else if whole > 0 {
-            gone.push(*number);
+    let mut intact = 0;
+    let mut to_remove = Vec::new();
+    for (number, is_intact) in newest_first {
+        if *is_intact && intact < max_generations.max(1) {
+            intact += 1;
+        } else if intact > 0 {
+            to_remove.push(*number);
         }
     }
-    gone
+    to_remove
 }
 
-/// The generation that a rollback by so many steps goes to. A step is a stored meaning that differs from the one
-/// before: storing the same again is no step.
+/// Number of the generation that lies this many changes back, given numbers and hashes. Storing equal
+/// settings again is not a change.
 pub fn rollback_target(newest_first: &[(u64, String)], steps: usize) -> Option<u64> {
     if steps == 0 {
         return None;
     }
-    let mut left = steps;
+    let mut remaining_steps = steps;
     let mut current = newest_first.first()?.1.as_str();
     for (number, hash) in newest_first {
         if hash != current {
-            left -= 1;
+            remaining_steps -= 1;
             current = hash;
         }
-        if left == 0 {
+        if remaining_steps == 0 {
             return Some(*number);
         }
     }
--- a/crates/config/src/generation_writer.rs
+++ b/crates/config/src/generation_writer.rs
@@ -1,12 +1,12 @@
-//! Stores the generation that was kept last, and stores it again, later each time, while the disk fails.
+//! Stores the last confirmed generation, and retries with exponential backoff while the disk fails.
 
 use crate::store::{GenerationStore, StoreError};
 use asterlatch_storage::FileSystem;
 use std::time::Duration;
 
-/// Time between two attempts on a disk that fails; doubles up to [`LONGEST_PAUSE`].
+/// Backoff after the first failure; doubled by each further one up to [`MAX_BACKOFF`].
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
-/// Longest time between two attempts.
+/// Bound on the backoff.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
 /// A generation that isn't known to survive a power failure.
@@ -14,12 +14,12 @@
     number: u64,
     canonical: String,
     max_generations: usize,
-    /// Whether the number is this generation's own already.
-    is_in_force: bool,
+    /// Whether a file with this number holds this generation already.
+    is_written: bool,
     backoff: Duration,
 }
 
-/// A store, and a generation that is pending: not stored yet, or not known to be durable.
+/// A store, and the pending generation: one that is not stored yet, or not known to be durable.
 pub struct GenerationWriter<F: FileSystem> {
     store: GenerationStore<F>,
     pending: Option<PendingGeneration>,
@@ -30,7 +30,7 @@
         GenerationWriter { store, pending: None }
     }
 
-    /// Stores a generation; one that was pending before is older, and dropped.
+    /// Stores a generation. A pending one is older, and dropped.
     pub fn store(
         &mut self,
         number: u64,
@@ -41,12 +41,12 @@
             number,
             canonical,
             max_generations,
-            is_in_force: false,
+            is_written: false,
             backoff: INITIAL_BACKOFF,
         })
     }
 
-    /// How long to wait until [`GenerationWriter::retry`]; `None` if nothing is pending.
+    /// Time to wait before [`GenerationWriter::retry`]; `None` if nothing is pending.
     pub fn retry_backoff(&self) -> Option<Duration> {
         self.pending.as_ref().map(|pending| pending.backoff)
     }
@@ -60,7 +60,7 @@
 
     fn attempt(&mut self, mut pending: PendingGeneration) -> Result<u64, StoreError> {
         let (number, max_generations) = (pending.number, pending.max_generations);
-        let result = match pending.is_in_force {
+        let result = match pending.is_written {
             true => self
                 .store
                 .store_as(number, &pending.canonical, max_generations, |_| ()),
@@ -73,7 +73,7 @@
             Err(StoreError::NotStored(_)) => Some(pending),
             Err(StoreError::NotDurable { number, .. }) => {
                 pending.number = *number;
-                pending.is_in_force = true;
+                pending.is_written = true;
                 Some(pending)
             }
         };
--- a/crates/config/src/generations.rs
+++ b/crates/config/src/generations.rs
@@ -1,14 +1,15 @@
-//! Which meaning is in force. Reads, figures and time come in; what to take over, to keep and to tell goes out. The
-//! rules are gone through in their order until none fires. Nothing here reads a file or a clock.
+//! State machine that decides which settings are applied. Results of reads, samples of metrics and time come
+//! in, commands go out. Rules are tried in order until none applies. Does no I/O and reads no clock.
 //!
-//! A generation is *staged* by a good read, *on probation* once it is in force, and then *kept*, or *gone back* from
-//! to the one kept last. What was gone back from isn't taken again until a read brings another meaning.
+//! A generation is *staged* by a valid read, *on probation* once it is applied, and then *confirmed*, or
+//! *rolled back* to the last confirmed one. Settings that were rolled back are not applied again until a read
+//! brings others.
 
 use crate::probation::{ProbationCriteria, ProbationMonitor, Sample, Verdict};
 use crate::schema::Resource;
 use asterlatch::time::{TimeSpan, Timestamp};
 
-/// A meaning with the number it was given here, and its hash.
+/// Settings with their number and hash.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Generation<M> {
     pub number: u64,
@@ -16,17 +17,18 @@
     pub settings: M,
 }
 
-/// What the host knows of a change that the rules go by.
+/// How two settings differ, as far as the rules need it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// Settings that are taken over now, and at the next start.
+    /// Number of differing settings that take effect at once.
     pub live: usize,
+    /// Number of differing settings that take effect at the next start.
     pub at_next_start: usize,
-    /// Wants that the live ones may cause.
+    /// Resources that the live ones may exhaust.
     pub may_exhaust: Vec<Resource>,
 }
 
-/// A read of the file, told when it is over: reads may overtake one another.
+/// Result of reading the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome<M> {
     Valid { hash: String, settings: M },
@@ -35,14 +37,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command<M> {
-    /// Put this meaning in force.
+    /// Apply these settings.
     Apply(M),
-    /// Store it as the one to start from.
+    /// Store this generation as the one to start from.
     Store(Generation<M>),
     Report(Decision),
 }
 
-/// What happened, for log and counters.
+/// What was decided, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     Unchanged,
@@ -50,7 +52,7 @@
         error_count: usize,
     },
     Superseded,
-    /// It was gone back from before.
+    /// The file still states settings that were rolled back.
     AlreadyRolledBack {
         resource: Resource,
     },
@@ -75,35 +77,35 @@
     Probation { until: Timestamp },
 }
 
-/// Probation that lasts this long while nothing is asked of the driver proves nothing; it goes on for as many times.
-const LONGEST_PROBATION: u64 = 4;
+/// Probation without demand proves nothing, so it is extended up to this multiple of its length.
+const MAX_PROBATION_FACTOR: u64 = 4;
 
 pub struct Generations<M> {
     confirmed: Generation<M>,
     in_force: Generation<M>,
     phase: Phase,
-    began: Timestamp,
-    /// The newest read that counted, and those given out.
-    newest: u64,
-    given_out: u64,
-    arrived: Option<(u64, ReadOutcome<M>)>,
+    probation_began_at: Timestamp,
+    /// Ticket of the newest valid read.
+    newest_ticket: u64,
+    last_ticket: u64,
+    pending_read: Option<(u64, ReadOutcome<M>)>,
     staged: Option<(String, M)>,
-    /// The meaning that was gone back from, and for which want.
-    refused: Option<(String, Resource)>,
+    /// Hash of the settings that were rolled back, and the resource that they exhausted.
+    rolled_back: Option<(String, Resource)>,
     monitor: ProbationMonitor,
     next_number: u64,
-    /// How two meanings differ, and the terms that one states.
-    compare: fn(&M, &M) -> Difference,
+    /// How two settings differ, and the criteria that settings state.
+    difference: fn(&M, &M) -> Difference,
     criteria: fn(&M) -> ProbationCriteria,
 }
 
 impl<M: Clone> Generations<M> {
-    /// Starts with what is in force from the first moment: nothing came before it, so nothing judges it.
+    /// The initial generation counts as confirmed: there is nothing to compare it with.
     pub fn new(
         number: u64,
         hash: String,
         settings: M,
-        compare: fn(&M, &M) -> Difference,
+        difference: fn(&M, &M) -> Difference,
         criteria: fn(&M) -> ProbationCriteria,
     ) -> Generations<M> {
         let first = Generation {
@@ -115,15 +117,15 @@
             confirmed: first.clone(),
             in_force: first,
             phase: Phase::Confirmed,
-            began: Timestamp(0),
-            newest: 0,
-            given_out: 0,
-            arrived: None,
+            probation_began_at: Timestamp(0),
+            newest_ticket: 0,
+            last_ticket: 0,
+            pending_read: None,
             staged: None,
-            refused: None,
+            rolled_back: None,
             monitor: ProbationMonitor::default(),
             next_number: number + 1,
-            compare,
+            difference,
             criteria,
         }
     }
@@ -136,28 +138,28 @@
         self.phase != Phase::Confirmed
     }
 
-    /// The ticket of a read that begins now.
+    /// Returns the ticket of a read that begins now.
     pub fn begin_read(&mut self) -> u64 {
-        self.given_out += 1;
-        self.given_out
+        self.last_ticket += 1;
+        self.last_ticket
     }
 
     pub fn on_read(&mut self, now: Timestamp, ticket: u64, read: ReadOutcome<M>) -> Vec<Command<M>> {
-        self.arrived = Some((ticket, read));
-        self.go(now)
+        self.pending_read = Some((ticket, read));
+        self.run_rules(now)
     }
 
-    /// What the driver counts, from time to time; what was there before a change is judged by it too.
+    /// Takes a periodic sample; samples before a change are the baseline that it is compared with.
     pub fn on_sample(&mut self, now: Timestamp, sample: Sample) -> Vec<Command<M>> {
         self.monitor.record(now, sample);
-        self.go(now)
+        self.run_rules(now)
     }
 
     pub fn advance_to(&mut self, now: Timestamp) -> Vec<Command<M>> {
-        self.go(now)
+        self.run_rules(now)
     }
 
-    /// When time alone may change something.
+    /// When to call [`Generations::advance_to`] next.
     pub fn next_at(&self) -> Option<Timestamp> {
         match self.phase {
             Phase::Probation { until } => Some(until),
@@ -165,16 +167,16 @@
         }
     }
 
-    fn go(&mut self, now: Timestamp) -> Vec<Command<M>> {
+    fn run_rules(&mut self, now: Timestamp) -> Vec<Command<M>> {
         let mut commands = Vec::new();
-        while let Some(more) = self.rule(now) {
+        while let Some(more) = self.apply_next_rule(now) {
             commands.extend(more);
         }
         commands
     }
 
     /// The first rule whose condition holds.
-    fn rule(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
+    fn apply_next_rule(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
         self.superseded()
             .or_else(|| self.rejected())
             .or_else(|| self.already_rolled_back())
@@ -182,77 +184,76 @@
             .or_else(|| self.stage())
             .or_else(|| self.apply(now))
             .or_else(|| self.roll_back(now))
-            .or_else(|| self.prolong(now))
+            .or_else(|| self.extend_probation(now))
             .or_else(|| self.confirm(now))
     }
 
-    /// A read that began before one that has ended is of an older file.
+    /// Drops a read that began before the newest valid one: it may have read an older file.
     fn superseded(&mut self) -> Option<Vec<Command<M>>> {
-        let (ticket, _) = self.arrived.as_ref()?;
-        if *ticket > self.newest {
+        let (ticket, _) = self.pending_read.as_ref()?;
+        if *ticket > self.newest_ticket {
             return None;
         }
-        self.arrived = None;
+        self.pending_read = None;
         Some(vec![Command::Report(Decision::Superseded)])
     }
 
-    /// A faulty file changes nothing, also not what was staged or is on probation. It doesn't make a good read that
-    /// began before it old: the last valid one counts.
+    /// An invalid file changes nothing, and doesn't supersede a valid read that began before it.
     fn rejected(&mut self) -> Option<Vec<Command<M>>> {
-        let (_, ReadOutcome::Invalid { error_count }) = self.arrived.as_ref()? else {
+        let (_, ReadOutcome::Invalid { error_count }) = self.pending_read.as_ref()? else {
             return None;
         };
         let error_count = *error_count;
-        self.arrived = None;
+        self.pending_read = None;
         Some(vec![Command::Report(Decision::Rejected { error_count })])
     }
 
-    /// What did harm isn't taken a second time: the file must say something else first.
+    /// Refuses settings that were rolled back until the file has stated others.
     fn already_rolled_back(&mut self) -> Option<Vec<Command<M>>> {
-        let (ticket, ReadOutcome::Valid { hash, .. }) = self.arrived.as_ref()? else {
+        let (ticket, ReadOutcome::Valid { hash, .. }) = self.pending_read.as_ref()? else {
             return None;
         };
-        let (refused, resource) = self.refused.as_ref()?;
-        if refused != hash {
+        let (rolled_back, resource) = self.rolled_back.as_ref()?;
+        if rolled_back != hash {
             return None;
         }
         let resource = *resource;
-        self.newest = *ticket;
-        self.arrived = None;
+        self.newest_ticket = *ticket;
+        self.pending_read = None;
         Some(vec![Command::Report(Decision::AlreadyRolledBack { resource })])
     }
 
     fn unchanged(&mut self) -> Option<Vec<Command<M>>> {
-        let (ticket, ReadOutcome::Valid { hash, .. }) = self.arrived.as_ref()? else {
+        let (ticket, ReadOutcome::Valid { hash, .. }) = self.pending_read.as_ref()? else {
             return None;
         };
         if *hash != self.in_force.hash {
             return None;
         }
-        self.newest = *ticket;
-        // The file says again what is in force: what was refused since then may be tried again later.
-        self.refused = None;
-        self.arrived = None;
+        self.newest_ticket = *ticket;
+        // The file states the applied settings again, so the refused ones may be tried again.
+        self.rolled_back = None;
+        self.pending_read = None;
         Some(vec![Command::Report(Decision::Unchanged)])
     }
 
     fn stage(&mut self) -> Option<Vec<Command<M>>> {
-        match self.arrived.take()? {
+        match self.pending_read.take()? {
             (ticket, ReadOutcome::Valid { hash, settings }) => {
-                self.newest = ticket;
+                self.newest_ticket = ticket;
                 self.staged = Some((hash, settings));
                 Some(Vec::new())
             }
-            faulty => {
-                self.arrived = Some(faulty);
+            invalid => {
+                self.pending_read = Some(invalid);
                 None
             }
         }
     }
 
-    /// What is staged goes in force. A change that can't do harm, for it lies in no setting that anything is watched
-    /// of, or because the operators want no probation, is kept at once. One that comes while another is on probation
-    /// takes its place, and both are judged against the one kept last.
+    /// Applies the staged settings. They are confirmed at once if they can't exhaust a resource, or the
+    /// operators have disabled probation. A change during probation replaces the one before; both are
+    /// compared with the confirmed one.
     fn apply(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
         let (hash, settings) = self.staged.take()?;
         let next = Generation {
@@ -261,9 +262,9 @@
             settings,
         };
         self.next_number += 1;
-        self.refused = None;
-        let step = (self.compare)(&self.in_force.settings, &next.settings);
-        let whole = (self.compare)(&self.confirmed.settings, &next.settings);
+        self.rolled_back = None;
+        let step = (self.difference)(&self.in_force.settings, &next.settings);
+        let total = (self.difference)(&self.confirmed.settings, &next.settings);
         let probation = (self.criteria)(&next.settings).probation;
         let was_confirmed = self.phase == Phase::Confirmed;
         self.in_force = next;
@@ -276,15 +277,15 @@
             Command::Apply(self.in_force.settings.clone()),
             Command::Report(decision),
         ];
-        if whole.may_exhaust.is_empty() || probation == TimeSpan(0) {
+        if total.may_exhaust.is_empty() || probation == TimeSpan(0) {
             commands.extend(self.confirm_now());
             return Some(commands);
         }
         if was_confirmed {
             self.monitor.begin(now);
-            self.began = now;
+            self.probation_began_at = now;
         }
-        self.monitor.watch(whole.may_exhaust);
+        self.monitor.watch(total.may_exhaust);
         self.phase = Phase::Probation {
             until: now + probation,
         };
@@ -299,7 +300,7 @@
         if self.phase == Phase::Confirmed {
             return None;
         }
-        // By the terms of both: a file must not talk itself out of its probation.
+        // The stricter of both: a file must not loosen the criteria for its own probation.
         let criteria = self
             .criteria_in_force()
             .stricter((self.criteria)(&self.confirmed.settings));
@@ -307,7 +308,7 @@
             return None;
         };
         let from = self.in_force.number;
-        self.refused = Some((self.in_force.hash.clone(), resource));
+        self.rolled_back = Some((self.in_force.hash.clone(), resource));
         self.in_force = self.confirmed.clone();
         self.phase = Phase::Confirmed;
         let to = self.confirmed.number;
@@ -317,18 +318,18 @@
         ])
     }
 
-    /// Nothing was asked of the driver, so nothing was seen.
-    fn prolong(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
+    /// Extends a probation without demand.
+    fn extend_probation(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
         let Phase::Probation { until } = self.phase else {
             return None;
         };
         let probation = self.criteria_in_force().probation;
-        let longest = self.began + TimeSpan(probation.0.saturating_mul(LONGEST_PROBATION));
-        if now < until || now >= longest || self.monitor.has_seen_demand() {
+        let max_end = self.probation_began_at + TimeSpan(probation.0.saturating_mul(MAX_PROBATION_FACTOR));
+        if now < until || now >= max_end || self.monitor.has_seen_demand() {
             return None;
         }
         self.phase = Phase::Probation {
-            until: (now + probation).min(longest),
+            until: (now + probation).min(max_end),
         };
         Some(Vec::new())
     }
--- a/crates/config/src/lex.rs
+++ b/crates/config/src/lex.rs
@@ -1,4 +1,4 @@
-//! Tokens. Spaces, comments and ends of lines are tokens too, so that the formatter loses nothing.
+//! Lexer. Spaces, comments and line ends are tokens too, so that the formatter loses nothing.
 
 use logos::Logos;
 use std::ops::Range;
@@ -11,21 +11,21 @@
     #[regex(r"\r?\n")] Newline,
     #[regex(r"[A-Za-z_][A-Za-z0-9_]*")] Name,
     #[regex(r"[0-9]+(\.[0-9]+)?(%|/[A-Za-z]+|[A-Za-z_][A-Za-z0-9_]*)?")] Number,
-    #[regex(r#""([^"\\\r\n]|\\[^\r\n])*""#)] Text,
-    /// A text whose line ends before it does.
-    #[regex(r#""([^"\\\r\n]|\\[^\r\n])*\\?"#)] OpenText,
+    #[regex(r#""([^"\\\r\n]|\\[^\r\n])*""#)] String,
+    /// A string that isn't closed on its line.
+    #[regex(r#""([^"\\\r\n]|\\[^\r\n])*\\?"#)] UnterminatedString,
     #[token("load")] Load, #[token("def")] Def, #[token("return")] Return,
     #[token("if")] If, #[token("else")] Else, #[token("for")] For, #[token("in")] In,
     #[token("and")] And, #[token("or")] Or, #[token("not")] Not,
     #[token("True")] True, #[token("False")] False, #[token("None")] None,
-    #[token("(")] Open, #[token(")")] Close, #[token("[")] OpenList, #[token("]")] CloseList,
-    #[token("{")] OpenDict, #[token("}")] CloseDict,
-    #[token(",")] Comma, #[token(":")] Colon, #[token("=")] Is,
-    #[token("==")] Equal, #[token("!=")] Unequal, #[token("<")] Less, #[token("<=")] LessEqual,
+    #[token("(")] OpenParen, #[token(")")] CloseParen, #[token("[")] OpenBracket, #[token("]")] CloseBracket,
+    #[token("{")] OpenBrace, #[token("}")] CloseBrace,
+    #[token(",")] Comma, #[token(":")] Colon, #[token("=")] Assign,
+    #[token("==")] Equal, #[token("!=")] NotEqual, #[token("<")] Less, #[token("<=")] LessEqual,
     #[token(">")] Greater, #[token(">=")] GreaterEqual,
-    #[token("+")] Plus, #[token("-")] Minus, #[token("*")] Times, #[token("**")] Spread,
-    #[token("//")] Over, #[token("%")] Rest,
-    /// What belongs to no token; runs of it are one.
+    #[token("+")] Plus, #[token("-")] Minus, #[token("*")] Star, #[token("**")] DoubleStar,
+    #[token("//")] DoubleSlash, #[token("%")] Percent,
+    /// A run of characters that belong to no other token.
     Unknown,
     End,
 }
@@ -36,32 +36,32 @@
     }
 
     pub fn opens(self) -> bool {
-        matches!(self, Token::Open | Token::OpenList | Token::OpenDict)
+        matches!(self, Token::OpenParen | Token::OpenBracket | Token::OpenBrace)
     }
 
     pub fn closes(self) -> bool {
-        matches!(self, Token::Close | Token::CloseList | Token::CloseDict)
+        matches!(self, Token::CloseParen | Token::CloseBracket | Token::CloseBrace)
     }
 
-    /// As messages call it.
+    /// Name in diagnostics.
     #[rustfmt::skip]
     pub fn name(self) -> &'static str {
         use Token::*;
         match self {
             Space => "a space", Comment => "a comment", Newline => "the end of the line", Name => "a name",
-            Number => "a number", Text => "a text", OpenText => "a text without its end", Load => "'load'",
+            Number => "a number", String => "a string", UnterminatedString => "an unterminated string", Load => "'load'",
             Def => "'def'", Return => "'return'", If => "'if'", Else => "'else'", For => "'for'", In => "'in'",
             And => "'and'", Or => "'or'", Not => "'not'", True => "'True'", False => "'False'", None => "'None'",
-            Open => "'('", Close => "')'", OpenList => "'['", CloseList => "']'", OpenDict => "'{'",
-            CloseDict => "'}'", Comma => "','", Colon => "':'", Is => "'='", Equal => "'=='", Unequal => "'!='",
+            OpenParen => "'('", CloseParen => "')'", OpenBracket => "'['", CloseBracket => "']'", OpenBrace => "'{'",
+            CloseBrace => "'}'", Comma => "','", Colon => "':'", Assign => "'='", Equal => "'=='", NotEqual => "'!='",
             Less => "'<'", LessEqual => "'<='", Greater => "'>'", GreaterEqual => "'>='", Plus => "'+'",
-            Minus => "'-'", Times => "'*'", Spread => "'**'", Over => "'//'", Rest => "'%'",
+            Minus => "'-'", Star => "'*'", DoubleStar => "'**'", DoubleSlash => "'//'", Percent => "'%'",
             Unknown => "an unknown character", End => "the end of the file",
         }
     }
 }
 
-/// All tokens of a text, which together are the text.
+/// All tokens; their slices concatenated are the text.
 pub fn tokens(text: &str) -> Vec<(Token, Range<usize>)> {
     let mut all: Vec<(Token, Range<usize>)> = Vec::new();
     for (token, at) in Token::lexer(text).spanned() {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,10 @@
-//! The operators' language: files that state settings, checked before they serve.
+//! The operators' configuration language: files of settings that are checked before they are applied.
 //!
-//! `load` reads files into a `meaning`, or into the `report`s of what is wrong; `registry` says what may be set;
-//! `format` writes a file in the one form; `generations` decides which meaning is in force, `probation` whether a
-//! change does harm, `shelf` what is kept of former ones. Only `load::Folder` and `store` touch files; `generation_writer` stores again what a failing disk didn't take.
+//! `load` turns files into resolved settings or diagnostics. `schema` describes sections and settings, and
+//! `service_schema` is the schema of the service. `format` is the formatter. `generations` decides which
+//! settings are applied, `probation` whether a change is harmful, `generation_files` which stored generations
+//! are kept. Only `load::FolderSource` and `store` access files; `generation_writer` retries storing on a
+//! failing disk.
 
 pub mod diagnostic;
 pub mod eval;
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -1,7 +1,7 @@
-//! Reads a root file and all that it includes, each file once, into one meaning or the reports of what is wrong.
+//! Loads a root file and the files that it loads, each once, into resolved settings or diagnostics.
 
 use crate::diagnostic::{Diagnostic, Severity, SourceFile, SourceLocation};
-use crate::eval::{Run, Sections};
+use crate::eval::{Evaluator, Sections};
 use crate::lex::Token;
 use crate::parse::parse;
 use crate::resolved::{ResolvedSettings, SettingLocations};
@@ -11,32 +11,36 @@
 use std::collections::BTreeMap;
 use std::path::{Component, PathBuf};
 
-/// The longest file, and the longest all together may be.
+/// Bound on the size of one file.
 pub const MAX_FILE_BYTES: usize = 2 * 1024 * 1024;
+/// Bound on the total size of all files.
 pub const MAX_TOTAL_BYTES: usize = 8 * 1024 * 1024;
+/// Bound on the number of files.
 pub const MAX_FILES: usize = 256;
-/// How deep files may include files.
+/// Bound on nested loads.
 pub const MAX_LOAD_DEPTH: usize = 16;
 
-/// Why a file isn't there.
+/// Why a source file can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SourceError {
-    /// Outside the folder of the root file.
+    /// It is outside the folder of the root file.
     Outside,
+    /// It is longer than [`MAX_FILE_BYTES`].
     TooLong,
+    /// Text of the system's error.
     Unreadable(String),
 }
 
-/// Where files come from. Each is asked for once by name, and read once for each identity.
+/// Where files come from. Files are found by name, and read once per identity.
 pub trait Source {
-    /// What a file is, whatever it is called: two names of one file have the same.
+    /// Identity of a file: equal for all names of one file.
     fn identity(&self, name: &str) -> Result<String, SourceError>;
-    /// Its bytes, of which one more than the longest is enough.
+    /// Content of a file, truncated to one byte more than `max_bytes`.
     fn bytes(&self, identity: &str, max_bytes: usize) -> Result<Vec<u8>, SourceError>;
 }
 
 pub struct LoadOutcome {
-    /// Only where nothing is wrong.
+    /// Present if there is no error.
     pub settings: Option<ResolvedSettings>,
     pub locations: SettingLocations,
     pub diagnostics: Vec<Diagnostic>,
@@ -44,7 +48,7 @@
 }
 
 impl LoadOutcome {
-    /// All reports as text.
+    /// All diagnostics as text.
     pub fn render_diagnostics(&self) -> String {
         self.diagnostics
             .iter()
@@ -63,16 +67,16 @@
 struct Loader<'a> {
     source: &'a dyn Source,
     sections: Vec<(&'static str, bool)>,
-    run: Run,
+    evaluator: Evaluator,
     files: Vec<SourceFile>,
-    /// By identity: the number, and whether it has been run to its end.
-    known: BTreeMap<String, (u32, bool)>,
-    /// The files that are being run, with the place of the load that wanted the next one.
-    stack: Vec<(u32, Option<SourceLocation>)>,
+    /// File number and whether evaluation is complete, by identity.
+    loaded: BTreeMap<String, (u32, bool)>,
+    /// Files under evaluation, each with the location of the load that requested it.
+    load_stack: Vec<(u32, Option<SourceLocation>)>,
     bytes: usize,
 }
 
-/// Reads the root file of this name. The machine, where known, is what the settings are held against.
+/// Loads the root file of this name, and checks its settings against the schema and the machine's limits.
 pub fn read(root: &str, source: &dyn Source, schema: &Schema, machine: Machine) -> LoadOutcome {
     let sections = schema
         .sections
@@ -82,17 +86,19 @@
     let mut loader = Loader {
         source,
         sections,
-        run: Run::default(),
+        evaluator: Evaluator::default(),
         files: Vec::new(),
-        known: BTreeMap::new(),
-        stack: Vec::new(),
+        loaded: BTreeMap::new(),
+        load_stack: Vec::new(),
         bytes: 0,
     };
-    loader.file(root, None);
-    let Loader { mut run, files, .. } = loader;
-    let stated = std::mem::take(&mut run.stated);
-    let (settings, locations) = ResolvedSettings::resolve(schema, &stated, &mut |r| run.report(r));
-    let mut diagnostics = std::mem::take(&mut run.diagnostics);
+    loader.load_file(root, None);
+    let Loader {
+        mut evaluator, files, ..
+    } = loader;
+    let statements = std::mem::take(&mut evaluator.statements);
+    let (settings, locations) = ResolvedSettings::resolve(schema, &statements, &mut |r| evaluator.report(r));
+    let mut diagnostics = std::mem::take(&mut evaluator.diagnostics);
     if diagnostics.is_empty() {
         let conflicts = schema
             .checks
@@ -101,16 +107,16 @@
         diagnostics.extend(conflicts.map(|c| conflict_report(schema, c, &locations)));
     }
     diagnostics.sort_by_key(|r| (r.severity, r.location));
-    let faultless = diagnostics.iter().all(|r| r.severity != Severity::Error);
+    let has_no_errors = diagnostics.iter().all(|r| r.severity != Severity::Error);
     LoadOutcome {
-        settings: faultless.then_some(settings),
+        settings: has_no_errors.then_some(settings),
         locations,
         diagnostics,
         files,
     }
 }
 
-/// A conflict is told at the setting stated last, since the others stood without it.
+/// A conflict is reported at the setting that was set last; the others are related locations.
 fn conflict_report(schema: &Schema, conflict: Conflict, locations: &SettingLocations) -> Diagnostic {
     let mut at: Vec<_> = conflict
         .paths
@@ -131,20 +137,21 @@
         help: None,
         related: at
             .into_iter()
-            .map(|(location, path)| (location, format!("with {path} here")))
+            .map(|(location, path)| (location, format!("{path} is set here")))
             .collect(),
     }
 }
 
 impl Loader<'_> {
-    /// The number of the file, once it has been run; nothing where that can't be.
-    fn file(&mut self, name: &str, from: Option<SourceLocation>) -> Option<u32> {
-        let fault = |message: String| match from {
+    /// Loads and evaluates a file unless that was done before. Returns its number, or `None` if it can't be
+    /// loaded.
+    fn load_file(&mut self, name: &str, from: Option<SourceLocation>) -> Option<u32> {
+        let error_at = |message: String| match from {
             Some(location) => Diagnostic::error(location, message),
             None => Diagnostic::error(SourceLocation::default(), message),
         };
         if from.is_none() {
-            // The root is the first file also where it can't be read, so that its name stands before the message.
+            // Registered before it is read, so that diagnostics of an unreadable root file name it.
             let name = name.to_owned();
             self.files.push(SourceFile {
                 name,
@@ -153,22 +160,23 @@
         }
         let identity = match self.source.identity(name) {
             Ok(identity) => identity,
-            Err(missing) => {
-                self.run.report(fault(told(&missing, name)));
+            Err(error) => {
+                self.evaluator.report(error_at(describe_error(&error, name)));
                 return None;
             }
         };
-        if let Some((number, done)) = self.known.get(&identity).copied() {
-            if !done {
-                let diagnostic = self.cycle(number, name, from);
-                self.run.report(diagnostic);
+        if let Some((number, is_complete)) = self.loaded.get(&identity).copied() {
+            if !is_complete {
+                let diagnostic = self.cycle_diagnostic(number, name, from);
+                self.evaluator.report(diagnostic);
                 return None;
             }
             return Some(number);
         }
-        if self.known.len() >= MAX_FILES || self.stack.len() >= MAX_LOAD_DEPTH {
-            let message = format!("more than {MAX_FILES} files, or {MAX_LOAD_DEPTH} within one another");
-            self.run.report(fault(message));
+        if self.loaded.len() >= MAX_FILES || self.load_stack.len() >= MAX_LOAD_DEPTH {
+            let message =
+                format!("more than {MAX_FILES} files, or loads nested more than {MAX_LOAD_DEPTH} deep");
+            self.evaluator.report(error_at(message));
             return None;
         }
         let bytes = self.source.bytes(&identity, MAX_FILE_BYTES);
@@ -181,15 +189,15 @@
         });
         let bytes = match bytes {
             Ok(bytes) => bytes,
-            Err(missing) => {
-                self.run.report(fault(told(&missing, name)));
+            Err(error) => {
+                self.evaluator.report(error_at(describe_error(&error, name)));
                 return None;
             }
         };
         self.bytes += bytes.len();
         if self.bytes > MAX_TOTAL_BYTES {
-            self.run.report(fault(format!(
-                "the files are longer than {MAX_TOTAL_BYTES} bytes together"
+            self.evaluator.report(error_at(format!(
+                "the files are longer than {MAX_TOTAL_BYTES} bytes in total"
             )));
             return None;
         }
@@ -204,42 +212,47 @@
                 self.files.len() as u32 - 1
             }
         };
-        self.known.insert(identity.clone(), (number, false));
-        self.run.names.resize_with(self.files.len(), Default::default);
+        self.loaded.insert(identity.clone(), (number, false));
+        self.evaluator
+            .bindings
+            .resize_with(self.files.len(), Default::default);
         let text = match String::from_utf8(bytes) {
             Ok(text) => text,
             Err(e) => {
-                let good = e.utf8_error().valid_up_to();
-                let text = String::from_utf8_lossy(&e.into_bytes()[..good]).into_owned();
+                let valid_bytes = e.utf8_error().valid_up_to();
+                let text = String::from_utf8_lossy(&e.into_bytes()[..valid_bytes]).into_owned();
                 self.files[number as usize].text = text;
                 let location = SourceLocation {
                     file: number,
-                    start: good as u32,
-                    end: good as u32,
+                    start: valid_bytes as u32,
+                    end: valid_bytes as u32,
                 };
-                self.run
-                    .report(Diagnostic::error(location, "not UTF-8 from here on"));
+                self.evaluator
+                    .report(Diagnostic::error(location, "invalid UTF-8"));
                 return None;
             }
         };
         let parsed = parse(number, &text);
         self.files[number as usize].text = text;
-        let faulty = !parsed.diagnostics.is_empty();
-        parsed.diagnostics.into_iter().for_each(|r| self.run.report(r));
-        // What can be read is run even so: one look tells all that is wrong.
-        if faulty {
-            self.run.torn.insert(number);
+        let has_errors = !parsed.diagnostics.is_empty();
+        parsed
+            .diagnostics
+            .into_iter()
+            .for_each(|r| self.evaluator.report(r));
+        // Evaluates what was parsed, so that one pass reports all errors.
+        if has_errors {
+            self.evaluator.incomplete_files.insert(number);
         }
-        self.stack.push((number, from));
+        self.load_stack.push((number, from));
         self.run_file(number, &parsed.stmts);
-        self.stack.pop();
-        self.known.insert(identity, (number, true));
+        self.load_stack.pop();
+        self.loaded.insert(identity, (number, true));
         Some(number)
     }
 
     fn run_file(&mut self, number: u32, stmts: &[Stmt]) {
         for stmt in stmts {
-            if self.run.is_stopped() {
+            if self.evaluator.is_stopped() {
                 return;
             }
             match stmt {
@@ -248,70 +261,70 @@
                     file,
                     names,
                 } => {
-                    let loaded = self.file(&file.name, Some(*location));
+                    let loaded = self.load_file(&file.name, Some(*location));
                     for (here, there) in names {
                         let value = match loaded {
-                            None => Value::Broken,
-                            Some(from) => self.loaded(from, &file.name, there, here.location),
+                            None => Value::Invalid,
+                            Some(from) => self.loaded_value(from, &file.name, there, here.location),
                         };
                         let sections: &Sections = &self.sections;
-                        self.run.set_top(number, sections, here, value);
+                        self.evaluator.bind_global(number, sections, here, value);
                     }
                 }
-                stmt => self.run.top(number, &self.sections, stmt),
+                stmt => self.evaluator.run_statement(number, &self.sections, stmt),
             }
         }
     }
 
-    fn loaded(&mut self, from: u32, file: &str, name: &str, location: SourceLocation) -> Value {
+    fn loaded_value(&mut self, from: u32, file: &str, name: &str, location: SourceLocation) -> Value {
         if name.starts_with('_') {
-            let message = format!("'{name}' is the file's own: names with '_' first can't be loaded");
-            self.run.report(Diagnostic::error(location, message));
-            return Value::Broken;
+            let message = format!("'{name}' is private: names that begin with '_' cannot be loaded");
+            self.evaluator.report(Diagnostic::error(location, message));
+            return Value::Invalid;
         }
-        let names = &self.run.names[from as usize];
-        if let Some((value, _)) = names.get(name) {
+        let bindings = &self.evaluator.bindings[from as usize];
+        if let Some((value, _)) = bindings.get(name) {
             return value.clone();
         }
-        let faulty = self.run.diagnostics.iter().any(|r| r.location.file == from);
-        if !faulty {
-            let near = crate::diagnostic::nearest(name, names.keys().map(|n| &**n));
-            let help = near.map(|n| format!("'{n}' was meant?"));
-            let diagnostic = Diagnostic::error(location, format!("'{file}' sets no '{name}'"));
-            self.run.report(Diagnostic { help, ..diagnostic });
+        let has_errors = self.evaluator.diagnostics.iter().any(|r| r.location.file == from);
+        if !has_errors {
+            let near = crate::diagnostic::nearest(name, bindings.keys().map(|n| &**n));
+            let help = near.map(|n| format!("did you mean '{n}'?"));
+            let diagnostic = Diagnostic::error(location, format!("'{file}' does not define '{name}'"));
+            self.evaluator.report(Diagnostic { help, ..diagnostic });
         }
-        Value::Broken
+        Value::Invalid
     }
 
-    /// Names each load of the circle.
-    fn cycle(&self, number: u32, name: &str, from: Option<SourceLocation>) -> Diagnostic {
+    /// Diagnostic for a load cycle, with the location of each load in it.
+    fn cycle_diagnostic(&self, number: u32, name: &str, from: Option<SourceLocation>) -> Diagnostic {
         let location = from.unwrap_or_default();
-        let mut diagnostic = Diagnostic::error(location, format!("'{name}' includes itself"));
-        let within = self.stack.iter().skip_while(|(n, _)| *n != number).skip(1);
-        for (_, load) in within {
+        let mut diagnostic = Diagnostic::error(location, format!("load cycle: '{name}' loads itself"));
+        let cycle = self.load_stack.iter().skip_while(|(n, _)| *n != number).skip(1);
+        for (_, load) in cycle {
             if let Some(load) = load {
-                diagnostic = diagnostic.with_related(*load, "by way of this load");
+                diagnostic = diagnostic.with_related(*load, "through this load");
             }
         }
         diagnostic
     }
 }
 
-fn told(missing: &SourceError, name: &str) -> String {
-    match missing {
-        SourceError::Outside => format!("'{name}' is not within the folder of the root file"),
+fn describe_error(error: &SourceError, name: &str) -> String {
+    match error {
+        SourceError::Outside => format!("'{name}' is outside the folder of the root file"),
         SourceError::TooLong => format!("'{name}' is longer than {MAX_FILE_BYTES} bytes"),
         SourceError::Unreadable(why) => format!("'{name}' can't be read: {why}"),
     }
 }
 
-/// Files of a folder on disk. Links are followed and must stay within it.
+/// Files of a folder on disk. Symbolic links are followed; their targets must be within the folder.
 pub struct FolderSource {
     folder: PathBuf,
 }
 
 impl FolderSource {
-    /// The folder of a root file, and the file's name in it.
+    /// The folder that contains a root file, and the file's name in it.
     pub fn containing(root: &str) -> (FolderSource, String) {
         let path = PathBuf::from(root);
         let name = path.file_name().map(|n| n.to_string_lossy().into_owned());
@@ -323,50 +336,50 @@
     }
 }
 
-fn unreadable(e: std::io::Error) -> SourceError {
+fn unreadable_error(e: std::io::Error) -> SourceError {
     SourceError::Unreadable(e.to_string())
 }
 
 impl Source for FolderSource {
     fn identity(&self, name: &str) -> Result<String, SourceError> {
-        let asked = PathBuf::from(name);
+        let requested = PathBuf::from(name);
         if name.contains('\0') {
-            return Err(SourceError::Unreadable("no file has such a name".to_owned()));
+            return Err(SourceError::Unreadable("the name contains a NUL byte".to_owned()));
         }
-        let inside = asked
+        let inside = requested
             .components()
             .all(|c| matches!(c, Component::Normal(_) | Component::CurDir));
         if name.is_empty() || !inside {
             return Err(SourceError::Outside);
         }
-        let folder = self.folder.canonicalize().map_err(unreadable)?;
-        let found = folder.join(asked).canonicalize().map_err(unreadable)?;
+        let folder = self.folder.canonicalize().map_err(unreadable_error)?;
+        let found = folder.join(requested).canonicalize().map_err(unreadable_error)?;
         if !found.starts_with(&folder) {
             return Err(SourceError::Outside);
         }
         found
             .into_os_string()
             .into_string()
-            .map_err(|_| SourceError::Unreadable("its name is not UTF-8".to_owned()))
+            .map_err(|_| SourceError::Unreadable("its path is not UTF-8".to_owned()))
     }
 
     fn bytes(&self, identity: &str, max_bytes: usize) -> Result<Vec<u8>, SourceError> {
         use std::io::Read;
-        let kind = std::fs::metadata(identity).map_err(unreadable)?;
-        // A pipe would keep the reader waiting for good.
+        let kind = std::fs::metadata(identity).map_err(unreadable_error)?;
+        // Reading a named pipe could block forever.
         if !kind.is_file() {
-            return Err(SourceError::Unreadable("not a file".to_owned()));
+            return Err(SourceError::Unreadable("not a regular file".to_owned()));
         }
-        let file = std::fs::File::open(identity).map_err(unreadable)?;
+        let file = std::fs::File::open(identity).map_err(unreadable_error)?;
         let mut bytes = Vec::new();
         file.take(max_bytes as u64 + 1)
             .read_to_end(&mut bytes)
-            .map_err(unreadable)?;
+            .map_err(unreadable_error)?;
         Ok(bytes)
     }
 }
 
-/// Files held in memory, for tests and tools.
+/// Files in memory, for tests and tools.
 #[derive(Default)]
 pub struct MemorySource(pub BTreeMap<String, Vec<u8>>);
 
@@ -387,14 +400,14 @@
     }
 }
 
-/// Whether a text has the form of the language, whatever it means.
+/// Whether a text has no syntax errors; it is not evaluated.
 pub fn is_well_formed(text: &str) -> bool {
     parse(0, text).diagnostics.is_empty()
 }
 
-/// The tokens that mean something, for comparing texts.
+/// Tokens without spaces, comments and line ends.
 pub fn significant_tokens(text: &str) -> Vec<(Token, &str)> {
     let all = crate::lex::tokens(text);
-    let told = all.into_iter().filter(|(t, _)| !t.is_blank());
-    told.map(|(t, at)| (t, &text[at])).collect()
+    let significant = all.into_iter().filter(|(t, _)| !t.is_blank());
+    significant.map(|(t, at)| (t, &text[at])).collect()
 }
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -1,4 +1,4 @@
-//! From tokens to the tree. Goes on behind a faulty statement, so that one look tells all that is wrong.
+//! Parser. It recovers after a statement with a syntax error, so that one pass reports all of them.
 
 use crate::diagnostic::{Diagnostic, SourceLocation};
 use crate::lex::{self, Token};
@@ -6,9 +6,9 @@
 use crate::unit::{self, Quantity, QuantityError};
 use std::rc::Rc;
 
-/// How deep brackets and operators may nest: the tree is walked by recursion.
-pub const DEEPEST: usize = 48;
-/// More faults of a file than this are not told.
+/// Bound on nested brackets and operators: the syntax tree is walked recursively.
+pub const MAX_NESTING_DEPTH: usize = 48;
+/// Diagnostics per pass; further ones are dropped.
 pub const MAX_DIAGNOSTICS: usize = 100;
 
 pub struct Parsed {
@@ -27,43 +27,43 @@
     file: u32,
     text: &'a str,
     tokens: Vec<(Token, std::ops::Range<usize>)>,
-    at: usize,
-    /// Open brackets: within them lines may end anywhere.
+    position: usize,
+    /// Open brackets; within them line ends are insignificant.
     brackets: Vec<SourceLocation>,
     depth: usize,
     diagnostics: Vec<Diagnostic>,
 }
 
-/// A statement can't be read; the report is made.
-struct Faulty;
-type Read<T> = Result<T, Faulty>;
+/// The statement has a syntax error, which is in the diagnostics.
+struct Reported;
+type ParseResult<T> = Result<T, Reported>;
 
-/// Operators from the loosest to the tightest.
+/// Binary operators by precedence, the loosest first.
 #[rustfmt::skip]
-const LEVELS: [&[(Token, Operator)]; 5] = [
+const PRECEDENCE_LEVELS: [&[(Token, Operator)]; 5] = [
     &[(Token::Or, Operator::Or)],
     &[(Token::And, Operator::And)],
-    &[(Token::Equal, Operator::Equal), (Token::Unequal, Operator::Unequal), (Token::Less, Operator::Less),
+    &[(Token::Equal, Operator::Equal), (Token::NotEqual, Operator::NotEqual), (Token::Less, Operator::Less),
       (Token::LessEqual, Operator::LessEqual), (Token::Greater, Operator::Greater),
       (Token::GreaterEqual, Operator::GreaterEqual), (Token::In, Operator::In)],
-    &[(Token::Plus, Operator::Plus), (Token::Minus, Operator::Minus)],
-    &[(Token::Times, Operator::Times), (Token::Over, Operator::Over), (Token::Rest, Operator::Rest)],
+    &[(Token::Plus, Operator::Add), (Token::Minus, Operator::Subtract)],
+    &[(Token::Star, Operator::Multiply), (Token::DoubleSlash, Operator::Divide), (Token::Percent, Operator::Remainder)],
 ];
-const COMPARISONS: usize = 2;
+const COMPARISON_LEVEL: usize = 2;
 
 impl<'a> Parser<'a> {
     fn new(file: u32, text: &'a str) -> Parser<'a> {
         let skip = if text.starts_with('\u{feff}') { 3 } else { 0 };
         let mut tokens = lex::tokens(&text[skip..]);
-        for (_, at) in &mut tokens {
-            *at = at.start + skip..at.end + skip;
+        for (_, range) in &mut tokens {
+            *range = range.start + skip..range.end + skip;
         }
         tokens.push((Token::End, text.len()..text.len()));
         Parser {
             file,
             text,
             tokens,
-            at: 0,
+            position: 0,
             brackets: Vec::new(),
             depth: 0,
             diagnostics: Vec::new(),
@@ -71,26 +71,26 @@
     }
 
     fn skip_blanks(&mut self) {
-        while match self.tokens[self.at].0 {
+        while match self.tokens[self.position].0 {
             Token::Space | Token::Comment => true,
             Token::Newline => !self.brackets.is_empty(),
             _ => false,
         } {
-            self.at += 1;
+            self.position += 1;
         }
     }
 
     fn peek(&mut self) -> Token {
         self.skip_blanks();
-        self.tokens[self.at].0
+        self.tokens[self.position].0
     }
 
-    fn here(&mut self) -> SourceLocation {
+    fn current_location(&mut self) -> SourceLocation {
         self.skip_blanks();
-        self.location(self.at)
+        self.location_at(self.position)
     }
 
-    fn location(&self, at: usize) -> SourceLocation {
+    fn location_at(&self, at: usize) -> SourceLocation {
         let range = &self.tokens[at].1;
         SourceLocation {
             file: self.file,
@@ -99,74 +99,71 @@
         }
     }
 
-    /// The place of what was read last.
-    fn last(&self) -> SourceLocation {
-        self.location(self.at.saturating_sub(1))
+    /// Location of the token before the current one.
+    fn previous_location(&self) -> SourceLocation {
+        self.location_at(self.position.saturating_sub(1))
     }
 
     fn slice(&self, location: SourceLocation) -> &'a str {
         &self.text[location.start as usize..location.end as usize]
     }
 
-    fn take(&mut self, token: Token) -> Option<SourceLocation> {
+    fn accept(&mut self, token: Token) -> Option<SourceLocation> {
         if self.peek() != token {
             return None;
         }
-        let location = self.location(self.at);
-        self.at += usize::from(token != Token::End);
+        let location = self.location_at(self.position);
+        self.position += usize::from(token != Token::End);
         Some(location)
     }
 
-    fn fault<T>(&mut self, diagnostic: Diagnostic) -> Read<T> {
+    fn fail<T>(&mut self, diagnostic: Diagnostic) -> ParseResult<T> {
         if self.diagnostics.len() < MAX_DIAGNOSTICS {
             self.diagnostics.push(diagnostic);
         }
-        Err(Faulty)
+        Err(Reported)
     }
 
-    fn expected<T>(&mut self, what: &str) -> Read<T> {
+    fn unexpected<T>(&mut self, what: &str) -> ParseResult<T> {
         let found = self.peek();
-        let location = self.here();
+        let location = self.current_location();
         let diagnostic = match found {
             Token::Unknown => {
                 let c = self.slice(location).chars().next().unwrap_or_default();
-                let diagnostic =
-                    Diagnostic::error(location, format!("the character {c:?} means nothing here"));
+                let diagnostic = Diagnostic::error(location, format!("unexpected character {c:?}"));
                 match c {
-                    '\'' => diagnostic.with_help("texts stand in double quotes"),
-                    '.' => {
-                        diagnostic.with_help("there are no members; items(x) and keys(x) take a dict apart")
-                    }
-                    '/' => diagnostic.with_help("'//' divides and drops the rest"),
+                    '\'' => diagnostic.with_help("strings use double quotes"),
+                    '.' => diagnostic.with_help("values have no members; use items(x) or keys(x) on a dict"),
+                    '/' => diagnostic.with_help("use '//' for integer division"),
                     _ => diagnostic,
                 }
             }
-            Token::OpenText => Diagnostic::error(location, "the text doesn't end on its line"),
+            Token::UnterminatedString => Diagnostic::error(location, "unterminated string"),
             found => {
                 let diagnostic =
                     Diagnostic::error(location, format!("expected {what}, found {}", found.name()));
                 match self.brackets.last() {
-                    Some(open) => diagnostic.with_related(*open, "in the bracket opened here"),
+                    Some(open) => diagnostic.with_related(*open, "the bracket opened here is not closed"),
                     None => diagnostic,
                 }
             }
         };
-        self.fault(diagnostic)
+        self.fail(diagnostic)
     }
 
-    fn need(&mut self, token: Token) -> Read<SourceLocation> {
-        match self.take(token) {
+    fn expect(&mut self, token: Token) -> ParseResult<SourceLocation> {
+        match self.accept(token) {
             Some(location) => Ok(location),
-            None => self.expected(token.name()),
+            None => self.unexpected(token.name()),
         }
     }
 
-    fn deeper<T>(&mut self, read: impl FnOnce(&mut Self) -> Read<T>) -> Read<T> {
-        if self.depth >= DEEPEST {
-            let location = self.here();
-            return self.fault(Diagnostic::error(
+    fn nested<T>(&mut self, read: impl FnOnce(&mut Self) -> ParseResult<T>) -> ParseResult<T> {
+        if self.depth >= MAX_NESTING_DEPTH {
+            let location = self.current_location();
+            return self.fail(Diagnostic::error(
                 location,
-                format!("nested more than {DEEPEST} deep"),
+                format!("nested more than {MAX_NESTING_DEPTH} levels deep"),
             ));
         }
         self.depth += 1;
@@ -175,34 +172,34 @@
         done
     }
 
-    fn in_brackets<T>(&mut self, read: impl FnOnce(&mut Self) -> Read<T>) -> Read<T> {
-        // It was taken just before.
-        self.brackets.push(self.last());
-        let done = self.deeper(read);
+    fn in_brackets<T>(&mut self, read: impl FnOnce(&mut Self) -> ParseResult<T>) -> ParseResult<T> {
+        // The opening bracket is the previous token.
+        self.brackets.push(self.previous_location());
+        let done = self.nested(read);
         self.brackets.pop();
         done
     }
 
-    /// How far the line that starts here is indented; nothing where it holds no statement.
-    fn indent(&mut self) -> usize {
-        match self.tokens[self.at].0 {
-            Token::Space => self.tokens[self.at].1.len(),
+    /// Bytes of indentation at the current token, which begins a line.
+    fn indentation(&mut self) -> usize {
+        match self.tokens[self.position].0 {
+            Token::Space => self.tokens[self.position].1.len(),
             _ => 0,
         }
     }
 
-    /// Passes over lines without a statement.
+    /// Skips empty lines and comment lines.
     fn skip_empty_lines(&mut self) {
         loop {
-            let start = self.at;
+            let start = self.position;
             self.skip_blanks();
-            if self.tokens[self.at].0 != Token::Newline {
-                if self.tokens[self.at].0 != Token::End {
-                    self.at = start;
+            if self.tokens[self.position].0 != Token::Newline {
+                if self.tokens[self.position].0 != Token::End {
+                    self.position = start;
                 }
                 return;
             }
-            self.at += 1;
+            self.position += 1;
         }
     }
 
@@ -210,88 +207,88 @@
         let mut stmts = Vec::new();
         loop {
             self.skip_empty_lines();
-            if self.tokens[self.at].0 == Token::End {
+            if self.tokens[self.position].0 == Token::End {
                 return stmts;
             }
-            let indented = self.indent() > 0;
-            let start = self.at;
+            let indented = self.indentation() > 0;
+            let start = self.position;
             let read = if indented {
-                let location = self.here();
-                self.fault(Diagnostic::error(
+                let location = self.current_location();
+                self.fail(Diagnostic::error(
                     location,
-                    "indented, but not in the body of a def",
+                    "unexpected indentation outside a function body",
                 ))
             } else {
                 self.stmt(false)
             };
             match read {
                 Ok(stmt) => stmts.push(stmt),
-                Err(Faulty) => self.recover(start),
+                Err(Reported) => self.recover(start),
             }
         }
     }
 
-    /// Goes on at the next line that could begin a statement: one that isn't indented and closes nothing.
+    /// Skips to the next line that may begin a statement: neither indented nor beginning with a bracket.
     fn recover(&mut self, start: usize) {
         self.brackets.clear();
         self.depth = 0;
-        let mut line_starts = self.at > start && self.tokens[self.at - 1].0 == Token::Newline;
+        let mut line_starts = self.position > start && self.tokens[self.position - 1].0 == Token::Newline;
         loop {
-            let token = self.tokens[self.at].0;
+            let token = self.tokens[self.position].0;
             let begins = matches!(token, Token::Name | Token::Load | Token::Def | Token::Return);
             if token == Token::End || (line_starts && begins) {
                 return;
             }
             line_starts = token == Token::Newline;
-            self.at += 1;
+            self.position += 1;
         }
     }
 
-    fn end_of_line(&mut self) -> Read<()> {
+    fn end_of_line(&mut self) -> ParseResult<()> {
         match self.peek() {
             Token::End => Ok(()),
             Token::Newline => {
-                self.at += 1;
+                self.position += 1;
                 Ok(())
             }
-            _ => self.expected("the end of the line"),
+            _ => self.unexpected("the end of the line"),
         }
     }
 
-    fn stmt(&mut self, in_def: bool) -> Read<Stmt> {
+    fn stmt(&mut self, in_def: bool) -> ParseResult<Stmt> {
         let stmt = match self.peek() {
             Token::Load if !in_def => self.load()?,
             Token::Def if !in_def => return self.def(),
-            Token::Load | Token::Def => return self.expected("an assignment or 'return'"),
+            Token::Load | Token::Def => return self.unexpected("an assignment or 'return'"),
             Token::Return if in_def => {
-                self.at += 1;
+                self.position += 1;
                 let value = self.expr()?;
                 Stmt::Return { value }
             }
             Token::Return => {
-                let location = self.here();
-                return self.fault(Diagnostic::error(location, "'return' outside the body of a def"));
+                let location = self.current_location();
+                return self.fail(Diagnostic::error(location, "'return' outside a function"));
             }
             _ => {
-                let start = self.here();
+                let start = self.current_location();
                 let value = self.expr()?;
-                match (self.take(Token::Is), value) {
+                match (self.accept(Token::Assign), value) {
                     (
                         Some(_),
                         Expr {
                             location,
-                            kind: Kind::Name(name),
+                            kind: ExprKind::Name(name),
                         },
                     ) => {
                         let value = self.expr()?;
                         Stmt::Assign {
-                            to: Named { name, location },
+                            to: Identifier { name, location },
                             value,
                         }
                     }
                     (Some(_), _) => {
-                        let location = start.to(self.last());
-                        return self.fault(Diagnostic::error(location, "only a name can be set"));
+                        let location = start.to(self.previous_location());
+                        return self.fail(Diagnostic::error(location, "only a name can be assigned to"));
                     }
                     (None, value) => Stmt::Expr(value),
                 }
@@ -301,29 +298,29 @@
         Ok(stmt)
     }
 
-    fn load(&mut self) -> Read<Stmt> {
-        let start = self.need(Token::Load)?;
-        self.need(Token::Open)?;
+    fn load(&mut self) -> ParseResult<Stmt> {
+        let start = self.expect(Token::Load)?;
+        self.expect(Token::OpenParen)?;
         let (file, names) = self.in_brackets(|p| {
-            let file = p.text_literal()?;
+            let file = p.string_literal()?;
             let mut names = Vec::new();
-            while p.take(Token::Comma).is_some() && p.peek() != Token::Close {
+            while p.accept(Token::Comma).is_some() && p.peek() != Token::CloseParen {
                 let renamed = match p.peek() {
                     Token::Name => {
                         let named = p.name()?;
-                        p.need(Token::Is)?;
+                        p.expect(Token::Assign)?;
                         Some(named)
                     }
                     _ => None,
                 };
-                let there = p.text_literal()?;
+                let there = p.string_literal()?;
                 let here = renamed.unwrap_or_else(|| there.clone());
                 names.push((here, there.name));
             }
-            p.need(Token::Close)?;
+            p.expect(Token::CloseParen)?;
             Ok((file, names))
         })?;
-        let location = start.to(self.last());
+        let location = start.to(self.previous_location());
         Ok(Stmt::Load {
             location,
             file,
@@ -331,70 +328,70 @@
         })
     }
 
-    fn def(&mut self) -> Read<Stmt> {
-        self.need(Token::Def)?;
+    fn def(&mut self) -> ParseResult<Stmt> {
+        self.expect(Token::Def)?;
         let name = self.name()?;
-        self.need(Token::Open)?;
+        self.expect(Token::OpenParen)?;
         let params = self.in_brackets(|p| {
-            let mut params: Vec<(Named, Option<Expr>)> = Vec::new();
-            while p.peek() != Token::Close {
+            let mut params: Vec<(Identifier, Option<Expr>)> = Vec::new();
+            while p.peek() != Token::CloseParen {
                 let param = p.name()?;
-                let default = match p.take(Token::Is) {
+                let default = match p.accept(Token::Assign) {
                     Some(_) => Some(p.expr()?),
                     None => None,
                 };
                 params.push((param, default));
-                if p.take(Token::Comma).is_none() {
+                if p.accept(Token::Comma).is_none() {
                     break;
                 }
             }
-            p.need(Token::Close)?;
+            p.expect(Token::CloseParen)?;
             Ok(params)
         })?;
-        self.need(Token::Colon)?;
+        self.expect(Token::Colon)?;
         let mut body = Vec::new();
         if self.peek() != Token::Newline {
             body.push(self.stmt(true)?);
             return Ok(Stmt::Def(Rc::new(Def { name, params, body })));
         }
-        self.at += 1;
+        self.position += 1;
         self.skip_empty_lines();
-        let indent = self.indent();
-        if indent == 0 || self.peek() == Token::End {
-            let location = self.here();
-            let diagnostic = Diagnostic::error(location, "a def needs an indented body");
-            return self.fault(diagnostic.with_related(name.location, "the def"));
+        let indentation = self.indentation();
+        if indentation == 0 || self.peek() == Token::End {
+            let location = self.current_location();
+            let diagnostic = Diagnostic::error(location, "the function body must be indented");
+            return self.fail(diagnostic.with_related(name.location, "the function"));
         }
         loop {
             body.push(self.stmt(true)?);
             self.skip_empty_lines();
-            match self.indent() {
-                _ if self.tokens[self.at].0 == Token::End => break,
+            match self.indentation() {
+                _ if self.tokens[self.position].0 == Token::End => break,
                 0 => break,
-                same if same == indent => {}
+                same if same == indentation => {}
                 _ => {
-                    let location = self.here();
-                    let diagnostic = Diagnostic::error(location, "indented unlike the lines before");
-                    return self.fault(diagnostic);
+                    let location = self.current_location();
+                    let diagnostic = Diagnostic::error(location, "inconsistent indentation");
+                    return self.fail(diagnostic);
                 }
             }
         }
         Ok(Stmt::Def(Rc::new(Def { name, params, body })))
     }
 
-    fn name(&mut self) -> Read<Named> {
-        let location = self.need(Token::Name)?;
+    fn name(&mut self) -> ParseResult<Identifier> {
+        let location = self.expect(Token::Name)?;
         let name = Rc::from(self.slice(location));
-        Ok(Named { name, location })
+        Ok(Identifier { name, location })
     }
 
-    fn text_literal(&mut self) -> Read<Named> {
-        let location = self.need(Token::Text)?;
-        let name = self.unescaped(location)?;
-        Ok(Named { name, location })
+    fn string_literal(&mut self) -> ParseResult<Identifier> {
+        let location = self.expect(Token::String)?;
+        let name = self.unescape(location)?;
+        Ok(Identifier { name, location })
     }
 
-    fn unescaped(&mut self, location: SourceLocation) -> Read<Rc<str>> {
+    fn unescape(&mut self, location: SourceLocation) -> ParseResult<Rc<str>> {
         let inner = &self.slice(location)[1..(location.end - location.start) as usize - 1];
         if !inner.contains('\\') {
             return Ok(Rc::from(inner));
@@ -402,7 +399,7 @@
         let mut out = String::new();
         let mut chars = inner.chars();
         while let Some(c) = chars.next() {
-            let meant = match (c, c == '\\') {
+            let unescaped = match (c, c == '\\') {
                 (c, false) => Some(c),
                 _ => match chars.next() {
                     Some('n') => Some('\n'),
@@ -411,70 +408,70 @@
                     _ => None,
                 },
             };
-            let Some(meant) = meant else {
+            let Some(unescaped) = unescaped else {
                 let diagnostic = Diagnostic::error(
                     location,
-                    "a text knows only \\n, \\t, \\\" and \\\\ behind a backslash",
+                    "unknown escape sequence: only \\n, \\t, \\\" and \\\\ are known",
                 );
-                return self.fault(diagnostic);
+                return self.fail(diagnostic);
             };
-            out.push(meant);
+            out.push(unescaped);
         }
         Ok(Rc::from(out))
     }
 
-    fn expr(&mut self) -> Read<Expr> {
-        self.deeper(|p| {
-            let value = p.level(0)?;
-            if p.take(Token::If).is_none() {
+    fn expr(&mut self) -> ParseResult<Expr> {
+        self.nested(|p| {
+            let value = p.binary(0)?;
+            if p.accept(Token::If).is_none() {
                 return Ok(value);
             }
-            let condition = p.level(0)?;
-            p.need(Token::Else)?;
+            let condition = p.binary(0)?;
+            p.expect(Token::Else)?;
             let other = p.expr()?;
             let location = value.location.to(other.location);
-            let kind = Kind::If(Box::new((condition, value, other)));
+            let kind = ExprKind::If(Box::new((condition, value, other)));
             Ok(Expr { location, kind })
         })
     }
 
     fn operator(&mut self, level: usize) -> Option<Operator> {
         let token = self.peek();
-        if level == COMPARISONS && token == Token::Not {
-            // Behind an operand it can only be the first half of 'not in'.
-            let before = self.at;
-            self.at += 1;
-            if self.take(Token::In).is_some() {
+        if level == COMPARISON_LEVEL && token == Token::Not {
+            // After an operand, 'not' can only begin 'not in'.
+            let before = self.position;
+            self.position += 1;
+            if self.accept(Token::In).is_some() {
                 return Some(Operator::NotIn);
             }
-            self.at = before;
+            self.position = before;
             return None;
         }
-        let found = LEVELS[level].iter().find(|(t, _)| *t == token)?.1;
-        self.at += 1;
+        let found = PRECEDENCE_LEVELS[level].iter().find(|(t, _)| *t == token)?.1;
+        self.position += 1;
         Some(found)
     }
 
-    fn level(&mut self, level: usize) -> Read<Expr> {
-        if level == LEVELS.len() {
+    fn binary(&mut self, level: usize) -> ParseResult<Expr> {
+        if level == PRECEDENCE_LEVELS.len() {
             return self.unary();
         }
-        // 'not' binds tighter than 'and' and looser than comparisons.
-        if level == COMPARISONS && self.peek() == Token::Not {
-            let start = self.here();
-            self.at += 1;
-            let inner = self.deeper(|p| p.level(COMPARISONS))?;
+        // Precedence of 'not': above 'and', below the comparisons.
+        if level == COMPARISON_LEVEL && self.peek() == Token::Not {
+            let start = self.current_location();
+            self.position += 1;
+            let inner = self.nested(|p| p.binary(COMPARISON_LEVEL))?;
             let location = start.to(inner.location);
-            let kind = Kind::Not(Box::new(inner));
+            let kind = ExprKind::Not(Box::new(inner));
             return Ok(Expr { location, kind });
         }
-        let first = self.level(level + 1)?;
+        let first = self.binary(level + 1)?;
         let mut rest = Vec::new();
         while let Some(operator) = self.operator(level) {
-            let operand = self.level(level + 1)?;
-            if level == COMPARISONS && !rest.is_empty() {
-                let diagnostic = Diagnostic::error(operand.location, "comparisons can't be chained");
-                return self.fault(diagnostic.with_help("join two of them by 'and'"));
+            let operand = self.binary(level + 1)?;
+            if level == COMPARISON_LEVEL && !rest.is_empty() {
+                let diagnostic = Diagnostic::error(operand.location, "comparisons cannot be chained");
+                return self.fail(diagnostic.with_help("combine two of them with 'and'"));
             }
             rest.push((operator, operand));
         }
@@ -482,221 +479,221 @@
             None => Ok(first),
             Some((_, last)) => {
                 let location = first.location.to(last.location);
-                let kind = Kind::Chain(Box::new(first), rest);
+                let kind = ExprKind::BinaryChain(Box::new(first), rest);
                 Ok(Expr { location, kind })
             }
         }
     }
 
-    fn unary(&mut self) -> Read<Expr> {
-        if let Some(start) = self.take(Token::Minus) {
-            let inner = self.deeper(|p| p.unary())?;
+    fn unary(&mut self) -> ParseResult<Expr> {
+        if let Some(start) = self.accept(Token::Minus) {
+            let inner = self.nested(|p| p.unary())?;
             let location = start.to(inner.location);
-            let kind = Kind::Minus(Box::new(inner));
+            let kind = ExprKind::Negate(Box::new(inner));
             return Ok(Expr { location, kind });
         }
-        let mut value = self.atom()?;
-        let mut links = 0;
+        let mut value = self.primary()?;
+        let mut postfix_count = 0;
         loop {
             let start = value.location;
             let kind = match self.peek() {
-                Token::Open => {
-                    self.at += 1;
+                Token::OpenParen => {
+                    self.position += 1;
                     let arguments = self.arguments()?;
-                    Kind::Call {
+                    ExprKind::Call {
                         callee: Box::new(value),
                         arguments,
                     }
                 }
-                Token::OpenList => {
-                    self.at += 1;
+                Token::OpenBracket => {
+                    self.position += 1;
                     let index = self.in_brackets(|p| {
                         let index = p.expr()?;
-                        p.need(Token::CloseList)?;
+                        p.expect(Token::CloseBracket)?;
                         Ok(index)
                     })?;
-                    Kind::Index(Box::new((value, index)))
+                    ExprKind::Index(Box::new((value, index)))
                 }
                 _ => return Ok(value),
             };
-            links += 1;
-            if links + self.depth > DEEPEST {
-                let location = self.here();
-                return self.fault(Diagnostic::error(
+            postfix_count += 1;
+            if postfix_count + self.depth > MAX_NESTING_DEPTH {
+                let location = self.current_location();
+                return self.fail(Diagnostic::error(
                     location,
-                    format!("nested more than {DEEPEST} deep"),
+                    format!("nested more than {MAX_NESTING_DEPTH} levels deep"),
                 ));
             }
-            let location = start.to(self.last());
+            let location = start.to(self.previous_location());
             value = Expr { location, kind };
         }
     }
 
-    fn arguments(&mut self) -> Read<Vec<Argument>> {
+    fn arguments(&mut self) -> ParseResult<Vec<Argument>> {
         self.in_brackets(|p| {
             let mut all = Vec::new();
-            while p.peek() != Token::Close {
-                let argument = if p.take(Token::Spread).is_some() {
+            while p.peek() != Token::CloseParen {
+                let argument = if p.accept(Token::DoubleStar).is_some() {
                     let value = p.expr()?;
                     Argument {
-                        form: Form::Spread,
+                        kind: ArgumentKind::Spread,
                         value,
                     }
                 } else {
                     let value = p.expr()?;
                     match (p.peek(), value) {
                         (
-                            Token::Is,
+                            Token::Assign,
                             Expr {
                                 location,
-                                kind: Kind::Name(name),
+                                kind: ExprKind::Name(name),
                             },
                         ) => {
-                            p.at += 1;
+                            p.position += 1;
                             let value = p.expr()?;
                             Argument {
-                                form: Form::Named(Named { name, location }),
+                                kind: ArgumentKind::Named(Identifier { name, location }),
                                 value,
                             }
                         }
                         (_, value) => Argument {
-                            form: Form::Plain,
+                            kind: ArgumentKind::Positional,
                             value,
                         },
                     }
                 };
                 all.push(argument);
-                if p.take(Token::Comma).is_none() {
+                if p.accept(Token::Comma).is_none() {
                     break;
                 }
             }
-            p.need(Token::Close)?;
+            p.expect(Token::CloseParen)?;
             Ok(all)
         })
     }
 
-    fn atom(&mut self) -> Read<Expr> {
-        let (token, location) = (self.peek(), self.here());
+    fn primary(&mut self) -> ParseResult<Expr> {
+        let (token, location) = (self.peek(), self.current_location());
         let kind = match token {
-            Token::Name => Kind::Name(Rc::from(self.slice(location))),
-            Token::True | Token::False => Kind::Bool(token == Token::True),
-            Token::None => Kind::None,
-            Token::Number => Kind::Quantity(self.number(location)?),
-            Token::Text => Kind::Text(self.unescaped(location)?),
-            Token::Open => {
-                self.at += 1;
+            Token::Name => ExprKind::Name(Rc::from(self.slice(location))),
+            Token::True | Token::False => ExprKind::Bool(token == Token::True),
+            Token::None => ExprKind::None,
+            Token::Number => ExprKind::Quantity(self.number(location)?),
+            Token::String => ExprKind::String(self.unescape(location)?),
+            Token::OpenParen => {
+                self.position += 1;
                 return self.in_brackets(|p| {
                     let inner = p.expr()?;
-                    p.need(Token::Close)?;
+                    p.expect(Token::CloseParen)?;
                     Ok(inner)
                 });
             }
-            Token::OpenList | Token::OpenDict => {
-                self.at += 1;
+            Token::OpenBracket | Token::OpenBrace => {
+                self.position += 1;
                 let kind = self.in_brackets(|p| match token {
-                    Token::OpenList => p.list(),
+                    Token::OpenBracket => p.list(),
                     _ => p.dict(),
                 })?;
-                let location = location.to(self.last());
+                let location = location.to(self.previous_location());
                 return Ok(Expr { location, kind });
             }
-            _ => return self.expected("a value"),
+            _ => return self.unexpected("a value"),
         };
-        self.at += 1;
+        self.position += 1;
         Ok(Expr { location, kind })
     }
 
-    fn number(&mut self, location: SourceLocation) -> Read<Quantity> {
+    fn number(&mut self, location: SourceLocation) -> ParseResult<Quantity> {
         let text = self.slice(location);
-        Quantity::parse(text).or_else(|unread| {
+        Quantity::parse(text).or_else(|error| {
             let suffix = &text[unit::suffix_at(text)..];
-            let message = match unread {
-                QuantityError::UnknownUnit => format!("'{suffix}' is no unit"),
+            let message = match error {
+                QuantityError::UnknownUnit => format!("unknown unit '{suffix}'"),
                 other => other.reason().to_owned(),
             };
             let diagnostic = Diagnostic::error(location, message);
             let near = crate::diagnostic::nearest(&suffix.to_ascii_lowercase(), ["ms", "us", "min"]);
-            let fits = unit::suffixes().find(|s| s.eq_ignore_ascii_case(suffix)).or(near);
-            self.fault(match (unread, fits) {
-                (QuantityError::UnknownUnit, Some(fits)) => {
-                    diagnostic.with_help(format!("'{fits}' was meant?"))
+            let suggestion = unit::suffixes().find(|s| s.eq_ignore_ascii_case(suffix)).or(near);
+            self.fail(match (error, suggestion) {
+                (QuantityError::UnknownUnit, Some(suggestion)) => {
+                    diagnostic.with_help(format!("did you mean '{suggestion}'?"))
                 }
                 (QuantityError::UnknownUnit, None) => {
                     let all: Vec<_> = unit::suffixes().collect();
-                    diagnostic.with_help(format!("units are {}", all.join(", ")))
+                    diagnostic.with_help(format!("known units are {}", all.join(", ")))
                 }
                 _ => diagnostic,
             })
         })
     }
 
-    fn list(&mut self) -> Read<Kind> {
+    fn list(&mut self) -> ParseResult<ExprKind> {
         let mut all = Vec::new();
-        while self.peek() != Token::CloseList {
+        while self.peek() != Token::CloseBracket {
             all.push(self.expr()?);
             if all.len() == 1 && self.peek() == Token::For {
-                let clauses = self.clauses(Token::CloseList)?;
+                let clauses = self.clauses(Token::CloseBracket)?;
                 let body = Box::new((all.remove(0), None));
-                return Ok(Kind::Comprehension { body, clauses });
+                return Ok(ExprKind::Comprehension { body, clauses });
             }
-            if self.take(Token::Comma).is_none() {
+            if self.accept(Token::Comma).is_none() {
                 break;
             }
         }
-        self.need(Token::CloseList)?;
-        Ok(Kind::List(all))
+        self.expect(Token::CloseBracket)?;
+        Ok(ExprKind::List(all))
     }
 
-    fn dict(&mut self) -> Read<Kind> {
+    fn dict(&mut self) -> ParseResult<ExprKind> {
         let mut all = Vec::new();
-        while self.peek() != Token::CloseDict {
+        while self.peek() != Token::CloseBrace {
             let key = self.expr()?;
-            self.need(Token::Colon)?;
+            self.expect(Token::Colon)?;
             let value = self.expr()?;
             if all.is_empty() && self.peek() == Token::For {
-                let clauses = self.clauses(Token::CloseDict)?;
+                let clauses = self.clauses(Token::CloseBrace)?;
                 let body = Box::new((key, Some(value)));
-                return Ok(Kind::Comprehension { body, clauses });
+                return Ok(ExprKind::Comprehension { body, clauses });
             }
             all.push((key, value));
-            if self.take(Token::Comma).is_none() {
+            if self.accept(Token::Comma).is_none() {
                 break;
             }
         }
-        self.need(Token::CloseDict)?;
-        Ok(Kind::Dict(all))
+        self.expect(Token::CloseBrace)?;
+        Ok(ExprKind::Dict(all))
     }
 
-    /// What a comprehension goes over: a 'for', then any more, and conditions. Neither holds an 'if' of its own,
-    /// which would be taken for the next clause.
-    fn clauses(&mut self, end: Token) -> Read<Vec<Clause>> {
+    /// Clauses of a comprehension, with the closing bracket. Their expressions hold no bare conditional: its
+    /// 'if' would be ambiguous with the next clause.
+    fn clauses(&mut self, end: Token) -> ParseResult<Vec<Clause>> {
         let mut clauses = Vec::new();
         loop {
             match self.peek() {
                 Token::For => {
-                    self.at += 1;
+                    self.position += 1;
                     let mut names = vec![self.name()?];
-                    while self.take(Token::Comma).is_some() {
+                    while self.accept(Token::Comma).is_some() {
                         names.push(self.name()?);
                     }
-                    self.need(Token::In)?;
-                    clauses.push(Clause::For(names, self.level(0)?));
+                    self.expect(Token::In)?;
+                    clauses.push(Clause::For(names, self.binary(0)?));
                 }
                 Token::If => {
-                    self.at += 1;
-                    clauses.push(Clause::If(self.level(0)?));
+                    self.position += 1;
+                    clauses.push(Clause::If(self.binary(0)?));
                 }
                 token if token == end => {
-                    self.at += 1;
+                    self.position += 1;
                     return Ok(clauses);
                 }
-                _ => return self.expected("'for', 'if' or the closing bracket"),
+                _ => return self.unexpected("'for', 'if' or the closing bracket"),
             }
-            if clauses.len() > DEEPEST {
-                let location = self.here();
-                return self.fault(Diagnostic::error(
+            if clauses.len() > MAX_NESTING_DEPTH {
+                let location = self.current_location();
+                return self.fail(Diagnostic::error(
                     location,
-                    format!("more than {DEEPEST} clauses"),
+                    format!("more than {MAX_NESTING_DEPTH} clauses in a comprehension"),
                 ));
             }
         }
--- a/crates/config/src/probation.rs
+++ b/crates/config/src/probation.rs
@@ -1,30 +1,30 @@
-//! Whether a change does harm. Judged by what clients were turned away for, against the same before the change.
+//! Whether a change of settings is harmful, by the rejections per resource before and after it.
 //!
-//! Two things must not pass for harm of the change. A fault that was there before shows in the earlier figures: its
-//! share of the demand is taken off. A surge shows in how full the driver was when it turned clients away: a smaller
-//! limit turns them away at a fill that was borne before, a surge at one that never was. Only wants that the changed
-//! settings can cause count at all.
+//! Rejections with other causes must not count. Those of a fault before the change are in the baseline: its
+//! share of the demand is subtracted. Those of a surge occur at a fill level above the baseline, while a
+//! lowered limit rejects at levels that were served before. Only resources that the changed settings may
+//! exhaust count.
 //!
-//! Where this fails: a surge that comes right after a limit was lowered, to somewhere above all that was borne before,
-//! is taken for a surge though the former limit would have borne it; and a fault from outside that begins within the
-//! probation, and turns clients away while the driver is no fuller than before, is taken for the change's.
+//! Known limits: a load above the baseline right after a limit was lowered counts as a surge, even if the
+//! former limit would have served it. An external fault that begins during probation, and causes rejections
+//! at a level within the baseline, is attributed to the change.
 
 use crate::schema::{Resource, RESOURCES};
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
-/// Figures of the driver at one time. Counts are since its start.
+/// Metrics of the driver at one time, by resource. Counters are since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// Clients that came and statements that they sent, each in the unit its want is counted in.
+    /// Counter of clients or statements, whichever the resource is needed for.
     pub demand: [u64; RESOURCES.len()],
-    /// Those turned away, by want.
+    /// Counter of those that were rejected.
     pub rejected: [u64; RESOURCES.len()],
-    /// How full the driver is now, by want: clients, descriptors, bytes.
+    /// Resources in use: clients, descriptors, bytes.
     pub fill: [u64; RESOURCES.len()],
 }
 
-/// By what a change is judged.
+/// Criteria for a change, set in the section `activation`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProbationCriteria {
     pub probation: TimeSpan,
@@ -33,7 +33,7 @@
 }
 
 impl ProbationCriteria {
-    /// Of each, what finds harm sooner.
+    /// Of each criterion the stricter one.
     pub fn stricter(self, other: ProbationCriteria) -> ProbationCriteria {
         ProbationCriteria {
             probation: self.probation.max(other.probation),
@@ -49,109 +49,121 @@
     Harmful(Resource),
 }
 
-/// How far back the figures before a change count, and how close together samples are kept.
-const BEFORE: TimeSpan = TimeSpan::millis(60_000);
-const APART: TimeSpan = TimeSpan::millis(250);
-/// Fuller than ever before by this much is a surge; less may be chance.
-const FULLER: f64 = 1.1;
-/// Under this demand a share says nothing.
-const LEAST_DEMAND: u64 = 5;
+/// Length of the baseline before a change.
+const BASELINE_LENGTH: TimeSpan = TimeSpan::millis(60_000);
+/// Minimum interval between stored samples.
+const MIN_SAMPLE_INTERVAL: TimeSpan = TimeSpan::millis(250);
+/// Fill level, as a multiple of the baseline's maximum, above which rejections are attributed to a surge.
+const SURGE_FACTOR: f64 = 1.1;
+/// Demand below which a rejected share is not significant.
+const MIN_DEMAND: u64 = 5;
 
 #[derive(Default)]
 pub struct ProbationMonitor {
-    /// Samples of the last while, oldest first.
+    /// Samples of the baseline's length, oldest first.
     samples: VecDeque<(Timestamp, Sample)>,
     latest: Sample,
-    changed: Option<Changed>,
+    baseline: Option<Baseline>,
     may_exhaust: Vec<Resource>,
 }
 
-/// What the figures were when the change came.
-struct Changed {
+/// Baseline of a change, and what was counted since.
+struct Baseline {
     at: Timestamp,
     from: Sample,
-    /// Share of the demand turned away before, and the fullest that was borne.
+    /// Rejected share of the demand before the change.
     share: [f64; RESOURCES.len()],
-    fullest: [u64; RESOURCES.len()],
-    /// Since the change: how many were turned away while the driver was no fuller than before.
-    within: [u64; RESOURCES.len()],
+    max_fill: [u64; RESOURCES.len()],
+    /// Rejections since the change at a fill level within the baseline.
+    rejected_at_served_fill: [u64; RESOURCES.len()],
 }
 
 impl ProbationMonitor {
     pub fn record(&mut self, now: Timestamp, sample: Sample) {
-        if let Some(changed) = &mut self.changed {
-            for w in 0..RESOURCES.len() {
-                let more = sample.rejected[w].saturating_sub(self.latest.rejected[w]);
-                // Between two samples the driver was as full as at the fuller of them.
-                let fill = sample.fill[w].max(self.latest.fill[w]);
-                let borne = changed.fullest[w] as f64 * FULLER;
-                changed.within[w] += if fill as f64 <= borne { more } else { 0 };
+        if let Some(baseline) = &mut self.baseline {
+            for index in 0..RESOURCES.len() {
+                let increase = sample.rejected[index].saturating_sub(self.latest.rejected[index]);
+                // Assumes the higher fill level of the two samples in between.
+                let fill = sample.fill[index].max(self.latest.fill[index]);
+                let max_served_fill = baseline.max_fill[index] as f64 * SURGE_FACTOR;
+                baseline.rejected_at_served_fill[index] += if fill as f64 <= max_served_fill {
+                    increase
+                } else {
+                    0
+                };
             }
         }
         self.latest = sample;
-        let apart = self.samples.back().is_none_or(|(at, _)| now - *at >= APART);
-        if apart {
+        let is_due = self
+            .samples
+            .back()
+            .is_none_or(|(at, _)| now - *at >= MIN_SAMPLE_INTERVAL);
+        if is_due {
             self.samples.push_back((now, sample));
         }
-        while self.samples.front().is_some_and(|(at, _)| now - *at > BEFORE) {
+        while self
+            .samples
+            .front()
+            .is_some_and(|(at, _)| now - *at > BASELINE_LENGTH)
+        {
             self.samples.pop_front();
         }
     }
 
-    /// A change comes: what was counted until now is what it is judged against.
+    /// Begins watching a change; the samples so far are its baseline.
     pub fn begin(&mut self, now: Timestamp) {
         let oldest = self.samples.front().map_or(self.latest, |(_, s)| *s);
-        let (mut share, mut fullest) = ([0.0; RESOURCES.len()], [0; RESOURCES.len()]);
-        for w in 0..RESOURCES.len() {
-            share[w] = share_of(&oldest, &self.latest, w);
-            let fills = self.samples.iter().map(|(_, s)| s.fill[w]);
-            fullest[w] = fills.max().unwrap_or(0).max(self.latest.fill[w]);
+        let (mut share, mut max_fill) = ([0.0; RESOURCES.len()], [0; RESOURCES.len()]);
+        for index in 0..RESOURCES.len() {
+            share[index] = share_of(&oldest, &self.latest, index);
+            let fills = self.samples.iter().map(|(_, s)| s.fill[index]);
+            max_fill[index] = fills.max().unwrap_or(0).max(self.latest.fill[index]);
         }
-        self.changed = Some(Changed {
+        self.baseline = Some(Baseline {
             at: now,
             from: self.latest,
             share,
-            fullest,
-            within: [0; RESOURCES.len()],
+            max_fill,
+            rejected_at_served_fill: [0; RESOURCES.len()],
         });
     }
 
-    /// The wants that the change can cause.
+    /// Sets the resources that the change may exhaust.
     pub fn watch(&mut self, resources: Vec<Resource>) {
         self.may_exhaust = resources;
     }
 
     pub fn has_seen_demand(&self) -> bool {
-        let Some(changed) = &self.changed else {
+        let Some(baseline) = &self.baseline else {
             return false;
         };
-        let more = |w: usize| self.latest.demand[w].saturating_sub(changed.from.demand[w]);
-        (0..RESOURCES.len()).any(|w| more(w) >= LEAST_DEMAND)
+        let increase = |index: usize| self.latest.demand[index].saturating_sub(baseline.from.demand[index]);
+        (0..RESOURCES.len()).any(|index| increase(index) >= MIN_DEMAND)
     }
 
     pub fn verdict(&self, now: Timestamp, criteria: ProbationCriteria) -> Verdict {
-        let Some(changed) = self.changed.as_ref().filter(|c| c.at <= now) else {
+        let Some(baseline) = self.baseline.as_ref().filter(|c| c.at <= now) else {
             return Verdict::Harmless;
         };
-        let harms = |(w, resource): (usize, &Resource)| {
-            let demand = self.latest.demand[w].saturating_sub(changed.from.demand[w]);
-            let within = changed.within[w];
-            let share = within as f64 / demand.max(within).max(1) as f64;
+        let harms = |(index, resource): (usize, &Resource)| {
+            let demand = self.latest.demand[index].saturating_sub(baseline.from.demand[index]);
+            let rejected_at_served_fill = baseline.rejected_at_served_fill[index];
+            let share = rejected_at_served_fill as f64 / demand.max(rejected_at_served_fill).max(1) as f64;
             self.may_exhaust.contains(resource)
-                && demand >= LEAST_DEMAND
-                && within >= criteria.min_rejections
-                && share > changed.share[w] + criteria.margin
+                && demand >= MIN_DEMAND
+                && rejected_at_served_fill >= criteria.min_rejections
+                && share > baseline.share[index] + criteria.margin
         };
         let found = RESOURCES
             .iter()
             .enumerate()
-            .find(|(w, resource)| harms((*w, resource)));
+            .find(|(index, resource)| harms((*index, resource)));
         found.map_or(Verdict::Harmless, |(_, resource)| Verdict::Harmful(*resource))
     }
 }
 
-fn share_of(from: &Sample, to: &Sample, w: usize) -> f64 {
-    let demand = to.demand[w].saturating_sub(from.demand[w]);
-    let rejected = to.rejected[w].saturating_sub(from.rejected[w]);
+fn share_of(from: &Sample, to: &Sample, index: usize) -> f64 {
+    let demand = to.demand[index].saturating_sub(from.demand[index]);
+    let rejected = to.rejected[index].saturating_sub(from.rejected[index]);
     rejected as f64 / demand.max(rejected).max(1) as f64
 }
--- a/crates/config/src/resolved.rs
+++ b/crates/config/src/resolved.rs
@@ -1,4 +1,4 @@
-//! What files come to: every setting resolved, in one order, whatever order and form it was written in.
+//! Resolved settings: the value of every setting of the schema, independent of how the files state it.
 
 use crate::diagnostic::{nearest, Diagnostic, SourceLocation};
 use crate::eval::SectionStatement;
@@ -11,10 +11,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The amounts of one section or entry, by row.
+/// Amounts of a section or entry, by index of the setting; `None` is the value `None` of a setting without
+/// default.
 type Amounts = Vec<Option<Quantity>>;
 
-/// Entries of a section; the one key of a section without keys is empty.
+/// Entries of a section by key; a section without keys has one entry with the empty key.
 type Entries = BTreeMap<Arc<str>, Amounts>;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,16 +23,16 @@
     sections: Vec<Entries>,
 }
 
-/// Where each setting that a file states was stated.
+/// Source location of each setting that a file sets.
 pub type SettingLocations = BTreeMap<SettingPath, SourceLocation>;
 
-/// How many entries a section may have: each is kept for as long as the settings are.
-pub const MOST_ENTRIES: usize = 20_000;
-/// The longest key of an entry.
-pub const LONGEST_KEY: usize = 128;
+/// Bound on the entries of all keyed sections together; they stay in memory as long as the settings.
+pub const MAX_ENTRIES: usize = 20_000;
+/// Bound on the length of an entry's key.
+pub const MAX_KEY_BYTES: usize = 128;
 
 impl ResolvedSettings {
-    /// What holds without a file.
+    /// The settings without a file.
     pub fn defaults(schema: &Schema) -> ResolvedSettings {
         let all = schema.sections.iter().zip(&schema.bounds);
         let first = |(section, bounds): (&crate::schema::Section, &Vec<crate::schema::Bounds>)| {
@@ -46,59 +47,57 @@
         }
     }
 
-    /// Puts together what the files state; faults go to the reports.
+    /// Checks the sections that the files set against the schema, and resolves all settings. Errors go to
+    /// `report`.
     pub fn resolve(
         schema: &Schema,
-        stated: &[SectionStatement],
+        statements: &[SectionStatement],
         report: &mut impl FnMut(Diagnostic),
     ) -> (ResolvedSettings, SettingLocations) {
         let mut resolved = ResolvedSettings::defaults(schema);
         let mut locations = SettingLocations::new();
         let mut keys: BTreeMap<(usize, Arc<str>), SourceLocation> = BTreeMap::new();
-        for one in stated {
-            let section = &schema.sections[one.section_index];
-            let key = match &one.key {
+        for statement in statements {
+            let section = &schema.sections[statement.section_index];
+            let key = match &statement.key {
                 None => Arc::from(""),
                 Some((key, at)) => {
-                    if key.is_empty() || key.len() > LONGEST_KEY || key.chars().any(char::is_control) {
+                    if key.is_empty() || key.len() > MAX_KEY_BYTES || key.chars().any(char::is_control) {
                         let message =
-                            format!("a name has 1 to {LONGEST_KEY} bytes and no control characters");
+                            format!("a name must have 1 to {MAX_KEY_BYTES} bytes and no control characters");
                         report(Diagnostic::error(*at, message));
                         continue;
                     }
                     let own: Arc<str> = Arc::from(&**key);
-                    if let Some(before) = keys.insert((one.section_index, own.clone()), *at) {
-                        let message = format!("{}({key:?}) is stated a second time", section.name);
-                        report(Diagnostic::error(*at, message).with_related(before, "first stated here"));
+                    if let Some(before) = keys.insert((statement.section_index, own.clone()), *at) {
+                        let message = format!("{}({key:?}) is already set", section.name);
+                        report(Diagnostic::error(*at, message).with_related(before, "first set here"));
                         continue;
                     }
-                    if keys.len() > MOST_ENTRIES {
-                        report(Diagnostic::error(
-                            *at,
-                            format!("more than {MOST_ENTRIES} entries"),
-                        ));
+                    if keys.len() > MAX_ENTRIES {
+                        report(Diagnostic::error(*at, format!("more than {MAX_ENTRIES} entries")));
                         return (resolved, locations);
                     }
                     own
                 }
             };
             let first = || {
-                schema.bounds[one.section_index]
+                schema.bounds[statement.section_index]
                     .iter()
                     .map(|b| b.default)
                     .collect()
             };
-            let amounts = resolved.sections[one.section_index]
+            let amounts = resolved.sections[statement.section_index]
                 .entry(key.clone())
                 .or_insert_with(first);
-            for (name, value, at) in &one.settings {
+            for (name, value, at) in &statement.settings {
                 let Some(setting_index) = section.settings.iter().position(|r| *r.name == *name.name) else {
                     report(unknown(section.name, section.settings, &name.name, name.location));
                     continue;
                 };
                 let path = SettingPath {
-                    section_index: one.section_index,
-                    key: one.key.as_ref().map(|_| key.clone()),
+                    section_index: statement.section_index,
+                    key: statement.key.as_ref().map(|_| key.clone()),
                     setting_index,
                 };
                 match amount(schema, &path, value, *at) {
@@ -107,7 +106,7 @@
                     Err(Some(fault)) => report(*fault),
                 }
                 if let Some(before) = locations.insert(path.clone(), *at) {
-                    let message = format!("{} is set a second time", schema.format_path(&path));
+                    let message = format!("{} is already set", schema.format_path(&path));
                     report(Diagnostic::error(*at, message).with_related(before, "first set here"));
                 }
             }
@@ -120,7 +119,8 @@
         entry[path.setting_index]
     }
 
-    /// The amount of a setting that has a default, in the base of its unit.
+    /// Amount of a setting with a default in a section without keys, in the base unit; 0 for an unknown
+    /// setting.
     pub fn amount(&self, schema: &Schema, section: &str, setting: &str) -> i64 {
         let at = schema.find(section, setting);
         debug_assert!(at.is_some(), "no setting {section}.{setting}");
@@ -128,7 +128,7 @@
         found.map_or(0, |q| q.amount)
     }
 
-    /// The entries of a section that has one for each name.
+    /// Keys and amounts of the entries of a keyed section.
     pub fn entries(
         &self,
         schema: &Schema,
@@ -139,7 +139,7 @@
         entries.map(|(key, amounts)| (&**key, amounts.as_slice()))
     }
 
-    /// All settings with their amounts, in the order of the registry and of their keys.
+    /// All settings with their amounts, in the order of the schema and of their keys.
     pub fn all<'a>(
         &'a self,
         schema: &'a Schema,
@@ -162,7 +162,7 @@
         })
     }
 
-    /// The same for the same meaning, and only for that.
+    /// Canonical JSON: equal exactly for equal settings.
     pub fn canonical(&self, schema: &Schema) -> String {
         let setting = |(setting, amount): (&Setting, &Option<Quantity>)| {
             let written = amount.map_or(Json::Null, |q| Json::String(q.to_string()));
@@ -183,8 +183,11 @@
         text
     }
 
-    /// Reads what `canonical` wrote, here or in a neighbouring version: settings that this program doesn't know are
-    /// told, those that the text doesn't know have their default.
+    /// Parses canonical JSON of this or a neighbouring version. Returns the names of unknown settings, which
+    /// are skipped; missing settings have their defaults.
+    ///
+    /// # Errors
+    /// If the text isn't valid JSON of this form, or an amount is out of its bounds.
     pub fn from_canonical(schema: &Schema, text: &str) -> Result<(ResolvedSettings, Vec<String>), String> {
         let value: Json = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let sections = value.as_object().ok_or("not an object")?;
@@ -194,12 +197,14 @@
                 left_out.push(name.clone());
                 continue;
             };
-            let value = value.as_object().ok_or_else(|| format!("{name} is no object"))?;
+            let value = value
+                .as_object()
+                .ok_or_else(|| format!("{name} is not an object"))?;
             let entries: Vec<(&str, &Map<String, Json>)> = match schema.sections[s].key {
                 None => vec![("", value)],
                 Some(_) => {
                     if !value.values().all(Json::is_object) {
-                        return Err(format!("{name} has an entry that is no object"));
+                        return Err(format!("{name} has an entry that is not an object"));
                     }
                     value
                         .iter()
@@ -227,9 +232,11 @@
                         Json::Null if bounds.default.is_none() => None,
                         Json::String(text) => {
                             let read = Quantity::parse(text).ok().filter(within);
-                            Some(read.ok_or_else(|| format!("{name}.{setting} can't be {text}"))?)
+                            Some(
+                                read.ok_or_else(|| format!("{name}.{setting} has the invalid value {text}"))?,
+                            )
                         }
-                        _ => return Err(format!("{name}.{setting} is no text")),
+                        _ => return Err(format!("{name}.{setting} is not a string")),
                     };
                 }
             }
@@ -238,24 +245,24 @@
     }
 }
 
-/// The hash by which meanings are told apart and stored ones are known to be whole.
+/// SHA-256 in hexadecimal: identifies settings by their canonical text, and detects damage to stored ones.
 pub fn hash(text: &str) -> String {
     let bytes = Sha256::digest(text.as_bytes());
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
 fn unknown(section: &str, settings: &[Setting], name: &str, location: SourceLocation) -> Diagnostic {
-    let report = Diagnostic::error(location, format!("'{section}' has no setting '{name}'"));
+    let diagnostic = Diagnostic::error(location, format!("'{section}' has no setting '{name}'"));
     match nearest(name, settings.iter().map(|r| r.name)) {
-        Some(near) => report.with_help(format!("'{near}' was meant?")),
+        Some(near) => diagnostic.with_help(format!("did you mean '{near}'?")),
         None => {
             let all: Vec<_> = settings.iter().map(|r| r.name).collect();
-            report.with_help(format!("it has {}", all.join(", ")))
+            diagnostic.with_help(format!("known settings are {}", all.join(", ")))
         }
     }
 }
 
-/// The amount that a value gives a setting, or why it can't; a broken value was told before.
+/// Checks a value against a setting's unit and bounds. The error is `None` if it was reported before.
 fn amount(
     schema: &Schema,
     path: &SettingPath,
@@ -266,13 +273,16 @@
     let (name, unit) = (schema.format_path(path), bounds.unit);
     let fault = |message: String| Err(Some(Box::new(Diagnostic::error(location, message))));
     match value {
-        Value::Broken => Err(None),
+        Value::Invalid => Err(None),
         Value::None if bounds.default.is_none() => Ok(None),
         Value::Quantity(q) if q.unit == unit => {
             if (bounds.min.amount..=bounds.max.amount).contains(&q.amount) {
                 return Ok(Some(*q));
             }
-            fault(format!("{name} is {} to {}, not {q}", bounds.min, bounds.max))
+            fault(format!(
+                "{name} must be between {} and {}, found {q}",
+                bounds.min, bounds.max
+            ))
         }
         Value::Quantity(q) => {
             let found = match q.unit {
@@ -286,20 +296,20 @@
             );
             fault(message)
         }
-        other => fault(format!("{name} is {}, not {}", unit.name(), other.name())),
+        other => fault(format!("{name} is {}, not {}", unit.name(), other.type_name())),
     }
 }
 
-/// One setting that two meanings differ in.
+/// A setting whose amount differs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     pub path: SettingPath,
-    /// Missing where the entry isn't there; nothing inside where the setting is none.
+    /// `None` if the entry doesn't exist; `Some(None)` if the setting has no amount.
     pub old: Option<Option<Quantity>>,
     pub new: Option<Option<Quantity>>,
 }
 
-/// What changes from one meaning to the next, in the order of the registry and of the keys.
+/// Settings that differ, in the order of the schema and of the keys.
 pub fn changes(schema: &Schema, old: &ResolvedSettings, new: &ResolvedSettings) -> Vec<Change> {
     let mut all = Vec::new();
     for (section_index, (a, b)) in old.sections.iter().zip(&new.sections).enumerate() {
@@ -319,7 +329,7 @@
                 }
             }
         };
-        // Both are in the order of their keys, so one walk finds what they share.
+        // Merges the two sorted lists of entries.
         let (mut a, mut b) = (a.iter().peekable(), b.iter().peekable());
         loop {
             let order = match (a.peek(), b.peek()) {
@@ -339,10 +349,10 @@
 }
 
 impl Change {
-    /// One line: path, old and new amount, when it is taken over, and the rule whose margin it moves.
+    /// One line: path, old and new amount, when it takes effect, and the guarantee that it affects.
     pub fn describe(&self, schema: &Schema) -> String {
         let amount = |a: &Option<Option<Quantity>>| match a {
-            None => "not there".to_owned(),
+            None => "absent".to_owned(),
             Some(None) => "none".to_owned(),
             Some(Some(q)) => q.to_string(),
         };
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,12 +1,12 @@
-//! What may be set: sections of rows, each with unit, range, default, and what it bears on. Every part of the
-//! program that lets operators set something states a section here, and gets checker, diff and reference page.
+//! Schema of the operators' file: sections of settings with unit, range and default. Checks, diffs and the
+//! reference page derive from it.
 
 use crate::resolved::ResolvedSettings;
 use crate::unit::{Quantity, Unit};
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// When a changed setting is taken over.
+/// When a changed setting takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakesEffect {
     Live,
@@ -22,32 +22,32 @@
     }
 }
 
-/// The rules that a setting may move the margin of.
+/// Guarantees of the service whose safety margin a setting affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guarantee {
-    OneAnswer,
-    NoEffectTwice,
-    DrainsKept,
-    ColdMembers,
+    OneFinalAnswer,
+    NoDuplicateEffect,
+    DrainsCompleted,
+    NoColdMemberOverload,
     NoStaleRead,
-    /// Peers take nothing from one another.
+    /// Clients and members can't exhaust each other's resources.
     Bounds,
 }
 
 impl Guarantee {
     pub fn name(self) -> &'static str {
         match self {
-            Guarantee::OneAnswer => "one final answer in time",
-            Guarantee::NoEffectTwice => "no effect twice",
-            Guarantee::DrainsKept => "drains kept",
-            Guarantee::ColdMembers => "no cold member pushed over",
+            Guarantee::OneFinalAnswer => "one final answer in time",
+            Guarantee::NoDuplicateEffect => "no duplicate effect",
+            Guarantee::DrainsCompleted => "drains completed",
+            Guarantee::NoColdMemberOverload => "no cold member overloaded",
             Guarantee::NoStaleRead => "no stale read",
-            Guarantee::Bounds => "no peer spends another's share",
+            Guarantee::Bounds => "no peer exceeds its share",
         }
     }
 }
 
-/// A setting. Amounts are written as in a file; a default of `""` is none.
+/// A setting. Amounts are literals as in a file; the default `""` means none.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
     pub name: &'static str,
@@ -55,12 +55,12 @@
     pub range: (&'static str, &'static str),
     pub takes_effect: TakesEffect,
     pub affects: Option<Guarantee>,
-    /// A want of which a change to this setting may cause, and which activation watches for.
+    /// Resources that a change of this setting may exhaust; probation watches rejections for lack of them.
     pub may_exhaust: &'static [Resource],
     pub description: &'static str,
 }
 
-/// What clients may be turned away for.
+/// Resources for lack of which clients are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Resource {
     ClientSlots,
@@ -83,13 +83,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
     pub name: &'static str,
-    /// What its entries are named after, where there is one for each name.
+    /// What the key of an entry is, if the section has an entry per key.
     pub key: Option<&'static str>,
     pub description: &'static str,
     pub settings: &'static [Setting],
 }
 
-/// A setting as it is checked by.
+/// Unit, range and default of a setting, parsed.
 #[derive(Clone, Debug)]
 pub struct Bounds {
     pub unit: Unit,
@@ -98,16 +98,16 @@
     pub default: Option<Quantity>,
 }
 
-/// The machine that the settings are for, as far as it is known.
+/// Resources of the process: bytes of memory, and file descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Machine {
     pub memory: i64,
     pub descriptors: i64,
 }
 
-/// Settings that are legal alone and not together.
+/// Settings that are each valid, but inconsistent with each other.
 pub struct Conflict {
-    /// The settings at fault, as section, key and row; the last one set is where the fault is told.
+    /// The settings in conflict; it is reported at the one that was set last.
     pub paths: Vec<SettingPath>,
     pub reason: String,
     pub warning: bool,
@@ -129,7 +129,7 @@
 }
 
 fn amount(text: &str) -> Quantity {
-    // The tables are the program's own; a test reads them all.
+    // The literals are constants; a test parses all of them.
     Quantity::parse(text).unwrap_or(Quantity::new(Unit::Count, i64::MIN))
 }
 
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Section and row of a setting.
+    /// Indices of a section and a setting.
     pub fn find(&self, section: &str, setting: &str) -> Option<(usize, usize)> {
         let s = self.sections.iter().position(|s| s.name == section)?;
         let r = self.sections[s].settings.iter().position(|r| r.name == setting)?;
@@ -165,7 +165,7 @@
         &self.sections[path.section_index].settings[path.setting_index]
     }
 
-    /// As messages write it: `clients.rest`, `workload("history").timeout`.
+    /// Path in diagnostics: `clients.rest`, `workload("history").timeout`.
     pub fn format_path(&self, path: &SettingPath) -> String {
         let section = &self.sections[path.section_index];
         match &path.key {
@@ -177,11 +177,11 @@
         }
     }
 
-    /// The page that lists everything that may be set.
+    /// The reference page, as Markdown.
     pub fn reference(&self) -> String {
         let mut out = String::from(
-            "# Settings\n\nWritten by `asterlatch config reference`; a test compares the two. Every setting has its \
-             default without a file.\n",
+            "# Settings\n\nWritten by `asterlatch config reference`; a test compares the two. Without a file \
+             every setting has its default.\n",
         );
         for (section, bounds) in self.sections.iter().zip(&self.bounds) {
             let head = match section.key {
@@ -190,7 +190,7 @@
             };
             let _ = write!(
                 out,
-                "\n## `{head}`\n\n{}\n\n| setting | unit | range | default | taken over | bears on | what it says |\n\
+                "\n## `{head}`\n\n{}\n\n| setting | unit | range | default | takes effect | bears on | description |\n\
                  | --- | --- | --- | --- | --- | --- | --- |\n",
                 section.description
             );
--- a/crates/config/src/service_schema.rs
+++ b/crates/config/src/service_schema.rs
@@ -1,5 +1,5 @@
-//! What the service lets its operators set, and which settings don't go together. The defaults are its own figures:
-//! a test of the service holds the two against each other.
+//! Schema of the service's settings, and the checks of settings that depend on each other. A test of the
+//! service compares the defaults with its built-in values.
 
 use crate::resolved::ResolvedSettings;
 use crate::schema::{
@@ -7,22 +7,21 @@
 };
 use crate::unit::{Quantity, Unit};
 
-/// The machine that is reckoned with where none is named: the defaults of the platform's configuration.
+/// Resources that are assumed if none are given: the defaults of the platform's configuration.
 pub const DEFAULT_MACHINE: Machine = Machine {
     memory: 192 * 1024 * 1024,
     descriptors: 1024,
 };
 
-/// Room that one statement and its answer need at least, in bytes: a value of 64 KB as hexadecimal text, and a
-/// comment.
+/// Memory for one statement and its answer: a value of 64 KiB as hexadecimal text, and a comment.
 pub const MIN_STATEMENT_MEMORY_BYTES: i64 = 2 * 64 * 1024 + 4096;
-/// Connections that members need at least: one to each of a small group's.
+/// Connections to members: one to each member of a small group.
 pub const MIN_MEMBER_DESCRIPTORS: i64 = 4;
-/// Part of the memory that is neither clients' nor members': the program, its stacks and tables, in millionths.
-const OWN_MEMORY: i64 = 250_000;
+/// Share of the memory for the program itself, its stacks and tables, in millionths.
+const MIN_PROGRAM_MEMORY_PPM: i64 = 250_000;
 
 macro_rules! settings {
-    ($($name:literal: $min:literal to $max:literal = $default:literal, $takes_effect:ident, $affects:expr, [$($want:ident),*],
+    ($($name:literal: $min:literal to $max:literal = $default:literal, $takes_effect:ident, $affects:expr, [$($resource:ident),*],
        $description:literal;)*) => {
         &[$(Setting {
             name: $name,
@@ -30,167 +29,167 @@
             range: ($min, $max),
             takes_effect: TakesEffect::$takes_effect,
             affects: $affects,
-            may_exhaust: &[$(Resource::$want),*],
+            may_exhaust: &[$(Resource::$resource),*],
             description: $description,
         }),*]
     };
 }
 
 const NONE: Option<Guarantee> = None;
-const BOUNDS: Option<Guarantee> = Some(Guarantee::Bounds);
-const ANSWER: Option<Guarantee> = Some(Guarantee::OneAnswer);
-const DRAINS: Option<Guarantee> = Some(Guarantee::DrainsKept);
-const TWICE: Option<Guarantee> = Some(Guarantee::NoEffectTwice);
+const SHARES: Option<Guarantee> = Some(Guarantee::Bounds);
+const FINAL_ANSWER: Option<Guarantee> = Some(Guarantee::OneFinalAnswer);
+const DRAINS: Option<Guarantee> = Some(Guarantee::DrainsCompleted);
+const NO_DUPLICATE: Option<Guarantee> = Some(Guarantee::NoDuplicateEffect);
 
 #[rustfmt::skip]
 pub const SECTIONS: [Section; 14] = [
-    Section { name: "descriptors", key: None, description: "How the descriptors of the process are shared out.", settings: settings! {
-        "reserve": "8" to "65536" = "48", Live, BOUNDS, [ClientSlots, Descriptors],
-            "kept for what is neither a client's nor a member's";
-        "clients": "5%" to "95%" = "66.6667%", Live, BOUNDS, [ClientSlots, Descriptors],
-            "of the others, those for clients; the rest is for members";
+    Section { name: "descriptors", key: None, description: "Allocation of the file descriptors of the process.", settings: settings! {
+        "reserve": "8" to "65536" = "48", Live, SHARES, [ClientSlots, Descriptors],
+            "descriptors reserved for everything but clients and members";
+        "clients": "5%" to "95%" = "66.6667%", Live, SHARES, [ClientSlots, Descriptors],
+            "share of the remaining descriptors for clients; members get the others";
     } },
-    Section { name: "memory", key: None, description: "How much of the process's memory others may fill.", settings: settings! {
-        "clients": "1%" to "90%" = "25%", Live, BOUNDS, [Memory],
-            "for what clients sent and what they leave unread";
-        "members": "1%" to "90%" = "25%", Live, BOUNDS, [Memory],
-            "for answers of members that are not whole yet";
+    Section { name: "memory", key: None, description: "Bounds on the memory of the process for buffered data.", settings: settings! {
+        "clients": "1%" to "90%" = "25%", Live, SHARES, [Memory],
+            "for data received from clients, and answers that they have not read";
+        "members": "1%" to "90%" = "25%", Live, SHARES, [Memory],
+            "for incomplete answers of members";
     } },
-    Section { name: "clients", key: None, description: "How long clients may take, and rest.", settings: settings! {
-        "first_statement": "50ms" to "10min" = "2500ms", Live, BOUNDS, [ClientSlots],
-            "from a client's arrival to the end of its first statement";
-        "message": "50ms" to "10min" = "2500ms", Live, BOUNDS, [ClientSlots],
-            "from the first byte of any other message to its last";
-        "rest": "50ms" to "1d" = "10s", Live, BOUNDS, [ClientSlots],
-            "between two statements";
-        "filling_from": "1%" to "100%" = "25%", Live, BOUNDS, [ClientSlots],
-            "from this part of all places on that those hold who have asked, `filling_rest` counts";
-        "filling_rest": "50ms" to "1d" = "2200ms", Live, BOUNDS, [ClientSlots],
-            "between two statements, while places fill";
-        "crowded_from": "1%" to "100%" = "40%", Live, BOUNDS, [ClientSlots],
-            "from this part on, `crowded_rest` counts";
-        "crowded_rest": "20ms" to "1d" = "100ms", Live, BOUNDS, [ClientSlots],
-            "between two statements, in a crowd";
-        "just_came": "0s" to "10s" = "300ms", Live, BOUNDS, [ClientSlots],
-            "who came within this is let go last: a first statement may be on its way";
+    Section { name: "clients", key: None, description: "Timeouts of clients.", settings: settings! {
+        "first_statement": "50ms" to "10min" = "2500ms", Live, SHARES, [ClientSlots],
+            "from accepting a client to the end of its first statement";
+        "message": "50ms" to "10min" = "2500ms", Live, SHARES, [ClientSlots],
+            "from the first to the last byte of any other message";
+        "rest": "50ms" to "1d" = "10s", Live, SHARES, [ClientSlots],
+            "idle timeout between two statements";
+        "filling_from": "1%" to "100%" = "25%", Live, SHARES, [ClientSlots],
+            "share of all places for clients, held by clients that have sent a statement, from which `filling_rest` applies";
+        "filling_rest": "50ms" to "1d" = "2200ms", Live, SHARES, [ClientSlots],
+            "idle timeout between two statements from `filling_from` on";
+        "crowded_from": "1%" to "100%" = "40%", Live, SHARES, [ClientSlots],
+            "share of the same from which `crowded_rest` applies";
+        "crowded_rest": "20ms" to "1d" = "100ms", Live, SHARES, [ClientSlots],
+            "idle timeout between two statements from `crowded_from` on";
+        "just_came": "0s" to "10s" = "300ms", Live, SHARES, [ClientSlots],
+            "clients accepted within this time are evicted last: their first statement may be in transit";
         "accept_again": "1ms" to "10s" = "50ms", Live, NONE, [ClientSlots],
-            "a failed accept is tried again after this";
+            "backoff after a failed accept";
     } },
-    Section { name: "statements", key: None, description: "What holds for every statement.", settings: settings! {
-        "longest_timeout": "10ms" to "1d" = "1d", Live, ANSWER, [],
-            "a client's own statement timeout counts for no more than this";
+    Section { name: "statements", key: None, description: "Bounds on every statement.", settings: settings! {
+        "longest_timeout": "10ms" to "1d" = "1d", Live, FINAL_ANSWER, [],
+            "maximum of the statement timeout that a client may request";
     } },
-    Section { name: "workload", key: Some("name"), description: "What holds for the statements of one workload. Names are \
-compared as the settings of the deployment spell them; one that the deployment doesn't know changes nothing.", settings: settings! {
-        "timeout": "10ms" to "1d" = "", Live, ANSWER, [],
-            "a client's own statement timeout counts for no more than this; it is never made longer";
-        "longest": "256B" to "16MiB" = "", Live, BOUNDS, [],
-            "a longer statement is answered with 54000";
+    Section { name: "workload", key: Some("name"), description: "Bounds on the statements of one workload. Names must equal those \
+in the settings of the deployment; a name that is unknown there has no effect.", settings: settings! {
+        "timeout": "10ms" to "1d" = "", Live, FINAL_ANSWER, [],
+            "maximum of the statement timeout that a client may request; it never extends a timeout";
+        "longest": "256B" to "16MiB" = "", Live, SHARES, [],
+            "maximum size of a statement; a longer one is rejected with 54000";
     } },
-    Section { name: "phases", key: None, description: "How the process leaves.", settings: settings! {
+    Section { name: "phases", key: None, description: "Phases of the shutdown.", settings: settings! {
         "arrivals": "0s" to "1min" = "450ms", Live, DRAINS, [],
-            "clients still arrive for this long once it was told to leave";
-        "linger": "10ms" to "1min" = "1s", Live, ANSWER, [],
-            "a client that doesn't read its answer is waited for this long";
-        "longest_drain": "1s" to "2d" = "25h", Live, ANSWER, [],
-            "it ends after this, even with statements open";
+            "time after the shutdown request in which clients are still accepted";
+        "linger": "10ms" to "1min" = "1s", Live, FINAL_ANSWER, [],
+            "how long to wait for a client that doesn't read its answer";
+        "longest_drain": "1s" to "2d" = "25h", Live, FINAL_ANSWER, [],
+            "the process exits after this, even with open statements";
     } },
     Section { name: "members", key: None, description: "Connections to members.", settings: settings! {
         "idle": "1%" to "100%" = "85%", Live, NONE, [],
-            "an idle connection is used up to this part of the deployment's idle time";
+            "share of the deployment's idle timeout for which an idle connection is reused";
     } },
-    Section { name: "discovery", key: None, description: "Calls to discovery.", settings: settings! {
+    Section { name: "discovery", key: None, description: "Requests to discovery.", settings: settings! {
         "watch": "100ms" to "10min" = "2s", Live, DRAINS, [],
-            "how long a watch may wait for news";
+            "how long a watch request waits for a change";
         "watch_late": "50ms" to "1min" = "1s", Live, DRAINS, [],
-            "how much longer its answer may take before the connection is left";
+            "additional time for its answer before the connection is closed";
         "list_late": "50ms" to "1min" = "1s", Live, DRAINS, [],
-            "how long a list may take that is asked for without waiting";
+            "timeout of a request for the endpoint list that doesn't wait for a change";
         "first_pause": "10ms" to "1min" = "100ms", Live, NONE, [],
-            "after the first failed call; each further one doubles it";
+            "backoff after the first failed request; doubled by each further failure";
         "longest_pause": "10ms" to "10min" = "2s", Live, DRAINS, [],
-            "no pause is longer";
+            "maximum backoff";
     } },
-    Section { name: "log", key: None, description: "Lines on standard error.", settings: settings! {
+    Section { name: "log", key: None, description: "Log lines on standard error.", settings: settings! {
         "lines": "1/s" to "1000/s" = "5/s", Live, NONE, [],
-            "of each topic; what is left out is counted";
+            "lines of each topic; suppressed lines are counted";
     } },
-    Section { name: "process", key: None, description: "What only a start sets up.", settings: settings! {
-        "stack": "32KiB" to "1MiB" = "64KiB", NextStart, BOUNDS, [],
-            "memory of each connection's stack, taken as it is used";
-        "spare_stacks": "0" to "4096" = "64", NextStart, BOUNDS, [],
-            "stacks kept for the next connections";
+    Section { name: "process", key: None, description: "Settings of the process that apply from its start.", settings: settings! {
+        "stack": "32KiB" to "1MiB" = "64KiB", NextStart, SHARES, [],
+            "stack size of each connection; memory is committed as it is used";
+        "spare_stacks": "0" to "4096" = "64", NextStart, SHARES, [],
+            "unused stacks that are cached for new connections";
     } },
-    Section { name: "upgrade", key: None, description: "How a new process takes over.", settings: settings! {
+    Section { name: "upgrade", key: None, description: "Handover to a new process.", settings: settings! {
         "hello": "10ms" to "10min" = "10s", Live, NONE, [],
-            "how long a new process may take to say that it runs";
+            "timeout for the successor's hello after its start";
         "ready": "10ms" to "10min" = "10s", Live, NONE, [],
-            "how long it may take to be ready to serve";
-        "taken": "10ms" to "10s" = "1s", Live, ANSWER, [],
-            "how long it may take to accept clients, while nobody does";
+            "timeout until the successor is ready to serve";
+        "taken": "10ms" to "10s" = "1s", Live, FINAL_ANSWER, [],
+            "timeout until the successor accepts clients, while no process does";
         "probation": "0s" to "1h" = "10s", Live, NONE, [],
-            "how long the former process waits beside it";
+            "how long the predecessor stays ready to serve again";
         "beat": "10ms" to "1min" = "1s", Live, NONE, [],
-            "between two signs of life on probation";
-        "silence": "10ms" to "10min" = "5s", Live, ANSWER, [],
-            "without one for this long it is killed and the former process serves on";
+            "interval of the successor's heartbeats on probation";
+        "silence": "10ms" to "10min" = "5s", Live, FINAL_ANSWER, [],
+            "heartbeat timeout, after which the successor is killed and the predecessor serves again";
     } },
-    Section { name: "shared", key: None, description: "What drivers of one fleet tell each other. Nothing is told or heard while \
+    Section { name: "shared", key: None, description: "Gossip between the drivers of a fleet. It is off while \
 `port` is 0.", settings: settings! {
         "port": "0" to "65535" = "0", NextStart, NONE, [],
-            "where other drivers' datagrams come in (UDP), at the address that clients come to";
+            "UDP port for datagrams of other drivers, at the address for clients";
         "tick": "10ms" to "10s" = "100ms", NextStart, NONE, [],
-            "between two tellings of what is new";
+            "interval at which news is sent";
         "fanout": "1" to "16" = "3", NextStart, NONE, [],
-            "drivers that are told at each tick, chosen by chance";
+            "drivers that receive it, chosen at random at each interval";
         "compare": "100ms" to "1min" = "1s", NextStart, NONE, [],
-            "between two comparings of copies with another driver";
-        "rate": "4KiB" to "64MiB" = "256KiB", NextStart, BOUNDS, [],
-            "sent in a second at most, to all others together";
+            "interval of anti-entropy rounds with another driver";
+        "rate": "4KiB" to "64MiB" = "256KiB", NextStart, SHARES, [],
+            "maximum sent per second to all other drivers together";
         "probe": "50ms" to "1min" = "500ms", NextStart, NONE, [],
-            "one of the others is asked this often whether it lives";
+            "interval at which one of the other drivers is probed";
         "suspicion": "100ms" to "10min" = "2s", NextStart, NONE, [],
-            "a driver that doesn't answer is suspected first, and gone after this";
-        "ask": "5ms" to "5s" = "100ms", NextStart, ANSWER, [],
-            "how long the others' word on a repeated statement is waited for, and never over 0.3 of its time";
-        "window": "1s" to "1h" = "30s", NextStart, TWICE, [],
-            "how long after its first sending a client may repeat a statement";
+            "how long an unresponsive driver is suspected before it counts as gone";
+        "ask": "5ms" to "5s" = "100ms", NextStart, FINAL_ANSWER, [],
+            "timeout of an inquiry to other drivers about a retried statement; at most 0.3 of the statement's time";
+        "window": "1s" to "1h" = "30s", NextStart, NO_DUPLICATE, [],
+            "how long after its first execution a client may retry a statement";
         "keep": "0s" to "10min" = "0s", NextStart, NONE, [],
-            "between two writings of what has changed to the folder given with `--state`; 0 keeps nothing";
-        "ids": "1000" to "1000000" = "65536", NextStart, TWICE, [],
-            "statements whose sending is remembered for that; beyond it repeats are in doubt";
+            "interval at which changes are stored in the folder given with `--state`; 0 stores nothing";
+        "ids": "1000" to "1000000" = "65536", NextStart, NO_DUPLICATE, [],
+            "executed statements that are tracked for that; beyond them retries have an uncertain outcome";
     } },
     Section { name: "driver", key: Some("name@address"), description: "Another driver of the fleet, by the name in its \
-configuration and its IP address. Datagrams from elsewhere are passed over.", settings: settings! {
+configuration and its IP address. Datagrams from other addresses are ignored.", settings: settings! {
         "port": "1" to "65535" = "", NextStart, NONE, [],
-            "its `shared.port`; as here where nothing is said";
-        "asked": "0" to "1" = "", NextStart, TWICE, [],
-            "0 for one that is gone for good and has run nothing within `shared.window`: its word is not waited for; 1 where nothing is said";
+            "its `shared.port`; by default the same as here";
+        "asked": "0" to "1" = "", NextStart, NO_DUPLICATE, [],
+            "0 for a driver that is permanently gone and has executed nothing within `shared.window`: it receives no inquiries; 1 by default";
     } },
-    Section { name: "activation", key: None, description: "How a changed file is put in force and gone back from. The \
-figures in force before the change judge it.", settings: settings! {
+    Section { name: "activation", key: None, description: "How a changed file is applied and rolled back. For `margin` \
+and `least` the stricter of the values before and after the change applies.", settings: settings! {
         "probation": "0s" to "1h" = "30s", Live, NONE, [],
-            "how long a change is watched before it is kept; zero keeps it at once";
+            "how long a change is watched before it is confirmed; 0 confirms it at once";
         "margin": "0.1%" to "100%" = "2%", Live, NONE, [],
-            "more of the demand turned away than before the change by this sends it back";
+            "increase of the rejected share of the demand above which a change is rolled back";
         "least": "1" to "1000000" = "20", Live, NONE, [],
-            "fewer that were turned away are no reason to go back";
+            "minimum number of rejections for a rollback";
         "kept": "2" to "64" = "8", Live, NONE, [],
             "generations stored with `--state`";
     } },
 ];
 
 pub const CHECKS: [Check; 10] = [
-    others,
-    suspicions,
-    beats,
-    memory_parts,
-    rooms,
-    descriptors,
-    rests,
-    pauses,
-    drain,
-    peers_times,
+    check_peers,
+    check_suspicion,
+    check_heartbeats,
+    check_memory_shares,
+    check_memory_minimum,
+    check_descriptors,
+    check_idle_timeouts,
+    check_backoffs,
+    check_drain,
+    check_arrival_grace,
 ];
 
 pub fn schema() -> Schema {
@@ -213,7 +212,7 @@
         .collect()
 }
 
-/// Makes a conflict of these settings, if there is one.
+/// A conflict of these settings if `found`.
 fn conflict(
     schema: &Schema,
     found: bool,
@@ -234,44 +233,46 @@
     Quantity::new(unit, amount).to_string()
 }
 
-/// The part of an amount, as the service reckons it.
+/// A share of an amount, in millionths; rounds down as the service does.
 pub fn share_of(amount: i64, share: i64) -> i64 {
     (i128::from(amount) * i128::from(share) / 1_000_000) as i64
 }
 
-fn memory_parts(r: &Schema, m: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let (clients, members) = (m.amount(r, "memory", "clients"), m.amount(r, "memory", "members"));
+fn check_memory_shares(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
+    let (clients, members) = (
+        settings.amount(schema, "memory", "clients"),
+        settings.amount(schema, "memory", "members"),
+    );
     let names = [("memory", "clients"), ("memory", "members")];
     let sum = format_amount(Unit::Share, clients + members);
-    let mut all = conflict(r, clients + members > 1_000_000, &names, || {
-        format!("clients and members may fill {sum} of the memory together, which is more than the whole")
+    let mut all = conflict(schema, clients + members > 1_000_000, &names, || {
+        format!("clients and members may use {sum} of the memory together, more than all of it")
     });
-    if all.is_empty() && clients + members > 1_000_000 - OWN_MEMORY {
-        let own = format_amount(Unit::Share, 1_000_000 - clients - members);
+    if all.is_empty() && clients + members > 1_000_000 - MIN_PROGRAM_MEMORY_PPM {
+        let remaining = format_amount(Unit::Share, 1_000_000 - clients - members);
         all.push(Conflict {
-            paths: paths(r, &names),
-            reason: format!("only {own} of the memory is left for the program itself: when both parts are full it is killed"),
+            paths: paths(schema, &names),
+            reason: format!("only {remaining} of the memory is left for the program itself: it may be killed when both parts are full"),
             warning: true,
         });
     }
     all
 }
 
-/// A message may take a sixteenth of its room; below the least room that one statement needs, two of them would
-/// already turn each other away.
-fn rooms(r: &Schema, m: &ResolvedSettings, machine: Machine) -> Vec<Conflict> {
+/// With less memory than one statement needs, two statements would already cause each other's rejection.
+fn check_memory_minimum(schema: &Schema, settings: &ResolvedSettings, machine: Machine) -> Vec<Conflict> {
     let too_small = |setting: &str| {
-        let room = share_of(machine.memory, m.amount(r, "memory", setting));
+        let memory_bytes = share_of(machine.memory, settings.amount(schema, "memory", setting));
         conflict(
-            r,
-            room < MIN_STATEMENT_MEMORY_BYTES,
+            schema,
+            memory_bytes < MIN_STATEMENT_MEMORY_BYTES,
             &[("memory", setting)],
             || {
                 format!(
                     "{} of {} are {}, under the {} that one statement with its answer needs",
-                    format_amount(Unit::Share, m.amount(r, "memory", setting)),
+                    format_amount(Unit::Share, settings.amount(schema, "memory", setting)),
                     format_amount(Unit::Size, machine.memory),
-                    format_amount(Unit::Size, room),
+                    format_amount(Unit::Size, memory_bytes),
                     format_amount(Unit::Size, MIN_STATEMENT_MEMORY_BYTES)
                 )
             },
@@ -280,81 +281,86 @@
     ["clients", "members"].into_iter().flat_map(too_small).collect()
 }
 
-fn descriptors(r: &Schema, m: &ResolvedSettings, machine: Machine) -> Vec<Conflict> {
+fn check_descriptors(schema: &Schema, settings: &ResolvedSettings, machine: Machine) -> Vec<Conflict> {
     let (reserve, share) = (
-        m.amount(r, "descriptors", "reserve"),
-        m.amount(r, "descriptors", "clients"),
+        settings.amount(schema, "descriptors", "reserve"),
+        settings.amount(schema, "descriptors", "clients"),
     );
     let names = [("descriptors", "reserve"), ("descriptors", "clients")];
     let others = machine.descriptors - reserve;
     let clients = share_of(others.max(0), share);
     let (members, of) = (others - clients, machine.descriptors);
-    conflict(r, members < MIN_MEMBER_DESCRIPTORS || clients < 1, &names, || {
-        format!(
-            "of {of} descriptors, {} are left for clients and {} for members",
-            clients.max(0),
-            members.max(0)
-        )
-    })
+    conflict(
+        schema,
+        members < MIN_MEMBER_DESCRIPTORS || clients < 1,
+        &names,
+        || {
+            format!(
+                "of {of} descriptors, {} are left for clients and {} for members",
+                clients.max(0),
+                members.max(0)
+            )
+        },
+    )
 }
 
-/// The fuller, the shorter: else a crowd would make room later than a few.
-fn rests(r: &Schema, m: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let at = |setting| m.amount(r, "clients", setting);
-    let rests = [
+/// Idle timeouts must shrink with the number of clients, or a crowd would release places last.
+fn check_idle_timeouts(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
+    let at = |setting| settings.amount(schema, "clients", setting);
+    let idle_timeouts = [
         ("clients", "rest"),
         ("clients", "filling_rest"),
         ("clients", "crowded_rest"),
     ];
     let from = [("clients", "filling_from"), ("clients", "crowded_from")];
-    let upside_down = at("rest") < at("filling_rest") || at("filling_rest") < at("crowded_rest");
-    let mut all = conflict(r, upside_down, &rests, || {
-        "clients may rest longer the fuller it gets, so a crowd makes room last".to_owned()
+    let are_increasing = at("rest") < at("filling_rest") || at("filling_rest") < at("crowded_rest");
+    let mut all = conflict(schema, are_increasing, &idle_timeouts, || {
+        "idle timeouts grow with the number of clients, so a crowd releases places last".to_owned()
     });
     all.extend(conflict(
-        r,
+        schema,
         at("filling_from") > at("crowded_from"),
         &from,
-        || "'filling_rest' begins above 'crowded_from', so it never counts".to_owned(),
+        || "'filling_from' is above 'crowded_from', so 'filling_rest' never applies".to_owned(),
     ));
     all
 }
 
-fn pauses(r: &Schema, m: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let at = |setting| m.amount(r, "discovery", setting);
+fn check_backoffs(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
+    let at = |setting| settings.amount(schema, "discovery", setting);
     let names = [("discovery", "first_pause"), ("discovery", "longest_pause")];
-    conflict(r, at("first_pause") > at("longest_pause"), &names, || {
-        "the first pause is longer than the longest".to_owned()
+    conflict(schema, at("first_pause") > at("longest_pause"), &names, || {
+        "'first_pause' is longer than 'longest_pause'".to_owned()
     })
 }
 
-/// The longest statement timeout that may be in force for any statement, and where it is stated.
-fn longest_timeout(r: &Schema, m: &ResolvedSettings) -> (i64, SettingPath) {
+/// Maximum statement timeout in microseconds, and the setting that states it.
+fn max_statement_timeout(schema: &Schema, settings: &ResolvedSettings) -> (i64, SettingPath) {
     (
-        m.amount(r, "statements", "longest_timeout"),
-        path(r, "statements", "longest_timeout"),
+        settings.amount(schema, "statements", "longest_timeout"),
+        path(schema, "statements", "longest_timeout"),
     )
 }
 
-/// A statement taken in the last moment of the arrivals is owed its answer at its own timeout.
-fn drain(r: &Schema, m: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let (timeout, stated) = longest_timeout(r, m);
+/// A statement accepted at the end of the arrivals must be answered before the process exits.
+fn check_drain(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
+    let (timeout, stated) = max_statement_timeout(schema, settings);
     let (drain, linger) = (
-        m.amount(r, "phases", "longest_drain"),
-        m.amount(r, "phases", "linger"),
+        settings.amount(schema, "phases", "longest_drain"),
+        settings.amount(schema, "phases", "linger"),
     );
     if drain >= timeout.saturating_add(linger) {
         return Vec::new();
     }
     let at = |us| format_amount(Unit::Duration, us);
     let reason = format!(
-        "breaks 'one final answer in time': a statement taken when the drain begins may be answered until {}, its \
-         answer read until {}, and the process ends at {}",
+        "breaks 'one final answer in time': a statement accepted when the drain begins may be answered after {}, its \
+         answer read after {}, but the process exits after {}",
         at(timeout),
         at(timeout + linger),
         at(drain)
     );
-    let mut paths = paths(r, &[("phases", "linger"), ("phases", "longest_drain")]);
+    let mut paths = paths(schema, &[("phases", "linger"), ("phases", "longest_drain")]);
     paths.push(stated);
     vec![Conflict {
         paths,
@@ -363,44 +369,49 @@
     }]
 }
 
-/// A sign of life that comes late, for the machine is busy, must not cost the new process its life.
-fn beats(r: &Schema, m: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let (beat, silence) = (m.amount(r, "upgrade", "beat"), m.amount(r, "upgrade", "silence"));
+/// One delayed heartbeat, for example on a busy machine, must not kill the successor.
+fn check_heartbeats(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
+    let (beat, silence) = (
+        settings.amount(schema, "upgrade", "beat"),
+        settings.amount(schema, "upgrade", "silence"),
+    );
     let names = [("upgrade", "beat"), ("upgrade", "silence")];
-    conflict(r, silence < beat.saturating_mul(2), &names, || {
-        "'silence' is under two beats: one that comes a little late would pass for a death".to_owned()
+    conflict(schema, silence < beat.saturating_mul(2), &names, || {
+        "'silence' is shorter than two 'beat' intervals: one delayed heartbeat would count as a failure"
+            .to_owned()
     })
 }
 
-/// Who is let go for resting must have been able to send a whole message before.
-fn peers_times(r: &Schema, m: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let at = |setting| m.amount(r, "clients", setting);
+/// The grace for new clients must end before the timeout of their first statement.
+fn check_arrival_grace(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
+    let at = |setting| settings.amount(schema, "clients", setting);
     let (just_came, first) = (at("just_came"), at("first_statement"));
     let names = [("clients", "just_came"), ("clients", "first_statement")];
-    conflict(r, just_came > first, &names, || {
-        "'just_came' outlasts 'first_statement': who says nothing would be kept for a first statement that may no \
-         longer come"
+    conflict(schema, just_came > first, &names, || {
+        "'just_came' is longer than 'first_statement': a silent client would be protected although its first \
+         statement has timed out"
             .to_owned()
     })
 }
 
-/// Another driver as the file names it.
+/// Another driver of the fleet, as the file states it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfiguredPeer {
     pub name: String,
     pub address: std::net::SocketAddr,
-    /// Its word on statements is waited for.
+    /// Whether inquiries about retried statements go to it.
     pub receives_inquiries: bool,
 }
 
-/// The others, in the order of their names; a key that can't be read has no entry.
-pub fn configured_peers(r: &Schema, m: &ResolvedSettings) -> Vec<ConfiguredPeer> {
-    let own = m.amount(r, "shared", "port");
+/// The other drivers, in the order of their keys; invalid keys are skipped.
+pub fn configured_peers(schema: &Schema, settings: &ResolvedSettings) -> Vec<ConfiguredPeer> {
+    let own_port = settings.amount(schema, "shared", "port");
     let setting_index = |name| {
-        r.find("driver", name)
+        schema
+            .find("driver", name)
             .map_or(0, |(_, setting_index)| setting_index)
     };
-    let (port, asked) = (setting_index("port"), setting_index("asked"));
+    let (port, inquiries) = (setting_index("port"), setting_index("asked"));
     let read = |(key, amounts): (&str, &[Option<Quantity>])| {
         let amount = |setting_index: usize, absent| {
             amounts
@@ -410,46 +421,44 @@
         };
         let (name, ip) = key.split_once('@')?;
         let ip: std::net::IpAddr = ip.parse().ok()?;
-        let port = u16::try_from(amount(port, own)).ok()?;
+        let port = u16::try_from(amount(port, own_port)).ok()?;
         (!name.is_empty()).then(|| ConfiguredPeer {
             name: name.to_owned(),
             address: (ip, port).into(),
-            receives_inquiries: amount(asked, 1) != 0,
+            receives_inquiries: amount(inquiries, 1) != 0,
         })
     };
-    m.entries(r, "driver").filter_map(read).collect()
+    settings.entries(schema, "driver").filter_map(read).collect()
 }
 
-/// Each of the others has one name and one address, and there is a port to hear them at.
-fn others(r: &Schema, m: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let Some((section_index, setting_index)) = r.find("driver", "port") else {
+/// Names and addresses of peers must be valid and unique, and the own port must be set.
+fn check_peers(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
+    let Some((section_index, setting_index)) = schema.find("driver", "port") else {
         return Vec::new();
     };
-    let own = m.amount(r, "shared", "port");
-    let all = configured_peers(r, m);
+    let own_port = settings.amount(schema, "shared", "port");
+    let all = configured_peers(schema, settings);
     let mut found = Vec::new();
-    for (key, _) in m.entries(r, "driver") {
+    for (key, _) in settings.entries(schema, "driver") {
         let name = key.split_once('@').map_or("", |(name, _)| name);
-        let here = all
+        let peer = all
             .iter()
             .find(|o| o.name == name && key.ends_with(&format!("@{}", o.address.ip())));
-        let reason = match here {
-            _ if own == 0 => {
-                "another driver is named, and 'shared.port' is 0: nothing is told or heard".to_owned()
-            }
-            None => format!("'{key}' is no name and IP address, as in \"b@10.0.0.2\""),
-            Some(one) => {
-                let same = |o: &&ConfiguredPeer| o.name == one.name || o.address == one.address;
-                match all.iter().filter(same).count() {
+        let reason = match peer {
+            _ if own_port == 0 => "a peer is configured, but 'shared.port' is 0, so gossip is off".to_owned(),
+            None => format!("'{key}' is not a name and IP address, such as \"b@10.0.0.2\""),
+            Some(peer) => {
+                let is_same = |o: &&ConfiguredPeer| o.name == peer.name || o.address == peer.address;
+                match all.iter().filter(is_same).count() {
                     0 | 1 => continue,
-                    _ => format!("'{key}' has the name or the address of another one"),
+                    _ => format!("'{key}' has the same name or address as another driver"),
                 }
             }
         };
         let key = Some(key.into());
         found.push(Conflict {
             paths: vec![
-                path(r, "shared", "port"),
+                path(schema, "shared", "port"),
                 SettingPath {
                     section_index,
                     key,
@@ -463,11 +472,14 @@
     found
 }
 
-/// A sign of life that is lost once must not cost a driver its place.
-fn suspicions(r: &Schema, m: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let (probe, suspicion) = (m.amount(r, "shared", "probe"), m.amount(r, "shared", "suspicion"));
+/// One lost probe must not remove a driver from the fleet.
+fn check_suspicion(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
+    let (probe, suspicion) = (
+        settings.amount(schema, "shared", "probe"),
+        settings.amount(schema, "shared", "suspicion"),
+    );
     let names = [("shared", "probe"), ("shared", "suspicion")];
-    conflict(r, suspicion < probe.saturating_mul(2), &names, || {
-        "'suspicion' is under two probes: a driver that is asked once in vain would be gone".to_owned()
+    conflict(schema, suspicion < probe.saturating_mul(2), &names, || {
+        "'suspicion' is shorter than two 'probe' intervals: one lost probe would remove a driver".to_owned()
     })
 }
