--- a/crates/config/src/store.rs
+++ b/crates/config/src/store.rs
@@ -1,8 +1,8 @@
-//! Stores generations in a folder, step by step, so that a stop between any two steps leaves the former one whole.
+//! Stores generations in a folder. A crash between any two steps leaves the former generation intact.
 //!
-//! A disk may fail for a while. What it doesn't give for a moment is unread, not damaged, and nothing is removed because
-//! it could not be read. A generation is in force for the next start from its rename on; that it survives a power failure
-//! is known once its folder is synced. [`crate::generation_writer`] writes again what isn't known to survive one.
+//! A disk may fail temporarily. A generation that can't be read is unreadable, not damaged, and is never
+//! removed for that. The next start uses a generation from its rename on; it is durable once its folder is
+//! synced. [`crate::generation_writer`] retries one that may not be durable.
 
 use crate::generation_files::{self, Damage};
 use crate::resolved::hash;
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What storing does, one after another. Tests stop between any two.
+/// Steps of storing a generation, in order. Tests stop after each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     Created,
@@ -47,29 +47,29 @@
     }
 }
 
-/// The longest stored generation that is read.
-const LONGEST: u64 = 16 * 1024 * 1024;
+/// Bound on the bytes that are read of a stored generation.
+const MAX_READ_BYTES: u64 = 16 * 1024 * 1024;
 
-/// How far storing a generation came before it failed.
+/// Storing a generation failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The former generation is still the newest.
-    #[error("not stored: {0}")]
+    #[error("cannot store the generation: {0}")]
     NotStored(#[source] io::Error),
-    /// It is the newest from now on, but may be gone after a power failure.
-    #[error("stored, but not known to survive a power failure: {source}")]
+    /// It is the newest, but may be lost in a power failure.
+    #[error("the generation is stored, but may be lost in a power failure: {source}")]
     NotDurable {
-        /// The number it has.
+        /// Its number.
         number: u64,
-        /// Why its folder isn't synced.
+        /// Error of syncing the folder.
         source: io::Error,
     },
-    /// It is the newest and durable; more old ones are left than were to be.
-    #[error("stored, but old ones could not be removed: {source}")]
+    /// It is the newest and durable, but older ones could not be removed.
+    #[error("the generation is stored, but older ones cannot be removed: {source}")]
     OldNotRemoved {
-        /// The number it has.
+        /// Its number.
         number: u64,
-        /// Why they are left.
+        /// Error of removing them.
         source: io::Error,
     },
 }
@@ -79,14 +79,14 @@
     folder: PathBuf,
 }
 
-/// One stored generation that could be read, with its canonical meaning where it is whole.
+/// A stored generation that could be read; `canonical` is its text if it is intact.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredGeneration {
     pub number: u64,
     pub canonical: Result<String, Damage>,
 }
 
-/// One that the disk doesn't give now: it may be sound.
+/// A stored generation that can't be read now; it may be intact.
 #[derive(Debug)]
 pub struct UnreadableGeneration {
     pub number: u64,
@@ -107,16 +107,16 @@
 }
 
 impl Contents {
-    /// The highest number that is given away; zero if none is.
+    /// The highest number in use; 0 if there is none.
     pub fn newest_number(&self) -> u64 {
-        let stored = self.stored.first().map_or(0, |one| one.number);
-        let unreadable = self.unreadable.first().map_or(0, |one| one.number);
+        let stored = self.stored.first().map_or(0, |generation| generation.number);
+        let unreadable = self.unreadable.first().map_or(0, |generation| generation.number);
         stored.max(unreadable)
     }
 }
 
 impl GenerationStore {
-    /// Opens the folder, and makes it where it isn't there.
+    /// Opens the folder; creates it if it doesn't exist.
     pub fn open(folder: &Path) -> io::Result<GenerationStore> {
         OsFileSystem.create_folder(folder)?;
         Ok(GenerationStore::new(OsFileSystem, folder))
@@ -124,7 +124,7 @@
 }
 
 impl<F: FileSystem> GenerationStore<F> {
-    /// The folder on this file system; nothing is touched yet.
+    /// A store in this folder; does no I/O.
     pub fn new(file_system: F, folder: &Path) -> GenerationStore<F> {
         let folder = folder.to_owned();
         GenerationStore { file_system, folder }
@@ -136,18 +136,21 @@
 
     fn read(&self, number: u64) -> io::Result<StoredGeneration> {
         let path = self.folder.join(generation_files::file_name(number));
-        let bytes = self.file_system.read(&path, LONGEST + 1)?;
+        let bytes = self.file_system.read(&path, MAX_READ_BYTES + 1)?;
         let canonical = generation_files::decode(number, &bytes).map(str::to_owned);
         Ok(StoredGeneration { number, canonical })
     }
 
-    /// All that is stored; what the disk doesn't give now stands by itself.
+    /// All stored generations, those that can't be read now apart.
+    ///
+    /// # Errors
+    /// If the folder can't be read.
     pub fn contents(&self) -> io::Result<Contents> {
         let mut contents = Contents::default();
         for number in generation_files::classify_files(self.names()?).generations {
             match self.read(number) {
                 Ok(stored) => contents.stored.push(stored),
-                // Removed between the two calls, by another process that let it go.
+                // Another process removed it after the folder was listed.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 Err(error) => contents.unreadable.push(UnreadableGeneration { number, error }),
             }
@@ -155,10 +158,10 @@
         Ok(contents)
     }
 
-    /// All that is stored, newest first.
+    /// All stored generations, newest first.
     ///
     /// # Errors
-    /// If the folder, or any one of them, can't be read now.
+    /// If the folder or any generation can't be read.
     pub fn read_all(&self) -> io::Result<Vec<StoredGeneration>> {
         let contents = self.contents()?;
         match contents.unreadable.into_iter().next() {
@@ -170,7 +173,8 @@
         }
     }
 
-    /// Stores a generation as the newest one, under the next free number at least, and lets old ones go.
+    /// Stores a generation as the newest, and removes old ones. Returns its number: `number`, or the next
+    /// free one if that is higher. Calls `after` behind each step.
     pub fn store(
         &self,
         number: u64,
@@ -185,8 +189,8 @@
         self.store_as(number, canonical, max_generations, after)
     }
 
-    /// Stores a generation under exactly this number, which is free or its own: written anew, for a sync that failed
-    /// leaves nothing that a later one could make durable.
+    /// Stores a generation under exactly this number, which must be free or its own. It is always written
+    /// anew: after a failed sync, a later sync of the same file may not make it durable.
     pub fn store_as(
         &self,
         number: u64,
@@ -205,23 +209,23 @@
             after(step.into())
         });
         let replaced = replaced.map_err(StoreError::NotStored)?;
-        // Nothing older goes before this one is known to stay.
+        // Older ones stay until this one is durable.
         let not_durable = |source| StoreError::NotDurable { number, source };
         replaced.folder_sync.map_err(not_durable)?;
-        let left = |source| StoreError::OldNotRemoved { number, source };
-        self.remove_old(max_generations).map_err(left)?;
+        let not_removed = |source| StoreError::OldNotRemoved { number, source };
+        self.remove_old(max_generations).map_err(not_removed)?;
         after(Step::OldRemoved);
         Ok(number)
     }
 
-    /// Lets go of what is too old, and of what was never ended. What can't be read now stays.
+    /// Removes old generations and files of interrupted writes. Unreadable generations stay.
     fn remove_old(&self, max_generations: usize) -> io::Result<()> {
         let stored = self.contents()?.stored;
-        let whole: Vec<_> = stored
+        let intact: Vec<_> = stored
             .iter()
-            .map(|one| (one.number, one.canonical.is_ok()))
+            .map(|generation| (generation.number, generation.canonical.is_ok()))
             .collect();
-        for number in generation_files::generations_to_remove(&whole, max_generations) {
+        for number in generation_files::generations_to_remove(&intact, max_generations) {
             self.file_system
                 .remove(&self.folder.join(generation_files::file_name(number)))?;
         }
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,11 +1,12 @@
-//! What a file says, as a tree. Chains of operators are flat, so that no tree is deeper than the parser allows.
+//! Syntax tree. Chains of binary operators are flat, so that the depth of a tree is bounded by the parser's
+//! nesting.
 
 use crate::diagnostic::SourceLocation;
 use crate::unit::Quantity;
 use std::rc::Rc;
 
 #[derive(Clone, Debug)]
-pub struct Named {
+pub struct Identifier {
     pub name: Rc<str>,
     pub location: SourceLocation,
 }
@@ -13,14 +14,14 @@
 #[derive(Clone, Debug)]
 pub enum Stmt {
     Assign {
-        to: Named,
+        to: Identifier,
         value: Expr,
     },
     Load {
         location: SourceLocation,
-        file: Named,
-        /// The name here, and its name there.
-        names: Vec<(Named, Rc<str>)>,
+        file: Identifier,
+        /// The name in the loading file, and the name in the loaded one.
+        names: Vec<(Identifier, Rc<str>)>,
     },
     Def(Rc<Def>),
     Return {
@@ -31,27 +32,27 @@
 
 #[derive(Clone, Debug)]
 pub struct Def {
-    pub name: Named,
-    pub params: Vec<(Named, Option<Expr>)>,
+    pub name: Identifier,
+    pub params: Vec<(Identifier, Option<Expr>)>,
     pub body: Vec<Stmt>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Expr {
     pub location: SourceLocation,
-    pub kind: Kind,
+    pub kind: ExprKind,
 }
 
 #[derive(Clone, Debug)]
-pub enum Kind {
+pub enum ExprKind {
     Name(Rc<str>),
     Quantity(Quantity),
-    Text(Rc<str>),
+    String(Rc<str>),
     Bool(bool),
     None,
     List(Vec<Expr>),
     Dict(Vec<(Expr, Expr)>),
-    /// A list, or a dict where the body has two parts.
+    /// A list comprehension; a dict comprehension if the body has a value.
     Comprehension {
         body: Box<(Expr, Option<Expr>)>,
         clauses: Vec<Clause>,
@@ -62,34 +63,34 @@
     },
     Index(Box<(Expr, Expr)>),
     Not(Box<Expr>),
-    Minus(Box<Expr>),
-    /// A first operand and those behind it, applied from the left.
-    Chain(Box<Expr>, Vec<(Operator, Expr)>),
-    /// Condition, value where it holds, value where it doesn't.
+    Negate(Box<Expr>),
+    /// The first operand, then operators with their right operands; left-associative.
+    BinaryChain(Box<Expr>, Vec<(Operator, Expr)>),
+    /// Condition, value if true, value if false.
     If(Box<(Expr, Expr, Expr)>),
 }
 
 #[derive(Clone, Debug)]
 pub enum Clause {
-    For(Vec<Named>, Expr),
+    For(Vec<Identifier>, Expr),
     If(Expr),
 }
 
 #[derive(Clone, Debug)]
 pub struct Argument {
-    pub form: Form,
+    pub kind: ArgumentKind,
     pub value: Expr,
 }
 
 #[derive(Clone, Debug)]
-pub enum Form {
-    Plain,
-    Named(Named),
+pub enum ArgumentKind {
+    Positional,
+    Named(Identifier),
     Spread,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[rustfmt::skip]
 pub enum Operator {
-    Or, And, Equal, Unequal, Less, LessEqual, Greater, GreaterEqual, In, NotIn, Plus, Minus, Times, Over, Rest,
+    Or, And, Equal, NotEqual, Less, LessEqual, Greater, GreaterEqual, In, NotIn, Add, Subtract, Multiply, Divide, Remainder,
 }
--- a/crates/config/src/unit.rs
+++ b/crates/config/src/unit.rs
@@ -1,30 +1,30 @@
-//! Quantities with their units, read and written without rounding: what a file says is what is compared.
+//! Quantities with units, parsed and formatted without rounding.
 
 use std::fmt;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Unit {
     Count,
-    /// In microseconds.
+    /// Base unit: microseconds.
     Duration,
-    /// In bytes.
+    /// Base unit: bytes.
     Size,
-    /// In thousandths an hour.
+    /// Base unit: thousandths per hour.
     Rate,
-    /// In millionths.
+    /// Base unit: millionths.
     Share,
 }
 
-/// An amount in the base of its unit.
+/// An amount in the base unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quantity {
     pub unit: Unit,
     pub amount: i64,
 }
 
-/// How each unit is written, the largest first, and how many of its base that is.
+/// Suffixes with their unit and scale to the base unit; per unit the largest first.
 #[rustfmt::skip]
-const WRITTEN: [(&str, Unit, i64); 19] = [
+const SUFFIXES: [(&str, Unit, i64); 19] = [
     ("d", Unit::Duration, 86_400_000_000), ("h", Unit::Duration, 3_600_000_000), ("min", Unit::Duration, 60_000_000),
     ("s", Unit::Duration, 1_000_000), ("ms", Unit::Duration, 1000), ("us", Unit::Duration, 1),
     ("TiB", Unit::Size, 1 << 40), ("GiB", Unit::Size, 1 << 30), ("GB", Unit::Size, 1_000_000_000),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// How a zero of it is written.
+    /// Literal for zero.
     fn zero(self) -> &'static str {
         match self {
             Unit::Count => "0",
@@ -67,34 +67,34 @@
     }
 }
 
-/// Why a number can't be read.
+/// Why a literal can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuantityError {
     UnknownUnit,
     TooLarge,
-    /// Something is left below the base of the unit.
+    /// The value is no multiple of the base unit.
     TooFine,
 }
 
 impl QuantityError {
     pub fn reason(self) -> &'static str {
         match self {
-            QuantityError::UnknownUnit => "no such unit",
+            QuantityError::UnknownUnit => "unknown unit",
             QuantityError::TooLarge => "the number is too large",
-            QuantityError::TooFine => "the number is finer than its unit can be told",
+            QuantityError::TooFine => "the number is finer than its unit allows",
         }
     }
 }
 
-/// The suffixes that a number may carry.
+/// Suffixes of all units; counts have none.
 pub fn suffixes() -> impl Iterator<Item = &'static str> {
-    WRITTEN
+    SUFFIXES
         .iter()
         .map(|(suffix, _, _)| *suffix)
         .filter(|s| !s.is_empty())
 }
 
-/// Where the number ends and its unit begins.
+/// Byte offset at which the suffix of a literal begins.
 pub fn suffix_at(text: &str) -> usize {
     text.find(|c: char| !c.is_ascii_digit() && c != '.')
         .unwrap_or(text.len())
@@ -105,51 +105,55 @@
         Quantity { unit, amount }
     }
 
-    /// Reads a literal such as `16`, `1.2s`, `64KiB`, `200/s` or `15%`.
+    /// Parses a literal such as `16`, `1.2s`, `64KiB`, `200/s` or `15%`.
     pub fn parse(text: &str) -> Result<Quantity, QuantityError> {
         let (number, suffix) = text.split_at(suffix_at(text));
-        let found = WRITTEN.iter().find(|(written, _, _)| *written == suffix);
+        let found = SUFFIXES.iter().find(|(known, _, _)| *known == suffix);
         let (_, unit, scale) = *found.ok_or(QuantityError::UnknownUnit)?;
-        let (whole, part) = number.split_once('.').unwrap_or((number, ""));
-        let part = part.trim_end_matches('0');
-        if part.len() > 15 {
+        let (whole, fraction) = number.split_once('.').unwrap_or((number, ""));
+        let fraction = fraction.trim_end_matches('0');
+        if fraction.len() > 15 {
             return Err(QuantityError::TooFine);
         }
-        let digits = |text: &str| match text {
+        let parse_digits = |text: &str| match text {
             "" => Ok(0),
             text => text.parse::<i128>().map_err(|_| QuantityError::TooLarge),
         };
-        let tens = 10i128.pow(part.len() as u32);
-        let whole = digits(whole)?.checked_mul(tens).ok_or(QuantityError::TooLarge)?;
-        let scaled = (whole + digits(part)?).checked_mul(i128::from(scale));
+        let divisor = 10i128.pow(fraction.len() as u32);
+        let whole = parse_digits(whole)?
+            .checked_mul(divisor)
+            .ok_or(QuantityError::TooLarge)?;
+        let scaled = (whole + parse_digits(fraction)?).checked_mul(i128::from(scale));
         let scaled = scaled.ok_or(QuantityError::TooLarge)?;
-        if scaled % tens != 0 {
+        if scaled % divisor != 0 {
             return Err(QuantityError::TooFine);
         }
-        let amount = i64::try_from(scaled / tens).map_err(|_| QuantityError::TooLarge)?;
+        let amount = i64::try_from(scaled / divisor).map_err(|_| QuantityError::TooLarge)?;
         Ok(Quantity { unit, amount })
     }
 }
 
-/// The literal that reads back to the same: in the largest unit that leaves no rest.
+/// The literal that parses to the same quantity, in the largest unit that divides it.
 impl fmt::Display for Quantity {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         if self.amount == 0 {
             return f.write_str(self.unit.zero());
         }
-        let mut own = WRITTEN.iter().filter(|(_, unit, _)| *unit == self.unit);
-        let whole = own.clone().find(|(_, _, scale)| self.amount % scale == 0);
+        let mut suffixes_of_unit = SUFFIXES.iter().filter(|(_, unit, _)| *unit == self.unit);
+        let whole = suffixes_of_unit
+            .clone()
+            .find(|(_, _, scale)| self.amount % scale == 0);
         if let Some((suffix, _, scale)) = whole {
             return write!(f, "{}{suffix}", self.amount / scale);
         }
-        let Some((suffix, _, scale)) = own.next_back() else {
+        let Some((suffix, _, scale)) = suffixes_of_unit.next_back() else {
             return Ok(());
         };
         let sign = if self.amount < 0 { "-" } else { "" };
         let (amount, scale) = (self.amount.unsigned_abs(), scale.unsigned_abs());
         let decimals = scale.ilog10() as usize;
-        let part = format!("{:0decimals$}", amount % scale);
-        let part = part.trim_end_matches('0');
-        write!(f, "{sign}{}.{part}{suffix}", amount / scale)
+        let fraction = format!("{:0decimals$}", amount % scale);
+        let fraction = fraction.trim_end_matches('0');
+        write!(f, "{sign}{}.{fraction}{suffix}", amount / scale)
     }
 }
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -1,4 +1,4 @@
-//! What expressions come to.
+//! Values of expressions.
 
 use crate::syntax::Def;
 use crate::unit::Quantity;
@@ -9,22 +9,21 @@
     None,
     Bool(bool),
     Quantity(Quantity),
-    Text(Rc<str>),
-    /// With how deep it is: values are let go by recursion.
+    String(Rc<str>),
+    /// Elements and nesting depth, which is bounded because values are dropped recursively.
     List(Rc<Vec<Value>>, u8),
-    /// In the order in which its keys were written; how deep, as above.
+    /// Entries in source order, and nesting depth.
     Dict(Rc<Vec<(Value, Value)>>, u8),
     Def(Rc<Def>, u32),
-    /// One of the language's own functions.
-    Own(Own),
-    /// A section of the settings, by its place in the registry.
+    Builtin(Builtin),
+    /// A section, by its index in the schema.
     Section(usize),
-    /// A fault was told already; what follows from it is not told again.
-    Broken,
+    /// An error was reported already; operations on it fail without a further diagnostic.
+    Invalid,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Own {
+pub enum Builtin {
     Len,
     Range,
     Str,
@@ -36,22 +35,22 @@
     Fail,
 }
 
-pub const OWN: [(&str, Own); 9] = [
-    ("len", Own::Len),
-    ("range", Own::Range),
-    ("str", Own::Str),
-    ("min", Own::Min),
-    ("max", Own::Max),
-    ("sorted", Own::Sorted),
-    ("keys", Own::Keys),
-    ("items", Own::Items),
-    ("fail", Own::Fail),
+pub const BUILTINS: [(&str, Builtin); 9] = [
+    ("len", Builtin::Len),
+    ("range", Builtin::Range),
+    ("str", Builtin::Str),
+    ("min", Builtin::Min),
+    ("max", Builtin::Max),
+    ("sorted", Builtin::Sorted),
+    ("keys", Builtin::Keys),
+    ("items", Builtin::Items),
+    ("fail", Builtin::Fail),
 ];
 
-/// Values deeper than this are not made.
-pub const DEEPEST_VALUE: u8 = 32;
-/// A comparison that walks further finds no answer.
-const MOST_COMPARED: u64 = 10_000_000;
+/// Bound on the nesting of lists and dicts.
+pub const MAX_VALUE_DEPTH: u8 = 32;
+/// Bound on the elements that one comparison visits.
+const MAX_COMPARISON_STEPS: u64 = 10_000_000;
 
 impl Value {
     fn depth(&self) -> u8 {
@@ -63,45 +62,46 @@
 
     pub fn list(all: Vec<Value>) -> Option<Value> {
         let depth = 1 + all.iter().map(Value::depth).max().unwrap_or(0);
-        (depth <= DEEPEST_VALUE).then(|| Value::List(Rc::new(all), depth))
+        (depth <= MAX_VALUE_DEPTH).then(|| Value::List(Rc::new(all), depth))
     }
 
     pub fn dict(all: Vec<(Value, Value)>) -> Option<Value> {
         let depth = 1 + all.iter().map(|(_, v)| v.depth()).max().unwrap_or(0);
-        (depth <= DEEPEST_VALUE).then(|| Value::Dict(Rc::new(all), depth))
+        (depth <= MAX_VALUE_DEPTH).then(|| Value::Dict(Rc::new(all), depth))
     }
 
-    /// As messages call it.
-    pub fn name(&self) -> &'static str {
+    /// Name of the type in diagnostics.
+    pub fn type_name(&self) -> &'static str {
         match self {
             Value::None => "None",
-            Value::Bool(_) => "a truth value",
+            Value::Bool(_) => "a boolean",
             Value::Quantity(q) => q.unit.name(),
-            Value::Text(_) => "a text",
+            Value::String(_) => "a string",
             Value::List(..) => "a list",
             Value::Dict(..) => "a dict",
-            Value::Def(..) | Value::Own(_) => "a function",
-            Value::Section(_) => "a section of the settings",
-            Value::Broken => "nothing",
+            Value::Def(..) | Value::Builtin(_) => "a function",
+            Value::Section(_) => "a section",
+            Value::Invalid => "an invalid value",
         }
     }
 
-    pub fn is_broken(&self) -> bool {
-        matches!(self, Value::Broken)
+    pub fn is_invalid(&self) -> bool {
+        matches!(self, Value::Invalid)
     }
 
-    /// The same value; `None` where the two can't be compared. Walks both, and says by `cost` how far.
+    /// Compares two values; `None` if their types can't be compared, or the bound on a comparison is reached.
+    /// Adds the number of visited elements to `cost`.
     pub fn equals(&self, other: &Value, cost: &mut u64) -> Option<bool> {
         *cost += 1;
-        // Lists that hold one another twice over again and again are longer than they look.
-        if *cost > MOST_COMPARED {
+        // Shared sublists make the expanded size exponential in the nesting depth.
+        if *cost > MAX_COMPARISON_STEPS {
             return None;
         }
         Some(match (self, other) {
             (Value::None, Value::None) => true,
             (Value::None, _) | (_, Value::None) => false,
             (Value::Bool(a), Value::Bool(b)) => a == b,
-            (Value::Text(a), Value::Text(b)) => {
+            (Value::String(a), Value::String(b)) => {
                 *cost += a.len() as u64 / 16;
                 a == b
             }
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -1,5 +1,5 @@
-//! Files of the language, whole and faulty. Each faulty one says, in its first line, where its first error is and what
-//! words the message holds; each valid one has a form whose meaning is the same.
+//! Valid and invalid files. The heading of an invalid one has the location of its first error and a part of
+//! the message; the settings of a valid one survive formatting.
 
 use asterlatch_config::format::format;
 use asterlatch_config::load::{read, LoadOutcome, MemorySource};
@@ -7,8 +7,8 @@
 use asterlatch_config::service_schema;
 use std::collections::BTreeMap;
 
-/// Reads one case: files are parted by lines `--- NAME`, the first is `root.latch`.
-fn held(text: &str) -> MemorySource {
+/// Files of a case, separated by lines `--- NAME`; the first one is `root.latch`.
+fn parse_case(text: &str) -> MemorySource {
     let mut files = BTreeMap::new();
     let (mut name, mut body) = ("root.latch".to_owned(), String::new());
     for line in text.split_inclusive('\n') {
@@ -26,7 +26,7 @@
     MemorySource(files)
 }
 
-fn meant(files: &MemorySource) -> LoadOutcome {
+fn load_root(files: &MemorySource) -> LoadOutcome {
     read(
         "root.latch",
         files,
@@ -37,28 +37,32 @@
 
 fn cases(text: &str) -> Vec<(String, String)> {
     let parts = text.split("\n===== ").skip(1);
-    let case = |part: &str| {
-        let (head, body) = part.split_once('\n').expect("a case has a head");
+    let parse_case_block = |part: &str| {
+        let (head, body) = part.split_once('\n').expect("a case has a heading and a body");
         (head.to_owned(), body.to_owned() + "\n")
     };
-    parts.map(case).collect()
+    parts.map(parse_case_block).collect()
 }
 
 #[test]
-fn faulty_files_are_told_with_file_line_and_column() {
+fn load_invalid_file_reports_location_and_message() {
     let all = cases(include_str!("corpus/faulty.txt"));
     assert!(all.len() >= 90, "{} cases", all.len());
     let mut failed = Vec::new();
     for (head, body) in &all {
-        // Where the error is, and words of its message.
-        let (at, words) = head.split_once(' ').expect("a place and words");
-        let outcome = meant(&held(body));
+        let (location, message_part) = head
+            .split_once(' ')
+            .expect("a heading has a location and a message");
+        let outcome = load_root(&parse_case(body));
         let text = outcome.render_diagnostics();
         let first = text.lines().next().unwrap_or("no error");
-        if outcome.settings.is_some() || !first.starts_with(&format!("{at}: ")) || !first.contains(words) {
+        if outcome.settings.is_some()
+            || !first.starts_with(&format!("{location}: "))
+            || !first.contains(message_part)
+        {
             failed.push(format!("{head}\n{body}{text}"));
         }
-        // Each message names a file of the case, a line and a column that are there.
+        // Each diagnostic refers to an existing line of the case's files.
         for diagnostic in &outcome.diagnostics {
             let file = &outcome.files[diagnostic.location.file as usize];
             let (line, _) = file.line_and_column(diagnostic.location.start);
@@ -74,40 +78,40 @@
 }
 
 #[test]
-fn valid_files_keep_their_meaning_in_their_form() {
+fn format_valid_file_keeps_settings() {
     let all = cases(include_str!("corpus/valid.txt"));
     assert!(all.len() >= 60, "{} cases", all.len());
     let schema = service_schema::schema();
     let mut by_meaning: BTreeMap<String, Vec<String>> = BTreeMap::new();
     let mut meanings = Vec::new();
     for (head, body) in &all {
-        let files = held(body);
-        let outcome = meant(&files);
+        let files = parse_case(body);
+        let outcome = load_root(&files);
         let text = outcome.render_diagnostics();
         let settings = outcome.settings.unwrap_or_else(|| panic!("{head}\n{body}{text}"));
-        let formed: BTreeMap<_, _> = files
+        let formatted: BTreeMap<_, _> = files
             .0
             .iter()
             .map(|(name, bytes)| {
-                let text = String::from_utf8(bytes.clone()).expect("is text");
-                let formed = format(&text);
+                let text = String::from_utf8(bytes.clone()).expect("a valid file is UTF-8");
+                let formatted = format(&text);
                 assert_eq!(
-                    format(&formed),
-                    formed,
-                    "{head}: {name} has no one form\n{formed}"
+                    format(&formatted),
+                    formatted,
+                    "{head}: formatting {name} is not idempotent\n{formatted}"
                 );
-                (name.clone(), formed.into_bytes())
+                (name.clone(), formatted.into_bytes())
             })
             .collect();
-        let again = meant(&MemorySource(formed))
+        let reloaded = load_root(&MemorySource(formatted))
             .settings
-            .unwrap_or_else(|| panic!("{head}: its form is faulty"));
+            .unwrap_or_else(|| panic!("{head}: the formatted files are invalid"));
         assert!(
-            changes(&schema, &settings, &again).is_empty(),
-            "{head}: its form means something else"
+            changes(&schema, &settings, &reloaded).is_empty(),
+            "{head}: the formatted files have other settings"
         );
-        // The first word of the head is a class: cases of a class mean the same, others don't.
-        let class = head.split(' ').next().expect("has a class").to_owned();
+        // Settings are equal exactly within a class, the first word of the heading.
+        let class = head.split(' ').next().expect("a heading has a class").to_owned();
         by_meaning
             .entry(hash(&settings.canonical(&schema)))
             .or_default()
@@ -118,15 +122,15 @@
     for (hash, classes) in &by_meaning {
         assert!(
             classes.windows(2).all(|p| p[0] == p[1]),
-            "one meaning for {classes:?}"
+            "equal settings for {classes:?}"
         );
         assert!(
             seen.insert(classes[0].clone(), hash).is_none(),
-            "two meanings for {}",
+            "different settings for {}",
             classes[0]
         );
     }
-    // The diff is empty just where the canonical texts are equal.
+    // The diff is empty exactly if the canonical texts are equal.
     for a in &meanings {
         for b in &meanings {
             let same = a.canonical(&schema) == b.canonical(&schema);
--- a/crates/config/tests/failing_disk.rs
+++ b/crates/config/tests/failing_disk.rs
@@ -1,4 +1,4 @@
-//! Generations on a disk that fails for a while, at each of its calls, and a kill or a power failure at each.
+//! Generations on a disk whose calls fail temporarily, and a kill or power failure at each call.
 
 use asterlatch_config::generation_files;
 use asterlatch_config::generation_writer::{GenerationWriter, INITIAL_BACKOFF, MAX_BACKOFF};
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 const FOLDER: &str = "/state";
-const MOST: usize = 2;
+const MAX_GENERATIONS: usize = 2;
 
 fn path(number: u64) -> PathBuf {
     Path::new(FOLDER).join(generation_files::file_name(number))
@@ -18,83 +18,106 @@
 }
 
 /// A disk that holds generations 0 and 1.
-fn disk() -> MemoryFileSystem {
+fn disk_with_generations() -> MemoryFileSystem {
     let disk = MemoryFileSystem::default();
     for text in ["oldest\n", "old\n"] {
-        store(&disk).store(0, text, MOST, |_| ()).expect("stores");
+        store(&disk)
+            .store(0, text, MAX_GENERATIONS, |_| ())
+            .expect("store the generation");
     }
     disk
 }
 
-fn whole(disk: &MemoryFileSystem) -> Vec<(u64, String)> {
-    let all = store(disk).read_all().expect("is read");
-    let whole = all
+fn intact(disk: &MemoryFileSystem) -> Vec<(u64, String)> {
+    let stored = store(disk).read_all().expect("read the generations");
+    let intact = stored
         .into_iter()
-        .filter_map(|one| Some((one.number, one.canonical.ok()?)));
-    whole.collect()
+        .filter_map(|generation| Some((generation.number, generation.canonical.ok()?)));
+    intact.collect()
 }
 
 #[test]
-fn unreadable_generation_is_neither_damaged_nor_removed() {
+fn store_with_unreadable_generation_keeps_it() {
     for errno in [libc::EIO, libc::EMFILE] {
-        let disk = disk();
-        // Were it damaged, a newer whole one would let it go.
+        let disk = disk_with_generations();
+        // A damaged one would be removed with a newer intact one.
         disk.fail_on(Call::Read, &path(1), errno);
-        let contents = store(&disk).contents().expect("the folder is read");
+        let contents = store(&disk).contents().expect("read the folder");
         assert_eq!(contents.stored.len(), 1);
         assert_eq!(contents.unreadable[0].number, 1);
-        assert_eq!(contents.newest_number(), 1, "its number is given away");
-        assert!(store(&disk).read_all().is_err(), "it isn't passed over unsaid");
-        assert_eq!(store(&disk).store(0, "new\n", MOST, |_| ()).expect("stores"), 2);
+        assert_eq!(contents.newest_number(), 1, "its number is in use");
+        assert!(
+            store(&disk).read_all().is_err(),
+            "an unreadable generation is an error"
+        );
+        assert_eq!(
+            store(&disk)
+                .store(0, "new\n", MAX_GENERATIONS, |_| ())
+                .expect("store the generation"),
+            2
+        );
         disk.mend();
         let expected = [
             (2, "new\n".to_owned()),
             (1, "old\n".to_owned()),
             (0, "oldest\n".to_owned()),
         ];
-        assert_eq!(whole(&disk), expected);
-        // Read again, it counts again.
-        store(&disk).store(0, "next\n", MOST, |_| ()).expect("stores");
-        assert_eq!(whole(&disk), [(3, "next\n".to_owned()), (2, "new\n".to_owned())]);
+        assert_eq!(intact(&disk), expected);
+        // Readable again, it counts towards the bound.
+        store(&disk)
+            .store(0, "next\n", MAX_GENERATIONS, |_| ())
+            .expect("store the generation");
+        assert_eq!(intact(&disk), [(3, "next\n".to_owned()), (2, "new\n".to_owned())]);
     }
 }
 
 #[test]
-fn failed_folder_sync_leaves_the_generation_in_force_and_owed() {
-    let disk = disk();
+fn store_failed_folder_sync_leaves_generation_newest_and_pending() {
+    let disk = disk_with_generations();
     let mut writer = GenerationWriter::new(store(&disk));
     disk.fail(Call::SyncFolder, libc::EIO);
     let error = writer
-        .store(2, "new\n".to_owned(), MOST)
-        .expect_err("isn't durable");
+        .store(2, "new\n".to_owned(), MAX_GENERATIONS)
+        .expect_err("the folder sync fails");
     assert!(
         matches!(error, StoreError::NotDurable { number: 2, .. }),
         "{error}"
     );
-    assert_eq!(whole(&disk)[0], (2, "new\n".to_owned()), "the next start uses it");
-    assert_eq!(whole(&disk).len(), 3, "nothing older goes before it is durable");
+    assert_eq!(
+        intact(&disk)[0],
+        (2, "new\n".to_owned()),
+        "the next start uses the new generation"
+    );
+    assert_eq!(
+        intact(&disk).len(),
+        3,
+        "older generations stay until it is durable"
+    );
     disk.mend();
     assert_eq!(
-        writer.retry().expect("is pending").expect("stores"),
+        writer
+            .retry()
+            .expect("a generation is pending")
+            .expect("store the generation"),
         2,
-        "no second number"
+        "the retry reuses the number"
     );
     assert_eq!(writer.retry_backoff(), None);
     let expected = [(2, "new\n".to_owned()), (1, "old\n".to_owned())];
-    assert_eq!(whole(&disk), expected);
-    // A removal isn't synced: what comes back is older, and goes with the next.
+    assert_eq!(intact(&disk), expected);
+    // Removals aren't synced, so an older generation may reappear; the next store removes it.
     disk.restart(End::PowerFailure);
-    assert_eq!(whole(&disk)[..MOST], expected);
+    assert_eq!(intact(&disk)[..MAX_GENERATIONS], expected);
 }
 
 #[test]
-fn generation_is_stored_again_once_the_disk_works() {
+fn retry_on_repaired_disk_stores_pending_generation() {
     for call in CALLS {
         for errno in [libc::ENOSPC, libc::EIO] {
-            let disk = disk();
+            let disk = disk_with_generations();
             let mut writer = GenerationWriter::new(store(&disk));
             disk.fail(call, errno);
-            let first = writer.store(2, "new\n".to_owned(), MOST);
+            let first = writer.store(2, "new\n".to_owned(), MAX_GENERATIONS);
             let mut backoffs: Vec<_> = writer.retry_backoff().into_iter().collect();
             for _ in 0..9 {
                 let Some(_) = writer.retry() else { break };
@@ -106,42 +129,55 @@
                         .iter()
                         .all(|p| (INITIAL_BACKOFF..=MAX_BACKOFF).contains(p))
             );
-            // Whatever was told, a start on what is there finds whole generations alone.
+            // Whatever the result was, a start finds only intact generations.
             disk.mend();
-            let before = whole(&disk);
+            let before = intact(&disk);
             match &first {
                 Err(StoreError::NotStored(_)) => assert_eq!(before[0].1, "old\n", "{call:?}"),
                 _ => assert_eq!(before[0], (2, "new\n".to_owned()), "{call:?}"),
             }
             if let Some(again) = writer.retry() {
-                assert_eq!(again.expect("stores"), 2, "{call:?}");
+                assert_eq!(again.expect("store the generation"), 2, "{call:?}");
             }
             disk.restart(End::PowerFailure);
-            assert_eq!(whole(&disk)[0], (2, "new\n".to_owned()), "{call:?} {errno}");
+            assert_eq!(intact(&disk)[0], (2, "new\n".to_owned()), "{call:?} {errno}");
         }
     }
 }
 
 #[test]
-fn kill_or_power_failure_at_any_call_leaves_a_whole_generation() {
-    for end in [End::Kill, End::PowerFailure] {
-        for at in 1.. {
-            let disk = disk();
-            disk.kill_at(at);
-            let result = store(&disk).store(2, "new\n", MOST, |_| ());
-            let was_killed = disk.calls() >= at;
-            disk.restart(end);
-            let newest = whole(&disk)[0].clone();
+fn store_interrupted_at_any_call_leaves_intact_generation() {
+    for interruption in [End::Kill, End::PowerFailure] {
+        for call_number in 1.. {
+            let disk = disk_with_generations();
+            disk.kill_at(call_number);
+            let result = store(&disk).store(2, "new\n", MAX_GENERATIONS, |_| ());
+            let was_killed = disk.calls() >= call_number;
+            disk.restart(interruption);
+            let newest = intact(&disk)[0].clone();
             if result.is_ok() {
-                assert_eq!(newest, (2, "new\n".to_owned()), "{end:?} at {at}");
+                assert_eq!(
+                    newest,
+                    (2, "new\n".to_owned()),
+                    "{interruption:?} at {call_number}"
+                );
             }
-            assert!(["new\n", "old\n"].contains(&newest.1.as_str()), "{end:?} at {at}");
-            // The next start stores as ever, and cleans up.
-            store(&disk).store(0, "next\n", MOST, |_| ()).expect("stores");
-            assert_eq!(whole(&disk)[0].1, "next\n", "{end:?} at {at}");
-            assert_eq!(whole(&disk).len(), MOST, "{end:?} at {at}");
+            assert!(
+                ["new\n", "old\n"].contains(&newest.1.as_str()),
+                "{interruption:?} at {call_number}"
+            );
+            // The next start stores a generation and removes leftovers.
+            store(&disk)
+                .store(0, "next\n", MAX_GENERATIONS, |_| ())
+                .expect("store the generation");
+            assert_eq!(intact(&disk)[0].1, "next\n", "{interruption:?} at {call_number}");
+            assert_eq!(
+                intact(&disk).len(),
+                MAX_GENERATIONS,
+                "{interruption:?} at {call_number}"
+            );
             if !was_killed {
-                assert!(at > 8, "only {at} calls were tried");
+                assert!(call_number > 8, "only {call_number} calls were tried");
                 break;
             }
         }
--- a/crates/config/tests/fixtures.rs
+++ b/crates/config/tests/fixtures.rs
@@ -1,6 +1,7 @@
-//! Files that an earlier build wrote: what they mean stays, and the same values give the same bytes.
+//! Fixtures of an earlier build: their settings stay the same, and equal settings give the same bytes.
 //!
-//! `cargo test -p asterlatch-config --test fixtures -- --ignored` writes the fixtures anew from the build as it is.
+//! `cargo test -p asterlatch-config --test fixtures -- --ignored` rewrites the fixtures with the current
+//! build.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::generation_files::{encode, Damage, TEMPORARY_SUFFIX};
@@ -13,27 +14,27 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The settings of the fixture, and what they resolve to as text.
+/// A file that sets every setting, and its resolved settings in canonical form.
 const EVERY_SETTING: &str = "every-setting.latch";
 const EVERY_SETTING_RESOLVED: &str = "every-setting.json";
 const GENERATIONS: &str = "generations";
-/// Generations that the store keeps.
-const MOST_GENERATIONS: usize = 8;
+/// Bound on the stored generations.
+const MAX_GENERATIONS: usize = 8;
 const DAMAGED: &str = "generation-00000000000000000006.latch.json";
-const NEVER_ENDED: &str = "generation-00000000000000000007.latch.json";
+const INTERRUPTED_WRITE: &str = "generation-00000000000000000007.latch.json";
 
 fn fixtures() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
 }
 
-fn text(name: &str) -> String {
-    fs::read_to_string(fixtures().join(name)).expect("the fixture is there")
+fn fixture_text(name: &str) -> String {
+    fs::read_to_string(fixtures().join(name)).expect("read the fixture")
 }
 
-/// What the file with every setting comes to.
+/// Resolved settings of the file with every setting.
 fn resolved() -> ResolvedSettings {
     let path = fixtures().join(EVERY_SETTING);
-    let (folder, name) = FolderSource::containing(path.to_str().expect("is text"));
+    let (folder, name) = FolderSource::containing(path.to_str().expect("the path is UTF-8"));
     let outcome = read(
         &name,
         &folder,
@@ -41,11 +42,11 @@
         service_schema::DEFAULT_MACHINE,
     );
     assert_eq!(outcome.render_diagnostics(), "", "no error and no warning");
-    outcome.settings.expect("is valid")
+    outcome.settings.expect("the fixture is valid")
 }
 
-/// The meanings of the stored generations, oldest first, each with its number.
-fn stored_meanings() -> [(u64, String); 3] {
+/// Numbers and canonical texts of the stored generations, oldest first.
+fn stored_settings() -> [(u64, String); 3] {
     let schema = service_schema::schema();
     let all_default = ResolvedSettings::defaults(&schema).canonical(&schema);
     let every_setting = resolved().canonical(&schema);
@@ -53,10 +54,10 @@
 }
 
 fn store_generations(folder: &Path) {
-    let store = GenerationStore::open(folder).expect("opens");
-    for (number, canonical) in stored_meanings() {
-        let stored = store.store(number, &canonical, MOST_GENERATIONS, |_| ());
-        assert_eq!(stored.expect("stores"), number);
+    let store = GenerationStore::open(folder).expect("open the store");
+    for (number, canonical) in stored_settings() {
+        let stored = store.store(number, &canonical, MAX_GENERATIONS, |_| ());
+        assert_eq!(stored.expect("store the generation"), number);
     }
 }
 
@@ -65,53 +66,54 @@
 fn write_fixtures() {
     let schema = service_schema::schema();
     let canonical = resolved().canonical(&schema);
-    fs::write(fixtures().join(EVERY_SETTING_RESOLVED), &canonical).expect("is written");
+    fs::write(fixtures().join(EVERY_SETTING_RESOLVED), &canonical).expect("write the fixture");
     let folder = fixtures().join(GENERATIONS);
     let _ = fs::remove_dir_all(&folder);
     store_generations(&folder);
-    let whole = encode(6, &canonical).into_bytes();
-    fs::write(folder.join(DAMAGED), &whole[..whole.len() / 2]).expect("is written");
-    let never_ended = folder.join(format!("{NEVER_ENDED}{TEMPORARY_SUFFIX}"));
-    fs::write(never_ended, &whole[..100]).expect("is written");
+    let intact = encode(6, &canonical).into_bytes();
+    fs::write(folder.join(DAMAGED), &intact[..intact.len() / 2]).expect("write the fixture");
+    let interrupted_write = folder.join(format!("{INTERRUPTED_WRITE}{TEMPORARY_SUFFIX}"));
+    fs::write(interrupted_write, &intact[..100]).expect("write the fixture");
 }
 
 #[test]
-fn every_setting_is_stated_and_differs_from_its_default() {
+fn every_setting_file_overrides_all_defaults() {
     let schema = service_schema::schema();
     let (settings, default) = (resolved(), ResolvedSettings::defaults(&schema));
-    let stated: Vec<String> = changes(&schema, &default, &settings)
+    let set_paths: Vec<String> = changes(&schema, &default, &settings)
         .iter()
         .map(|change| schema.format_path(&change.path))
         .collect();
     for section in &schema.sections {
         for row in section.settings {
-            let is_stated = stated
+            let is_set = set_paths
                 .iter()
                 .any(|path| path.starts_with(section.name) && path.ends_with(&format!(".{}", row.name)));
-            assert!(is_stated, "{}.{} is not in {stated:?}", section.name, row.name);
+            assert!(is_set, "{}.{} is not in {set_paths:?}", section.name, row.name);
         }
     }
-    assert_eq!(stated.len(), 55, "{stated:?}");
+    assert_eq!(set_paths.len(), 55, "{set_paths:?}");
 }
 
 #[test]
-fn every_setting_resolves_to_the_same_text() {
+fn canonical_every_setting_equals_fixture() {
     let schema = service_schema::schema();
-    let canonical = text(EVERY_SETTING_RESOLVED);
+    let canonical = fixture_text(EVERY_SETTING_RESOLVED);
     assert_eq!(resolved().canonical(&schema), canonical);
-    let (read_again, left_out) = ResolvedSettings::from_canonical(&schema, &canonical).expect("is read");
+    let (reloaded, left_out) =
+        ResolvedSettings::from_canonical(&schema, &canonical).expect("read the settings");
     assert_eq!(left_out, Vec::<String>::new());
-    assert_eq!(read_again, resolved());
-    assert_eq!(read_again.canonical(&schema), canonical);
+    assert_eq!(reloaded, resolved());
+    assert_eq!(reloaded.canonical(&schema), canonical);
 }
 
 #[test]
-fn hash_of_every_setting_stays() {
-    assert_eq!(hash(&text(EVERY_SETTING_RESOLVED)), EVERY_SETTING_HASH);
+fn hash_every_setting_equals_fixture() {
+    assert_eq!(hash(&fixture_text(EVERY_SETTING_RESOLVED)), EVERY_SETTING_HASH);
 }
 
 #[test]
-fn drivers_of_every_setting_stay() {
+fn configured_peers_every_setting_are_expected() {
     let schema = service_schema::schema();
     let configured_peers: Vec<_> = service_schema::configured_peers(&schema, &resolved())
         .into_iter()
@@ -125,55 +127,56 @@
 }
 
 #[test]
-fn stored_generations_are_read_newest_first() {
-    let store = GenerationStore::open(&fixtures().join(GENERATIONS)).expect("opens");
-    let all = store.read_all().expect("is read");
-    let found: Vec<_> = all
+fn read_all_fixture_generations_newest_first() {
+    let store = GenerationStore::open(&fixtures().join(GENERATIONS)).expect("open the store");
+    let all = store.read_all().expect("read the settings");
+    let stored: Vec<_> = all
         .iter()
         .map(|stored| (stored.number, stored.canonical.clone()))
         .collect();
     let mut expected = vec![(6, Err(Damage::CutShort))];
-    let whole = stored_meanings().into_iter().rev();
-    expected.extend(whole.map(|(number, canonical)| (number, Ok(canonical))));
-    assert_eq!(found, expected);
+    let intact = stored_settings().into_iter().rev();
+    expected.extend(intact.map(|(number, canonical)| (number, Ok(canonical))));
+    assert_eq!(stored, expected);
     assert_eq!(all[2].hash().as_deref(), Some(EVERY_SETTING_HASH));
 }
 
 #[test]
-fn generations_stored_again_give_the_same_bytes() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn store_fixture_generations_writes_same_bytes() {
+    let folder = tempfile::tempdir().expect("create a temporary folder");
     store_generations(folder.path());
     let mut names: Vec<_> = fs::read_dir(folder.path())
-        .expect("lists")
-        .map(|entry| entry.expect("is there").file_name())
+        .expect("list the folder")
+        .map(|entry| entry.expect("read the folder entry").file_name())
         .collect();
     names.sort();
-    assert_eq!(names.len(), stored_meanings().len());
+    assert_eq!(names.len(), stored_settings().len());
     for name in names {
-        let before = fs::read(fixtures().join(GENERATIONS).join(&name)).expect("the fixture is there");
-        let now = fs::read(folder.path().join(&name)).expect("was stored");
-        assert!(before == now, "{name:?} has other bytes than before");
+        let before = fs::read(fixtures().join(GENERATIONS).join(&name)).expect("read the fixture");
+        let after = fs::read(folder.path().join(&name)).expect("read the stored generation");
+        assert!(before == after, "{name:?} differs from the fixture");
     }
 }
 
-/// A process that finds the folder goes on behind all numbers in it, and clears away what no use is left for.
+/// A process continues after all numbers in the folder, and removes damaged generations and interrupted
+/// writes.
 #[test]
-fn a_folder_of_an_earlier_build_is_gone_on_with() {
-    let folder = tempfile::tempdir().expect("a folder");
-    for entry in fs::read_dir(fixtures().join(GENERATIONS)).expect("lists") {
-        let entry = entry.expect("is there");
-        fs::copy(entry.path(), folder.path().join(entry.file_name())).expect("is copied");
+fn generations_folder_of_earlier_build_continues() {
+    let folder = tempfile::tempdir().expect("create a temporary folder");
+    for entry in fs::read_dir(fixtures().join(GENERATIONS)).expect("list the folder") {
+        let entry = entry.expect("read the folder entry");
+        fs::copy(entry.path(), folder.path().join(entry.file_name())).expect("copy the fixture");
     }
     let schema = service_schema::schema();
-    let store = GenerationStore::open(folder.path()).expect("opens");
+    let store = GenerationStore::open(folder.path()).expect("open the store");
     let newest = store
         .read_all()
-        .expect("is read")
+        .expect("read the settings")
         .into_iter()
         .find(|s| s.canonical.is_ok());
-    let newest = newest.expect("one is whole");
-    let canonical = newest.canonical.clone().expect("is whole");
-    let (settings, _) = ResolvedSettings::from_canonical(&schema, &canonical).expect("is read");
+    let newest = newest.expect("a generation is intact");
+    let canonical = newest.canonical.clone().expect("the generation is intact");
+    let (settings, _) = ResolvedSettings::from_canonical(&schema, &canonical).expect("read the settings");
     let mut generations = Generations::new(
         newest.number,
         hash(&canonical),
@@ -189,35 +192,38 @@
         settings: next.clone(),
     };
     let commands = generations.on_read(Timestamp(0) + TimeSpan::millis(1), ticket, read);
-    let kept = Generation {
+    let generation = Generation {
         number: 6,
         hash,
         settings: next.clone(),
     };
-    let in_force = Decision::Applied {
+    let applied = Decision::Applied {
         number: 6,
         live: 0,
         at_next_start: 0,
     };
     let expected = vec![
         Command::Apply(next.clone()),
-        Command::Report(in_force),
-        Command::Store(kept),
+        Command::Report(applied),
+        Command::Store(generation),
         Command::Report(Decision::Confirmed { number: 6 }),
     ];
     assert_eq!(commands, expected);
-    // Number 6 is the damaged one's, so that the store gives the next.
-    let stored = store.store(6, &next.canonical(&schema), MOST_GENERATIONS, |_| ());
-    assert_eq!(stored.expect("stores"), 7);
+    // Number 6 belongs to the damaged generation, so the store assigns the next one.
+    let stored = store.store(6, &next.canonical(&schema), MAX_GENERATIONS, |_| ());
+    assert_eq!(stored.expect("store the generation"), 7);
     let numbers: Vec<_> = store
         .read_all()
-        .expect("is read")
+        .expect("read the settings")
         .iter()
         .map(|s| s.number)
         .collect();
     assert_eq!(numbers, [7, 5, 4, 3]);
-    let left = fs::read_dir(folder.path()).expect("lists").count();
-    assert_eq!(left, 4, "what was damaged and what was never ended is gone");
+    let file_count = fs::read_dir(folder.path()).expect("list the folder").count();
+    assert_eq!(
+        file_count, 4,
+        "damaged generations and interrupted writes are removed"
+    );
 }
 
 const NO_PROBATION: ProbationCriteria = ProbationCriteria {
@@ -226,5 +232,5 @@
     min_rejections: 20,
 };
 
-/// Stands in generations, in the log and in what operators compare.
+/// Stored in generations, logged, and compared by operators.
 const EVERY_SETTING_HASH: &str = "c48bf9249b49323f1de736ae0bf566124eef3d3eac7e1cac8c8f5fe370ff63cc";
--- a/crates/config/tests/grammar.rs
+++ b/crates/config/tests/grammar.rs
@@ -1,4 +1,4 @@
-//! The grammar page is read, and sentences made from it must parse.
+//! Sentences generated from the grammar in the documentation must parse.
 
 use asterlatch_config::diagnostic::{render, SourceFile};
 use asterlatch_config::format::format;
@@ -14,10 +14,10 @@
     Rule(String),
     Special(String),
     Choice(Vec<Part>),
-    Row(Vec<Part>),
-    Maybe(Box<Part>),
-    Many(Box<Part>),
-    But(Box<Part>, Box<Part>),
+    Sequence(Vec<Part>),
+    Optional(Box<Part>),
+    Repeated(Box<Part>),
+    Except(Box<Part>, Box<Part>),
 }
 
 type Rules = BTreeMap<String, Part>;
@@ -30,8 +30,8 @@
     from.split_once("```").expect("the block ends").0
 }
 
-/// Reads the notation that the page explains.
-struct Reader<'a> {
+/// Parser of the notation that the page explains.
+struct GrammarParser<'a> {
     words: Vec<&'a str>,
     at: usize,
 }
@@ -52,18 +52,18 @@
     words
 }
 
-impl<'a> Reader<'a> {
+impl<'a> GrammarParser<'a> {
     fn rules(text: &'a str) -> Rules {
-        let mut reader = Reader {
+        let mut parser = GrammarParser {
             words: split(text),
             at: 0,
         };
         let mut rules = Rules::new();
-        while reader.at < reader.words.len() {
-            let name = reader.next().to_owned();
-            assert_eq!(reader.next(), "=", "{name}");
-            let part = reader.choice();
-            assert_eq!(reader.next(), ";", "{name}");
+        while parser.at < parser.words.len() {
+            let name = parser.next().to_owned();
+            assert_eq!(parser.next(), "=", "{name}");
+            let part = parser.choice();
+            assert_eq!(parser.next(), ";", "{name}");
             assert!(rules.insert(name.clone(), part).is_none(), "{name} twice");
         }
         rules
@@ -74,32 +74,32 @@
         self.words[self.at - 1]
     }
 
-    fn taken(&mut self, word: &str) -> bool {
+    fn accept(&mut self, word: &str) -> bool {
         let found = self.words.get(self.at) == Some(&word);
         self.at += usize::from(found);
         found
     }
 
     fn choice(&mut self) -> Part {
-        let mut all = vec![self.row()];
-        while self.taken("|") {
-            all.push(self.row());
+        let mut all = vec![self.sequence()];
+        while self.accept("|") {
+            all.push(self.sequence());
         }
         Part::Choice(all)
     }
 
-    fn row(&mut self) -> Part {
-        let mut all = vec![self.one()];
-        while self.taken(",") {
-            all.push(self.one());
+    fn sequence(&mut self) -> Part {
+        let mut all = vec![self.primary()];
+        while self.accept(",") {
+            all.push(self.primary());
         }
-        match self.taken("-") {
-            true => Part::But(Box::new(Part::Row(all)), Box::new(self.one())),
-            false => Part::Row(all),
+        match self.accept("-") {
+            true => Part::Except(Box::new(Part::Sequence(all)), Box::new(self.primary())),
+            false => Part::Sequence(all),
         }
     }
 
-    fn one(&mut self) -> Part {
+    fn primary(&mut self) -> Part {
         let word = self.next();
         let mut inner = |end: &str| {
             let part = self.choice();
@@ -107,8 +107,8 @@
             Box::new(part)
         };
         match word {
-            "[" => Part::Maybe(inner("]")),
-            "{" => Part::Many(inner("}")),
+            "[" => Part::Optional(inner("]")),
+            "{" => Part::Repeated(inner("}")),
             "(" => *inner(")"),
             _ => match word.chars().next() {
                 Some('"' | '\'') => Part::Literal(word[1..word.len() - 1].to_owned()),
@@ -119,14 +119,14 @@
     }
 }
 
-/// How deep a part goes at least, by what is known of its rules.
-fn least(part: &Part, depths: &BTreeMap<String, usize>) -> usize {
+/// Minimum depth of a part, given the known depths of rules.
+fn min_depth(part: &Part, depths: &BTreeMap<String, usize>) -> usize {
     match part {
-        Part::Literal(_) | Part::Special(_) | Part::Maybe(_) | Part::Many(_) => 0,
+        Part::Literal(_) | Part::Special(_) | Part::Optional(_) | Part::Repeated(_) => 0,
         Part::Rule(name) => 1 + depths.get(name).copied().unwrap_or(0),
-        Part::Choice(all) => all.iter().map(|p| least(p, depths)).min().unwrap_or(0),
-        Part::Row(all) => all.iter().map(|p| least(p, depths)).max().unwrap_or(0),
-        Part::But(part, _) => least(part, depths),
+        Part::Choice(all) => all.iter().map(|p| min_depth(p, depths)).min().unwrap_or(0),
+        Part::Sequence(all) => all.iter().map(|p| min_depth(p, depths)).max().unwrap_or(0),
+        Part::Except(part, _) => min_depth(part, depths),
     }
 }
 
@@ -134,34 +134,34 @@
     let mut depths: BTreeMap<String, usize> = rules.keys().map(|r| (r.clone(), 1000)).collect();
     for _ in 0..rules.len() {
         for (name, part) in rules {
-            let found = least(part, &depths).min(1000);
+            let found = min_depth(part, &depths).min(1000);
             depths.insert(name.clone(), found);
         }
     }
     depths
 }
 
-struct Maker<'a> {
+struct SentenceGenerator<'a> {
     depths: &'a BTreeMap<String, usize>,
     rules: &'a Rules,
     tokens: &'a Rules,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     out: String,
     indent: usize,
     used: BTreeMap<String, usize>,
 }
 
-impl Maker<'_> {
+impl SentenceGenerator<'_> {
     fn draw(&mut self, below: usize) -> usize {
-        self.chance.usize(..below)
+        self.rng.usize(..below)
     }
 
-    /// From here on the sentence only comes to its end.
-    fn is_far(&self, depth: usize) -> bool {
+    /// Whether the sentence is large enough to be finished by the shortest derivation.
+    fn must_finish(&self, depth: usize) -> bool {
         depth > 40 || self.out.len() > 2000
     }
 
-    fn put(&mut self, part: &Part, depth: usize, in_token: bool) {
+    fn write_part(&mut self, part: &Part, depth: usize, in_token: bool) {
         match part {
             Part::Literal(word) => {
                 self.out.push_str(word);
@@ -186,45 +186,48 @@
             Part::Rule(name) => {
                 *self.used.entry(name.clone()).or_default() += 1;
                 match self.rules.get(name) {
-                    Some(part) if !in_token => self.put(&part.clone(), depth + 1, false),
+                    Some(part) if !in_token => self.write_part(&part.clone(), depth + 1, false),
                     _ => {
                         let part = self
                             .tokens
                             .get(name)
                             .unwrap_or_else(|| panic!("no rule {name}"))
                             .clone();
-                        self.put(&part, depth + 1, true);
+                        self.write_part(&part, depth + 1, true);
                         self.space(in_token);
                     }
                 }
             }
             Part::Choice(all) => {
-                // Deep down the shortest way out is taken.
-                let n = if self.is_far(depth) {
-                    let least: Vec<_> = all.iter().map(|p| least(p, self.depths)).collect();
-                    let first = least.iter().min().expect("has choices");
-                    least.iter().position(|l| l == first).expect("is there")
+                // Finishes with the shallowest alternative.
+                let n = if self.must_finish(depth) {
+                    let min_depth: Vec<_> = all.iter().map(|p| min_depth(p, self.depths)).collect();
+                    let first = min_depth.iter().min().expect("has choices");
+                    min_depth.iter().position(|l| l == first).expect("is there")
                 } else {
                     self.draw(all.len())
                 };
-                self.put(&all[n].clone(), depth, in_token);
+                self.write_part(&all[n].clone(), depth, in_token);
             }
-            Part::Row(all) => all.clone().iter().for_each(|p| self.put(p, depth, in_token)),
-            Part::Maybe(part) => {
-                if !self.is_far(depth) && self.draw(3) == 0 {
-                    self.put(part, depth, in_token);
+            Part::Sequence(all) => all
+                .clone()
+                .iter()
+                .for_each(|p| self.write_part(p, depth, in_token)),
+            Part::Optional(part) => {
+                if !self.must_finish(depth) && self.draw(3) == 0 {
+                    self.write_part(part, depth, in_token);
                 }
             }
-            Part::Many(part) => {
-                while !self.is_far(depth) && self.draw(3) == 0 {
-                    self.put(part, depth, in_token);
+            Part::Repeated(part) => {
+                while !self.must_finish(depth) && self.draw(3) == 0 {
+                    self.write_part(part, depth, in_token);
                 }
             }
-            Part::But(part, but) => {
+            Part::Except(part, exception) => {
                 let start = self.out.len();
                 loop {
-                    self.put(part, depth, in_token);
-                    let Part::Rule(name) = &**but else {
+                    self.write_part(part, depth, in_token);
+                    let Part::Rule(name) = &**exception else {
                         panic!("a rule is left out")
                     };
                     let words = format!("{:?}", self.tokens[name]);
@@ -245,29 +248,32 @@
 }
 
 #[test]
-fn sentences_of_the_grammar_page_parse() {
-    let (rules, tokens) = (Reader::rules(block("ebnf")), Reader::rules(block("ebnf-tokens")));
+fn parse_generated_sentence_succeeds() {
+    let (rules, tokens) = (
+        GrammarParser::rules(block("ebnf")),
+        GrammarParser::rules(block("ebnf-tokens")),
+    );
     let depths = depths(&rules);
     let mut used = BTreeMap::new();
     for seed in 0..500u64 {
-        let chance = fastrand::Rng::with_seed(seed);
-        let mut maker = Maker {
+        let rng = fastrand::Rng::with_seed(seed);
+        let mut generator = SentenceGenerator {
             depths: &depths,
             rules: &rules,
             tokens: &tokens,
-            chance,
+            rng,
             out: String::new(),
             indent: 0,
             used,
         };
         for _ in 0..3 {
-            maker.put(&Part::Rule("statement".to_owned()), 0, false);
+            generator.write_part(&Part::Rule("statement".to_owned()), 0, false);
         }
-        let sentence = maker.out;
-        used = maker.used;
-        // What a sentence nests or counts beyond the bounds is refused for that alone.
+        let sentence = generator.out;
+        used = generator.used;
+        // Sentences may exceed the bounds on nesting and numbers; those errors are expected.
         let parsed = parse(0, &sentence);
-        let others: Vec<_> = parsed
+        let unexpected: Vec<_> = parsed
             .diagnostics
             .iter()
             .filter(|r| !r.message.starts_with("nested more") && !r.message.contains("too large"))
@@ -276,23 +282,23 @@
             name: "made".to_owned(),
             text: sentence.clone(),
         }];
-        let told: String = others.iter().map(|r| render(r, &shown)).collect();
-        assert!(others.is_empty(), "seed {seed}\n{sentence}\n{told}");
+        let rendered: String = unexpected.iter().map(|r| render(r, &shown)).collect();
+        assert!(unexpected.is_empty(), "seed {seed}\n{sentence}\n{rendered}");
         if parsed.diagnostics.is_empty() {
             let formatted = format(&sentence);
             assert_eq!(
                 format(&formatted),
                 formatted,
-                "seed {seed}: the form has a form of its own\n{sentence}"
+                "seed {seed}: formatting is not idempotent\n{sentence}"
             );
-            let commas = |text: &str| -> Vec<String> {
+            let tokens_without_commas = |text: &str| -> Vec<String> {
                 let all = significant_tokens(text).into_iter().map(|(_, w)| w.to_owned());
                 all.filter(|w| w != ",").collect()
             };
             assert_eq!(
-                commas(&formatted),
-                commas(&sentence),
-                "seed {seed}: words were lost"
+                tokens_without_commas(&formatted),
+                tokens_without_commas(&sentence),
+                "seed {seed}: tokens were lost"
             );
             assert!(
                 parse(0, &formatted).diagnostics.is_empty(),
@@ -305,9 +311,5 @@
         .chain(tokens.keys())
         .filter(|r| !used.contains_key(*r))
         .collect();
-    assert_eq!(
-        unused,
-        ["file", "keyword"],
-        "rules that no sentence was made from"
-    );
+    assert_eq!(unused, ["file", "keyword"], "rules that no sentence uses");
 }
--- a/crates/config/tests/hardness.rs
+++ b/crates/config/tests/robustness.rs
@@ -1,4 +1,4 @@
-//! Nothing that a file holds makes the program panic, run on, or take much memory; nothing outside its folder is read.
+//! No file content causes a panic, unbounded time or memory, or a read outside its folder.
 
 #![allow(clippy::type_complexity)] // Tables of cases.
 
@@ -16,7 +16,7 @@
 use std::fs;
 use std::os::unix::fs::symlink;
 
-fn root(bytes: impl Into<Vec<u8>>) -> LoadOutcome {
+fn load_root(bytes: impl Into<Vec<u8>>) -> LoadOutcome {
     let files = MemorySource(BTreeMap::from([("root.latch".to_owned(), bytes.into())]));
     read(
         "root.latch",
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn monstrous_files_end_with_one_clear_error() {
+fn load_pathological_file_reports_bounded_error() {
     let deep = |open: &str, close: &str| format!("x = {}1{}\n", open.repeat(10_000), close.repeat(10_000));
     let names: String = (1..5000).map(|n| format!("a{n} = [a{}]\n", n - 1)).collect();
     let doubled: String = (1..60).map(|n| format!("t{n} = t{0} + t{0}\n", n - 1)).collect();
@@ -46,34 +46,38 @@
         ("indices in a row", format!("x = f{}\n", "[0]".repeat(10_000)).into(), "nested more than"),
         ("if", format!("x = {}2\n", "1 if True else ".repeat(10_000)).into(), "nested more than"),
         ("clauses", format!("x = [1 {}]\n", "for a in [1] ".repeat(10_000)).into(), "clauses"),
-        ("values in values", format!("a0 = []\n{names}").into(), "the value nests too deeply"),
+        ("values in values", format!("a0 = []\n{names}").into(), "the value is nested too deeply"),
         ("doubled texts", format!("t0 = \"0123456789abcdef\"\n{doubled}").into(), "too many values"),
         ("lists that hold one another twice", format!("a0 = [1]\n{twice}x = a30 == a30\n").into(), "too many steps"),
         ("never ends", "x = [1 for a in range(2000) for b in range(2000) for c in range(2000)]".into(), "too many"),
-        ("not UTF-8", b"x = 1\ny = \xff".to_vec(), "not UTF-8"),
-        ("NUL", b"x = \0".to_vec(), "means nothing here"),
-        ("a lone carriage return", b"x = 1\ry = 2".to_vec(), "means nothing here"),
-        ("UTF-16", "x = 1\n".encode_utf16().flat_map(u16::to_le_bytes).collect(), "means nothing here"),
-        ("a name of a megabyte", "a".repeat(1 << 20).into(), "nothing is called"),
+        ("not UTF-8", b"x = 1\ny = \xff".to_vec(), "invalid UTF-8"),
+        ("NUL", b"x = \0".to_vec(), "unexpected character"),
+        ("a lone carriage return", b"x = 1\ry = 2".to_vec(), "unexpected character"),
+        ("UTF-16", "x = 1\n".encode_utf16().flat_map(u16::to_le_bytes).collect(), "unexpected character"),
+        ("a name of a megabyte", "a".repeat(1 << 20).into(), "unknown name"),
         ("20001 entries", (0..20_001).map(|n| format!("workload(\"w{n}\")\n")).collect::<String>().into(), "more than 20000"),
         ("entries made", "[workload(str(n)) for n in range(30000)]".into(), "more than 20000"),
     ];
-    for (name, bytes, words) in cases {
-        let outcome = root(bytes);
+    for (name, bytes, message_part) in cases {
+        let outcome = load_root(bytes);
         let text = outcome.render_diagnostics();
         assert!(
-            outcome.settings.is_none() && text.contains(words),
+            outcome.settings.is_none() && text.contains(message_part),
             "{name}\n{}",
             &text[..text.len().min(400)]
         );
         assert!(text.starts_with("root.latch:"), "{name}");
-        assert!(text.len() < 200_000, "{name}: {} bytes told", text.len());
+        assert!(
+            text.len() < 200_000,
+            "{name}: {} bytes of diagnostics",
+            text.len()
+        );
         assert!(outcome.diagnostics.len() <= 101, "{name}");
     }
 }
 
 #[test]
-fn odd_files_that_are_fine() {
+fn load_unusual_but_valid_file_succeeds() {
     #[rustfmt::skip]
     let cases: [(&str, &[u8]); 5] = [
         ("byte order mark", b"\xef\xbb\xbfclients(rest = 9s)\n"), ("CRLF", b"clients(\r\n  rest = 9s,\r\n)\r\n"),
@@ -81,34 +85,39 @@
         ("long chains", b"clients(rest = 9s)"),
     ];
     let schema = service_schema::schema();
-    let plain = root("clients(rest = 9s)").settings.expect("is valid");
+    let plain = load_root("clients(rest = 9s)")
+        .settings
+        .expect("the file is valid");
     for (name, bytes) in cases {
-        let found = root(bytes).settings.unwrap_or_else(|| panic!("{name}"));
+        let found = load_root(bytes).settings.unwrap_or_else(|| panic!("{name}"));
         assert!(changes(&schema, &plain, &found).is_empty(), "{name}");
     }
     let chain = format!("x = {}1\nclients(rest = 9s)", "1 + ".repeat(50_000));
-    assert!(root(chain).settings.is_some(), "a long chain is no deep one");
+    assert!(
+        load_root(chain).settings.is_some(),
+        "a long chain is not deeply nested"
+    );
 }
 
-/// A file that is read while it is written may be cut anywhere: no cut panics, and none that lies within a statement is
-/// taken for a whole file.
+/// A file that is read while it is written may be truncated anywhere. Truncation within a statement must be
+/// an error.
 #[test]
-fn a_file_cut_at_any_byte_is_told_or_is_whole_statements() {
+fn load_truncated_file_rejects_partial_statement() {
     let text = "# é\ndef f(t = 1s):\n    u = t * 2\n    return u\n\nclients(\n    rest = f(4s),  # a\n    message = 3s,\n)\n\
                 x = {\"a\": [1, 2], \"b\": \"\\\"\\n\"}\nworkload(\"a\", timeout = 1s if True else 2s, **{\"longest\": 1KiB})\n";
     assert!(
-        root(text).settings.is_some(),
+        load_root(text).settings.is_some(),
         "{}",
-        root(text).render_diagnostics()
+        load_root(text).render_diagnostics()
     );
     for at in 0..text.len() {
-        let outcome = root(&text.as_bytes()[..at]);
+        let outcome = load_root(&text.as_bytes()[..at]);
         let _ = outcome.render_diagnostics();
-        let inside =
-            at > text.find("clients(").expect("is there") + 7 && at <= text.find(")\nx").expect("is there");
+        let inside = at > text.find("clients(").expect("the text has the bracket") + 7
+            && at <= text.find(")\nx").expect("the text has the bracket");
         assert!(
             !inside || outcome.settings.is_none(),
-            "cut at {at}, within a bracket"
+            "accepted although truncated at {at}, within a bracket"
         );
     }
 }
@@ -123,7 +132,7 @@
 }
 
 #[test]
-fn bytes_of_any_kind_are_survived() {
+fn check_bytes_arbitrary_input_holds() {
     #[rustfmt::skip]
     let pieces = prop::sample::select(vec![
         "x", "f", "clients", "workload", "rest", "timeout", "memory", "load", "def", "return", "if", "else", "for", "in",
@@ -132,24 +141,24 @@
         "\t", "\r\n", "\u{feff}", "\0", "é", "$", "clients(rest = 9s)", "x = ", "def f(a):\n    return a\n", "range(9)",
         "load(\"root.latch\")", "len", "str", "(x)", "[0]", "f(1)", " for a in [1, 2]", " if True else ", "a",
     ]);
-    let made = prop::collection::vec(pieces, 0..40).prop_map(|all| all.concat());
+    let generated_text = prop::collection::vec(pieces, 0..40).prop_map(|all| all.concat());
     runner(3000)
-        .run(&made, |text| {
+        .run(&generated_text, |text| {
             check_bytes(text.as_bytes());
             Ok(())
         })
-        .expect("holds");
+        .expect("the property holds");
     runner(500)
         .run(&prop::collection::vec(any::<u8>(), 0..200), |bytes| {
             check_bytes(&bytes);
             Ok(())
         })
-        .expect("holds");
+        .expect("the property holds");
 }
 
-/// Programs that are valid by how they are made: their form means the same, and diff says what differs.
+/// Generated valid programs: formatting keeps the settings, and the diff is exact.
 #[test]
-fn made_programs_keep_their_meaning_and_differences() {
+fn format_and_changes_generated_program_agree() {
     let schema = service_schema::schema();
     let span = (50u64..100_000).prop_flat_map(|ms| {
         prop::sample::select(vec![
@@ -183,36 +192,36 @@
                 }
                 lines.join("\n")
             };
-            let mean = |text: String| {
-                root(text.clone())
+            let resolve = |text: String| {
+                load_root(text.clone())
                     .settings
-                    .unwrap_or_else(|| panic!("{text}\n{}", root(text.clone()).render_diagnostics()))
+                    .unwrap_or_else(|| panic!("{text}\n{}", load_root(text.clone()).render_diagnostics()))
             };
-            let (old, new) = (mean(program(&a, false)), mean(program(&b, true)));
-            prop_assert_eq!(&mean(format(&program(&a, true))), &old);
-            let differing = a
+            let (old, new) = (resolve(program(&a, false)), resolve(program(&b, true)));
+            prop_assert_eq!(&resolve(format(&program(&a, true))), &old);
+            let expected_changes = a
                 .iter()
                 .filter(|(k, v)| b.get(*k).map(|w| w.0) != Some(v.0))
                 .count()
                 + b.keys().filter(|k| !a.contains_key(*k)).count();
             let found = changes(&schema, &old, &new);
-            let by_timeout = found
+            let timeout_changes = found
                 .iter()
                 .filter(|c| schema.setting(&c.path).name == "timeout")
                 .count();
-            prop_assert_eq!(by_timeout, differing);
+            prop_assert_eq!(timeout_changes, expected_changes);
             prop_assert_eq!(found.is_empty(), old.canonical(&schema) == new.canonical(&schema));
-            let (back, left_out) =
-                ResolvedSettings::from_canonical(&schema, &new.canonical(&schema)).expect("is read");
+            let (reloaded, left_out) = ResolvedSettings::from_canonical(&schema, &new.canonical(&schema))
+                .expect("parse the canonical text");
             prop_assert!(left_out.is_empty());
-            prop_assert_eq!(back, new);
+            prop_assert_eq!(reloaded, new);
             Ok(())
         })
-        .expect("holds");
+        .expect("the property holds");
 }
 
 #[test]
-fn quantities_are_read_and_written_without_loss() {
+fn quantity_parse_and_display_round_trip() {
     use Unit::*;
     #[rustfmt::skip]
     let cases: [(&str, Result<(Unit, i64), QuantityError>, &str); 20] = [
@@ -242,31 +251,36 @@
             prop_assert_eq!(Quantity::parse(&q.to_string()), Ok(q));
             Ok(())
         })
-        .expect("holds");
+        .expect("the property holds");
 }
 
-/// Every default and bound of the tables is a literal of its row's unit, and the page lists them.
+/// Defaults and bounds are literals of the setting's unit; the reference page and the example file match the
+/// schema.
 #[test]
-fn the_tables_of_settings_hold_together() {
+fn schema_tables_are_consistent() {
     let schema = service_schema::schema();
     for (section, bounds) in schema.sections.iter().zip(&schema.bounds) {
         assert!(!section.description.is_empty());
-        for (row, b) in section.settings.iter().zip(bounds) {
-            let name = format!("{}.{}", section.name, row.name);
+        for (setting, b) in section.settings.iter().zip(bounds) {
+            let name = format!("{}.{}", section.name, setting.name);
             assert!(
                 b.min.amount != i64::MIN && b.max.amount != i64::MIN,
-                "{name}: a bound can't be read"
+                "{name}: a bound is not a literal"
             );
             assert!(b.min.unit == b.max.unit && b.min.amount < b.max.amount, "{name}");
             assert_eq!(
                 b.default.is_none(),
                 section.key.is_some(),
-                "{name}: entries alone have settings of none"
+                "{name}: exactly settings of entries have no default"
             );
             if let Some(default) = b.default {
-                let within = (b.min.amount..=b.max.amount).contains(&default.amount);
-                assert!(default.unit == b.unit && within, "{name}");
-                assert_eq!(default.to_string(), row.default, "{name}: not as it is written");
+                let is_in_bounds = (b.min.amount..=b.max.amount).contains(&default.amount);
+                assert!(default.unit == b.unit && is_in_bounds, "{name}");
+                assert_eq!(
+                    default.to_string(),
+                    setting.default,
+                    "{name}: the default is not in its canonical form"
+                );
             }
         }
     }
@@ -274,32 +288,32 @@
     assert_eq!(
         page,
         schema.reference(),
-        "write docs/config/reference.md anew by `config reference`"
+        "regenerate docs/config/reference.md with `asterlatch config reference`"
     );
     let example = include_str!("../../../deploy/asterlatch.latch");
-    let meant = root(example).settings.expect("is valid");
+    let example_settings = load_root(example).settings.expect("the file is valid");
     assert!(
-        changes(&schema, &ResolvedSettings::defaults(&schema), &meant).is_empty(),
+        changes(&schema, &ResolvedSettings::defaults(&schema), &example_settings).is_empty(),
         "the example states the defaults"
     );
     assert_eq!(format(example), example);
-    let stated = root(example).locations.len();
+    let stated = load_root(example).locations.len();
     let all = schema
         .sections
         .iter()
         .filter(|s| s.key.is_none())
         .map(|s| s.settings.len())
         .sum::<usize>();
-    assert_eq!(stated, all, "the example states every default");
+    assert_eq!(stated, all, "the example sets every setting");
 }
 
-/// Counts how often each file is read.
-struct Counted<'a> {
+/// Counts the files that are read.
+struct CountingSource<'a> {
     folder: &'a FolderSource,
     reads: Cell<usize>,
 }
 
-impl asterlatch_config::load::Source for Counted<'_> {
+impl asterlatch_config::load::Source for CountingSource<'_> {
     fn identity(&self, name: &str) -> Result<String, asterlatch_config::load::SourceError> {
         self.folder.identity(name)
     }
@@ -314,49 +328,49 @@
 }
 
 #[test]
-fn includes_stay_in_their_folder_and_are_read_once() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn load_includes_stay_in_folder_and_are_read_once() {
+    let dir = tempfile::tempdir().expect("create a temporary folder");
     let inside = dir.path().join("in");
-    fs::create_dir_all(inside.join("sub")).expect("is made");
-    let write = |name: &str, text: &str| fs::write(dir.path().join(name), text).expect("is written");
+    fs::create_dir_all(inside.join("sub")).expect("create the folder");
+    let write = |name: &str, text: &str| fs::write(dir.path().join(name), text).expect("write the file");
     write("secret.latch", "x = 9s");
     write("in/a.latch", "x = 9s");
     write("in/sub/b.latch", "load(\"a.latch\", \"x\")\ny = x");
-    symlink("../secret.latch", inside.join("out.latch")).expect("links");
-    symlink("a.latch", inside.join("alias.latch")).expect("links");
-    symlink("circle.latch", inside.join("round.latch")).expect("links");
-    symlink("nowhere.latch", inside.join("dangling.latch")).expect("links");
-    symlink("loop2.latch", inside.join("loop1.latch")).expect("links");
-    symlink("loop1.latch", inside.join("loop2.latch")).expect("links");
+    symlink("../secret.latch", inside.join("out.latch")).expect("create the symbolic link");
+    symlink("a.latch", inside.join("alias.latch")).expect("create the symbolic link");
+    symlink("circle.latch", inside.join("round.latch")).expect("create the symbolic link");
+    symlink("nowhere.latch", inside.join("dangling.latch")).expect("create the symbolic link");
+    symlink("loop2.latch", inside.join("loop1.latch")).expect("create the symbolic link");
+    symlink("loop1.latch", inside.join("loop2.latch")).expect("create the symbolic link");
     write("in/circle.latch", "load(\"round.latch\", \"x\")");
-    fs::create_dir(inside.join("folder.latch")).expect("is made");
+    fs::create_dir(inside.join("folder.latch")).expect("create the folder");
     write("in/long.latch", &"#".repeat(MAX_FILE_BYTES + 1));
     #[rustfmt::skip]
     let cases = [
         ("load(\"a.latch\", \"x\")\nload(\"alias.latch\", z = \"x\")\nclients(rest = z)", None, 2),
         ("load(\"sub/b.latch\", \"y\")\nload(\"./a.latch\", \"x\")\nclients(rest = y)", None, 3),
-        ("load(\"out.latch\", \"x\")", Some("not within the folder"), 1),
-        ("load(\"../secret.latch\", \"x\")", Some("not within the folder"), 1),
-        ("load(\"sub/../../secret.latch\", \"x\")", Some("not within the folder"), 1),
-        ("load(\"\", \"x\")", Some("not within the folder"), 1),
+        ("load(\"out.latch\", \"x\")", Some("outside the folder"), 1),
+        ("load(\"../secret.latch\", \"x\")", Some("outside the folder"), 1),
+        ("load(\"sub/../../secret.latch\", \"x\")", Some("outside the folder"), 1),
+        ("load(\"\", \"x\")", Some("outside the folder"), 1),
         ("load(\"dangling.latch\", \"x\")", Some("can't be read"), 1),
         ("load(\"loop1.latch\", \"x\")", Some("can't be read"), 1),
-        ("load(\"folder.latch\", \"x\")", Some("not a file"), 2),
+        ("load(\"folder.latch\", \"x\")", Some("not a regular file"), 2),
         ("load(\"long.latch\", \"x\")", Some("longer than"), 2),
-        ("load(\"round.latch\", \"x\")", Some("includes itself"), 2),
-        ("load(\"circle.latch\", \"x\")", Some("includes itself"), 2),
+        ("load(\"round.latch\", \"x\")", Some("loads itself"), 2),
+        ("load(\"circle.latch\", \"x\")", Some("loads itself"), 2),
     ];
     for (text, fault, reads) in cases {
         write("in/root.latch", text);
         let path = inside.join("root.latch");
-        let (folder, name) = FolderSource::containing(path.to_str().expect("is text"));
-        let counted = Counted {
+        let (folder, name) = FolderSource::containing(path.to_str().expect("the path is UTF-8"));
+        let counting_source = CountingSource {
             folder: &folder,
             reads: Cell::new(0),
         };
         let outcome = read(
             &name,
-            &counted,
+            &counting_source,
             &service_schema::schema(),
             service_schema::DEFAULT_MACHINE,
         );
@@ -366,40 +380,44 @@
                 "{text}\n{}",
                 outcome.render_diagnostics()
             ),
-            Some(words) => assert!(
-                outcome.render_diagnostics().contains(words),
+            Some(message_part) => assert!(
+                outcome.render_diagnostics().contains(message_part),
                 "{text}\n{}",
                 outcome.render_diagnostics()
             ),
         }
-        assert_eq!(counted.reads.get(), reads, "{text}: each file is read once");
+        assert_eq!(
+            counting_source.reads.get(),
+            reads,
+            "{text}: each file must be read once"
+        );
     }
 }
 
 #[test]
-fn reports_show_the_line_and_steer_no_terminal() {
-    let outcome = root("x = \"\u{1b}[31m\" + 1 # \u{7}\n");
+fn render_untrusted_source_strips_control_characters() {
+    let outcome = load_root("x = \"\u{1b}[31m\" + 1 # \u{7}\n");
     let text = outcome.render_diagnostics();
     assert!(
-        text.contains("a text and a count can't be added")
+        text.contains("a string and a count cannot be added")
             && !text.contains('\u{1b}')
             && !text.contains('\u{7}')
     );
-    let long = root(format!("{}x = y + 1", " ".repeat(0)) + &" ".repeat(5000) + "+ z");
+    let long = load_root(format!("{}x = y + 1", " ".repeat(0)) + &" ".repeat(5000) + "+ z");
     assert!(
         long.render_diagnostics().lines().all(|l| l.chars().count() < 700),
         "{}",
         long.render_diagnostics()
     );
-    let shown = SourceFile {
+    let file = SourceFile {
         name: "n".to_owned(),
         text: "é = 1\nzz".to_owned(),
     };
     assert_eq!(
         (
-            shown.line_and_column(3),
-            shown.line_and_column(7),
-            shown.line_and_column(99)
+            file.line_and_column(3),
+            file.line_and_column(7),
+            file.line_and_column(99)
         ),
         ((1, 3), (2, 1), (2, 3))
     );
--- a/crates/config/tests/store.rs
+++ b/crates/config/tests/store.rs
@@ -1,4 +1,4 @@
-//! Generations on disk: a stop between any two steps, damage of every kind, and what is let go.
+//! Generations on disk: a crash after any step, every kind of damage, and removal.
 
 #![allow(clippy::type_complexity)] // Tables of cases.
 
@@ -12,71 +12,90 @@
 use std::path::Path;
 use std::process::Command;
 
-fn texts(store: &GenerationStore) -> Vec<(u64, Option<String>)> {
-    let all = store.read_all().expect("can be read");
-    all.into_iter().map(|s| (s.number, s.canonical.ok())).collect()
+fn read_texts(store: &GenerationStore) -> Vec<(u64, Option<String>)> {
+    let generations = store.read_all().expect("read the generations");
+    generations
+        .into_iter()
+        .map(|s| (s.number, s.canonical.ok()))
+        .collect()
 }
 
-fn whole(store: &GenerationStore) -> Vec<String> {
-    texts(store).into_iter().filter_map(|(_, text)| text).collect()
+fn intact(store: &GenerationStore) -> Vec<String> {
+    read_texts(store)
+        .into_iter()
+        .filter_map(|(_, text)| text)
+        .collect()
 }
 
-/// Where this variable is set the test is a process that stores and is aborted behind a step.
+/// If this variable is set, the test is the child process that aborts after a step of storing.
 const ABORT: &str = "ASTERLATCH_TEST_ABORT_BEHIND";
 
 #[test]
-fn an_abort_behind_any_step_leaves_a_whole_generation() {
-    if let Ok(at) = std::env::var(ABORT) {
-        let (folder, step) = at.split_once('|').expect("folder and step");
-        let step: usize = step.parse().expect("a number");
-        let store = GenerationStore::open(Path::new(folder)).expect("opens");
-        let stop = |done: Step| {
-            if done == STEPS[step] {
+fn store_aborted_after_any_step_leaves_intact_generation() {
+    if let Ok(position) = std::env::var(ABORT) {
+        let (folder, step) = position
+            .split_once('|')
+            .expect("the variable holds a folder and a step");
+        let step: usize = step.parse().expect("the step is a number");
+        let store = GenerationStore::open(Path::new(folder)).expect("open the store");
+        let abort_at = |finished_step: Step| {
+            if finished_step == STEPS[step] {
                 std::process::abort();
             }
         };
-        store.store(0, "new\n", 2, stop).expect("stores");
-        unreachable!("it was aborted");
+        store
+            .store(0, "new\n", 2, abort_at)
+            .expect("store the generation");
+        unreachable!("the process was aborted");
     }
-    for (n, step) in STEPS.iter().enumerate() {
-        let folder = tempfile::tempdir().expect("a folder");
-        let store = GenerationStore::open(folder.path()).expect("opens");
+    for (index, step) in STEPS.iter().enumerate() {
+        let folder = tempfile::tempdir().expect("create a temporary folder");
+        let store = GenerationStore::open(folder.path()).expect("open the store");
         for text in ["oldest\n", "old\n"] {
-            store.store(0, text, 2, |_| ()).expect("stores");
+            store.store(0, text, 2, |_| ()).expect("store the generation");
         }
-        let mut child = Command::new(std::env::current_exe().expect("is known"));
+        let mut child = Command::new(std::env::current_exe().expect("find the test executable"));
         child.args([
             "--exact",
-            "an_abort_behind_any_step_leaves_a_whole_generation",
+            "store_aborted_after_any_step_leaves_intact_generation",
             "--nocapture",
         ]);
-        child.env(ABORT, format!("{}|{n}", folder.path().display()));
-        let output = child.output().expect("runs");
-        assert!(!output.status.success(), "{step:?}: it was not aborted");
-        // It counts from the rename on, and not before.
-        let renamed = STEPS.iter().position(|s| *s == Step::Renamed).expect("is a step");
-        let newest = if n >= renamed { "new\n" } else { "old\n" };
-        assert_eq!(whole(&store)[0], newest, "{step:?}");
-        // The next start stores as ever, and cleans up.
-        store.store(0, "next\n", 2, |_| ()).expect("stores");
-        assert_eq!(whole(&store), ["next\n", newest], "{step:?}");
-        let left: Vec<_> = fs::read_dir(folder.path())
-            .expect("lists")
-            .map(|e| e.expect("is there").file_name())
+        child.env(ABORT, format!("{}|{index}", folder.path().display()));
+        let output = child.output().expect("run the child process");
+        assert!(
+            !output.status.success(),
+            "{step:?}: the child process was not aborted"
+        );
+        // The new generation counts from its rename on.
+        let renamed = STEPS
+            .iter()
+            .position(|s| *s == Step::Renamed)
+            .expect("the rename is a step");
+        let newest = if index >= renamed { "new\n" } else { "old\n" };
+        assert_eq!(intact(&store)[0], newest, "{step:?}");
+        // The next start stores a generation and removes leftovers.
+        store.store(0, "next\n", 2, |_| ()).expect("store the generation");
+        assert_eq!(intact(&store), ["next\n", newest], "{step:?}");
+        let remaining: Vec<_> = fs::read_dir(folder.path())
+            .expect("list the folder")
+            .map(|e| e.expect("read the folder entry").file_name())
             .collect();
-        assert_eq!(left.len(), 2, "{step:?}: {left:?}");
+        assert_eq!(remaining.len(), 2, "{step:?}: {remaining:?}");
     }
 }
 
 #[test]
-fn a_generation_cut_or_changed_at_any_byte_is_known_for_damaged() {
+fn decode_truncated_or_modified_generation_is_damaged() {
     let text = encode(7, "{\"a\": 1}\n");
     assert_eq!(decode(7, text.as_bytes()), Ok("{\"a\": 1}\n"));
-    for at in 0..text.len() {
-        assert!(decode(7, &text.as_bytes()[..at]).is_err(), "cut at {at}");
+    for position in 0..text.len() {
+        assert!(
+            decode(7, &text.as_bytes()[..position]).is_err(),
+            "cut at {position}"
+        );
         let mut changed = text.clone().into_bytes();
-        changed[at] ^= 1;
-        assert!(decode(7, &changed).is_err(), "changed at {at}");
+        changed[position] ^= 1;
+        assert!(decode(7, &changed).is_err(), "changed at {position}");
     }
     #[rustfmt::skip]
     let cases: [(&[u8], Damage); 8] = [
@@ -96,55 +115,62 @@
 }
 
 #[test]
-fn damaged_ones_are_passed_over_and_go_once_a_whole_one_is_newer() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let store = GenerationStore::open(folder.path()).expect("opens");
-    store.store(3, "three\n", 8, |_| ()).expect("stores");
-    fs::write(folder.path().join(file_name(9)), "torn").expect("writes");
+fn store_newer_generation_removes_damaged_ones() {
+    let folder = tempfile::tempdir().expect("create a temporary folder");
+    let store = GenerationStore::open(folder.path()).expect("open the store");
+    store
+        .store(3, "three\n", 8, |_| ())
+        .expect("store the generation");
+    fs::write(folder.path().join(file_name(9)), "torn").expect("write a file");
     fs::write(
         folder.path().join(format!("{}{TEMPORARY_SUFFIX}", file_name(10))),
         "begun",
     )
-    .expect("writes");
-    fs::write(folder.path().join("notes.txt"), "not ours").expect("writes");
-    assert_eq!(texts(&store), [(9, None), (3, Some("three\n".to_owned()))]);
-    // A number is never given twice, also not that of a damaged one.
-    assert_eq!(store.store(4, "ten\n", 8, |_| ()).expect("stores"), 10);
-    assert_eq!(texts(&store).len(), 2);
-    assert!(folder.path().join("notes.txt").exists(), "what is not ours stays");
+    .expect("write a file");
+    fs::write(folder.path().join("notes.txt"), "not ours").expect("write a file");
+    assert_eq!(read_texts(&store), [(9, None), (3, Some("three\n".to_owned()))]);
+    // A number is never reused, not even that of a damaged generation.
+    assert_eq!(
+        store.store(4, "ten\n", 8, |_| ()).expect("store the generation"),
+        10
+    );
+    assert_eq!(read_texts(&store).len(), 2);
+    assert!(folder.path().join("notes.txt").exists(), "other files stay");
 }
 
 #[test]
-fn only_so_many_are_kept() {
+fn store_removes_generations_above_bound() {
     #[rustfmt::skip]
     let cases: [(&[(u64, bool)], usize, &[u64]); 6] = [
         (&[], 2, &[]), (&[(3, true), (2, true), (1, true)], 2, &[1]),
         (&[(4, false), (3, true), (2, false), (1, true)], 2, &[2]), (&[(3, false), (2, false)], 1, &[]),
         (&[(3, true), (2, true)], 0, &[2]), (&[(5, true), (4, false), (3, true), (2, true)], 1, &[4, 3, 2]),
     ];
-    for (all, max_generations, gone) in cases {
+    for (generations, max_generations, expected) in cases {
         assert_eq!(
-            generations_to_remove(all, max_generations),
-            gone,
-            "{all:?}, {max_generations}"
+            generations_to_remove(generations, max_generations),
+            expected,
+            "{generations:?}, {max_generations}"
         );
     }
-    let folder = tempfile::tempdir().expect("a folder");
-    let store = GenerationStore::open(folder.path()).expect("opens");
-    for n in 0..20 {
-        store.store(0, &format!("{n}\n"), 3, |_| ()).expect("stores");
+    let folder = tempfile::tempdir().expect("create a temporary folder");
+    let store = GenerationStore::open(folder.path()).expect("open the store");
+    for index in 0..20 {
+        store
+            .store(0, &format!("{index}\n"), 3, |_| ())
+            .expect("store the generation");
     }
-    assert_eq!(whole(&store), ["19\n", "18\n", "17\n"]);
+    assert_eq!(intact(&store), ["19\n", "18\n", "17\n"]);
 }
 
 #[test]
-fn going_back_counts_changes_and_not_stores() {
-    let row = |texts: &[&str]| -> Vec<(u64, String)> {
+fn rollback_target_counts_changes_not_stores() {
+    let generation_list = |texts: &[&str]| -> Vec<(u64, String)> {
         let count = texts.len() as u64;
         texts
             .iter()
             .enumerate()
-            .map(|(n, t)| (count - n as u64, hash(t)))
+            .map(|(index, t)| (count - index as u64, hash(t)))
             .collect()
     };
     #[rustfmt::skip]
@@ -154,7 +180,7 @@
     ];
     for (texts, steps, expected) in cases {
         assert_eq!(
-            rollback_target(&row(texts), steps),
+            rollback_target(&generation_list(texts), steps),
             expected,
             "{texts:?} by {steps}"
         );
@@ -162,7 +188,7 @@
 }
 
 #[test]
-fn names_tell_numbers_and_nothing_else_does() {
+fn parse_file_name_accepts_only_generations() {
     assert_eq!(parse_file_name(&file_name(42)), Some(42));
     assert_eq!(parse_file_name(&file_name(u64::MAX)), Some(u64::MAX));
     for other in [
