--- a/crates/config/src/eval.rs
+++ b/crates/config/src/eval.rs
@@ -45,7 +45,7 @@
     /// Files with syntax errors: a name that is missing there may be defined by a skipped statement.
     pub incomplete_files: BTreeSet<u32>,
     /// A bound was exceeded; nothing more is evaluated.
-    stopped: bool,
+    is_exhausted: bool,
 }
 
 /// Name of each section in the schema's order, and whether its entries have keys.
@@ -80,7 +80,7 @@
     }
 
     pub fn is_stopped(&self) -> bool {
-        self.stopped
+        self.is_exhausted
     }
 
     fn charge_steps(&mut self, location: SourceLocation, cost: u64) -> Evaluated<()> {
@@ -102,11 +102,11 @@
     }
 
     fn check_limit(&mut self, location: SourceLocation, is_exceeded: bool, message: &str) -> Evaluated<()> {
-        if self.stopped {
+        if self.is_exhausted {
             return Err(Reported);
         }
         if is_exceeded {
-            self.stopped = true;
+            self.is_exhausted = true;
             return self.error(location, message);
         }
         Ok(())
@@ -126,15 +126,15 @@
                 self.bind_global(file, sections, to, value);
             }
             Stmt::Def(def) => {
-                let mut seen: Vec<&str> = Vec::new();
+                let mut seen_names: Vec<&str> = Vec::new();
                 for (param, _) in &def.params {
-                    if seen.contains(&&*param.name) {
+                    if seen_names.contains(&&*param.name) {
                         self.report(Diagnostic::error(
                             param.location,
                             format!("duplicate parameter '{}'", param.name),
                         ));
                     }
-                    seen.push(&param.name);
+                    seen_names.push(&param.name);
                 }
                 self.bind_global(file, sections, &def.name, Value::Def(def.clone(), file));
             }
@@ -160,10 +160,10 @@
             ));
         }
         let names = &mut self.bindings[file as usize];
-        if let Some((_, before)) = names.get(&to.name) {
+        if let Some((_, first_location)) = names.get(&to.name) {
             let diagnostic = Diagnostic::error(to.location, format!("'{}' is already defined", to.name));
-            let before = *before;
-            return self.report(diagnostic.with_related(before, "first defined here"));
+            let first_location = *first_location;
+            return self.report(diagnostic.with_related(first_location, "first defined here"));
         }
         names.insert(to.name.clone(), (value, to.location));
     }
@@ -189,29 +189,29 @@
             ExprKind::Dict(pairs) => {
                 let mut dict = DictBuilder::default();
                 for (key, value) in pairs {
-                    let at = key.location;
+                    let key_location = key.location;
                     let key = self.evaluate(frame, key)?;
                     let value = self.evaluate_or_invalid(frame, value);
-                    self.insert_entry(&mut dict, key, value, at)?;
+                    self.insert_entry(&mut dict, key, value, key_location)?;
                 }
                 self.make_dict(dict, location)
             }
             ExprKind::Comprehension { body, clauses } => {
                 let depth = frame.locals.len();
                 let mut result = ComprehensionResult::default();
-                let done = self.run_clauses(frame, body, clauses, &mut result);
+                let outcome = self.run_clauses(frame, body, clauses, &mut result);
                 frame.locals.truncate(depth);
-                done?;
+                outcome?;
                 match body.1 {
                     Some(_) => self.make_dict(result.dict, location),
                     None => self.make_list(result.list, location),
                 }
             }
             ExprKind::Call { callee, arguments } => self.call(frame, callee, arguments, location),
-            ExprKind::Index(both) => {
-                let of = self.evaluate(frame, &both.0)?;
-                let at = self.evaluate(frame, &both.1)?;
-                self.evaluate_index(of, at, both.1.location)
+            ExprKind::Index(operands) => {
+                let container = self.evaluate(frame, &operands.0)?;
+                let index = self.evaluate(frame, &operands.1)?;
+                self.evaluate_index(container, index, operands.1.location)
             }
             ExprKind::Not(inner) => {
                 let is_true = self.evaluate_bool(frame, inner)?;
@@ -227,17 +227,19 @@
             },
             ExprKind::BinaryChain(first, rest) => self.evaluate_chain(frame, first, rest),
             ExprKind::If(parts) => {
-                let (condition, yes, no) = &**parts;
+                let (condition, if_true, if_false) = &**parts;
                 let is_true = self.evaluate_bool(frame, condition)?;
-                self.evaluate(frame, if is_true { yes } else { no })
+                self.evaluate(frame, if is_true { if_true } else { if_false })
             }
         }
     }
 
     fn look_up(&mut self, frame: &Frame, name: &Rc<str>, location: SourceLocation) -> Evaluated<Value> {
         let local = frame.locals.iter().rev().find(|(n, _)| n == name);
-        let top = &self.bindings[frame.file as usize];
-        let found = local.map(|(_, v)| v).or_else(|| top.get(name).map(|(v, _)| v));
+        let globals = &self.bindings[frame.file as usize];
+        let found = local
+            .map(|(_, v)| v)
+            .or_else(|| globals.get(name).map(|(v, _)| v));
         if let Some(value) = found {
             return if value.is_invalid() {
                 Err(Reported)
@@ -259,13 +261,13 @@
             .locals
             .iter()
             .map(|(n, _)| &**n)
-            .chain(top.keys().map(|n| &**n));
+            .chain(globals.keys().map(|n| &**n));
         let builtin = BUILTINS
             .iter()
             .map(|(n, _)| *n)
             .chain(frame.sections.iter().map(|(n, _)| *n));
-        let near = nearest(name, known.chain(builtin)).map(|n| format!("did you mean '{n}'?"));
-        self.fail(match near {
+        let suggestion = nearest(name, known.chain(builtin)).map(|n| format!("did you mean '{n}'?"));
+        self.fail(match suggestion {
             Some(help) => diagnostic.with_help(help),
             None => diagnostic,
         })
@@ -310,27 +312,27 @@
                 }
                 Ok(())
             }
-            Clause::For(names, over) => {
-                let list = match self.evaluate(frame, over)? {
+            Clause::For(names, iterable) => {
+                let list = match self.evaluate(frame, iterable)? {
                     Value::List(list, _) => list,
                     Value::Dict(..) => {
                         let diagnostic = Diagnostic::error(
-                            over.location,
+                            iterable.location,
                             "cannot iterate over a dict; use keys(x) or items(x)",
                         );
                         return self.fail(diagnostic);
                     }
                     other => {
                         let message = format!("expected a list to iterate over, found {}", other.type_name());
-                        return self.error(over.location, message);
+                        return self.error(iterable.location, message);
                     }
                 };
                 for item in list.iter() {
                     let depth = frame.locals.len();
-                    self.bind(frame, names, item, over.location)?;
-                    let done = self.run_clauses(frame, body, rest, result);
+                    self.bind(frame, names, item, iterable.location)?;
+                    let outcome = self.run_clauses(frame, body, rest, result);
                     frame.locals.truncate(depth);
-                    done?;
+                    outcome?;
                 }
                 Ok(())
             }
@@ -349,8 +351,8 @@
             return Ok(());
         }
         match item {
-            Value::List(parts, _) if parts.len() == names.len() => {
-                let pairs = names.iter().zip(parts.iter());
+            Value::List(elements, _) if elements.len() == names.len() => {
+                let pairs = names.iter().zip(elements.iter());
                 frame
                     .locals
                     .extend(pairs.map(|(n, v)| (n.name.clone(), v.clone())));
@@ -392,9 +394,9 @@
                 )
             }
         };
-        if let Some(before) = dict.seen.insert(text, location) {
+        if let Some(first_location) = dict.key_locations.insert(text, location) {
             let diagnostic = Diagnostic::error(location, "duplicate dict key");
-            return self.fail(diagnostic.with_related(before, "first used here"));
+            return self.fail(diagnostic.with_related(first_location, "first used here"));
         }
         dict.pairs.push((key, value));
         Ok(())
@@ -414,8 +416,13 @@
         }
     }
 
-    fn evaluate_index(&mut self, of: Value, at: Value, location: SourceLocation) -> Evaluated<Value> {
-        let found = match (&of, &at) {
+    fn evaluate_index(
+        &mut self,
+        container: Value,
+        index: Value,
+        location: SourceLocation,
+    ) -> Evaluated<Value> {
+        let found = match (&container, &index) {
             (Value::List(list, _), Value::Quantity(q)) if q.unit == Unit::Count => {
                 let found = usize::try_from(q.amount).ok().and_then(|n| list.get(n));
                 match found {
@@ -437,10 +444,14 @@
                 }
             }
             (Value::Invalid, _) | (_, Value::Invalid) => return Err(Reported),
-            (of, at) => {
+            (container, index) => {
                 return self.error(
                     location,
-                    format!("{} cannot be indexed by {}", of.type_name(), at.type_name()),
+                    format!(
+                        "{} cannot be indexed by {}",
+                        container.type_name(),
+                        index.type_name()
+                    ),
                 )
             }
         };
@@ -491,10 +502,10 @@
         match operator {
             Equal | NotEqual => {
                 let mut cost = 0;
-                let same = left.equals(&right, &mut cost);
+                let are_equal = left.equals(&right, &mut cost);
                 self.charge_steps(location, cost)?;
-                match same {
-                    Some(same) => Ok(Value::Bool(same == (operator == Equal))),
+                match are_equal {
+                    Some(are_equal) => Ok(Value::Bool(are_equal == (operator == Equal))),
                     None => self.type_mismatch("compared", &left, &right, location),
                 }
             }
@@ -611,8 +622,8 @@
         arguments: &[Argument],
         location: SourceLocation,
     ) -> Evaluated<Value> {
-        let called = self.evaluate(frame, callee)?;
-        let mut plain: Vec<(Value, SourceLocation)> = Vec::new();
+        let callee_value = self.evaluate(frame, callee)?;
+        let mut positional: Vec<(Value, SourceLocation)> = Vec::new();
         let mut named: Vec<(Identifier, Value, SourceLocation)> = Vec::new();
         for argument in arguments {
             let at = argument.value.location;
@@ -620,7 +631,7 @@
                 ArgumentKind::Positional if !named.is_empty() => {
                     return self.error(at, "positional argument after a named one");
                 }
-                ArgumentKind::Positional => plain.push((self.evaluate(frame, &argument.value)?, at)),
+                ArgumentKind::Positional => positional.push((self.evaluate(frame, &argument.value)?, at)),
                 ArgumentKind::Named(name) => {
                     // Keeps evaluating, so that errors in the other settings of a section are reported too.
                     let value = self.evaluate_or_invalid(frame, &argument.value);
@@ -649,23 +660,25 @@
             }
         }
         for (n, (name, ..)) in named.iter().enumerate() {
-            if let Some((before, ..)) = named[..n].iter().find(|(b, ..)| b.name == name.name) {
+            if let Some((first, ..)) = named[..n].iter().find(|(b, ..)| b.name == name.name) {
                 let diagnostic =
                     Diagnostic::error(name.location, format!("duplicate argument '{}'", name.name));
-                let before = before.location;
-                return self.fail(diagnostic.with_related(before, "first given here"));
+                let first_location = first.location;
+                return self.fail(diagnostic.with_related(first_location, "first given here"));
             }
         }
-        match called {
-            Value::Section(section) => self.add_section_statement(frame, section, plain, named, location),
+        match callee_value {
+            Value::Section(section) => {
+                self.add_section_statement(frame, section, positional, named, location)
+            }
             Value::Builtin(builtin) => {
                 if let Some((name, ..)) = named.first() {
                     let at = name.location;
                     return self.error(at, "built-in functions take no named arguments");
                 }
-                self.call_builtin(builtin, &plain, location)
+                self.call_builtin(builtin, &positional, location)
             }
-            Value::Def(def, file) => self.call_def(frame, &def, file, plain, named, location),
+            Value::Def(def, file) => self.call_def(frame, &def, file, positional, named, location),
             other => self.error(callee.location, format!("{} cannot be called", other.type_name())),
         }
     }
@@ -674,12 +687,12 @@
         &mut self,
         frame: &Frame,
         section_index: usize,
-        plain: Vec<(Value, SourceLocation)>,
+        positional: Vec<(Value, SourceLocation)>,
         settings: Vec<(Identifier, Value, SourceLocation)>,
         location: SourceLocation,
     ) -> Evaluated<Value> {
-        let (name, keyed) = frame.sections[section_index];
-        let key = match (plain.as_slice(), keyed) {
+        let (name, is_keyed) = frame.sections[section_index];
+        let key = match (positional.as_slice(), is_keyed) {
             ([], false) => None,
             ([(Value::String(key), at)], true) => Some((key.clone(), *at)),
             ([], true) => {
@@ -689,7 +702,7 @@
                 );
                 return self.fail(diagnostic.with_help(format!("for example {name}(\"...\", ...)")));
             }
-            ([(other, at), ..], true) if plain.len() == 1 => {
+            ([(other, at), ..], true) if positional.len() == 1 => {
                 let (message, at) = (
                     format!("the name must be a string, found {}", other.type_name()),
                     *at,
@@ -697,9 +710,9 @@
                 return self.error(at, message);
             }
             ([(_, at), ..], _) => {
-                let at = plain
+                let at = positional
                     .get(1)
-                    .map_or(*at, |(_, second)| if keyed { *second } else { *at });
+                    .map_or(*at, |(_, second)| if is_keyed { *second } else { *at });
                 let diagnostic =
                     Diagnostic::error(at, format!("'{name}' takes its settings as named arguments"));
                 return self.fail(diagnostic.with_help("write 'setting = value'"));
@@ -720,7 +733,7 @@
         frame: &Frame,
         def: &Rc<Def>,
         file: u32,
-        plain: Vec<(Value, SourceLocation)>,
+        positional: Vec<(Value, SourceLocation)>,
         named: Vec<(Identifier, Value, SourceLocation)>,
         location: SourceLocation,
     ) -> Evaluated<Value> {
@@ -732,7 +745,7 @@
         if self.calls.len() >= MAX_CALL_DEPTH {
             return self.error(location, format!("more than {MAX_CALL_DEPTH} nested calls"));
         }
-        if plain.len() > def.params.len() {
+        if positional.len() > def.params.len() {
             let diagnostic = Diagnostic::error(
                 location,
                 format!("'{name}' takes at most {} arguments", def.params.len()),
@@ -747,8 +760,8 @@
                 unknown.location,
                 format!("'{name}' has no parameter '{}'", unknown.name),
             );
-            let near = nearest(&unknown.name, def.params.iter().map(|(p, _)| &*p.name));
-            let help = near.map(|n| format!("did you mean '{n}'?"));
+            let suggestion = nearest(&unknown.name, def.params.iter().map(|(p, _)| &*p.name));
+            let help = suggestion.map(|n| format!("did you mean '{n}'?"));
             return self.fail(Diagnostic { help, ..diagnostic });
         }
         let locals = Vec::new();
@@ -758,10 +771,10 @@
             locals,
         };
         for (n, (param, default)) in def.params.iter().enumerate() {
-            let given = named.iter().find(|(name, ..)| name.name == param.name);
-            let value = match (plain.get(n), given, default) {
-                (Some(_), Some((twice, ..)), _) => {
-                    let at = twice.location;
+            let argument = named.iter().find(|(name, ..)| name.name == param.name);
+            let value = match (positional.get(n), argument, default) {
+                (Some(_), Some((duplicate, ..)), _) => {
+                    let at = duplicate.location;
                     return self.error(at, format!("duplicate argument '{}'", param.name));
                 }
                 (Some((value, _)), ..) => value.clone(),
@@ -779,9 +792,9 @@
             inner.locals.push((param.name.clone(), value));
         }
         self.calls.push(name.clone());
-        let done = self.run_body(&mut inner, def);
+        let outcome = self.run_body(&mut inner, def);
         self.calls.pop();
-        done
+        outcome
     }
 
     fn run_body(&mut self, frame: &mut Frame, def: &Def) -> Evaluated<Value> {
@@ -802,11 +815,11 @@
     fn call_builtin(
         &mut self,
         builtin: Builtin,
-        given: &[(Value, SourceLocation)],
+        arguments: &[(Value, SourceLocation)],
         location: SourceLocation,
     ) -> Evaluated<Value> {
         let count = |n: usize| Value::Quantity(Quantity::new(Unit::Count, n as i64));
-        let values: Vec<&Value> = given.iter().map(|(v, _)| v).collect();
+        let values: Vec<&Value> = arguments.iter().map(|(v, _)| v).collect();
         if values.iter().any(|v| v.is_invalid()) {
             return Err(Reported);
         }
@@ -831,22 +844,22 @@
             },
             (Builtin::Min | Builtin::Max, [Value::List(list, _)]) if !list.is_empty() => {
                 let sorted = self.sorted(list, location)?;
-                let at = if builtin == Builtin::Min {
+                let index = if builtin == Builtin::Min {
                     0
                 } else {
                     sorted.len() - 1
                 };
-                Ok(sorted[at].clone())
+                Ok(sorted[index].clone())
             }
             (Builtin::Min | Builtin::Max, [_, _, ..]) => {
                 let all: Vec<Value> = values.iter().map(|v| (*v).clone()).collect();
                 let sorted = self.sorted(&all, location)?;
-                let at = if builtin == Builtin::Min {
+                let index = if builtin == Builtin::Min {
                     0
                 } else {
                     sorted.len() - 1
                 };
-                Ok(sorted[at].clone())
+                Ok(sorted[index].clone())
             }
             (Builtin::Sorted, [Value::List(list, _)]) => {
                 self.charge_values(location, list.len())?;
@@ -885,13 +898,13 @@
     fn sorted(&mut self, list: &[Value], location: SourceLocation) -> Evaluated<Vec<Value>> {
         self.charge_steps(location, list.len() as u64 * 8)?;
         for pair in list.windows(2) {
-            let alike = match (&pair[0], &pair[1]) {
+            let is_comparable = match (&pair[0], &pair[1]) {
                 (Value::Quantity(a), Value::Quantity(b)) => a.unit == b.unit,
                 (Value::String(_), Value::String(_)) => true,
                 (Value::Invalid, _) | (_, Value::Invalid) => return Err(Reported),
                 _ => false,
             };
-            if !alike {
+            if !is_comparable {
                 self.type_mismatch("sorted together", &pair[0], &pair[1], location)?;
             }
         }
@@ -911,7 +924,7 @@
 #[derive(Default)]
 struct DictBuilder {
     pairs: Vec<(Value, Value)>,
-    seen: BTreeMap<(u8, String), SourceLocation>,
+    key_locations: BTreeMap<(u8, String), SourceLocation>,
 }
 
 #[derive(Default)]
--- a/crates/config/src/generation_files.rs
+++ b/crates/config/src/generation_files.rs
@@ -31,46 +31,46 @@
 /// Why a stored generation is damaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Damage {
-    NotText,
-    NoHeader,
+    NotUtf8,
+    InvalidHeader,
     /// Its header has another number than its name.
-    OtherNumber,
-    CutShort,
+    NumberMismatch,
+    Truncated,
     /// It is longer than its header says.
     TooLong,
-    OtherHash,
+    HashMismatch,
 }
 
 impl Damage {
     pub fn reason(self) -> &'static str {
         match self {
-            Damage::NotText => "is not UTF-8",
-            Damage::NoHeader => "doesn't begin as one",
-            Damage::OtherNumber => "has another number in its header than in its name",
-            Damage::CutShort => "is truncated",
+            Damage::NotUtf8 => "is not UTF-8",
+            Damage::InvalidHeader => "doesn't begin as one",
+            Damage::NumberMismatch => "has another number in its header than in its name",
+            Damage::Truncated => "is truncated",
             Damage::TooLong => "is longer than its header says",
-            Damage::OtherHash => "does not match the hash in its header",
+            Damage::HashMismatch => "does not match the hash in its header",
         }
     }
 }
 
 /// Canonical text of a stored generation, if it is intact.
 pub fn decode(number: u64, bytes: &[u8]) -> Result<&str, Damage> {
-    let text = std::str::from_utf8(bytes).map_err(|_| Damage::NotText)?;
-    let (header, canonical) = text.split_once('\n').ok_or(Damage::NoHeader)?;
-    let fields = header.strip_prefix(MAGIC).ok_or(Damage::NoHeader)?;
+    let text = std::str::from_utf8(bytes).map_err(|_| Damage::NotUtf8)?;
+    let (header, canonical) = text.split_once('\n').ok_or(Damage::InvalidHeader)?;
+    let fields = header.strip_prefix(MAGIC).ok_or(Damage::InvalidHeader)?;
     let mut fields = fields.split(' ').skip(1);
-    let mut next_field = || fields.next().ok_or(Damage::NoHeader);
+    let mut next_field = || fields.next().ok_or(Damage::InvalidHeader);
     let (header_number, length, header_hash) = (next_field()?, next_field()?, next_field()?);
-    let header_number: u64 = header_number.parse().map_err(|_| Damage::NoHeader)?;
-    let length: usize = length.parse().map_err(|_| Damage::NoHeader)?;
+    let header_number: u64 = header_number.parse().map_err(|_| Damage::InvalidHeader)?;
+    let length: usize = length.parse().map_err(|_| Damage::InvalidHeader)?;
     if header_number != number {
-        return Err(Damage::OtherNumber);
+        return Err(Damage::NumberMismatch);
     }
     match canonical.len().cmp(&length) {
-        std::cmp::Ordering::Less => Err(Damage::CutShort),
+        std::cmp::Ordering::Less => Err(Damage::Truncated),
         std::cmp::Ordering::Greater => Err(Damage::TooLong),
-        std::cmp::Ordering::Equal if hash(canonical) != header_hash => Err(Damage::OtherHash),
+        std::cmp::Ordering::Equal if hash(canonical) != header_hash => Err(Damage::HashMismatch),
         std::cmp::Ordering::Equal => Ok(canonical),
     }
 }
--- a/crates/config/src/generations.rs
+++ b/crates/config/src/generations.rs
@@ -82,7 +82,7 @@
 
 pub struct Generations<M> {
     confirmed: Generation<M>,
-    in_force: Generation<M>,
+    applied: Generation<M>,
     phase: Phase,
     probation_began_at: Timestamp,
     /// Ticket of the newest valid read.
@@ -115,7 +115,7 @@
         };
         Generations {
             confirmed: first.clone(),
-            in_force: first,
+            applied: first,
             phase: Phase::Confirmed,
             probation_began_at: Timestamp(0),
             newest_ticket: 0,
@@ -131,7 +131,7 @@
     }
 
     pub fn applied(&self) -> &Generation<M> {
-        &self.in_force
+        &self.applied
     }
 
     pub fn is_on_probation(&self) -> bool {
@@ -169,19 +169,19 @@
 
     fn run_rules(&mut self, now: Timestamp) -> Vec<Command<M>> {
         let mut commands = Vec::new();
-        while let Some(more) = self.apply_next_rule(now) {
-            commands.extend(more);
+        while let Some(next_commands) = self.apply_next_rule(now) {
+            commands.extend(next_commands);
         }
         commands
     }
 
     /// The first rule whose condition holds.
     fn apply_next_rule(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
-        self.superseded()
-            .or_else(|| self.rejected())
-            .or_else(|| self.already_rolled_back())
-            .or_else(|| self.unchanged())
-            .or_else(|| self.stage())
+        self.drop_superseded()
+            .or_else(|| self.reject_invalid())
+            .or_else(|| self.refuse_rolled_back())
+            .or_else(|| self.accept_unchanged())
+            .or_else(|| self.stage_valid())
             .or_else(|| self.apply(now))
             .or_else(|| self.roll_back(now))
             .or_else(|| self.extend_probation(now))
@@ -189,7 +189,7 @@
     }
 
     /// Drops a read that began before the newest valid one: it may have read an older file.
-    fn superseded(&mut self) -> Option<Vec<Command<M>>> {
+    fn drop_superseded(&mut self) -> Option<Vec<Command<M>>> {
         let (ticket, _) = self.pending_read.as_ref()?;
         if *ticket > self.newest_ticket {
             return None;
@@ -199,7 +199,7 @@
     }
 
     /// An invalid file changes nothing, and doesn't supersede a valid read that began before it.
-    fn rejected(&mut self) -> Option<Vec<Command<M>>> {
+    fn reject_invalid(&mut self) -> Option<Vec<Command<M>>> {
         let (_, ReadOutcome::Invalid { error_count }) = self.pending_read.as_ref()? else {
             return None;
         };
@@ -209,7 +209,7 @@
     }
 
     /// Refuses settings that were rolled back until the file has stated others.
-    fn already_rolled_back(&mut self) -> Option<Vec<Command<M>>> {
+    fn refuse_rolled_back(&mut self) -> Option<Vec<Command<M>>> {
         let (ticket, ReadOutcome::Valid { hash, .. }) = self.pending_read.as_ref()? else {
             return None;
         };
@@ -223,11 +223,11 @@
         Some(vec![Command::Report(Decision::AlreadyRolledBack { resource })])
     }
 
-    fn unchanged(&mut self) -> Option<Vec<Command<M>>> {
+    fn accept_unchanged(&mut self) -> Option<Vec<Command<M>>> {
         let (ticket, ReadOutcome::Valid { hash, .. }) = self.pending_read.as_ref()? else {
             return None;
         };
-        if *hash != self.in_force.hash {
+        if *hash != self.applied.hash {
             return None;
         }
         self.newest_ticket = *ticket;
@@ -237,7 +237,7 @@
         Some(vec![Command::Report(Decision::Unchanged)])
     }
 
-    fn stage(&mut self) -> Option<Vec<Command<M>>> {
+    fn stage_valid(&mut self) -> Option<Vec<Command<M>>> {
         match self.pending_read.take()? {
             (ticket, ReadOutcome::Valid { hash, settings }) => {
                 self.newest_ticket = ticket;
@@ -263,18 +263,18 @@
         };
         self.next_number += 1;
         self.rolled_back = None;
-        let step = (self.difference)(&self.in_force.settings, &next.settings);
+        let step = (self.difference)(&self.applied.settings, &next.settings);
         let total = (self.difference)(&self.confirmed.settings, &next.settings);
         let probation = (self.criteria)(&next.settings).probation;
         let was_confirmed = self.phase == Phase::Confirmed;
-        self.in_force = next;
+        self.applied = next;
         let decision = Decision::Applied {
-            number: self.in_force.number,
+            number: self.applied.number,
             live: step.live,
             at_next_start: step.at_next_start,
         };
         let mut commands = vec![
-            Command::Apply(self.in_force.settings.clone()),
+            Command::Apply(self.applied.settings.clone()),
             Command::Report(decision),
         ];
         if total.may_exhaust.is_empty() || probation == TimeSpan(0) {
@@ -292,8 +292,8 @@
         Some(commands)
     }
 
-    fn criteria_in_force(&self) -> ProbationCriteria {
-        (self.criteria)(&self.in_force.settings)
+    fn applied_criteria(&self) -> ProbationCriteria {
+        (self.criteria)(&self.applied.settings)
     }
 
     fn roll_back(&mut self, now: Timestamp) -> Option<Vec<Command<M>>> {
@@ -302,14 +302,14 @@
         }
         // The stricter of both: a file must not loosen the criteria for its own probation.
         let criteria = self
-            .criteria_in_force()
+            .applied_criteria()
             .stricter((self.criteria)(&self.confirmed.settings));
         let Verdict::Harmful(resource) = self.monitor.verdict(now, criteria) else {
             return None;
         };
-        let from = self.in_force.number;
-        self.rolled_back = Some((self.in_force.hash.clone(), resource));
-        self.in_force = self.confirmed.clone();
+        let from = self.applied.number;
+        self.rolled_back = Some((self.applied.hash.clone(), resource));
+        self.applied = self.confirmed.clone();
         self.phase = Phase::Confirmed;
         let to = self.confirmed.number;
         Some(vec![
@@ -323,7 +323,7 @@
         let Phase::Probation { until } = self.phase else {
             return None;
         };
-        let probation = self.criteria_in_force().probation;
+        let probation = self.applied_criteria().probation;
         let max_end = self.probation_began_at + TimeSpan(probation.0.saturating_mul(MAX_PROBATION_FACTOR));
         if now < until || now >= max_end || self.monitor.has_seen_demand() {
             return None;
@@ -343,7 +343,7 @@
 
     fn confirm_now(&mut self) -> Vec<Command<M>> {
         self.phase = Phase::Confirmed;
-        self.confirmed = self.in_force.clone();
+        self.confirmed = self.applied.clone();
         let number = self.confirmed.number;
         vec![
             Command::Store(self.confirmed.clone()),
--- a/crates/config/src/lex.rs
+++ b/crates/config/src/lex.rs
@@ -49,11 +49,12 @@
         use Token::*;
         match self {
             Space => "a space", Comment => "a comment", Newline => "the end of the line", Name => "a name",
-            Number => "a number", String => "a string", UnterminatedString => "an unterminated string", Load => "'load'",
-            Def => "'def'", Return => "'return'", If => "'if'", Else => "'else'", For => "'for'", In => "'in'",
-            And => "'and'", Or => "'or'", Not => "'not'", True => "'True'", False => "'False'", None => "'None'",
-            OpenParen => "'('", CloseParen => "')'", OpenBracket => "'['", CloseBracket => "']'", OpenBrace => "'{'",
-            CloseBrace => "'}'", Comma => "','", Colon => "':'", Assign => "'='", Equal => "'=='", NotEqual => "'!='",
+            Number => "a number", String => "a string", UnterminatedString => "an unterminated string",
+            Load => "'load'", Def => "'def'", Return => "'return'", If => "'if'", Else => "'else'",
+            For => "'for'", In => "'in'", And => "'and'", Or => "'or'", Not => "'not'", True => "'True'",
+            False => "'False'", None => "'None'", OpenParen => "'('", CloseParen => "')'",
+            OpenBracket => "'['", CloseBracket => "']'", OpenBrace => "'{'", CloseBrace => "'}'",
+            Comma => "','", Colon => "':'", Assign => "'='", Equal => "'=='", NotEqual => "'!='",
             Less => "'<'", LessEqual => "'<='", Greater => "'>'", GreaterEqual => "'>='", Plus => "'+'",
             Minus => "'-'", Star => "'*'", DoubleStar => "'**'", DoubleSlash => "'//'", Percent => "'%'",
             Unknown => "an unknown character", End => "the end of the file",
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -104,7 +104,7 @@
             .checks
             .iter()
             .flat_map(|check| check(schema, &settings, machine));
-        diagnostics.extend(conflicts.map(|c| conflict_report(schema, c, &locations)));
+        diagnostics.extend(conflicts.map(|c| conflict_diagnostic(schema, c, &locations)));
     }
     diagnostics.sort_by_key(|r| (r.severity, r.location));
     let has_no_errors = diagnostics.iter().all(|r| r.severity != Severity::Error);
@@ -117,14 +117,14 @@
 }
 
 /// A conflict is reported at the setting that was set last; the others are related locations.
-fn conflict_report(schema: &Schema, conflict: Conflict, locations: &SettingLocations) -> Diagnostic {
-    let mut at: Vec<_> = conflict
+fn conflict_diagnostic(schema: &Schema, conflict: Conflict, locations: &SettingLocations) -> Diagnostic {
+    let mut set_locations: Vec<_> = conflict
         .paths
         .iter()
         .filter_map(|p| Some((*locations.get(p)?, schema.format_path(p))))
         .collect();
-    at.sort();
-    let (location, _) = at.pop().unwrap_or_default();
+    set_locations.sort();
+    let (location, _) = set_locations.pop().unwrap_or_default();
     let severity = if conflict.warning {
         Severity::Warning
     } else {
@@ -135,7 +135,7 @@
         location,
         message: conflict.reason,
         help: None,
-        related: at
+        related: set_locations
             .into_iter()
             .map(|(location, path)| (location, format!("{path} is set here")))
             .collect(),
@@ -145,12 +145,12 @@
 impl Loader<'_> {
     /// Loads and evaluates a file unless that was done before. Returns its number, or `None` if it can't be
     /// loaded.
-    fn load_file(&mut self, name: &str, from: Option<SourceLocation>) -> Option<u32> {
-        let error_at = |message: String| match from {
+    fn load_file(&mut self, name: &str, requested_by: Option<SourceLocation>) -> Option<u32> {
+        let error_at = |message: String| match requested_by {
             Some(location) => Diagnostic::error(location, message),
             None => Diagnostic::error(SourceLocation::default(), message),
         };
-        if from.is_none() {
+        if requested_by.is_none() {
             // Registered before it is read, so that diagnostics of an unreadable root file name it.
             let name = name.to_owned();
             self.files.push(SourceFile {
@@ -167,7 +167,7 @@
         };
         if let Some((number, is_complete)) = self.loaded.get(&identity).copied() {
             if !is_complete {
-                let diagnostic = self.cycle_diagnostic(number, name, from);
+                let diagnostic = self.cycle_diagnostic(number, name, requested_by);
                 self.evaluator.report(diagnostic);
                 return None;
             }
@@ -201,7 +201,7 @@
             )));
             return None;
         }
-        let number = match from {
+        let number = match requested_by {
             None => 0,
             Some(_) => {
                 let name = name.to_owned();
@@ -243,7 +243,7 @@
         if has_errors {
             self.evaluator.incomplete_files.insert(number);
         }
-        self.load_stack.push((number, from));
+        self.load_stack.push((number, requested_by));
         self.run_file(number, &parsed.stmts);
         self.load_stack.pop();
         self.loaded.insert(identity, (number, true));
@@ -262,13 +262,15 @@
                     names,
                 } => {
                     let loaded = self.load_file(&file.name, Some(*location));
-                    for (here, there) in names {
+                    for (local_name, loaded_name) in names {
                         let value = match loaded {
                             None => Value::Invalid,
-                            Some(from) => self.loaded_value(from, &file.name, there, here.location),
+                            Some(file_number) => {
+                                self.loaded_value(file_number, &file.name, loaded_name, local_name.location)
+                            }
                         };
                         let sections: &Sections = &self.sections;
-                        self.evaluator.bind_global(number, sections, here, value);
+                        self.evaluator.bind_global(number, sections, local_name, value);
                     }
                 }
                 stmt => self.evaluator.run_statement(number, &self.sections, stmt),
@@ -276,17 +278,21 @@
         }
     }
 
-    fn loaded_value(&mut self, from: u32, file: &str, name: &str, location: SourceLocation) -> Value {
+    fn loaded_value(&mut self, file_number: u32, file: &str, name: &str, location: SourceLocation) -> Value {
         if name.starts_with('_') {
             let message = format!("'{name}' is private: names that begin with '_' cannot be loaded");
             self.evaluator.report(Diagnostic::error(location, message));
             return Value::Invalid;
         }
-        let bindings = &self.evaluator.bindings[from as usize];
+        let bindings = &self.evaluator.bindings[file_number as usize];
         if let Some((value, _)) = bindings.get(name) {
             return value.clone();
         }
-        let has_errors = self.evaluator.diagnostics.iter().any(|r| r.location.file == from);
+        let has_errors = self
+            .evaluator
+            .diagnostics
+            .iter()
+            .any(|r| r.location.file == file_number);
         if !has_errors {
             let near = crate::diagnostic::nearest(name, bindings.keys().map(|n| &**n));
             let help = near.map(|n| format!("did you mean '{n}'?"));
@@ -297,8 +303,8 @@
     }
 
     /// Diagnostic for a load cycle, with the location of each load in it.
-    fn cycle_diagnostic(&self, number: u32, name: &str, from: Option<SourceLocation>) -> Diagnostic {
-        let location = from.unwrap_or_default();
+    fn cycle_diagnostic(&self, number: u32, name: &str, requested_by: Option<SourceLocation>) -> Diagnostic {
+        let location = requested_by.unwrap_or_default();
         let mut diagnostic = Diagnostic::error(location, format!("load cycle: '{name}' loads itself"));
         let cycle = self.load_stack.iter().skip_while(|(n, _)| *n != number).skip(1);
         for (_, load) in cycle {
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -47,7 +47,8 @@
       (Token::LessEqual, Operator::LessEqual), (Token::Greater, Operator::Greater),
       (Token::GreaterEqual, Operator::GreaterEqual), (Token::In, Operator::In)],
     &[(Token::Plus, Operator::Add), (Token::Minus, Operator::Subtract)],
-    &[(Token::Star, Operator::Multiply), (Token::DoubleSlash, Operator::Divide), (Token::Percent, Operator::Remainder)],
+    &[(Token::Star, Operator::Multiply), (Token::DoubleSlash, Operator::Divide),
+    (Token::Percent, Operator::Remainder)],
 ];
 const COMPARISON_LEVEL: usize = 2;
 
@@ -90,8 +91,8 @@
         self.location_at(self.position)
     }
 
-    fn location_at(&self, at: usize) -> SourceLocation {
-        let range = &self.tokens[at].1;
+    fn location_at(&self, token_index: usize) -> SourceLocation {
+        let range = &self.tokens[token_index].1;
         SourceLocation {
             file: self.file,
             start: range.start as u32,
@@ -124,7 +125,7 @@
         Err(Reported)
     }
 
-    fn unexpected<T>(&mut self, what: &str) -> ParseResult<T> {
+    fn unexpected<T>(&mut self, expected: &str) -> ParseResult<T> {
         let found = self.peek();
         let location = self.current_location();
         let diagnostic = match found {
@@ -141,9 +142,9 @@
             Token::UnterminatedString => Diagnostic::error(location, "unterminated string"),
             found => {
                 let diagnostic =
-                    Diagnostic::error(location, format!("expected {what}, found {}", found.name()));
+                    Diagnostic::error(location, format!("expected {expected}, found {}", found.name()));
                 match self.brackets.last() {
-                    Some(open) => diagnostic.with_related(*open, "the bracket opened here is not closed"),
+                    Some(open) => diagnostic.with_related(*open, "within the bracket opened here"),
                     None => diagnostic,
                 }
             }
@@ -158,7 +159,7 @@
         }
     }
 
-    fn nested<T>(&mut self, read: impl FnOnce(&mut Self) -> ParseResult<T>) -> ParseResult<T> {
+    fn nested<T>(&mut self, parse_content: impl FnOnce(&mut Self) -> ParseResult<T>) -> ParseResult<T> {
         if self.depth >= MAX_NESTING_DEPTH {
             let location = self.current_location();
             return self.fail(Diagnostic::error(
@@ -167,17 +168,17 @@
             ));
         }
         self.depth += 1;
-        let done = read(self);
+        let result = parse_content(self);
         self.depth -= 1;
-        done
+        result
     }
 
-    fn in_brackets<T>(&mut self, read: impl FnOnce(&mut Self) -> ParseResult<T>) -> ParseResult<T> {
+    fn in_brackets<T>(&mut self, parse_content: impl FnOnce(&mut Self) -> ParseResult<T>) -> ParseResult<T> {
         // The opening bracket is the previous token.
         self.brackets.push(self.previous_location());
-        let done = self.nested(read);
+        let result = self.nested(parse_content);
         self.brackets.pop();
-        done
+        result
     }
 
     /// Bytes of indentation at the current token, which begins a line.
@@ -210,9 +211,9 @@
             if self.tokens[self.position].0 == Token::End {
                 return stmts;
             }
-            let indented = self.indentation() > 0;
+            let is_indented = self.indentation() > 0;
             let start = self.position;
-            let read = if indented {
+            let parsed = if is_indented {
                 let location = self.current_location();
                 self.fail(Diagnostic::error(
                     location,
@@ -221,22 +222,22 @@
             } else {
                 self.stmt(false)
             };
-            match read {
+            match parsed {
                 Ok(stmt) => stmts.push(stmt),
                 Err(Reported) => self.recover(start),
             }
         }
     }
 
-    /// Skips to the next line that may begin a statement: neither indented nor beginning with a bracket.
+    /// Skips to the next unindented line that begins with a name or the keyword of a statement.
     fn recover(&mut self, start: usize) {
         self.brackets.clear();
         self.depth = 0;
         let mut line_starts = self.position > start && self.tokens[self.position - 1].0 == Token::Newline;
         loop {
             let token = self.tokens[self.position].0;
-            let begins = matches!(token, Token::Name | Token::Load | Token::Def | Token::Return);
-            if token == Token::End || (line_starts && begins) {
+            let is_statement_start = matches!(token, Token::Name | Token::Load | Token::Def | Token::Return);
+            if token == Token::End || (line_starts && is_statement_start) {
                 return;
             }
             line_starts = token == Token::Newline;
@@ -255,12 +256,12 @@
         }
     }
 
-    fn stmt(&mut self, in_def: bool) -> ParseResult<Stmt> {
+    fn stmt(&mut self, is_in_function: bool) -> ParseResult<Stmt> {
         let stmt = match self.peek() {
-            Token::Load if !in_def => self.load()?,
-            Token::Def if !in_def => return self.def(),
+            Token::Load if !is_in_function => self.load()?,
+            Token::Def if !is_in_function => return self.def(),
             Token::Load | Token::Def => return self.unexpected("an assignment or 'return'"),
-            Token::Return if in_def => {
+            Token::Return if is_in_function => {
                 self.position += 1;
                 let value = self.expr()?;
                 Stmt::Return { value }
@@ -305,7 +306,7 @@
             let file = p.string_literal()?;
             let mut names = Vec::new();
             while p.accept(Token::Comma).is_some() && p.peek() != Token::CloseParen {
-                let renamed = match p.peek() {
+                let local_name = match p.peek() {
                     Token::Name => {
                         let named = p.name()?;
                         p.expect(Token::Assign)?;
@@ -313,9 +314,9 @@
                     }
                     _ => None,
                 };
-                let there = p.string_literal()?;
-                let here = renamed.unwrap_or_else(|| there.clone());
-                names.push((here, there.name));
+                let loaded_name = p.string_literal()?;
+                let bound_name = local_name.unwrap_or_else(|| loaded_name.clone());
+                names.push((bound_name, loaded_name.name));
             }
             p.expect(Token::CloseParen)?;
             Ok((file, names))
@@ -368,7 +369,7 @@
             match self.indentation() {
                 _ if self.tokens[self.position].0 == Token::End => break,
                 0 => break,
-                same if same == indentation => {}
+                width if width == indentation => {}
                 _ => {
                     let location = self.current_location();
                     let diagnostic = Diagnostic::error(location, "inconsistent indentation");
@@ -392,12 +393,12 @@
     }
 
     fn unescape(&mut self, location: SourceLocation) -> ParseResult<Rc<str>> {
-        let inner = &self.slice(location)[1..(location.end - location.start) as usize - 1];
-        if !inner.contains('\\') {
-            return Ok(Rc::from(inner));
+        let content = &self.slice(location)[1..(location.end - location.start) as usize - 1];
+        if !content.contains('\\') {
+            return Ok(Rc::from(content));
         }
         let mut out = String::new();
-        let mut chars = inner.chars();
+        let mut chars = content.chars();
         while let Some(c) = chars.next() {
             let unescaped = match (c, c == '\\') {
                 (c, false) => Some(c),
@@ -439,12 +440,12 @@
         let token = self.peek();
         if level == COMPARISON_LEVEL && token == Token::Not {
             // After an operand, 'not' can only begin 'not in'.
-            let before = self.position;
+            let saved_position = self.position;
             self.position += 1;
             if self.accept(Token::In).is_some() {
                 return Some(Operator::NotIn);
             }
-            self.position = before;
+            self.position = saved_position;
             return None;
         }
         let found = PRECEDENCE_LEVELS[level].iter().find(|(t, _)| *t == token)?.1;
@@ -460,9 +461,9 @@
         if level == COMPARISON_LEVEL && self.peek() == Token::Not {
             let start = self.current_location();
             self.position += 1;
-            let inner = self.nested(|p| p.binary(COMPARISON_LEVEL))?;
-            let location = start.to(inner.location);
-            let kind = ExprKind::Not(Box::new(inner));
+            let operand = self.nested(|p| p.binary(COMPARISON_LEVEL))?;
+            let location = start.to(operand.location);
+            let kind = ExprKind::Not(Box::new(operand));
             return Ok(Expr { location, kind });
         }
         let first = self.binary(level + 1)?;
@@ -487,9 +488,9 @@
 
     fn unary(&mut self) -> ParseResult<Expr> {
         if let Some(start) = self.accept(Token::Minus) {
-            let inner = self.nested(|p| p.unary())?;
-            let location = start.to(inner.location);
-            let kind = ExprKind::Negate(Box::new(inner));
+            let operand = self.nested(|p| p.unary())?;
+            let location = start.to(operand.location);
+            let kind = ExprKind::Negate(Box::new(operand));
             return Ok(Expr { location, kind });
         }
         let mut value = self.primary()?;
--- a/crates/config/src/probation.rs
+++ b/crates/config/src/probation.rs
@@ -69,8 +69,8 @@
 
 /// Baseline of a change, and what was counted since.
 struct Baseline {
-    at: Timestamp,
-    from: Sample,
+    changed_at: Timestamp,
+    initial: Sample,
     /// Rejected share of the demand before the change.
     share: [f64; RESOURCES.len()],
     max_fill: [u64; RESOURCES.len()],
@@ -115,13 +115,13 @@
         let oldest = self.samples.front().map_or(self.latest, |(_, s)| *s);
         let (mut share, mut max_fill) = ([0.0; RESOURCES.len()], [0; RESOURCES.len()]);
         for index in 0..RESOURCES.len() {
-            share[index] = share_of(&oldest, &self.latest, index);
+            share[index] = rejected_share(&oldest, &self.latest, index);
             let fills = self.samples.iter().map(|(_, s)| s.fill[index]);
             max_fill[index] = fills.max().unwrap_or(0).max(self.latest.fill[index]);
         }
         self.baseline = Some(Baseline {
-            at: now,
-            from: self.latest,
+            changed_at: now,
+            initial: self.latest,
             share,
             max_fill,
             rejected_at_served_fill: [0; RESOURCES.len()],
@@ -137,16 +137,17 @@
         let Some(baseline) = &self.baseline else {
             return false;
         };
-        let increase = |index: usize| self.latest.demand[index].saturating_sub(baseline.from.demand[index]);
+        let increase =
+            |index: usize| self.latest.demand[index].saturating_sub(baseline.initial.demand[index]);
         (0..RESOURCES.len()).any(|index| increase(index) >= MIN_DEMAND)
     }
 
     pub fn verdict(&self, now: Timestamp, criteria: ProbationCriteria) -> Verdict {
-        let Some(baseline) = self.baseline.as_ref().filter(|c| c.at <= now) else {
+        let Some(baseline) = self.baseline.as_ref().filter(|c| c.changed_at <= now) else {
             return Verdict::Harmless;
         };
         let harms = |(index, resource): (usize, &Resource)| {
-            let demand = self.latest.demand[index].saturating_sub(baseline.from.demand[index]);
+            let demand = self.latest.demand[index].saturating_sub(baseline.initial.demand[index]);
             let rejected_at_served_fill = baseline.rejected_at_served_fill[index];
             let share = rejected_at_served_fill as f64 / demand.max(rejected_at_served_fill).max(1) as f64;
             self.may_exhaust.contains(resource)
@@ -162,8 +163,8 @@
     }
 }
 
-fn share_of(from: &Sample, to: &Sample, index: usize) -> f64 {
-    let demand = to.demand[index].saturating_sub(from.demand[index]);
-    let rejected = to.rejected[index].saturating_sub(from.rejected[index]);
+fn rejected_share(initial: &Sample, latest: &Sample, index: usize) -> f64 {
+    let demand = latest.demand[index].saturating_sub(initial.demand[index]);
+    let rejected = latest.rejected[index].saturating_sub(initial.rejected[index]);
     rejected as f64 / demand.max(rejected).max(1) as f64
 }
--- a/crates/config/src/resolved.rs
+++ b/crates/config/src/resolved.rs
@@ -35,7 +35,7 @@
     /// The settings without a file.
     pub fn defaults(schema: &Schema) -> ResolvedSettings {
         let all = schema.sections.iter().zip(&schema.bounds);
-        let first = |(section, bounds): (&crate::schema::Section, &Vec<crate::schema::Bounds>)| {
+        let default_entries = |(section, bounds): (&crate::schema::Section, &Vec<crate::schema::Bounds>)| {
             let amounts = bounds.iter().map(|b| b.default).collect();
             match section.key {
                 None => Entries::from([(Arc::from(""), amounts)]),
@@ -43,7 +43,7 @@
             }
         };
         ResolvedSettings {
-            sections: all.map(first).collect(),
+            sections: all.map(default_entries).collect(),
         }
     }
 
@@ -68,8 +68,8 @@
                         report(Diagnostic::error(*at, message));
                         continue;
                     }
-                    let own: Arc<str> = Arc::from(&**key);
-                    if let Some(before) = keys.insert((statement.section_index, own.clone()), *at) {
+                    let owned_key: Arc<str> = Arc::from(&**key);
+                    if let Some(before) = keys.insert((statement.section_index, owned_key.clone()), *at) {
                         let message = format!("{}({key:?}) is already set", section.name);
                         report(Diagnostic::error(*at, message).with_related(before, "first set here"));
                         continue;
@@ -78,10 +78,10 @@
                         report(Diagnostic::error(*at, format!("more than {MAX_ENTRIES} entries")));
                         return (resolved, locations);
                     }
-                    own
+                    owned_key
                 }
             };
-            let first = || {
+            let default_amounts = || {
                 schema.bounds[statement.section_index]
                     .iter()
                     .map(|b| b.default)
@@ -89,10 +89,15 @@
             };
             let amounts = resolved.sections[statement.section_index]
                 .entry(key.clone())
-                .or_insert_with(first);
+                .or_insert_with(default_amounts);
             for (name, value, at) in &statement.settings {
                 let Some(setting_index) = section.settings.iter().position(|r| *r.name == *name.name) else {
-                    report(unknown(section.name, section.settings, &name.name, name.location));
+                    report(unknown_setting(
+                        section.name,
+                        section.settings,
+                        &name.name,
+                        name.location,
+                    ));
                     continue;
                 };
                 let path = SettingPath {
@@ -103,7 +108,7 @@
                 match amount(schema, &path, value, *at) {
                     Ok(amount) => amounts[setting_index] = amount,
                     Err(None) => {}
-                    Err(Some(fault)) => report(*fault),
+                    Err(Some(error)) => report(*error),
                 }
                 if let Some(before) = locations.insert(path.clone(), *at) {
                     let message = format!("{} is already set", schema.format_path(&path));
@@ -145,10 +150,10 @@
         schema: &'a Schema,
     ) -> impl Iterator<Item = (SettingPath, Option<Quantity>)> + 'a {
         self.sections.iter().enumerate().flat_map(move |(s, entries)| {
-            let keyed = schema.sections[s].key.is_some();
+            let is_keyed = schema.sections[s].key.is_some();
             entries.iter().flat_map(move |(key, amounts)| {
                 amounts.iter().enumerate().map(move |(setting_index, amount)| {
-                    let key = keyed.then(|| key.clone());
+                    let key = is_keyed.then(|| key.clone());
                     (
                         SettingPath {
                             section_index: s,
@@ -165,8 +170,8 @@
     /// Canonical JSON: equal exactly for equal settings.
     pub fn canonical(&self, schema: &Schema) -> String {
         let setting = |(setting, amount): (&Setting, &Option<Quantity>)| {
-            let written = amount.map_or(Json::Null, |q| Json::String(q.to_string()));
-            (setting.name.to_owned(), written)
+            let amount_text = amount.map_or(Json::Null, |q| Json::String(q.to_string()));
+            (setting.name.to_owned(), amount_text)
         };
         let mut all = Map::new();
         for (section, entries) in schema.sections.iter().zip(&self.sections) {
@@ -191,16 +196,16 @@
     pub fn from_canonical(schema: &Schema, text: &str) -> Result<(ResolvedSettings, Vec<String>), String> {
         let value: Json = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let sections = value.as_object().ok_or("not an object")?;
-        let (mut resolved, mut left_out) = (ResolvedSettings::defaults(schema), Vec::new());
+        let (mut resolved, mut unknown_names) = (ResolvedSettings::defaults(schema), Vec::new());
         for (name, value) in sections {
-            let Some(s) = schema.sections.iter().position(|s| s.name == name) else {
-                left_out.push(name.clone());
+            let Some(section_index) = schema.sections.iter().position(|s| s.name == name) else {
+                unknown_names.push(name.clone());
                 continue;
             };
             let value = value
                 .as_object()
                 .ok_or_else(|| format!("{name} is not an object"))?;
-            let entries: Vec<(&str, &Map<String, Json>)> = match schema.sections[s].key {
+            let entries: Vec<(&str, &Map<String, Json>)> = match schema.sections[section_index].key {
                 None => vec![("", value)],
                 Some(_) => {
                     if !value.values().all(Json::is_object) {
@@ -213,25 +218,27 @@
                 }
             };
             for (key, settings) in entries {
-                let first = || schema.bounds[s].iter().map(|b| b.default).collect();
-                let amounts: &mut Amounts = resolved.sections[s].entry(Arc::from(key)).or_insert_with(first);
+                let default_amounts = || schema.bounds[section_index].iter().map(|b| b.default).collect();
+                let amounts: &mut Amounts = resolved.sections[section_index]
+                    .entry(Arc::from(key))
+                    .or_insert_with(default_amounts);
                 for (setting, value) in settings {
-                    let Some(r) = schema.sections[s]
+                    let Some(setting_index) = schema.sections[section_index]
                         .settings
                         .iter()
                         .position(|known| known.name == setting)
                     else {
-                        left_out.push(format!("{name}.{setting}"));
+                        unknown_names.push(format!("{name}.{setting}"));
                         continue;
                     };
-                    let bounds = &schema.bounds[s][r];
-                    let within = |q: &Quantity| {
+                    let bounds = &schema.bounds[section_index][setting_index];
+                    let is_in_bounds = |q: &Quantity| {
                         q.unit == bounds.unit && (bounds.min.amount..=bounds.max.amount).contains(&q.amount)
                     };
-                    amounts[r] = match value {
+                    amounts[setting_index] = match value {
                         Json::Null if bounds.default.is_none() => None,
                         Json::String(text) => {
-                            let read = Quantity::parse(text).ok().filter(within);
+                            let read = Quantity::parse(text).ok().filter(is_in_bounds);
                             Some(
                                 read.ok_or_else(|| format!("{name}.{setting} has the invalid value {text}"))?,
                             )
@@ -241,7 +248,7 @@
                 }
             }
         }
-        Ok((resolved, left_out))
+        Ok((resolved, unknown_names))
     }
 }
 
@@ -251,7 +258,7 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn unknown(section: &str, settings: &[Setting], name: &str, location: SourceLocation) -> Diagnostic {
+fn unknown_setting(section: &str, settings: &[Setting], name: &str, location: SourceLocation) -> Diagnostic {
     let diagnostic = Diagnostic::error(location, format!("'{section}' has no setting '{name}'"));
     match nearest(name, settings.iter().map(|r| r.name)) {
         Some(near) => diagnostic.with_help(format!("did you mean '{near}'?")),
@@ -271,7 +278,7 @@
 ) -> Result<Option<Quantity>, Option<Box<Diagnostic>>> {
     let bounds = &schema.bounds[path.section_index][path.setting_index];
     let (name, unit) = (schema.format_path(path), bounds.unit);
-    let fault = |message: String| Err(Some(Box::new(Diagnostic::error(location, message))));
+    let error = |message: String| Err(Some(Box::new(Diagnostic::error(location, message))));
     match value {
         Value::Invalid => Err(None),
         Value::None if bounds.default.is_none() => Ok(None),
@@ -279,7 +286,7 @@
             if (bounds.min.amount..=bounds.max.amount).contains(&q.amount) {
                 return Ok(Some(*q));
             }
-            fault(format!(
+            error(format!(
                 "{name} must be between {} and {}, found {q}",
                 bounds.min, bounds.max
             ))
@@ -294,9 +301,9 @@
                 unit.name(),
                 unit.example()
             );
-            fault(message)
+            error(message)
         }
-        other => fault(format!("{name} is {}, not {}", unit.name(), other.type_name())),
+        other => error(format!("{name} is {}, not {}", unit.name(), other.type_name())),
     }
 }
 
@@ -313,13 +320,13 @@
 pub fn changes(schema: &Schema, old: &ResolvedSettings, new: &ResolvedSettings) -> Vec<Change> {
     let mut all = Vec::new();
     for (section_index, (a, b)) in old.sections.iter().zip(&new.sections).enumerate() {
-        let keyed = schema.sections[section_index].key.is_some();
+        let is_keyed = schema.sections[section_index].key.is_some();
         let setting_count = schema.sections[section_index].settings.len();
-        let mut differ = |key: &Arc<str>, a: Option<&Amounts>, b: Option<&Amounts>| {
+        let mut add_changes = |key: &Arc<str>, a: Option<&Amounts>, b: Option<&Amounts>| {
             for setting_index in 0..setting_count {
                 let (old, new) = (a.map(|a| a[setting_index]), b.map(|b| b[setting_index]));
                 if old != new {
-                    let key = keyed.then(|| key.clone());
+                    let key = is_keyed.then(|| key.clone());
                     let path = SettingPath {
                         section_index,
                         key,
@@ -341,7 +348,7 @@
             let left = a.next_if(|_| order.is_le());
             let right = b.next_if(|_| order.is_ge());
             if let Some((key, _)) = left.or(right) {
-                differ(key, left.map(|(_, v)| v), right.map(|(_, v)| v));
+                add_changes(key, left.map(|(_, v)| v), right.map(|(_, v)| v));
             }
         }
     }
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -31,7 +31,7 @@
     NoColdMemberOverload,
     NoStaleRead,
     /// Clients and members can't exhaust each other's resources.
-    Bounds,
+    ResourceShares,
 }
 
 impl Guarantee {
@@ -42,7 +42,7 @@
             Guarantee::DrainsCompleted => "drains completed",
             Guarantee::NoColdMemberOverload => "no cold member overloaded",
             Guarantee::NoStaleRead => "no stale read",
-            Guarantee::Bounds => "no peer exceeds its share",
+            Guarantee::ResourceShares => "no client or member exceeds its share",
         }
     }
 }
@@ -156,9 +156,12 @@
 
     /// Indices of a section and a setting.
     pub fn find(&self, section: &str, setting: &str) -> Option<(usize, usize)> {
-        let s = self.sections.iter().position(|s| s.name == section)?;
-        let r = self.sections[s].settings.iter().position(|r| r.name == setting)?;
-        Some((s, r))
+        let section_index = self.sections.iter().position(|s| s.name == section)?;
+        let setting_index = self.sections[section_index]
+            .settings
+            .iter()
+            .position(|s| s.name == setting)?;
+        Some((section_index, setting_index))
     }
 
     pub fn setting(&self, path: &SettingPath) -> &Setting {
@@ -190,7 +193,8 @@
             };
             let _ = write!(
                 out,
-                "\n## `{head}`\n\n{}\n\n| setting | unit | range | default | takes effect | bears on | description |\n\
+                "\n## `{head}`\n\n{}\n\n\
+                 | setting | unit | range | default | takes effect | bears on | description |\n\
                  | --- | --- | --- | --- | --- | --- | --- |\n",
                 section.description
             );
--- a/crates/config/src/service_schema.rs
+++ b/crates/config/src/service_schema.rs
@@ -21,8 +21,8 @@
 const MIN_PROGRAM_MEMORY_PPM: i64 = 250_000;
 
 macro_rules! settings {
-    ($($name:literal: $min:literal to $max:literal = $default:literal, $takes_effect:ident, $affects:expr, [$($resource:ident),*],
-       $description:literal;)*) => {
+    ($($name:literal: $min:literal to $max:literal = $default:literal, $takes_effect:ident, $affects:expr,
+       [$($resource:ident),*], $description:literal;)*) => {
         &[$(Setting {
             name: $name,
             default: $default,
@@ -36,20 +36,22 @@
 }
 
 const NONE: Option<Guarantee> = None;
-const SHARES: Option<Guarantee> = Some(Guarantee::Bounds);
+const SHARES: Option<Guarantee> = Some(Guarantee::ResourceShares);
 const FINAL_ANSWER: Option<Guarantee> = Some(Guarantee::OneFinalAnswer);
 const DRAINS: Option<Guarantee> = Some(Guarantee::DrainsCompleted);
 const NO_DUPLICATE: Option<Guarantee> = Some(Guarantee::NoDuplicateEffect);
 
 #[rustfmt::skip]
 pub const SECTIONS: [Section; 14] = [
-    Section { name: "descriptors", key: None, description: "Allocation of the file descriptors of the process.", settings: settings! {
+    Section { name: "descriptors", key: None,
+        description: "Allocation of the file descriptors of the process.", settings: settings! {
         "reserve": "8" to "65536" = "48", Live, SHARES, [ClientSlots, Descriptors],
             "descriptors reserved for everything but clients and members";
         "clients": "5%" to "95%" = "66.6667%", Live, SHARES, [ClientSlots, Descriptors],
             "share of the remaining descriptors for clients; members get the others";
     } },
-    Section { name: "memory", key: None, description: "Bounds on the memory of the process for buffered data.", settings: settings! {
+    Section { name: "memory", key: None,
+        description: "Bounds on the memory of the process for buffered data.", settings: settings! {
         "clients": "1%" to "90%" = "25%", Live, SHARES, [Memory],
             "for data received from clients, and answers that they have not read";
         "members": "1%" to "90%" = "25%", Live, SHARES, [Memory],
@@ -63,7 +65,8 @@
         "rest": "50ms" to "1d" = "10s", Live, SHARES, [ClientSlots],
             "idle timeout between two statements";
         "filling_from": "1%" to "100%" = "25%", Live, SHARES, [ClientSlots],
-            "share of all places for clients, held by clients that have sent a statement, from which `filling_rest` applies";
+            "share of all places for clients, held by clients that have sent a statement, from which \
+             `filling_rest` applies";
         "filling_rest": "50ms" to "1d" = "2200ms", Live, SHARES, [ClientSlots],
             "idle timeout between two statements from `filling_from` on";
         "crowded_from": "1%" to "100%" = "40%", Live, SHARES, [ClientSlots],
@@ -79,7 +82,8 @@
         "longest_timeout": "10ms" to "1d" = "1d", Live, FINAL_ANSWER, [],
             "maximum of the statement timeout that a client may request";
     } },
-    Section { name: "workload", key: Some("name"), description: "Bounds on the statements of one workload. Names must equal those \
+    Section { name: "workload", key: Some("name"),
+        description: "Bounds on the statements of one workload. Names must equal those \
 in the settings of the deployment; a name that is unknown there has no effect.", settings: settings! {
         "timeout": "10ms" to "1d" = "", Live, FINAL_ANSWER, [],
             "maximum of the statement timeout that a client may request; it never extends a timeout";
@@ -114,7 +118,8 @@
         "lines": "1/s" to "1000/s" = "5/s", Live, NONE, [],
             "lines of each topic; suppressed lines are counted";
     } },
-    Section { name: "process", key: None, description: "Settings of the process that apply from its start.", settings: settings! {
+    Section { name: "process", key: None,
+        description: "Settings of the process that apply from its start.", settings: settings! {
         "stack": "32KiB" to "1MiB" = "64KiB", NextStart, SHARES, [],
             "stack size of each connection; memory is committed as it is used";
         "spare_stacks": "0" to "4096" = "64", NextStart, SHARES, [],
@@ -134,7 +139,8 @@
         "silence": "10ms" to "10min" = "5s", Live, FINAL_ANSWER, [],
             "heartbeat timeout, after which the successor is killed and the predecessor serves again";
     } },
-    Section { name: "shared", key: None, description: "Gossip between the drivers of a fleet. It is off while \
+    Section { name: "shared", key: None,
+        description: "Gossip between the drivers of a fleet. It is off while \
 `port` is 0.", settings: settings! {
         "port": "0" to "65535" = "0", NextStart, NONE, [],
             "UDP port for datagrams of other drivers, at the address for clients";
@@ -151,7 +157,8 @@
         "suspicion": "100ms" to "10min" = "2s", NextStart, NONE, [],
             "how long an unresponsive driver is suspected before it counts as gone";
         "ask": "5ms" to "5s" = "100ms", NextStart, FINAL_ANSWER, [],
-            "timeout of an inquiry to other drivers about a retried statement; at most 0.3 of the statement's time";
+            "timeout of an inquiry to other drivers about a retried statement; at most 0.3 of the \
+             statement's time";
         "window": "1s" to "1h" = "30s", NextStart, NO_DUPLICATE, [],
             "how long after its first execution a client may retry a statement";
         "keep": "0s" to "10min" = "0s", NextStart, NONE, [],
@@ -159,14 +166,17 @@
         "ids": "1000" to "1000000" = "65536", NextStart, NO_DUPLICATE, [],
             "executed statements that are tracked for that; beyond them retries have an uncertain outcome";
     } },
-    Section { name: "driver", key: Some("name@address"), description: "Another driver of the fleet, by the name in its \
+    Section { name: "driver", key: Some("name@address"),
+        description: "Another driver of the fleet, by the name in its \
 configuration and its IP address. Datagrams from other addresses are ignored.", settings: settings! {
         "port": "1" to "65535" = "", NextStart, NONE, [],
             "its `shared.port`; by default the same as here";
         "asked": "0" to "1" = "", NextStart, NO_DUPLICATE, [],
-            "0 for a driver that is permanently gone and has executed nothing within `shared.window`: it receives no inquiries; 1 by default";
+            "0 for a driver that is permanently gone and has executed nothing within `shared.window`: it \
+             receives no inquiries; 1 by default";
     } },
-    Section { name: "activation", key: None, description: "How a changed file is applied and rolled back. For `margin` \
+    Section { name: "activation", key: None,
+        description: "How a changed file is applied and rolled back. For `margin` \
 and `least` the stricter of the values before and after the change applies.", settings: settings! {
         "probation": "0s" to "1h" = "30s", Live, NONE, [],
             "how long a change is watched before it is confirmed; 0 confirms it at once";
@@ -252,7 +262,9 @@
         let remaining = format_amount(Unit::Share, 1_000_000 - clients - members);
         all.push(Conflict {
             paths: paths(schema, &names),
-            reason: format!("only {remaining} of the memory is left for the program itself: it may be killed when both parts are full"),
+            reason: format!(
+                "only {remaining} of the memory is left for the program: it may be killed if both are full"
+            ),
             warning: true,
         });
     }
@@ -354,8 +366,8 @@
     }
     let at = |us| format_amount(Unit::Duration, us);
     let reason = format!(
-        "breaks 'one final answer in time': a statement accepted when the drain begins may be answered after {}, its \
-         answer read after {}, but the process exits after {}",
+        "breaks 'one final answer in time': a statement accepted when the drain begins may be answered \
+         after {}, its answer read after {}, but the process exits after {}",
         at(timeout),
         at(timeout + linger),
         at(drain)
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -92,5 +92,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[rustfmt::skip]
 pub enum Operator {
-    Or, And, Equal, NotEqual, Less, LessEqual, Greater, GreaterEqual, In, NotIn, Add, Subtract, Multiply, Divide, Remainder,
+    Or, And, Equal, NotEqual, Less, LessEqual, Greater, GreaterEqual, In, NotIn,
+    Add, Subtract, Multiply, Divide, Remainder,
 }
--- a/crates/config/src/unit.rs
+++ b/crates/config/src/unit.rs
@@ -25,7 +25,8 @@
 /// Suffixes with their unit and scale to the base unit; per unit the largest first.
 #[rustfmt::skip]
 const SUFFIXES: [(&str, Unit, i64); 19] = [
-    ("d", Unit::Duration, 86_400_000_000), ("h", Unit::Duration, 3_600_000_000), ("min", Unit::Duration, 60_000_000),
+    ("d", Unit::Duration, 86_400_000_000), ("h", Unit::Duration, 3_600_000_000),
+    ("min", Unit::Duration, 60_000_000),
     ("s", Unit::Duration, 1_000_000), ("ms", Unit::Duration, 1000), ("us", Unit::Duration, 1),
     ("TiB", Unit::Size, 1 << 40), ("GiB", Unit::Size, 1 << 30), ("GB", Unit::Size, 1_000_000_000),
     ("MiB", Unit::Size, 1 << 20), ("MB", Unit::Size, 1_000_000), ("KiB", Unit::Size, 1 << 10),
--- a/crates/config/tests/fixtures.rs
+++ b/crates/config/tests/fixtures.rs
@@ -134,7 +134,7 @@
         .iter()
         .map(|stored| (stored.number, stored.canonical.clone()))
         .collect();
-    let mut expected = vec![(6, Err(Damage::CutShort))];
+    let mut expected = vec![(6, Err(Damage::Truncated))];
     let intact = stored_settings().into_iter().rev();
     expected.extend(intact.map(|(number, canonical)| (number, Ok(canonical))));
     assert_eq!(stored, expected);
--- a/crates/config/tests/robustness.rs
+++ b/crates/config/tests/robustness.rs
@@ -48,14 +48,17 @@
         ("clauses", format!("x = [1 {}]\n", "for a in [1] ".repeat(10_000)).into(), "clauses"),
         ("values in values", format!("a0 = []\n{names}").into(), "the value is nested too deeply"),
         ("doubled texts", format!("t0 = \"0123456789abcdef\"\n{doubled}").into(), "too many values"),
-        ("lists that hold one another twice", format!("a0 = [1]\n{twice}x = a30 == a30\n").into(), "too many steps"),
-        ("never ends", "x = [1 for a in range(2000) for b in range(2000) for c in range(2000)]".into(), "too many"),
+        ("lists that hold one another twice", format!("a0 = [1]\n{twice}x = a30 == a30\n").into(),
+         "too many steps"),
+        ("never ends", "x = [1 for a in range(2000) for b in range(2000) for c in range(2000)]".into(),
+         "too many"),
         ("not UTF-8", b"x = 1\ny = \xff".to_vec(), "invalid UTF-8"),
         ("NUL", b"x = \0".to_vec(), "unexpected character"),
         ("a lone carriage return", b"x = 1\ry = 2".to_vec(), "unexpected character"),
         ("UTF-16", "x = 1\n".encode_utf16().flat_map(u16::to_le_bytes).collect(), "unexpected character"),
         ("a name of a megabyte", "a".repeat(1 << 20).into(), "unknown name"),
-        ("20001 entries", (0..20_001).map(|n| format!("workload(\"w{n}\")\n")).collect::<String>().into(), "more than 20000"),
+        ("20001 entries", (0..20_001).map(|n| format!("workload(\"w{n}\")\n")).collect::<String>().into(),
+         "more than 20000"),
         ("entries made", "[workload(str(n)) for n in range(30000)]".into(), "more than 20000"),
     ];
     for (name, bytes, message_part) in cases {
@@ -80,7 +83,8 @@
 fn load_unusual_but_valid_file_succeeds() {
     #[rustfmt::skip]
     let cases: [(&str, &[u8]); 5] = [
-        ("byte order mark", b"\xef\xbb\xbfclients(rest = 9s)\n"), ("CRLF", b"clients(\r\n  rest = 9s,\r\n)\r\n"),
+        ("byte order mark", b"\xef\xbb\xbfclients(rest = 9s)\n"),
+        ("CRLF", b"clients(\r\n  rest = 9s,\r\n)\r\n"),
         ("no end of line", b"clients(rest = 9s)"), ("tabs", b"\tclients(\trest\t=\t9s\t)".trim_ascii_start()),
         ("long chains", b"clients(rest = 9s)"),
     ];
@@ -103,8 +107,10 @@
 /// an error.
 #[test]
 fn load_truncated_file_rejects_partial_statement() {
-    let text = "# é\ndef f(t = 1s):\n    u = t * 2\n    return u\n\nclients(\n    rest = f(4s),  # a\n    message = 3s,\n)\n\
-                x = {\"a\": [1, 2], \"b\": \"\\\"\\n\"}\nworkload(\"a\", timeout = 1s if True else 2s, **{\"longest\": 1KiB})\n";
+    let text = "# é\ndef f(t = 1s):\n    u = t * 2\n    return u\n\n\
+                clients(\n    rest = f(4s),  # a\n    message = 3s,\n)\n\
+                x = {\"a\": [1, 2], \"b\": \"\\\"\\n\"}\n\
+                workload(\"a\", timeout = 1s if True else 2s, **{\"longest\": 1KiB})\n";
     assert!(
         load_root(text).settings.is_some(),
         "{}",
@@ -135,10 +141,14 @@
 fn check_bytes_arbitrary_input_holds() {
     #[rustfmt::skip]
     let pieces = prop::sample::select(vec![
-        "x", "f", "clients", "workload", "rest", "timeout", "memory", "load", "def", "return", "if", "else", "for", "in",
-        "and", "or", "not", "True", "None", "1", "2s", "15%", "64KiB", "5/s", "1.5s", "\"a\"", "\"b\"", "\"", "(", ")",
-        "[", "]", "{", "}", ",", ":", "=", "==", "<", "+", "-", "*", "**", "//", "%", "\n", "\n    ", "\n\n", " ", "# c\n",
-        "\t", "\r\n", "\u{feff}", "\0", "é", "$", "clients(rest = 9s)", "x = ", "def f(a):\n    return a\n", "range(9)",
+        "x", "f", "clients", "workload", "rest", "timeout", "memory", "load", "def", "return", "if",
+        "else", "for", "in",
+        "and", "or", "not", "True", "None", "1", "2s", "15%", "64KiB", "5/s", "1.5s", "\"a\"", "\"b\"",
+        "\"", "(", ")",
+        "[", "]", "{", "}", ",", ":", "=", "==", "<", "+", "-", "*", "**", "//", "%", "\n", "\n    ",
+        "\n\n", " ", "# c\n",
+        "\t", "\r\n", "\u{feff}", "\0", "é", "$", "clients(rest = 9s)", "x = ",
+        "def f(a):\n    return a\n", "range(9)",
         "load(\"root.latch\")", "len", "str", "(x)", "[0]", "f(1)", " for a in [1, 2]", " if True else ", "a",
     ]);
     let generated_text = prop::collection::vec(pieces, 0..40).prop_map(|all| all.concat());
@@ -225,14 +235,19 @@
     use Unit::*;
     #[rustfmt::skip]
     let cases: [(&str, Result<(Unit, i64), QuantityError>, &str); 20] = [
-        ("0", Ok((Count, 0)), "0"), ("16", Ok((Count, 16)), "16"), ("1.2s", Ok((Duration, 1_200_000)), "1200ms"),
+        ("0", Ok((Count, 0)), "0"), ("16", Ok((Count, 16)), "16"),
+        ("1.2s", Ok((Duration, 1_200_000)), "1200ms"),
         ("60s", Ok((Duration, 60_000_000)), "1min"), ("0ms", Ok((Duration, 0)), "0s"),
         ("0.000001s", Ok((Duration, 1)), "1us"), ("0.0000001s", Err(QuantityError::TooFine), ""),
-        ("64KiB", Ok((Size, 65_536)), "64KiB"), ("1000KB", Ok((Size, 1_000_000)), "1MB"), ("1.5KiB", Ok((Size, 1536)), "1536B"),
-        ("200/s", Ok((Rate, 720_000_000)), "200/s"), ("1/h", Ok((Rate, 1000)), "1/h"), ("0.0005/h", Err(QuantityError::TooFine), ""),
-        ("0.5/h", Ok((Rate, 500)), "0.5/h"), ("15%", Ok((Share, 150_000)), "15%"), ("66.6667%", Ok((Share, 666_667)), "66.6667%"),
+        ("64KiB", Ok((Size, 65_536)), "64KiB"), ("1000KB", Ok((Size, 1_000_000)), "1MB"),
+        ("1.5KiB", Ok((Size, 1536)), "1536B"),
+        ("200/s", Ok((Rate, 720_000_000)), "200/s"), ("1/h", Ok((Rate, 1000)), "1/h"),
+        ("0.0005/h", Err(QuantityError::TooFine), ""),
+        ("0.5/h", Ok((Rate, 500)), "0.5/h"), ("15%", Ok((Share, 150_000)), "15%"),
+        ("66.6667%", Ok((Share, 666_667)), "66.6667%"),
         ("0.0001%", Ok((Share, 1)), "0.0001%"), ("1.5", Err(QuantityError::TooFine), ""),
-        ("9999999999999999d", Err(QuantityError::TooLarge), ""), ("5parsec", Err(QuantityError::UnknownUnit), ""),
+        ("9999999999999999d", Err(QuantityError::TooLarge), ""),
+        ("5parsec", Err(QuantityError::UnknownUnit), ""),
     ];
     for (text, expected, written) in cases {
         let found = Quantity::parse(text);
--- a/crates/config/tests/store.rs
+++ b/crates/config/tests/store.rs
@@ -99,10 +99,13 @@
     }
     #[rustfmt::skip]
     let cases: [(&[u8], Damage); 8] = [
-        (b"", Damage::NoHeader), (b"\xff\xfe", Damage::NotText), (b"asterlatch generation\n", Damage::NoHeader),
-        (b"asterlatch generation x 1 a\nb", Damage::NoHeader), (b"asterlatch generation 8 1 a\nb", Damage::OtherNumber),
-        (b"asterlatch generation 7 2 a\nb", Damage::CutShort), (b"asterlatch generation 7 0 a\nb", Damage::TooLong),
-        (b"asterlatch generation 7 1 a\nb", Damage::OtherHash),
+        (b"", Damage::InvalidHeader), (b"\xff\xfe", Damage::NotUtf8),
+        (b"asterlatch generation\n", Damage::InvalidHeader),
+        (b"asterlatch generation x 1 a\nb", Damage::InvalidHeader),
+        (b"asterlatch generation 8 1 a\nb", Damage::NumberMismatch),
+        (b"asterlatch generation 7 2 a\nb", Damage::Truncated),
+        (b"asterlatch generation 7 0 a\nb", Damage::TooLong),
+        (b"asterlatch generation 7 1 a\nb", Damage::HashMismatch),
     ];
     for (bytes, damage) in cases {
         assert_eq!(
@@ -176,7 +179,8 @@
     #[rustfmt::skip]
     let cases: [(&[&str], usize, Option<u64>); 8] = [
         (&[], 1, None), (&["a"], 1, None), (&["a", "b"], 1, Some(1)), (&["a", "a", "b"], 1, Some(1)),
-        (&["a", "a"], 1, None), (&["a", "b", "a"], 2, Some(1)), (&["a", "b", "c"], 3, None), (&["a", "b"], 0, None),
+        (&["a", "a"], 1, None), (&["a", "b", "a"], 2, Some(1)), (&["a", "b", "c"], 3, None),
+        (&["a", "b"], 0, None),
     ];
     for (texts, steps, expected) in cases {
         assert_eq!(
