--- a/crates/driver/src/program/operators/worker.rs
+++ b/crates/driver/src/program/operators/worker.rs
@@ -1,7 +1,7 @@
 //! Reads the operators' file and stores generations on a thread of its own: a large file or a slow disk must not delay
 //! statements. While the disk fails, the generation kept last is stored again, later each time.
 
-use super::{read, registry, Given, OperatorsError};
+use super::{read, schema, Given, OperatorsError};
 use crate::routing::events::{ControlEvent, Event};
 use asterlatch_config::diagnostic;
 use asterlatch_config::generation_writer::GenerationWriter;
@@ -161,7 +161,7 @@
         let error_count = outcome.error_count();
         let outcome = match outcome.settings {
             Some(settings) => {
-                let hash = hash(&settings.canonical(registry()));
+                let hash = hash(&settings.canonical(schema()));
                 ReadOutcome::Valid { hash, settings }
             }
             None => ReadOutcome::Invalid { error_count },
--- a/crates/driver/src/routing/limits.rs
+++ b/crates/driver/src/routing/limits.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CrowdedIdleTimeout {
     /// Share of all places that active clients take, from which on the timeout applies.
-    pub from: Share,
+    pub min_active_share: Share,
     /// Idle time between two statements.
     pub timeout: TimeSpan,
 }
@@ -84,11 +84,11 @@
             client_idle_timeout: TimeSpan::millis(10_000),
             crowded_idle_timeouts: [
                 CrowdedIdleTimeout {
-                    from: Share(400_000),
+                    min_active_share: Share(400_000),
                     timeout: TimeSpan::millis(100),
                 },
                 CrowdedIdleTimeout {
-                    from: Share(250_000),
+                    min_active_share: Share(250_000),
                     timeout: TimeSpan::millis(2200),
                 },
             ],
@@ -109,7 +109,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkloadLimits {
     /// Upper bound for the statement timeout of clients.
-    pub timeout: Option<TimeSpan>,
+    pub max_timeout: Option<TimeSpan>,
     /// Longest statement, in bytes.
     pub max_bytes: Option<usize>,
 }
