--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -107,10 +107,10 @@
     if column > MAX_LINE_CHARS {
         return;
     }
-    let left = line.chars().count().saturating_sub(column - 1).max(1);
+    let max_width = line.chars().count().saturating_sub(column - 1).max(1);
     let underlined = file.text.get(location.start as usize..location.end as usize);
     let underlined = underlined.and_then(|m| m.lines().next()).unwrap_or_default();
-    let width = underlined.chars().count().clamp(1, left);
+    let width = underlined.chars().count().clamp(1, max_width);
     let _ = writeln!(
         out,
         "    {line}\n    {}{}",
--- a/crates/config/src/service_schema.rs
+++ b/crates/config/src/service_schema.rs
@@ -299,16 +299,16 @@
         settings.amount(schema, "descriptors", "clients"),
     );
     let names = [("descriptors", "reserve"), ("descriptors", "clients")];
-    let others = machine.descriptors - reserve;
-    let clients = share_of(others.max(0), share);
-    let (members, of) = (others - clients, machine.descriptors);
+    let available = machine.descriptors - reserve;
+    let clients = share_of(available.max(0), share);
+    let (members, total) = (available - clients, machine.descriptors);
     conflict(
         schema,
         members < MIN_MEMBER_DESCRIPTORS || clients < 1,
         &names,
         || {
             format!(
-                "of {of} descriptors, {} are left for clients and {} for members",
+                "of {total} descriptors, {} are left for clients and {} for members",
                 clients.max(0),
                 members.max(0)
             )
@@ -318,32 +318,36 @@
 
 /// Idle timeouts must shrink with the number of clients, or a crowd would release places last.
 fn check_idle_timeouts(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let at = |setting| settings.amount(schema, "clients", setting);
+    let amount = |setting| settings.amount(schema, "clients", setting);
     let idle_timeouts = [
         ("clients", "rest"),
         ("clients", "filling_rest"),
         ("clients", "crowded_rest"),
     ];
-    let from = [("clients", "filling_from"), ("clients", "crowded_from")];
-    let are_increasing = at("rest") < at("filling_rest") || at("filling_rest") < at("crowded_rest");
+    let thresholds = [("clients", "filling_from"), ("clients", "crowded_from")];
+    let are_increasing =
+        amount("rest") < amount("filling_rest") || amount("filling_rest") < amount("crowded_rest");
     let mut all = conflict(schema, are_increasing, &idle_timeouts, || {
         "idle timeouts grow with the number of clients, so a crowd releases places last".to_owned()
     });
     all.extend(conflict(
         schema,
-        at("filling_from") > at("crowded_from"),
-        &from,
+        amount("filling_from") > amount("crowded_from"),
+        &thresholds,
         || "'filling_from' is above 'crowded_from', so 'filling_rest' never applies".to_owned(),
     ));
     all
 }
 
 fn check_backoffs(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let at = |setting| settings.amount(schema, "discovery", setting);
+    let amount = |setting| settings.amount(schema, "discovery", setting);
     let names = [("discovery", "first_pause"), ("discovery", "longest_pause")];
-    conflict(schema, at("first_pause") > at("longest_pause"), &names, || {
-        "'first_pause' is longer than 'longest_pause'".to_owned()
-    })
+    conflict(
+        schema,
+        amount("first_pause") > amount("longest_pause"),
+        &names,
+        || "'first_pause' is longer than 'longest_pause'".to_owned(),
+    )
 }
 
 /// Maximum statement timeout in microseconds, and the setting that states it.
@@ -356,7 +360,7 @@
 
 /// A statement accepted at the end of the arrivals must be answered before the process exits.
 fn check_drain(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let (timeout, stated) = max_statement_timeout(schema, settings);
+    let (timeout, timeout_path) = max_statement_timeout(schema, settings);
     let (drain, linger) = (
         settings.amount(schema, "phases", "longest_drain"),
         settings.amount(schema, "phases", "linger"),
@@ -364,16 +368,16 @@
     if drain >= timeout.saturating_add(linger) {
         return Vec::new();
     }
-    let at = |us| format_amount(Unit::Duration, us);
+    let format = |us| format_amount(Unit::Duration, us);
     let reason = format!(
         "breaks 'one final answer in time': a statement accepted when the drain begins may be answered \
          after {}, its answer read after {}, but the process exits after {}",
-        at(timeout),
-        at(timeout + linger),
-        at(drain)
+        format(timeout),
+        format(timeout + linger),
+        format(drain)
     );
     let mut paths = paths(schema, &[("phases", "linger"), ("phases", "longest_drain")]);
-    paths.push(stated);
+    paths.push(timeout_path);
     vec![Conflict {
         paths,
         reason,
@@ -396,10 +400,10 @@
 
 /// The grace for new clients must end before the timeout of their first statement.
 fn check_arrival_grace(schema: &Schema, settings: &ResolvedSettings, _: Machine) -> Vec<Conflict> {
-    let at = |setting| settings.amount(schema, "clients", setting);
-    let (just_came, first) = (at("just_came"), at("first_statement"));
+    let amount = |setting| settings.amount(schema, "clients", setting);
+    let (just_came, first_statement) = (amount("just_came"), amount("first_statement"));
     let names = [("clients", "just_came"), ("clients", "first_statement")];
-    conflict(schema, just_came > first, &names, || {
+    conflict(schema, just_came > first_statement, &names, || {
         "'just_came' is longer than 'first_statement': a silent client would be protected although its first \
          statement has timed out"
             .to_owned()
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -38,8 +38,8 @@
 fn cases(text: &str) -> Vec<(String, String)> {
     let parts = text.split("\n===== ").skip(1);
     let parse_case_block = |part: &str| {
-        let (head, body) = part.split_once('\n').expect("a case has a heading and a body");
-        (head.to_owned(), body.to_owned() + "\n")
+        let (heading, body) = part.split_once('\n').expect("a case has a heading and a body");
+        (heading.to_owned(), body.to_owned() + "\n")
     };
     parts.map(parse_case_block).collect()
 }
@@ -49,8 +49,8 @@
     let all = cases(include_str!("corpus/faulty.txt"));
     assert!(all.len() >= 90, "{} cases", all.len());
     let mut failed = Vec::new();
-    for (head, body) in &all {
-        let (location, message_part) = head
+    for (heading, body) in &all {
+        let (location, message_part) = heading
             .split_once(' ')
             .expect("a heading has a location and a message");
         let outcome = load_root(&parse_case(body));
@@ -60,13 +60,13 @@
             || !first.starts_with(&format!("{location}: "))
             || !first.contains(message_part)
         {
-            failed.push(format!("{head}\n{body}{text}"));
+            failed.push(format!("{heading}\n{body}{text}"));
         }
         // Each diagnostic refers to an existing line of the case's files.
         for diagnostic in &outcome.diagnostics {
             let file = &outcome.files[diagnostic.location.file as usize];
             let (line, _) = file.line_and_column(diagnostic.location.start);
-            assert!(line <= file.text.lines().count() + 1, "{head}: line {line}");
+            assert!(line <= file.text.lines().count() + 1, "{heading}: line {line}");
         }
     }
     assert!(
@@ -82,13 +82,15 @@
     let all = cases(include_str!("corpus/valid.txt"));
     assert!(all.len() >= 60, "{} cases", all.len());
     let schema = service_schema::schema();
-    let mut by_meaning: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    let mut meanings = Vec::new();
-    for (head, body) in &all {
+    let mut classes_by_hash: BTreeMap<String, Vec<String>> = BTreeMap::new();
+    let mut all_settings = Vec::new();
+    for (heading, body) in &all {
         let files = parse_case(body);
         let outcome = load_root(&files);
         let text = outcome.render_diagnostics();
-        let settings = outcome.settings.unwrap_or_else(|| panic!("{head}\n{body}{text}"));
+        let settings = outcome
+            .settings
+            .unwrap_or_else(|| panic!("{heading}\n{body}{text}"));
         let formatted: BTreeMap<_, _> = files
             .0
             .iter()
@@ -98,28 +100,32 @@
                 assert_eq!(
                     format(&formatted),
                     formatted,
-                    "{head}: formatting {name} is not idempotent\n{formatted}"
+                    "{heading}: formatting {name} is not idempotent\n{formatted}"
                 );
                 (name.clone(), formatted.into_bytes())
             })
             .collect();
         let reloaded = load_root(&MemorySource(formatted))
             .settings
-            .unwrap_or_else(|| panic!("{head}: the formatted files are invalid"));
+            .unwrap_or_else(|| panic!("{heading}: the formatted files are invalid"));
         assert!(
             changes(&schema, &settings, &reloaded).is_empty(),
-            "{head}: the formatted files have other settings"
+            "{heading}: the formatted files have other settings"
         );
         // Settings are equal exactly within a class, the first word of the heading.
-        let class = head.split(' ').next().expect("a heading has a class").to_owned();
-        by_meaning
+        let class = heading
+            .split(' ')
+            .next()
+            .expect("a heading has a class")
+            .to_owned();
+        classes_by_hash
             .entry(hash(&settings.canonical(&schema)))
             .or_default()
             .push(class);
-        meanings.push(settings);
+        all_settings.push(settings);
     }
     let mut seen = BTreeMap::new();
-    for (hash, classes) in &by_meaning {
+    for (hash, classes) in &classes_by_hash {
         assert!(
             classes.windows(2).all(|p| p[0] == p[1]),
             "equal settings for {classes:?}"
@@ -131,10 +137,10 @@
         );
     }
     // The diff is empty exactly if the canonical texts are equal.
-    for a in &meanings {
-        for b in &meanings {
-            let same = a.canonical(&schema) == b.canonical(&schema);
-            assert_eq!(changes(&schema, a, b).is_empty(), same);
+    for a in &all_settings {
+        for b in &all_settings {
+            let are_equal = a.canonical(&schema) == b.canonical(&schema);
+            assert_eq!(changes(&schema, a, b).is_empty(), are_equal);
         }
     }
 }
--- a/crates/config/tests/grammar.rs
+++ b/crates/config/tests/grammar.rs
@@ -23,17 +23,17 @@
 type Rules = BTreeMap<String, Part>;
 
 fn block(fence: &str) -> &'static str {
-    let from = PAGE
+    let rest_of_page = PAGE
         .split_once(&format!("```{fence}\n"))
         .expect("the page has the block")
         .1;
-    from.split_once("```").expect("the block ends").0
+    rest_of_page.split_once("```").expect("the block is closed").0
 }
 
 /// Parser of the notation that the page explains.
 struct GrammarParser<'a> {
     words: Vec<&'a str>,
-    at: usize,
+    position: usize,
 }
 
 fn split(text: &str) -> Vec<&str> {
@@ -41,8 +41,8 @@
     let mut rest = text.trim_start();
     while let Some(first) = rest.chars().next() {
         let end = match first {
-            '"' | '\'' => 2 + rest[1..].find(first).expect("a literal ends"),
-            '?' => 2 + rest[1..].find('?').expect("a special ends"),
+            '"' | '\'' => 2 + rest[1..].find(first).expect("a literal is closed"),
+            '?' => 2 + rest[1..].find('?').expect("a special is closed"),
             c if c.is_alphanumeric() => rest.find(|c: char| !c.is_alphanumeric()).unwrap_or(rest.len()),
             _ => 1,
         };
@@ -56,10 +56,10 @@
     fn rules(text: &'a str) -> Rules {
         let mut parser = GrammarParser {
             words: split(text),
-            at: 0,
+            position: 0,
         };
         let mut rules = Rules::new();
-        while parser.at < parser.words.len() {
+        while parser.position < parser.words.len() {
             let name = parser.next().to_owned();
             assert_eq!(parser.next(), "=", "{name}");
             let part = parser.choice();
@@ -70,13 +70,13 @@
     }
 
     fn next(&mut self) -> &'a str {
-        self.at += 1;
-        self.words[self.at - 1]
+        self.position += 1;
+        self.words[self.position - 1]
     }
 
     fn accept(&mut self, word: &str) -> bool {
-        let found = self.words.get(self.at) == Some(&word);
-        self.at += usize::from(found);
+        let found = self.words.get(self.position) == Some(&word);
+        self.position += usize::from(found);
         found
     }
 
@@ -167,7 +167,7 @@
                 self.out.push_str(word);
                 self.space(in_token);
             }
-            Part::Special(what) => match what.as_str() {
+            Part::Special(special) => match special.as_str() {
                 "newline" => {
                     self.out.push('\n');
                     self.out.push_str(&" ".repeat(self.indent));
@@ -200,14 +200,17 @@
             }
             Part::Choice(all) => {
                 // Finishes with the shallowest alternative.
-                let n = if self.must_finish(depth) {
-                    let min_depth: Vec<_> = all.iter().map(|p| min_depth(p, self.depths)).collect();
-                    let first = min_depth.iter().min().expect("has choices");
-                    min_depth.iter().position(|l| l == first).expect("is there")
+                let choice_index = if self.must_finish(depth) {
+                    let min_depths: Vec<_> = all.iter().map(|p| min_depth(p, self.depths)).collect();
+                    let first = min_depths.iter().min().expect("a choice has alternatives");
+                    min_depths
+                        .iter()
+                        .position(|l| l == first)
+                        .expect("the minimum is one of the depths")
                 } else {
                     self.draw(all.len())
                 };
-                self.write_part(&all[n].clone(), depth, in_token);
+                self.write_part(&all[choice_index].clone(), depth, in_token);
             }
             Part::Sequence(all) => all
                 .clone()
@@ -228,7 +231,7 @@
                 loop {
                     self.write_part(part, depth, in_token);
                     let Part::Rule(name) = &**exception else {
-                        panic!("a rule is left out")
+                        panic!("only a rule can be an exception")
                     };
                     let words = format!("{:?}", self.tokens[name]);
                     if !words.contains(&format!("Literal({:?})", &self.out[start..])) {
@@ -278,11 +281,11 @@
             .iter()
             .filter(|r| !r.message.starts_with("nested more") && !r.message.contains("too large"))
             .collect();
-        let shown = [SourceFile {
+        let files = [SourceFile {
             name: "made".to_owned(),
             text: sentence.clone(),
         }];
-        let rendered: String = unexpected.iter().map(|r| render(r, &shown)).collect();
+        let rendered: String = unexpected.iter().map(|r| render(r, &files)).collect();
         assert!(unexpected.is_empty(), "seed {seed}\n{sentence}\n{rendered}");
         if parsed.diagnostics.is_empty() {
             let formatted = format(&sentence);
--- a/crates/config/tests/robustness.rs
+++ b/crates/config/tests/robustness.rs
@@ -37,18 +37,18 @@
         ("60 MB", vec![b'#'; 60 << 20], "longer than"),
         ("brackets", deep("[", "]").into(), "nested more than"),
         ("braces", deep("{1:", "}").into(), "nested more than"),
-        ("round ones", deep("(", ")").into(), "nested more than"),
+        ("parentheses", deep("(", ")").into(), "nested more than"),
         ("calls", deep("f(", ")").into(), "nested more than"),
         ("not", deep("not ", "").into(), "nested more than"),
         ("minus", deep("-", "").into(), "nested more than"),
         ("open only", "[".repeat(10_000).into(), "nested more than"),
-        ("calls in a row", format!("x = f{}\n", "()".repeat(10_000)).into(), "nested more than"),
-        ("indices in a row", format!("x = f{}\n", "[0]".repeat(10_000)).into(), "nested more than"),
+        ("chained calls", format!("x = f{}\n", "()".repeat(10_000)).into(), "nested more than"),
+        ("chained indices", format!("x = f{}\n", "[0]".repeat(10_000)).into(), "nested more than"),
         ("if", format!("x = {}2\n", "1 if True else ".repeat(10_000)).into(), "nested more than"),
         ("clauses", format!("x = [1 {}]\n", "for a in [1] ".repeat(10_000)).into(), "clauses"),
-        ("values in values", format!("a0 = []\n{names}").into(), "the value is nested too deeply"),
-        ("doubled texts", format!("t0 = \"0123456789abcdef\"\n{doubled}").into(), "too many values"),
-        ("lists that hold one another twice", format!("a0 = [1]\n{twice}x = a30 == a30\n").into(),
+        ("nested values", format!("a0 = []\n{names}").into(), "the value is nested too deeply"),
+        ("doubled strings", format!("t0 = \"0123456789abcdef\"\n{doubled}").into(), "too many values"),
+        ("lists with shared elements", format!("a0 = [1]\n{twice}x = a30 == a30\n").into(),
          "too many steps"),
         ("never ends", "x = [1 for a in range(2000) for b in range(2000) for c in range(2000)]".into(),
          "too many"),
@@ -59,7 +59,7 @@
         ("a name of a megabyte", "a".repeat(1 << 20).into(), "unknown name"),
         ("20001 entries", (0..20_001).map(|n| format!("workload(\"w{n}\")\n")).collect::<String>().into(),
          "more than 20000"),
-        ("entries made", "[workload(str(n)) for n in range(30000)]".into(), "more than 20000"),
+        ("generated entries", "[workload(str(n)) for n in range(30000)]".into(), "more than 20000"),
     ];
     for (name, bytes, message_part) in cases {
         let outcome = load_root(bytes);
@@ -119,10 +119,10 @@
     for at in 0..text.len() {
         let outcome = load_root(&text.as_bytes()[..at]);
         let _ = outcome.render_diagnostics();
-        let inside = at > text.find("clients(").expect("the text has the bracket") + 7
+        let is_inside = at > text.find("clients(").expect("the text has the bracket") + 7
             && at <= text.find(")\nx").expect("the text has the bracket");
         assert!(
-            !inside || outcome.settings.is_none(),
+            !is_inside || outcome.settings.is_none(),
             "accepted although truncated at {at}, within a bracket"
         );
     }
@@ -151,7 +151,8 @@
         "def f(a):\n    return a\n", "range(9)",
         "load(\"root.latch\")", "len", "str", "(x)", "[0]", "f(1)", " for a in [1, 2]", " if True else ", "a",
     ]);
-    let generated_text = prop::collection::vec(pieces, 0..40).prop_map(|all| all.concat());
+    let generated_text =
+        prop::collection::vec(pieces, 0..40).prop_map(|setting_count| setting_count.concat());
     runner(3000)
         .run(&generated_text, |text| {
             check_bytes(text.as_bytes());
@@ -221,9 +222,10 @@
                 .count();
             prop_assert_eq!(timeout_changes, expected_changes);
             prop_assert_eq!(found.is_empty(), old.canonical(&schema) == new.canonical(&schema));
-            let (reloaded, left_out) = ResolvedSettings::from_canonical(&schema, &new.canonical(&schema))
-                .expect("parse the canonical text");
-            prop_assert!(left_out.is_empty());
+            let (reloaded, unknown_names) =
+                ResolvedSettings::from_canonical(&schema, &new.canonical(&schema))
+                    .expect("parse the canonical text");
+            prop_assert!(unknown_names.is_empty());
             prop_assert_eq!(reloaded, new);
             Ok(())
         })
@@ -312,14 +314,14 @@
         "the example states the defaults"
     );
     assert_eq!(format(example), example);
-    let stated = load_root(example).locations.len();
-    let all = schema
+    let set_count = load_root(example).locations.len();
+    let setting_count = schema
         .sections
         .iter()
         .filter(|s| s.key.is_none())
         .map(|s| s.settings.len())
         .sum::<usize>();
-    assert_eq!(stated, all, "the example sets every setting");
+    assert_eq!(set_count, setting_count, "the example sets every setting");
 }
 
 /// Counts the files that are read.
@@ -375,7 +377,7 @@
         ("load(\"round.latch\", \"x\")", Some("loads itself"), 2),
         ("load(\"circle.latch\", \"x\")", Some("loads itself"), 2),
     ];
-    for (text, fault, reads) in cases {
+    for (text, expected_error, reads) in cases {
         write("in/root.latch", text);
         let path = inside.join("root.latch");
         let (folder, name) = FolderSource::containing(path.to_str().expect("the path is UTF-8"));
@@ -389,7 +391,7 @@
             &service_schema::schema(),
             service_schema::DEFAULT_MACHINE,
         );
-        match fault {
+        match expected_error {
             None => assert!(
                 outcome.settings.is_some(),
                 "{text}\n{}",
