--- a/crates/driver/src/program/operators/applied_settings.rs
+++ b/crates/driver/src/program/operators/applied_settings.rs
@@ -139,8 +139,8 @@
                 max_drain: amounts.span("phases", "longest_drain"),
             },
             coroutine_stacks: CoroutineStacks {
-                bytes: amounts.count("process", "stack"),
-                spare: amounts.count("process", "spare_stacks"),
+                stack_bytes: amounts.count("process", "stack"),
+                pool_capacity: amounts.count("process", "spare_stacks"),
             },
             log_lines_per_second: log_lines_per_second.max(1) as u32,
             handover_timeouts: amounts.handover_timeouts(),
--- a/crates/driver/src/program/serve/connectors.rs
+++ b/crates/driver/src/program/serve/connectors.rs
@@ -15,7 +15,7 @@
 
 /// Connectors whose connections report to the event loop's queue.
 pub(super) fn connectors(startup: &Startup) -> Connectors {
-    let max_message = messages::max_message(startup.memory.members.capacity());
+    let max_message = messages::max_message_bytes(startup.memory.members.capacity());
     Connectors {
         dial_member: dial_member(startup, max_message),
         dial_discovery: dial_discovery(startup),
@@ -58,7 +58,7 @@
     Box::new(move |id, stream, mut state| {
         let session = ClientSession::resume(id, memory.clone(), &state).with_journal(journal.clone());
         let input = std::mem::take(&mut state.input);
-        connection::resume_owned::<_, Event>(stream, true, session, &queue, (clock, &memory), input)
+        connection::attach::<_, Event>(stream, true, session, &queue, (clock, &memory), input)
     })
 }
 
@@ -68,6 +68,6 @@
     let memory = startup.memory.members.clone();
     Box::new(move |id, stream| {
         let requests = MemberConnection::resume(id, max_message);
-        connection::resume_owned::<_, Event>(stream, true, requests, &queue, (clock, &memory), Vec::new())
+        connection::attach::<_, Event>(stream, true, requests, &queue, (clock, &memory), Vec::new())
     })
 }
--- a/crates/driver/src/program/serve/start_retry.rs
+++ b/crates/driver/src/program/serve/start_retry.rs
@@ -60,7 +60,7 @@
     while let Some(error) = cause {
         if let Some(error) = error.downcast_ref::<io::Error>() {
             let calls = [socket_errors::socket, socket_errors::listen, socket_errors::epoll];
-            return calls.iter().any(|classify| classify(error).is_passing);
+            return calls.iter().any(|classify| classify(error).is_transient);
         }
         cause = error.source();
     }
--- a/crates/driver/src/program/upgrade/retained_clients.rs
+++ b/crates/driver/src/program/upgrade/retained_clients.rs
@@ -3,7 +3,7 @@
 
 use crate::routing::handover::TransferredClient;
 use crate::transport::io_journal::is_abandoned;
-use crate::transport::socket_counts::counts;
+use crate::transport::socket_counts::byte_counts;
 use asterlatch_handover::codec::{FrameReader, Received};
 use asterlatch_handover::io_journal::{
     ClientRecovery, ConnectionKey, JournalRecord, JournalReplay, RecoveredClient, ReplayError,
@@ -28,7 +28,7 @@
 impl RetainedSocket {
     /// What the kernel has counted since the successor began with it; `None` if that can't be told.
     fn counts_since(&self) -> Option<SocketByteCounts> {
-        let total = counts(&self.stream).ok()?;
+        let total = byte_counts(&self.stream).ok()?;
         Some(SocketByteCounts {
             read: total.read.checked_sub(self.initial_counts.read)?,
             written: total.written.checked_sub(self.initial_counts.written)?,
@@ -59,7 +59,7 @@
             return self.abandon(error);
         }
         // Neither process reads or writes the connection now, so the counts hold.
-        if let (Ok(stream), Ok(initial_counts)) = (stream.try_clone(), counts(stream)) {
+        if let (Ok(stream), Ok(initial_counts)) = (stream.try_clone(), byte_counts(stream)) {
             let socket = RetainedSocket {
                 stream,
                 initial_counts,
--- a/crates/driver/src/program/upgrade/successor.rs
+++ b/crates/driver/src/program/upgrade/successor.rs
@@ -285,7 +285,7 @@
 
     /// Lets go of a journal that had to be abandoned.
     fn check_journal(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
-        let abandoned = self.journal.take_if(|journal| !journal.is_on());
+        let abandoned = self.journal.take_if(|journal| !journal.is_active());
         if abandoned.is_some() {
             log!(
                 event_loop.logger,
--- a/crates/driver/src/protocol/client_events.rs
+++ b/crates/driver/src/protocol/client_events.rs
@@ -48,7 +48,7 @@
         /// Its connection.
         stream: TcpStream,
         /// Its protocol state.
-        standing: ClientTransferState,
+        transfer_state: ClientTransferState,
     },
     /// The client has closed its side while statements are open: it has left, or waits for their answers.
     InputEnded {
--- a/crates/driver/src/protocol/client_session.rs
+++ b/crates/driver/src/protocol/client_session.rs
@@ -4,7 +4,7 @@
 use super::messages::{self, NextMessage, HEADER_LENGTH};
 use super::pipeline::{AnsweredStatement, Pipeline};
 use super::startup::{self, Startup};
-use super::statement_comment::{CLIENT_LEFT, OUT_OF_MEMORY, TOO_LARGE, TOO_MANY_CONNECTIONS};
+use super::statement_comment::{CLIENT_DISCONNECTED, OUT_OF_MEMORY, TOO_LARGE, TOO_MANY_CONNECTIONS};
 use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use crate::transport::io_journal::IoJournalWriter;
 use crate::transport::memory_budget::MemoryBudget;
@@ -99,12 +99,12 @@
 
     /// Has all that is done recorded before. No other process holds a client that connects once the journal is off.
     pub fn with_journal(mut self, journal: Option<IoJournalWriter>) -> ClientSession {
-        self.journal = journal.filter(|j| j.is_on() || self.transfer_id.is_some());
+        self.journal = journal.filter(|j| j.is_active() || self.transfer_id.is_some());
         self
     }
 
     fn record(&self, record: impl FnOnce() -> JournalRecord) {
-        if let Some(journal) = self.journal.as_ref().filter(|j| j.is_on()) {
+        if let Some(journal) = self.journal.as_ref().filter(|j| j.is_active()) {
             journal.append(&record(), None);
         }
     }
@@ -181,8 +181,8 @@
 
     /// Reads one message; returns how many bytes that took. While statements are open only a further one is read.
     fn read_message(&mut self, input: &[u8], at: Timestamp, out: &mut Output) -> usize {
-        let max_message = messages::max_message(self.budget.capacity());
-        match messages::next_message(input, max_message) {
+        let max_message_bytes = messages::max_message_bytes(self.budget.capacity());
+        match messages::next_message(input, max_message_bytes) {
             NextMessage::Partial => 0,
             NextMessage::Complete {
                 kind: b'Q',
@@ -234,7 +234,7 @@
             messages::put_ready(&mut answer);
             self.pipeline.push_answered(end, answer);
         } else if self.has_left {
-            self.pipeline.push_rejected(end, CLIENT_LEFT);
+            self.pipeline.push_rejected(end, CLIENT_DISCONNECTED);
         } else if let Some(text) = StatementText::new(text, &self.budget) {
             let number = self.pipeline.push_open(end);
             out.events.push(ClientEvent::Statement {
@@ -394,7 +394,7 @@
     }
 
     fn is_journaled(&self) -> bool {
-        self.journal.as_ref().is_some_and(IoJournalWriter::is_on)
+        self.journal.as_ref().is_some_and(IoJournalWriter::is_active)
     }
 
     fn before_read(&mut self, bytes: &[u8]) {
@@ -480,7 +480,7 @@
         out.events.push(ClientEvent::Transferred {
             client: self.client,
             stream,
-            standing: ClientTransferState {
+            transfer_state: ClientTransferState {
                 startup_complete,
                 bytes_to_skip: self.bytes_to_skip,
                 input,
@@ -503,6 +503,6 @@
         if !self.pipeline.is_empty() {
             return unused <= READ_AHEAD;
         }
-        unused <= messages::max_message(self.budget.capacity()) + HEADER_LENGTH
+        unused <= messages::max_message_bytes(self.budget.capacity()) + HEADER_LENGTH
     }
 }
--- a/crates/driver/src/protocol/member_connection.rs
+++ b/crates/driver/src/protocol/member_connection.rs
@@ -120,7 +120,7 @@
 pub struct MemberConnection {
     connection: u32,
     /// Length of the longest message that is accepted, in bytes.
-    max_message: usize,
+    max_message_bytes: usize,
     state: State,
     /// Waits for the startup to end.
     first_query: Option<Vec<u8>>,
@@ -133,10 +133,10 @@
 
 impl MemberConnection {
     /// A connection that is being established.
-    pub fn new(connection: u32, max_message: usize) -> MemberConnection {
+    pub fn new(connection: u32, max_message_bytes: usize) -> MemberConnection {
         MemberConnection {
             connection,
-            max_message,
+            max_message_bytes,
             state: State::Startup,
             first_query: None,
             has_open_query: false,
@@ -146,10 +146,10 @@
     }
 
     /// Continues with an idle connection of another process.
-    pub fn resume(connection: u32, max_message: usize) -> MemberConnection {
+    pub fn resume(connection: u32, max_message_bytes: usize) -> MemberConnection {
         MemberConnection {
             state: State::Idle,
-            ..MemberConnection::new(connection, max_message)
+            ..MemberConnection::new(connection, max_message_bytes)
         }
     }
 
@@ -282,7 +282,7 @@
     fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Output) {
         let mut used = 0;
         while self.state != State::Closed {
-            match messages::next_message(&input[used..], self.max_message) {
+            match messages::next_message(&input[used..], self.max_message_bytes) {
                 NextMessage::Partial => break,
                 NextMessage::Complete { kind, body, length } => {
                     let bytes = &input[used..used + length];
@@ -337,6 +337,6 @@
     }
 
     fn wants_input(&self, unused: usize) -> bool {
-        self.state != State::Closed && unused <= self.max_message + HEADER_LENGTH
+        self.state != State::Closed && unused <= self.max_message_bytes + HEADER_LENGTH
     }
 }
--- a/crates/driver/src/protocol/messages.rs
+++ b/crates/driver/src/protocol/messages.rs
@@ -12,7 +12,7 @@
 pub const HEADER_LENGTH: usize = 5;
 
 /// Length of the longest message that is accepted within a memory budget, in bytes.
-pub fn max_message(budget: usize) -> usize {
+pub fn max_message_bytes(budget: usize) -> usize {
     (budget / MESSAGES_IN_BUDGET).clamp(LEAST_MAX_MESSAGE, MAX_SKIPPED_MESSAGE)
 }
 
--- a/crates/driver/src/protocol/statement_comment.rs
+++ b/crates/driver/src/protocol/statement_comment.rs
@@ -60,7 +60,8 @@
 /// The memory budget of clients is exhausted.
 pub const OUT_OF_MEMORY: StatementError = error("53300", "no memory is left for the statement");
 /// The client has closed its side of the connection.
-pub const CLIENT_LEFT: StatementError = error("53300", "the client has closed its side of the connection");
+pub const CLIENT_DISCONNECTED: StatementError =
+    error("53300", "the client has closed its side of the connection");
 /// There is no place for the client.
 pub const TOO_MANY_CONNECTIONS: StatementError = error("53300", "too many connections");
 /// The statement exceeds the longest message.
--- a/crates/driver/src/routing/event_loop/clients.rs
+++ b/crates/driver/src/routing/event_loop/clients.rs
@@ -85,14 +85,14 @@
             ClientEvent::Transferred {
                 client,
                 stream,
-                standing,
+                transfer_state,
             } => {
                 let is_active = self.clients.is_active(client);
                 // A client is transferred between two statements, so none is open.
                 self.clients.remove(client);
                 self.handover.add_client(TransferredClient {
                     stream,
-                    session: standing,
+                    session: transfer_state,
                     is_active,
                     verdicts: StatementVerdicts::default(),
                 });
@@ -186,7 +186,7 @@
             return;
         }
         if self.clients.is_input_ended(origin.client) {
-            let command = ClientCommand::Answer(origin.number, statement_comment::CLIENT_LEFT.into());
+            let command = ClientCommand::Answer(origin.number, statement_comment::CLIENT_DISCONNECTED.into());
             return self.clients.send(origin.client, command);
         }
         let fields = statement_comment::parse(&text.text);
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -83,7 +83,7 @@
 
     /// Journals a statement before it is sent, so that a process that takes over after a crash knows of it.
     fn record_in_journal(&self, statement: u32) {
-        let Some(journal) = self.journal.as_ref().filter(|journal| journal.is_on()) else {
+        let Some(journal) = self.journal.as_ref().filter(|journal| journal.is_active()) else {
             return;
         };
         if let Some(origin) = self.statements.origin(statement) {
--- a/crates/driver/src/routing/member_requests/mod.rs
+++ b/crates/driver/src/routing/member_requests/mod.rs
@@ -95,7 +95,7 @@
 
     /// Number of members with an idle connection.
     pub fn idle_member_count(&self) -> usize {
-        self.pool.idle_members()
+        self.pool.idle_member_count()
     }
 
     /// Assigns an idle connection to the request, or opens a new one.
--- a/crates/driver/src/transport/connection/coroutine.rs
+++ b/crates/driver/src/transport/connection/coroutine.rs
@@ -69,8 +69,8 @@
     fn from(error: SocketError) -> Flow {
         match error.next {
             NextStep::Wait => Flow::Wait,
-            NextStep::Repeat => Flow::Continue,
-            NextStep::RepeatLater => Flow::Pause,
+            NextStep::Retry => Flow::Continue,
+            NextStep::RetryLater => Flow::Pause,
             NextStep::GiveUp => Flow::Close,
         }
     }
@@ -408,7 +408,7 @@
 
 /// Runs a handler on a registered connection that is established (`is_open`) or being established, and from which `input`
 /// was read that no handler has consumed yet. `announce` receives the handle before the first event is sent.
-pub(crate) fn run<H, M>(
+pub(crate) fn spawn<H, M>(
     io: CoIo<TcpStream>,
     is_open: bool,
     mut handler: H,
@@ -421,7 +421,7 @@
     M: From<H::Event> + Send + 'static,
 {
     // Where it fails for good small writes leave later, which is better than a connection that is closed.
-    let _ = socket_errors::repeat_option(|| io.inner().set_nodelay(true));
+    let _ = socket_errors::retry_option(|| io.inner().set_nodelay(true));
     handler.on_socket(io.inner());
     let (sender, commands) = channel();
     let waker = io.waker();
--- a/crates/driver/src/transport/connection/mod.rs
+++ b/crates/driver/src/transport/connection/mod.rs
@@ -9,9 +9,9 @@
 use std::net::TcpStream;
 use std::sync::mpsc::Sender;
 
-pub(crate) use coroutine::run;
+pub(crate) use coroutine::spawn;
 pub(crate) use start::register;
-pub use start::{dial, resume_owned};
+pub use start::{attach, dial};
 
 /// What a handler wants done.
 pub struct ConnectionOutput<E> {
--- a/crates/driver/src/transport/connection/start.rs
+++ b/crates/driver/src/transport/connection/start.rs
@@ -1,6 +1,6 @@
 //! Ways to start a connection: one that is established, or one that is to be.
 
-use super::coroutine::run;
+use super::coroutine::spawn;
 use super::{ConnectionHandle, ConnectionHandler};
 use crate::transport::clock::Clock;
 use crate::transport::event_registration;
@@ -44,14 +44,14 @@
         Err(e) if socket_errors::connect(&e).next == NextStep::GiveUp => return Err(e),
         _ => {}
     }
-    resume_owned(socket.into(), false, handler, queue, (clock, budget), Vec::new())
+    attach(socket.into(), false, handler, queue, (clock, budget), Vec::new())
 }
 
 /// Runs a handler on a connection as for a client that is accepted, for a caller that owns the handle itself.
 ///
 /// # Errors
 /// If the connection can't be registered with the event loop.
-pub fn resume_owned<H, M>(
+pub fn attach<H, M>(
     stream: TcpStream,
     is_open: bool,
     handler: H,
@@ -66,6 +66,6 @@
     let io = register(stream)?;
     let mut handle = None;
     let announce = |announced| handle = Some(announced);
-    run(io, is_open, handler, queue, context, input, announce);
+    spawn(io, is_open, handler, queue, context, input, announce);
     handle.ok_or_else(|| io::Error::other("no handle announced"))
 }
--- a/crates/driver/src/transport/connection_pool.rs
+++ b/crates/driver/src/transport/connection_pool.rs
@@ -103,7 +103,7 @@
     }
 
     /// Number of members with an idle connection.
-    pub fn idle_members(&self) -> usize {
+    pub fn idle_member_count(&self) -> usize {
         self.idle.len()
     }
 
--- a/crates/driver/src/transport/coroutines.rs
+++ b/crates/driver/src/transport/coroutines.rs
@@ -6,16 +6,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CoroutineStacks {
     /// Size of one stack in bytes.
-    pub bytes: usize,
+    pub stack_bytes: usize,
     /// Number of stacks kept for further coroutines.
-    pub spare: usize,
+    pub pool_capacity: usize,
 }
 
 impl Default for CoroutineStacks {
     fn default() -> CoroutineStacks {
         CoroutineStacks {
-            bytes: 64 * 1024,
-            spare: 64,
+            stack_bytes: 64 * 1024,
+            pool_capacity: 64,
         }
     }
 }
@@ -27,8 +27,8 @@
     ONCE.call_once(|| {
         may::config()
             .set_workers(1)
-            .set_stack_size(stacks.bytes / size_of::<usize>())
-            .set_pool_capacity(stacks.spare)
+            .set_stack_size(stacks.stack_bytes / size_of::<usize>())
+            .set_pool_capacity(stacks.pool_capacity)
             .set_worker_pin(false);
         // The event loop is created with the first coroutine. A process that takes over receives descriptors of the other
         // one from its commit on, and panics if it can't create the loop then, so it is created at once.
--- a/crates/driver/src/transport/datagrams.rs
+++ b/crates/driver/src/transport/datagrams.rs
@@ -129,7 +129,7 @@
     if meaning.origin == Origin::Program {
         return Err(error);
     }
-    if meaning.next == NextStep::RepeatLater {
+    if meaning.next == NextStep::RetryLater {
         std::thread::sleep(REPEAT_PAUSE);
     }
     Ok(DatagramEvent::TimedOut)
--- a/crates/driver/src/transport/io_journal.rs
+++ b/crates/driver/src/transport/io_journal.rs
@@ -18,7 +18,7 @@
     socket: Mutex<UnixStream>,
     /// Tells the reader that the journal is incomplete. It outlives this process as well.
     abandoned: OwnedFd,
-    is_on: AtomicBool,
+    is_active: AtomicBool,
 }
 
 /// The writing end of the journal; clones share it. May be used from any thread.
@@ -35,28 +35,28 @@
         Ok(IoJournalWriter(Arc::new(Shared {
             socket: Mutex::new(socket),
             abandoned,
-            is_on: AtomicBool::new(true),
+            is_active: AtomicBool::new(true),
         })))
     }
 
     /// Whether records are still written.
-    pub fn is_on(&self) -> bool {
-        self.0.is_on.load(Ordering::Acquire)
+    pub fn is_active(&self) -> bool {
+        self.0.is_active.load(Ordering::Acquire)
     }
 
     /// Ends the journal: nothing needs to be recorded any more.
     pub fn stop(&self) {
-        self.0.is_on.store(false, Ordering::Release);
+        self.0.is_active.store(false, Ordering::Release);
     }
 
     /// Appends a record, with a descriptor where it has one. Returns once the kernel has it, or the journal has ended.
     pub fn append(&self, record: &JournalRecord, descriptor: Option<BorrowedFd>) {
-        if !self.is_on() {
+        if !self.is_active() {
             return;
         }
         // Both threads write, and a record must not overtake one that the other thread has to write first.
         let socket = self.0.socket.lock().unwrap_or_else(PoisonError::into_inner);
-        if self.is_on() && send(&socket, record, descriptor.as_slice()).is_err() {
+        if self.is_active() && send(&socket, record, descriptor.as_slice()).is_err() {
             // In this order: nothing may be done unrecorded while the reader believes that the journal is complete.
             let _ = rustix::io::write(&self.0.abandoned, &1u64.to_ne_bytes());
             self.stop();
--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -128,9 +128,9 @@
             Err(e) => match socket_errors::accept(&e).next {
                 NextStep::Wait if is_closing => Flow::End,
                 NextStep::Wait => Flow::Wait,
-                NextStep::Repeat => Flow::Continue,
+                NextStep::Retry => Flow::Continue,
                 // Another attempt at once would only spin.
-                NextStep::RepeatLater | NextStep::GiveUp => self.report_failure::<H::Command>(e),
+                NextStep::RetryLater | NextStep::GiveUp => self.report_failure::<H::Command>(e),
             },
         }
     }
@@ -172,7 +172,7 @@
         };
         let context = (self.clock, &self.budget);
         let handler = (self.handler)(id);
-        connection::run(io, true, handler, &self.queue, context, Vec::new(), announce);
+        connection::spawn(io, true, handler, &self.queue, context, Vec::new(), announce);
         Flow::Continue
     }
 }
--- a/crates/driver/src/transport/socket_counts.rs
+++ b/crates/driver/src/transport/socket_counts.rs
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 /// If the kernel refuses the counts, or they kept changing.
-pub fn counts(stream: &TcpStream) -> io::Result<SocketByteCounts> {
+pub fn byte_counts(stream: &TcpStream) -> io::Result<SocketByteCounts> {
     for _ in 0..MOST_READS {
         let before = tcp_info(stream)?;
         let unread = rustix::io::ioctl_fionread(stream)?;
--- a/crates/driver/src/transport/socket_errors.rs
+++ b/crates/driver/src/transport/socket_errors.rs
@@ -31,9 +31,9 @@
     /// Wait until the kernel reports the socket as ready.
     Wait,
     /// Make the same call again at once.
-    Repeat,
+    Retry,
     /// Make the same call again after a pause: the kernel reports nothing when the lack is over.
-    RepeatLater,
+    RetryLater,
     /// Give up what the call was for: a connection, an attempt to connect, an address to listen at.
     GiveUp,
 }
@@ -44,33 +44,33 @@
     /// Whose failure it is.
     pub origin: Origin,
     /// The same call may succeed later, though nothing is changed by anybody.
-    pub is_passing: bool,
+    pub is_transient: bool,
     /// What follows.
     pub next: NextStep,
 }
 
-const fn passing(origin: Origin, next: NextStep) -> SocketError {
+const fn transient(origin: Origin, next: NextStep) -> SocketError {
     SocketError {
         origin,
-        is_passing: true,
+        is_transient: true,
         next,
     }
 }
 
-const fn lasting(origin: Origin) -> SocketError {
+const fn permanent(origin: Origin) -> SocketError {
     SocketError {
         origin,
-        is_passing: false,
+        is_transient: false,
         next: NextStep::GiveUp,
     }
 }
 
-const NOT_READY: SocketError = passing(Origin::Nobody, NextStep::Wait);
-const INTERRUPTED: SocketError = passing(Origin::Nobody, NextStep::Repeat);
-const HOST_LACKS: SocketError = passing(Origin::Host, NextStep::RepeatLater);
-const HOST_FORBIDS: SocketError = lasting(Origin::Host);
-const CONNECTION_BROKEN: SocketError = lasting(Origin::Peer);
-const MISTAKE: SocketError = lasting(Origin::Program);
+const NOT_READY: SocketError = transient(Origin::Nobody, NextStep::Wait);
+const INTERRUPTED: SocketError = transient(Origin::Nobody, NextStep::Retry);
+const HOST_LACKS: SocketError = transient(Origin::Host, NextStep::RetryLater);
+const HOST_FORBIDS: SocketError = permanent(Origin::Host);
+const CONNECTION_BROKEN: SocketError = permanent(Origin::Peer);
+const MISTAKE: SocketError = permanent(Origin::Program);
 
 /// The error number; 0, which no call reports, if the error isn't the kernel's.
 fn number(error: &io::Error) -> i32 {
@@ -90,9 +90,9 @@
         EMFILE | ENFILE | ENOBUFS | ENOMEM => HOST_LACKS,
         // Errors of the connection that was to be accepted, which is gone with them.
         ECONNABORTED | EPROTO | ENOPROTOOPT | ENETDOWN | ENETUNREACH | EHOSTDOWN | EHOSTUNREACH | ENONET
-        | EOPNOTSUPP | ETIMEDOUT => passing(Origin::Peer, NextStep::Repeat),
+        | EOPNOTSUPP | ETIMEDOUT => transient(Origin::Peer, NextStep::Retry),
         // A firewall of this host refused that one client.
-        EPERM => passing(Origin::Host, NextStep::Repeat),
+        EPERM => transient(Origin::Host, NextStep::Retry),
         _ => MISTAKE,
     }
 }
@@ -123,7 +123,7 @@
         EINPROGRESS | EALREADY | EINTR | EISCONN => NOT_READY,
         // Here EAGAIN and EADDRNOTAVAIL are a lack of ports or routes. The attempt is over, the next one may succeed.
         EAGAIN | EADDRNOTAVAIL | EADDRINUSE | ENOBUFS | ENOMEM | ENETDOWN | ENETUNREACH => {
-            passing(Origin::Host, NextStep::GiveUp)
+            transient(Origin::Host, NextStep::GiveUp)
         }
         EACCES | EPERM | EAFNOSUPPORT => HOST_FORBIDS,
         ECONNREFUSED | ECONNRESET | ECONNABORTED | ETIMEDOUT | EHOSTUNREACH | EHOSTDOWN | ENETRESET => {
@@ -216,11 +216,11 @@
 ///
 /// # Errors
 /// The last attempt's.
-pub fn repeat_option(mut set: impl FnMut() -> io::Result<()>) -> io::Result<()> {
+pub fn retry_option(mut set: impl FnMut() -> io::Result<()>) -> io::Result<()> {
     let mut result = set();
     for _ in 1..MOST_OPTION_ATTEMPTS {
         match &result {
-            Err(error) if socket_option(error).is_passing => result = set(),
+            Err(error) if socket_option(error).is_transient => result = set(),
             _ => break,
         }
     }
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -121,8 +121,11 @@
             "phases.longest_drain",
             force.phase_durations.max_drain.0.to_string(),
         ),
-        ("process.stack", force.coroutine_stacks.bytes.to_string()),
-        ("process.spare_stacks", force.coroutine_stacks.spare.to_string()),
+        ("process.stack", force.coroutine_stacks.stack_bytes.to_string()),
+        (
+            "process.spare_stacks",
+            force.coroutine_stacks.pool_capacity.to_string(),
+        ),
         ("log.lines", force.log_lines_per_second.to_string()),
         ("upgrade.hello", serving.hello.0.to_string()),
         ("upgrade.ready", serving.ready.0.to_string()),
--- a/crates/driver/tests/protocol/messages.rs
+++ b/crates/driver/tests/protocol/messages.rs
@@ -9,7 +9,7 @@
     #[rustfmt::skip]
     let cases = [(0, 135_168), (1 << 20, 135_168), (8 << 20, 512 << 10), (48 << 20, 3 << 20), (1 << 40, 16 << 20)];
     for (room, bound) in cases {
-        assert_eq!(messages::max_message(room), bound);
+        assert_eq!(messages::max_message_bytes(room), bound);
     }
     let value = vec![b'x'; 300_000];
     let answer = [
@@ -20,7 +20,7 @@
     ]
     .concat();
     for (room, news) in [(1 << 20, "malformed"), (8 << 20, "rows")] {
-        let mut member = MemberConnection::new(1, messages::max_message(room));
+        let mut member = MemberConnection::new(1, messages::max_message_bytes(room));
         let mut out = greet(&mut member);
         hear(&mut member, &answer, 10_000, &mut out);
         assert!(member_news(&out.events)[0].starts_with(news), "{room}");
--- a/crates/driver/tests/socket_errors.rs
+++ b/crates/driver/tests/socket_errors.rs
@@ -1,7 +1,7 @@
 //! Each row of the table of Linux's errors, by call.
 
 use asterlatch_driver::transport::socket_errors::{
-    accept, connect, epoll, is_local_failure, is_out_of_descriptors, listen, receive, repeat_option, send,
+    accept, connect, epoll, is_local_failure, is_out_of_descriptors, listen, receive, retry_option, send,
     send_message, socket, socket_option, NextStep, Origin, SocketError,
 };
 use libc::*;
@@ -10,10 +10,10 @@
 type Classify = fn(&io::Error) -> SocketError;
 
 fn expect(name: &str, classify: Classify, rows: &[(&[i32], Origin, bool, NextStep)]) {
-    for (numbers, origin, is_passing, next) in rows {
+    for (numbers, origin, is_transient, next) in rows {
         let expected = SocketError {
             origin: *origin,
-            is_passing: *is_passing,
+            is_transient: *is_transient,
             next: *next,
         };
         for number in *numbers {
@@ -25,7 +25,7 @@
     assert_eq!(classify(&foreign).origin, Origin::Program, "{name}");
 }
 
-use NextStep::{GiveUp, Repeat, RepeatLater, Wait};
+use NextStep::{GiveUp, Retry, RetryLater, Wait};
 use Origin::{Host, Nobody, Peer, Program};
 
 /// Errors that end an established connection, whichever call reports them.
@@ -50,21 +50,21 @@
 fn errors_before_a_connection_is_open_are_classified_by_call() {
     expect("accept", accept, &[
         (&[EAGAIN], Nobody, true, Wait),
-        (&[EINTR], Nobody, true, Repeat),
-        (&[EMFILE, ENFILE, ENOBUFS, ENOMEM], Host, true, RepeatLater),
+        (&[EINTR], Nobody, true, Retry),
+        (&[EMFILE, ENFILE, ENOBUFS, ENOMEM], Host, true, RetryLater),
         (&[ECONNABORTED, EPROTO, ENOPROTOOPT, ENETDOWN, ENETUNREACH, EHOSTDOWN, EHOSTUNREACH, ENONET, EOPNOTSUPP, ETIMEDOUT],
-            Peer, true, Repeat),
-        (&[EPERM], Host, true, Repeat),
+            Peer, true, Retry),
+        (&[EPERM], Host, true, Retry),
         (&[EBADF, EFAULT, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
     expect("socket", socket, &[
-        (&[EMFILE, ENFILE, ENOBUFS, ENOMEM], Host, true, RepeatLater),
-        (&[EINTR], Nobody, true, Repeat),
+        (&[EMFILE, ENFILE, ENOBUFS, ENOMEM], Host, true, RetryLater),
+        (&[EINTR], Nobody, true, Retry),
         (&[EACCES, EPERM, EAFNOSUPPORT, EPROTONOSUPPORT], Host, false, GiveUp),
         (&[EINVAL], Program, false, GiveUp),
     ]);
     expect("listen", listen, &[
-        (&[EADDRINUSE, EAGAIN, ENOBUFS, ENOMEM], Host, true, RepeatLater),
+        (&[EADDRINUSE, EAGAIN, ENOBUFS, ENOMEM], Host, true, RetryLater),
         (&[EACCES, EPERM, EADDRNOTAVAIL, EOPNOTSUPP], Host, false, GiveUp),
         (&[EBADF, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
@@ -82,34 +82,34 @@
 fn errors_of_open_connections_and_of_epoll_are_classified_by_call() {
     expect("recv", receive, &[
         (&[EAGAIN], Nobody, true, Wait),
-        (&[EINTR], Nobody, true, Repeat),
-        (&[ENOBUFS, ENOMEM], Host, true, RepeatLater),
+        (&[EINTR], Nobody, true, Retry),
+        (&[ENOBUFS, ENOMEM], Host, true, RetryLater),
         (GONE, Peer, false, GiveUp),
         (&[EBADF, EFAULT, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
     expect("send", send, &[
         (&[EAGAIN], Nobody, true, Wait),
-        (&[EINTR], Nobody, true, Repeat),
-        (&[ENOBUFS, ENOMEM], Host, true, RepeatLater),
+        (&[EINTR], Nobody, true, Retry),
+        (&[ENOBUFS, ENOMEM], Host, true, RetryLater),
         (&[EPERM], Host, false, GiveUp),
         (GONE, Peer, false, GiveUp),
         (&[EBADF, EFAULT, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
     expect("sendmsg", send_message, &[
         (&[EAGAIN], Nobody, true, Wait),
-        (&[EINTR], Nobody, true, Repeat),
-        (&[ETOOMANYREFS, ENOBUFS, ENOMEM], Host, true, RepeatLater),
+        (&[EINTR], Nobody, true, Retry),
+        (&[ETOOMANYREFS, ENOBUFS, ENOMEM], Host, true, RetryLater),
         (GONE, Peer, false, GiveUp),
         (&[EMSGSIZE, EBADF, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
     expect("epoll", epoll, &[
-        (&[EINTR], Nobody, true, Repeat),
-        (&[EMFILE, ENFILE, ENOMEM, ENOSPC], Host, true, RepeatLater),
+        (&[EINTR], Nobody, true, Retry),
+        (&[EMFILE, ENFILE, ENOMEM, ENOSPC], Host, true, RetryLater),
         (&[EBADF, EEXIST, EINVAL, ELOOP, ENOENT, EPERM], Program, false, GiveUp),
     ]);
     expect("getsockopt", socket_option, &[
-        (&[EINTR], Nobody, true, Repeat),
-        (&[ENOBUFS, ENOMEM], Host, true, RepeatLater),
+        (&[EINTR], Nobody, true, Retry),
+        (&[ENOBUFS, ENOMEM], Host, true, RetryLater),
         (GONE, Peer, false, GiveUp),
         (&[EBADF, EFAULT, EINVAL, ENOPROTOOPT, ENOTSOCK], Program, false, GiveUp),
     ]);
@@ -150,7 +150,7 @@
         (EINVAL, 1, 1, false),
     ] {
         let mut attempts = 0;
-        let result = repeat_option(|| {
+        let result = retry_option(|| {
             attempts += 1;
             if attempts > failures {
                 Ok(())
--- a/crates/driver/tests/transport.rs
+++ b/crates/driver/tests/transport.rs
@@ -3,7 +3,7 @@
 use asterlatch::time::Timestamp;
 use asterlatch_driver::transport::clock::Clock;
 use asterlatch_driver::transport::connection::{
-    dial, resume_owned, ConnectionHandle, ConnectionHandler, ConnectionOutput,
+    attach, dial, ConnectionHandle, ConnectionHandler, ConnectionOutput,
 };
 use asterlatch_driver::transport::coroutines::{start, CoroutineStacks};
 use asterlatch_driver::transport::memory_budget::MemoryBudget;
@@ -70,7 +70,7 @@
     assert_eq!(heard.recv_timeout(Duration::from_secs(30)), Ok((1, true)));
     let mut peer = TcpStream::connect(address).expect("listens");
     let (accepted, _) = listener.accept().expect("came");
-    let held = resume_owned(accepted, true, First(2, false), &queue, place, Vec::new());
+    let held = attach(accepted, true, First(2, false), &queue, place, Vec::new());
     peer.write_all(b"x").expect("is written");
     assert_eq!(heard.recv_timeout(Duration::from_secs(30)), Ok((2, true)));
     drop((dialled, held));
