--- a/crates/driver/src/protocol/client_session.rs
+++ b/crates/driver/src/protocol/client_session.rs
@@ -470,7 +470,7 @@
         out.events.push(ClientEvent::HalfClosed { client: self.client });
     }
 
-    fn may_be_closed(&self) -> bool {
+    fn is_evictable(&self) -> bool {
         self.pipeline.is_empty()
     }
 
--- a/crates/driver/src/transport/connection/coroutine.rs
+++ b/crates/driver/src/transport/connection/coroutine.rs
@@ -14,22 +14,21 @@
 use std::sync::mpsc::{channel, Receiver, Sender, TryRecvError};
 use std::time::Duration;
 
-/// Most bytes of one read.
-const READ_SIZE: usize = 16 * 1024;
-/// Buffered bytes that a connection keeps memory for and that don't count against the memory budget.
-const UNCOUNTED_BYTES: usize = 1024;
-/// Steps in a row after which a connection lets others run, however much its peer sends.
-const STEPS_IN_A_ROW: usize = 32;
-/// Bytes that a peer may still send after our end of a connection was closed. They are read and dropped: a close over
-/// unread bytes resets the connection, and the peer loses what it has not read yet.
-const MOST_LINGERING_BYTES: usize = 256 * 1024;
-/// Pause before a call is made again that failed for a lack which the kernel doesn't report the end of.
-const REPEAT_PAUSE: Duration = Duration::from_millis(1);
+/// Maximum size of one read.
+const MAX_READ_BYTES: usize = 16 * 1024;
+/// Buffered bytes of a connection that are exempt from the memory budget and whose buffers are not shrunk.
+const UNRESERVED_BYTES: usize = 1024;
+/// Consecutive steps after which a connection yields to others.
+const MAX_CONSECUTIVE_STEPS: usize = 32;
+/// Maximum input that is discarded after the sending side was closed. Closing a socket with unread input resets the
+/// connection, and the peer loses answers that it has not read yet.
+const MAX_LINGERING_BYTES: usize = 256 * 1024;
+/// Delay of a retry after errors whose end the kernel does not report.
+const RETRY_DELAY: Duration = Duration::from_millis(1);
 
 thread_local! {
-    /// Buffer of reads, used by one connection at a time: a buffer for each connection would stay with the idle ones,
-    /// which are the most.
-    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_SIZE]);
+    /// Read buffer that all connections of a thread share, since most connections are idle.
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; MAX_READ_BYTES]);
 }
 
 struct Connection<H: ConnectionHandler, M> {
@@ -40,26 +39,26 @@
     queue: Sender<M>,
     clock: Clock,
     input: Vec<u8>,
-    /// When the last of `input` was read.
+    /// Time of the last read into `input`.
     read_at: Timestamp,
     out: ConnectionOutput<H::Event>,
     has_unreported_writes: bool,
-    /// The peer has closed its side, and all before that was read.
+    /// The peer has closed its side, and all its input was read.
     is_input_ended: bool,
-    /// Bytes dropped since our side was closed.
-    lingering: Option<usize>,
-    /// For the bytes of `input` and `out`.
+    /// Bytes discarded since the sending side was closed; `None` before that.
+    discarded_bytes: Option<usize>,
+    /// Covers the bytes of `input` and `out`.
     reservation: MemoryReservation,
 }
 
-/// What follows a step.
+/// How the coroutine proceeds after a step.
 #[derive(Clone, Copy, PartialEq)]
 enum Flow {
     /// Wait for the socket or a command.
     Wait,
-    /// Take another step at once.
+    /// Take another step immediately.
     Continue,
-    /// Take another step after [`REPEAT_PAUSE`].
+    /// Take another step after [`RETRY_DELAY`].
     Pause,
     Close,
     HandOver,
@@ -77,7 +76,7 @@
 }
 
 impl<H: ConnectionHandler, M: From<H::Event> + Send + 'static> Connection<H, M> {
-    /// Sends the events; the owner is gone only when the process ends.
+    /// Sends the events to the owner. Sending fails only while the process exits.
     fn report_events(&mut self) {
         for event in self.out.events.drain(..) {
             let _ = self.queue.send(event.into());
@@ -88,7 +87,7 @@
         match self.io.inner().take_error() {
             Ok(None) => {}
             Ok(Some(_)) => return Flow::Close,
-            Err(e) => return socket_errors::socket_option(&e).into(),
+            Err(error) => return socket_errors::socket_option(&error).into(),
         }
         match self.io.inner().peer_addr() {
             Ok(_) => {
@@ -96,19 +95,19 @@
                 self.handler.on_open(&mut self.out);
                 Flow::Continue
             }
-            Err(e) if e.kind() == ErrorKind::NotConnected => Flow::Wait,
-            Err(e) => socket_errors::socket_option(&e).into(),
+            Err(error) if error.kind() == ErrorKind::NotConnected => Flow::Wait,
+            Err(error) => socket_errors::socket_option(&error).into(),
         }
     }
 
-    /// Whether more may be read. Not while a peer doesn't read its answers: it could fill the memory.
+    /// Whether more input may be read. Not while the peer does not read its answers, which bounds the output buffer.
     fn wants_input(&self) -> bool {
-        self.out.bytes.len() <= READ_SIZE && self.handler.wants_input(self.input.len())
+        self.out.bytes.len() <= MAX_READ_BYTES && self.handler.wants_input(self.input.len())
     }
 
     fn read(&mut self) -> Flow {
         if self.is_input_ended || !self.wants_input() {
-            return self.watch_unread_peer();
+            return self.detect_peer_close();
         }
         match self.read_into_input() {
             Ok(0) => {
@@ -126,8 +125,8 @@
                     .on_input(&mut self.input, self.read_at, &mut self.out);
                 Flow::Continue
             }
-            Err(e) => {
-                let flow = socket_errors::receive(&e).into();
+            Err(error) => {
+                let flow = socket_errors::receive(&error).into();
                 if flow == Flow::Wait {
                     self.handler.on_all_read(&mut self.out);
                 }
@@ -139,7 +138,7 @@
     fn read_into_input(&mut self) -> io::Result<usize> {
         READ_BUFFER.with_borrow_mut(|buffer| {
             let count = if self.handler.is_journaled() {
-                // A process that is killed must not take along what it has read.
+                // Input is recorded before it leaves the socket, so that it survives a kill of this process.
                 let count = self.io.inner().peek(buffer)?;
                 self.handler.before_read(&buffer[..count]);
                 self.io.inner().read(&mut buffer[..count])?
@@ -151,39 +150,39 @@
         })
     }
 
-    /// Detects that a client leaves while it is not read, whatever is unread before that.
-    fn watch_unread_peer(&mut self) -> Flow {
+    /// Detects that a client closes its side while its input is not read.
+    fn detect_peer_close(&mut self) -> Flow {
         if !self.handler.is_server() {
             return Flow::Wait;
         }
-        let Some(events) = self.poll_peer() else {
-            // The kernel has no memory for the answer.
+        let Some(events) = self.poll_hangup() else {
+            // The kernel is out of memory.
             return Flow::Pause;
         };
         if events.intersects(PollFlags::HUP | PollFlags::ERR) {
             return Flow::Close;
         }
-        let closes_its_side = events.contains(PollFlags::RDHUP) && !self.is_input_ended;
-        if closes_its_side && !self.handler.on_input_ended(false, &mut self.out) {
+        let is_half_closed = events.contains(PollFlags::RDHUP) && !self.is_input_ended;
+        if is_half_closed && !self.handler.on_input_ended(false, &mut self.out) {
             return Flow::Close;
         }
         Flow::Wait
     }
 
-    /// Ends of the connection that the kernel knows of; `None` if it could not be asked.
-    fn poll_peer(&self) -> Option<PollFlags> {
+    /// Polls for a closed or failed connection; `None` if polling fails.
+    fn poll_hangup(&self) -> Option<PollFlags> {
         let mut fds = [PollFd::new(self.io.inner(), PollFlags::RDHUP)];
-        let at_once = Timespec::default();
-        poll(&mut fds, Some(&at_once)).ok()?;
+        let no_wait = Timespec::default();
+        poll(&mut fds, Some(&no_wait)).ok()?;
         Some(fds[0].revents())
     }
 
-    /// Closes our side. What was written before is the peer's to read.
+    /// Closes the sending side. The peer can still read what was written before.
     fn half_close(&mut self) -> Flow {
         if self.io.inner().shutdown(Shutdown::Write).is_err() {
             return Flow::Close;
         }
-        self.lingering = Some(0);
+        self.discarded_bytes = Some(0);
         self.input = Vec::new();
         self.reservation.resize(0);
         self.handler.on_half_closed(&mut self.out);
@@ -191,18 +190,18 @@
         Flow::Continue
     }
 
-    /// Drops what comes after our side was closed, until the peer closes its own.
-    fn drop_lingering(&mut self, dropped: usize) -> Flow {
+    /// Discards input after the sending side was closed, until the peer closes the other side.
+    fn discard_lingering_input(&mut self, discarded: usize) -> Flow {
         let read = READ_BUFFER.with_borrow_mut(|buffer| self.io.inner().read(buffer));
-        let is_released = matches!(self.commands.try_recv(), Err(TryRecvError::Disconnected));
+        let is_handle_dropped = matches!(self.commands.try_recv(), Err(TryRecvError::Disconnected));
         match read {
-            Ok(count) if count > 0 && dropped + count <= MOST_LINGERING_BYTES => {
-                self.lingering = Some(dropped + count);
+            Ok(count) if count > 0 && discarded + count <= MAX_LINGERING_BYTES => {
+                self.discarded_bytes = Some(discarded + count);
                 Flow::Continue
             }
             Ok(_) => Flow::Close,
-            Err(e) => match socket_errors::receive(&e).into() {
-                Flow::Wait if is_released => Flow::Close,
+            Err(error) => match socket_errors::receive(&error).into() {
+                Flow::Wait if is_handle_dropped => Flow::Close,
                 flow => flow,
             },
         }
@@ -215,7 +214,7 @@
                 Ok(count) => {
                     self.out.bytes.drain(..count);
                 }
-                Err(e) => match socket_errors::send(&e).into() {
+                Err(error) => match socket_errors::send(&error).into() {
                     Flow::Continue => {}
                     flow => return flow,
                 },
@@ -227,42 +226,42 @@
         Flow::Wait
     }
 
-    /// Returns unneeded buffer memory and reserves memory for the buffered bytes; returns whether the budget has it.
+    /// Shrinks oversized buffers and reserves memory for the buffered bytes; returns whether the budget suffices.
     fn reserve_memory(&mut self) -> bool {
         for bytes in [&mut self.input, &mut self.out.bytes] {
-            if bytes.capacity() > UNCOUNTED_BYTES && bytes.len() <= bytes.capacity() / 4 {
+            if bytes.capacity() > UNRESERVED_BYTES && bytes.len() <= bytes.capacity() / 4 {
                 bytes.shrink_to(2 * bytes.len());
             }
         }
-        let buffered = (self.input.len() + self.out.bytes.len()).saturating_sub(UNCOUNTED_BYTES);
-        // An answer that was begun is never cut off; while many are read slowly, statements find no memory instead. Nor is
-        // a connection closed that waits for an answer: no more is read ahead of that than `wants_input` allows.
-        if self.out.bytes.is_empty() && self.handler.may_be_closed() {
+        let buffered = (self.input.len() + self.out.bytes.len()).saturating_sub(UNRESERVED_BYTES);
+        // A partly written answer is never cut off: while peers read slowly, new statements are rejected instead. Nor is
+        // a connection closed while its peer waits for an answer; `wants_input` bounds the input read ahead meanwhile.
+        if self.out.bytes.is_empty() && self.handler.is_evictable() {
             return self.reservation.resize(buffered);
         }
         self.reservation.force_resize(buffered);
         true
     }
 
-    /// Handles all that the socket and the owner have. Reading goes before commands, so that what is written to a
-    /// connection whose end was already received is known never to have been sent.
+    /// Handles pending socket input and commands. Input comes first, so that a query commanded after the peer has closed
+    /// the connection is known not to have been sent.
     fn step(&mut self) -> Flow {
-        if let Some(dropped) = self.lingering {
-            return self.drop_lingering(dropped);
+        if let Some(discarded) = self.discarded_bytes {
+            return self.discard_lingering_input(discarded);
         }
-        let wanted_input = self.wants_input();
+        let previously_wanted_input = self.wants_input();
         let flow = if self.is_open { self.read() } else { self.connect() };
-        let flow = self.take_commands(flow);
+        let flow = self.handle_commands(flow);
         let mut flow = self.write_and_reserve(flow);
-        // The kernel reports bytes only once: those left with it are asked for as soon as they are wanted.
-        if !wanted_input && self.wants_input() && flow == Flow::Wait {
+        // The event loop is edge-triggered: input left in the socket must be read without another event.
+        if !previously_wanted_input && self.wants_input() && flow == Flow::Wait {
             flow = Flow::Continue;
         }
         self.report_events();
         self.finish_step(flow)
     }
 
-    fn take_commands(&mut self, mut flow: Flow) -> Flow {
+    fn handle_commands(&mut self, mut flow: Flow) -> Flow {
         while flow != Flow::Close {
             match self.commands.try_recv() {
                 Ok(command) => {
@@ -326,20 +325,20 @@
     }
 
     fn run(mut self) {
-        let mut steps = 0;
+        let mut consecutive_steps = 0;
         loop {
             match self.step() {
                 Flow::Wait => {
                     self.io.wait_io();
-                    steps = 0;
+                    consecutive_steps = 0;
                 }
-                // A coroutine that yields is run again before the sockets are polled; only a new one waits.
-                Flow::Continue if steps == STEPS_IN_A_ROW => {
+                // A yielding coroutine would run again before sockets are polled; a new coroutine does not.
+                Flow::Continue if consecutive_steps == MAX_CONSECUTIVE_STEPS => {
                     may::go!(move || self.run());
                     return;
                 }
-                Flow::Continue => steps += 1,
-                Flow::Pause => may::coroutine::sleep(REPEAT_PAUSE),
+                Flow::Continue => consecutive_steps += 1,
+                Flow::Pause => may::coroutine::sleep(RETRY_DELAY),
                 Flow::Close => break,
                 Flow::HandOver => return self.hand_over(),
             }
@@ -347,7 +346,7 @@
         self.close();
     }
 
-    /// Continues with a second descriptor of the socket, while the first one is unregistered and closed.
+    /// Passes a duplicate of the socket to the handler, and unregisters and closes the original.
     fn hand_over(mut self) {
         match self.io.inner().try_clone() {
             Ok(stream) => {
@@ -364,7 +363,7 @@
     }
 
     fn close(self) {
-        if self.is_open && self.lingering.is_none() {
+        if self.is_open && self.discarded_bytes.is_none() {
             self.shut_down_write();
         }
         let Connection {
@@ -378,10 +377,10 @@
         } = self;
         if handler.is_shared() {
             event_registration::unregister(io.inner());
-            // One whose peer is gone can't be shut down, and needn't.
+            // Fails if the peer has already disconnected, which is harmless.
             let _ = io.inner().shutdown(Shutdown::Both);
         }
-        // Closed before its end is reported, so that no more descriptors are open than the owner counts.
+        // Closed before the event is sent, so that the owner never counts fewer descriptors than are open.
         close_socket(io);
         handler.on_closed(clock.now(), &mut out);
         while let Ok(command) = commands.try_recv() {
@@ -392,13 +391,14 @@
         }
     }
 
-    /// Whoever dropped the handle wants no more of it, but the peer may still read what was written.
+    /// Closes the sending side and discards pending input, so that the peer can still read what was written.
     fn shut_down_write(&self) {
         let _ = self.io.inner().shutdown(Shutdown::Write);
-        let drop_some = |buffer: &mut Vec<u8>| matches!(self.io.inner().read(buffer), Ok(count) if count > 0);
+        let discard_chunk =
+            |buffer: &mut Vec<u8>| matches!(self.io.inner().read(buffer), Ok(count) if count > 0);
         READ_BUFFER.with_borrow_mut(|buffer| {
-            for _ in 0..MOST_LINGERING_BYTES / READ_SIZE {
-                if !drop_some(buffer) {
+            for _ in 0..MAX_LINGERING_BYTES / MAX_READ_BYTES {
+                if !discard_chunk(buffer) {
                     break;
                 }
             }
@@ -406,8 +406,8 @@
     }
 }
 
-/// Runs a handler on a registered connection that is established (`is_open`) or being established, and from which `input`
-/// was read that no handler has consumed yet. `announce` receives the handle before the first event is sent.
+/// Spawns the coroutine of a registered connection that is established (`is_open`) or connecting. `input` was read from
+/// it but not consumed. `on_handle` receives the handle before the first event is sent.
 pub(crate) fn spawn<H, M>(
     io: CoIo<TcpStream>,
     is_open: bool,
@@ -415,12 +415,12 @@
     queue: &Sender<M>,
     (clock, budget): (Clock, &MemoryBudget),
     mut input: Vec<u8>,
-    announce: impl FnOnce(ConnectionHandle<H::Command>),
+    on_handle: impl FnOnce(ConnectionHandle<H::Command>),
 ) where
     H: ConnectionHandler,
     M: From<H::Event> + Send + 'static,
 {
-    // Where it fails for good small writes leave later, which is better than a connection that is closed.
+    // A permanent failure only delays small writes, which is better than closing the connection.
     let _ = socket_errors::retry_option(|| io.inner().set_nodelay(true));
     handler.on_socket(io.inner());
     let (sender, commands) = channel();
@@ -444,10 +444,10 @@
         out,
         has_unreported_writes: false,
         is_input_ended: false,
-        lingering: None,
+        discarded_bytes: None,
         reservation: budget.empty_reservation(),
     };
-    announce(ConnectionHandle {
+    on_handle(ConnectionHandle {
         commands: Some(sender),
         waker: Some(waker),
     });
--- a/crates/driver/src/transport/connection/mod.rs
+++ b/crates/driver/src/transport/connection/mod.rs
@@ -1,5 +1,5 @@
-//! One coroutine for each connection. It waits for the socket and for commands alike, and passes both to a
-//! [`ConnectionHandler`]. It keeps no time: whoever holds the [`ConnectionHandle`] decides when the connection ends.
+//! Connections, each with a coroutine that waits for socket input and commands and passes both to a
+//! [`ConnectionHandler`]. Connections have no timeouts of their own: the owner of the [`ConnectionHandle`] closes them.
 
 mod coroutine;
 mod start;
@@ -13,17 +13,17 @@
 pub(crate) use start::register;
 pub use start::{attach, dial};
 
-/// What a handler wants done.
+/// Output of a handler.
 pub struct ConnectionOutput<E> {
     /// Bytes to be written.
     pub bytes: Vec<u8>,
-    /// Events for the owner.
+    /// Events for the owner of the connection.
     pub events: Vec<E>,
     /// Close the connection once all bytes are written.
     pub close: bool,
-    /// Read once more before waiting, and call `on_all_read` if nothing is there.
+    /// Read once more before waiting, and call `on_all_read` if the socket holds no input.
     pub read_again: bool,
-    /// Hand the connection over to another process once all bytes are written, with the unused input.
+    /// Hand the connection over to another process once all bytes are written, with the unconsumed input.
     pub hand_over: bool,
 }
 
@@ -39,59 +39,59 @@
     }
 }
 
-/// A protocol on one connection, as a function of input and commands. All methods run on the connection's coroutine.
+/// Protocol state machine of one connection. All methods run on the connection's coroutine.
 pub trait ConnectionHandler: Send + 'static {
-    /// What the owner sends.
+    /// Commands from the owner.
     type Command: Send + 'static;
-    /// What the owner receives.
+    /// Events to the owner.
     type Event: Send + 'static;
-    /// The handler runs on this socket.
+    /// Called once with the handler's socket, before any other method.
     fn on_socket(&mut self, _stream: &TcpStream) {}
-    /// Whether another process holds the same socket, so that closing it here ends nothing.
+    /// Whether another process may hold the same socket, so that closing it here does not end the connection.
     fn is_shared(&self) -> bool {
         false
     }
-    /// Whether `before_read` is to be called.
+    /// Whether `before_read` must be called before input is read.
     fn is_journaled(&self) -> bool {
         false
     }
-    /// These bytes are read next.
+    /// These bytes are about to be read from the socket.
     fn before_read(&mut self, _bytes: &[u8]) {}
     /// The connection is established.
     fn on_open(&mut self, _out: &mut ConnectionOutput<Self::Event>) {}
-    /// Consumes what it can from the front of `input`, which arrived by `at`.
+    /// Consumes complete messages from the front of `input`, whose last bytes were read at `at`.
     fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut ConnectionOutput<Self::Event>);
-    /// The owner sent a command. Commands may also follow `on_closed`.
+    /// Handles a command from the owner. Commands may also arrive after `on_closed`.
     fn on_command(&mut self, command: Self::Command, at: Timestamp, out: &mut ConnectionOutput<Self::Event>);
-    /// The peer has closed its side without a reset: nothing follows the unused `_input`.
+    /// The peer has closed its side without a reset; `_input` is the unconsumed rest of its input.
     fn on_peer_closed(&mut self, _input: &[u8], _out: &mut ConnectionOutput<Self::Event>) {}
-    /// A peer whose requests are answered here has closed its side, as one does that has left, or one that only waits for
-    /// answers; `is_all_read` tells whether everything before that was read. Returns whether the connection stays open
-    /// until the handler closes it; it may be called again.
+    /// The peer of a server has closed its side: it has disconnected, or still waits for answers. `is_all_read` tells
+    /// whether all its input was read. Returns whether the connection stays open until the handler closes it. May be
+    /// called repeatedly.
     fn on_input_ended(&mut self, _is_all_read: bool, _out: &mut ConnectionOutput<Self::Event>) -> bool {
         false
     }
-    /// All that the socket held was read.
+    /// All input that the socket held was read.
     fn on_all_read(&mut self, _out: &mut ConnectionOutput<Self::Event>) {}
-    /// Whether the peer sends requests that are answered here. Such a connection is closed gracefully: our side first,
-    /// then what still comes is dropped until the peer closes its own or the handle is dropped. A peer that leaves is
-    /// detected even while its input is not read.
+    /// Whether this is the server side of the protocol. Such a connection closes gracefully: it closes its sending side
+    /// and discards input until the peer closes the other side or the handle is dropped. A peer's disconnect is detected
+    /// even while its input is not read.
     fn is_server(&self) -> bool {
         false
     }
-    /// Our side was closed.
+    /// The sending side of this end was closed.
     fn on_half_closed(&mut self, _out: &mut ConnectionOutput<Self::Event>) {}
-    /// Whether the connection may be closed for want of memory: not while the peer waits for an answer.
-    fn may_be_closed(&self) -> bool {
+    /// Whether the connection may be closed when the memory budget is exhausted: not while the peer waits for an answer.
+    fn is_evictable(&self) -> bool {
         true
     }
-    /// All bytes so far were written to the socket.
+    /// All bytes of the output were written to the socket.
     fn on_written(&mut self, _out: &mut ConnectionOutput<Self::Event>) {}
-    /// The connection is closed, whoever closed it.
+    /// The connection was closed, by either end.
     fn on_closed(&mut self, at: Timestamp, out: &mut ConnectionOutput<Self::Event>);
-    /// The buffered bytes exceed the memory budget, so the connection is closed.
+    /// The buffered bytes exceed the memory budget, so the connection will be closed.
     fn on_memory_exhausted(&mut self, _out: &mut ConnectionOutput<Self::Event>) {}
-    /// The connection was handed over with its unused input: the other process continues with it.
+    /// The connection was handed over: another process continues with the stream and the unconsumed input.
     fn on_handed_over(
         &mut self,
         _stream: TcpStream,
@@ -99,19 +99,19 @@
         _out: &mut ConnectionOutput<Self::Event>,
     ) {
     }
-    /// Whether more may be read while this many bytes are unused.
-    fn wants_input(&self, unused: usize) -> bool;
+    /// Whether more input may be read while `unconsumed` bytes are buffered.
+    fn wants_input(&self, unconsumed: usize) -> bool;
 }
 
-/// The owner's end of a connection. The connection is closed when this is dropped. May be used from any thread.
+/// The owner's handle of a connection, usable from any thread. Dropping it closes the connection.
 pub struct ConnectionHandle<C> {
     commands: Option<Sender<C>>,
-    /// None if there is no socket and only the commands are wanted.
+    /// `None` for a handle without a socket, whose commands go to a channel.
     waker: Option<WaitIoWaker>,
 }
 
 impl<C> ConnectionHandle<C> {
-    /// A handle without a connection, whose commands go to a channel.
+    /// Creates a handle without a connection, whose commands go to a channel.
     pub fn to_channel(commands: Sender<C>) -> ConnectionHandle<C> {
         ConnectionHandle {
             commands: Some(commands),
@@ -131,7 +131,7 @@
         self.wake();
     }
 
-    /// Sends a command. One to a connection that has ended is lost, which is harmless: its end was reported.
+    /// Sends a command. A command to a closed connection is dropped; its owner has received the closing event.
     pub fn send(&self, command: C) {
         if self.commands.as_ref().is_some_and(|c| c.send(command).is_ok()) {
             self.wake();
--- a/crates/driver/src/transport/connection/start.rs
+++ b/crates/driver/src/transport/connection/start.rs
@@ -1,4 +1,4 @@
-//! Ways to start a connection: one that is established, or one that is to be.
+//! Starts connections on new and on existing sockets.
 
 use super::coroutine::spawn;
 use super::{ConnectionHandle, ConnectionHandler};
@@ -12,22 +12,22 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::Sender;
 
-/// A connection that could not be registered with the event loop: [`CoIoError::into_data`] gives the stream back.
+/// A failed registration with the event loop; [`CoIoError::into_data`] returns the stream.
 pub(crate) type CoIoError = may::io::co_io_err::Error<TcpStream>;
 
 /// Registers a connection with the event loop.
 ///
 /// # Errors
-/// If the kernel has no memory for it, or the user watches as many descriptors as the host allows.
+/// If the kernel is out of memory or the user's limit of watched descriptors is reached.
 pub(crate) fn register(stream: TcpStream) -> Result<CoIo<TcpStream>, CoIoError> {
     let _registration = event_registration::lock();
     CoIo::new(stream)
 }
 
-/// Starts to establish a connection; its handler learns whether that succeeds.
+/// Starts to connect to `address`. The handler's `on_open` or `on_closed` reports the result.
 ///
 /// # Errors
-/// If no socket can be opened, or the address can't be reached.
+/// If no socket can be opened or registered, or `connect` fails immediately.
 pub fn dial<H, M>(
     address: SocketAddr,
     handler: H,
@@ -41,16 +41,17 @@
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     match socket.connect(&address.into()) {
-        Err(e) if socket_errors::connect(&e).next == NextStep::GiveUp => return Err(e),
+        Err(error) if socket_errors::connect(&error).next == NextStep::GiveUp => return Err(error),
         _ => {}
     }
     attach(socket.into(), false, handler, queue, (clock, budget), Vec::new())
 }
 
-/// Runs a handler on a connection as for a client that is accepted, for a caller that owns the handle itself.
+/// Runs a handler on an existing socket, established (`is_open`) or connecting, and returns the connection's handle.
+/// `input` was read from the socket before.
 ///
 /// # Errors
-/// If the connection can't be registered with the event loop.
+/// If the socket cannot be registered with the event loop.
 pub fn attach<H, M>(
     stream: TcpStream,
     is_open: bool,
@@ -65,7 +66,7 @@
 {
     let io = register(stream)?;
     let mut handle = None;
-    let announce = |announced| handle = Some(announced);
-    spawn(io, is_open, handler, queue, context, input, announce);
-    handle.ok_or_else(|| io::Error::other("no handle announced"))
+    let store_handle = |created| handle = Some(created);
+    spawn(io, is_open, handler, queue, context, input, store_handle);
+    handle.ok_or_else(|| io::Error::other("spawned connection returned no handle"))
 }
--- a/crates/driver/src/transport/connection_pool.rs
+++ b/crates/driver/src/transport/connection_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to members. One carries one statement at a time; among idle ones the most recently used is taken first, so
-//! that those beyond the need grow old and are closed.
+//! Pool of connections to members. A connection carries one statement at a time. The most recently used idle
+//! connection is reused first, so that surplus connections reach the idle timeout and are closed.
 
 use super::connection::ConnectionHandle;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -16,16 +16,16 @@
 /// An idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleConnection {
-    /// Since when it is idle.
+    /// Start of the idle time.
     pub since: Timestamp,
-    /// Id of the connection.
+    /// Id of the connection in the pool.
     pub id: u32,
 }
 
-/// All connections to members, by id. Dropping one ends it.
+/// All open connections to members, by id. Dropping an entry closes the connection.
 pub struct ConnectionPool<C> {
     connections: BTreeMap<u32, PooledConnection<C>>,
-    /// Idle ones by member, the most recently used last.
+    /// Ids of idle connections by member, the most recently used last.
     idle: BTreeMap<u32, Vec<u32>>,
     last_id: u32,
 }
@@ -41,7 +41,7 @@
 }
 
 impl<C> ConnectionPool<C> {
-    /// An id for a new connection.
+    /// Allocates an id for a new connection.
     pub fn next_id(&mut self) -> u32 {
         self.last_id = self.last_id.wrapping_add(1);
         self.last_id
@@ -58,8 +58,8 @@
         self.connections.insert(id, connection);
     }
 
-    /// Takes an idle connection to the member at this address that is idle since `earliest` or later. Older ones and those
-    /// to a former address are closed.
+    /// Takes a connection to the member at this address that has been idle since `earliest` or later. Closes those
+    /// found that are idle for longer or lead to a previous address of the member.
     pub fn take_idle(
         &mut self,
         member: u32,
@@ -79,25 +79,25 @@
         None
     }
 
-    /// Closes the idle connections to a member.
+    /// Closes all idle connections to a member.
     pub fn close_idle(&mut self, member: u32) {
         for id in self.idle.remove(&member).into_iter().flatten() {
             self.connections.remove(&id);
         }
     }
 
-    /// Takes all idle connections out of use; they stay open until they are removed. Returns their ids.
+    /// Makes all idle connections unavailable for reuse and returns their ids. They stay open until removed.
     pub fn retire_idle(&mut self) -> Vec<u32> {
         let idle = std::mem::take(&mut self.idle);
         idle.into_values().flatten().collect()
     }
 
-    /// The member of a connection.
+    /// The member that a connection leads to; `None` if the connection is closed.
     pub fn member(&self, id: u32) -> Option<u32> {
         Some(self.connections.get(&id)?.member)
     }
 
-    /// Whether any connection to a member is open.
+    /// Whether any connection to the member is open, busy or idle.
     pub fn has_connection(&self, member: u32) -> bool {
         self.idle.contains_key(&member) || self.connections.values().any(|c| c.member == member)
     }
@@ -107,7 +107,7 @@
         self.idle.len()
     }
 
-    /// A busy connection becomes idle.
+    /// Returns a busy connection to the pool as idle.
     pub fn release(&mut self, id: u32, now: Timestamp) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.idle_since = Some(now);
@@ -115,14 +115,14 @@
         }
     }
 
-    /// Sends a command to a connection; ignored if it is gone.
+    /// Sends a command to a connection; ignored if the connection is closed.
     pub fn send(&self, id: u32, command: C) {
         if let Some(connection) = self.connections.get(&id) {
             connection.handle.send(command);
         }
     }
 
-    /// Drops a connection; its coroutine ends with the last handle.
+    /// Closes a connection by dropping its handle, which ends its coroutine.
     pub fn remove(&mut self, id: u32) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -136,22 +136,22 @@
         }
     }
 
-    /// Number of open connections.
+    /// Number of open connections, busy and idle.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
 
     /// The connection that has been idle for the longest time.
     pub fn oldest_idle(&self) -> Option<IdleConnection> {
-        let oldest_of_members = self.idle.values().filter_map(|ids| ids.first());
-        let idle = |id: &u32| {
+        let oldest_by_member = self.idle.values().filter_map(|ids| ids.first());
+        let idle_connection = |id: &u32| {
             let since = self.connections.get(id)?.idle_since?;
             Some(IdleConnection { since, id: *id })
         };
-        oldest_of_members.filter_map(idle).min()
+        oldest_by_member.filter_map(idle_connection).min()
     }
 
-    /// Closes the connections that have been idle for this long or longer.
+    /// Closes all connections that have been idle for `idle_timeout` or longer.
     pub fn close_idle_since(&mut self, now: Timestamp, idle_timeout: TimeSpan) {
         while let Some(oldest) = self.oldest_idle().filter(|o| now - o.since >= idle_timeout) {
             self.remove(oldest.id);
--- a/crates/driver/src/transport/coroutines.rs
+++ b/crates/driver/src/transport/coroutines.rs
@@ -1,13 +1,13 @@
-//! Set-up of the coroutine runtime.
+//! Configuration and start of the coroutine runtime.
 
 use std::sync::Once;
 
-/// Stacks of coroutines. Buffers live on the heap, since a stack overflow ends the process.
+/// Coroutine stacks. Buffers belong on the heap, since a stack overflow terminates the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CoroutineStacks {
     /// Size of one stack in bytes.
     pub stack_bytes: usize,
-    /// Number of stacks kept for further coroutines.
+    /// Number of unused stacks that are kept for new coroutines.
     pub pool_capacity: usize,
 }
 
@@ -20,8 +20,8 @@
     }
 }
 
-/// Configures the runtime. Only the first call has an effect, and it has to come before the first coroutine. There is one
-/// worker, not pinned to a core: several drivers may share a machine and would all be pinned to the first one.
+/// Configures and starts the runtime. Only the first call has an effect, and it must precede the first coroutine.
+/// The single worker is not pinned: all drivers on a machine would otherwise share the first core.
 pub fn start(stacks: CoroutineStacks) {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
@@ -30,8 +30,8 @@
             .set_stack_size(stacks.stack_bytes / size_of::<usize>())
             .set_pool_capacity(stacks.pool_capacity)
             .set_worker_pin(false);
-        // The event loop is created with the first coroutine. A process that takes over receives descriptors of the other
-        // one from its commit on, and panics if it can't create the loop then, so it is created at once.
+        // The first coroutine creates the event loop. A successor panics if it cannot create the loop after it has
+        // received the predecessor's descriptors, so the loop is created now.
         drop(may::go!(|| ()));
     });
 }
--- a/crates/driver/src/transport/datagrams.rs
+++ b/crates/driver/src/transport/datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams between this driver and its peers, each at an address of its own. One descriptor serves all of them, and
-//! another one lets other threads end a wait.
+//! Datagrams between this driver and its peers, which are identified by address. One UDP socket serves all peers; an
+//! event descriptor lets other threads interrupt a wait.
 
 use super::socket_errors::{self, NextStep, Origin};
 use rustix::event::{eventfd, poll, EventfdFlags, PollFd, PollFlags, Timespec};
@@ -9,24 +9,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longer datagrams are truncated; peers send none.
-const MOST_BYTES: usize = 2048;
-/// Pause after a call that failed for a lack of memory: the wait after it may fail at once for the same lack.
-const REPEAT_PAUSE: Duration = Duration::from_millis(1);
+/// Size of the receive buffer. Longer datagrams are truncated; peers send none.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Delay after a call that failed for lack of memory, since polling may fail immediately for the same reason.
+const RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// Ends a wait for datagrams; may be used from any thread.
+/// Interrupts [`DatagramSocket::receive`] from any thread.
 #[derive(Clone)]
 pub struct DatagramWaker(Arc<OwnedFd>);
 
 impl DatagramWaker {
-    /// Ends the current wait, or the next one.
+    /// Interrupts the current wait, or the next one if there is none.
     pub fn wake(&self) {
-        // A full counter was incremented often enough.
+        // The write fails only if the counter is full, and then the wake-up is already pending.
         let _ = rustix::io::write(&*self.0, &1u64.to_ne_bytes());
     }
 }
 
-/// The socket for datagrams, owned by the thread that waits for them.
+/// The UDP socket, owned by the thread that receives from it.
 pub struct DatagramSocket {
     socket: UdpSocket,
     waker: DatagramWaker,
@@ -34,23 +34,23 @@
     buffer: Vec<u8>,
 }
 
-/// What ended a wait.
+/// Result of [`DatagramSocket::receive`].
 pub enum DatagramEvent<'a> {
-    /// A datagram of the peer with this index.
+    /// A datagram from the peer with this index.
     Received(usize, &'a [u8]),
-    /// A datagram from an address that no peer has.
+    /// A datagram from an address that belongs to no peer.
     UnknownSender(SocketAddr),
     /// Another thread called [`DatagramWaker::wake`].
     Woken,
-    /// The time is over, or a send was found to have failed.
+    /// The timeout has elapsed, the wait was interrupted by a signal, or a transient error occurred.
     TimedOut,
 }
 
 impl DatagramSocket {
-    /// Binds an address for datagrams from and to `peers`.
+    /// Binds a socket to `address` for datagrams from and to `peers`.
     ///
     /// # Errors
-    /// If the address can't be bound or no descriptor is left.
+    /// If the address cannot be bound or no descriptor is available.
     pub fn bind(address: SocketAddr, peers: Vec<SocketAddr>) -> io::Result<DatagramSocket> {
         let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
@@ -59,30 +59,30 @@
             socket,
             waker: DatagramWaker(Arc::new(waker)),
             peers,
-            buffer: vec![0; MOST_BYTES],
+            buffer: vec![0; MAX_DATAGRAM_BYTES],
         })
     }
 
-    /// A waker for other threads.
+    /// Returns a waker for other threads.
     pub fn waker(&self) -> DatagramWaker {
         self.waker.clone()
     }
 
-    /// Sends a datagram to the peer with this index; returns whether the kernel took it. One that it doesn't take is lost,
-    /// as on any network.
+    /// Sends a datagram to the peer with this index; returns whether the kernel accepted it. A datagram that it does not
+    /// accept is lost.
     pub fn send(&self, peer: usize, bytes: &[u8]) -> bool {
         let address = self.peers.get(peer);
         address.is_some_and(|address| self.socket.send_to(bytes, address).is_ok())
     }
 
-    /// Waits for the next datagram, at most for so long.
+    /// Waits up to `timeout` for the next datagram.
     ///
     /// # Errors
-    /// If the socket fails for another reason than an unreachable peer or a lack of memory.
+    /// If the socket fails for a reason that indicates a programming error. Unreachable peers and lack of memory do not.
     pub fn receive(&mut self, timeout: Duration) -> io::Result<DatagramEvent<'_>> {
         match self.socket.recv_from(&mut self.buffer) {
             Ok((length, from)) => return Ok(self.received(length, from)),
-            Err(e) if e.kind() != ErrorKind::WouldBlock => return ignore_passing(e),
+            Err(error) if error.kind() != ErrorKind::WouldBlock => return ignore_transient_error(error),
             Err(_) => {}
         }
         let mut ready = [
@@ -96,7 +96,7 @@
         match poll(&mut ready, Some(&timeout)) {
             Ok(0) | Err(rustix::io::Errno::INTR) => return Ok(DatagramEvent::TimedOut),
             Ok(_) => {}
-            Err(e) => return ignore_passing(e.into()),
+            Err(error) => return ignore_transient_error(error.into()),
         }
         let has_datagram = !ready[0].revents().is_empty();
         let is_woken = !ready[1].revents().is_empty();
@@ -109,8 +109,8 @@
         }
         match self.socket.recv_from(&mut self.buffer) {
             Ok((length, from)) => Ok(self.received(length, from)),
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(DatagramEvent::TimedOut),
-            Err(e) => ignore_passing(e),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(DatagramEvent::TimedOut),
+            Err(error) => ignore_transient_error(error),
         }
     }
 
@@ -122,15 +122,15 @@
     }
 }
 
-/// A datagram that nobody received is lost like any other, of which the kernel tells here; so is one that it had no memory
-/// for. Only a mistake of this program ends the exchange.
-fn ignore_passing<'a>(error: io::Error) -> io::Result<DatagramEvent<'a>> {
-    let meaning = socket_errors::receive(&error);
-    if meaning.origin == Origin::Program {
+/// Treats errors of the peer, the network and the host as lost datagrams; the kernel reports them on a later call. Only
+/// programming errors are returned.
+fn ignore_transient_error<'a>(error: io::Error) -> io::Result<DatagramEvent<'a>> {
+    let class = socket_errors::receive(&error);
+    if class.origin == Origin::Program {
         return Err(error);
     }
-    if meaning.next == NextStep::RetryLater {
-        std::thread::sleep(REPEAT_PAUSE);
+    if class.next == NextStep::RetryLater {
+        std::thread::sleep(RETRY_DELAY);
     }
     Ok(DatagramEvent::TimedOut)
 }
--- a/crates/driver/src/transport/idle_lifetime.rs
+++ b/crates/driver/src/transport/idle_lifetime.rs
@@ -1,49 +1,49 @@
-//! Estimates for how long an idle connection stays usable. Members and middleboxes may drop idle connections long before
-//! the settings say so, and give no sign until something is written.
+//! Estimates how long an idle connection stays usable. Members and middleboxes may drop idle connections before the
+//! configured idle timeout, which goes unnoticed until the next write.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 
-/// Idle times are grouped by powers of two; this is the width of the first group.
-const FIRST_GROUP: TimeSpan = TimeSpan::millis(16);
-const GROUPS: usize = 12;
-/// A sample counts half after this.
+/// Idle times are counted in buckets whose width doubles.
+const FIRST_BUCKET_WIDTH: TimeSpan = TimeSpan::millis(16);
+const BUCKET_COUNT: usize = 12;
+/// Half-life of a sample's weight.
 const HALF_LIFE: TimeSpan = TimeSpan::millis(5000);
-/// Samples of a group from which on its share of broken connections counts.
-const LEAST_SAMPLES: f64 = 8.0;
-/// Share of broken connections that is too high.
-const TOO_MANY_BROKEN: f64 = 0.2;
-/// Multiple of the first group's share that it must exceed as well: connections that break for other reasons are not
-/// saved by new ones.
-const LEAST_MULTIPLE: f64 = 2.0;
+/// Minimum weight of the samples in a bucket for its fraction of broken connections to be considered.
+const MIN_SAMPLES: f64 = 8.0;
+/// Tolerated fraction of connections that are found broken.
+const MAX_BROKEN_FRACTION: f64 = 0.2;
+/// Multiple of the first bucket's fraction that must be exceeded as well: closing idle connections does not help against
+/// connections that break for other reasons.
+const MIN_BASELINE_MULTIPLE: f64 = 2.0;
 
-/// How often connections break at their next use, by how long they were idle.
+/// Fraction of connections found broken at their next use, by idle time.
 #[derive(Clone, Debug, Default)]
 pub struct IdleLifetimeEstimator {
-    used: [f64; GROUPS],
-    broken: [f64; GROUPS],
+    used: [f64; BUCKET_COUNT],
+    broken: [f64; BUCKET_COUNT],
     decayed_at: Timestamp,
 }
 
 impl IdleLifetimeEstimator {
-    /// A connection was used again after it was idle for this long.
-    pub fn record(&mut self, now: Timestamp, idle: TimeSpan, broke: bool) {
+    /// Records the reuse of a connection that had been idle for `idle`, and whether it was found broken.
+    pub fn record(&mut self, now: Timestamp, idle: TimeSpan, is_broken: bool) {
         let decay = 0.5f64.powf((now - self.decayed_at).ratio(HALF_LIFE));
         self.decayed_at = now;
         for count in self.used.iter_mut().chain(&mut self.broken) {
             *count *= decay;
         }
-        let group = ((idle.0 / FIRST_GROUP.0 + 1).ilog2() as usize).min(GROUPS - 1);
-        self.used[group] += 1.0;
-        self.broken[group] += f64::from(u8::from(broke));
+        let bucket = ((idle.0 / FIRST_BUCKET_WIDTH.0 + 1).ilog2() as usize).min(BUCKET_COUNT - 1);
+        self.used[bucket] += 1.0;
+        self.broken[bucket] += f64::from(u8::from(is_broken));
     }
 
-    /// Idle time from which on connections break too often; `None` if that isn't known of any.
+    /// The idle time from which connections are found broken too often; `None` if there is none.
     pub fn limit(&self) -> Option<TimeSpan> {
-        let broken_share = |group: usize| self.broken[group] / self.used[group].max(1.0);
-        let tolerated = TOO_MANY_BROKEN.max(broken_share(0) * LEAST_MULTIPLE);
+        let broken_fraction = |bucket: usize| self.broken[bucket] / self.used[bucket].max(1.0);
+        let tolerated = MAX_BROKEN_FRACTION.max(broken_fraction(0) * MIN_BASELINE_MULTIPLE);
         let is_unusable =
-            |group: &usize| self.used[*group] >= LEAST_SAMPLES && broken_share(*group) > tolerated;
-        let first = (1..GROUPS).find(is_unusable)?;
-        Some(TimeSpan(FIRST_GROUP.0 * ((1 << first) - 1)))
+            |bucket: &usize| self.used[*bucket] >= MIN_SAMPLES && broken_fraction(*bucket) > tolerated;
+        let first_unusable = (1..BUCKET_COUNT).find(is_unusable)?;
+        Some(TimeSpan(FIRST_BUCKET_WIDTH.0 * ((1 << first_unusable) - 1)))
     }
 }
--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -1,5 +1,5 @@
-//! Accepts clients. What the kernel has accepted counts as accepted, so there is no limit here: the owner closes idle
-//! connections instead.
+//! Accepts clients. Connections that the kernel has completed count as accepted, so the listener applies no limit: the
+//! owner closes idle connections instead.
 
 use super::clock::Clock;
 use super::connection::{self, ConnectionHandle, ConnectionHandler};
@@ -14,47 +14,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a listener reports to its owner.
+/// An event from a listener to its owner.
 pub enum AcceptEvent<C> {
-    /// A client has connected, with an id of its own.
+    /// A client has connected: its id, which is unique for this listener, and the handle of its connection.
     Client(u32, ConnectionHandle<C>),
-    /// A client could not be accepted.
+    /// Accepting a client failed; the listener stays open.
     Failed(io::Error),
-    /// No more clients are accepted.
+    /// The listener has ended; no further clients are accepted.
     Closed,
 }
 
-/// A listening socket and the flags by which any thread controls its coroutine.
+/// Controls a listening socket and its coroutine from any thread.
 pub struct ListenerHandle {
     io: Arc<CoIo<TcpListener>>,
     is_closing: Arc<AtomicBool>,
-    /// Another process accepts from the same socket.
+    /// Set while another process accepts from the same socket.
     is_paused: Arc<AtomicBool>,
     waker: WaitIoWaker,
 }
 
 impl ListenerHandle {
-    /// Accepts again after a failure.
+    /// Retries after a failure to accept.
     pub fn retry(&self) {
         self.waker.wakeup();
     }
 
-    /// A descriptor of the same socket, for another process.
+    /// Duplicates the socket's descriptor for another process.
     ///
     /// # Errors
-    /// If the descriptor can't be duplicated.
+    /// If the descriptor cannot be duplicated.
     pub fn descriptor(&self) -> io::Result<TcpListener> {
         self.io.inner().try_clone()
     }
 
-    /// Stops accepting, or starts again. Clients that the kernel has accepted meanwhile are left to whichever process
-    /// accepts first.
+    /// Pauses or resumes accepting. Clients in the kernel's queue go to whichever process accepts them first.
     pub fn set_paused(&self, is_paused: bool) {
         self.is_paused.store(is_paused, Ordering::Release);
         self.waker.wakeup();
     }
 
-    /// Accepts those that the kernel has accepted and then ends.
+    /// Accepts the clients in the kernel's queue and then ends the listener. A paused listener ends immediately.
     pub fn close(&self) {
         self.is_closing.store(true, Ordering::Release);
         self.waker.wakeup();
@@ -70,14 +69,14 @@
     budget: MemoryBudget,
     handler: F,
     last_id: u32,
-    /// Accepted, but not registered with the event loop yet: the kernel had no memory for it.
+    /// An accepted connection whose registration with the event loop failed and will be retried.
     unregistered: Option<TcpStream>,
 }
 
-/// Pause before another attempt after a failure that isn't a lack of descriptors: clients in the kernel's queue wait for it.
-const REPEAT_PAUSE: Duration = Duration::from_millis(5);
+/// Delay of a retry after failures other than a lack of descriptors; queued clients wait for it.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// What follows an attempt to accept.
+/// How the coroutine proceeds after an attempt to accept.
 enum Flow {
     Wait,
     Pause,
@@ -97,7 +96,7 @@
                 Flow::Wait => {
                     self.io.wait_io();
                 }
-                Flow::Pause => may::coroutine::sleep(REPEAT_PAUSE),
+                Flow::Pause => may::coroutine::sleep(RETRY_DELAY),
                 Flow::Continue => {}
                 Flow::End => break,
             }
@@ -119,18 +118,18 @@
             if !is_closing {
                 return Flow::Wait;
             }
-            // Those who wait are the other process's to accept.
+            // The other process accepts the clients in the queue.
             event_registration::unregister(self.io.inner());
             return Flow::End;
         }
         match self.io.inner().accept() {
             Ok((stream, _)) => self.serve(stream),
-            Err(e) => match socket_errors::accept(&e).next {
+            Err(error) => match socket_errors::accept(&error).next {
                 NextStep::Wait if is_closing => Flow::End,
                 NextStep::Wait => Flow::Wait,
                 NextStep::Retry => Flow::Continue,
-                // Another attempt at once would only spin.
-                NextStep::RetryLater | NextStep::GiveUp => self.report_failure::<H::Command>(e),
+                // An immediate retry would cause a busy loop.
+                NextStep::RetryLater | NextStep::GiveUp => self.report_failure::<H::Command>(error),
             },
         }
     }
@@ -139,7 +138,7 @@
     where
         M: From<AcceptEvent<C>>,
     {
-        // The owner has a descriptor closed, and asks for another attempt then.
+        // The owner frees a descriptor and then calls `retry`.
         let waits_for_owner = socket_errors::is_out_of_descriptors(&error);
         let _ = self.queue.send(AcceptEvent::Failed(error).into());
         if waits_for_owner {
@@ -149,8 +148,8 @@
         }
     }
 
-    /// Starts the connection of a client. One that can't be registered is kept, and registered with the next attempt: it
-    /// is accepted, so it may not be closed without an answer.
+    /// Starts the connection of an accepted client. If its registration fails it is retried with the next attempt, since
+    /// an accepted connection may not be closed without an answer.
     fn serve<H>(&mut self, stream: TcpStream) -> Flow
     where
         H: ConnectionHandler,
@@ -160,19 +159,19 @@
         let io = match connection::register(stream) {
             Ok(io) => io,
             Err(error) => {
-                let reported = io::Error::other(error.to_string());
+                let reported_error = io::Error::other(error.to_string());
                 self.unregistered = Some(error.into_data());
-                return self.report_failure::<H::Command>(reported);
+                return self.report_failure::<H::Command>(reported_error);
             }
         };
         self.last_id = self.last_id.wrapping_add(1);
         let id = self.last_id;
-        let announce = |handle| {
+        let send_handle = |handle| {
             let _ = self.queue.send(AcceptEvent::Client(id, handle).into());
         };
         let context = (self.clock, &self.budget);
         let handler = (self.handler)(id);
-        connection::spawn(io, true, handler, &self.queue, context, Vec::new(), announce);
+        connection::spawn(io, true, handler, &self.queue, context, Vec::new(), send_handle);
         Flow::Continue
     }
 }
@@ -180,10 +179,10 @@
 /// A listener that is registered with the event loop.
 pub struct RegisteredListener(Arc<CoIo<TcpListener>>);
 
-/// Registers the listener with the event loop, and takes it. After a failure it is still there, for another attempt.
+/// Registers the listener with the event loop and takes it out of `listener`, where it stays for a retry after a failure.
 ///
 /// # Errors
-/// If the kernel has no memory for it, the user watches as many descriptors as the host allows, or there is no listener.
+/// If the kernel is out of memory, the user's limit of watched descriptors is reached, or `listener` is `None`.
 pub fn register(listener: &mut Option<TcpListener>) -> io::Result<RegisteredListener> {
     let unregistered = listener.as_ref().ok_or(io::ErrorKind::NotConnected)?;
     let registered = CoIo::new(unregistered.try_clone()?)?;
@@ -191,8 +190,8 @@
     Ok(RegisteredListener(Arc::new(registered)))
 }
 
-/// Starts to accept clients, each with a handler of its own. With `is_paused` another process accepts from the same
-/// socket at first.
+/// Starts to accept clients; `handler` creates the handler of each from the client's id. With `is_paused`, accepting
+/// starts only after [`ListenerHandle::set_paused`].
 pub fn listen<H, M>(
     listener: RegisteredListener,
     is_paused: bool,
--- a/crates/driver/src/transport/memory_budget.rs
+++ b/crates/driver/src/transport/memory_budget.rs
@@ -1,4 +1,4 @@
-//! A memory budget that many connections share. It counts bytes and allocates none.
+//! A memory budget that connections share. It only accounts for bytes and allocates no memory.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -8,18 +8,18 @@
     capacity: AtomicUsize,
 }
 
-/// Bytes that may be reserved in all; clones share them. May be used from any thread.
+/// A limit on the bytes reserved in total. Clones share it and may be used from any thread.
 #[derive(Clone)]
 pub struct MemoryBudget(Arc<Counters>);
 
-/// A part of the budget, returned when dropped.
+/// Bytes reserved from the budget, which are released on drop.
 pub struct MemoryReservation {
     budget: MemoryBudget,
     bytes: usize,
 }
 
 impl MemoryBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `capacity` bytes.
     pub fn new(capacity: usize) -> MemoryBudget {
         MemoryBudget(Arc::new(Counters {
             reserved: AtomicUsize::new(0),
@@ -27,22 +27,22 @@
         }))
     }
 
-    /// Changes the capacity; what is reserved stays.
+    /// Changes the capacity; existing reservations stay.
     pub fn set_capacity(&self, capacity: usize) {
         self.0.capacity.store(capacity, Ordering::Relaxed);
     }
 
-    /// Bytes that may be reserved in all.
+    /// Bytes that may be reserved in total.
     pub fn capacity(&self) -> usize {
         self.0.capacity.load(Ordering::Relaxed)
     }
 
-    /// Bytes that are reserved.
+    /// Bytes currently reserved, which may exceed the capacity.
     pub fn reserved(&self) -> usize {
         self.0.reserved.load(Ordering::Relaxed)
     }
 
-    /// An empty reservation.
+    /// Creates a reservation of zero bytes, to be resized later.
     pub fn empty_reservation(&self) -> MemoryReservation {
         MemoryReservation {
             budget: self.clone(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A reservation of so many bytes; `None` if they are not left.
+    /// Reserves `bytes`; `None` if the remaining budget is too small.
     pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let mut reservation = self.empty_reservation();
         reservation.resize(bytes).then_some(reservation)
@@ -58,18 +58,18 @@
 }
 
 impl MemoryReservation {
-    /// Changes the size if the budget allows that, and returns whether it did. Shrinking always succeeds.
+    /// Changes the size if the budget permits it, and returns whether it did. Shrinking always succeeds.
     pub fn resize(&mut self, bytes: usize) -> bool {
-        let before = self.bytes;
+        let previous = self.bytes;
         self.force_resize(bytes);
-        let fits = bytes <= before || self.budget.reserved() <= self.budget.capacity();
+        let fits = bytes <= previous || self.budget.reserved() <= self.budget.capacity();
         if !fits {
-            self.force_resize(before);
+            self.force_resize(previous);
         }
         fits
     }
 
-    /// Changes the size, also beyond the capacity: others find less left then.
+    /// Changes the size even if that exceeds the capacity; further reservations then fail.
     pub fn force_resize(&mut self, bytes: usize) {
         let reserved = &self.budget.0.reserved;
         reserved.fetch_add(bytes, Ordering::Relaxed);
--- a/crates/driver/src/transport/mod.rs
+++ b/crates/driver/src/transport/mod.rs
@@ -1,8 +1,8 @@
-//! Sockets, clocks and coroutines. Nothing here knows what the bytes mean: each connection runs a
+//! Sockets, clocks and coroutines. This layer is independent of protocols: each connection runs a
 //! [`connection::ConnectionHandler`].
 //!
-//! Connections are coroutines on one worker thread. Whoever owns a [`connection::ConnectionHandle`] sends commands from
-//! any thread; events go to that owner through a channel.
+//! Connections are coroutines on one worker thread. The owner of a [`connection::ConnectionHandle`] sends commands from
+//! any thread and receives events through a channel.
 
 pub mod clock;
 pub mod connection;
--- a/crates/driver/src/transport/socket_errors.rs
+++ b/crates/driver/src/transport/socket_errors.rs
@@ -1,7 +1,7 @@
-//! Errors of Linux's socket calls: whose failure each is, whether it passes, and what its caller does next.
+//! Classification of errors of Linux socket calls: their origin, whether they are transient, and how to proceed.
 //!
-//! One function a call, after its manual page (`man 2 accept` and so on, `man 7 ip`, `man 7 tcp`). An error that no page
-//! names is taken for a mistake of this program, which ends what it befell and nothing else.
+//! One function per system call, following its manual page (`man 2 accept` etc., `man 7 ip`, `man 7 tcp`). Undocumented
+//! errors are classified as errors of this program, which end only the affected operation.
 
 use libc::{
     EACCES, EADDRINUSE, EADDRNOTAVAIL, EAFNOSUPPORT, EAGAIN, EALREADY, ECONNABORTED, ECONNREFUSED,
@@ -11,41 +11,41 @@
 };
 use std::io;
 
-/// Whose failure an error is.
+/// Where an error originates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// Nobody's: the call says only that it isn't done yet.
-    Nobody,
-    /// This host's: it lacks descriptors, memory, ports or a route, or its configuration forbids the call. It says nothing
-    /// about the peer.
+    /// No failure: the call has not completed yet.
+    NoFailure,
+    /// This host: it lacks descriptors, memory, ports or a route, or its configuration forbids the call. Such an error
+    /// says nothing about the peer.
     Host,
-    /// The peer's, or the network's on the way to it.
+    /// The peer, or the network between it and this host.
     Peer,
-    /// A mistake of this program.
+    /// A programming error in this program.
     Program,
 }
 
-/// What follows an error.
+/// How the caller proceeds after an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Wait until the kernel reports the socket as ready.
     Wait,
-    /// Make the same call again at once.
+    /// Repeat the call immediately.
     Retry,
-    /// Make the same call again after a pause: the kernel reports nothing when the lack is over.
+    /// Repeat the call after a delay: the kernel does not report when the resource is available again.
     RetryLater,
-    /// Give up what the call was for: a connection, an attempt to connect, an address to listen at.
+    /// Abandon the operation: the connection, the connection attempt or the listening address.
     GiveUp,
 }
 
-/// What an error of one call means.
+/// Classification of an error of one system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketError {
-    /// Whose failure it is.
+    /// Where the error originates.
     pub origin: Origin,
-    /// The same call may succeed later, though nothing is changed by anybody.
+    /// The same call may succeed later without intervention.
     pub is_transient: bool,
-    /// What follows.
+    /// How the caller proceeds.
     pub next: NextStep,
 }
 
@@ -65,78 +65,78 @@
     }
 }
 
-const NOT_READY: SocketError = transient(Origin::Nobody, NextStep::Wait);
-const INTERRUPTED: SocketError = transient(Origin::Nobody, NextStep::Retry);
-const HOST_LACKS: SocketError = transient(Origin::Host, NextStep::RetryLater);
-const HOST_FORBIDS: SocketError = permanent(Origin::Host);
+const NOT_READY: SocketError = transient(Origin::NoFailure, NextStep::Wait);
+const INTERRUPTED: SocketError = transient(Origin::NoFailure, NextStep::Retry);
+const HOST_OUT_OF_RESOURCES: SocketError = transient(Origin::Host, NextStep::RetryLater);
+const HOST_REFUSED: SocketError = permanent(Origin::Host);
 const CONNECTION_BROKEN: SocketError = permanent(Origin::Peer);
-const MISTAKE: SocketError = permanent(Origin::Program);
+const PROGRAM_ERROR: SocketError = permanent(Origin::Program);
 
-/// The error number; 0, which no call reports, if the error isn't the kernel's.
-fn number(error: &io::Error) -> i32 {
+/// The `errno` value; 0, which no call reports, for errors that do not come from the kernel.
+fn errno(error: &io::Error) -> i32 {
     error.raw_os_error().unwrap_or(0)
 }
 
-/// Whether no descriptor is left in this process or on this host: closing one lets the call succeed.
+/// Whether this process or host has run out of file descriptors, so that closing one lets the call succeed.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
-    matches!(number(error), EMFILE | ENFILE)
+    matches!(errno(error), EMFILE | ENFILE)
 }
 
-/// `accept4`. The next client may be accepted after any error that is not this program's.
+/// Classifies an error of `accept4`. Only errors of this program prevent the next client from being accepted.
 pub fn accept(error: &io::Error) -> SocketError {
-    match number(error) {
+    match errno(error) {
         EAGAIN => NOT_READY,
         EINTR => INTERRUPTED,
-        EMFILE | ENFILE | ENOBUFS | ENOMEM => HOST_LACKS,
-        // Errors of the connection that was to be accepted, which is gone with them.
+        EMFILE | ENFILE | ENOBUFS | ENOMEM => HOST_OUT_OF_RESOURCES,
+        // Errors of the connection being accepted, which is lost.
         ECONNABORTED | EPROTO | ENOPROTOOPT | ENETDOWN | ENETUNREACH | EHOSTDOWN | EHOSTUNREACH | ENONET
         | EOPNOTSUPP | ETIMEDOUT => transient(Origin::Peer, NextStep::Retry),
-        // A firewall of this host refused that one client.
+        // A firewall rule of this host rejected this client.
         EPERM => transient(Origin::Host, NextStep::Retry),
-        _ => MISTAKE,
+        _ => PROGRAM_ERROR,
     }
 }
 
-/// `socket`.
+/// Classifies an error of `socket`.
 pub fn socket(error: &io::Error) -> SocketError {
-    match number(error) {
-        EMFILE | ENFILE | ENOBUFS | ENOMEM => HOST_LACKS,
+    match errno(error) {
+        EMFILE | ENFILE | ENOBUFS | ENOMEM => HOST_OUT_OF_RESOURCES,
         EINTR => INTERRUPTED,
-        EACCES | EPERM | EAFNOSUPPORT | EPROTONOSUPPORT => HOST_FORBIDS,
-        _ => MISTAKE,
+        EACCES | EPERM | EAFNOSUPPORT | EPROTONOSUPPORT => HOST_REFUSED,
+        _ => PROGRAM_ERROR,
     }
 }
 
-/// `bind` and `listen`, at an address that a predecessor may still hold for a moment.
+/// Classifies an error of `bind` or `listen`. `EADDRINUSE` is transient: a predecessor may be about to release the address.
 pub fn listen(error: &io::Error) -> SocketError {
-    match number(error) {
-        EADDRINUSE | EAGAIN | ENOBUFS | ENOMEM => HOST_LACKS,
-        EACCES | EPERM | EADDRNOTAVAIL | EOPNOTSUPP => HOST_FORBIDS,
-        _ => MISTAKE,
+    match errno(error) {
+        EADDRINUSE | EAGAIN | ENOBUFS | ENOMEM => HOST_OUT_OF_RESOURCES,
+        EACCES | EPERM | EADDRNOTAVAIL | EOPNOTSUPP => HOST_REFUSED,
+        _ => PROGRAM_ERROR,
     }
 }
 
-/// `connect` of a TCP socket that does not block, and the error that the socket keeps of it.
+/// Classifies an error of `connect` on a non-blocking TCP socket, also if read as `SO_ERROR`.
 pub fn connect(error: &io::Error) -> SocketError {
-    match number(error) {
-        // An interrupted attempt goes on.
+    match errno(error) {
+        // An interrupted attempt continues in the background.
         EINPROGRESS | EALREADY | EINTR | EISCONN => NOT_READY,
-        // Here EAGAIN and EADDRNOTAVAIL are a lack of ports or routes. The attempt is over, the next one may succeed.
+        // EAGAIN and EADDRNOTAVAIL mean a lack of ports or routes here. A new attempt may succeed.
         EAGAIN | EADDRNOTAVAIL | EADDRINUSE | ENOBUFS | ENOMEM | ENETDOWN | ENETUNREACH => {
             transient(Origin::Host, NextStep::GiveUp)
         }
-        EACCES | EPERM | EAFNOSUPPORT => HOST_FORBIDS,
+        EACCES | EPERM | EAFNOSUPPORT => HOST_REFUSED,
         ECONNREFUSED | ECONNRESET | ECONNABORTED | ETIMEDOUT | EHOSTUNREACH | EHOSTDOWN | ENETRESET => {
             CONNECTION_BROKEN
         }
-        _ => MISTAKE,
+        _ => PROGRAM_ERROR,
     }
 }
 
 /// Errors that end an established connection, whichever call reports them.
-fn is_connection_broken(number: i32) -> bool {
+fn is_connection_broken(errno_value: i32) -> bool {
     matches!(
-        number,
+        errno_value,
         ECONNRESET
             | ECONNABORTED
             | ECONNREFUSED
@@ -153,72 +153,72 @@
     )
 }
 
-/// `recv` on a connected socket.
+/// Classifies an error of `recv` on a connected socket.
 pub fn receive(error: &io::Error) -> SocketError {
-    match number(error) {
+    match errno(error) {
         EAGAIN => NOT_READY,
         EINTR => INTERRUPTED,
-        ENOBUFS | ENOMEM => HOST_LACKS,
-        number if is_connection_broken(number) => CONNECTION_BROKEN,
-        _ => MISTAKE,
+        ENOBUFS | ENOMEM => HOST_OUT_OF_RESOURCES,
+        errno_value if is_connection_broken(errno_value) => CONNECTION_BROKEN,
+        _ => PROGRAM_ERROR,
     }
 }
 
-/// `send` on a connected socket.
+/// Classifies an error of `send` on a connected socket.
 pub fn send(error: &io::Error) -> SocketError {
-    match number(error) {
+    match errno(error) {
         EAGAIN => NOT_READY,
         EINTR => INTERRUPTED,
-        ENOBUFS | ENOMEM => HOST_LACKS,
-        EPERM => HOST_FORBIDS,
-        number if is_connection_broken(number) => CONNECTION_BROKEN,
-        _ => MISTAKE,
+        ENOBUFS | ENOMEM => HOST_OUT_OF_RESOURCES,
+        EPERM => HOST_REFUSED,
+        errno_value if is_connection_broken(errno_value) => CONNECTION_BROKEN,
+        _ => PROGRAM_ERROR,
     }
 }
 
-/// `sendmsg` on a Unix socket, with descriptors.
+/// Classifies an error of `sendmsg` on a Unix socket, with descriptors attached.
 pub fn send_message(error: &io::Error) -> SocketError {
-    match number(error) {
+    match errno(error) {
         EAGAIN => NOT_READY,
         EINTR => INTERRUPTED,
-        // Too many descriptors of this user lie in sockets unread.
-        ETOOMANYREFS | ENOBUFS | ENOMEM => HOST_LACKS,
-        EMSGSIZE => MISTAKE,
-        number if is_connection_broken(number) => CONNECTION_BROKEN,
-        _ => MISTAKE,
+        // Too many descriptors of this user are in flight.
+        ETOOMANYREFS | ENOBUFS | ENOMEM => HOST_OUT_OF_RESOURCES,
+        EMSGSIZE => PROGRAM_ERROR,
+        errno_value if is_connection_broken(errno_value) => CONNECTION_BROKEN,
+        _ => PROGRAM_ERROR,
     }
 }
 
-/// `epoll_create1`, `epoll_ctl` and `epoll_wait`. Other errors of theirs mean a wrong descriptor.
+/// Classifies an error of `epoll_create1`, `epoll_ctl` or `epoll_wait`. Other errors mean an invalid descriptor.
 pub fn epoll(error: &io::Error) -> SocketError {
-    match number(error) {
+    match errno(error) {
         EINTR => INTERRUPTED,
-        // ENOSPC: the user watches as many descriptors as the host allows.
-        EMFILE | ENFILE | ENOMEM | ENOSPC => HOST_LACKS,
-        _ => MISTAKE,
+        // ENOSPC: the user has reached the host's limit of watched descriptors.
+        EMFILE | ENFILE | ENOMEM | ENOSPC => HOST_OUT_OF_RESOURCES,
+        _ => PROGRAM_ERROR,
     }
 }
 
-/// `getsockopt`, `setsockopt`, `getpeername`.
+/// Classifies an error of `getsockopt`, `setsockopt` or `getpeername`.
 pub fn socket_option(error: &io::Error) -> SocketError {
-    match number(error) {
+    match errno(error) {
         EINTR => INTERRUPTED,
-        ENOBUFS | ENOMEM => HOST_LACKS,
-        number if is_connection_broken(number) => CONNECTION_BROKEN,
-        _ => MISTAKE,
+        ENOBUFS | ENOMEM => HOST_OUT_OF_RESOURCES,
+        errno_value if is_connection_broken(errno_value) => CONNECTION_BROKEN,
+        _ => PROGRAM_ERROR,
     }
 }
 
-/// Attempts to set an option of a socket.
-const MOST_OPTION_ATTEMPTS: usize = 8;
+/// Maximum number of attempts to set a socket option.
+const MAX_OPTION_ATTEMPTS: usize = 8;
 
-/// Sets an option of a socket, and again at once where it fails for a lack that passes, but not for ever.
+/// Sets a socket option, with a limited number of immediate retries after transient errors.
 ///
 /// # Errors
-/// The last attempt's.
+/// The error of the last attempt.
 pub fn retry_option(mut set: impl FnMut() -> io::Result<()>) -> io::Result<()> {
     let mut result = set();
-    for _ in 1..MOST_OPTION_ATTEMPTS {
+    for _ in 1..MAX_OPTION_ATTEMPTS {
         match &result {
             Err(error) if socket_option(error).is_transient => result = set(),
             _ => break,
@@ -227,8 +227,8 @@
     result
 }
 
-/// Whether an attempt to connect failed by this host alone, at whichever of `socket`, `connect` and `epoll_ctl`: then
-/// nothing was sent, and it says nothing about the peer.
+/// Whether a connection attempt failed on this host, in `socket`, `connect` or `epoll_ctl`. Nothing was sent then, and
+/// the error says nothing about the peer.
 pub fn is_local_failure(error: &io::Error) -> bool {
     [socket, connect, epoll]
         .iter()
--- a/crates/driver/tests/socket_errors.rs
+++ b/crates/driver/tests/socket_errors.rs
@@ -26,7 +26,7 @@
 }
 
 use NextStep::{GiveUp, Retry, RetryLater, Wait};
-use Origin::{Host, Nobody, Peer, Program};
+use Origin::{Host, NoFailure, Peer, Program};
 
 /// Errors that end an established connection, whichever call reports them.
 const GONE: &[i32] = &[
@@ -49,8 +49,8 @@
 #[test]
 fn errors_before_a_connection_is_open_are_classified_by_call() {
     expect("accept", accept, &[
-        (&[EAGAIN], Nobody, true, Wait),
-        (&[EINTR], Nobody, true, Retry),
+        (&[EAGAIN], NoFailure, true, Wait),
+        (&[EINTR], NoFailure, true, Retry),
         (&[EMFILE, ENFILE, ENOBUFS, ENOMEM], Host, true, RetryLater),
         (&[ECONNABORTED, EPROTO, ENOPROTOOPT, ENETDOWN, ENETUNREACH, EHOSTDOWN, EHOSTUNREACH, ENONET, EOPNOTSUPP, ETIMEDOUT],
             Peer, true, Retry),
@@ -59,7 +59,7 @@
     ]);
     expect("socket", socket, &[
         (&[EMFILE, ENFILE, ENOBUFS, ENOMEM], Host, true, RetryLater),
-        (&[EINTR], Nobody, true, Retry),
+        (&[EINTR], NoFailure, true, Retry),
         (&[EACCES, EPERM, EAFNOSUPPORT, EPROTONOSUPPORT], Host, false, GiveUp),
         (&[EINVAL], Program, false, GiveUp),
     ]);
@@ -69,7 +69,7 @@
         (&[EBADF, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
     expect("connect", connect, &[
-        (&[EINPROGRESS, EALREADY, EINTR, EISCONN], Nobody, true, Wait),
+        (&[EINPROGRESS, EALREADY, EINTR, EISCONN], NoFailure, true, Wait),
         (&[EAGAIN, EADDRNOTAVAIL, EADDRINUSE, ENOBUFS, ENOMEM, ENETDOWN, ENETUNREACH], Host, true, GiveUp),
         (&[EACCES, EPERM, EAFNOSUPPORT], Host, false, GiveUp),
         (&[ECONNREFUSED, ECONNRESET, ECONNABORTED, ETIMEDOUT, EHOSTUNREACH, EHOSTDOWN, ENETRESET], Peer, false, GiveUp),
@@ -81,34 +81,34 @@
 #[test]
 fn errors_of_open_connections_and_of_epoll_are_classified_by_call() {
     expect("recv", receive, &[
-        (&[EAGAIN], Nobody, true, Wait),
-        (&[EINTR], Nobody, true, Retry),
+        (&[EAGAIN], NoFailure, true, Wait),
+        (&[EINTR], NoFailure, true, Retry),
         (&[ENOBUFS, ENOMEM], Host, true, RetryLater),
         (GONE, Peer, false, GiveUp),
         (&[EBADF, EFAULT, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
     expect("send", send, &[
-        (&[EAGAIN], Nobody, true, Wait),
-        (&[EINTR], Nobody, true, Retry),
+        (&[EAGAIN], NoFailure, true, Wait),
+        (&[EINTR], NoFailure, true, Retry),
         (&[ENOBUFS, ENOMEM], Host, true, RetryLater),
         (&[EPERM], Host, false, GiveUp),
         (GONE, Peer, false, GiveUp),
         (&[EBADF, EFAULT, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
     expect("sendmsg", send_message, &[
-        (&[EAGAIN], Nobody, true, Wait),
-        (&[EINTR], Nobody, true, Retry),
+        (&[EAGAIN], NoFailure, true, Wait),
+        (&[EINTR], NoFailure, true, Retry),
         (&[ETOOMANYREFS, ENOBUFS, ENOMEM], Host, true, RetryLater),
         (GONE, Peer, false, GiveUp),
         (&[EMSGSIZE, EBADF, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
     expect("epoll", epoll, &[
-        (&[EINTR], Nobody, true, Retry),
+        (&[EINTR], NoFailure, true, Retry),
         (&[EMFILE, ENFILE, ENOMEM, ENOSPC], Host, true, RetryLater),
         (&[EBADF, EEXIST, EINVAL, ELOOP, ENOENT, EPERM], Program, false, GiveUp),
     ]);
     expect("getsockopt", socket_option, &[
-        (&[EINTR], Nobody, true, Retry),
+        (&[EINTR], NoFailure, true, Retry),
         (&[ENOBUFS, ENOMEM], Host, true, RetryLater),
         (GONE, Peer, false, GiveUp),
         (&[EBADF, EFAULT, EINVAL, ENOPROTOOPT, ENOTSOCK], Program, false, GiveUp),
