--- a/crates/driver/src/protocol/client_events.rs
+++ b/crates/driver/src/protocol/client_events.rs
@@ -1,4 +1,4 @@
-//! What a client's connection reports, what it is commanded, and the final answers that it writes.
+//! Events and commands of a client's connection, and final answers.
 
 use super::messages;
 use super::statement_comment::StatementError;
@@ -12,50 +12,50 @@
     Statement {
         /// Id of the client.
         client: u32,
-        /// Its number on this connection, by which it is answered.
+        /// Number of the statement on this connection, to be passed with its answer.
         number: u32,
-        /// Offset of its end among all that was read from this client here.
+        /// Offset of the statement's end among all input from the client in this process.
         end: u64,
-        /// Its text.
+        /// Text of the statement.
         text: StatementText,
-        /// Time at which it was read.
+        /// Time at which the statement was read.
         at: Timestamp,
     },
-    /// Part of a message has arrived.
+    /// The first part of a message has arrived.
     PartialMessage {
         /// Id of the client.
         client: u32,
-        /// Time at which it was read.
+        /// Time at which the part was read.
         since: Timestamp,
     },
     /// The connection is idle between statements.
     Idle {
         /// Id of the client.
         client: u32,
-        /// Since when.
+        /// Start of the idle time.
         since: Timestamp,
     },
-    /// A message could not be read.
+    /// A malformed message was rejected.
     Malformed,
-    /// A query exceeded the longest message.
+    /// A query that exceeds the message limit was rejected.
     Oversized,
-    /// A statement was rejected, or the connection was closed, for want of memory.
+    /// A statement was rejected or the connection closed because the memory budget is exhausted.
     OutOfMemory,
     /// The connection continues in another process.
     Transferred {
         /// Id of the client.
         client: u32,
-        /// Its connection.
+        /// The client's connection.
         stream: TcpStream,
-        /// Its protocol state.
+        /// Protocol state of the connection.
         transfer_state: ClientTransferState,
     },
-    /// The client has closed its side while statements are open: it has left, or waits for their answers.
+    /// The client has closed its side while statements are open. It may still wait for their answers.
     InputEnded {
         /// Id of the client.
         client: u32,
     },
-    /// Our side of the connection was closed, and the client's is still open.
+    /// The driver's side of the connection was closed; the client's side is still open.
     HalfClosed {
         /// Id of the client.
         client: u32,
@@ -67,42 +67,42 @@
     },
 }
 
-/// What a client's connection is to do.
+/// A command to a client's connection.
 pub enum ClientCommand {
     /// Write the final answer of the statement with this number.
     Answer(u32, FinalAnswer),
-    /// Close once nothing is open.
+    /// Close once no statement is open.
     Drain,
-    /// Hand the connection over once nothing is open, with what the client has sent ahead.
+    /// Hand the connection over once no statement is open, with the input that was read ahead.
     HandOver,
-    /// Close: the client took too long for a complete message.
+    /// Close if no statement is open: the client was idle or a message incomplete for too long.
     TimeOut,
-    /// Close before any statement: there are too many connections.
+    /// Close and reject all statements: there are too many connections.
     Reject,
 }
 
-/// Protocol state of a client between two statements, for the process that continues with it.
+/// Protocol state of a client between two statements, for the process that adopts it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientTransferState {
-    /// The startup is over.
+    /// Whether the startup has completed.
     pub startup_complete: bool,
-    /// Bytes of an oversized query that are still to be skipped.
+    /// Remaining bytes of an oversized query, to be skipped.
     pub bytes_to_skip: usize,
-    /// Input that was read and not consumed.
+    /// Unconsumed input.
     pub input: Vec<u8>,
-    /// Its number in the I/O journal, where it came from another process.
+    /// Id in the I/O journal if the client was adopted from another process.
     pub transfer_id: Option<u64>,
 }
 
-/// A statement's text, with its memory reservation.
+/// A statement's text and its memory reservation.
 pub struct StatementText {
-    /// The text.
+    /// The text without the terminating zero.
     pub text: String,
     _reservation: MemoryReservation,
 }
 
 impl StatementText {
-    /// Copies a text; `None` where the budget has no memory for it.
+    /// Copies a text; `None` if the budget cannot hold it.
     pub fn new(text: &str, budget: &MemoryBudget) -> Option<StatementText> {
         Some(StatementText {
             _reservation: budget.reserve(text.len())?,
@@ -111,17 +111,17 @@
     }
 }
 
-/// The one final answer to a statement.
+/// The final answer to a statement, which gets exactly one.
 pub enum FinalAnswer {
-    /// The messages of a member's answer, as they came.
+    /// The unmodified messages of a member's answer.
     Rows(Vec<u8>),
-    /// An error of this driver.
+    /// An error reported by this driver.
     Error {
         /// SQLSTATE.
         code: &'static str,
-        /// Text for people.
+        /// Human-readable message.
         message: &'static str,
-        /// Retry-after time in milliseconds, as the error's detail.
+        /// Retry-after time in milliseconds, sent as the error's detail.
         retry_after_ms: Option<u64>,
     },
 }
@@ -137,7 +137,7 @@
 }
 
 impl FinalAnswer {
-    /// The bytes for the client, up to ReadyForQuery.
+    /// Encodes the answer for the client, including ReadyForQuery.
     pub(super) fn into_bytes(self) -> Vec<u8> {
         let mut bytes = match self {
             FinalAnswer::Rows(bytes) => bytes,
--- a/crates/driver/src/protocol/client_session.rs
+++ b/crates/driver/src/protocol/client_session.rs
@@ -1,7 +1,7 @@
-//! A client's connection: startup, then statements, which may be pipelined and are answered in their order.
+//! A client's connection: startup, then statements, which may be pipelined and are answered in order.
 
 use super::client_events::{ClientCommand, ClientEvent, ClientTransferState, FinalAnswer, StatementText};
-use super::messages::{self, NextMessage, HEADER_LENGTH};
+use super::messages::{self, NextMessage, HEADER_BYTES};
 use super::pipeline::{AnsweredStatement, Pipeline};
 use super::startup::{self, Startup};
 use super::statement_comment::{CLIENT_DISCONNECTED, OUT_OF_MEMORY, TOO_LARGE, TOO_MANY_CONNECTIONS};
@@ -13,9 +13,9 @@
 use std::net::TcpStream;
 use std::os::fd::AsFd;
 
-/// Bytes that a client may have sent ahead of an answer before its input is no longer read. What is unread when it is
-/// closed is lost, so a pipeline of usual statements fits.
-const READ_AHEAD: usize = 16 * 1024;
+/// Maximum unconsumed input that is read while statements are open. Unread input is lost when the connection
+/// closes, so a pipeline of usual statements fits.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 
 #[derive(Clone, Copy, PartialEq)]
 enum State {
@@ -24,41 +24,41 @@
     Closed,
 }
 
-/// The handler of a client's connection.
+/// Connection handler of a client.
 pub struct ClientSession {
     client: u32,
     state: State,
     is_draining: bool,
-    /// It has sent a query, or another process knows whether it has.
+    /// The client has sent a query; also set for a client adopted from another process after its startup.
     has_sent_query: bool,
-    /// It is handed over to another process, and takes no further statement here.
+    /// The connection is being handed over to another process; no further statement is read here.
     is_handing_over: bool,
     has_partial_message: bool,
-    /// The client has closed its side: nothing that is read from now on is forwarded.
-    has_left: bool,
-    /// Everything that it sent before was read.
+    /// The client has closed its side; statements read from now on are not forwarded.
+    is_input_ended: bool,
+    /// All input that the client sent before closing its side was read.
     is_all_read: bool,
-    /// Bytes of an oversized query that are still to be skipped.
+    /// Remaining bytes of an oversized query, to be skipped.
     bytes_to_skip: usize,
     pipeline: Pipeline,
     budget: MemoryBudget,
-    /// Bytes consumed of all that was read.
-    consumed: u64,
-    /// Offset of the message that is being read.
+    /// Bytes consumed since the connection started here.
+    consumed_bytes: u64,
+    /// Offset of the current message among all input.
     message_start: u64,
-    /// Bytes of answers that the journal has recorded.
+    /// Output bytes recorded in the journal.
     journaled_to: u64,
-    /// How many of them were written to the socket.
+    /// Recorded bytes that were written to the socket.
     written_to: u64,
     journal: Option<IoJournalWriter>,
-    /// Number in the journal of a client that came from another process.
+    /// Id in the journal of a client adopted from another process.
     transfer_id: Option<u64>,
 }
 
 type Output = ConnectionOutput<ClientEvent>;
 
 impl ClientSession {
-    /// A client that has just connected.
+    /// Creates the handler of a newly accepted client.
     pub fn new(client: u32, budget: MemoryBudget) -> ClientSession {
         ClientSession {
             client,
@@ -67,12 +67,12 @@
             has_sent_query: false,
             is_handing_over: false,
             has_partial_message: false,
-            has_left: false,
+            is_input_ended: false,
             is_all_read: false,
             bytes_to_skip: 0,
             pipeline: Pipeline::default(),
             budget,
-            consumed: 0,
+            consumed_bytes: 0,
             message_start: 0,
             journaled_to: 0,
             written_to: 0,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Continues with a client of another process.
+    /// Creates the handler of a client adopted from another process.
     pub fn resume(client: u32, budget: MemoryBudget, transfer: &ClientTransferState) -> ClientSession {
         let state = if transfer.startup_complete {
             State::Ready
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Has all that is done recorded before. No other process holds a client that connects once the journal is off.
+    /// Records all I/O in the journal in advance. A new client is not recorded if the journal has ended,
+    /// since no other process holds its socket then.
     pub fn with_journal(mut self, journal: Option<IoJournalWriter>) -> ClientSession {
         self.journal = journal.filter(|j| j.is_active() || self.transfer_id.is_some());
         self
@@ -109,7 +110,8 @@
         }
     }
 
-    /// So many bytes are written next; they answer all input before `answered_to`.
+    /// Records that `length` bytes will be written, which complete the answers to all input before
+    /// `answered_to`.
     fn record_write(&mut self, length: usize, answered_to: u64) {
         self.journaled_to += length as u64;
         self.record(|| JournalRecord::Write {
@@ -137,7 +139,7 @@
         self.close_with_error("08P01", message, out);
     }
 
-    /// Reads what comes before the first query; returns how many bytes that took.
+    /// Reads one startup message; returns the number of bytes consumed.
     fn read_startup(&mut self, input: &[u8], at: Timestamp, out: &mut Output) -> usize {
         match startup::read_startup(input) {
             Startup::Partial => 0,
@@ -155,7 +157,7 @@
                 if minor > 0 || !unknown.is_empty() {
                     messages::put_negotiation(&mut out.bytes, &unknown);
                 }
-                messages::put_welcome(&mut out.bytes);
+                messages::put_startup_response(&mut out.bytes);
                 self.become_idle(at, out);
                 self.record_write(out.bytes.len() - before, self.message_start + length as u64);
                 length
@@ -165,7 +167,7 @@
                 0
             }
             Startup::Malformed => {
-                self.reject_malformed("unreadable startup message", out);
+                self.reject_malformed("invalid startup message", out);
                 0
             }
         }
@@ -179,7 +181,8 @@
         });
     }
 
-    /// Reads one message; returns how many bytes that took. While statements are open only a further one is read.
+    /// Reads one message; returns the number of bytes consumed. While statements are open, only queries are
+    /// read.
     fn read_message(&mut self, input: &[u8], at: Timestamp, out: &mut Output) -> usize {
         let max_message_bytes = messages::max_message_bytes(self.budget.capacity());
         match messages::next_message(input, max_message_bytes) {
@@ -194,14 +197,14 @@
                     length
                 }
                 None if self.pipeline.is_empty() => {
-                    self.reject_malformed("unreadable query", out);
+                    self.reject_malformed("invalid query message", out);
                     0
                 }
                 None => 0,
             },
             _ if !self.pipeline.is_empty() => 0,
             NextMessage::Malformed => {
-                self.reject_malformed("unreadable message", out);
+                self.reject_malformed("invalid message header", out);
                 0
             }
             NextMessage::TooLong { kind: b'Q', length } => {
@@ -218,22 +221,22 @@
                 length
             }
             NextMessage::Complete { .. } | NextMessage::TooLong { .. } => {
-                self.reject_malformed("only simple queries are spoken here", out);
+                self.reject_malformed("only the simple query protocol is supported", out);
                 0
             }
         }
     }
 
-    /// Adds a query to the pipeline, with its answer if it needs no member.
+    /// Adds a query to the pipeline, with its answer if no member is needed.
     fn on_query(&mut self, text: &str, end: u64, at: Timestamp, out: &mut Output) {
         self.has_sent_query = true;
         if text.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
-            // No event: a client that sends nothing else would fill the event loop's queue.
+            // Sends no event: a client that sends only empty queries would flood the event loop's queue.
             let mut answer = Vec::new();
             messages::put(&mut answer, b'I', &[]);
             messages::put_ready(&mut answer);
             self.pipeline.push_answered(end, answer);
-        } else if self.has_left {
+        } else if self.is_input_ended {
             self.pipeline.push_rejected(end, CLIENT_DISCONNECTED);
         } else if let Some(text) = StatementText::new(text, &self.budget) {
             let number = self.pipeline.push_open(end);
@@ -251,11 +254,11 @@
         self.write_answers(out);
     }
 
-    /// Writes the answers at the front of the pipeline.
+    /// Writes the completed answers at the front of the pipeline.
     fn write_answers(&mut self, out: &mut Output) {
         while let Some(AnsweredStatement { end, answer }) = self.pipeline.pop_answered() {
             self.record_write(answer.len(), end);
-            // Most often nothing waits to be written: then the bytes needn't be copied.
+            // Avoids a copy in the common case.
             if out.bytes.is_empty() {
                 out.bytes = answer;
             } else {
@@ -269,20 +272,21 @@
             return;
         }
         self.write_answers(out);
-        // Whether the connection ends now is decided by `on_input`, which follows: a statement may be here already.
-        if self.pipeline.is_empty() && !self.has_left {
+        // `on_input` follows and decides whether to close, since the next statement may already be buffered.
+        if self.pipeline.is_empty() && !self.is_input_ended {
             self.become_idle(at, out);
         }
     }
 
-    /// Nothing more can come of a client that has closed its side and has all its answers.
-    fn close_if_left(&mut self, out: &mut Output) {
-        if self.has_left && self.is_all_read && self.pipeline.is_empty() && self.state != State::Closed {
+    /// Closes the connection of a client that has closed its side and received all answers.
+    fn close_if_input_ended(&mut self, out: &mut Output) {
+        if self.is_input_ended && self.is_all_read && self.pipeline.is_empty() && self.state != State::Closed
+        {
             self.close(out);
         }
     }
 
-    /// Rejects a connection for which there is no place. Statements that were read meanwhile have an answer each.
+    /// Rejects a client beyond the connection limit. Each statement that was already read gets an answer.
     fn reject(&mut self, out: &mut Output) {
         self.pipeline
             .answer_all(|| FinalAnswer::from(TOO_MANY_CONNECTIONS));
@@ -294,8 +298,8 @@
         }
     }
 
-    /// Whether it drains and the client waits for nothing.
-    fn may_close(&self) -> bool {
+    /// Whether the connection is draining and no answer or message is pending.
+    fn can_close(&self) -> bool {
         let is_idle = !self.has_partial_message && self.pipeline.is_empty();
         self.is_draining && is_idle && self.state != State::Closed
     }
@@ -303,19 +307,23 @@
     fn close_if_draining(&mut self, out: &mut Output) {
         if self.is_handing_over && self.pipeline.is_empty() && self.state != State::Closed {
             out.hand_over = true;
-        } else if self.may_close() {
-            // What the socket holds by now was sent to an open connection.
+        } else if self.can_close() {
+            // Input that has already arrived was sent to an open connection and must be answered.
             out.read_again = true;
         }
     }
 
-    /// A client that has sent a query knows by a plain close that nothing further of it was accepted, and asks elsewhere.
-    /// To a new client a close without a message says nothing.
+    /// Closes an idle connection: without a message if the client has sent a query, which then knows that no
+    /// further statement was accepted and uses another driver; with an error if the client is new.
     fn close_idle(&mut self, out: &mut Output) {
         if self.has_sent_query {
             self.close(out);
         } else {
-            self.close_with_error("57P03", "this connection takes no statement any more", out);
+            self.close_with_error(
+                "57P03",
+                "the connection is closing and accepts no further statements",
+                out,
+            );
         }
     }
 
@@ -324,45 +332,45 @@
             return;
         }
         if self.state == State::Ready && !self.has_partial_message {
-            // Any message but a refusal would be taken for the answer to a statement that is on its way.
+            // Any error other than a rejection could be taken for the answer to a statement in transit.
             self.close_idle(out);
         } else if self.is_draining {
-            self.close_with_error("57P03", "the message was not ended in time", out);
+            self.close_with_error("57P03", "timed out waiting for the rest of the message", out);
         } else {
-            self.reject_malformed("the message was not ended in time", out);
+            self.reject_malformed("timed out waiting for the rest of the message", out);
         }
     }
 
-    /// Reads all complete messages; returns how many bytes they took.
+    /// Reads all complete messages; returns the number of bytes consumed.
     fn read_messages(&mut self, input: &[u8], at: Timestamp, out: &mut Output) -> usize {
-        let mut used = 0;
-        // What a connection that is handed over has here is for the other process to read.
+        let mut consumed_total = 0;
+        // The other process reads the remaining input of a connection that is being handed over.
         while !self.is_handing_over {
-            let skipped = self.bytes_to_skip.min(input.len() - used);
-            used += skipped;
+            let skipped = self.bytes_to_skip.min(input.len() - consumed_total);
+            consumed_total += skipped;
             self.bytes_to_skip -= skipped;
-            self.message_start = self.consumed + used as u64;
+            self.message_start = self.consumed_bytes + consumed_total as u64;
             if self.bytes_to_skip > 0 {
                 break;
             }
-            let unused = &input[used..];
-            let taken = match self.state {
-                State::Startup => self.read_startup(unused, at, out),
-                State::Ready => self.read_message(unused, at, out),
-                State::Closed => unused.len(),
+            let unconsumed = &input[consumed_total..];
+            let consumed = match self.state {
+                State::Startup => self.read_startup(unconsumed, at, out),
+                State::Ready => self.read_message(unconsumed, at, out),
+                State::Closed => unconsumed.len(),
             };
-            used += taken;
-            if taken == 0 && self.bytes_to_skip == 0 {
+            consumed_total += consumed;
+            if consumed == 0 && self.bytes_to_skip == 0 {
                 break;
             }
         }
-        used
+        consumed_total
     }
 
-    /// Reports whether part of a message is here.
-    fn update_partial_message(&mut self, unused: usize, at: Timestamp, out: &mut Output) {
+    /// Reports the start and the end of the wait for the rest of a message.
+    fn update_partial_message(&mut self, unconsumed: usize, at: Timestamp, out: &mut Output) {
         let waits_for_message = self.state == State::Ready && self.pipeline.is_empty();
-        let is_partial = waits_for_message && (self.bytes_to_skip > 0 || unused > 0);
+        let is_partial = waits_for_message && (self.bytes_to_skip > 0 || unconsumed > 0);
         let (client, since) = (self.client, at);
         if is_partial && !self.has_partial_message {
             out.events.push(ClientEvent::PartialMessage { client, since });
@@ -410,11 +418,11 @@
     }
 
     fn on_input(&mut self, input: &mut Vec<u8>, at: Timestamp, out: &mut Output) {
-        let used = self.read_messages(input, at, out);
-        input.drain(..used);
-        self.consumed += used as u64;
+        let consumed_total = self.read_messages(input, at, out);
+        input.drain(..consumed_total);
+        self.consumed_bytes += consumed_total as u64;
         self.update_partial_message(input.len(), at, out);
-        self.close_if_left(out);
+        self.close_if_input_ended(out);
         self.close_if_draining(out);
     }
 
@@ -429,7 +437,7 @@
                 self.is_handing_over = true;
                 self.close_if_draining(out);
             }
-            // The other process has time and memory for it.
+            // Timeouts and limits are up to the other process now.
             ClientCommand::TimeOut | ClientCommand::Reject if self.is_handing_over => {}
             ClientCommand::TimeOut | ClientCommand::Reject if self.state == State::Closed => {}
             ClientCommand::TimeOut => self.on_timeout(out),
@@ -438,26 +446,26 @@
     }
 
     fn on_input_ended(&mut self, is_all_read: bool, out: &mut Output) -> bool {
-        let owes_answers = !self.pipeline.is_empty() || !out.bytes.is_empty();
-        if self.state != State::Ready || !owes_answers {
+        let has_pending_answers = !self.pipeline.is_empty() || !out.bytes.is_empty();
+        if self.state != State::Ready || !has_pending_answers {
             return false;
         }
-        if !self.has_left && !self.pipeline.is_empty() {
+        if !self.is_input_ended && !self.pipeline.is_empty() {
             out.events.push(ClientEvent::InputEnded { client: self.client });
         }
-        self.has_left = true;
+        self.is_input_ended = true;
         self.is_all_read = is_all_read;
-        self.close_if_left(out);
+        self.close_if_input_ended(out);
         true
     }
 
     fn on_memory_exhausted(&mut self, out: &mut Output) {
         out.events.push(ClientEvent::OutOfMemory);
-        self.close_with_error("53300", "no memory is left for the message", out);
+        self.close_with_error("53300", "memory budget for client messages is exhausted", out);
     }
 
     fn on_all_read(&mut self, out: &mut Output) {
-        if self.may_close() && !self.is_handing_over {
+        if self.can_close() && !self.is_handing_over {
             self.close_idle(out);
         }
     }
@@ -495,14 +503,15 @@
         out.events.push(ClientEvent::Closed { client: self.client });
     }
 
-    /// While statements are open no more than a pipeline of them is read ahead: the rest stays with the kernel.
-    fn wants_input(&self, unused: usize) -> bool {
+    /// While statements are open, the input read ahead is bounded and the rest stays in the socket's receive
+    /// buffer.
+    fn wants_input(&self, unconsumed: usize) -> bool {
         if self.state == State::Closed || self.is_handing_over {
             return false;
         }
         if !self.pipeline.is_empty() {
-            return unused <= READ_AHEAD;
+            return unconsumed <= MAX_READ_AHEAD_BYTES;
         }
-        unused <= messages::max_message_bytes(self.budget.capacity()) + HEADER_LENGTH
+        unconsumed <= messages::max_message_bytes(self.budget.capacity()) + HEADER_BYTES
     }
 }
--- a/crates/driver/src/protocol/discovery_watch.rs
+++ b/crates/driver/src/protocol/discovery_watch.rs
@@ -1,4 +1,5 @@
-//! A request to discovery: the complete list first, then one long poll after another on the same connection.
+//! Watches discovery: requests the complete endpoint list, then its changes by long polling on the same
+//! connection.
 
 use super::endpoint_list::{self, EndpointList};
 use super::http::{self, Response};
@@ -8,46 +9,47 @@
 const LIST_PATH: &str = "/registry/instances";
 const OK: u16 = 200;
 
-/// What a request yields.
+/// An event of a connection to discovery.
 pub enum DiscoveryEvent {
-    /// A list or its changes.
+    /// The complete list or changes to it.
     Listed(EndpointList),
-    /// Discovery has an older version than the known one: the complete list is requested again.
+    /// Discovery has an older version than the known one. The watch requests the complete list again.
     Outdated,
-    /// A response that can't be read; the last good list stays in force.
+    /// A malformed or unsuccessful response; the last valid list stays in use.
     Unreadable,
     /// The connection is closed.
     Closed,
 }
 
-/// An event of the discovery request with this number.
+/// An event with the number of its discovery request.
 pub struct DiscoveryMessage {
     /// Number of the request.
     pub request: u32,
-    /// Its event.
+    /// The event.
     pub event: DiscoveryEvent,
 }
 
-/// The handler of one connection to discovery.
+/// Connection handler for discovery.
 pub struct DiscoveryWatch {
     request: u32,
     host: String,
-    /// Longest time for which discovery may hold a request, in milliseconds.
+    /// Maximum time for which discovery may delay the response to a long poll.
     wait_ms: u64,
-    /// Version after which changes are wanted; `None` for the complete list.
-    after: Option<u64>,
-    is_over: bool,
+    /// Version whose later changes are requested; `None` requests the complete list.
+    known_version: Option<u64>,
+    is_finished: bool,
 }
 
 impl DiscoveryWatch {
-    /// A watch that begins with the changes after a known version, or with the complete list.
-    pub fn new(request: u32, host: String, wait_ms: u64, after: Option<u64>) -> DiscoveryWatch {
+    /// Creates a watch that first requests the changes after `known_version`, or the complete list if it is
+    /// `None`.
+    pub fn new(request: u32, host: String, wait_ms: u64, known_version: Option<u64>) -> DiscoveryWatch {
         DiscoveryWatch {
             request,
             host,
             wait_ms,
-            after,
-            is_over: false,
+            known_version,
+            is_finished: false,
         }
     }
 
@@ -59,15 +61,15 @@
     }
 
     fn send_request(&self, out: &mut ConnectionOutput<DiscoveryMessage>) {
-        let path = match self.after {
-            Some(index) => format!("{LIST_PATH}?after={index}&wait_ms={}", self.wait_ms),
+        let path = match self.known_version {
+            Some(version) => format!("{LIST_PATH}?after={version}&wait_ms={}", self.wait_ms),
             None => LIST_PATH.to_owned(),
         };
         out.bytes.extend(http::get(&path, &self.host));
     }
 
-    /// Takes a complete response; returns whether it could be read. Otherwise the watch is over.
-    fn take_response(
+    /// Handles a complete response; returns whether it was valid. Otherwise the watch is closed.
+    fn handle_response(
         &mut self,
         status: u16,
         body: &[u8],
@@ -77,13 +79,13 @@
             self.fail(out);
             return false;
         };
-        // Changes up to a version before the one that they were to follow belong to another history.
-        let is_outdated = !list.is_complete && self.after.is_some_and(|after| list.index < after);
+        // Changes that end before the known version belong to another history of the list.
+        let is_outdated = !list.is_complete && self.known_version.is_some_and(|version| list.index < version);
         let event = if is_outdated {
-            self.after = None;
+            self.known_version = None;
             DiscoveryEvent::Outdated
         } else {
-            self.after = Some(list.index);
+            self.known_version = Some(list.index);
             DiscoveryEvent::Listed(list)
         };
         out.events.push(self.message(event));
@@ -96,13 +98,13 @@
     }
 
     fn close(&mut self, out: &mut ConnectionOutput<DiscoveryMessage>) {
-        self.is_over = true;
+        self.is_finished = true;
         out.close = true;
     }
 }
 
 impl ConnectionHandler for DiscoveryWatch {
-    /// The owner only ever closes it.
+    /// There are no commands; the owner can only close the connection.
     type Command = std::convert::Infallible;
     type Event = DiscoveryMessage;
 
@@ -116,7 +118,7 @@
         _at: Timestamp,
         out: &mut ConnectionOutput<DiscoveryMessage>,
     ) {
-        while !self.is_over && !input.is_empty() {
+        while !self.is_finished && !input.is_empty() {
             let (status, body, length, keep_alive) = match http::parse_response(input) {
                 Response::Partial | Response::UntilClose { .. } => return,
                 Response::Malformed => return self.fail(out),
@@ -128,7 +130,7 @@
                 } => (status, body, length, keep_alive),
             };
             input.drain(..length);
-            if !self.take_response(status, &body, out) {
+            if !self.handle_response(status, &body, out) {
                 return;
             }
             if keep_alive {
@@ -139,14 +141,14 @@
         }
     }
 
-    /// A response without a length is complete only where the peer has closed the connection: a reset does not end it.
+    /// A response without a length is complete when the peer closes the connection, but not after a reset.
     fn on_peer_closed(&mut self, input: &[u8], out: &mut ConnectionOutput<DiscoveryMessage>) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
         if let Response::UntilClose { status, body_start } = http::parse_response(input) {
-            self.take_response(status, &input[body_start..], out);
-            self.is_over = true;
+            self.handle_response(status, &input[body_start..], out);
+            self.is_finished = true;
         }
     }
 
@@ -163,7 +165,7 @@
         out.events.push(self.message(DiscoveryEvent::Closed));
     }
 
-    fn wants_input(&self, unused: usize) -> bool {
-        !self.is_over && unused <= http::MAX_BODY * 2
+    fn wants_input(&self, unconsumed: usize) -> bool {
+        !self.is_finished && unconsumed <= http::MAX_BODY_BYTES * 2
     }
 }
--- a/crates/driver/src/protocol/endpoint_list.rs
+++ b/crates/driver/src/protocol/endpoint_list.rs
@@ -1,9 +1,9 @@
-//! The endpoint list of discovery, in JSON.
+//! Parser of discovery's endpoint list, which is JSON.
 
 use super::replica_status;
 use serde_json::Value;
 
-/// State of an endpoint, in discovery's words.
+/// Status of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointStatus {
     /// `SERVING`
@@ -14,7 +14,7 @@
     Deleted,
 }
 
-/// An entry of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// Name of the member, the same at all drivers.
@@ -25,31 +25,31 @@
     pub zone: String,
     /// Id of the group.
     pub group: u32,
-    /// Its state.
+    /// Status of the endpoint.
     pub status: EndpointStatus,
-    /// Capacity relative to others.
+    /// Capacity relative to other endpoints; 1 by default.
     pub weight: f64,
-    /// Unix time of the last start in milliseconds; zero if that was long ago.
+    /// Unix time of the last start in milliseconds; zero if unknown or long ago.
     pub since_ms: u64,
-    /// The list names it as the primary.
+    /// Whether the list declares it as the primary.
     pub is_primary: bool,
 }
 
-/// A version of the list.
+/// A version of the endpoint list, or changes up to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointList {
     /// Number of the version.
     pub index: u64,
-    /// The complete list, not only what changed.
+    /// Whether this is the complete list rather than changes.
     pub is_complete: bool,
-    /// Its readable entries.
+    /// Valid entries.
     pub entries: Vec<Endpoint>,
-    /// Number of entries that could not be read.
+    /// Number of invalid entries, which were skipped.
     pub skipped: usize,
 }
 
-/// Nested levels in a list at most; a valid one has three.
-const MOST_LEVELS: usize = 16;
+/// Maximum nesting depth of the JSON; a valid list has a depth of three.
+const MAX_NESTING_DEPTH: usize = 16;
 
 fn parse_entry(value: &Value) -> Option<Endpoint> {
     let text = |name: &str| value.get(name).and_then(Value::as_str);
@@ -60,7 +60,7 @@
         "DELETED" => EndpointStatus::Deleted,
         _ => return None,
     };
-    // A deleted one may come with little more than its name.
+    // A deleted endpoint may lack its address.
     let is_deleted = status == EndpointStatus::Deleted;
     let address = non_empty("address").or(is_deleted.then(String::new))?;
     let group = value.get("group").map_or(Some(0), Value::as_u64)?;
@@ -77,7 +77,7 @@
     })
 }
 
-/// Reads a list from JSON; `None` if its frame can't be read. Unreadable entries are skipped.
+/// Converts a list from JSON; `None` if it is malformed. Invalid entries are skipped.
 pub fn from_value(value: &Value) -> Option<EndpointList> {
     let listed = value.get("endpoints")?.as_array()?;
     let entries: Vec<_> = listed.iter().filter_map(parse_entry).collect();
@@ -90,10 +90,10 @@
     })
 }
 
-/// Whether nothing is nested deeper than [`MOST_LEVELS`]. The JSON parser recurses, and a coroutine's stack, whose overflow
-/// ends the process, has less space than the parser's own limit would need.
-fn is_shallow(body: &[u8]) -> bool {
-    let mut level = 0usize;
+/// Whether the nesting depth is at most [`MAX_NESTING_DEPTH`]. The JSON parser recurses, its own depth limit
+/// exceeds what a coroutine's stack can hold, and a stack overflow terminates the process.
+fn is_nesting_bounded(body: &[u8]) -> bool {
+    let mut depth = 0usize;
     let mut is_quoted = false;
     let mut is_escaped = false;
     for byte in body {
@@ -101,20 +101,20 @@
             _ if is_escaped => is_escaped = false,
             b'\\' if is_quoted => is_escaped = true,
             b'"' => is_quoted = !is_quoted,
-            b'[' | b'{' if !is_quoted => level += 1,
-            b']' | b'}' if !is_quoted => level = level.saturating_sub(1),
+            b'[' | b'{' if !is_quoted => depth += 1,
+            b']' | b'}' if !is_quoted => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if level > MOST_LEVELS {
+        if depth > MAX_NESTING_DEPTH {
             return false;
         }
     }
     true
 }
 
-/// Reads a list from the body of an answer; `None` if it can't be read.
+/// Parses the body of a response; `None` if it is malformed.
 pub fn parse(body: &[u8]) -> Option<EndpointList> {
-    if !is_shallow(body) {
+    if !is_nesting_bounded(body) {
         return None;
     }
     from_value(&serde_json::from_slice(body).ok()?)
--- a/crates/driver/src/protocol/http.rs
+++ b/crates/driver/src/protocol/http.rs
@@ -1,17 +1,17 @@
-//! The part of HTTP/1.1 that is spoken with discovery.
+//! The subset of HTTP/1.1 that is used with discovery.
 
-/// Most bytes of a response's body.
-pub const MAX_BODY: usize = 4 * 1024 * 1024;
-/// Most bytes of a response's head.
-const MAX_HEAD: usize = 16 * 1024;
+/// Maximum size of a response body.
+pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of the status line and the headers of a response.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 32;
 
-/// What the input holds of a response.
+/// Result of parsing a response.
 #[derive(Debug, PartialEq)]
 pub enum Response {
     /// More bytes are needed.
     Partial,
-    /// The body has no length and ends with the connection.
+    /// The response has no length; its body ends when the connection is closed.
     UntilClose {
         /// Status code.
         status: u16,
@@ -22,38 +22,38 @@
     Complete {
         /// Status code.
         status: u16,
-        /// The body, without chunk headers.
+        /// The decoded body, without chunk headers.
         body: Vec<u8>,
-        /// Bytes of the input that it takes.
+        /// Length of the whole response in the input.
         length: usize,
-        /// The connection may be used again.
+        /// Whether the connection may be used for another request.
         keep_alive: bool,
     },
-    /// It can't be read.
+    /// Not a valid response.
     Malformed,
 }
 
-/// A body and the bytes that it takes in the input.
+/// A decoded body and its encoded length in the input.
 struct Body {
     content: Vec<u8>,
     length: usize,
 }
 
-/// A body that can't be read.
+/// The body is malformed or too large.
 struct MalformedBody;
 
-/// A GET request.
+/// Formats a GET request.
 pub fn get(path: &str, host: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
 }
 
-/// Reads a response from the front of `input`.
+/// Parses a response at the front of `input`.
 pub fn parse_response(input: &[u8]) -> Response {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let head_length = match response.parse(input) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD => return Response::Partial,
+        Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Response::Partial,
         _ => return Response::Malformed,
     };
     let header = |name: &str| {
@@ -70,7 +70,7 @@
     let body = match content_length {
         _ if is_chunked => parse_chunked(after_head),
         Some(Ok(length)) => parse_sized(after_head, length),
-        None if transfer_encoding.is_none() && after_head.len() <= MAX_BODY => {
+        None if transfer_encoding.is_none() && after_head.len() <= MAX_BODY_BYTES => {
             let body_start = head_length;
             return Response::UntilClose { status, body_start };
         }
@@ -83,21 +83,21 @@
             length: head_length + body.length,
             keep_alive,
         },
-        Ok(None) if input.len() <= MAX_BODY + MAX_HEAD => Response::Partial,
+        Ok(None) if input.len() <= MAX_BODY_BYTES + MAX_HEAD_BYTES => Response::Partial,
         _ => Response::Malformed,
     }
 }
 
-/// A body of a stated length; `None` while some of it is missing.
+/// Parses a body of a declared length; `None` if it is incomplete.
 fn parse_sized(input: &[u8], length: usize) -> Result<Option<Body>, MalformedBody> {
-    if length > MAX_BODY {
+    if length > MAX_BODY_BYTES {
         return Err(MalformedBody);
     }
     let content = input.get(..length).map(<[u8]>::to_vec);
     Ok(content.map(|content| Body { content, length }))
 }
 
-/// A body in chunks; `None` while some of them are missing.
+/// Parses a chunked body; `None` if it is incomplete.
 fn parse_chunked(input: &[u8]) -> Result<Option<Body>, MalformedBody> {
     let mut content = Vec::new();
     let mut offset = 0;
@@ -107,7 +107,7 @@
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err(MalformedBody),
         };
-        if size > MAX_BODY || content.len() + size > MAX_BODY {
+        if size > MAX_BODY_BYTES || content.len() + size > MAX_BODY_BYTES {
             return Err(MalformedBody);
         }
         let start = offset + header;
--- a/crates/driver/src/protocol/member_connection.rs
+++ b/crates/driver/src/protocol/member_connection.rs
@@ -1,6 +1,6 @@
 //! A connection to a member, which carries one execution or health check at a time.
 
-use super::messages::{self, NextMessage, HEADER_LENGTH};
+use super::messages::{self, NextMessage, HEADER_BYTES};
 use super::replica_status;
 use crate::transport::connection::{ConnectionHandler, ConnectionOutput};
 use asterlatch::interface::ReplicaStatus;
@@ -9,32 +9,32 @@
 
 /// A member's answer.
 pub enum Reply {
-    /// The messages of a row, as they came.
+    /// The unmodified messages of a result with one row.
     Rows(Vec<u8>),
     /// The SQLSTATE of an error.
     Error(String),
-    /// Nothing that can be read.
+    /// A malformed answer.
     Malformed,
 }
 
 /// An event of a connection to a member.
 pub enum MemberEvent {
-    /// It is ready for its first query.
+    /// The startup has completed; the connection is ready for queries.
     Connected {
         /// Id of the connection.
         connection: u32,
     },
-    /// An answer.
+    /// The member has answered the open query.
     Replied {
         /// Id of the connection.
         connection: u32,
-        /// Time at which it was read.
+        /// Time at which the answer was read.
         at: Timestamp,
         /// The answer.
         reply: Reply,
-        /// What the member reported with it.
+        /// Log position and role that the member reported with the answer.
         status: ReplicaStatus,
-        /// Its load report, unparsed.
+        /// The member's load report, unparsed.
         report: Option<String>,
     },
     /// The idle connection continues in another process.
@@ -44,28 +44,28 @@
         /// Its socket.
         stream: TcpStream,
     },
-    /// It is closed.
+    /// The connection is closed.
     Closed {
         /// Id of the connection.
         connection: u32,
         /// Time of the close.
         at: Timestamp,
-        /// The open query was written to its last byte.
+        /// Whether there is an open query that was written completely.
         written: bool,
     },
 }
 
-/// What a connection to a member is to do.
+/// A command to a connection to a member.
 pub enum MemberCommand {
-    /// Send a query, a complete message.
+    /// Send a complete Query message.
     Query(Vec<u8>),
-    /// Hand the idle connection over.
+    /// Hand the idle connection over to another process.
     HandOver,
 }
 
 /// Severities of errors that end the connection.
-const FATAL: [&str; 2] = ["FATAL", "PANIC"];
-/// Body of AuthenticationOk.
+const FATAL_SEVERITIES: [&str; 2] = ["FATAL", "PANIC"];
+/// Content of AuthenticationOk.
 const AUTHENTICATION_OK: [u8; 4] = [0, 0, 0, 0];
 
 #[derive(Clone, Copy, PartialEq)]
@@ -76,7 +76,7 @@
     Closed,
 }
 
-/// What has arrived of the answer to the open query.
+/// The part of the answer to the open query that has arrived.
 #[derive(Default)]
 struct Answer {
     rows: Vec<u8>,
@@ -89,7 +89,7 @@
 }
 
 impl Answer {
-    /// What has arrived is an answer: an error, or a row that was completed.
+    /// Takes the answer if it is complete: an error, or a row followed by CommandComplete.
     fn take_reply(&mut self) -> Option<Reply> {
         if let Some(code) = self.error.take() {
             return Some(Reply::Error(code));
@@ -98,7 +98,7 @@
         is_row.then(|| Reply::Rows(std::mem::take(&mut self.rows)))
     }
 
-    /// A ParameterStatus; returns whether it can be read. A value that is no text spoils no answer.
+    /// Handles a ParameterStatus; returns whether it is well-formed. Values that are not text are ignored.
     fn set_parameter(&mut self, body: &[u8]) -> bool {
         let Some((name, value)) = messages::parameter(body) else {
             return false;
@@ -109,20 +109,20 @@
                 self.status.position = text.and_then(replica_status::parse_position);
             }
             replica_status::ROLE => self.status.is_primary = text.and_then(replica_status::parse_role),
-            replica_status::REPORT => self.report = text.map(str::to_owned),
+            replica_status::LOAD_REPORT => self.report = text.map(str::to_owned),
             _ => {}
         }
         true
     }
 }
 
-/// The handler of a connection to a member.
+/// Connection handler for a member.
 pub struct MemberConnection {
     connection: u32,
-    /// Length of the longest message that is accepted, in bytes.
+    /// Maximum length of an accepted message.
     max_message_bytes: usize,
     state: State,
-    /// Waits for the startup to end.
+    /// Query to be sent after the startup.
     first_query: Option<Vec<u8>>,
     has_open_query: bool,
     is_query_written: bool,
@@ -132,7 +132,7 @@
 type Output = ConnectionOutput<MemberEvent>;
 
 impl MemberConnection {
-    /// A connection that is being established.
+    /// Creates the handler of a connection that is being established.
     pub fn new(connection: u32, max_message_bytes: usize) -> MemberConnection {
         MemberConnection {
             connection,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Continues with an idle connection of another process.
+    /// Creates the handler of an idle connection adopted from another process.
     pub fn resume(connection: u32, max_message_bytes: usize) -> MemberConnection {
         MemberConnection {
             state: State::Idle,
@@ -172,8 +172,8 @@
         self.has_open_query = false;
     }
 
-    /// Nothing that follows can be told from the rest, so the connection is closed, and nothing that came with the answer
-    /// before is believed.
+    /// Closes the connection, since message boundaries can no longer be trusted, and discards the status and
+    /// the load report received with the answer.
     fn reject_malformed(&mut self, at: Timestamp, out: &mut Output) {
         if self.has_open_query {
             self.answer.status = ReplicaStatus::default();
@@ -188,12 +188,12 @@
         out.close = true;
     }
 
-    /// Takes one message, whose bytes include its header; returns whether it is valid in this state.
+    /// Handles one message, whose `bytes` include the header; returns whether it is valid in this state.
     fn on_message(&mut self, kind: u8, body: &[u8], bytes: &[u8], at: Timestamp, out: &mut Output) -> bool {
         let is_busy = self.state == State::Busy;
         match kind {
             b'N' | b'K' | b'R' | b'v' if self.state == State::Startup => {
-                // Only AuthenticationOk: no password is spoken here.
+                // Password authentication is not supported.
                 kind != b'R' || body == AUTHENTICATION_OK
             }
             b'N' => true,
@@ -214,11 +214,11 @@
             }
             b'D' if answer.has_description && !answer.has_row && !answer.is_complete => {
                 answer.has_row = true;
-                messages::only_value(body).is_some()
+                messages::single_value(body).is_some()
             }
             b'C' if !answer.is_complete && answer.error.is_none() => {
                 answer.is_complete = true;
-                answer.has_row && messages::only_text(body).is_some()
+                answer.has_row && messages::c_string(body).is_some()
             }
             _ => return false,
         };
@@ -230,9 +230,9 @@
         let is_busy = self.state == State::Busy;
         self.answer.error = messages::error_code(body).map(str::to_owned);
         let is_readable = self.answer.error.is_some();
-        let is_fatal = messages::error_field(body, b'S').is_some_and(|s| FATAL.contains(&s));
+        let is_fatal = messages::error_field(body, b'S').is_some_and(|s| FATAL_SEVERITIES.contains(&s));
         if self.state == State::Startup || (is_busy && is_fatal && is_readable) {
-            // Nothing follows such an error, and not every member closes the connection after it.
+            // No message follows such an error, but not every member closes the connection after it.
             if is_busy {
                 if let Some(reply) = self.answer.take_reply() {
                     self.report(reply, at, out);
@@ -295,7 +295,7 @@
             }
         }
         input.drain(..used);
-        // Stray bytes on an idle connection would be taken for the next answer.
+        // Unexpected input on an idle connection would be taken for the next answer.
         if self.state == State::Idle && !input.is_empty() {
             self.reject_malformed(at, out);
         }
@@ -311,7 +311,7 @@
     }
 
     fn on_handed_over(&mut self, stream: TcpStream, _input: Vec<u8>, out: &mut Output) {
-        // An idle connection has no unused input: stray bytes have closed it before.
+        // An idle connection has no unconsumed input: unexpected bytes would have closed it.
         self.state = State::Closed;
         let connection = self.connection;
         out.events.push(MemberEvent::Transferred { connection, stream });
@@ -323,7 +323,7 @@
 
     fn on_closed(&mut self, at: Timestamp, out: &mut Output) {
         if self.has_open_query {
-            // A complete answer counts although the connection was closed after it.
+            // A complete answer is valid even if the connection closes before ReadyForQuery.
             if let Some(reply) = self.answer.take_reply() {
                 self.report(reply, at, out);
             }
@@ -336,7 +336,7 @@
         });
     }
 
-    fn wants_input(&self, unused: usize) -> bool {
-        self.state != State::Closed && unused <= self.max_message_bytes + HEADER_LENGTH
+    fn wants_input(&self, unconsumed: usize) -> bool {
+        self.state != State::Closed && unconsumed <= self.max_message_bytes + HEADER_BYTES
     }
 }
--- a/crates/driver/src/protocol/mod.rs
+++ b/crates/driver/src/protocol/mod.rs
@@ -1,7 +1,7 @@
 //! Protocols: PostgreSQL v3 with clients and members, HTTP and JSON with discovery.
 //!
-//! Handlers are functions of bytes and commands; every length and count is checked against a bound before memory is
-//! reserved for it.
+//! Handlers are state machines driven by input and commands. They check every length and count against a
+//! bound before they allocate memory for it.
 
 pub mod client_events;
 pub mod client_session;
--- a/crates/driver/src/protocol/pipeline.rs
+++ b/crates/driver/src/protocol/pipeline.rs
@@ -1,27 +1,28 @@
-//! Statements of one client that are open, or whose answers wait for those before them: answers keep the order of statements.
+//! Statements of one client that are open or whose answers wait for earlier ones. Answers keep the order of
+//! statements.
 
 use super::client_events::FinalAnswer;
 use super::statement_comment::StatementError;
 use std::collections::VecDeque;
 
-/// Open statements of one client at most; further ones of a pipeline wait unread.
+/// Maximum number of statements in the pipeline; further ones stay unread.
 const MAX_STATEMENTS: usize = 16;
 
 struct PipelinedStatement {
-    /// Offset of its end among all that was read.
+    /// Offset of the statement's end among all input.
     end: u64,
     answer: Option<Vec<u8>>,
 }
 
-/// A statement at the front of the pipeline that has its answer.
+/// An answered statement that was taken from the front of the pipeline.
 pub(super) struct AnsweredStatement {
-    /// Offset of its end among all that was read.
+    /// Offset of the statement's end among all input.
     pub(super) end: u64,
-    /// The answer's messages.
+    /// Messages of the answer, up to ReadyForQuery.
     pub(super) answer: Vec<u8>,
 }
 
-/// Statements in the order of their numbers.
+/// Statements of a client in the order of their numbers, which are consecutive.
 #[derive(Default)]
 pub(super) struct Pipeline {
     statements: VecDeque<PipelinedStatement>,
@@ -34,12 +35,12 @@
         self.statements.is_empty()
     }
 
-    /// Whether no further statement is read.
+    /// Whether no further statement may be added.
     pub(super) fn is_full(&self) -> bool {
         self.statements.len() >= MAX_STATEMENTS
     }
 
-    /// Adds a statement whose answer is to come, and returns its number.
+    /// Adds a statement without an answer and returns its number.
     pub(super) fn push_open(&mut self, end: u64) -> u32 {
         let number = self.first_number.wrapping_add(self.statements.len() as u32);
         self.statements
@@ -47,18 +48,18 @@
         number
     }
 
-    /// Adds a statement that needs no member.
+    /// Adds a statement with its answer.
     pub(super) fn push_answered(&mut self, end: u64, answer: Vec<u8>) {
         let answer = Some(answer);
         self.statements.push_back(PipelinedStatement { end, answer });
     }
 
-    /// Adds a statement that is not forwarded.
+    /// Adds a statement that is rejected without being forwarded.
     pub(super) fn push_rejected(&mut self, end: u64, reason: StatementError) {
         self.push_answered(end, FinalAnswer::from(reason).into_bytes());
     }
 
-    /// Answers the statement with this number. Returns false if it is not open: a second answer is dropped.
+    /// Answers the statement with this number. Returns false if it is not open; a second answer is dropped.
     pub(super) fn answer(&mut self, number: u32, answer: FinalAnswer) -> bool {
         let index = number.wrapping_sub(self.first_number) as usize;
         let statement = self.statements.get_mut(index);
@@ -69,7 +70,7 @@
         true
     }
 
-    /// Answers all open statements alike.
+    /// Answers all open statements with the same answer.
     pub(super) fn answer_all(&mut self, answer: impl Fn() -> FinalAnswer) {
         let statements = self.statements.iter_mut();
         for open in statements.filter(|statement| statement.answer.is_none()) {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Takes the first statement if it has its answer.
+    /// Takes the first statement if it is answered.
     pub(super) fn pop_answered(&mut self) -> Option<AnsweredStatement> {
         let first = self.statements.pop_front_if(|first| first.answer.is_some())?;
         self.first_number = self.first_number.wrapping_add(1);
--- a/crates/driver/src/protocol/startup.rs
+++ b/crates/driver/src/protocol/startup.rs
@@ -1,61 +1,61 @@
-//! The start of a client's connection: startup messages, requests for encryption and cancellation.
+//! The first messages of a client: startup, encryption requests and cancel requests.
 
-/// Version 3.0.
+/// Protocol version 3.0.
 pub const VERSION: u32 = 3 << 16;
-/// Code of a CancelRequest.
-const CANCEL: u32 = 80_877_102;
-/// Codes of an SSLRequest and a GSSENCRequest.
-const ENCRYPTION: [u32; 2] = [80_877_103, 80_877_104];
-/// Longest startup message in bytes.
-const MAX_LENGTH: usize = 10_000;
-/// Bytes of length and code.
-const HEADER_LENGTH: usize = 8;
+/// Request code of a CancelRequest.
+const CANCEL_CODE: u32 = 80_877_102;
+/// Request codes of SSLRequest and GSSENCRequest.
+const ENCRYPTION_CODES: [u32; 2] = [80_877_103, 80_877_104];
+/// Maximum length of a startup message.
+const MAX_STARTUP_BYTES: usize = 10_000;
+/// Size of the length and the request code.
+const HEADER_BYTES: usize = 8;
 
-/// What the input holds before the first typed message.
+/// A message before the first typed message.
 pub enum Startup<'a> {
     /// More bytes are needed.
     Partial,
-    /// A request for encryption, which is declined with one letter.
+    /// An encryption request, which is declined with a single byte.
     Encryption {
-        /// Its length in bytes.
+        /// Length in bytes.
         length: usize,
     },
-    /// A startup message.
+    /// A StartupMessage.
     Message {
-        /// Its length in bytes.
+        /// Length in bytes.
         length: usize,
-        /// Its minor version.
+        /// Requested minor version.
         minor: u32,
-        /// Protocol options that aren't known.
+        /// Protocol options that are not supported.
         unknown: Vec<&'a str>,
     },
-    /// A request to cancel a query, which gets no answer.
+    /// A CancelRequest, which is not answered.
     Cancel,
-    /// No startup message.
+    /// Not a valid startup message.
     Malformed,
 }
 
-/// Reads what comes before the first typed message.
+/// Reads the message at the front of the input, before any typed message.
 pub fn read_startup(input: &[u8]) -> Startup<'_> {
-    let Some(header) = input.first_chunk::<HEADER_LENGTH>() else {
+    let Some(header) = input.first_chunk::<HEADER_BYTES>() else {
         return match input.first_chunk::<4>().map(|l| u32::from_be_bytes(*l) as usize) {
-            Some(length) if !(HEADER_LENGTH..=MAX_LENGTH).contains(&length) => Startup::Malformed,
+            Some(length) if !(HEADER_BYTES..=MAX_STARTUP_BYTES).contains(&length) => Startup::Malformed,
             _ => Startup::Partial,
         };
     };
     let [l0, l1, l2, l3, c0, c1, c2, c3] = *header;
     let length = u32::from_be_bytes([l0, l1, l2, l3]) as usize;
     let code = u32::from_be_bytes([c0, c1, c2, c3]);
-    if !(HEADER_LENGTH..=MAX_LENGTH).contains(&length) {
+    if !(HEADER_BYTES..=MAX_STARTUP_BYTES).contains(&length) {
         return Startup::Malformed;
     }
-    let Some(body) = input.get(HEADER_LENGTH..length) else {
+    let Some(body) = input.get(HEADER_BYTES..length) else {
         return Startup::Partial;
     };
-    if ENCRYPTION.contains(&code) && body.is_empty() {
+    if ENCRYPTION_CODES.contains(&code) && body.is_empty() {
         return Startup::Encryption { length };
     }
-    if code == CANCEL {
+    if code == CANCEL_CODE {
         return Startup::Cancel;
     }
     match unknown_options(code, body) {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Protocol options of a startup message that aren't known; `None` if the message can't be read.
+/// Unsupported protocol options of a startup message; `None` if the message is malformed.
 fn unknown_options(code: u32, body: &[u8]) -> Option<Vec<&str>> {
     let fields = std::str::from_utf8(body.strip_suffix(b"\0")?).ok()?;
     let is_readable = code >> 16 == VERSION >> 16 && (fields.is_empty() || fields.ends_with('\0'));
--- a/crates/driver/src/protocol/statement_comment.rs
+++ b/crates/driver/src/protocol/statement_comment.rs
@@ -1,10 +1,10 @@
-//! The comment at the head of a statement, which carries what routing needs to know.
+//! The routing comment at the start of a statement.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 use std::ops::Range;
 
-/// The fields of the comment; the statement itself is forwarded as it came.
+/// Fields of the routing comment, and the key of the statement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StatementComment {
     /// Hash of the statement's id (`id`).
@@ -13,25 +13,25 @@
     pub workload: String,
     /// Id of the group (`cluster`).
     pub group: u32,
-    /// Milliseconds until the client gives up (`d`).
+    /// Milliseconds until the client times out (`d`).
     pub time_left_ms: u64,
     /// The client marks a retry (`r=1`).
     pub is_client_retry: bool,
     /// Log position that a read must see, in milliseconds (`after`).
     pub required_position_ms: Option<u64>,
-    /// The first quoted literal after the comment.
+    /// The first quoted literal after the comment, unescaped.
     pub key: Option<String>,
-    /// Place of the digits of the time left within the statement.
+    /// Byte range of the value of `d` within the statement.
     pub time_left_range: Range<usize>,
 }
 
-/// The error that a client gets for a statement that can't be routed.
+/// An error answer to a statement that cannot be routed.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 #[error("{code}: {message}")]
 pub struct StatementError {
     /// SQLSTATE.
     pub code: &'static str,
-    /// Text for people.
+    /// Human-readable message.
     pub message: &'static str,
 }
 
@@ -39,44 +39,43 @@
     StatementError { code, message }
 }
 
-/// The statement has no comment at its head.
-pub const MISSING_COMMENT: StatementError = error(
-    "42601",
-    "the statement doesn't begin with a comment of its fields",
-);
-/// A field has an unreadable value.
-pub const INVALID_FIELD: StatementError = error("22023", "a field of the statement's comment can't be read");
-/// A required field is missing.
+/// The statement does not start with a complete comment.
+pub const MISSING_COMMENT: StatementError =
+    error("42601", "the statement does not start with a routing comment");
+/// A field of the comment is not a valid number.
+pub const INVALID_FIELD: StatementError =
+    error("22023", "a field of the routing comment has an invalid value");
+/// A required field of the comment is missing.
 pub const MISSING_FIELD: StatementError = error(
     "22023",
-    "the comment lacks one of the fields id, c, d and cluster",
+    "the routing comment lacks a required field (id, c, d or cluster)",
 );
-/// The group has no known member.
-pub const UNKNOWN_GROUP: StatementError = error("22023", "no member of this group is known");
-/// The settings have no such workload.
-pub const UNKNOWN_WORKLOAD: StatementError = error("22023", "no such workload");
-/// The id belongs to an open statement.
+/// The endpoint list has no member of the group.
+pub const UNKNOWN_GROUP: StatementError = error("22023", "the group has no known member");
+/// The workload is not configured.
+pub const UNKNOWN_WORKLOAD: StatementError = error("22023", "the workload is not configured");
+/// Another open statement has the same id.
 pub const DUPLICATE_ID: StatementError = error("22023", "another statement with this id is open");
 /// The memory budget of clients is exhausted.
-pub const OUT_OF_MEMORY: StatementError = error("53300", "no memory is left for the statement");
+pub const OUT_OF_MEMORY: StatementError = error("53300", "memory budget for statements is exhausted");
 /// The client has closed its side of the connection.
 pub const CLIENT_DISCONNECTED: StatementError =
-    error("53300", "the client has closed its side of the connection");
-/// There is no place for the client.
+    error("53300", "the client closed its side of the connection");
+/// The connection limit is reached.
 pub const TOO_MANY_CONNECTIONS: StatementError = error("53300", "too many connections");
-/// The statement exceeds the longest message.
-pub const TOO_LARGE: StatementError = error("54000", "the statement or its value is too large");
-/// A quoted literal has no closing quote.
-const UNTERMINATED_LITERAL: StatementError = error("42601", "a quoted literal doesn't end");
+/// The statement exceeds the message limit.
+pub const TOO_LARGE: StatementError = error("54000", "the statement exceeds the maximum message length");
+/// A quoted literal lacks its closing quote.
+const UNTERMINATED_LITERAL: StatementError = error("42601", "unterminated quoted literal");
 
-/// Hash of an id that is the same in each run.
+/// Hashes an id or a name; the hash is the same in every run.
 pub fn hash_id(text: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
     hasher.finish()
 }
 
-/// The first quoted literal, with doubled quotes made one; all literals have to end.
+/// The first quoted literal, with doubled quotes unescaped. All literals must be terminated.
 fn first_literal(text: &str) -> Result<Option<String>, StatementError> {
     let mut first = None;
     let mut rest = text;
@@ -100,16 +99,16 @@
     Ok(first)
 }
 
-/// Which of the required fields were found.
+/// The required fields found so far.
 #[derive(Default)]
-struct Required {
+struct FoundFields {
     id: bool,
     workload: bool,
     time_left: bool,
     group: bool,
 }
 
-impl Required {
+impl FoundFields {
     fn is_complete(&self) -> bool {
         self.id && self.workload && self.time_left && self.group
     }
@@ -118,23 +117,23 @@
 /// Parses the comment of a statement.
 ///
 /// # Errors
-/// If the comment is missing or lacks a field, a field can't be read, or a literal doesn't end.
+/// If the comment is missing, a field is missing or invalid, or a literal is unterminated.
 pub fn parse(text: &str) -> Result<StatementComment, StatementError> {
     let start = text.len() - text.trim_start().len();
     let inner = text[start..].strip_prefix("/*").ok_or(MISSING_COMMENT)?;
     let end = inner.find("*/").ok_or(MISSING_COMMENT)?;
     let mut comment = StatementComment::default();
-    let mut required = Required::default();
+    let mut found = FoundFields::default();
     let mut offset = start + 2;
     for part in inner[..end].split(',') {
         let field = part.trim();
         let (name, value) = field.split_once('=').unwrap_or((field, ""));
         let (name, value) = (name.trim_end(), value.trim_start());
         let value_start = offset + part.trim_end().len() - value.len();
-        set_field(&mut comment, &mut required, name, value, value_start)?;
+        set_field(&mut comment, &mut found, name, value, value_start)?;
         offset += part.len() + 1;
     }
-    if !required.is_complete() {
+    if !found.is_complete() {
         return Err(MISSING_FIELD);
     }
     comment.key = first_literal(&inner[end + 2..])?;
@@ -143,7 +142,7 @@
 
 fn set_field(
     comment: &mut StatementComment,
-    required: &mut Required,
+    found: &mut FoundFields,
     name: &str,
     value: &str,
     value_start: usize,
@@ -152,20 +151,20 @@
     match name {
         "id" => {
             comment.id_hash = hash_id(value);
-            required.id = !value.is_empty();
+            found.id = !value.is_empty();
         }
         "c" => {
             comment.workload = value.to_owned();
-            required.workload = true;
+            found.workload = true;
         }
         "d" => {
             comment.time_left_ms = number()?;
             comment.time_left_range = value_start..value_start + value.len();
-            required.time_left = true;
+            found.time_left = true;
         }
         "cluster" => {
             comment.group = number()?.try_into().map_err(|_| INVALID_FIELD)?;
-            required.group = true;
+            found.group = true;
         }
         "r" => comment.is_client_retry = value == "1",
         "after" => comment.required_position_ms = Some(number()?),
@@ -174,7 +173,7 @@
     Ok(())
 }
 
-/// The statement as it came, with another time left.
+/// Copies a statement with the time left (`d`) replaced.
 pub fn with_time_left(text: &[u8], range: &Range<usize>, time_left_ms: u64) -> Vec<u8> {
     let digits = time_left_ms.to_string();
     [&text[..range.start], digits.as_bytes(), &text[range.end..]].concat()
--- a/crates/driver/src/transport/clock.rs
+++ b/crates/driver/src/transport/clock.rs
@@ -1,8 +1,8 @@
 //! The process's timeline, which advances with the monotonic clock only.
 //!
-//! Its origin is the wall-clock time at startup, which makes log lines readable. Nothing else may depend on the
-//! origin, since the wall clock may be wrong or be set at any time. [`asterlatch::remote_clock`] relates timestamps
-//! of members and discovery to this timeline. Only the log reads the wall clock otherwise.
+//! Its origin is the wall-clock time at startup, which makes log lines readable. Nothing else may depend on
+//! the origin, since the wall clock may be wrong or be set at any time. [`asterlatch::remote_clock`] relates
+//! timestamps of members and discovery to this timeline. Only the log reads the wall clock otherwise.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::time::{Duration, Instant, SystemTime};
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Continues another process's clock, which showed `reading` at the machine uptime `uptime_then`. Changes of the
-    /// wall clock in between have no effect.
+    /// Continues another process's clock, which showed `reading` at the machine uptime `uptime_then`. Changes
+    /// of the wall clock in between have no effect.
     pub fn resume(reading: Timestamp, uptime_then: TimeSpan, uptime_now: TimeSpan) -> Clock {
         let elapsed_before = TimeSpan(uptime_now.0.saturating_sub(uptime_then.0));
         Clock {
--- a/crates/driver/src/transport/connection/coroutine.rs
+++ b/crates/driver/src/transport/connection/coroutine.rs
@@ -20,8 +20,8 @@
 const UNRESERVED_BYTES: usize = 1024;
 /// Consecutive steps after which a connection yields to others.
 const MAX_CONSECUTIVE_STEPS: usize = 32;
-/// Maximum input that is discarded after the sending side was closed. Closing a socket with unread input resets the
-/// connection, and the peer loses answers that it has not read yet.
+/// Maximum input that is discarded after the sending side was closed. Closing a socket with unread input
+/// resets the connection, and the peer loses answers that it has not read yet.
 const MAX_LINGERING_BYTES: usize = 256 * 1024;
 /// Delay of a retry after errors whose end the kernel does not report.
 const RETRY_DELAY: Duration = Duration::from_millis(1);
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Whether more input may be read. Not while the peer does not read its answers, which bounds the output buffer.
+    /// Whether more input may be read. Not while the peer does not read its answers, which bounds the output
+    /// buffer.
     fn wants_input(&self) -> bool {
         self.out.bytes.len() <= MAX_READ_BYTES && self.handler.wants_input(self.input.len())
     }
@@ -226,7 +227,8 @@
         Flow::Wait
     }
 
-    /// Shrinks oversized buffers and reserves memory for the buffered bytes; returns whether the budget suffices.
+    /// Shrinks oversized buffers and reserves memory for the buffered bytes; returns whether the budget
+    /// suffices.
     fn reserve_memory(&mut self) -> bool {
         for bytes in [&mut self.input, &mut self.out.bytes] {
             if bytes.capacity() > UNRESERVED_BYTES && bytes.len() <= bytes.capacity() / 4 {
@@ -234,8 +236,9 @@
             }
         }
         let buffered = (self.input.len() + self.out.bytes.len()).saturating_sub(UNRESERVED_BYTES);
-        // A partly written answer is never cut off: while peers read slowly, new statements are rejected instead. Nor is
-        // a connection closed while its peer waits for an answer; `wants_input` bounds the input read ahead meanwhile.
+        // A partly written answer is never cut off: while peers read slowly, new statements are rejected
+        // instead. Nor is a connection closed while its peer waits for an answer; `wants_input` bounds the
+        // input read ahead meanwhile.
         if self.out.bytes.is_empty() && self.handler.is_evictable() {
             return self.reservation.resize(buffered);
         }
@@ -243,8 +246,8 @@
         true
     }
 
-    /// Handles pending socket input and commands. Input comes first, so that a query commanded after the peer has closed
-    /// the connection is known not to have been sent.
+    /// Handles pending socket input and commands. Input comes first, so that a query commanded after the peer
+    /// has closed the connection is known not to have been sent.
     fn step(&mut self) -> Flow {
         if let Some(discarded) = self.discarded_bytes {
             return self.discard_lingering_input(discarded);
@@ -406,8 +409,8 @@
     }
 }
 
-/// Spawns the coroutine of a registered connection that is established (`is_open`) or connecting. `input` was read from
-/// it but not consumed. `on_handle` receives the handle before the first event is sent.
+/// Spawns the coroutine of a registered connection that is established (`is_open`) or connecting. `input` was
+/// read from it but not consumed. `on_handle` receives the handle before the first event is sent.
 pub(crate) fn spawn<H, M>(
     io: CoIo<TcpStream>,
     is_open: bool,
--- a/crates/driver/src/transport/connection/mod.rs
+++ b/crates/driver/src/transport/connection/mod.rs
@@ -1,5 +1,6 @@
 //! Connections, each with a coroutine that waits for socket input and commands and passes both to a
-//! [`ConnectionHandler`]. Connections have no timeouts of their own: the owner of the [`ConnectionHandle`] closes them.
+//! [`ConnectionHandler`]. Connections have no timeouts of their own: the owner of the [`ConnectionHandle`]
+//! closes them.
 
 mod coroutine;
 mod start;
@@ -65,23 +66,24 @@
     fn on_command(&mut self, command: Self::Command, at: Timestamp, out: &mut ConnectionOutput<Self::Event>);
     /// The peer has closed its side without a reset; `_input` is the unconsumed rest of its input.
     fn on_peer_closed(&mut self, _input: &[u8], _out: &mut ConnectionOutput<Self::Event>) {}
-    /// The peer of a server has closed its side: it has disconnected, or still waits for answers. `is_all_read` tells
-    /// whether all its input was read. Returns whether the connection stays open until the handler closes it. May be
-    /// called repeatedly.
+    /// The peer of a server has closed its side: it has disconnected, or still waits for answers.
+    /// `is_all_read` tells whether all its input was read. Returns whether the connection stays open until
+    /// the handler closes it. May be called repeatedly.
     fn on_input_ended(&mut self, _is_all_read: bool, _out: &mut ConnectionOutput<Self::Event>) -> bool {
         false
     }
     /// All input that the socket held was read.
     fn on_all_read(&mut self, _out: &mut ConnectionOutput<Self::Event>) {}
-    /// Whether this is the server side of the protocol. Such a connection closes gracefully: it closes its sending side
-    /// and discards input until the peer closes the other side or the handle is dropped. A peer's disconnect is detected
-    /// even while its input is not read.
+    /// Whether this is the server side of the protocol. Such a connection closes gracefully: it closes its
+    /// sending side and discards input until the peer closes the other side or the handle is dropped. A
+    /// peer's disconnect is detected even while its input is not read.
     fn is_server(&self) -> bool {
         false
     }
     /// The sending side of this end was closed.
     fn on_half_closed(&mut self, _out: &mut ConnectionOutput<Self::Event>) {}
-    /// Whether the connection may be closed when the memory budget is exhausted: not while the peer waits for an answer.
+    /// Whether the connection may be closed when the memory budget is exhausted: not while the peer waits for
+    /// an answer.
     fn is_evictable(&self) -> bool {
         true
     }
@@ -131,7 +133,8 @@
         self.wake();
     }
 
-    /// Sends a command. A command to a closed connection is dropped; its owner has received the closing event.
+    /// Sends a command. A command to a closed connection is dropped; its owner has received the closing
+    /// event.
     pub fn send(&self, command: C) {
         if self.commands.as_ref().is_some_and(|c| c.send(command).is_ok()) {
             self.wake();
--- a/crates/driver/src/transport/connection/start.rs
+++ b/crates/driver/src/transport/connection/start.rs
@@ -47,8 +47,8 @@
     attach(socket.into(), false, handler, queue, (clock, budget), Vec::new())
 }
 
-/// Runs a handler on an existing socket, established (`is_open`) or connecting, and returns the connection's handle.
-/// `input` was read from the socket before.
+/// Runs a handler on an existing socket, established (`is_open`) or connecting, and returns the connection's
+/// handle. `input` was read from the socket before.
 ///
 /// # Errors
 /// If the socket cannot be registered with the event loop.
--- a/crates/driver/src/transport/connection_pool.rs
+++ b/crates/driver/src/transport/connection_pool.rs
@@ -58,8 +58,8 @@
         self.connections.insert(id, connection);
     }
 
-    /// Takes a connection to the member at this address that has been idle since `earliest` or later. Closes those
-    /// found that are idle for longer or lead to a previous address of the member.
+    /// Takes a connection to the member at this address that has been idle since `earliest` or later. Closes
+    /// those found that are idle for longer or lead to a previous address of the member.
     pub fn take_idle(
         &mut self,
         member: u32,
--- a/crates/driver/src/transport/coroutines.rs
+++ b/crates/driver/src/transport/coroutines.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// Configures and starts the runtime. Only the first call has an effect, and it must precede the first coroutine.
-/// The single worker is not pinned: all drivers on a machine would otherwise share the first core.
+/// Configures and starts the runtime. Only the first call has an effect, and it must precede the first
+/// coroutine. The single worker is not pinned: all drivers on a machine would otherwise share the first core.
 pub fn start(stacks: CoroutineStacks) {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
@@ -30,8 +30,8 @@
             .set_stack_size(stacks.stack_bytes / size_of::<usize>())
             .set_pool_capacity(stacks.pool_capacity)
             .set_worker_pin(false);
-        // The first coroutine creates the event loop. A successor panics if it cannot create the loop after it has
-        // received the predecessor's descriptors, so the loop is created now.
+        // The first coroutine creates the event loop. A successor panics if it cannot create the loop after
+        // it has received the predecessor's descriptors, so the loop is created now.
         drop(may::go!(|| ()));
     });
 }
--- a/crates/driver/src/transport/datagrams.rs
+++ b/crates/driver/src/transport/datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams between this driver and its peers, which are identified by address. One UDP socket serves all peers; an
-//! event descriptor lets other threads interrupt a wait.
+//! Datagrams between this driver and its peers, which are identified by address. One UDP socket serves all
+//! peers; an event descriptor lets other threads interrupt a wait.
 
 use super::socket_errors::{self, NextStep, Origin};
 use rustix::event::{eventfd, poll, EventfdFlags, PollFd, PollFlags, Timespec};
@@ -68,8 +68,8 @@
         self.waker.clone()
     }
 
-    /// Sends a datagram to the peer with this index; returns whether the kernel accepted it. A datagram that it does not
-    /// accept is lost.
+    /// Sends a datagram to the peer with this index; returns whether the kernel accepted it. A datagram that
+    /// it does not accept is lost.
     pub fn send(&self, peer: usize, bytes: &[u8]) -> bool {
         let address = self.peers.get(peer);
         address.is_some_and(|address| self.socket.send_to(bytes, address).is_ok())
@@ -78,7 +78,8 @@
     /// Waits up to `timeout` for the next datagram.
     ///
     /// # Errors
-    /// If the socket fails for a reason that indicates a programming error. Unreachable peers and lack of memory do not.
+    /// If the socket fails for a reason that indicates a programming error. Unreachable peers and lack of
+    /// memory do not.
     pub fn receive(&mut self, timeout: Duration) -> io::Result<DatagramEvent<'_>> {
         match self.socket.recv_from(&mut self.buffer) {
             Ok((length, from)) => return Ok(self.received(length, from)),
@@ -122,8 +123,8 @@
     }
 }
 
-/// Treats errors of the peer, the network and the host as lost datagrams; the kernel reports them on a later call. Only
-/// programming errors are returned.
+/// Treats errors of the peer, the network and the host as lost datagrams; the kernel reports them on a later
+/// call. Only programming errors are returned.
 fn ignore_transient_error<'a>(error: io::Error) -> io::Result<DatagramEvent<'a>> {
     let class = socket_errors::receive(&error);
     if class.origin == Origin::Program {
--- a/crates/driver/src/transport/event_registration.rs
+++ b/crates/driver/src/transport/event_registration.rs
@@ -3,17 +3,17 @@
 use std::os::fd::{AsFd, BorrowedFd, RawFd};
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 
-/// Serialises closing one socket and registering another. The event loop closes a descriptor first and unregisters its
-/// number afterwards: a new socket that received the number in between would be unregistered instead, and would never
-/// report an event.
+/// Serialises closing one socket and registering another. The event loop closes a descriptor first and
+/// unregisters its number afterwards: a new socket that received the number in between would be unregistered
+/// instead, and would never report an event.
 pub fn lock() -> MutexGuard<'static, ()> {
     static LOCK: Mutex<()> = Mutex::new(());
     LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Unregisters a descriptor from the event loop. Must be called before closing a socket that another process may hold
-/// open. The kernel keeps the registration while any process holds the socket, and the event loop can no longer remove
-/// it once the descriptor is closed: the next event would refer to freed memory.
+/// Unregisters a descriptor from the event loop. Must be called before closing a socket that another process
+/// may hold open. The kernel keeps the registration while any process holds the socket, and the event loop
+/// can no longer remove it once the descriptor is closed: the next event would refer to freed memory.
 pub fn unregister(descriptor: impl AsFd) {
     static EVENT_LOOPS: OnceLock<Vec<RawFd>> = OnceLock::new();
     for event_loop in EVENT_LOOPS.get_or_init(find_event_loops) {
--- a/crates/driver/src/transport/idle_lifetime.rs
+++ b/crates/driver/src/transport/idle_lifetime.rs
@@ -1,5 +1,5 @@
-//! Estimates how long an idle connection stays usable. Members and middleboxes may drop idle connections before the
-//! configured idle timeout, which goes unnoticed until the next write.
+//! Estimates how long an idle connection stays usable. Members and middleboxes may drop idle connections
+//! before the configured idle timeout, which goes unnoticed until the next write.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 
@@ -12,8 +12,8 @@
 const MIN_SAMPLES: f64 = 8.0;
 /// Tolerated fraction of connections that are found broken.
 const MAX_BROKEN_FRACTION: f64 = 0.2;
-/// Multiple of the first bucket's fraction that must be exceeded as well: closing idle connections does not help against
-/// connections that break for other reasons.
+/// Multiple of the first bucket's fraction that must be exceeded as well: closing idle connections does not
+/// help against connections that break for other reasons.
 const MIN_BASELINE_MULTIPLE: f64 = 2.0;
 
 /// Fraction of connections found broken at their next use, by idle time.
--- a/crates/driver/src/transport/io_journal.rs
+++ b/crates/driver/src/transport/io_journal.rs
@@ -1,5 +1,6 @@
-//! Writer of the I/O journal, a write-ahead log of client I/O for another process that holds the same sockets. If this
-//! process is killed, the other one continues from the journal: data in the journal's socket outlives the writer.
+//! Writer of the I/O journal, a write-ahead log of client I/O for another process that holds the same
+//! sockets. If this process is killed, the other one continues from the journal: data in the journal's socket
+//! outlives the writer.
 
 use asterlatch_handover::codec::send;
 use asterlatch_handover::io_journal::JournalRecord;
@@ -25,7 +26,8 @@
 pub struct IoJournalWriter(Arc<Shared>);
 
 impl IoJournalWriter {
-    /// Creates a writer to `socket`, which signals the event descriptor `abandoned` if it abandons the journal.
+    /// Creates a writer to `socket`, which signals the event descriptor `abandoned` if it abandons the
+    /// journal.
     ///
     /// # Errors
     /// If the write timeout of the socket cannot be set.
@@ -48,7 +50,8 @@
         self.0.is_active.store(false, Ordering::Release);
     }
 
-    /// Appends a record and the descriptor that belongs to it. Returns once the kernel holds it or the journal has ended.
+    /// Appends a record and the descriptor that belongs to it. Returns once the kernel holds it or the
+    /// journal has ended.
     pub fn append(&self, record: &JournalRecord, descriptor: Option<BorrowedFd>) {
         if !self.is_active() {
             return;
--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -1,5 +1,5 @@
-//! Accepts clients. Connections that the kernel has completed count as accepted, so the listener applies no limit: the
-//! owner closes idle connections instead.
+//! Accepts clients. Connections that the kernel has completed count as accepted, so the listener applies no
+//! limit: the owner closes idle connections instead.
 
 use super::clock::Clock;
 use super::connection::{self, ConnectionHandle, ConnectionHandler};
@@ -53,7 +53,8 @@
         self.waker.wakeup();
     }
 
-    /// Accepts the clients in the kernel's queue and then ends the listener. A paused listener ends immediately.
+    /// Accepts the clients in the kernel's queue and then ends the listener. A paused listener ends
+    /// immediately.
     pub fn close(&self) {
         self.is_closing.store(true, Ordering::Release);
         self.waker.wakeup();
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Starts the connection of an accepted client. If its registration fails it is retried with the next attempt, since
-    /// an accepted connection may not be closed without an answer.
+    /// Starts the connection of an accepted client. If its registration fails it is retried with the next
+    /// attempt, since an accepted connection may not be closed without an answer.
     fn serve<H>(&mut self, stream: TcpStream) -> Flow
     where
         H: ConnectionHandler,
@@ -179,10 +180,12 @@
 /// A listener that is registered with the event loop.
 pub struct RegisteredListener(Arc<CoIo<TcpListener>>);
 
-/// Registers the listener with the event loop and takes it out of `listener`, where it stays for a retry after a failure.
+/// Registers the listener with the event loop and takes it out of `listener`, where it stays for a retry
+/// after a failure.
 ///
 /// # Errors
-/// If the kernel is out of memory, the user's limit of watched descriptors is reached, or `listener` is `None`.
+/// If the kernel is out of memory, the user's limit of watched descriptors is reached, or `listener` is
+/// `None`.
 pub fn register(listener: &mut Option<TcpListener>) -> io::Result<RegisteredListener> {
     let unregistered = listener.as_ref().ok_or(io::ErrorKind::NotConnected)?;
     let registered = CoIo::new(unregistered.try_clone()?)?;
@@ -190,8 +193,8 @@
     Ok(RegisteredListener(Arc::new(registered)))
 }
 
-/// Starts to accept clients; `handler` creates the handler of each from the client's id. With `is_paused`, accepting
-/// starts only after [`ListenerHandle::set_paused`].
+/// Starts to accept clients; `handler` creates the handler of each from the client's id. With `is_paused`,
+/// accepting starts only after [`ListenerHandle::set_paused`].
 pub fn listen<H, M>(
     listener: RegisteredListener,
     is_paused: bool,
--- a/crates/driver/src/transport/mod.rs
+++ b/crates/driver/src/transport/mod.rs
@@ -1,8 +1,8 @@
 //! Sockets, clocks and coroutines. This layer is independent of protocols: each connection runs a
 //! [`connection::ConnectionHandler`].
 //!
-//! Connections are coroutines on one worker thread. The owner of a [`connection::ConnectionHandle`] sends commands from
-//! any thread and receives events through a channel.
+//! Connections are coroutines on one worker thread. The owner of a [`connection::ConnectionHandle`] sends
+//! commands from any thread and receives events through a channel.
 
 pub mod clock;
 pub mod connection;
--- a/crates/driver/src/transport/socket_counts.rs
+++ b/crates/driver/src/transport/socket_counts.rs
@@ -12,7 +12,8 @@
 const BYTES_ACKED_OFFSET: usize = 120;
 /// Offset of `tcpi_bytes_received` in `struct tcp_info`.
 const BYTES_RECEIVED_OFFSET: usize = 128;
-/// TCP states after the peer's FIN, which counts as a received byte: CLOSE_WAIT, LAST_ACK, CLOSING, TIME_WAIT.
+/// TCP states after the peer's FIN, which counts as a received byte: CLOSE_WAIT, LAST_ACK, CLOSING,
+/// TIME_WAIT.
 const FIN_RECEIVED_STATES: [u8; 4] = [8, 9, 11, 6];
 /// Maximum number of attempts to read consistent counters.
 const MAX_READS: usize = 1000;
@@ -64,8 +65,8 @@
     Ok(u64::try_from(unsent).unwrap_or(0))
 }
 
-/// Bytes that all processes together have read from and written to a socket. No process may use the socket during the
-/// call. Its peer may: counters that changed while they were read are read again.
+/// Bytes that all processes together have read from and written to a socket. No process may use the socket
+/// during the call. Its peer may: counters that changed while they were read are read again.
 ///
 /// # Errors
 /// If the counters cannot be read, or kept changing.
--- a/crates/driver/src/transport/socket_errors.rs
+++ b/crates/driver/src/transport/socket_errors.rs
@@ -1,7 +1,8 @@
-//! Classification of errors of Linux socket calls: their origin, whether they are transient, and how to proceed.
+//! Classification of errors of Linux socket calls: their origin, whether they are transient, and how to
+//! proceed.
 //!
-//! One function per system call, following its manual page (`man 2 accept` etc., `man 7 ip`, `man 7 tcp`). Undocumented
-//! errors are classified as errors of this program, which end only the affected operation.
+//! One function per system call, following its manual page (`man 2 accept` etc., `man 7 ip`, `man 7 tcp`).
+//! Undocumented errors are classified as errors of this program, which end only the affected operation.
 
 use libc::{
     EACCES, EADDRINUSE, EADDRNOTAVAIL, EAFNOSUPPORT, EAGAIN, EALREADY, ECONNABORTED, ECONNREFUSED,
@@ -16,8 +17,8 @@
 pub enum Origin {
     /// No failure: the call has not completed yet.
     NoFailure,
-    /// This host: it lacks descriptors, memory, ports or a route, or its configuration forbids the call. Such an error
-    /// says nothing about the peer.
+    /// This host: it lacks descriptors, memory, ports or a route, or its configuration forbids the call. Such
+    /// an error says nothing about the peer.
     Host,
     /// The peer, or the network between it and this host.
     Peer,
@@ -107,7 +108,8 @@
     }
 }
 
-/// Classifies an error of `bind` or `listen`. `EADDRINUSE` is transient: a predecessor may be about to release the address.
+/// Classifies an error of `bind` or `listen`. `EADDRINUSE` is transient: a predecessor may be about to
+/// release the address.
 pub fn listen(error: &io::Error) -> SocketError {
     match errno(error) {
         EADDRINUSE | EAGAIN | ENOBUFS | ENOMEM => HOST_OUT_OF_RESOURCES,
@@ -189,7 +191,8 @@
     }
 }
 
-/// Classifies an error of `epoll_create1`, `epoll_ctl` or `epoll_wait`. Other errors mean an invalid descriptor.
+/// Classifies an error of `epoll_create1`, `epoll_ctl` or `epoll_wait`. Other errors mean an invalid
+/// descriptor.
 pub fn epoll(error: &io::Error) -> SocketError {
     match errno(error) {
         EINTR => INTERRUPTED,
@@ -227,8 +230,8 @@
     result
 }
 
-/// Whether a connection attempt failed on this host, in `socket`, `connect` or `epoll_ctl`. Nothing was sent then, and
-/// the error says nothing about the peer.
+/// Whether a connection attempt failed on this host, in `socket`, `connect` or `epoll_ctl`. Nothing was sent
+/// then, and the error says nothing about the peer.
 pub fn is_local_failure(error: &io::Error) -> bool {
     [socket, connect, epoll]
         .iter()
