--- a/crates/driver/tests/protocol/harness.rs
+++ b/crates/driver/tests/protocol/harness.rs
@@ -1,4 +1,4 @@
-//! What the tests of the protocols share: imports, messages, and readable forms of what is written.
+//! Test harness: imports, encoders of messages, and descriptions of output and events.
 
 pub(crate) use asterlatch::interface::ReplicaStatus;
 pub(crate) use asterlatch::time::{RemoteTimestamp, Timestamp};
@@ -16,9 +16,9 @@
 pub(crate) use asterlatch_driver::transport::connection::{ConnectionHandler, ConnectionOutput};
 pub(crate) use asterlatch_driver::transport::memory_budget::MemoryBudget;
 
-/// The longest messages and values that any driver takes.
-pub(crate) const QUERY: usize = 135_168;
-pub(crate) const VALUE: usize = 64 * 1024;
+/// Maximum lengths of messages and values that every driver accepts, whatever its memory budget.
+pub(crate) const MAX_QUERY_BYTES: usize = 135_168;
+pub(crate) const MAX_VALUE_BYTES: usize = 64 * 1024;
 
 pub(crate) const AT: Timestamp = Timestamp(1_000_000);
 
@@ -32,79 +32,77 @@
     message(b'Q', format!("{text}\0").as_bytes())
 }
 
-/// A client's connection, and room for so many bytes of statements.
-pub(crate) fn session(room: usize) -> ClientSession {
-    ClientSession::new(1, MemoryBudget::new(room))
+/// A client's handler with a memory budget of `budget_bytes`.
+pub(crate) fn new_session(budget_bytes: usize) -> ClientSession {
+    ClientSession::new(1, MemoryBudget::new(budget_bytes))
 }
 
-/// A startup message of this version and these fields.
-pub(crate) fn startup(version: u32, fields: &[u8]) -> Vec<u8> {
+/// A startup message with this version and these fields.
+pub(crate) fn startup_message(version: u32, fields: &[u8]) -> Vec<u8> {
     let length = 8 + fields.len() as u32;
     [&length.to_be_bytes()[..], &version.to_be_bytes(), fields].concat()
 }
 
-pub(crate) fn greeted() -> Vec<u8> {
-    startup(startup::VERSION, b"user\0api\0database\0ledger\0\0")
+pub(crate) fn default_startup() -> Vec<u8> {
+    startup_message(startup::VERSION, b"user\0api\0database\0ledger\0\0")
 }
 
-/// Kinds of the messages, errors with their code and detail; a letter that is no message stands alone.
-pub(crate) fn spoken(mut bytes: &[u8]) -> String {
-    let mut said = Vec::new();
+/// Type bytes of the messages, errors with SQLSTATE and detail; `!` marks a byte outside a message.
+pub(crate) fn describe_messages(mut bytes: &[u8]) -> String {
+    let mut descriptions = Vec::new();
     while !bytes.is_empty() {
-        match messages::next_message(bytes, QUERY) {
+        match messages::next_message(bytes, MAX_QUERY_BYTES) {
             NextMessage::Complete {
                 kind: b'E',
                 body,
-                length: whole,
+                length,
             } => {
-                let field = |f| messages::error_field(body, f).unwrap_or_default();
-                said.push(format!("E{}{}", field(b'C'), field(b'D')));
-                bytes = &bytes[whole..];
+                let field = |kind| messages::error_field(body, kind).unwrap_or_default();
+                descriptions.push(format!("E{}{}", field(b'C'), field(b'D')));
+                bytes = &bytes[length..];
             }
-            NextMessage::Complete {
-                kind, length: whole, ..
-            } => {
-                said.push((kind as char).to_string());
-                bytes = &bytes[whole..];
+            NextMessage::Complete { kind, length, .. } => {
+                descriptions.push((kind as char).to_string());
+                bytes = &bytes[length..];
             }
             _ => {
-                said.push(format!("{}!", bytes[0] as char));
+                descriptions.push(format!("{}!", bytes[0] as char));
                 bytes = &bytes[1..];
             }
         }
     }
-    said.join(" ")
+    descriptions.join(" ")
 }
 
-pub(crate) fn client_news(notices: &[client_events::ClientEvent]) -> String {
-    let told = notices.iter();
-    let words = told.map(|n| match n {
-        client_events::ClientEvent::Transferred { .. } => "moved".to_owned(),
+pub(crate) fn describe_client_events(events: &[client_events::ClientEvent]) -> String {
+    let events = events.iter();
+    let descriptions = events.map(|event| match event {
+        client_events::ClientEvent::Transferred { .. } => "transferred".to_owned(),
         client_events::ClientEvent::Statement { text, .. } => format!("stmt({})", text.text),
         client_events::ClientEvent::Idle { .. } => "idle".to_owned(),
-        client_events::ClientEvent::PartialMessage { .. } => "writing".to_owned(),
+        client_events::ClientEvent::PartialMessage { .. } => "partial".to_owned(),
         client_events::ClientEvent::Malformed => "malformed".to_owned(),
         client_events::ClientEvent::Oversized => "oversized".to_owned(),
-        client_events::ClientEvent::OutOfMemory => "no room".to_owned(),
+        client_events::ClientEvent::OutOfMemory => "out of memory".to_owned(),
         client_events::ClientEvent::InputEnded { .. } => "input ended".to_owned(),
         client_events::ClientEvent::HalfClosed { .. } => "half closed".to_owned(),
-        client_events::ClientEvent::Closed { .. } => "gone".to_owned(),
+        client_events::ClientEvent::Closed { .. } => "closed".to_owned(),
     });
-    words.collect::<Vec<_>>().join(" ")
+    descriptions.collect::<Vec<_>>().join(" ")
 }
 
-/// Gives the dialogue all at once, or byte by byte.
-pub(crate) fn hear<D: ConnectionHandler>(
-    dialogue: &mut D,
+/// Feeds the bytes to a handler in chunks of this size.
+pub(crate) fn feed_input<H: ConnectionHandler>(
+    handler: &mut H,
     bytes: &[u8],
-    pieces: usize,
-    out: &mut ConnectionOutput<D::Event>,
+    chunk_bytes: usize,
+    out: &mut ConnectionOutput<H::Event>,
 ) {
     let mut input = Vec::new();
-    for piece in bytes.chunks(pieces) {
-        input.extend(piece);
-        dialogue.on_input(&mut input, AT, out);
+    for chunk in bytes.chunks(chunk_bytes) {
+        input.extend(chunk);
+        handler.on_input(&mut input, AT, out);
     }
 }
 
-pub(crate) const WELCOME: &str = "R S S S S S S Z";
+pub(crate) const STARTUP_RESPONSE: &str = "R S S S S S S Z";
--- a/crates/driver/tests/protocol/main.rs
+++ b/crates/driver/tests/protocol/main.rs
@@ -1,4 +1,4 @@
-//! What is spoken, as tables of bytes: each input is given whole, and again byte by byte.
+//! Protocol handlers, tested with tables of input bytes that arrive whole and byte by byte.
 
 mod client_session;
 mod discovery;
--- a/crates/driver/tests/protocol/member_connection.rs
+++ b/crates/driver/tests/protocol/member_connection.rs
@@ -2,12 +2,12 @@
 
 use crate::harness::*;
 
-pub(crate) fn row(value: &[u8]) -> Vec<u8> {
+pub(crate) fn data_row(value: &[u8]) -> Vec<u8> {
     let head = [&1u16.to_be_bytes()[..], &(value.len() as u32).to_be_bytes()].concat();
     message(b'D', &[&head[..], value].concat())
 }
 
-pub(crate) fn described(columns: u16) -> Vec<u8> {
+pub(crate) fn row_description(columns: u16) -> Vec<u8> {
     message(
         b'T',
         &[
@@ -18,18 +18,18 @@
     )
 }
 
-pub(crate) fn status(name: &str, value: &str) -> Vec<u8> {
+pub(crate) fn parameter_status(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
-pub(crate) fn error(code: &str) -> Vec<u8> {
+pub(crate) fn error_response(code: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{code}\0Mwhy\0\0").as_bytes())
 }
 
-pub(crate) fn member_news(notices: &[member_connection::MemberEvent]) -> Vec<String> {
-    let words = notices.iter().map(|n| match n {
-        member_connection::MemberEvent::Transferred { .. } => "moved".to_owned(),
-        member_connection::MemberEvent::Connected { .. } => "up".to_owned(),
+pub(crate) fn describe_member_events(events: &[member_connection::MemberEvent]) -> Vec<String> {
+    let descriptions = events.iter().map(|event| match event {
+        member_connection::MemberEvent::Transferred { .. } => "transferred".to_owned(),
+        member_connection::MemberEvent::Connected { .. } => "connected".to_owned(),
         member_connection::MemberEvent::Replied {
             reply,
             status,
@@ -51,22 +51,22 @@
             format!("{reply}{at}{role}{}", report.as_deref().unwrap_or_default())
         }
         member_connection::MemberEvent::Closed { written, .. } => {
-            if *written { "lost" } else { "unwritten" }.to_owned()
+            if *written { "written" } else { "unwritten" }.to_owned()
         }
     });
-    words.collect()
+    descriptions.collect()
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
-fn member_answers_are_classified() {
+fn on_input_member_answer_is_classified() {
     let ready = message(b'Z', b"I");
-    let answer = [described(1), row(b"v"), message(b'C', b"SELECT 1\0")].concat();
+    let answer = [row_description(1), data_row(b"v"), message(b'C', b"SELECT 1\0")].concat();
     let ok = |more: Vec<u8>| [&answer[..], &more, &ready].concat();
-    let failed = |code: &str, more: Vec<u8>| [error(code), more, ready.clone()].concat();
-    let large = [
-        described(1),
-        row(&vec![b'x'; VALUE]),
+    let error_answer = |code: &str, more: Vec<u8>| [error_response(code), more, ready.clone()].concat();
+    let large_answer = [
+        row_description(1),
+        data_row(&vec![b'x'; MAX_VALUE_BYTES]),
         message(b'C', b"SELECT 1\0"),
         ready.clone(),
     ]
@@ -74,126 +74,131 @@
     #[rustfmt::skip]
     let cases: Vec<(&str, Vec<u8>, &str, bool)> = vec![
         ("a row", ok(vec![]), "rows(v)", false),
-        ("a row with position and role", ok([status("as_of", "1767225600123"), status("rank", "copy")].concat()), "rows(v)@1767225600123?", false),
-        ("a commit at the primary", ok([status("as_of", "5"), status("rank", "source")].concat()), "rows(v)@5!", false),
-        ("a report beside it", ok(status("vitals", "inflight=7,util=0.61")), "rows(v)inflight=7,util=0.61", false),
-        ("a notice before it", [message(b'N', b"SNOTICE\0\0"), ok(vec![])].concat(), "rows(v)", false),
-        ("other parameters", ok(status("TimeZone", "UTC")), "rows(v)", false),
-        ("a report that is no text", ok(message(b'S', b"vitals\0\xff\xfe\0")), "rows(v)", false),
-        ("a report that doesn't end", ok(message(b'S', b"vitals\0x0=1")), "malformed", true),
-        ("unreadable position and role", ok([status("as_of", "soon"), status("rank", "king")].concat()), "rows(v)", false),
-        ("no primary", failed("25006", status("rank", "copy")), "25006?", false),
-        ("too far behind", failed("72000", status("as_of", "9")), "72000@9", false),
-        ("an error", failed("XX000", vec![]), "XX000", false),
-        ("turned away", failed("53300", vec![]), "53300", false),
+        ("a row with position and role", ok([parameter_status("as_of", "1767225600123"), parameter_status("rank", "copy")].concat()), "rows(v)@1767225600123?", false),
+        ("a commit on the primary", ok([parameter_status("as_of", "5"), parameter_status("rank", "source")].concat()), "rows(v)@5!", false),
+        ("a row with a load report", ok(parameter_status("vitals", "inflight=7,util=0.61")), "rows(v)inflight=7,util=0.61", false),
+        ("a notice before a row", [message(b'N', b"SNOTICE\0\0"), ok(vec![])].concat(), "rows(v)", false),
+        ("other parameters", ok(parameter_status("TimeZone", "UTC")), "rows(v)", false),
+        ("a load report that is not text", ok(message(b'S', b"vitals\0\xff\xfe\0")), "rows(v)", false),
+        ("an unterminated load report", ok(message(b'S', b"vitals\0x0=1")), "malformed", true),
+        ("invalid position and role", ok([parameter_status("as_of", "soon"), parameter_status("rank", "king")].concat()), "rows(v)", false),
+        ("not the primary", error_answer("25006", parameter_status("rank", "copy")), "25006?", false),
+        ("too far behind", error_answer("72000", parameter_status("as_of", "9")), "72000@9", false),
+        ("an error", error_answer("XX000", vec![]), "XX000", false),
+        ("rejected", error_answer("53300", vec![]), "53300", false),
         ("an error that ends the connection", message(b'E', b"SFATAL\0C53300\0Mno\0\0"), "53300", true),
-        ("two columns", [described(2), row(b"v"), ready.clone()].concat(), "malformed", true),
-        ("two rows", [described(1), row(b"v"), row(b"w"), ready.clone()].concat(), "malformed", true),
-        ("a row without its description", [row(b"v"), ready.clone()].concat(), "malformed", true),
-        ("no row", [described(1), message(b'C', b"SELECT 0\0"), ready.clone()].concat(), "malformed", true),
-        ("a row cut short", [described(1), message(b'D', b"\0\x01\0\0\0\x09abc"), ready.clone()].concat(), "malformed", true),
-        ("ready with nothing said", ready.clone(), "malformed", true),
+        ("two columns", [row_description(2), data_row(b"v"), ready.clone()].concat(), "malformed", true),
+        ("two rows", [row_description(1), data_row(b"v"), data_row(b"w"), ready.clone()].concat(), "malformed", true),
+        ("a row without a description", [data_row(b"v"), ready.clone()].concat(), "malformed", true),
+        ("no row", [row_description(1), message(b'C', b"SELECT 0\0"), ready.clone()].concat(), "malformed", true),
+        ("a truncated row", [row_description(1), message(b'D', b"\0\x01\0\0\0\x09abc"), ready.clone()].concat(), "malformed", true),
+        ("ready without an answer", ready.clone(), "malformed", true),
         ("an empty answer", [message(b'I', b""), ready.clone()].concat(), "malformed", true),
         ("an error without a code", [message(b'E', b"SERROR\0\0"), ready.clone()].concat(), "malformed", true),
-        ("a code that isn't one", failed("533", vec![]), "malformed", true),
-        ("an error that doesn't end", [message(b'E', b"SERROR\0C53300\0Mno"), ready.clone()].concat(), "malformed", true),
-        ("noise in an error", [message(b'E', b"SERROR\0C53300\0\x03\xff\0\0"), ready.clone()].concat(), "malformed", true),
-        ("a description with too much in it", [message(b'T', b"\0\x01blob\0\0\0"), row(b"v"), ready.clone()].concat(), "malformed", true),
-        ("an end of no text", [described(1), row(b"v"), message(b'C', b"SEL"), ready.clone()].concat(), "malformed", true),
-        ("ready for nothing known", [&answer[..], &message(b'Z', b"?")].concat(), "malformed", true),
-        ("a position beside what is spoilt", [&answer[..], &status("as_of", "9"), &status("rank", "source"), &message(b'Z', b"")].concat(), "malformed", true),
-        ("an error behind the row", [&answer[..], &error("XX000"), &ready].concat(), "malformed", true),
-        ("a message of no length", vec![b'T', 0, 0, 0, 0], "malformed", true),
-        ("longer than any answer", vec![b'D', 0, 3, 0, 0], "malformed", true),
-        ("not the protocol at all", b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec(), "malformed", true),
-        ("stray bytes behind the answer", [ok(vec![]), vec![b'D']].concat(), "rows(v)", true),
+        ("an invalid code", error_answer("533", vec![]), "malformed", true),
+        ("an unterminated error", [message(b'E', b"SERROR\0C53300\0Mno"), ready.clone()].concat(), "malformed", true),
+        ("invalid bytes in an error", [message(b'E', b"SERROR\0C53300\0\x03\xff\0\0"), ready.clone()].concat(), "malformed", true),
+        ("a malformed description", [message(b'T', b"\0\x01blob\0\0\0"), data_row(b"v"), ready.clone()].concat(), "malformed", true),
+        ("a malformed completion", [row_description(1), data_row(b"v"), message(b'C', b"SEL"), ready.clone()].concat(), "malformed", true),
+        ("an unknown transaction status", [&answer[..], &message(b'Z', b"?")].concat(), "malformed", true),
+        ("a position with a malformed answer", [&answer[..], &parameter_status("as_of", "9"), &parameter_status("rank", "source"), &message(b'Z', b"")].concat(), "malformed", true),
+        ("an error after the row", [&answer[..], &error_response("XX000"), &ready].concat(), "malformed", true),
+        ("an invalid message length", vec![b'T', 0, 0, 0, 0], "malformed", true),
+        ("a message beyond the limit", vec![b'D', 0, 3, 0, 0], "malformed", true),
+        ("another protocol", b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec(), "malformed", true),
+        ("unexpected bytes after the answer", [ok(vec![]), vec![b'D']].concat(), "rows(v)", true),
     ];
-    for (name, bytes, news, close) in &cases {
-        for pieces in [bytes.len(), 1] {
-            let (mut member, mut out) = greeted_member();
-            hear(&mut member, bytes, pieces, &mut out);
+    for (name, bytes, expected, close) in &cases {
+        for chunk_bytes in [bytes.len(), 1] {
+            let (mut member, mut out) = busy_member();
+            feed_input(&mut member, bytes, chunk_bytes, &mut out);
             assert_eq!(
-                (member_news(&out.events), out.close),
-                (vec![(*news).to_owned()], *close),
+                (describe_member_events(&out.events), out.close),
+                (vec![(*expected).to_owned()], *close),
                 "{name}"
             );
         }
     }
-    let (mut member, mut out) = greeted_member();
-    hear(&mut member, &large, 1000, &mut out);
+    let (mut member, mut out) = busy_member();
+    feed_input(&mut member, &large_answer, 1000, &mut out);
     let Some(member_connection::MemberEvent::Replied {
         reply: Reply::Rows(rows),
         ..
     }) = out.events.pop()
     else {
-        panic!("the largest value is an answer");
+        panic!("expected rows for a value of maximum length");
     };
-    assert_eq!(rows, large[..large.len() - ready.len()]);
+    assert_eq!(rows, large_answer[..large_answer.len() - ready.len()]);
 }
 
-/// A connection whose query has gone out.
-pub(crate) fn greeted_member() -> (MemberConnection, ConnectionOutput<member_connection::MemberEvent>) {
-    let mut member = MemberConnection::new(1, QUERY);
-    let out = greet(&mut member);
+/// A connection that has completed its startup and written its query.
+pub(crate) fn busy_member() -> (MemberConnection, ConnectionOutput<member_connection::MemberEvent>) {
+    let mut member = MemberConnection::new(1, MAX_QUERY_BYTES);
+    let out = complete_startup(&mut member);
     (member, out)
 }
 
-pub(crate) fn greet(member: &mut MemberConnection) -> ConnectionOutput<member_connection::MemberEvent> {
+pub(crate) fn complete_startup(
+    member: &mut MemberConnection,
+) -> ConnectionOutput<member_connection::MemberEvent> {
     let mut out = ConnectionOutput::default();
     member.on_open(&mut out);
     member.on_command(MemberCommand::Query(query("q")), AT, &mut out);
     member.on_written(&mut out);
-    let greeting = [
+    let startup_response = [
         message(b'R', &[0; 4]),
-        status("rank", "copy"),
+        parameter_status("rank", "copy"),
         message(b'Z', b"I"),
     ]
     .concat();
-    hear(member, &greeting, 7, &mut out);
+    feed_input(member, &startup_response, 7, &mut out);
     member.on_written(&mut out);
-    assert_eq!(member_news(&out.events), ["up"]);
+    assert_eq!(describe_member_events(&out.events), ["connected"]);
     ConnectionOutput::default()
 }
 
 #[test]
-fn closed_member_connection_reports_whether_query_was_written() {
+fn on_closed_reports_whether_query_was_written() {
     let ready = message(b'Z', b"I");
-    let greeting = [message(b'R', &[0; 4]), ready.clone()].concat();
-    let row = [described(1), row(b"v"), message(b'C', b"SELECT 1\0")].concat();
-    // What came, how often all was with the kernel, what is told at the end.
+    let startup_response = [message(b'R', &[0; 4]), ready.clone()].concat();
+    let row = [row_description(1), data_row(b"v"), message(b'C', b"SELECT 1\0")].concat();
+    // Received messages, number of completed writes, expected events.
     #[rustfmt::skip]
     let cases = [
-        ("before it came up", vec![], 0, vec!["unwritten"]),
-        ("in the greeting", vec![], 1, vec!["unwritten"]),
-        ("turned away in the greeting", vec![error("53300")], 1, vec!["unwritten"]),
-        ("a password asked for", vec![message(b'R', &[0, 0, 0, 3])], 1, vec!["unwritten"]),
-        ("before the query's last byte", vec![greeting.clone()], 1, vec!["up", "unwritten"]),
-        ("after it", vec![greeting.clone()], 2, vec!["up", "lost"]),
-        ("in the middle of a row", vec![greeting.clone(), row[..20].to_vec()], 2, vec!["up", "lost"]),
-        ("behind a row that has ended", vec![greeting.clone(), row.clone()], 2, vec!["up", "rows(v)", "unwritten"]),
-        ("behind an error", vec![greeting.clone(), error("53300")], 2, vec!["up", "53300", "unwritten"]),
-        ("while idle", vec![greeting.clone(), row, ready], 2, vec!["up", "rows(v)", "unwritten"]),
+        ("before any write", vec![], 0, vec!["unwritten"]),
+        ("during startup", vec![], 1, vec!["unwritten"]),
+        ("rejected during startup", vec![error_response("53300")], 1, vec!["unwritten"]),
+        ("password requested", vec![message(b'R', &[0, 0, 0, 3])], 1, vec!["unwritten"]),
+        ("query partly written", vec![startup_response.clone()], 1, vec!["connected", "unwritten"]),
+        ("query written", vec![startup_response.clone()], 2, vec!["connected", "written"]),
+        ("partial row", vec![startup_response.clone(), row[..20].to_vec()], 2, vec!["connected", "written"]),
+        ("complete row", vec![startup_response.clone(), row.clone()], 2, vec!["connected", "rows(v)", "unwritten"]),
+        ("error", vec![startup_response.clone(), error_response("53300")], 2, vec!["connected", "53300", "unwritten"]),
+        ("idle", vec![startup_response.clone(), row, ready], 2, vec!["connected", "rows(v)", "unwritten"]),
     ];
-    for (name, came, written, told) in cases {
-        let (mut member, mut out) = (MemberConnection::new(1, QUERY), ConnectionOutput::default());
+    for (name, received, write_count, expected) in cases {
+        let (mut member, mut out) = (
+            MemberConnection::new(1, MAX_QUERY_BYTES),
+            ConnectionOutput::default(),
+        );
         member.on_command(MemberCommand::Query(query("q")), AT, &mut out);
         member.on_open(&mut out);
-        let mut left = written;
-        for bytes in &came {
-            if left > 0 {
+        let mut remaining_writes = write_count;
+        for bytes in &received {
+            if remaining_writes > 0 {
                 member.on_written(&mut out);
-                left -= 1;
+                remaining_writes -= 1;
             }
-            hear(&mut member, bytes, bytes.len(), &mut out);
+            feed_input(&mut member, bytes, bytes.len(), &mut out);
         }
-        (0..left).for_each(|_| member.on_written(&mut out));
-        // A greeting that is no welcome is not waited on.
+        (0..remaining_writes).for_each(|_| member.on_written(&mut out));
+        // A failed startup closes the connection.
         assert_eq!(
             out.close,
-            name.contains("turned away") || name.contains("password"),
+            name.contains("rejected") || name.contains("password"),
             "{name}"
         );
         member.on_closed(AT, &mut out);
-        assert_eq!(member_news(&out.events), told, "{name}");
+        assert_eq!(describe_member_events(&out.events), expected, "{name}");
     }
 }
--- a/crates/driver/tests/socket_errors.rs
+++ b/crates/driver/tests/socket_errors.rs
@@ -1,4 +1,4 @@
-//! Each row of the table of Linux's errors, by call.
+//! Classification of Linux errors by system call.
 
 use asterlatch_driver::transport::socket_errors::{
     accept, connect, epoll, is_local_failure, is_out_of_descriptors, listen, receive, retry_option, send,
@@ -9,27 +9,27 @@
 
 type Classify = fn(&io::Error) -> SocketError;
 
-fn expect(name: &str, classify: Classify, rows: &[(&[i32], Origin, bool, NextStep)]) {
-    for (numbers, origin, is_transient, next) in rows {
+fn assert_classified(name: &str, classify: Classify, rows: &[(&[i32], Origin, bool, NextStep)]) {
+    for (errnos, origin, is_transient, next) in rows {
         let expected = SocketError {
             origin: *origin,
             is_transient: *is_transient,
             next: *next,
         };
-        for number in *numbers {
-            let error = io::Error::from_raw_os_error(*number);
+        for errno in *errnos {
+            let error = io::Error::from_raw_os_error(*errno);
             assert_eq!(classify(&error), expected, "{name}: {error}");
         }
     }
-    let foreign = io::Error::other("not of the kernel");
-    assert_eq!(classify(&foreign).origin, Origin::Program, "{name}");
+    let other_error = io::Error::other("no errno");
+    assert_eq!(classify(&other_error).origin, Origin::Program, "{name}");
 }
 
 use NextStep::{GiveUp, Retry, RetryLater, Wait};
 use Origin::{Host, NoFailure, Peer, Program};
 
 /// Errors that end an established connection, whichever call reports them.
-const GONE: &[i32] = &[
+const CONNECTION_ERRORS: &[i32] = &[
     ECONNRESET,
     ECONNABORTED,
     ECONNREFUSED,
@@ -47,8 +47,8 @@
 
 #[rustfmt::skip]
 #[test]
-fn errors_before_a_connection_is_open_are_classified_by_call() {
-    expect("accept", accept, &[
+fn classify_errors_before_connection_is_open() {
+    assert_classified("accept", accept, &[
         (&[EAGAIN], NoFailure, true, Wait),
         (&[EINTR], NoFailure, true, Retry),
         (&[EMFILE, ENFILE, ENOBUFS, ENOMEM], Host, true, RetryLater),
@@ -57,18 +57,18 @@
         (&[EPERM], Host, true, Retry),
         (&[EBADF, EFAULT, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
-    expect("socket", socket, &[
+    assert_classified("socket", socket, &[
         (&[EMFILE, ENFILE, ENOBUFS, ENOMEM], Host, true, RetryLater),
         (&[EINTR], NoFailure, true, Retry),
         (&[EACCES, EPERM, EAFNOSUPPORT, EPROTONOSUPPORT], Host, false, GiveUp),
         (&[EINVAL], Program, false, GiveUp),
     ]);
-    expect("listen", listen, &[
+    assert_classified("listen", listen, &[
         (&[EADDRINUSE, EAGAIN, ENOBUFS, ENOMEM], Host, true, RetryLater),
         (&[EACCES, EPERM, EADDRNOTAVAIL, EOPNOTSUPP], Host, false, GiveUp),
         (&[EBADF, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
-    expect("connect", connect, &[
+    assert_classified("connect", connect, &[
         (&[EINPROGRESS, EALREADY, EINTR, EISCONN], NoFailure, true, Wait),
         (&[EAGAIN, EADDRNOTAVAIL, EADDRINUSE, ENOBUFS, ENOMEM, ENETDOWN, ENETUNREACH], Host, true, GiveUp),
         (&[EACCES, EPERM, EAFNOSUPPORT], Host, false, GiveUp),
@@ -79,49 +79,49 @@
 
 #[rustfmt::skip]
 #[test]
-fn errors_of_open_connections_and_of_epoll_are_classified_by_call() {
-    expect("recv", receive, &[
+fn classify_errors_of_open_connections_and_epoll() {
+    assert_classified("recv", receive, &[
         (&[EAGAIN], NoFailure, true, Wait),
         (&[EINTR], NoFailure, true, Retry),
         (&[ENOBUFS, ENOMEM], Host, true, RetryLater),
-        (GONE, Peer, false, GiveUp),
+        (CONNECTION_ERRORS, Peer, false, GiveUp),
         (&[EBADF, EFAULT, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
-    expect("send", send, &[
+    assert_classified("send", send, &[
         (&[EAGAIN], NoFailure, true, Wait),
         (&[EINTR], NoFailure, true, Retry),
         (&[ENOBUFS, ENOMEM], Host, true, RetryLater),
         (&[EPERM], Host, false, GiveUp),
-        (GONE, Peer, false, GiveUp),
+        (CONNECTION_ERRORS, Peer, false, GiveUp),
         (&[EBADF, EFAULT, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
-    expect("sendmsg", send_message, &[
+    assert_classified("sendmsg", send_message, &[
         (&[EAGAIN], NoFailure, true, Wait),
         (&[EINTR], NoFailure, true, Retry),
         (&[ETOOMANYREFS, ENOBUFS, ENOMEM], Host, true, RetryLater),
-        (GONE, Peer, false, GiveUp),
+        (CONNECTION_ERRORS, Peer, false, GiveUp),
         (&[EMSGSIZE, EBADF, EINVAL, ENOTSOCK], Program, false, GiveUp),
     ]);
-    expect("epoll", epoll, &[
+    assert_classified("epoll", epoll, &[
         (&[EINTR], NoFailure, true, Retry),
         (&[EMFILE, ENFILE, ENOMEM, ENOSPC], Host, true, RetryLater),
         (&[EBADF, EEXIST, EINVAL, ELOOP, ENOENT, EPERM], Program, false, GiveUp),
     ]);
-    expect("getsockopt", socket_option, &[
+    assert_classified("getsockopt", socket_option, &[
         (&[EINTR], NoFailure, true, Retry),
         (&[ENOBUFS, ENOMEM], Host, true, RetryLater),
-        (GONE, Peer, false, GiveUp),
+        (CONNECTION_ERRORS, Peer, false, GiveUp),
         (&[EBADF, EFAULT, EINVAL, ENOPROTOOPT, ENOTSOCK], Program, false, GiveUp),
     ]);
 }
 
 #[test]
-fn lack_of_descriptors_and_local_failures_are_told_apart() {
-    let of = io::Error::from_raw_os_error;
-    for number in [EMFILE, ENFILE] {
-        assert!(is_out_of_descriptors(&of(number)) && is_local_failure(&of(number)));
+fn is_out_of_descriptors_differs_from_is_local_failure() {
+    let error = io::Error::from_raw_os_error;
+    for errno in [EMFILE, ENFILE] {
+        assert!(is_out_of_descriptors(&error(errno)) && is_local_failure(&error(errno)));
     }
-    for number in [
+    for errno in [
         ENOBUFS,
         ENOMEM,
         EADDRNOTAVAIL,
@@ -131,19 +131,19 @@
         EACCES,
     ] {
         assert!(
-            !is_out_of_descriptors(&of(number)) && is_local_failure(&of(number)),
-            "{number}"
+            !is_out_of_descriptors(&error(errno)) && is_local_failure(&error(errno)),
+            "{errno}"
         );
     }
-    for number in [ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ECONNRESET, EBADF] {
-        assert!(!is_local_failure(&of(number)), "{number}");
+    for errno in [ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ECONNRESET, EBADF] {
+        assert!(!is_local_failure(&error(errno)), "{errno}");
     }
 }
 
 #[test]
-fn option_is_set_again_where_the_failure_passes() {
-    // The error, failures before a success, attempts made, and whether the last one succeeds.
-    for (number, failures, expected, succeeds) in [
+fn retry_option_transient_error_is_retried() {
+    // Error, failures before success, expected attempts, and whether the last attempt succeeds.
+    for (errno, failures, expected, succeeds) in [
         (ENOBUFS, 0, 1, true),
         (ENOBUFS, 3, 4, true),
         (ENOMEM, 100, 8, false),
@@ -155,9 +155,9 @@
             if attempts > failures {
                 Ok(())
             } else {
-                Err(io::Error::from_raw_os_error(number))
+                Err(io::Error::from_raw_os_error(errno))
             }
         });
-        assert_eq!((attempts, result.is_ok()), (expected, succeeds), "{number}");
+        assert_eq!((attempts, result.is_ok()), (expected, succeeds), "{errno}");
     }
 }
--- a/crates/driver/tests/transport.rs
+++ b/crates/driver/tests/transport.rs
@@ -1,4 +1,4 @@
-//! Connections that come and go while others are opened.
+//! Connections of the transport layer on real sockets.
 
 use asterlatch::time::Timestamp;
 use asterlatch_driver::transport::clock::Clock;
@@ -12,10 +12,10 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// Tells its number with the first byte that comes, and whether small writes leave at once.
-struct First(u32, bool);
+/// On input, reports its id and whether `TCP_NODELAY` was set.
+struct FirstByteReporter(u32, bool);
 
-impl ConnectionHandler for First {
+impl ConnectionHandler for FirstByteReporter {
     type Command = ();
     type Event = (u32, bool);
     fn on_socket(&mut self, stream: &TcpStream) {
@@ -32,46 +32,65 @@
     }
 }
 
-/// The number of a socket that is being closed may be given to one that is opened on another thread. Without
-/// `transport::event_registration::lock` some of these connections are never heard of again.
+/// A new socket may get the descriptor number of one that another thread is closing. Without
+/// `transport::event_registration::lock`, some of these connections would never report an event.
 #[test]
-fn sockets_opened_during_closes_report_events() {
+fn dial_while_another_socket_closes_reports_events() {
     start(CoroutineStacks::default());
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+    let address = listener.local_addr().expect("read the listener's address");
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let _ = stream.write_all(b"x");
         }
     });
-    let (queue, heard) = channel::<(u32, bool)>();
-    let (clock, room) = (Clock::start(), MemoryBudget::new(1 << 20));
-    let mut lines: Vec<ConnectionHandle<()>> = Vec::new();
-    for number in 0..6000 {
-        lines.push(dial(address, First(number, false), &queue, (clock, &room)).expect("is opened"));
-        let told = heard.recv_timeout(Duration::from_secs(5));
-        assert_eq!(told, Ok((number, true)), "connection {number} is never heard of");
-        // Closed on the other thread while the next one is opened here.
-        lines.truncate(0);
+    let (queue, events) = channel::<(u32, bool)>();
+    let (clock, budget) = (Clock::start(), MemoryBudget::new(1 << 20));
+    let mut handles: Vec<ConnectionHandle<()>> = Vec::new();
+    for connection in 0..6000 {
+        handles.push(
+            dial(
+                address,
+                FirstByteReporter(connection, false),
+                &queue,
+                (clock, &budget),
+            )
+            .expect("open a connection"),
+        );
+        let event = events.recv_timeout(Duration::from_secs(5));
+        assert_eq!(
+            event,
+            Ok((connection, true)),
+            "connection {connection} reports no event"
+        );
+        // The worker thread closes this connection while the next one is opened here.
+        handles.truncate(0);
     }
 }
 
-/// What the system held back would go down with a reset behind it.
+/// With Nagle's algorithm, a reset could discard small writes that the kernel has delayed.
 #[test]
-fn sockets_send_small_writes_at_once() {
+fn dial_and_attach_set_nodelay() {
     start(CoroutineStacks::default());
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("is bound");
-    let (queue, heard) = channel::<(u32, bool)>();
-    let place = (Clock::start(), &MemoryBudget::new(1 << 20));
-    let dialled = dial(address, First(1, false), &queue, place).expect("is opened");
-    let (mut peer, _) = listener.accept().expect("came");
-    peer.write_all(b"x").expect("is written");
-    assert_eq!(heard.recv_timeout(Duration::from_secs(30)), Ok((1, true)));
-    let mut peer = TcpStream::connect(address).expect("listens");
-    let (accepted, _) = listener.accept().expect("came");
-    let held = attach(accepted, true, First(2, false), &queue, place, Vec::new());
-    peer.write_all(b"x").expect("is written");
-    assert_eq!(heard.recv_timeout(Duration::from_secs(30)), Ok((2, true)));
-    drop((dialled, held));
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+    let address = listener.local_addr().expect("read the listener's address");
+    let (queue, events) = channel::<(u32, bool)>();
+    let context = (Clock::start(), &MemoryBudget::new(1 << 20));
+    let outbound = dial(address, FirstByteReporter(1, false), &queue, context).expect("open a connection");
+    let (mut peer, _) = listener.accept().expect("accept a connection");
+    peer.write_all(b"x").expect("write a byte");
+    assert_eq!(events.recv_timeout(Duration::from_secs(30)), Ok((1, true)));
+    let mut peer = TcpStream::connect(address).expect("connect to the listener");
+    let (accepted, _) = listener.accept().expect("accept a connection");
+    let inbound = attach(
+        accepted,
+        true,
+        FirstByteReporter(2, false),
+        &queue,
+        context,
+        Vec::new(),
+    );
+    peer.write_all(b"x").expect("write a byte");
+    assert_eq!(events.recv_timeout(Duration::from_secs(30)), Ok((2, true)));
+    drop((outbound, inbound));
 }
