--- a/crates/driver/src/protocol/client_session.rs
+++ b/crates/driver/src/protocol/client_session.rs
@@ -150,12 +150,12 @@
             }
             Startup::Message {
                 length,
-                minor,
-                unknown,
+                minor_version,
+                unsupported_options,
             } => {
                 let before = out.bytes.len();
-                if minor > 0 || !unknown.is_empty() {
-                    messages::put_negotiation(&mut out.bytes, &unknown);
+                if minor_version > 0 || !unsupported_options.is_empty() {
+                    messages::put_negotiation(&mut out.bytes, &unsupported_options);
                 }
                 messages::put_startup_response(&mut out.bytes);
                 self.become_idle(at, out);
--- a/crates/driver/src/protocol/startup.rs
+++ b/crates/driver/src/protocol/startup.rs
@@ -25,9 +25,9 @@
         /// Length in bytes.
         length: usize,
         /// Requested minor version.
-        minor: u32,
+        minor_version: u32,
         /// Protocol options that are not supported.
-        unknown: Vec<&'a str>,
+        unsupported_options: Vec<&'a str>,
     },
     /// A CancelRequest, which is not answered.
     Cancel,
@@ -58,24 +58,24 @@
     if code == CANCEL_CODE {
         return Startup::Cancel;
     }
-    match unknown_options(code, body) {
-        Some(unknown) => Startup::Message {
+    match find_unsupported_options(code, body) {
+        Some(unsupported_options) => Startup::Message {
             length,
-            minor: code & 0xffff,
-            unknown,
+            minor_version: code & 0xffff,
+            unsupported_options,
         },
         None => Startup::Malformed,
     }
 }
 
 /// Unsupported protocol options of a startup message; `None` if the message is malformed.
-fn unknown_options(code: u32, body: &[u8]) -> Option<Vec<&str>> {
+fn find_unsupported_options(code: u32, body: &[u8]) -> Option<Vec<&str>> {
     let fields = std::str::from_utf8(body.strip_suffix(b"\0")?).ok()?;
     let is_readable = code >> 16 == VERSION >> 16 && (fields.is_empty() || fields.ends_with('\0'));
     let names: Vec<&str> = fields.split_terminator('\0').collect();
     if !is_readable || !names.len().is_multiple_of(2) {
         return None;
     }
-    let unknown = names.iter().step_by(2).filter(|name| name.starts_with("_pq_."));
-    Some(unknown.copied().collect())
+    let unsupported_options = names.iter().step_by(2).filter(|name| name.starts_with("_pq_."));
+    Some(unsupported_options.copied().collect())
 }
--- a/crates/driver/src/transport/listener.rs
+++ b/crates/driver/src/transport/listener.rs
@@ -194,7 +194,7 @@
 }
 
 /// Starts to accept clients; `handler` creates the handler of each from the client's id. With `is_paused`,
-/// accepting starts only after [`ListenerHandle::set_paused`].
+/// accepting starts with `set_paused(false)`.
 pub fn listen<H, M>(
     listener: RegisteredListener,
     is_paused: bool,
--- a/crates/driver/tests/protocol/client_session.rs
+++ b/crates/driver/tests/protocol/client_session.rs
@@ -225,12 +225,12 @@
     input.extend([default_startup(), query("a"), query("b"), query("c")].concat());
     session.on_input(&mut input, AT, &mut out);
     out.bytes.clear();
-    let retryable_error = FinalAnswer::Error {
+    let rejection = FinalAnswer::Error {
         code: "53300",
         message: "m",
         retry_after_ms: Some(250),
     };
-    let final_error = FinalAnswer::Error {
+    let failure = FinalAnswer::Error {
         code: "40003",
         message: "m",
         retry_after_ms: None,
@@ -238,7 +238,7 @@
     let rows = [message(b'T', b"t"), message(b'D', b"d"), message(b'C', b"c")].concat();
     // Command, expected output, and whether the connection closes.
     let steps = [
-        (ClientCommand::Answer(2, final_error), "", false),
+        (ClientCommand::Answer(2, failure), "", false),
         (
             ClientCommand::Answer(0, FinalAnswer::Rows(rows.clone())),
             "T D C Z",
@@ -255,11 +255,7 @@
             "",
             false,
         ),
-        (
-            ClientCommand::Answer(1, retryable_error),
-            "E53300250 Z E40003 Z",
-            true,
-        ),
+        (ClientCommand::Answer(1, rejection), "E53300250 Z E40003 Z", true),
         // Commands after the close have no effect.
         (
             ClientCommand::Answer(1, FinalAnswer::Rows(rows.clone())),
--- a/crates/driver/tests/protocol/statement_comment.rs
+++ b/crates/driver/tests/protocol/statement_comment.rs
@@ -35,13 +35,9 @@
     for (text, expected) in cases {
         match (statement_comment::parse(text), expected) {
             (Ok(parsed), Ok(expected)) => {
-                let time_left_range = parsed.time_left_range.clone();
-                assert_eq!(
-                    text[time_left_range.clone()],
-                    expected.time_left_ms.to_string(),
-                    "{text}"
-                );
-                let rewritten = statement_comment::with_time_left(text.as_bytes(), &time_left_range, 7);
+                let range = parsed.time_left_range.clone();
+                assert_eq!(text[range.clone()], expected.time_left_ms.to_string(), "{text}");
+                let rewritten = statement_comment::with_time_left(text.as_bytes(), &range, 7);
                 let rewritten = String::from_utf8(rewritten).expect("rewritten statement is UTF-8");
                 assert_eq!(
                     rewritten,
@@ -52,7 +48,7 @@
                     parsed,
                     StatementComment {
                         id_hash: id,
-                        time_left_range,
+                        time_left_range: range,
                         ..expected
                     },
                     "{text}"
