--- a/crates/driver/src/program/operators/applied_settings.rs
+++ b/crates/driver/src/program/operators/applied_settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a meaning of the operators' file puts in force.
+//! The operators' file's settings, as the parts of the program use them.
 
 use super::schema;
 use crate::program::phases::PhaseDurations;
@@ -9,58 +9,58 @@
 use asterlatch_handover::{predecessor, successor};
 use std::collections::BTreeMap;
 
-/// Rates are stored in thousandths an hour.
+/// Rates are stored in thousandths per hour.
 const RATE_UNITS_PER_SECOND: i64 = 3_600_000;
 
 /// Timeouts of a handover, for both sides.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HandoverTimeouts {
-    /// Of the process that serves.
+    /// Timeouts of the predecessor.
     pub predecessor: predecessor::Timeouts,
-    /// Of one that takes over.
+    /// Timeouts of the successor.
     pub successor: successor::Timeouts,
 }
 
-/// Settings of the operators' file, as the parts of the program take them over.
+/// Settings of the operators' file, grouped by the part of the program that applies them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppliedSettings {
-    /// Of the event loop.
+    /// Limits of the event loop.
     pub limits: Limits,
-    /// Of single workloads, by name.
+    /// Limits of individual workloads, by name.
     pub workload_limits: BTreeMap<String, WorkloadLimits>,
-    /// Of the process's phases.
+    /// Durations of the process's phases.
     pub phase_durations: PhaseDurations,
-    /// Of the coroutine runtime; takes effect at the start only.
+    /// Stacks of the coroutine runtime; only a restart applies them.
     pub coroutine_stacks: CoroutineStacks,
-    /// Log lines a topic and second.
+    /// Log lines per topic.
     pub log_lines_per_second: u32,
-    /// Of a handover.
+    /// Timeouts of a handover.
     pub handover_timeouts: HandoverTimeouts,
 }
 
-/// Reads amounts of a meaning; negative ones count as zero.
+/// Reads amounts of settings; negative ones count as zero.
 struct Amounts<'a>(&'a ResolvedSettings);
 
 impl Amounts<'_> {
-    fn amount(&self, section: &str, row: &str) -> i64 {
-        self.0.amount(schema(), section, row).max(0)
+    fn amount(&self, section: &str, setting: &str) -> i64 {
+        self.0.amount(schema(), section, setting).max(0)
     }
 
-    fn count(&self, section: &str, row: &str) -> usize {
-        self.amount(section, row) as usize
+    fn count(&self, section: &str, setting: &str) -> usize {
+        self.amount(section, setting) as usize
     }
 
-    fn span(&self, section: &str, row: &str) -> TimeSpan {
-        TimeSpan(self.amount(section, row) as u64)
+    fn span(&self, section: &str, setting: &str) -> TimeSpan {
+        TimeSpan(self.amount(section, setting) as u64)
     }
 
-    fn share(&self, section: &str, row: &str) -> Share {
-        Share(self.amount(section, row) as u32)
+    fn share(&self, section: &str, setting: &str) -> Share {
+        Share(self.amount(section, setting) as u32)
     }
 
     fn limits(&self) -> Limits {
-        let client = |row| self.span("clients", row);
-        let discovery = |row| self.span("discovery", row);
+        let client = |setting| self.span("clients", setting);
+        let discovery = |setting| self.span("discovery", setting);
         let crowded = |from, timeout| CrowdedIdleTimeout {
             min_active_share: self.share("clients", from),
             timeout: client(timeout),
@@ -90,22 +90,22 @@
     }
 
     fn workload_limits(&self) -> BTreeMap<String, WorkloadLimits> {
-        let row = |name| schema().find("workload", name).map(|(_, row)| row);
-        let (timeout, longest) = (row("timeout"), row("longest"));
+        let setting_index = |name| schema().find("workload", name).map(|(_, setting)| setting);
+        let (max_timeout, max_bytes) = (setting_index("timeout"), setting_index("longest"));
         let entries = self.0.entries(schema(), "workload");
         let limits = entries.map(|(name, amounts)| {
-            let amount = |row: Option<usize>| Some(amounts.get(row?)?.as_ref()?.amount);
-            let own = WorkloadLimits {
-                max_timeout: amount(timeout).map(|us| TimeSpan(us as u64)),
-                max_bytes: amount(longest).map(|bytes| bytes as usize),
+            let amount = |setting: Option<usize>| Some(amounts.get(setting?)?.as_ref()?.amount);
+            let workload_limits = WorkloadLimits {
+                max_timeout: amount(max_timeout).map(|us| TimeSpan(us as u64)),
+                max_bytes: amount(max_bytes).map(|bytes| bytes as usize),
             };
-            (name.to_owned(), own)
+            (name.to_owned(), workload_limits)
         });
         limits.collect()
     }
 
     fn handover_timeouts(&self) -> HandoverTimeouts {
-        let upgrade = |row| self.span("upgrade", row);
+        let upgrade = |setting| self.span("upgrade", setting);
         HandoverTimeouts {
             predecessor: predecessor::Timeouts {
                 hello: upgrade("hello"),
@@ -114,9 +114,9 @@
                 heartbeat: upgrade("silence"),
             },
             successor: successor::Timeouts {
-                // The predecessor has a timeout of its own, which ends first.
+                // The predecessor's own timeout elapses first.
                 predecessor_response: upgrade("ready") + upgrade("ready"),
-                // As long as the predecessor lets this one be silent: it sends ten heartbeats meanwhile.
+                // The predecessor's own timeout for heartbeats, within which it sends ten of them.
                 predecessor_heartbeat: upgrade("silence"),
                 heartbeat_interval: upgrade("beat"),
                 probation: upgrade("probation"),
@@ -126,9 +126,9 @@
 }
 
 impl AppliedSettings {
-    /// The settings that a meaning states.
-    pub fn from_resolved(meaning: &ResolvedSettings) -> AppliedSettings {
-        let amounts = Amounts(meaning);
+    /// Groups the resolved settings of a file.
+    pub fn from_resolved(resolved: &ResolvedSettings) -> AppliedSettings {
+        let amounts = Amounts(resolved);
         let log_lines_per_second = amounts.amount("log", "lines") / RATE_UNITS_PER_SECOND;
         AppliedSettings {
             limits: amounts.limits(),
