--- a/crates/driver/src/protocol/client_session.rs
+++ b/crates/driver/src/protocol/client_session.rs
@@ -167,7 +167,7 @@
                 0
             }
             Startup::Malformed => {
-                self.reject_malformed("invalid startup message", out);
+                self.reject_malformed("unreadable startup message", out);
                 0
             }
         }
@@ -197,14 +197,14 @@
                     length
                 }
                 None if self.pipeline.is_empty() => {
-                    self.reject_malformed("invalid query message", out);
+                    self.reject_malformed("unreadable query", out);
                     0
                 }
                 None => 0,
             },
             _ if !self.pipeline.is_empty() => 0,
             NextMessage::Malformed => {
-                self.reject_malformed("invalid message header", out);
+                self.reject_malformed("unreadable message", out);
                 0
             }
             NextMessage::TooLong { kind: b'Q', length } => {
@@ -221,7 +221,7 @@
                 length
             }
             NextMessage::Complete { .. } | NextMessage::TooLong { .. } => {
-                self.reject_malformed("only the simple query protocol is supported", out);
+                self.reject_malformed("only simple queries are spoken here", out);
                 0
             }
         }
@@ -319,11 +319,7 @@
         if self.has_sent_query {
             self.close(out);
         } else {
-            self.close_with_error(
-                "57P03",
-                "the connection is closing and accepts no further statements",
-                out,
-            );
+            self.close_with_error("57P03", "this connection takes no statement any more", out);
         }
     }
 
@@ -335,9 +331,9 @@
             // Any error other than a rejection could be taken for the answer to a statement in transit.
             self.close_idle(out);
         } else if self.is_draining {
-            self.close_with_error("57P03", "timed out waiting for the rest of the message", out);
+            self.close_with_error("57P03", "the message was not ended in time", out);
         } else {
-            self.reject_malformed("timed out waiting for the rest of the message", out);
+            self.reject_malformed("the message was not ended in time", out);
         }
     }
 
@@ -461,7 +457,7 @@
 
     fn on_memory_exhausted(&mut self, out: &mut Output) {
         out.events.push(ClientEvent::OutOfMemory);
-        self.close_with_error("53300", "memory budget for client messages is exhausted", out);
+        self.close_with_error("53300", "no memory is left for the message", out);
     }
 
     fn on_all_read(&mut self, out: &mut Output) {
--- a/crates/driver/src/protocol/statement_comment.rs
+++ b/crates/driver/src/protocol/statement_comment.rs
@@ -40,33 +40,34 @@
 }
 
 /// The statement does not start with a complete comment.
-pub const MISSING_COMMENT: StatementError =
-    error("42601", "the statement does not start with a routing comment");
+pub const MISSING_COMMENT: StatementError = error(
+    "42601",
+    "the statement doesn't begin with a comment of its fields",
+);
 /// A field of the comment is not a valid number.
-pub const INVALID_FIELD: StatementError =
-    error("22023", "a field of the routing comment has an invalid value");
+pub const INVALID_FIELD: StatementError = error("22023", "a field of the statement's comment can't be read");
 /// A required field of the comment is missing.
 pub const MISSING_FIELD: StatementError = error(
     "22023",
-    "the routing comment lacks a required field (id, c, d or cluster)",
+    "the comment lacks one of the fields id, c, d and cluster",
 );
 /// The endpoint list has no member of the group.
-pub const UNKNOWN_GROUP: StatementError = error("22023", "the group has no known member");
+pub const UNKNOWN_GROUP: StatementError = error("22023", "no member of this group is known");
 /// The workload is not configured.
-pub const UNKNOWN_WORKLOAD: StatementError = error("22023", "the workload is not configured");
+pub const UNKNOWN_WORKLOAD: StatementError = error("22023", "no such workload");
 /// Another open statement has the same id.
 pub const DUPLICATE_ID: StatementError = error("22023", "another statement with this id is open");
 /// The memory budget of clients is exhausted.
-pub const OUT_OF_MEMORY: StatementError = error("53300", "memory budget for statements is exhausted");
+pub const OUT_OF_MEMORY: StatementError = error("53300", "no memory is left for the statement");
 /// The client has closed its side of the connection.
 pub const CLIENT_DISCONNECTED: StatementError =
-    error("53300", "the client closed its side of the connection");
+    error("53300", "the client has closed its side of the connection");
 /// The connection limit is reached.
 pub const TOO_MANY_CONNECTIONS: StatementError = error("53300", "too many connections");
 /// The statement exceeds the message limit.
-pub const TOO_LARGE: StatementError = error("54000", "the statement exceeds the maximum message length");
+pub const TOO_LARGE: StatementError = error("54000", "the statement or its value is too large");
 /// A quoted literal lacks its closing quote.
-const UNTERMINATED_LITERAL: StatementError = error("42601", "unterminated quoted literal");
+const UNTERMINATED_LITERAL: StatementError = error("42601", "a quoted literal doesn't end");
 
 /// Hashes an id or a name; the hash is the same in every run.
 pub fn hash_id(text: &str) -> u64 {
