--- a/crates/config/src/store.rs
+++ b/crates/config/src/store.rs
@@ -6,7 +6,7 @@
 
 use crate::generation_files::{self, Damage};
 use crate::resolved::hash;
-use asterlatch_storage::replace::{replace, Names, ReplaceStep};
+use asterlatch_storage::replace::{replace, FileNames, ReplaceStep};
 use asterlatch_storage::{FileSystem, OsFileSystem};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -195,7 +195,7 @@
         mut after: impl FnMut(Step),
     ) -> Result<u64, StoreError> {
         let name = generation_files::file_name(number);
-        let names = Names {
+        let names = FileNames {
             folder: &self.folder,
             target: &name,
             temporary: &format!("{name}{}", generation_files::TEMPORARY_SUFFIX),
--- a/crates/config/tests/failing_disk.rs
+++ b/crates/config/tests/failing_disk.rs
@@ -3,7 +3,7 @@
 use asterlatch_config::generation_files;
 use asterlatch_config::generation_writer::{GenerationWriter, INITIAL_BACKOFF, MAX_BACKOFF};
 use asterlatch_config::store::{GenerationStore, StoreError};
-use asterlatch_storage::memory::{Call, End, MemoryFileSystem, CALLS};
+use asterlatch_storage::memory::{Call, MemoryFileSystem, ProcessEnd, ALL_CALLS};
 use std::path::{Path, PathBuf};
 
 const FOLDER: &str = "/state";
@@ -39,14 +39,14 @@
     for errno in [libc::EIO, libc::EMFILE] {
         let disk = disk();
         // Were it damaged, a newer whole one would let it go.
-        disk.fail_on(Call::Read, &path(1), errno);
+        disk.fail_calls_on(Call::Read, &path(1), errno);
         let contents = store(&disk).contents().expect("the folder is read");
         assert_eq!(contents.stored.len(), 1);
         assert_eq!(contents.unreadable[0].number, 1);
         assert_eq!(contents.newest_number(), 1, "its number is given away");
         assert!(store(&disk).read_all().is_err(), "it isn't passed over unsaid");
         assert_eq!(store(&disk).store(0, "new\n", MOST, |_| ()).expect("stores"), 2);
-        disk.mend();
+        disk.clear_fault();
         let expected = [
             (2, "new\n".to_owned()),
             (1, "old\n".to_owned()),
@@ -63,7 +63,7 @@
 fn failed_folder_sync_leaves_the_generation_in_force_and_owed() {
     let disk = disk();
     let mut writer = GenerationWriter::new(store(&disk));
-    disk.fail(Call::SyncFolder, libc::EIO);
+    disk.fail_calls(Call::SyncFolder, libc::EIO);
     let error = writer
         .store(2, "new\n".to_owned(), MOST)
         .expect_err("isn't durable");
@@ -73,7 +73,7 @@
     );
     assert_eq!(whole(&disk)[0], (2, "new\n".to_owned()), "the next start uses it");
     assert_eq!(whole(&disk).len(), 3, "nothing older goes before it is durable");
-    disk.mend();
+    disk.clear_fault();
     assert_eq!(
         writer.retry().expect("is pending").expect("stores"),
         2,
@@ -83,17 +83,17 @@
     let expected = [(2, "new\n".to_owned()), (1, "old\n".to_owned())];
     assert_eq!(whole(&disk), expected);
     // A removal isn't synced: what comes back is older, and goes with the next.
-    disk.restart(End::PowerFailure);
+    disk.restart(ProcessEnd::PowerFailure);
     assert_eq!(whole(&disk)[..MOST], expected);
 }
 
 #[test]
 fn generation_is_stored_again_once_the_disk_works() {
-    for call in CALLS {
+    for call in ALL_CALLS {
         for errno in [libc::ENOSPC, libc::EIO] {
             let disk = disk();
             let mut writer = GenerationWriter::new(store(&disk));
-            disk.fail(call, errno);
+            disk.fail_calls(call, errno);
             let first = writer.store(2, "new\n".to_owned(), MOST);
             let mut backoffs: Vec<_> = writer.retry_backoff().into_iter().collect();
             for _ in 0..9 {
@@ -107,7 +107,7 @@
                         .all(|p| (INITIAL_BACKOFF..=MAX_BACKOFF).contains(p))
             );
             // Whatever was told, a start on what is there finds whole generations alone.
-            disk.mend();
+            disk.clear_fault();
             let before = whole(&disk);
             match &first {
                 Err(StoreError::NotStored(_)) => assert_eq!(before[0].1, "old\n", "{call:?}"),
@@ -116,7 +116,7 @@
             if let Some(again) = writer.retry() {
                 assert_eq!(again.expect("stores"), 2, "{call:?}");
             }
-            disk.restart(End::PowerFailure);
+            disk.restart(ProcessEnd::PowerFailure);
             assert_eq!(whole(&disk)[0], (2, "new\n".to_owned()), "{call:?} {errno}");
         }
     }
@@ -124,12 +124,12 @@
 
 #[test]
 fn kill_or_power_failure_at_any_call_leaves_a_whole_generation() {
-    for end in [End::Kill, End::PowerFailure] {
+    for end in [ProcessEnd::Kill, ProcessEnd::PowerFailure] {
         for at in 1.. {
             let disk = disk();
-            disk.kill_at(at);
+            disk.kill_at_call(at);
             let result = store(&disk).store(2, "new\n", MOST, |_| ());
-            let was_killed = disk.calls() >= at;
+            let was_killed = disk.call_count() >= at;
             disk.restart(end);
             let newest = whole(&disk)[0].clone();
             if result.is_ok() {
--- a/crates/driver/src/program/gossip/mod.rs
+++ b/crates/driver/src/program/gossip/mod.rs
@@ -24,8 +24,8 @@
 use asterlatch_gossip::node::{GossipNode, NodeSettings};
 use asterlatch_gossip::record::ObservedRecord;
 use asterlatch_gossip::snapshot;
-use asterlatch_recovery::report::{self, Classified, StoredRecord, UsableRecord};
-use asterlatch_storage::log_file::Former;
+use asterlatch_recovery::report::{self, ClassifiedRecords, StoredRecord, UsableRecord};
+use asterlatch_storage::log_file::PreviousLog;
 pub use query::{query_service, Query, QueryError, QueryKind};
 use snapshot_writer::SnapshotWriter;
 use std::io;
@@ -261,7 +261,7 @@
     records: Vec<ObservedRecord>,
     incarnation: u64,
     /// Whether the disk gave it, damaged or not.
-    file: Former,
+    file: PreviousLog,
     /// Why it can't be read, or not to its end.
     error: Option<String>,
 }
@@ -274,12 +274,12 @@
             FormerSnapshot {
                 records: contents.records,
                 incarnation: contents.incarnation,
-                file: Former::Read,
+                file: PreviousLog::Readable,
                 error: contents.error.map(|error| error.to_string()),
             }
         }
         Err(error) => FormerSnapshot {
-            file: Former::Unread,
+            file: PreviousLog::Unreadable,
             error: Some(error.to_string()),
             ..FormerSnapshot::default()
         },
@@ -289,7 +289,7 @@
 /// Restores what is still usable; returns log lines.
 fn restore(node: &mut GossipNode, former: FormerSnapshot, now: Timestamp, has_folder: bool) -> Vec<String> {
     let found = former.records.into_iter().map(StoredRecord::from);
-    let Classified { usable, report } = report::classify(found, now);
+    let ClassifiedRecords { usable, report } = report::classify(found, now);
     let mut lines: Vec<String> = former.error.into_iter().collect();
     if has_folder {
         lines.push(report.to_string());
--- a/crates/driver/src/program/gossip/snapshot_file.rs
+++ b/crates/driver/src/program/gossip/snapshot_file.rs
@@ -2,7 +2,7 @@
 //! only the next write waits for it.
 
 use asterlatch_gossip::snapshot::WriteRequest;
-use asterlatch_storage::log_file::{Former, LogFile, LogNames};
+use asterlatch_storage::log_file::{LogFile, LogNames, PreviousLog};
 use asterlatch_storage::OsFileSystem;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 const NAMES: LogNames = LogNames {
     log: "shared.log",
     replacement: "shared.new",
-    unread: "shared.unread",
+    unreadable: "shared.unread",
 };
 
 /// Attempts of a start to read the snapshot, and the time between two.
@@ -85,7 +85,7 @@
 /// If the thread can't be started.
 pub(super) fn start(
     folder: &Path,
-    former: Former,
+    former: PreviousLog,
     mut on_written: impl FnMut(WriteResult) -> bool + Send + 'static,
 ) -> io::Result<SyncSender<WriteJob>> {
     // A file that may grow no further is an error like a full disk, not the end of the process.
--- a/crates/driver/src/program/gossip/snapshot_writer.rs
+++ b/crates/driver/src/program/gossip/snapshot_writer.rs
@@ -6,7 +6,7 @@
 use asterlatch_gossip::node::GossipNode;
 use asterlatch_gossip::record::ObservedRecord;
 use asterlatch_gossip::snapshot::{SnapshotEncoder, SnapshotSchedule, WriteRequest, WriteStatusChange};
-use asterlatch_storage::log_file::Former;
+use asterlatch_storage::log_file::PreviousLog;
 use std::io;
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, SyncSender};
@@ -25,7 +25,7 @@
     /// each write.
     pub(super) fn start(
         folder: &Path,
-        former: Former,
+        former: PreviousLog,
         interval: TimeSpan,
         now: Timestamp,
         handle: &GossipHandle,
--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -48,7 +48,7 @@
         "facts": report.records,
         "of_use": report.usable,
         "nothing_used": !is_used,
-        "from_the_future": report.from_future,
+        "from_the_future": report.future_records,
     });
     Ok((copy, report))
 }
--- a/crates/driver/src/program/upgrade/predecessor.rs
+++ b/crates/driver/src/program/upgrade/predecessor.rs
@@ -309,7 +309,10 @@
         let text = self.progress_text(progress);
         log!(event_loop.logger, now, "upgrade", "{text}");
         reply(self.requester.as_ref(), &text);
-        if matches!(progress, Progress::Busy | Progress::Done | Progress::Failed(_)) {
+        if matches!(
+            progress,
+            Progress::Busy | Progress::Completed | Progress::Failed(_)
+        ) {
             self.requester = None;
         }
     }
@@ -322,14 +325,14 @@
             }
             Progress::Busy => "not begun: another one is under way, or this process leaves".to_owned(),
             Progress::Committed => "the new process could serve and is told to".to_owned(),
-            Progress::Done => "done, the service is the new process's".to_owned(),
+            Progress::Completed => "done, the service is the new process's".to_owned(),
             Progress::Failed(error) => format!("failed, this process serves on: {error}"),
         }
     }
 
     /// Whether the successor takes clients and connections.
     fn can_move_connections(&self) -> bool {
-        matches!(self.machine.phase, Phase::Standby | Phase::Done)
+        matches!(self.machine.phase, Phase::Standby | Phase::HandedOver)
     }
 
     /// Idle connections that no successor takes are closed; others are opened as they are needed.
--- a/crates/gossip/tests/failing_disk.rs
+++ b/crates/gossip/tests/failing_disk.rs
@@ -5,8 +5,8 @@
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::record::Record;
 use asterlatch_gossip::snapshot::{read, SnapshotEncoder, SnapshotError, SnapshotSchedule, WriteRequest};
-use asterlatch_storage::log_file::{Former, LogFile, LogNames};
-use asterlatch_storage::memory::{Call, End, MemoryFileSystem, CALLS};
+use asterlatch_storage::log_file::{LogFile, LogNames, PreviousLog};
+use asterlatch_storage::memory::{Call, MemoryFileSystem, ProcessEnd, ALL_CALLS};
 use common::member;
 use std::path::Path;
 
@@ -14,7 +14,7 @@
 const NAMES: LogNames = LogNames {
     log: "shared.log",
     replacement: "shared.new",
-    unread: "shared.unread",
+    unreadable: "shared.unread",
 };
 const INTERVAL: TimeSpan = TimeSpan::millis(50);
 const STEP: TimeSpan = TimeSpan::millis(10);
@@ -38,7 +38,7 @@
     fn new(disk: &MemoryFileSystem) -> Writer {
         let now = Timestamp(5_000_000_000);
         Writer {
-            log: LogFile::new(disk.clone(), Path::new("/state"), NAMES, Former::Read),
+            log: LogFile::new(disk.clone(), Path::new("/state"), NAMES, PreviousLog::Readable),
             schedule: SnapshotSchedule::new(now, INTERVAL),
             encoder: None,
             now,
@@ -93,7 +93,7 @@
 
 /// The records in the snapshot after a restart.
 fn read_records(disk: &MemoryFileSystem) -> Vec<Record> {
-    let contents = read(&disk.bytes(Path::new(LOG)).unwrap_or_default(), "f", "d1");
+    let contents = read(&disk.contents(Path::new(LOG)).unwrap_or_default(), "f", "d1");
     let error = contents.error;
     let is_expected = matches!(
         error,
@@ -108,21 +108,21 @@
 
 #[test]
 fn pending_records_after_disk_recovery_are_stored() {
-    for call in CALLS {
+    for call in ALL_CALLS {
         for errno in [libc::ENOSPC, libc::EIO] {
-            for end in [End::Kill, End::PowerFailure] {
+            for end in [ProcessEnd::Kill, ProcessEnd::PowerFailure] {
                 let disk = MemoryFileSystem::default();
                 let mut writer = Writer::new(&disk);
                 for _ in 0..3 {
                     writer.add_record();
                     writer.run(INTERVAL + STEP);
                 }
-                disk.fail(call, errno);
+                disk.fail_calls(call, errno);
                 for _ in 0..3 {
                     writer.add_record();
                     writer.run(TimeSpan::millis(700));
                 }
-                disk.mend();
+                disk.clear_fault();
                 writer.run(RECOVERY_TIME);
                 assert_eq!(writer.stored, 6, "{call:?} {errno}");
                 assert!(!writer.schedule.is_failing());
@@ -135,23 +135,23 @@
 
 #[test]
 fn stored_records_after_power_failure_on_failing_disk_are_readable() {
-    for call in CALLS {
+    for call in ALL_CALLS {
         for errno in [libc::ENOSPC, libc::EIO] {
             let disk = MemoryFileSystem::default();
             let mut writer = Writer::new(&disk);
             for round in 0..8 {
                 // An intermittent fault: a successful sync follows a failed one.
                 if round % 3 == 1 {
-                    disk.fail(call, errno);
+                    disk.fail_calls(call, errno);
                 }
                 writer.add_record();
                 writer.run(TimeSpan::millis(120));
-                disk.mend();
+                disk.clear_fault();
             }
-            disk.fail(call, errno);
+            disk.fail_calls(call, errno);
             writer.add_record();
             writer.run(TimeSpan::millis(2000));
-            disk.restart(End::PowerFailure);
+            disk.restart(ProcessEnd::PowerFailure);
             let records = read_records(&disk);
             assert!(
                 records.len() >= writer.stored,
@@ -166,21 +166,21 @@
 
 #[test]
 fn stored_records_after_kill_or_power_failure_at_any_call_are_readable() {
-    for end in [End::Kill, End::PowerFailure] {
+    for end in [ProcessEnd::Kill, ProcessEnd::PowerFailure] {
         for fault in [None, Some(Call::Write), Some(Call::Sync), Some(Call::SyncFolder)] {
             for at in 1.. {
                 let disk = MemoryFileSystem::default();
-                disk.kill_at(at);
+                disk.kill_at_call(at);
                 let mut writer = Writer::new(&disk);
                 for round in 0..5 {
                     if let Some(call) = fault.filter(|_| round == 2) {
-                        disk.fail(call, libc::EIO);
+                        disk.fail_calls(call, libc::EIO);
                     }
                     writer.add_record();
                     writer.run(TimeSpan::millis(600));
-                    disk.mend();
+                    disk.clear_fault();
                 }
-                let was_killed = disk.calls() >= at;
+                let was_killed = disk.call_count() >= at;
                 disk.restart(end);
                 let records = read_records(&disk);
                 assert!(records.len() >= writer.stored, "{end:?} {fault:?} at {at}");
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -12,7 +12,7 @@
 //! | AwaitingCommitAcknowledgement: it asked the successor to serve | | predecessor |
 //! | Standby: accepts clients and moves them | Probation: serves the clients that are moved | predecessor |
 //! | Fencing: the successor is killed, its end awaited | | predecessor |
-//! | Done: accepts no more | Serving: accepts | successor |
+//! | HandedOver: accepts no more | Serving: accepts | successor |
 //!
 //! The successor accepts on probation only where the predecessor drains, is unresponsive or has exited. The
 //! predecessor goes on with the successor's clients only once that process is certainly dead. A socket
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -28,7 +28,7 @@
         resume_accepting: bool,
     },
     /// The successor owns the service.
-    Done,
+    HandedOver,
 }
 
 /// How long each phase may last.
@@ -164,7 +164,7 @@
     /// The successor is ready and was asked to serve.
     Committed,
     /// The successor owns the service.
-    Done,
+    Completed,
     /// The upgrade failed and this process serves on.
     Failed(UpgradeError),
 }
@@ -245,7 +245,7 @@
     pub fn is_co_serving(&self) -> bool {
         matches!(
             self.phase,
-            Phase::AwaitingCommitAcknowledgement | Phase::Standby | Phase::Done
+            Phase::AwaitingCommitAcknowledgement | Phase::Standby | Phase::HandedOver
         )
     }
 
@@ -340,10 +340,10 @@
         if !self.matches(Phase::Standby, &Event::Message(HandoverMessage::ProbationPassed)) {
             return None;
         }
-        self.enter_phase(Phase::Done, None);
+        self.enter_phase(Phase::HandedOver, None);
         Some(vec![
             Action::StopAccepting,
-            Action::Report(Progress::Done),
+            Action::Report(Progress::Completed),
             Action::Drain,
         ])
     }
@@ -364,7 +364,7 @@
             _ => return None,
         };
         let phase = self.phase;
-        if matches!(phase, Phase::Serving | Phase::Done) {
+        if matches!(phase, Phase::Serving | Phase::HandedOver) {
             self.event = None;
             return Some(Vec::new());
         }
@@ -387,7 +387,7 @@
         let resume_accepting = match self.phase {
             Phase::AwaitingHello | Phase::AwaitingReady => false,
             Phase::AwaitingCommitAcknowledgement | Phase::Standby => true,
-            Phase::Serving | Phase::Fencing { .. } | Phase::Done => return None,
+            Phase::Serving | Phase::Fencing { .. } | Phase::HandedOver => return None,
         };
         Some(self.fence(error, resume_accepting))
     }
--- a/crates/handover/tests/model/steps.rs
+++ b/crates/handover/tests/model/steps.rs
@@ -98,7 +98,10 @@
     let at_successor = world.successor_alive && world.client == ClientAt::Successor;
     let between_statements = !world.predecessor_owns_statement || moves_in_flight;
     let phase = world.predecessor.phase;
-    let successor_takes = matches!(phase, predecessor::Phase::Standby | predecessor::Phase::Done);
+    let successor_takes = matches!(
+        phase,
+        predecessor::Phase::Standby | predecessor::Phase::HandedOver
+    );
     [
         (
             !world.statement_sent && world.client != ClientAt::Nobody,
--- a/crates/handover/tests/model/world.rs
+++ b/crates/handover/tests/model/world.rs
@@ -150,7 +150,7 @@
 
     pub(crate) fn successor_dies(&mut self) {
         // Whoever could go on with its client is gone, or has left the service to it.
-        let is_alone = !self.predecessor_alive || self.predecessor.phase == predecessor::Phase::Done;
+        let is_alone = !self.predecessor_alive || self.predecessor.phase == predecessor::Phase::HandedOver;
         if is_alone && self.client_is_beyond_predecessor() {
             self.client = ClientAt::Nobody;
             self.successor_owns_statement = false;
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -67,15 +67,15 @@
     pub usable: usize,
     /// How many of them were written at a time that is still to come.
     #[serde(rename = "from_the_future")]
-    pub from_future: usize,
+    pub future_records: usize,
 }
 
 impl fmt::Display for RecoveryReport {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let RecoveryReport { usable, records, .. } = self;
         write!(f, "{usable} of {records} stored records are of use still")?;
-        if self.from_future > 0 {
-            let count = self.from_future;
+        if self.future_records > 0 {
+            let count = self.future_records;
             write!(
                 f,
                 ", {count} were written in a time that is still to come: the clock was set"
@@ -87,7 +87,7 @@
 
 /// What [`classify`] makes of stored records.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Classified {
+pub struct ClassifiedRecords {
     /// Those that are of use, in the order in which they were found.
     pub usable: Vec<UsableRecord>,
     /// What was made of all.
@@ -132,9 +132,9 @@
 }
 
 /// Assesses all stored records. What the wall clock shows `now` is only reported: no assessment depends on it.
-pub fn classify(records: impl IntoIterator<Item = StoredRecord>, now: Timestamp) -> Classified {
+pub fn classify(records: impl IntoIterator<Item = StoredRecord>, now: Timestamp) -> ClassifiedRecords {
     let mut rows: BTreeMap<RowKey, RowTotals> = BTreeMap::new();
-    let mut classified = Classified::default();
+    let mut classified = ClassifiedRecords::default();
     let report = &mut classified.report;
     for StoredRecord { record, written_at } in records {
         let assessment = assess(&record);
@@ -146,7 +146,7 @@
         let clock_age = (written_at <= now).then(|| now - written_at);
         rows.entry(key).or_default().add(clock_age);
         report.records += 1;
-        report.from_future += usize::from(clock_age.is_none());
+        report.future_records += usize::from(clock_age.is_none());
         if let Some(age) = assessment.age {
             report.usable += 1;
             classified.usable.push(UsableRecord { record, age });
--- a/crates/recovery/tests/report.rs
+++ b/crates/recovery/tests/report.rs
@@ -23,7 +23,7 @@
     let count = records.len() * times.len();
     let classified = classify(stored, NOW);
     let report = &classified.report;
-    assert_eq!((report.records, report.from_future), (count, records.len()));
+    assert_eq!((report.records, report.future_records), (count, records.len()));
     let in_rows: usize = report.rows.iter().map(|row| row.records).sum();
     assert_eq!(in_rows, count);
     assert_eq!(classified.usable.len(), report.usable);
--- a/crates/storage/src/log_file.rs
+++ b/crates/storage/src/log_file.rs
@@ -1,7 +1,7 @@
 //! A file that is appended to, and replaced whole where it isn't known what of it the disk holds.
 
 use crate::file_system::{DurableFile, FileSystem};
-use crate::replace::{replace, Names};
+use crate::replace::{replace, FileNames};
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -13,17 +13,17 @@
     /// What is to replace it.
     pub replacement: &'static str,
     /// A log that could not be read at the start, put aside before the first replacement.
-    pub unread: &'static str,
+    pub unreadable: &'static str,
 }
 
 /// Whether the log that a start has found was read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Former {
+pub enum PreviousLog {
     /// It was read to its end or to its damage, or there was none: it may be replaced.
     #[default]
-    Read,
+    Readable,
     /// The disk didn't give it: it may be sound, and is put aside.
-    Unread,
+    Unreadable,
 }
 
 /// A log; bytes count as kept only where [`LogFile::append`] or [`LogFile::replace`] has returned without an error.
@@ -32,14 +32,14 @@
     file_system: F,
     folder: PathBuf,
     names: LogNames,
-    former: Former,
+    former: PreviousLog,
     /// Open behind the last byte, while all of it is known to be durable.
     file: Option<F::File>,
 }
 
 impl<F: FileSystem> LogFile<F> {
     /// Touches nothing yet: the first write has to be a replacement.
-    pub fn new(file_system: F, folder: &Path, names: LogNames, former: Former) -> LogFile<F> {
+    pub fn new(file_system: F, folder: &Path, names: LogNames, former: PreviousLog) -> LogFile<F> {
         LogFile {
             file_system,
             folder: folder.to_owned(),
@@ -80,7 +80,7 @@
         self.file = None;
         self.file_system.create_folder(&self.folder)?;
         self.put_unread_aside()?;
-        let names = Names {
+        let names = FileNames {
             folder: &self.folder,
             target: self.names.log,
             temporary: self.names.replacement,
@@ -92,15 +92,15 @@
     }
 
     fn put_unread_aside(&mut self) -> io::Result<()> {
-        if self.former == Former::Read {
+        if self.former == PreviousLog::Readable {
             return Ok(());
         }
-        let unread = self.folder.join(self.names.unread);
+        let unread = self.folder.join(self.names.unreadable);
         match self.file_system.rename(&self.path(), &unread) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
             _ => {}
         }
-        self.former = Former::Read;
+        self.former = PreviousLog::Readable;
         Ok(())
     }
 }
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -36,7 +36,7 @@
 }
 
 /// All calls.
-pub const CALLS: [Call; 10] = [
+pub const ALL_CALLS: [Call; 10] = [
     Call::CreateFolder,
     Call::List,
     Call::Read,
@@ -51,7 +51,7 @@
 
 /// What ends a process before its next start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ProcessEnd {
     /// SIGKILL: what the kernel has taken stays.
     Kill,
     /// Only what was synced stays.
@@ -143,39 +143,39 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Every such call fails by this error of the system, until [`MemoryFileSystem::mend`].
-    pub fn fail(&self, call: Call, errno: i32) {
+    /// Every such call fails by this error of the system, until [`MemoryFileSystem::clear_fault`].
+    pub fn fail_calls(&self, call: Call, errno: i32) {
         self.state().fault = Some((call, None, errno));
     }
 
-    /// As [`MemoryFileSystem::fail`], for one file alone.
-    pub fn fail_on(&self, call: Call, path: &Path, errno: i32) {
+    /// As [`MemoryFileSystem::fail_calls`], for one file alone.
+    pub fn fail_calls_on(&self, call: Call, path: &Path, errno: i32) {
         self.state().fault = Some((call, Some(path.to_owned()), errno));
     }
 
     /// Calls succeed again.
-    pub fn mend(&self) {
+    pub fn clear_fault(&self) {
         self.state().fault = None;
     }
 
     /// The process is killed in the middle of this call, counted from 1 from now on; what it calls later has no effect.
-    pub fn kill_at(&self, call: usize) {
+    pub fn kill_at_call(&self, call: usize) {
         let mut state = self.state();
         state.calls = 0;
         state.killed_at = Some(call);
     }
 
-    /// Calls since the last [`MemoryFileSystem::kill_at`].
-    pub fn calls(&self) -> usize {
+    /// Calls since the last [`MemoryFileSystem::kill_at_call`].
+    pub fn call_count(&self) -> usize {
         self.state().calls
     }
 
     /// Ends the process, and begins the next on what is left.
-    pub fn restart(&self, end: End) {
+    pub fn restart(&self, end: ProcessEnd) {
         let mut state = self.state();
         state.killed_at = None;
         state.fault = None;
-        if end == End::PowerFailure {
+        if end == ProcessEnd::PowerFailure {
             state.names = state.durable_names.clone();
             for inode in &mut state.inodes {
                 inode.bytes = inode.durable.clone();
@@ -184,14 +184,14 @@
     }
 
     /// The bytes of a file as processes read it now.
-    pub fn bytes(&self, path: &Path) -> Option<Vec<u8>> {
+    pub fn contents(&self, path: &Path) -> Option<Vec<u8>> {
         let state = self.state();
         let inode = state.inode(path).ok()?;
         Some(state.inodes[inode].bytes.clone())
     }
 
     /// Puts a file there that survives a power failure.
-    pub fn put(&self, path: &Path, bytes: &[u8]) {
+    pub fn add_durable_file(&self, path: &Path, bytes: &[u8]) {
         let mut state = self.state();
         let inode = state.inodes.len();
         state.inodes.push(Inode {
--- a/crates/storage/src/replace.rs
+++ b/crates/storage/src/replace.rs
@@ -23,7 +23,7 @@
 
 /// Names of a replacement.
 #[derive(Clone, Copy, Debug)]
-pub struct Names<'a> {
+pub struct FileNames<'a> {
     /// The folder of both files.
     pub folder: &'a Path,
     /// The file that is replaced.
@@ -47,7 +47,7 @@
 /// If the former file is still in force.
 pub fn replace<F: FileSystem>(
     file_system: &F,
-    names: Names,
+    names: FileNames,
     bytes: &[u8],
     mut after: impl FnMut(ReplaceStep),
 ) -> io::Result<Replaced<F::File>> {
@@ -68,7 +68,7 @@
 
 fn write_and_rename<F: FileSystem>(
     file_system: &F,
-    names: Names,
+    names: FileNames,
     bytes: &[u8],
     after: &mut impl FnMut(ReplaceStep),
 ) -> io::Result<F::File> {
--- a/crates/storage/tests/log_file.rs
+++ b/crates/storage/tests/log_file.rs
@@ -1,7 +1,7 @@
 //! The log on a disk that fails: what counts as kept is there after a power failure, and a torn tail is never continued.
 
-use asterlatch_storage::log_file::{Former, LogFile, LogNames};
-use asterlatch_storage::memory::{Call, End, MemoryFileSystem, CALLS};
+use asterlatch_storage::log_file::{LogFile, LogNames, PreviousLog};
+use asterlatch_storage::memory::{Call, MemoryFileSystem, ProcessEnd, ALL_CALLS};
 use std::path::Path;
 
 const FOLDER: &str = "/state";
@@ -9,15 +9,15 @@
 const NAMES: LogNames = LogNames {
     log: "shared.log",
     replacement: "shared.new",
-    unread: "shared.unread",
+    unreadable: "shared.unread",
 };
 
-fn open(disk: &MemoryFileSystem, former: Former) -> LogFile<MemoryFileSystem> {
+fn open(disk: &MemoryFileSystem, former: PreviousLog) -> LogFile<MemoryFileSystem> {
     LogFile::new(disk.clone(), Path::new(FOLDER), NAMES, former)
 }
 
 fn bytes(disk: &MemoryFileSystem, path: &str) -> Option<String> {
-    let bytes = disk.bytes(Path::new(path))?;
+    let bytes = disk.contents(Path::new(path))?;
     Some(String::from_utf8(bytes).expect("is text"))
 }
 
@@ -26,16 +26,16 @@
     for call in [Call::Write, Call::Sync, Call::Inspect] {
         for errno in [libc::ENOSPC, libc::EIO] {
             let disk = MemoryFileSystem::default();
-            let mut log = open(&disk, Former::Read);
+            let mut log = open(&disk, PreviousLog::Readable);
             log.replace(b"one,").expect("is replaced");
-            disk.fail(call, errno);
+            disk.fail_calls(call, errno);
             log.append(b"two,").expect_err("the disk fails");
-            disk.mend();
+            disk.clear_fault();
             // The disk works again, and a sync of this file would succeed: it proves nothing.
             log.append(b"three,").expect_err("the tail may be torn");
             log.replace(b"one,two,three,").expect("is replaced");
             log.append(b"four,").expect("is appended");
-            disk.restart(End::PowerFailure);
+            disk.restart(ProcessEnd::PowerFailure);
             assert_eq!(
                 bytes(&disk, LOG).as_deref(),
                 Some("one,two,three,four,"),
@@ -47,14 +47,14 @@
 
 #[test]
 fn failed_replacement_is_written_again_into_a_new_file() {
-    for call in CALLS {
+    for call in ALL_CALLS {
         for errno in [libc::ENOSPC, libc::EIO] {
             let disk = MemoryFileSystem::default();
-            let mut log = open(&disk, Former::Read);
+            let mut log = open(&disk, PreviousLog::Readable);
             log.replace(b"former,").expect("is replaced");
-            disk.fail(call, errno);
+            disk.fail_calls(call, errno);
             let first = log.replace(b"first,");
-            disk.mend();
+            disk.clear_fault();
             if first.is_err() {
                 log.append(b"tail,").expect_err("not known what the log holds");
                 let kept = bytes(&disk, LOG).expect("is there");
@@ -62,7 +62,7 @@
                 log.replace(b"second,").expect("is replaced");
             }
             log.append(b"tail,").expect("is appended");
-            disk.restart(End::PowerFailure);
+            disk.restart(ProcessEnd::PowerFailure);
             let expected = if first.is_ok() {
                 "first,tail,"
             } else {
@@ -75,11 +75,11 @@
 
 #[test]
 fn kill_or_power_failure_at_any_call_keeps_what_was_told_kept() {
-    for end in [End::Kill, End::PowerFailure] {
+    for end in [ProcessEnd::Kill, ProcessEnd::PowerFailure] {
         for at in 1.. {
             let disk = MemoryFileSystem::default();
-            disk.kill_at(at);
-            let mut log = open(&disk, Former::Read);
+            disk.kill_at_call(at);
+            let mut log = open(&disk, PreviousLog::Readable);
             let mut told = String::new();
             for round in 0..2 {
                 let all = format!("{told}r{round},");
@@ -93,7 +93,7 @@
                     }
                 }
             }
-            let was_killed = disk.calls() >= at;
+            let was_killed = disk.call_count() >= at;
             disk.restart(end);
             let found = bytes(&disk, LOG).unwrap_or_default();
             assert!(
@@ -101,7 +101,7 @@
                 "{end:?} at {at}: told {told}, found {found}"
             );
             // The next start knows nothing of this file's tail, and begins with a replacement.
-            let mut next = open(&disk, Former::Read);
+            let mut next = open(&disk, PreviousLog::Readable);
             next.append(b"x").expect_err("the tail may be torn");
             next.replace(b"new,").expect("is replaced");
             assert_eq!(bytes(&disk, LOG).as_deref(), Some("new,"));
@@ -116,15 +116,15 @@
 #[test]
 fn log_that_could_not_be_read_is_put_aside_and_not_replaced() {
     let disk = MemoryFileSystem::default();
-    disk.put(Path::new(LOG), b"sound,");
-    let mut log = open(&disk, Former::Unread);
-    disk.fail(Call::Rename, libc::EIO);
+    disk.add_durable_file(Path::new(LOG), b"sound,");
+    let mut log = open(&disk, PreviousLog::Unreadable);
+    disk.fail_calls(Call::Rename, libc::EIO);
     log.replace(b"new,").expect_err("it can't be put aside");
     assert_eq!(bytes(&disk, LOG).as_deref(), Some("sound,"));
-    disk.mend();
+    disk.clear_fault();
     log.replace(b"new,").expect("is replaced");
     log.replace(b"newer,").expect("is replaced");
-    disk.restart(End::PowerFailure);
+    disk.restart(ProcessEnd::PowerFailure);
     assert_eq!(bytes(&disk, LOG).as_deref(), Some("newer,"));
     assert_eq!(bytes(&disk, "/state/shared.unread").as_deref(), Some("sound,"));
 }
