--- a/crates/storage/src/file_system.rs
+++ b/crates/storage/src/file_system.rs
@@ -1,55 +1,55 @@
-//! The calls on files that can fail, and the operating system's own.
+//! The file system calls that this crate uses, and their implementation by the operating system.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-/// Calls on a folder and its files.
+/// Operations on a folder and its files.
 pub trait FileSystem {
     /// A file that is open for writing.
     type File: DurableFile;
 
-    /// Makes the folder where it isn't there.
+    /// Creates the folder and its missing parents, unless it exists.
     ///
     /// # Errors
-    /// If it isn't there and can't be made.
+    /// If it doesn't exist and can't be created.
     fn create_folder(&self, folder: &Path) -> io::Result<()>;
 
-    /// Names of the folder's files; those that are no text are left out.
+    /// Names of the folder's entries, without those that are not UTF-8.
     ///
     /// # Errors
     /// If the folder can't be read.
     fn list(&self, folder: &Path) -> io::Result<Vec<String>>;
 
-    /// The first bytes of a file, at most `longest`.
+    /// The first bytes of a file, at most `max_bytes`.
     ///
     /// # Errors
-    /// If it isn't there or can't be read.
-    fn read(&self, path: &Path, longest: u64) -> io::Result<Vec<u8>>;
+    /// If it doesn't exist or can't be read.
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>>;
 
     /// Creates an empty file for writing.
     ///
     /// # Errors
-    /// If there is one already, or it can't be created.
+    /// If the file exists or can't be created.
     fn create_new(&self, path: &Path) -> io::Result<Self::File>;
 
-    /// Renames a file, over one that may be there.
+    /// Renames a file, replacing an existing one.
     ///
     /// # Errors
-    /// If nothing was renamed.
+    /// If the file was not renamed.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
-    /// Makes the names in a folder survive a power failure.
+    /// Makes creations, renames and removals in a folder durable.
     ///
     /// # Errors
-    /// If it isn't known which names would survive one.
+    /// If any of them may be lost in a power failure.
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// If it isn't there or can't be removed.
+    /// If it doesn't exist or can't be removed.
     fn remove(&self, path: &Path) -> io::Result<()>;
 }
 
@@ -58,23 +58,23 @@
     /// Appends bytes.
     ///
     /// # Errors
-    /// If not all of them were taken; some may have been.
+    /// If not all of them were written; some may have been.
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes all that was written survive a power failure.
+    /// Makes all written bytes durable.
     ///
     /// # Errors
-    /// If it isn't known what of it would survive one.
+    /// If any of them may be lost in a power failure.
     fn sync(&mut self) -> io::Result<()>;
 
-    /// Whether no name leads to it any more: it was removed, or replaced by another.
+    /// Whether the open file has no name any more: it was removed or replaced.
     ///
     /// # Errors
-    /// If that can't be found out.
+    /// If the file's metadata can't be read.
     fn is_removed(&self) -> io::Result<bool>;
 }
 
-/// The operating system's files.
+/// The file system of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OsFileSystem;
 
@@ -93,9 +93,9 @@
         Ok(names)
     }
 
-    fn read(&self, path: &Path, longest: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        File::open(path)?.take(longest).read_to_end(&mut bytes)?;
+        File::open(path)?.take(max_bytes).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,11 +1,11 @@
-//! Files that are replaced whole or appended to, on disks that may fail for a while.
+//! Atomically replaced and append-only files on disks that may fail temporarily.
 //!
-//! After a failed `write` or `fsync` the kernel may mark the pages clean although they never reached the disk, so that a later
-//! successful `fsync` proves nothing. Nothing here therefore continues a file after an error: what is owed is written
-//! again, into a new file.
+//! After a failed `write` or `fsync` the kernel may mark pages clean that never reached the disk, so a later
+//! successful `fsync` proves nothing. No file is therefore written to after an error: the data is written
+//! again to a new file.
 //!
-//! [`replace`] puts a new file in the place of one, [`log_file`] appends to it; both go through a [`FileSystem`], so
-//! that tests let single calls fail.
+//! [`replace`] replaces a file atomically, [`log_file`] appends to one. Both use a [`FileSystem`], so that
+//! tests can inject errors.
 
 pub mod file_system;
 pub mod log_file;
--- a/crates/storage/src/log_file.rs
+++ b/crates/storage/src/log_file.rs
@@ -1,4 +1,4 @@
-//! A file that is appended to, and replaced whole where it isn't known what of it the disk holds.
+//! An append-only log that is replaced as a whole after an error, when its durable content is unknown.
 
 use crate::file_system::{DurableFile, FileSystem};
 use crate::replace::{replace, FileNames};
@@ -10,61 +10,64 @@
 pub struct LogNames {
     /// The log.
     pub log: &'static str,
-    /// What is to replace it.
+    /// The temporary name of a new log.
     pub replacement: &'static str,
-    /// A log that could not be read at the start, put aside before the first replacement.
+    /// The name under which a previous log that could not be read is preserved.
     pub unreadable: &'static str,
 }
 
-/// Whether the log that a start has found was read.
+/// Whether the log of an earlier run could be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PreviousLog {
-    /// It was read to its end or to its damage, or there was none: it may be replaced.
+    /// It was read up to its end or to a damaged entry, or there was none: it may be replaced.
     #[default]
     Readable,
-    /// The disk didn't give it: it may be sound, and is put aside.
+    /// Reading it failed. Its content may be intact, so it is renamed before a new log replaces it.
     Unreadable,
 }
 
-/// A log; bytes count as kept only where [`LogFile::append`] or [`LogFile::replace`] has returned without an error.
+/// A log. Bytes are durable only once [`LogFile::append`] or [`LogFile::replace`] has returned without an
+/// error.
 #[derive(Debug)]
 pub struct LogFile<F: FileSystem> {
     file_system: F,
     folder: PathBuf,
     names: LogNames,
-    former: PreviousLog,
-    /// Open behind the last byte, while all of it is known to be durable.
+    previous: PreviousLog,
+    /// The log, open for appending; nothing unless all of its content is durable.
     file: Option<F::File>,
 }
 
 impl<F: FileSystem> LogFile<F> {
-    /// Touches nothing yet: the first write has to be a replacement.
-    pub fn new(file_system: F, folder: &Path, names: LogNames, former: PreviousLog) -> LogFile<F> {
+    /// Accesses no files. The first write must be [`LogFile::replace`].
+    pub fn new(file_system: F, folder: &Path, names: LogNames, previous: PreviousLog) -> LogFile<F> {
         LogFile {
             file_system,
             folder: folder.to_owned(),
             names,
-            former,
+            previous,
             file: None,
         }
     }
 
-    /// Where the log is.
+    /// Path of the log.
     pub fn path(&self) -> PathBuf {
         self.folder.join(self.names.log)
     }
 
-    /// Appends bytes, and returns once they survive a power failure.
+    /// Appends bytes, and returns once they are durable.
     ///
     /// # Errors
-    /// If they may not survive one, or the log must be replaced first. After any error it must: its tail may be torn,
-    /// and a later sync would prove nothing of what this one didn't write.
+    /// If they may not be durable, or the log must be replaced first. After any error it must be replaced:
+    /// its tail may be torn, and a later successful sync does not cover pages that this one failed to write.
     pub fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let Some(mut file) = self.file.take() else {
-            return Err(io::Error::other("not known what the file holds"));
+            return Err(io::Error::other(
+                "the log must be replaced before bytes are appended",
+            ));
         };
         if file.is_removed()? {
-            return Err(io::Error::other("the file was taken away"));
+            return Err(io::Error::other("the log file was removed or replaced"));
         }
         file.write_all(bytes)?;
         file.sync()?;
@@ -72,14 +75,14 @@
         Ok(())
     }
 
-    /// Replaces the log, and returns once the new one survives a power failure.
+    /// Replaces the log, and returns once the new one is durable.
     ///
     /// # Errors
-    /// If it may not survive one. The former or the new log is whole then, and may be either.
+    /// If it may not be durable. Either the previous or the new log is complete then.
     pub fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.file = None;
         self.file_system.create_folder(&self.folder)?;
-        self.put_unread_aside()?;
+        self.preserve_unreadable_log()?;
         let names = FileNames {
             folder: &self.folder,
             target: self.names.log,
@@ -91,16 +94,16 @@
         Ok(())
     }
 
-    fn put_unread_aside(&mut self) -> io::Result<()> {
-        if self.former == PreviousLog::Readable {
+    fn preserve_unreadable_log(&mut self) -> io::Result<()> {
+        if self.previous == PreviousLog::Readable {
             return Ok(());
         }
-        let unread = self.folder.join(self.names.unreadable);
-        match self.file_system.rename(&self.path(), &unread) {
+        let unreadable = self.folder.join(self.names.unreadable);
+        match self.file_system.rename(&self.path(), &unreadable) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
             _ => {}
         }
-        self.former = PreviousLog::Readable;
+        self.previous = PreviousLog::Readable;
         Ok(())
     }
 }
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,8 +1,9 @@
-//! A file system in memory for tests: calls fail on demand, the process is killed at any call, power fails.
+//! An in-memory file system for tests that injects errors, kills of the process and power failures.
 //!
-//! It is as unkind as a disk may be. A failed sync drops what it was to write: a later sync succeeds and writes none of it,
-//! and after a power failure zeros stand there. A failed write has taken half. Names count only once their folder is
-//! synced, and those that a failed sync was to write stay lost until they change again.
+//! It models the worst permitted behaviour of a disk. A failed write has written half of its bytes. After a
+//! failed sync a later one succeeds without writing the lost pages, which read as zeros after a power
+//! failure. Names are durable only once their folder is synced; changes that a failed folder sync lost stay
+//! lost until the names change again.
 
 use crate::file_system::{DurableFile, FileSystem};
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +36,7 @@
     Remove,
 }
 
-/// All calls.
+/// All calls, in the order of declaration.
 pub const ALL_CALLS: [Call; 10] = [
     Call::CreateFolder,
     Call::List,
@@ -49,16 +50,16 @@
     Call::Remove,
 ];
 
-/// What ends a process before its next start.
+/// How a process ends before its next start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEnd {
-    /// SIGKILL: what the kernel has taken stays.
+    /// SIGKILL: all written bytes remain.
     Kill,
-    /// Only what was synced stays.
+    /// Only durable bytes and names remain.
     PowerFailure,
 }
 
-/// Files in memory; clones share them.
+/// Files in memory, shared by clones.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryFileSystem {
     state: Arc<Mutex<State>>,
@@ -73,9 +74,9 @@
 
 #[derive(Debug, Default)]
 struct Inode {
-    /// As processes read it.
+    /// The content that processes read.
     bytes: Vec<u8>,
-    /// As the disk holds it.
+    /// The content after a power failure.
     durable: Vec<u8>,
 }
 
@@ -84,49 +85,54 @@
     inodes: Vec<Inode>,
     names: BTreeMap<PathBuf, usize>,
     durable_names: BTreeMap<PathBuf, usize>,
-    /// Names that the next sync of the folder writes.
+    /// Names that the next folder sync makes durable.
     changed_names: BTreeSet<PathBuf>,
-    /// The call that fails, of which file if not of all, and by which error.
+    /// The call that fails, its file (all files if `None`), and the error number.
     fault: Option<(Call, Option<PathBuf>, i32)>,
-    calls: usize,
-    /// The call in whose middle the process is killed, counted from 1.
+    call_count: usize,
+    /// The call during which the process is killed, counted from 1.
     killed_at: Option<usize>,
 }
 
-/// What a call does.
-enum Course {
-    Done,
-    /// Half of it is done, then this error.
-    Half(io::Error),
+/// Outcome of a call.
+enum CallOutcome {
+    Completed,
+    /// The call fails with this error after half of its work.
+    Interrupted(io::Error),
 }
 
 impl State {
-    fn course(&mut self, call: Call, path: Option<&Path>) -> Course {
-        self.calls += 1;
+    /// Counts a call and returns its outcome.
+    fn begin_call(&mut self, call: Call, path: Option<&Path>) -> CallOutcome {
+        self.call_count += 1;
         match self.killed_at {
-            Some(at) if self.calls == at => return Course::Half(io::Error::other("killed")),
-            // A dead process calls nothing; half of nothing is nothing.
-            Some(at) if self.calls > at => return Course::Half(io::Error::other("dead")),
+            Some(at) if self.call_count == at => return CallOutcome::Interrupted(io::Error::other("killed")),
+            // Calls of a killed process have no effect: callers check `is_dead`.
+            Some(at) if self.call_count > at => return CallOutcome::Interrupted(io::Error::other("dead")),
             _ => {}
         }
         match &self.fault {
-            Some((failing, of, errno))
-                if *failing == call && of.as_deref().is_none_or(|of| path == Some(of)) =>
+            Some((failing_call, failing_path, errno))
+                if *failing_call == call
+                    && failing_path
+                        .as_deref()
+                        .is_none_or(|failing_path| path == Some(failing_path)) =>
             {
-                Course::Half(io::Error::from_raw_os_error(*errno))
+                CallOutcome::Interrupted(io::Error::from_raw_os_error(*errno))
             }
-            _ => Course::Done,
+            _ => CallOutcome::Completed,
         }
     }
 
     fn is_dead(&self) -> bool {
-        self.killed_at.is_some_and(|at| self.calls > at)
+        self.killed_at.is_some_and(|at| self.call_count > at)
     }
 
-    fn whole(&mut self, call: Call, path: Option<&Path>) -> io::Result<()> {
-        match self.course(call, path) {
-            Course::Done => Ok(()),
-            Course::Half(error) => Err(error),
+    /// Counts a call that does nothing if it fails.
+    fn check_call(&mut self, call: Call, path: Option<&Path>) -> io::Result<()> {
+        match self.begin_call(call, path) {
+            CallOutcome::Completed => Ok(()),
+            CallOutcome::Interrupted(error) => Err(error),
         }
     }
 
@@ -143,34 +149,34 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Every such call fails by this error of the system, until [`MemoryFileSystem::clear_fault`].
+    /// Every `call` fails with this error number until [`MemoryFileSystem::clear_fault`].
     pub fn fail_calls(&self, call: Call, errno: i32) {
         self.state().fault = Some((call, None, errno));
     }
 
-    /// As [`MemoryFileSystem::fail_calls`], for one file alone.
+    /// As [`MemoryFileSystem::fail_calls`], for one file only. Calls on open files match no path.
     pub fn fail_calls_on(&self, call: Call, path: &Path, errno: i32) {
         self.state().fault = Some((call, Some(path.to_owned()), errno));
     }
 
-    /// Calls succeed again.
+    /// Makes calls succeed again.
     pub fn clear_fault(&self) {
         self.state().fault = None;
     }
 
-    /// The process is killed in the middle of this call, counted from 1 from now on; what it calls later has no effect.
-    pub fn kill_at_call(&self, call: usize) {
+    /// Kills the process during this call, counted from 1 starting now. Its later calls have no effect.
+    pub fn kill_at_call(&self, call_number: usize) {
         let mut state = self.state();
-        state.calls = 0;
-        state.killed_at = Some(call);
+        state.call_count = 0;
+        state.killed_at = Some(call_number);
     }
 
-    /// Calls since the last [`MemoryFileSystem::kill_at_call`].
+    /// Number of calls since the last [`MemoryFileSystem::kill_at_call`].
     pub fn call_count(&self) -> usize {
-        self.state().calls
+        self.state().call_count
     }
 
-    /// Ends the process, and begins the next on what is left.
+    /// Ends the process and starts the next one, with the files that remain and without faults.
     pub fn restart(&self, end: ProcessEnd) {
         let mut state = self.state();
         state.killed_at = None;
@@ -183,14 +189,14 @@
         }
     }
 
-    /// The bytes of a file as processes read it now.
+    /// The content of a file that processes read, durable or not. `None` if there is no such file.
     pub fn contents(&self, path: &Path) -> Option<Vec<u8>> {
         let state = self.state();
         let inode = state.inode(path).ok()?;
         Some(state.inodes[inode].bytes.clone())
     }
 
-    /// Puts a file there that survives a power failure.
+    /// Adds a file with durable name and content.
     pub fn add_durable_file(&self, path: &Path, bytes: &[u8]) {
         let mut state = self.state();
         let inode = state.inodes.len();
@@ -207,28 +213,28 @@
     type File = MemoryFile;
 
     fn create_folder(&self, folder: &Path) -> io::Result<()> {
-        self.state().whole(Call::CreateFolder, Some(folder))
+        self.state().check_call(Call::CreateFolder, Some(folder))
     }
 
     fn list(&self, folder: &Path) -> io::Result<Vec<String>> {
         let mut state = self.state();
-        state.whole(Call::List, Some(folder))?;
+        state.check_call(Call::List, Some(folder))?;
         let names = state.names.keys().filter(|path| path.parent() == Some(folder));
         let names = names.filter_map(|path| path.file_name()?.to_str().map(str::to_owned));
         Ok(names.collect())
     }
 
-    fn read(&self, path: &Path, longest: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
         let mut state = self.state();
-        state.whole(Call::Read, Some(path))?;
+        state.check_call(Call::Read, Some(path))?;
         let inode = state.inode(path)?;
         let bytes = &state.inodes[inode].bytes;
-        Ok(bytes[..bytes.len().min(longest as usize)].to_vec())
+        Ok(bytes[..bytes.len().min(max_bytes as usize)].to_vec())
     }
 
     fn create_new(&self, path: &Path) -> io::Result<MemoryFile> {
         let mut state = self.state();
-        state.whole(Call::Create, Some(path))?;
+        state.check_call(Call::Create, Some(path))?;
         if state.names.contains_key(path) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
@@ -244,7 +250,7 @@
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
         let mut state = self.state();
-        state.whole(Call::Rename, Some(to))?;
+        state.check_call(Call::Rename, Some(to))?;
         let inode = state.inode(from)?;
         state.names.remove(from);
         state.names.insert(to.to_owned(), inode);
@@ -254,7 +260,7 @@
 
     fn sync_folder(&self, folder: &Path) -> io::Result<()> {
         let mut state = self.state();
-        let result = state.whole(Call::SyncFolder, Some(folder));
+        let result = state.check_call(Call::SyncFolder, Some(folder));
         if state.is_dead() {
             return result;
         }
@@ -272,7 +278,7 @@
 
     fn remove(&self, path: &Path) -> io::Result<()> {
         let mut state = self.state();
-        state.whole(Call::Remove, Some(path))?;
+        state.check_call(Call::Remove, Some(path))?;
         state.inode(path)?;
         state.names.remove(path);
         state.changed_names.insert(path.to_owned());
@@ -289,38 +295,38 @@
 impl DurableFile for MemoryFile {
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.state();
-        let course = state.course(Call::Write, None);
-        let taken = match &course {
-            Course::Done => bytes.len(),
-            Course::Half(_) if state.is_dead() => 0,
-            Course::Half(_) => bytes.len() / 2,
+        let outcome = state.begin_call(Call::Write, None);
+        let written = match &outcome {
+            CallOutcome::Completed => bytes.len(),
+            CallOutcome::Interrupted(_) if state.is_dead() => 0,
+            CallOutcome::Interrupted(_) => bytes.len() / 2,
         };
-        state.inodes[self.inode].bytes.extend(&bytes[..taken]);
-        match course {
-            Course::Done => Ok(()),
-            Course::Half(error) => Err(error),
+        state.inodes[self.inode].bytes.extend(&bytes[..written]);
+        match outcome {
+            CallOutcome::Completed => Ok(()),
+            CallOutcome::Interrupted(error) => Err(error),
         }
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let mut state = self.state();
-        let result = state.whole(Call::Sync, None);
+        let result = state.check_call(Call::Sync, None);
         if state.is_dead() {
             return result;
         }
         let inode = &mut state.inodes[self.inode];
-        let owed = inode.bytes[inode.durable.len()..].to_vec();
+        let unsynced = inode.bytes[inode.durable.len()..].to_vec();
         match &result {
-            Ok(()) => inode.durable.extend(owed),
-            // The pages count as clean from now on, and hold nothing.
-            Err(_) => inode.durable.extend(owed.iter().map(|_| 0)),
+            Ok(()) => inode.durable.extend(unsynced),
+            // The pages are lost but clean: a later sync does not write them.
+            Err(_) => inode.durable.extend(unsynced.iter().map(|_| 0)),
         }
         result
     }
 
     fn is_removed(&self) -> io::Result<bool> {
         let mut state = self.state();
-        state.whole(Call::Inspect, None)?;
+        state.check_call(Call::Inspect, None)?;
         Ok(!state.names.values().any(|inode| *inode == self.inode))
     }
 }
