--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -1,4 +1,4 @@
-//! Summary, by rule, of what a start made of the records that it found.
+//! Summary of the assessments of all stored records, by rule.
 
 use crate::trust::{assess, Usability};
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A record as it was found.
+/// A record as it was stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredRecord {
     /// The record.
@@ -25,47 +25,47 @@
     }
 }
 
-/// A stored record that is of use.
+/// A stored record that may be used.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsableRecord {
     /// The record.
     pub record: Record,
-    /// How old it counts as.
+    /// The age to assume for it, independent of the wall clock.
     pub age: TimeSpan,
 }
 
-/// The records of one kind that one rule decided on.
+/// The records of one kind to which one rule applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RuleSummary {
     /// Name of the kind.
     pub kind: &'static str,
-    /// What the records may be used for.
+    /// Name of the [`Usability`] of the records.
     #[serde(rename = "used")]
     pub usability: &'static str,
-    /// How many there are.
+    /// Number of records.
     #[serde(rename = "facts")]
     pub records: usize,
-    /// Age of the youngest in milliseconds, by the wall clock; nothing where all are from the future.
+    /// Age of the youngest record by the wall clock; `None` if all have times in the future.
     pub youngest_ms: Option<u64>,
-    /// Age of the oldest in milliseconds.
+    /// Age of the oldest record by the wall clock; `None` if all have times in the future.
     pub oldest_ms: Option<u64>,
-    /// The rule.
+    /// Reason of the rule.
     #[serde(rename = "why")]
     pub reason: &'static str,
 }
 
-/// What a start made of all records it found. Displays as one line for the log.
+/// Summary of all stored records. Displays as one line for the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RecoveryReport {
-    /// By kind, usability and rule.
+    /// One row for each kind, usability and rule, in this order.
     pub rows: Vec<RuleSummary>,
-    /// How many records were found.
+    /// Number of stored records.
     #[serde(rename = "facts")]
     pub records: usize,
-    /// How many of them are of use.
+    /// Number of records that may be used.
     #[serde(rename = "used")]
     pub usable: usize,
-    /// How many of them were written at a time that is still to come.
+    /// Number of records whose time of writing is in the future, because the wall clock was set.
     #[serde(rename = "from_the_future")]
     pub future_records: usize,
 }
@@ -78,23 +78,23 @@
             let count = self.future_records;
             write!(
                 f,
-                ", {count} were written in a time that is still to come: the clock was set"
+                ", {count} have a time of writing in the future: the clock was set"
             )?;
         }
         Ok(())
     }
 }
 
-/// What [`classify`] makes of stored records.
+/// Result of [`classify`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassifiedRecords {
-    /// Those that are of use, in the order in which they were found.
+    /// The usable records, in their stored order.
     pub usable: Vec<UsableRecord>,
-    /// What was made of all.
+    /// Summary of all records.
     pub report: RecoveryReport,
 }
 
-/// Rows are ordered and told apart by this.
+/// Identifies and orders the rows of a report.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RowKey {
     kind: RecordKind,
@@ -102,7 +102,7 @@
     reason: &'static str,
 }
 
-/// What is counted of a row's records.
+/// Totals of a row's records.
 #[derive(Default)]
 struct RowTotals {
     records: usize,
@@ -111,7 +111,7 @@
 }
 
 impl RowTotals {
-    /// Counts a record of this age by the wall clock; nothing where it is from the future.
+    /// Counts a record of this age by the wall clock; `None` if it was written in the future.
     fn add(&mut self, age: Option<TimeSpan>) {
         self.records += 1;
         self.youngest = self.youngest.into_iter().chain(age).min();
@@ -131,7 +131,8 @@
     }
 }
 
-/// Assesses all stored records. What the wall clock shows `now` is only reported: no assessment depends on it.
+/// Assesses all stored records. `now`, by the wall clock, only affects the reported ages, not the
+/// assessments.
 pub fn classify(records: impl IntoIterator<Item = StoredRecord>, now: Timestamp) -> ClassifiedRecords {
     let mut rows: BTreeMap<RowKey, RowTotals> = BTreeMap::new();
     let mut classified = ClassifiedRecords::default();
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -1,8 +1,9 @@
-//! How far a stored record is trusted.
+//! Assesses what a stored record may be used for.
 //!
-//! An ordered list of rules decides; the first one that applies wins. Nobody can tell how long the machine was down: its
-//! wall clock may have been set meanwhile, in either direction. So no rule asks how old a record is, and each is safe for
-//! any age: what binds counts as received just now, what only helps as received long ago.
+//! The first rule that applies, in a fixed order, decides. How long the host was down is unknown, because its
+//! wall clock may have been set in the meantime, in either direction. No rule therefore depends on the age of
+//! a record, and each is safe for any age: records that restrict the driver count as just received, and
+//! records that are only hints count as old.
 
 use asterlatch::time::TimeSpan;
 use asterlatch_gossip::record::{ListedState, Record, RecordKind};
@@ -10,13 +11,13 @@
 /// What a stored record may be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Usability {
-    /// As if it were received now.
+    /// It is used as if it were received now.
     Immediate,
-    /// As a lower bound: no read that it concerns may be older.
+    /// It is a lower bound: reads of its session must not return older data.
     LowerBound,
-    /// For what is expected of a member, once that has reported itself.
+    /// It is a hint on a member, used once the member has reported its own state.
     AfterMemberReport,
-    /// For nothing.
+    /// It is not used.
     Never,
 }
 
@@ -32,21 +33,21 @@
     }
 }
 
-/// Age that a record counts as which only helps, as a share of the time for which its kind is kept.
-const HINT_AGE_SHARE: f64 = 0.5;
+/// Assumed age of a hint, as a fraction of the time to live of its kind.
+const HINT_AGE_FRACTION: f64 = 0.5;
 
-/// What the rules decide on a record.
+/// The rules' decision on a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assessment {
     /// What the record may be used for.
     pub usability: Usability,
-    /// How old it counts as, whatever clocks show; nothing where it isn't used.
+    /// The age to assume for it, independent of the wall clock; `None` if it is not used.
     pub age: Option<TimeSpan>,
-    /// The rule that decided, as operators read it.
+    /// Reason of the rule that decided, for operators.
     pub reason: &'static str,
 }
 
-/// A record that the rules look at.
+/// The record that a rule's condition is evaluated on.
 struct Candidate<'a> {
     record: &'a Record,
 }
@@ -64,47 +65,48 @@
     }
 }
 
-/// A condition, and what a record that fulfils it may be used for.
+/// A condition, and the usability of records that meet it.
 struct Rule {
     reason: &'static str,
     applies: fn(&Candidate) -> bool,
     usability: Usability,
 }
 
-/// In this order; the last one applies to whatever is left.
+/// The rules in order of precedence. The last one applies to all remaining records.
 const RULES: [Rule; 8] = [
     Rule {
-        reason: "leases, late executions and shares ended with the incarnation that sent them",
+        reason: "leases, delayed executions and load shares end with the incarnation that sent them",
         applies: |candidate| !candidate.record.kind().is_persistent(),
         usability: Usability::Never,
     },
     Rule {
-        reason: "a driver's report of itself is for operators, and it reports anew",
+        reason: "a driver's report about itself is for operators only, and the driver sends it again",
         applies: |candidate| candidate.has_kind(RecordKind::Driver),
         usability: Usability::Never,
     },
     Rule {
-        reason: "a member listed as ready binds nothing, the endpoint list says it anew",
+        reason: "a member listed as ready restricts nothing, and the endpoint list reports it again",
         applies: |candidate| candidate.is_listed_ready(),
         usability: Usability::Never,
     },
     Rule {
-        reason: "a drain binds until a newer list ends it, however long that is",
+        reason: "a drain applies until a newer endpoint list ends it, whatever its age",
         applies: |candidate| candidate.has_kind(RecordKind::Drain),
         usability: Usability::Immediate,
     },
     Rule {
-        reason: "a session's write must be seen: its reads wait or go to the primary, and are rejected rather than older",
+        reason: "a session's reads must see its writes: they wait, go to the primary or are rejected",
         applies: |candidate| candidate.has_kind(RecordKind::Session),
         usability: Usability::LowerBound,
     },
     Rule {
-        reason: "work sent to a member that warms up counts, and a member that was down warms up as well",
+        reason: "work sent to a warming member still counts, and a member that was down warms up too",
         applies: |candidate| candidate.has_kind(RecordKind::WarmUp),
         usability: Usability::Immediate,
     },
     Rule {
-        reason: "a position is a bound, and a role is nobody's until the member has reported: it may have lost its last log",
+        reason:
+            "a position is a bound, and a role counts only once the member reports: it may have lost log entries",
         applies: |candidate| candidate.has_kind(RecordKind::Member),
         usability: Usability::AfterMemberReport,
     },
@@ -112,22 +114,22 @@
 ];
 
 const UNKNOWN_KIND: Rule = Rule {
-    reason: "nothing is known of this kind",
+    reason: "no rule covers this kind of record",
     applies: |_| true,
     usability: Usability::Never,
 };
 
-/// What a stored record may be used for.
+/// Assesses a stored record by the first rule that applies.
 pub fn assess(record: &Record) -> Assessment {
     let candidate = Candidate { record };
     let rule = RULES.iter().find(|rule| (rule.applies)(&candidate));
     let rule = rule.unwrap_or(&UNKNOWN_KIND);
     let age = match rule.usability {
         Usability::Never => None,
-        // As if it were received just now, so that it binds for as long as it can.
+        // Counts as just received, so that it applies for its whole time to live.
         Usability::Immediate | Usability::LowerBound => Some(TimeSpan(0)),
-        // Old, so that it proves nobody alive, and gone before long.
-        Usability::AfterMemberReport => Some(record.kind().time_to_live() * HINT_AGE_SHARE),
+        // Counts as old, so that it proves no member available and expires soon.
+        Usability::AfterMemberReport => Some(record.kind().time_to_live() * HINT_AGE_FRACTION),
     };
     Assessment {
         usability: rule.usability,
--- a/crates/recovery/tests/common/mod.rs
+++ b/crates/recovery/tests/common/mod.rs
@@ -1,14 +1,14 @@
-//! Records of every kind, and the time at which they are looked at.
-#![allow(dead_code)] // each test file uses a part
+//! Test records of every kind, and the time of their assessment.
+#![allow(dead_code)] // each test file uses some of the items
 
 use asterlatch::time::Timestamp;
 use asterlatch_coordination::lease::{Lease, LeaseState};
 use asterlatch_gossip::record::{ListedState, LoadShare, Record};
 
-/// What the wall clock shows.
+/// The time by the wall clock.
 pub(crate) const NOW: Timestamp = Timestamp(1_700_000_000_000_000);
 
-/// Where some records stand in the list.
+/// Indices of records in the result of [`records`].
 pub(crate) const DRAIN: usize = 0;
 pub(crate) const SESSION: usize = 3;
 pub(crate) const MEMBER: usize = 5;
@@ -20,7 +20,7 @@
     records
 }
 
-/// Drains, a session, work sent to a member, and a member.
+/// Drains, a session, work sent to a warming member, and a member.
 fn persistent_records() -> Vec<Record> {
     let name = || "m".to_owned();
     let drain = |state| Record::Drain {
@@ -57,7 +57,7 @@
     ]
 }
 
-/// A driver's report of itself, a lease, a late execution and shares.
+/// A driver's report about itself, a lease, a delayed execution and load shares.
 fn transient_records() -> Vec<Record> {
     let name = || "m".to_owned();
     vec![
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -1,4 +1,4 @@
-//! What stored records may be used for: every kind, whatever the wall clock showed when it was written or shows now.
+//! Usability of stored records of every kind, independent of the wall clock.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const MONTH: TimeSpan = TimeSpan::millis(30 * 86_400_000);
 
 #[test]
-fn assess_each_kind() {
+fn assess_each_kind_yields_its_usability() {
     use Usability::*;
     let expected = [
         Immediate,
@@ -31,7 +31,7 @@
     let has_kind = |kind| records.iter().any(|record| record.kind() == kind);
     assert!(
         ALL_KINDS.iter().all(|kind| has_kind(*kind)),
-        "every kind has its rows"
+        "a kind has no record in this test"
     );
     assert_eq!(records.len(), expected.len());
     for (record, usability) in records.iter().zip(expected) {
@@ -41,10 +41,10 @@
     }
 }
 
-/// A clock that was set an hour ahead after a crash made a drain of a second ago, and what a session wrote, look expired; one
-/// that was set back made an old position look new.
+/// Guards against a set wall clock: set ahead, it must not expire recent drains and sessions; set back, it
+/// must not make an old position look new.
 #[test]
-fn stored_records_are_used_alike_whatever_clocks_show() {
+fn classify_any_wall_clock_time_yields_same_records() {
     let classified_at = |written_at| {
         let stored = records()
             .into_iter()
@@ -58,15 +58,16 @@
     }
 }
 
-/// What binds binds for as long as it can. A member's position and role only help: they prove nobody alive.
+/// Restricting records apply for as long as possible; a member's position and role must not prove it
+/// available.
 #[test]
-fn binding_records_are_new_and_hints_are_old() {
+fn assess_restricting_record_is_new_and_hint_is_old() {
     let records = records();
     for (index, record) in records.iter().enumerate() {
         let Some(age) = assess(record).age else { continue };
         if index == MEMBER {
-            let lifetime = record.kind().time_to_live();
-            assert!(age >= lifetime * 0.5 && age < lifetime, "{age:?}");
+            let time_to_live = record.kind().time_to_live();
+            assert!(age >= time_to_live * 0.5 && age < time_to_live, "{age:?}");
         } else {
             assert_eq!(age, TimeSpan(0), "{record:?}");
         }
