--- a/crates/handover/src/capacity_check.rs
+++ b/crates/handover/src/capacity_check.rs
@@ -1,49 +1,49 @@
-//! Whether predecessor and successor fit side by side into limits that were made for one process.
+//! Checks that predecessor and successor fit into limits that were set for one process.
 //!
-//! Checked before anything is started: an upgrade that doesn't fit is refused with its figures, and the
-//! running process goes on.
+//! The check runs before the successor is started: an upgrade that doesn't fit is rejected with the amounts,
+//! and the running process continues to serve.
 
 use thiserror::Error;
 
-/// What the running process uses, and the limits that it shares with a successor.
+/// Resources used by the running process, and the limits that it shares with a successor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
     /// File descriptors that both processes together may open.
     pub descriptor_limit: usize,
     /// Descriptors that the running process has open.
     pub open_descriptors: usize,
-    /// Its client connections. The successor holds a copy of each for as long as it is on probation.
+    /// Client connections of the running process. On probation both processes have a descriptor for each.
     pub client_connections: usize,
     /// Bytes of memory that both processes together may use.
     pub memory_limit: u64,
-    /// Bytes that are resident in the running process.
+    /// Resident bytes of the running process.
     pub resident_memory: u64,
-    /// Bytes of these that buffer messages. The successor starts without them.
+    /// Part of the resident bytes that buffers messages. The successor starts without it.
     pub message_memory: u64,
 }
 
-/// What two processes would need more than there is.
+/// The limit that two processes would exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CapacityError {
     /// Too few file descriptors.
     #[error(
-        "both processes together need {needed} descriptors ({open} held now, one more for each of {clients} clients, \
-         {HANDOVER_DESCRIPTORS} for the new process), and there are {limit}"
+        "both processes together need {needed} descriptors ({open} open now, one more for each of \
+         {clients} clients, {HANDOVER_DESCRIPTORS} for the new process), but the limit is {limit}"
     )]
     Descriptors {
         /// Descriptors of both processes.
         needed: usize,
         /// Descriptors that the running process has open.
         open: usize,
-        /// Client connections, each of which needs one descriptor more.
+        /// Client connections, each of which needs one more descriptor.
         clients: usize,
-        /// Descriptors that there are.
+        /// Descriptors that both processes together may open.
         limit: usize,
     },
     /// Too little memory.
     #[error(
-        "both processes together need {needed_mb} MB ({resident_mb} now, and {successor_mb} for the new process), and \
-         there are {limit_mb}"
+        "both processes together need {needed_mb} MB of memory ({resident_mb} now, and {successor_mb} for \
+         the new process), but the limit is {limit_mb}"
     )]
     Memory {
         /// Memory of both processes in MiB, rounded up.
@@ -52,21 +52,21 @@
         resident_mb: u64,
         /// Memory that the successor will need in MiB, rounded up.
         successor_mb: u64,
-        /// Memory that there is in MiB, rounded down.
+        /// Memory that both processes together may use in MiB, rounded down.
         limit_mb: u64,
     },
 }
 
-/// Descriptors of a process that serves nobody yet, and of the handover itself on both sides.
+/// Descriptors of a successor without clients, and of the handover itself on both sides.
 const HANDOVER_DESCRIPTORS: usize = 40;
-/// Bytes that a process uses that serves nobody yet: program, stacks and the tables it reads.
-const MIN_SUCCESSOR_MEMORY: u64 = 6 * MIB;
+/// Memory of a successor without clients: program, stacks and tables.
+const MIN_SUCCESSOR_BYTES: u64 = 6 * MIB;
 const MIB: u64 = 1 << 20;
 
-/// Checks that a successor fits beside the running process.
+/// Checks that a successor fits into the limits together with the running process.
 ///
 /// # Errors
-/// The first limit that is too low.
+/// The first limit that would be exceeded.
 pub fn check_capacity(usage: &ResourceUsage) -> Result<(), CapacityError> {
     check_descriptors(usage)?;
     check_memory(usage)
@@ -85,10 +85,10 @@
     })
 }
 
-/// The successor inherits what this process has learned, but none of the messages it buffers.
+/// The successor receives the learned state of this process, but none of its buffered messages.
 fn check_memory(usage: &ResourceUsage) -> Result<(), CapacityError> {
     let inherited = usage.resident_memory.saturating_sub(usage.message_memory);
-    let successor = inherited.max(MIN_SUCCESSOR_MEMORY);
+    let successor = inherited.max(MIN_SUCCESSOR_BYTES);
     let needed = usage.resident_memory + successor;
     if needed <= usage.memory_limit {
         return Ok(());
--- a/crates/handover/src/co_serving.rs
+++ b/crates/handover/src/co_serving.rs
@@ -1,11 +1,11 @@
-//! What binds two processes that serve the same members side by side.
+//! Shares concurrency limits and drains between two processes that serve the same members.
 //!
-//! Executions in flight at either process count against the other's concurrency limits, and a drain that
-//! either hears of binds both. Members go by name, for each process gives ids of its own to those it learns
-//! of later.
+//! Executions in flight at either process count against the other's concurrency limits, and both respect a
+//! drain that either learns of. Members are identified by name, because each process assigns its own ids to
+//! members that it learns of later.
 //!
-//! Counts are sent again only once the peer has acknowledged the last ones. So a peer that hangs is sent
-//! little, and a busy process sends what holds now instead of all that held meanwhile.
+//! New counts are sent only once the peer has acknowledged the last ones. This bounds the messages queued for
+//! a peer that hangs, and skips outdated counts when the peer is slow.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -13,43 +13,43 @@
 /// Executions in flight by member name.
 pub type InFlightCounts = BTreeMap<String, u32>;
 
-/// What two processes tell one another while both serve. Its bytes are positional.
+/// A message between two processes while both serve. The encoding is positional.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CoServingMessage {
-    /// The sender has so many executions in flight at a member.
+    /// Number of the sender's executions in flight at a member.
     InFlight {
         /// The member's name.
         member: String,
         /// Executions in flight there.
         count: u32,
     },
-    /// A member drains or is gone.
+    /// A member drains or was removed.
     Draining {
         /// The member's name.
         member: String,
-        /// When the member that drains had started: Unix time in milliseconds, 0 if that was long ago.
+        /// Start of the draining incarnation of the member: Unix time in milliseconds, 0 if long ago.
         started_ms: u64,
     },
-    /// The last counts are taken over.
+    /// The sender has applied the last counts.
     Acknowledged,
 }
 
-/// What one process has sent to its peer and received from it.
+/// Counts and drains that one process has sent to its peer and received from it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CoServingState {
-    /// Counts that were sent last.
+    /// Counts that were last sent.
     announced_in_flight: InFlightCounts,
-    /// Start of each draining member, as both processes know it.
+    /// Start of each draining member that both processes know of.
     known_drains: BTreeMap<String, u64>,
-    /// Whether the peer is still to acknowledge the counts.
+    /// Whether the last sent counts are not acknowledged yet.
     awaits_acknowledgement: bool,
-    /// Executions that the peer has in flight; only members with some.
+    /// The peer's executions in flight, without members that have none.
     peer_counts: InFlightCounts,
 }
 
 impl CoServingState {
-    /// What to send now that `counts` are in flight here: what changed since the last time, or nothing while
-    /// that is unacknowledged.
+    /// Messages to send when `counts` are in flight here: the changes since the last call that sent any, or
+    /// nothing while those are unacknowledged.
     pub fn in_flight_updates(&mut self, counts: InFlightCounts) -> Vec<CoServingMessage> {
         if self.awaits_acknowledgement {
             return Vec::new();
@@ -70,7 +70,7 @@
             .collect()
     }
 
-    /// The message on a drain that this process learned of: once for each start of the member.
+    /// The message on a drain that this process learned of, once for each start of the member.
     pub fn drain_update(&mut self, member: &str, started_ms: u64) -> Option<CoServingMessage> {
         let known = self.known_drains.insert(member.to_owned(), started_ms);
         if known.is_some_and(|known| known >= started_ms) {
@@ -80,12 +80,12 @@
         Some(CoServingMessage::Draining { member, started_ms })
     }
 
-    /// Takes over what the peer sent and returns the answer to it.
+    /// Applies the peer's messages and returns the acknowledgement of its counts, if there are any.
     pub fn on_messages(&mut self, messages: &[CoServingMessage]) -> Option<CoServingMessage> {
         let mut has_counts = false;
         for message in messages {
             match message {
-                // Remembered, so that it isn't sent back.
+                // The peer knows of it, so it is not sent back.
                 CoServingMessage::Draining { member, started_ms } => {
                     self.known_drains.insert(member.clone(), *started_ms);
                 }
@@ -100,7 +100,7 @@
         has_counts.then_some(CoServingMessage::Acknowledged)
     }
 
-    /// How many executions the peer has in flight at all members together.
+    /// Number of the peer's executions in flight at all members.
     pub fn peer_in_flight(&self) -> u64 {
         self.peer_counts.values().map(|count| u64::from(*count)).sum()
     }
--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -1,7 +1,7 @@
-//! Frames on a Unix socket, with file descriptors that go along.
+//! Frames on a Unix socket, with attached file descriptors.
 //!
-//! A frame is the length of its body (big endian, 32 bits), the body's SHA-256 hash where the message type
-//! wants one, and the body in `postcard`'s format.
+//! A frame consists of the length of its body (32 bits, big endian), the SHA-256 hash of the body if the
+//! message type requires one, and the body in the `postcard` format.
 
 use crate::message::HandoverMessage;
 use rustix::io::Errno;
@@ -20,26 +20,26 @@
 use std::os::unix::net::UnixStream;
 use thiserror::Error;
 
-/// Descriptors that may go along with one message.
+/// Descriptors that may be attached to one message.
 const MAX_DESCRIPTORS: usize = 8;
-/// Bytes of a frame's length.
-const LENGTH_SIZE: usize = 4;
-/// Bytes of a frame's hash.
-const HASH_SIZE: usize = 32;
+/// Size of a frame's length field.
+const LENGTH_BYTES: usize = 4;
+/// Size of a frame's hash.
+const HASH_BYTES: usize = 32;
 /// Bytes that are read from the socket at once.
-const READ_SIZE: usize = 64 * 1024;
+const READ_CHUNK_BYTES: usize = 64 * 1024;
 
-/// Why bytes are no frame, or a message can't become one.
+/// Why a frame can't be decoded, or a message can't be encoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The body is longer than [`Framed::MAX_LENGTH`].
-    #[error("the frame is too long")]
+    /// The body is longer than [`Framed::MAX_BODY_BYTES`].
+    #[error("the frame exceeds the maximum length")]
     TooLong,
-    /// The body is not what was hashed.
-    #[error("the frame's hash differs from its body's")]
+    /// The hash in the frame differs from that of the body.
+    #[error("the frame's hash does not match its body")]
     HashMismatch,
-    /// The body is no message of this type.
-    #[error("the frame holds no message of its type")]
+    /// The body can't be deserialized as this message type, or the message can't be serialized.
+    #[error("cannot encode or decode the message: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
@@ -48,28 +48,28 @@
 pub struct Decoded<T> {
     /// The message.
     pub message: T,
-    /// Bytes that its frame takes.
+    /// Size of its frame in bytes.
     pub frame_length: usize,
 }
 
 /// A message type that is sent in frames.
 pub trait Framed: Serialize + DeserializeOwned {
-    /// Bytes of the longest body.
-    const MAX_LENGTH: usize;
-    /// Whether frames carry a hash of their body.
+    /// Maximum size of a frame's body.
+    const MAX_BODY_BYTES: usize;
+    /// Whether frames contain a hash of their body.
     const IS_HASHED: bool;
 
-    /// How many descriptors go along with the message. Those that are received together may belong to several
-    /// messages.
+    /// Number of descriptors attached to the message. The reader assigns received descriptors to messages by
+    /// it.
     fn descriptor_count(&self) -> usize;
 
-    /// The message's frame.
+    /// Encodes the message as a frame.
     ///
     /// # Errors
     /// [`FrameError::TooLong`], or the serializer's error.
     fn encode(&self) -> Result<Vec<u8>, FrameError> {
         let body = postcard::to_stdvec(self)?;
-        if body.len() > Self::MAX_LENGTH {
+        if body.len() > Self::MAX_BODY_BYTES {
             return Err(FrameError::TooLong);
         }
         let mut frame = (body.len() as u32).to_be_bytes().to_vec();
@@ -80,22 +80,22 @@
         Ok(frame)
     }
 
-    /// Decodes the first message of `input`; nothing where more bytes are needed.
+    /// Decodes the first message of `input`. Returns `None` if more bytes are needed.
     ///
     /// # Errors
-    /// What makes the frame invalid; what follows it can't be found then.
+    /// If the frame is invalid. The start of the next frame is unknown then.
     fn decode(input: &[u8]) -> Result<Option<Decoded<Self>>, FrameError> {
         let header_length = if Self::IS_HASHED {
-            LENGTH_SIZE + HASH_SIZE
+            LENGTH_BYTES + HASH_BYTES
         } else {
-            LENGTH_SIZE
+            LENGTH_BYTES
         };
         let header = input.get(..header_length);
-        let Some((length, hash)) = header.and_then(|h| h.split_first_chunk::<LENGTH_SIZE>()) else {
+        let Some((length, hash)) = header.and_then(|h| h.split_first_chunk::<LENGTH_BYTES>()) else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length) as usize;
-        if length > Self::MAX_LENGTH {
+        if length > Self::MAX_BODY_BYTES {
             return Err(FrameError::TooLong);
         }
         let frame_length = header_length + length;
@@ -113,24 +113,25 @@
     }
 }
 
-/// Why a message was not sent.
+/// Why sending a message failed.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// The message can't become a frame.
+    /// The message can't be encoded.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// More descriptors than may go along with one message.
-    #[error("more than {MAX_DESCRIPTORS} descriptors for one message")]
+    /// More descriptors than may be attached to one message.
+    #[error("a message has more than {MAX_DESCRIPTORS} descriptors")]
     TooManyDescriptors,
-    /// The socket refused the bytes; part of the frame may have been sent.
-    #[error("the message can't be written: {0}")]
+    /// Writing to the socket failed. Part of the frame may have been sent.
+    #[error("cannot write the message to the socket: {0}")]
     Io(#[from] io::Error),
 }
 
-/// Sends a message and waits until the kernel has all of it. The descriptors go along with its first byte.
+/// Sends a message and blocks until all of it is in the socket's buffer. The descriptors are sent with its
+/// first byte.
 ///
 /// # Errors
-/// The peer is gone, the socket's write timeout elapsed, or the message can't be framed.
+/// If the peer has closed the socket, the socket's write timeout elapsed, or the message can't be encoded.
 pub fn send(socket: &UnixStream, message: &impl Framed, descriptors: &[BorrowedFd]) -> Result<(), SendError> {
     let frame = message.encode()?;
     let mut sent = 0;
@@ -144,14 +145,14 @@
     Ok(())
 }
 
-/// Sends as many bytes as the socket takes at once, and returns how many.
+/// Writes as many bytes as the socket accepts in one call, and returns their number.
 fn send_part(socket: &UnixStream, bytes: &[u8], descriptors: &[BorrowedFd]) -> Result<usize, SendError> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
     if !descriptors.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(descriptors)) {
         return Err(SendError::TooManyDescriptors);
     }
-    // A peer that is gone is an error here, not a signal.
+    // With NOSIGNAL a closed peer causes EPIPE instead of SIGPIPE.
     let sent = sendmsg(
         socket,
         &[IoSlice::new(bytes)],
@@ -161,12 +162,12 @@
     Ok(sent.map_err(io::Error::from)?)
 }
 
-/// What a [`FrameReader`] has read.
+/// Result of [`FrameReader::read`].
 #[derive(Debug)]
 pub enum Received<T = HandoverMessage> {
-    /// A message with the descriptors that came along.
+    /// A message and the descriptors attached to it.
     Message(T, Vec<OwnedFd>),
-    /// Bytes that are no frame. Nothing behind them can be read.
+    /// An invalid frame. Nothing after it can be decoded.
     Invalid(FrameError),
     /// The peer closed the socket, or reading it failed or timed out.
     Closed,
@@ -176,15 +177,15 @@
 pub struct FrameReader<T = HandoverMessage> {
     socket: UnixStream,
     input: Vec<u8>,
-    /// Bytes of `input` that were decoded: many small messages arrive at once.
+    /// Bytes of `input` that were decoded. They are removed only before the next read from the socket.
     consumed: usize,
-    /// Descriptors that were received and belong to messages not yet decoded.
+    /// Received descriptors of messages that were not decoded yet.
     descriptors: VecDeque<OwnedFd>,
     message_type: PhantomData<T>,
 }
 
 impl<T: Framed> FrameReader<T> {
-    /// A reader that owns its side of the socket.
+    /// Takes over the receiving side of a socket.
     pub fn new(socket: UnixStream) -> FrameReader<T> {
         FrameReader {
             socket,
@@ -195,8 +196,8 @@
         }
     }
 
-    /// Waits for the next message. Its descriptors are the oldest ones received: the kernel may deliver the
-    /// end of one message and the descriptors of the next together.
+    /// Blocks until the next message. It gets the oldest received descriptors, because the kernel may deliver
+    /// the end of one message together with the descriptors of the next.
     pub fn read(&mut self) -> Received<T> {
         loop {
             match T::decode(&self.input[self.consumed..]) {
@@ -221,9 +222,10 @@
         Received::Message(decoded.message, descriptors)
     }
 
-    /// Waits for bytes and descriptors, and returns how many bytes arrived; 0 at the end of the stream.
+    /// Blocks until bytes and descriptors arrive, and returns the number of bytes; 0 at the end of the
+    /// stream.
     fn receive(&mut self) -> Result<usize, Errno> {
-        let mut chunk = [0; READ_SIZE];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
         let mut ancillary = RecvAncillaryBuffer::new(&mut space);
         let mut buffers = [IoSliceMut::new(&mut chunk)];
@@ -239,7 +241,7 @@
     }
 }
 
-/// Microseconds by the machine's monotonic clock. Both processes read the same, whoever sets the wall clock.
+/// Microseconds by the host's monotonic clock, which is the same in both processes.
 pub fn monotonic_micros() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1000
--- a/crates/handover/src/io_journal/client_replay.rs
+++ b/crates/handover/src/io_journal/client_replay.rs
@@ -5,42 +5,42 @@
 use crate::message::ClientState;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes that the kernel counts of a socket since the successor began with it.
+/// The kernel's byte counts of a socket since the successor took it over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct SocketByteCounts {
-    /// Bytes that were read from it.
+    /// Bytes that were read from the socket.
     pub read: u64,
-    /// Bytes that were written to it.
+    /// Bytes that were written to the socket.
     pub written: u64,
 }
 
-/// What becomes of a client whose process has died.
+/// How the predecessor continues with a client of a dead successor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClientRecovery {
-    /// Its unanswered bytes become its input again.
+    /// Serve the client. Its unanswered bytes become its input again.
     Resume {
-        /// The client as it stood when its process died.
+        /// The client's state at the death of the successor.
         client: ClientState,
-        /// How the statements in its input are answered.
+        /// How to answer the statements in the client's input.
         verdicts: StatementVerdicts,
     },
-    /// It has part of an answer, or bytes of it are lost: no complete answer can be sent to it any more.
+    /// Close the connection: the client has received part of an answer, or part of its input is lost.
     Disconnect,
 }
 
-/// A write that was announced and not yet confirmed by the kernel.
+/// An announced write that is not known to be complete.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingWrite {
-    /// Offset of what is written to the client at which it ends.
+    /// Offset in the output at which the write ends.
     end: u64,
     answered_to: u64,
     startup_complete: bool,
     bytes_to_skip: u64,
-    /// Whether it answers more than the startup.
+    /// Whether it answers a statement, not only the startup.
     answers_statement: bool,
 }
 
-/// A write as its journal record announces it.
+/// The fields of [`JournalRecord::Write`](super::JournalRecord::Write) that hold once the write is complete.
 pub(super) struct AnnouncedWrite {
     pub(super) length: u64,
     pub(super) answered_to: u64,
@@ -48,36 +48,35 @@
     pub(super) bytes_to_skip: u64,
 }
 
-/// What the journal implies for one client.
+/// State of one client according to the journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct ClientReplay {
     startup_complete: bool,
     has_sent_statement: bool,
     bytes_to_skip: u64,
-    /// Bytes that were read, from offset `answered_to` on.
+    /// Input from offset `answered_to` on.
     unanswered_input: Vec<u8>,
     answered_to: u64,
-    /// Bytes of input that came along with the client.
+    /// Bytes of input that were transferred with the client.
     transferred_length: u64,
-    /// Offset at which the announced writes end.
+    /// Offset at which the last announced write ends.
     announced_to: u64,
-    /// Offset at which the writes end that were applied.
+    /// Offset at which the last applied write ends.
     written_to: u64,
     pending_writes: VecDeque<PendingWrite>,
-    /// Ends of the statements that were dispatched, and whether each is safe to retry.
+    /// Ends of dispatched statements, and whether each is safe to retry.
     dispatched: BTreeMap<u64, bool>,
 }
 
-/// Bytes counted for each client beside its input.
-pub(super) const CLIENT_OVERHEAD: usize = 256;
+/// Memory counted for each client in addition to its input.
+pub(super) const CLIENT_OVERHEAD_BYTES: usize = 256;
 
-/// Bytes counted for a client that is on its way to the successor.
+/// Memory counted for a client in transfer to the successor, in bytes.
 pub(super) fn transfer_memory(client: &ClientState) -> usize {
-    CLIENT_OVERHEAD + client.input.len()
+    CLIENT_OVERHEAD_BYTES + client.input.len()
 }
 
 impl ClientReplay {
-    /// A client as it was transferred.
     pub(super) fn from_transfer(client: ClientState) -> ClientReplay {
         ClientReplay {
             startup_complete: client.startup_complete,
@@ -89,35 +88,36 @@
         }
     }
 
+    /// Offset up to which input was read or announced to be read.
     fn read_to(&self) -> u64 {
         self.answered_to + self.unanswered_input.len() as u64
     }
 
-    /// Bytes counted for this client.
+    /// Memory counted for this client, in bytes.
     pub(super) fn memory_used(&self) -> usize {
         let entries = self.dispatched.len() + self.pending_writes.len();
-        CLIENT_OVERHEAD + self.unanswered_input.len() + entries * size_of::<PendingWrite>()
+        CLIENT_OVERHEAD_BYTES + self.unanswered_input.len() + entries * size_of::<PendingWrite>()
     }
 
-    /// `bytes` are read next, and writes up to `written_to` are done.
+    /// Applies the announcement that `bytes` are read next. Writes up to offset `written_to` are complete.
     pub(super) fn on_read(&mut self, written_to: u64, bytes: Vec<u8>) -> Result<(), ReplayError> {
         self.unanswered_input.extend(bytes);
         self.apply_writes(written_to)
     }
 
-    /// The statement that ends at offset `end` is dispatched next.
+    /// Applies the announcement that the statement ending at offset `end` is dispatched next.
     pub(super) fn on_dispatched(&mut self, end: u64, is_retry_safe: bool) -> Result<(), ReplayError> {
         if end > self.read_to() {
             return Err(ReplayError::Inconsistent);
         }
-        // A statement whose answer is written needs no verdict.
+        // A statement that is answered already needs no verdict.
         if end > self.answered_to {
             self.dispatched.insert(end, is_retry_safe);
         }
         Ok(())
     }
 
-    /// `write` is done next, and writes up to `written_to` are done.
+    /// Applies the announcement that `write` is done next. Writes up to offset `written_to` are complete.
     pub(super) fn on_write(&mut self, written_to: u64, write: &AnnouncedWrite) -> Result<(), ReplayError> {
         self.announced_to += write.length;
         self.pending_writes.push_back(PendingWrite {
@@ -130,7 +130,8 @@
         self.apply_writes(written_to)
     }
 
-    /// Applies the pending writes that end up to offset `written_to`, and lets go what they answer.
+    /// Applies the pending writes that end at or before offset `written_to`, and removes the input they
+    /// answer.
     fn apply_writes(&mut self, written_to: u64) -> Result<(), ReplayError> {
         let is_written = |write: &mut PendingWrite| write.end <= written_to;
         while let Some(write) = self.pending_writes.pop_front_if(is_written) {
@@ -157,7 +158,7 @@
         Ok(())
     }
 
-    /// Bytes that are skipped needn't be stored, however long the oversized message is.
+    /// Bytes to skip are not stored, because an oversized message may be longer than the replay's memory.
     fn discard_skipped_input(&mut self) {
         let skipped = self.bytes_to_skip.min(self.unanswered_input.len() as u64);
         self.unanswered_input.drain(..skipped as usize);
@@ -165,15 +166,15 @@
         self.bytes_to_skip -= skipped;
     }
 
-    /// The client as it stood when its process died, by what the kernel counts of its socket.
+    /// Derives the client's state at the death of the successor from the kernel's byte counts of its socket.
     pub(super) fn recover(mut self, counts: SocketByteCounts) -> ClientRecovery {
         let has_valid_writes = self.apply_writes(counts.written).is_ok();
-        // An announced write may not have begun, but one that began and did not end can't be completed.
-        let has_whole_answers = counts.written == self.written_to;
-        // Announced bytes that were not read yet still lie at the socket.
+        // An announced write may not have started, but a partial write can't be completed.
+        let has_complete_answers = counts.written == self.written_to;
+        // Announced bytes that were not read are still in the socket's buffer.
         let read_to = self.transferred_length + counts.read;
         let has_all_input = (self.answered_to..=self.read_to()).contains(&read_to);
-        if !has_valid_writes || !has_whole_answers || !has_all_input {
+        if !has_valid_writes || !has_complete_answers || !has_all_input {
             return ClientRecovery::Disconnect;
         }
         let answered_to = self.answered_to;
--- a/crates/handover/src/io_journal/mod.rs
+++ b/crates/handover/src/io_journal/mod.rs
@@ -1,12 +1,12 @@
 //! The I/O journal of a successor on probation, and its replay by the predecessor.
 //!
-//! The successor writes down what it is about to do with each client, before it does it: what it reads, which
-//! statement it dispatches, what it writes. Should it die, the predecessor replays the journal and goes on
-//! with each client; the kernel's byte counts of a socket tell how much of what was announced was done.
+//! It is a write-ahead journal: before the successor reads from a client, dispatches a statement or writes to
+//! a client, it appends a record of it. If the successor dies, the predecessor replays the journal and
+//! resumes each client; the kernel's byte counts of a socket show how much of the announced I/O was done.
 //! Nothing here does I/O.
 //!
-//! Offsets count the bytes of one client in one direction from where the successor began with it: first those
-//! that were transferred with the client, then those that come from its socket.
+//! Offsets count the bytes of a client in one direction since the successor took it over. Input starts with
+//! the bytes that were transferred with the client, followed by those read from its socket.
 
 mod client_replay;
 mod replay;
@@ -19,10 +19,10 @@
 use crate::codec::Framed;
 use serde::{Deserialize, Serialize};
 
-/// An entry of the journal. `client` is the successor's number of a client. Its bytes are positional.
+/// A record of the journal. `client` is the successor's number of a client. The encoding is positional.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum JournalRecord {
-    /// The successor has accepted a client, whose connection goes along.
+    /// The successor has accepted a client. The descriptor of its connection is attached.
     Accepted {
         /// The client.
         client: u32,
@@ -31,19 +31,19 @@
     Adopted {
         /// The client.
         client: u32,
-        /// Number of its transfer.
+        /// [`ClientState::transfer_id`](crate::message::ClientState::transfer_id) of the client.
         transfer_id: u64,
     },
-    /// These bytes lie at the socket and are read next.
+    /// These bytes are in the socket's buffer and are read next.
     Read {
         /// The client.
         client: u32,
-        /// Offset up to which the kernel has taken what was written to the client.
+        /// Offset up to which the kernel has accepted what was written to the client.
         written_to: u64,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// A statement is sent to a member next; from here on it may have been executed.
+    /// A statement is sent to a member next. From now on it may have been executed.
     Dispatched {
         /// The client.
         client: u32,
@@ -52,22 +52,22 @@
         /// Whether executing it twice is harmless.
         is_retry_safe: bool,
     },
-    /// Bytes are written to the client next. The other fields hold once all of them are written.
+    /// Bytes are written to the client next.
     Write {
         /// The client.
         client: u32,
-        /// Bytes to be written.
+        /// Number of bytes to be written.
         length: u64,
-        /// Offset up to which the kernel has taken what was written to the client.
+        /// Offset up to which the kernel has accepted what was written to the client before.
         written_to: u64,
-        /// Offset up to which everything that was read is answered.
+        /// Offset in the input up to which everything is answered once all bytes are written.
         answered_to: u64,
-        /// Whether the client's startup is complete.
+        /// Whether the client's startup is complete once all bytes are written.
         startup_complete: bool,
-        /// Bytes of an oversized message that are still to be read and discarded.
+        /// Bytes of an oversized message that are still to be read and discarded once all bytes are written.
         bytes_to_skip: u64,
     },
-    /// The connection is closed, by the successor or by its client.
+    /// The connection was closed by the successor or by the client.
     Closed {
         /// The client.
         client: u32,
@@ -75,9 +75,9 @@
 }
 
 impl Framed for JournalRecord {
-    /// A record may hold as much as is read at once.
-    const MAX_LENGTH: usize = 1024 * 1024;
-    /// A record whose writer died halfway is too short and is never decoded; what it announced was not done.
+    /// Must hold the bytes of one read from a client.
+    const MAX_BODY_BYTES: usize = 1024 * 1024;
+    /// A record cut short by its writer's death is never decoded, and what it announces was not done.
     const IS_HASHED: bool = false;
 
     fn descriptor_count(&self) -> usize {
--- a/crates/handover/src/io_journal/replay.rs
+++ b/crates/handover/src/io_journal/replay.rs
@@ -1,64 +1,64 @@
-//! Replay of the whole journal.
+//! Replay of the journal for all clients of the successor.
 
 use super::client_replay::{
-    transfer_memory, AnnouncedWrite, ClientRecovery, ClientReplay, SocketByteCounts, CLIENT_OVERHEAD,
+    transfer_memory, AnnouncedWrite, ClientRecovery, ClientReplay, SocketByteCounts, CLIENT_OVERHEAD_BYTES,
 };
 use super::JournalRecord;
 use crate::message::ClientState;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why a journal can't be replayed any further. Its clients are the successor's alone from then on.
+/// Why the replay of a journal can't continue. Its clients can't be recovered from then on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum ReplayError {
-    /// The state of all clients takes more memory than it may.
-    #[error("the journal's clients take more memory than they may")]
+    /// The state of all clients exceeds the replay's memory limit.
+    #[error("the state of the journal's clients exceeds the memory limit")]
     MemoryExceeded,
-    /// A record names an unknown client, or an offset that was not reached.
-    #[error("the journal contradicts itself")]
+    /// A record refers to an unknown client or transfer, or to an offset that was not reached.
+    #[error("a journal record contradicts earlier ones")]
     Inconsistent,
 }
 
-/// By what a client's connection is known.
+/// Identifies the connection of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ConnectionKey {
-    /// The number of its transfer, until the successor has taken it over.
+    /// The client's transfer id, until the successor has taken it over.
     Transfer(u64),
     /// The successor's number of the client.
     Client(u32),
 }
 
-/// What a replay holds.
+/// Resources used by a replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplayUsage {
-    /// Clients that are on their way to the successor or there.
+    /// Clients in transfer to the successor or served by it.
     pub clients: usize,
-    /// Bytes counted for them.
+    /// Memory counted for them, in bytes.
     pub memory: usize,
 }
 
 /// A client of a dead successor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredClient {
-    /// By what its connection is known.
+    /// Identifies its connection.
     pub key: ConnectionKey,
-    /// What becomes of it.
+    /// How the predecessor continues with it.
     pub recovery: ClientRecovery,
 }
 
-/// All clients of the successor, according to its journal.
+/// State of all clients of the successor, according to its journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct JournalReplay {
-    /// Clients that are on their way to the successor, by the number of their transfer.
+    /// Clients in transfer to the successor, by transfer id.
     transfers: BTreeMap<u64, ClientState>,
     clients: BTreeMap<u32, ClientReplay>,
-    /// Bytes counted for all of them, and the most that may be.
+    /// Memory counted for all clients, and its limit, in bytes.
     memory_used: usize,
     memory_limit: usize,
 }
 
 impl JournalReplay {
-    /// An empty replay that may use `memory_limit` bytes.
+    /// An empty replay with a memory limit in bytes.
     pub fn new(memory_limit: usize) -> JournalReplay {
         JournalReplay {
             memory_limit,
@@ -66,17 +66,17 @@
         }
     }
 
-    /// A client is sent to the successor.
+    /// Adds a client that is sent to the successor.
     ///
     /// # Errors
-    /// [`ReplayError::MemoryExceeded`].
+    /// [`ReplayError::MemoryExceeded`]. The replay must not be used any more then.
     pub fn begin_transfer(&mut self, client: ClientState) -> Result<(), ReplayError> {
         self.memory_used += transfer_memory(&client);
         self.transfers.insert(client.transfer_id, client);
         self.check_memory()
     }
 
-    /// A client that was sent arrived without its connection.
+    /// Removes a client that arrived at the successor without its connection.
     pub fn cancel_transfer(&mut self, transfer_id: u64) {
         if let Some(client) = self.transfers.remove(&transfer_id) {
             self.memory_used -= transfer_memory(&client);
@@ -93,8 +93,8 @@
     /// Applies the next record of the journal.
     ///
     /// # Errors
-    /// The record contradicts those before it, or the clients take too much memory. The replay is of no use
-    /// then.
+    /// If the record contradicts earlier ones, or the clients exceed the memory limit. The replay must not be
+    /// used any more then.
     pub fn apply(&mut self, record: JournalRecord) -> Result<(), ReplayError> {
         match record {
             JournalRecord::Accepted { client } => self.on_accepted(client),
@@ -131,11 +131,11 @@
     }
 
     fn on_accepted(&mut self, client: u32) {
-        self.memory_used += CLIENT_OVERHEAD;
+        self.memory_used += CLIENT_OVERHEAD_BYTES;
         self.clients.insert(client, ClientReplay::default());
     }
 
-    /// The client's memory is counted already and stays so.
+    /// Doesn't change the counted memory, which includes the client since its transfer began.
     fn on_adopted(&mut self, client: u32, transfer_id: u64) -> Result<(), ReplayError> {
         let transferred = self.transfers.remove(&transfer_id);
         let transferred = transferred.ok_or(ReplayError::Inconsistent)?;
@@ -144,14 +144,14 @@
         Ok(())
     }
 
-    /// A client that the successor rejected before it wrote it down is unknown here.
+    /// The client is unknown if the successor rejected it before journaling it.
     fn on_closed(&mut self, client: u32) {
         if let Some(replay) = self.clients.remove(&client) {
             self.memory_used -= replay.memory_used();
         }
     }
 
-    /// The client may have closed its connection while its statement was on the way to a member.
+    /// The client is unknown if it closed its connection before its statement was sent to a member.
     fn on_dispatched(&mut self, client: u32, end: u64, is_retry_safe: bool) -> Result<(), ReplayError> {
         if !self.clients.contains_key(&client) {
             return Ok(());
@@ -172,7 +172,7 @@
         updated
     }
 
-    /// What this replay holds.
+    /// Clients and memory of this replay.
     pub fn usage(&self) -> ReplayUsage {
         ReplayUsage {
             clients: self.transfers.len() + self.clients.len(),
@@ -180,8 +180,9 @@
         }
     }
 
-    /// Recovers the clients of a dead successor whose whole journal was applied, those on their way first.
-    /// `byte_counts` returns what the kernel counts of a connection, or nothing where that is unknown.
+    /// Recovers the clients of a dead successor, those in transfer first. The complete journal must have been
+    /// applied. `byte_counts` returns the kernel's byte counts of a connection, or `None` if they are
+    /// unknown.
     pub fn recover_clients(
         self,
         mut byte_counts: impl FnMut(ConnectionKey) -> Option<SocketByteCounts>,
--- a/crates/handover/src/io_journal/verdict.rs
+++ b/crates/handover/src/io_journal/verdict.rs
@@ -1,24 +1,24 @@
-//! How statements are answered that a dead successor had read.
+//! How the predecessor answers statements that a dead successor had read.
 
 use std::collections::BTreeMap;
 
-/// What the predecessor does with a statement that a dead successor may have read.
+/// How the predecessor treats a statement that a dead successor may have read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StatementVerdict {
     /// It was not dispatched, or executing it twice is harmless: the client may retry it.
     Rejected,
     /// It may have been executed.
     Aborted,
-    /// The successor had not read all of it: it is a statement like any other.
+    /// The successor had not read it completely, so it is processed like any new statement.
     Unread,
 }
 
-/// Verdicts on the statements in a client's unanswered input, by the offset in it at which each ends.
+/// Verdicts on the statements in a client's unanswered input, by the offset in that input at which each ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct StatementVerdicts {
     /// Offset up to which the successor had read.
     pub(super) read_to: u64,
-    /// Ends of the statements that were dispatched, and whether each is safe to retry.
+    /// Ends of dispatched statements, and whether each is safe to retry.
     pub(super) dispatched: BTreeMap<u64, bool>,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether every statement that ends behind offset `end` is unread.
+    /// Whether every statement that ends after offset `end` is [`StatementVerdict::Unread`].
     pub fn is_past_last(&self, end: u64) -> bool {
         end >= self.read_to
     }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,27 +1,27 @@
-//! Handover of a running service from one process to its successor without a gap.
+//! Handover of a running service from one process to its successor without interruption.
 //!
-//! [`predecessor`] and [`successor`] are the state machines of both sides: each is an ordered list of rules
-//! without I/O. [`message`] holds what they send to one another, [`codec`] frames it and carries it, with
-//! descriptors, over a Unix socket.
+//! [`predecessor`] and [`successor`] are the state machines of both sides, each an ordered list of rules
+//! without I/O. [`message`] defines the messages between them; [`codec`] frames messages and transfers them,
+//! with file descriptors, over a Unix socket.
 //!
 //! | predecessor | successor | who accepts clients |
 //! | --- | --- | --- |
 //! | Serving | | predecessor |
-//! | AwaitingHello: it started the successor | Started: sends its hello | predecessor |
-//! | AwaitingReady: state and listener are on their way | Loaded: reports that it is ready | predecessor |
-//! | AwaitingCommitAcknowledgement: it asked the successor to serve | | predecessor |
-//! | Standby: accepts clients and moves them | Probation: serves the clients that are moved | predecessor |
-//! | Fencing: the successor is killed, its end awaited | | predecessor |
-//! | HandedOver: accepts no more | Serving: accepts | successor |
+//! | AwaitingHello: started the successor | Started: sends its hello | predecessor |
+//! | AwaitingReady: sent state and listener | Loaded: reports that it is ready | predecessor |
+//! | AwaitingCommitAcknowledgement: asked the successor to serve | | predecessor |
+//! | Standby: accepts clients and moves them | Probation: serves the moved clients | predecessor |
+//! | Fencing: killed the successor and waits for its exit | | predecessor |
+//! | HandedOver: accepts no clients | Serving: accepts clients | successor |
 //!
-//! The successor accepts on probation only where the predecessor drains, is unresponsive or has exited. The
-//! predecessor goes on with the successor's clients only once that process is certainly dead. A socket
-//! reports the death of its peer only after everything that the peer sent before, so no message is lost with
-//! its sender.
+//! On probation the successor accepts clients only if the predecessor drains, is unresponsive or has exited.
+//! The predecessor resumes the successor's clients only once that process is certainly dead. The end of the
+//! socket's stream is read only after all messages that the peer sent before, so no message is lost with its
+//! sender.
 //!
-//! [`capacity_check`] decides whether both processes fit into their limits. [`co_serving`] is what they
-//! exchange while both serve. [`io_journal`] records what a successor on probation does with its clients, so
-//! that the predecessor can go on with them if the successor dies.
+//! [`capacity_check`] checks that both processes fit into the host's limits. [`co_serving`] shares
+//! concurrency limits and drains while both processes serve. [`io_journal`] records the client I/O of a
+//! successor on probation, so that the predecessor can resume the clients if the successor dies.
 
 pub mod capacity_check;
 pub mod co_serving;
@@ -33,18 +33,17 @@
 
 use asterlatch::time::Timestamp;
 
-/// The deadline of a timer that doesn't run.
+/// The deadline of a stopped timer.
 const NEVER: Timestamp = Timestamp(u64::MAX);
 
-/// A rule of a state machine: the actions that it takes, or nothing where its condition doesn't hold.
+/// A rule of a state machine. Returns its actions, or `None` if its condition doesn't hold.
 type Rule<M, A> = fn(&mut M) -> Option<Vec<A>>;
 
-/// Runs the first rule whose condition holds, again and again until none does, and returns their actions in
-/// order.
+/// Applies the first rule whose condition holds, until no condition holds, and returns all actions in order.
 fn run_rules<M, A>(rules: &[Rule<M, A>], machine: &mut M) -> Vec<A> {
     let mut actions = Vec::new();
-    while let Some(more) = rules.iter().find_map(|rule| rule(machine)) {
-        actions.extend(more);
+    while let Some(rule_actions) = rules.iter().find_map(|rule| rule(machine)) {
+        actions.extend(rule_actions);
     }
     actions
 }
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,53 +1,53 @@
 //! Messages between predecessor and successor.
 //!
-//! Their bytes are positional: variants, fields and their order stay as they are while [`VERSION`] does.
+//! The encoding is positional: any change of the variants, the fields or their order needs a new [`VERSION`].
 
 use crate::co_serving::CoServingMessage;
 use crate::codec::Framed;
 use serde::{Deserialize, Serialize};
 
-/// Version of the handover protocol. A peer with another one is refused before anything moves.
+/// Version of the handover protocol. A successor with another version is rejected before the state is sent.
 pub const VERSION: u32 = 3;
-/// Bytes of the longest message: the state of some ten thousand members.
-pub const MAX_LENGTH: usize = 32 * 1024 * 1024;
+/// Enough for the state of about ten thousand members.
+pub const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 
-/// A message of the handover protocol, with its sender in front.
+/// A message of the handover protocol. The description of each variant begins with its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// Successor: it runs and speaks this version.
+    /// Successor: it is running.
     Hello {
-        /// Its [`VERSION`].
+        /// The successor's [`VERSION`].
         version: u32,
     },
-    /// Predecessor: the learned state. Three descriptors go along: the listener, the journal's socket, and
-    /// the event that tells that the journal was abandoned.
+    /// Predecessor: the learned state, with three descriptors: the listener, the journal's socket, and the
+    /// event that signals that the journal was abandoned.
     State(Vec<u8>),
-    /// Successor: it has loaded everything and could serve.
+    /// Successor: it has loaded the state and could serve.
     Ready,
-    /// Successor: it could not load the state, and why.
+    /// Successor: it could not load the state, with the cause.
     LoadFailed(String),
-    /// Predecessor: serve the clients that are moved to you from now on.
+    /// Predecessor: the successor must serve the clients that are moved to it from now on.
     Commit,
-    /// Successor: it does.
+    /// Successor: it has received [`HandoverMessage::Commit`] and serves.
     CommitAcknowledged,
-    /// Predecessor: it drains and accepts no more; the successor must.
+    /// Predecessor: it drains and accepts no more clients, so the successor must accept them.
     AcceptClients,
-    /// Predecessor: a client between two statements. Its connection goes along.
+    /// Predecessor: a client between two statements, with the descriptor of its connection.
     ClientConnection(ClientState),
-    /// Predecessor: an idle connection to the member with this id, which goes along.
+    /// Predecessor: the descriptor of an idle connection to the member with this id.
     MemberConnection(u32),
-    /// Either: limits and drains that bind both while they serve side by side.
+    /// Either: executions in flight and drains, which both must respect while both serve.
     CoServing(Vec<CoServingMessage>),
-    /// Successor: the client of this transfer came without its connection, for want of descriptors.
+    /// Successor: the client with this transfer id arrived without its connection, for lack of descriptors.
     ConnectionMissing(u64),
-    /// Either: it lives.
+    /// Either: it is responsive.
     Heartbeat,
-    /// Successor: its probation is passed.
+    /// Successor: it has passed its probation and owns the service.
     ProbationPassed,
 }
 
 impl Framed for HandoverMessage {
-    const MAX_LENGTH: usize = MAX_LENGTH;
+    const MAX_BODY_BYTES: usize = MAX_MESSAGE_BYTES;
     const IS_HASHED: bool = true;
 
     fn descriptor_count(&self) -> usize {
@@ -62,14 +62,14 @@
 /// State of a client that moves from one process to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClientState {
-    /// Number of its transfer, by which the journal knows the client.
+    /// Identifies the transfer in the I/O journal.
     pub transfer_id: u64,
-    /// Whether its startup message was read and answered.
+    /// Whether the client's startup message was read and answered.
     pub startup_complete: bool,
-    /// Whether it has sent a statement before.
+    /// Whether the client has sent a statement before.
     pub has_sent_statement: bool,
     /// Bytes of an oversized message that are still to be read and discarded.
     pub bytes_to_skip: u64,
-    /// Bytes that were read from it and not yet parsed.
+    /// Bytes that were read from the client and not yet parsed.
     pub input: Vec<u8>,
 }
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -1,7 +1,8 @@
-//! State machine of the predecessor: the process that serves now and starts its successor.
+//! State machine of the predecessor: the process that serves and starts its successor.
 //!
-//! It never depends on the successor: whatever becomes of that process, this one goes on serving or resumes
-//! to. Events and the current time go in, actions come out; the caller carries them out in order.
+//! Whenever the successor fails before its probation is passed, this process continues to serve or resumes
+//! serving. The state machine takes events with the current time and returns actions, which the caller
+//! executes in order.
 
 use crate::message::{HandoverMessage, VERSION};
 use crate::{run_rules, Rule, NEVER};
@@ -9,38 +10,38 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// How far the handover has come, as the predecessor sees it.
+/// Progress of the handover from the predecessor's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// No handover is under way.
+    /// No handover is in progress.
     Serving,
     /// The successor was started and must send its hello.
     AwaitingHello,
-    /// The successor has state and listener and must report that it is ready.
+    /// The successor was sent state and listener and must report that it is ready.
     AwaitingReady,
     /// The successor was asked to serve and must acknowledge that.
     AwaitingCommitAcknowledgement,
-    /// The successor serves on probation. This process accepts clients for it and moves them there.
+    /// The successor serves on probation. This process accepts clients and moves them to it.
     Standby,
-    /// The successor was killed and must be gone before anything else happens.
+    /// The successor was killed, and its exit must be seen before anything else happens.
     Fencing {
-        /// Whether this process accepts clients again once the successor is gone.
+        /// Whether this process resumes accepting clients once the successor has exited.
         resume_accepting: bool,
     },
     /// The successor owns the service.
     HandedOver,
 }
 
-/// How long each phase may last.
+/// Maximum durations of the phases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timeouts {
     /// From the start of the successor to its hello.
     pub hello: TimeSpan,
-    /// From the state's dispatch to the successor's ready.
+    /// From the sending of the state until the successor is ready.
     pub ready: TimeSpan,
     /// From the commit to its acknowledgement.
     pub commit_acknowledged: TimeSpan,
-    /// Between two heartbeats of the successor on probation.
+    /// Between two heartbeats of a successor on probation.
     pub heartbeat: TimeSpan,
 }
 
@@ -55,17 +56,17 @@
     }
 }
 
-/// The successor's program could not be started.
+/// An error in starting the successor's program.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
-#[error("{}: {cause}", program.display())]
+#[error("cannot start {}: {cause}", program.display())]
 pub struct StartError {
-    /// The program that was to be run.
+    /// Path of the program.
     pub program: PathBuf,
     /// The operating system's error message.
     pub cause: String,
 }
 
-/// Why an upgrade failed. The predecessor goes on serving after each of these.
+/// Why an upgrade failed. The predecessor continues to serve in each case.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
 pub enum UpgradeError {
     /// This process was asked to shut down before the commit.
@@ -74,65 +75,67 @@
     /// The successor's program could not be started.
     #[error(transparent)]
     StartFailed(#[from] StartError),
-    /// The successor exited or was killed by somebody else.
+    /// The successor exited or was killed by another process.
     #[error("the new process ended")]
     SuccessorExited,
     /// The phase's timeout elapsed.
     #[error("the new process was unresponsive while {phase:?}")]
     Unresponsive {
-        /// The phase that lasted too long.
+        /// The phase that timed out.
         phase: Phase,
     },
-    /// The successor sent bytes that are no frame of this protocol.
+    /// The successor sent an invalid frame.
     #[error("the new process sent what can't be read")]
     InvalidFrame,
     /// The successor could not load the state or could not serve with it.
     #[error("the new process can't serve: {reason}")]
     LoadFailed {
-        /// What the successor reported.
+        /// The cause, as reported by the successor.
         reason: String,
     },
-    /// The successor speaks another version of this protocol.
-    #[error("the new process speaks version {version} of the handover, this one {VERSION}")]
+    /// The successor uses another version of the handover protocol.
+    #[error(
+        "the new process uses version {version} of the handover protocol, this process version {VERSION}"
+    )]
     VersionMismatch {
         /// The successor's version.
         version: u32,
     },
-    /// The successor sent a message that its phase doesn't allow.
-    #[error("the new process said {message:?} while {phase:?}")]
+    /// The successor sent a message that is not allowed in this phase.
+    #[error("the new process sent an unexpected {message:?} while {phase:?}")]
     UnexpectedMessage {
-        /// What it sent.
+        /// The message.
         message: Box<HandoverMessage>,
-        /// The phase in which that arrived.
+        /// The phase in which it arrived.
         phase: Phase,
     },
 }
 
-/// What the predecessor reacts to.
+/// Input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// An operator asks for an upgrade.
+    /// An operator requested an upgrade.
     UpgradeRequested,
     /// The successor could not be started.
     StartFailed(StartError),
-    /// The successor sent this.
+    /// The successor sent this message.
     Message(HandoverMessage),
-    /// The successor sent bytes that are no frame of this protocol.
+    /// The successor sent an invalid frame.
     InvalidFrame,
-    /// The kernel reported the end of the successor.
+    /// The kernel reported the exit of the successor.
     SuccessorExited,
-    /// This process is asked to shut down.
+    /// This process was requested to shut down.
     ShutdownRequested,
-    /// Nothing happened but time passed.
+    /// [`Predecessor::next_deadline`] may have been reached.
     TimerElapsed,
 }
 
-/// What the caller must do next.
+/// Output of the state machine: what the caller must do next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Start the successor's program.
     StartSuccessor,
-    /// Serialize the learned state and send it with the listener and the journal's descriptors.
+    /// Serialize the learned state, and send it with the descriptors of the listener and of the journal.
     SendState,
     /// Send this message to the successor.
     Send(HandoverMessage),
@@ -140,55 +143,56 @@
     StartCoServing,
     /// Accept no more clients.
     StopAccepting,
-    /// Serve alone again: accept clients, and let those stay that are connected.
+    /// Serve alone again: accept clients, and no longer move connected ones.
     ResumeServingAlone,
     /// Move each client to the successor as soon as it is between two statements.
     MoveClients,
-    /// Go on with the clients of the dead successor.
+    /// Resume serving the clients of the dead successor.
     ReclaimClients,
-    /// Kill the successor and report its end as [`Event::SuccessorExited`].
+    /// Kill the successor and report its exit as [`Event::SuccessorExited`].
     KillSuccessor,
-    /// Drain: the service is the successor's, so exit once all statements are answered.
+    /// Exit once all statements are answered. The successor owns the service.
     Drain,
-    /// Report to the log and to whoever asked for the upgrade.
+    /// Report to the log and to the requester of the upgrade.
     Report(Progress),
 }
 
-/// What is reported of an upgrade.
+/// Progress of an upgrade that is reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
     /// The upgrade has begun.
     Requested,
-    /// The upgrade was refused: another one is under way, or this process is shutting down.
+    /// The upgrade was rejected: another one is in progress, or this process is shutting down.
     Busy,
     /// The successor is ready and was asked to serve.
     Committed,
     /// The successor owns the service.
     Completed,
-    /// The upgrade failed and this process serves on.
+    /// The upgrade failed, and this process continues to serve.
     Failed(UpgradeError),
 }
 
-/// The predecessor's side of one handover after another.
+/// The predecessor's side of consecutive handovers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Predecessor {
-    /// How far the current handover has come.
+    /// Phase of the current handover.
     pub phase: Phase,
     /// Timeouts of the phases entered from now on.
     pub timeouts: Timeouts,
     /// When the current phase times out.
     deadline: Timestamp,
-    /// When the next heartbeat is due to a successor on probation.
+    /// When the next heartbeat to a successor on probation is due.
     next_heartbeat_at: Timestamp,
     now: Timestamp,
-    /// The event that no rule has consumed yet.
+    /// The current event, until a rule consumes it.
     event: Option<Event>,
     is_shutting_down: bool,
 }
 
-/// Run in this order; each consumes the events that are its own.
+/// The rules in order of precedence. A rule that applies consumes the event; the last one discards unused
+/// events.
 const RULES: [Rule<Predecessor, Action>; 12] = [
-    Predecessor::refuse_concurrent_upgrade,
+    Predecessor::reject_concurrent_upgrade,
     Predecessor::start_successor,
     Predecessor::shut_down,
     Predecessor::send_state,
@@ -199,14 +203,14 @@
     Predecessor::on_successor_exited,
     Predecessor::fence_successor,
     Predecessor::send_heartbeat,
-    Predecessor::ignore_event,
+    Predecessor::discard_event,
 ];
 
-/// Heartbeats sent within the time after which their absence counts as unresponsive.
+/// Heartbeats sent to the successor within one heartbeat timeout.
 const HEARTBEATS_PER_TIMEOUT: f64 = 10.0;
 
 impl Predecessor {
-    /// A process that serves alone.
+    /// Starts in [`Phase::Serving`].
     pub fn new(timeouts: Timeouts) -> Predecessor {
         Predecessor {
             phase: Phase::Serving,
@@ -219,19 +223,19 @@
         }
     }
 
-    /// When [`Event::TimerElapsed`] is due at the latest; the largest timestamp where no timer runs.
+    /// When [`Event::TimerElapsed`] is due at the latest; the largest timestamp if no timer runs.
     pub fn next_deadline(&self) -> Timestamp {
         self.deadline.min(self.next_heartbeat_at)
     }
 
-    /// Handles one event at `now` and returns what to do, in order.
+    /// Handles an event at `now` and returns the actions to execute, in order.
     pub fn on_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         self.now = now;
         self.event = Some(event);
         run_rules(&RULES, self)
     }
 
-    /// Counts all times from now on, so that a model checker's states don't grow with the clock.
+    /// Makes all times relative to now, so that the states of a model checker don't grow with the clock.
     pub fn rebase(&mut self) {
         for at in [&mut self.deadline, &mut self.next_heartbeat_at] {
             if *at < NEVER {
@@ -241,7 +245,7 @@
         self.now = Timestamp(0);
     }
 
-    /// Whether the successor may serve the same members by now.
+    /// Whether the successor may be serving the same members.
     pub fn is_co_serving(&self) -> bool {
         matches!(
             self.phase,
@@ -249,7 +253,7 @@
         )
     }
 
-    /// Enters `phase`, consumes the event and starts the phase's timeout where there is one.
+    /// Enters `phase`, consumes the event and sets the phase's deadline if it has a timeout.
     fn enter_phase(&mut self, phase: Phase, timeout: Option<TimeSpan>) {
         if phase != Phase::Standby {
             self.next_heartbeat_at = NEVER;
@@ -259,12 +263,12 @@
         self.event = None;
     }
 
-    /// Whether `event` happened in `phase`.
+    /// Whether `event` is the current event and `phase` the current phase.
     fn matches(&self, phase: Phase, event: &Event) -> bool {
         self.phase == phase && self.event.as_ref() == Some(event)
     }
 
-    fn refuse_concurrent_upgrade(&mut self) -> Option<Vec<Action>> {
+    fn reject_concurrent_upgrade(&mut self) -> Option<Vec<Action>> {
         let may_begin = self.phase == Phase::Serving && !self.is_shutting_down;
         if self.event != Some(Event::UpgradeRequested) || may_begin {
             return None;
@@ -281,8 +285,8 @@
         Some(vec![Action::StartSuccessor, Action::Report(Progress::Requested)])
     }
 
-    /// Before the commit the successor is withdrawn, for the operator ends the service. After it the service
-    /// is the successor's, which goes on without this process.
+    /// Before the commit the successor is killed, because the operator ends the service. After the commit the
+    /// successor continues the service without this process.
     fn shut_down(&mut self) -> Option<Vec<Action>> {
         if self.event != Some(Event::ShutdownRequested) {
             return None;
@@ -293,7 +297,7 @@
             Phase::AwaitingHello | Phase::AwaitingReady => {
                 Some(self.fence(UpgradeError::ShuttingDown, false))
             }
-            // Statements in flight here may take long; new clients don't wait for them.
+            // New clients must not wait for the statements that are still in flight here.
             Phase::AwaitingCommitAcknowledgement | Phase::Standby => Some(vec![
                 Action::StopAccepting,
                 Action::Send(HandoverMessage::AcceptClients),
@@ -311,8 +315,8 @@
         Some(vec![Action::SendState])
     }
 
-    /// The successor gets clients from here on. This process accepts for it, so that no client is ever known
-    /// only to a process that may be killed on probation.
+    /// Clients move to the successor from now on. This process still accepts them, so that every client is
+    /// known to it if the successor is killed on probation.
     fn commit(&mut self) -> Option<Vec<Action>> {
         if !self.matches(Phase::AwaitingReady, &Event::Message(HandoverMessage::Ready)) {
             return None;
@@ -356,7 +360,7 @@
         Some(Vec::new())
     }
 
-    /// Only the certain end of the successor lets this process go on with its clients.
+    /// Clients are reclaimed only here, when the successor is certainly dead.
     fn on_successor_exited(&mut self) -> Option<Vec<Action>> {
         let error = match self.event.as_ref()? {
             Event::SuccessorExited => UpgradeError::SuccessorExited,
@@ -373,15 +377,15 @@
         if phase.successor_may_have_served() {
             actions.extend([Action::ResumeServingAlone, Action::ReclaimClients]);
         }
-        // A fenced successor was reported when it was fenced.
+        // The failure of a fenced successor was reported when it was fenced.
         if !matches!(phase, Phase::Fencing { .. }) {
             actions.push(Action::Report(Progress::Failed(error)));
         }
         Some(actions)
     }
 
-    /// A successor that is late or sends what makes no sense may hang or be another program. It may accept
-    /// clients at any moment, so it must be gone before anything else.
+    /// A successor that times out or violates the protocol may hang, or be another program. It might still
+    /// accept clients, so it must be dead before anything else happens.
     fn fence_successor(&mut self) -> Option<Vec<Action>> {
         let error = self.protocol_error()?;
         let resume_accepting = match self.phase {
@@ -392,7 +396,7 @@
         Some(self.fence(error, resume_accepting))
     }
 
-    /// What is wrong with an event that no earlier rule has consumed; nothing where it is harmless.
+    /// The error of an event that no earlier rule has consumed; `None` if the event is harmless.
     fn protocol_error(&self) -> Option<UpgradeError> {
         let phase = self.phase;
         match self.event.as_ref()? {
@@ -405,7 +409,7 @@
             Event::Message(HandoverMessage::Hello { version }) if *version != VERSION => {
                 Some(UpgradeError::VersionMismatch { version: *version })
             }
-            // Co-serving messages may be on their way in any phase.
+            // These messages may still be in flight in any phase.
             Event::Message(HandoverMessage::CoServing(_) | HandoverMessage::ConnectionMissing(_)) => None,
             Event::Message(message) => Some(UpgradeError::UnexpectedMessage {
                 message: Box::new(message.clone()),
@@ -429,13 +433,13 @@
         Some(vec![Action::Send(HandoverMessage::Heartbeat)])
     }
 
-    fn ignore_event(&mut self) -> Option<Vec<Action>> {
+    fn discard_event(&mut self) -> Option<Vec<Action>> {
         self.event.take().map(|_| Vec::new())
     }
 }
 
 impl Phase {
-    /// Whether clients may have moved to a successor whose end is seen in this phase.
+    /// Whether clients may have moved to a successor whose exit is seen in this phase.
     fn successor_may_have_served(self) -> bool {
         matches!(
             self,
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -1,4 +1,4 @@
-//! State machine of the successor: the process that takes the service over.
+//! State machine of the successor: the process that takes over the service.
 //!
 //! On probation it serves the clients that the predecessor moves to it. It accepts clients itself once the
 //! probation is passed, or earlier if the predecessor drains, exits or becomes unresponsive.
@@ -9,31 +9,31 @@
 use std::fmt;
 use thiserror::Error;
 
-/// How far the handover has come, as the successor sees it.
+/// Progress of the handover from the successor's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// It runs and waits for the state.
+    /// This process is running and waits for the state.
     Started,
-    /// It has loaded the state and could serve.
+    /// This process has loaded the state and could serve.
     Loaded,
-    /// It serves; the predecessor accepts clients for it.
+    /// This process serves clients, which the predecessor accepts and moves here.
     Probation,
-    /// It owns the service.
+    /// This process owns the service.
     Serving,
-    /// It never served and must exit.
+    /// This process never served and must exit.
     Aborted,
 }
 
 /// Timeouts and intervals of the successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timeouts {
-    /// How long the predecessor may take for the state, and then for the commit.
+    /// Maximum wait for the state, and then for the commit.
     pub predecessor_response: TimeSpan,
-    /// After so long without a heartbeat of the predecessor this process accepts clients in its place.
+    /// Time without a heartbeat of the predecessor after which this process accepts clients itself.
     pub predecessor_heartbeat: TimeSpan,
-    /// Between two heartbeats to the predecessor.
+    /// Time between two heartbeats to the predecessor.
     pub heartbeat_interval: TimeSpan,
-    /// How long this process must serve before the service is its own.
+    /// Time that this process must serve before it owns the service.
     pub probation: TimeSpan,
 }
 
@@ -48,52 +48,52 @@
     }
 }
 
-/// Why the successor exits without having served. The predecessor serves on if it still runs.
+/// Why the successor exits without having served. The predecessor, if it still runs, continues to serve.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
 pub enum AbortReason {
     /// The state could not be loaded, or this process could not serve with it.
     #[error("{reason}")]
     LoadFailed {
-        /// What failed, as the predecessor is notified of it.
+        /// The cause, as sent to the predecessor.
         reason: String,
     },
     /// The predecessor exited before the commit.
-    #[error("the predecessor is gone before the commit")]
+    #[error("the predecessor exited before the commit")]
     PredecessorExited,
-    /// The predecessor sent bytes that are no frame of this protocol.
-    #[error("the predecessor sent what can't be read")]
+    /// The predecessor sent an invalid frame.
+    #[error("the predecessor sent an invalid frame")]
     InvalidFrame,
-    /// The predecessor sent a message that this phase doesn't allow.
-    #[error("the predecessor said what makes no sense here")]
+    /// The predecessor sent a message that is not allowed in this phase.
+    #[error("the predecessor sent an unexpected message")]
     UnexpectedMessage,
-    /// The predecessor did not answer in time.
+    /// The predecessor sent neither state nor commit in time.
     #[error("the predecessor was unresponsive for too long")]
     Unresponsive,
 }
 
-/// What the successor reacts to.
+/// Input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// This process runs.
+    /// This process is running.
     Started,
-    /// The predecessor sent this.
+    /// The predecessor sent this message.
     Message(HandoverMessage),
-    /// The predecessor sent bytes that are no frame of this protocol.
+    /// The predecessor sent an invalid frame.
     InvalidFrame,
-    /// State and listener arrived and this process can serve with them.
+    /// State and listener were loaded, and this process can serve with them.
     Loaded,
     /// State or listener are missing or unusable.
     LoadFailed {
-        /// What failed, as operators read it.
+        /// The cause, for operators.
         reason: String,
     },
     /// The predecessor closed the socket.
     PredecessorExited,
-    /// Nothing happened but time passed.
+    /// [`Successor::next_deadline`] may have been reached.
     TimerElapsed,
 }
 
-/// What the caller must do next.
+/// Output of the state machine: what the caller must do next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Send this message to the predecessor.
@@ -104,22 +104,22 @@
     StartServing,
     /// Accept clients at the listener.
     StartAccepting,
-    /// Exit; this process never served.
+    /// Exit without having served.
     Abort(AbortReason),
     /// Report to the log.
     Report(Progress),
 }
 
-/// What is reported of the handover.
+/// Progress of the handover that is reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
     /// The probation has begun.
     OnProbation,
-    /// The predecessor drains before the probation is passed.
+    /// The predecessor drains before the probation is passed, so this process accepts clients.
     PredecessorDrains,
-    /// The predecessor sends no heartbeats.
+    /// No heartbeat of the predecessor arrived in time, so this process accepts clients.
     PredecessorUnresponsive,
-    /// The predecessor exited before the probation was passed.
+    /// The predecessor exited before the probation was passed, so this process owns the service.
     PredecessorExited,
     /// The probation is passed.
     ProbationPassed,
@@ -140,23 +140,24 @@
 /// The successor's side of one handover.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Successor {
-    /// How far the handover has come.
+    /// Phase of the handover.
     pub phase: Phase,
     timeouts: Timeouts,
-    /// Until when the predecessor must send what this phase waits for.
+    /// When the wait for the predecessor's next message times out, before the commit.
     deadline: Timestamp,
-    /// When the next heartbeat is due to the predecessor.
+    /// When the next heartbeat to the predecessor is due.
     next_heartbeat_at: Timestamp,
     probation_ends_at: Timestamp,
-    /// When the predecessor counts as unresponsive unless a heartbeat of it arrives.
+    /// When the predecessor counts as unresponsive unless one of its heartbeats arrives.
     predecessor_timeout_at: Timestamp,
     is_accepting: bool,
     now: Timestamp,
-    /// The event that no rule has consumed yet.
+    /// The current event, until a rule consumes it.
     event: Option<Event>,
 }
 
-/// Run in this order; each consumes the events that are its own.
+/// The rules in order of precedence. A rule that applies consumes the event; the last one discards unused
+/// events.
 const RULES: [Rule<Successor, Action>; 12] = [
     Successor::send_hello,
     Successor::load_state,
@@ -169,11 +170,11 @@
     Successor::pass_probation,
     Successor::send_heartbeat,
     Successor::abort,
-    Successor::ignore_event,
+    Successor::discard_event,
 ];
 
 impl Successor {
-    /// A process that has just been started by its predecessor.
+    /// Starts in [`Phase::Started`].
     pub fn new(timeouts: Timeouts) -> Successor {
         Successor {
             phase: Phase::Started,
@@ -188,26 +189,26 @@
         }
     }
 
-    /// When [`Event::TimerElapsed`] is due at the latest; the largest timestamp where no timer runs.
+    /// When [`Event::TimerElapsed`] is due at the latest; the largest timestamp if no timer runs.
     pub fn next_deadline(&self) -> Timestamp {
         if self.phase != Phase::Probation {
             return self.deadline;
         }
-        let own = self.next_heartbeat_at.min(self.probation_ends_at);
+        let next_timer = self.next_heartbeat_at.min(self.probation_ends_at);
         if self.is_accepting {
-            return own;
+            return next_timer;
         }
-        own.min(self.predecessor_timeout_at)
+        next_timer.min(self.predecessor_timeout_at)
     }
 
-    /// Handles one event at `now` and returns what to do, in order.
+    /// Handles an event at `now` and returns the actions to execute, in order.
     pub fn on_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         self.now = now;
         self.event = Some(event);
         run_rules(&RULES, self)
     }
 
-    /// Counts all times from now on, so that a model checker's states don't grow with the clock.
+    /// Makes all times relative to now, so that the states of a model checker don't grow with the clock.
     pub fn rebase(&mut self) {
         let times = [
             &mut self.deadline,
@@ -223,7 +224,7 @@
         self.now = Timestamp(0);
     }
 
-    /// Enters `phase`, consumes the event and starts the phase's timeout where there is one.
+    /// Enters `phase`, consumes the event and sets the phase's deadline if it has a timeout.
     fn enter_phase(&mut self, phase: Phase, timeout: Option<TimeSpan>) {
         self.phase = phase;
         self.deadline = timeout.map_or(NEVER, |timeout| self.now + timeout);
@@ -284,7 +285,7 @@
         ])
     }
 
-    /// Whether the predecessor sent `message` and this process is on probation.
+    /// Whether the current event is this message of the predecessor, on probation.
     fn has_message(&self, message: &HandoverMessage) -> bool {
         let is_current = matches!(&self.event, Some(Event::Message(current)) if current == message);
         self.phase == Phase::Probation && is_current
@@ -299,7 +300,7 @@
         Some(Vec::new())
     }
 
-    /// Starts accepting unless this process does already, and reports why the service changed.
+    /// Starts accepting clients unless this process does already, and reports `progress`.
     fn start_accepting(&mut self, progress: Progress) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.is_accepting {
@@ -319,7 +320,7 @@
         Some(self.start_accepting(Progress::PredecessorDrains))
     }
 
-    /// The predecessor died before the probation was passed: this process goes on alone.
+    /// If the predecessor exits before the probation is passed, this process owns the service at once.
     fn on_predecessor_exited(&mut self) -> Option<Vec<Action>> {
         let has_exited = matches!(self.event, Some(Event::PredecessorExited | Event::InvalidFrame));
         if self.phase != Phase::Probation || !has_exited {
@@ -329,13 +330,13 @@
         Some(self.start_accepting(Progress::PredecessorExited))
     }
 
-    /// Whether `at` is reached on probation.
+    /// Whether the timer set for `at` has elapsed, on probation.
     fn is_due(&self, at: Timestamp) -> bool {
         self.phase == Phase::Probation && self.event == Some(Event::TimerElapsed) && self.now >= at
     }
 
-    /// New clients would wait for as long as the predecessor hangs. If it recovers both accept, which is
-    /// harmless.
+    /// Otherwise new clients would wait while the predecessor hangs. If it recovers, both processes accept
+    /// clients, which is harmless.
     fn on_predecessor_timeout(&mut self) -> Option<Vec<Action>> {
         if self.is_accepting || !self.is_due(self.predecessor_timeout_at) {
             return None;
@@ -361,7 +362,7 @@
         Some(vec![Action::Send(HandoverMessage::Heartbeat)])
     }
 
-    /// Before the commit nothing is served here, so giving up costs nobody an answer.
+    /// Before the commit this process serves no clients, so it can exit without losing a statement.
     fn abort(&mut self) -> Option<Vec<Action>> {
         if !matches!(self.phase, Phase::Started | Phase::Loaded) {
             return None;
@@ -378,7 +379,7 @@
         Some(vec![Action::Abort(reason)])
     }
 
-    fn ignore_event(&mut self) -> Option<Vec<Action>> {
+    fn discard_event(&mut self) -> Option<Vec<Action>> {
         self.event.take().map(|_| Vec::new())
     }
 }
--- a/crates/handover/tests/co_serving.rs
+++ b/crates/handover/tests/co_serving.rs
@@ -1,4 +1,5 @@
-//! What two processes that serve side by side tell one another.
+//! Messages between two processes that serve the same members. Guards against messages that are sent without
+//! end, and against a queue that grows while the peer hangs.
 
 use asterlatch_handover::co_serving::{CoServingMessage, CoServingState, InFlightCounts};
 
@@ -18,6 +19,7 @@
 fn in_flight_updates_acknowledged_sends_only_changes() {
     let mut state = CoServingState::default();
     type Counts<'a> = &'a [(&'a str, u32)];
+    // Counts in flight now, and the updates sent.
     let steps: [(Counts, Counts); 5] = [
         (&[("a", 1), ("b", 2)], &[("a", 1), ("b", 2)]),
         (&[("a", 1), ("b", 2)], &[]),
@@ -32,27 +34,28 @@
     }
 }
 
-/// A peer that hangs, or is slower than this process, is not sent more than it takes over.
 #[test]
 fn in_flight_updates_unacknowledged_sends_nothing() {
-    let mut one = CoServingState::default();
-    let mut other = CoServingState::default();
-    assert_eq!(one.in_flight_updates(counts(&[("a", 1)])), [in_flight("a", 1)]);
+    let mut sender = CoServingState::default();
+    let mut receiver = CoServingState::default();
+    assert_eq!(sender.in_flight_updates(counts(&[("a", 1)])), [in_flight("a", 1)]);
     assert!(
-        one.in_flight_updates(counts(&[("a", 2)])).is_empty(),
-        "the first message is still on its way"
+        sender.in_flight_updates(counts(&[("a", 2)])).is_empty(),
+        "the first counts are not acknowledged"
     );
-    assert!(one.drain_update("b", 5).is_some(), "drains don't wait");
-    let answer = other.on_messages(&[in_flight("a", 1)]);
-    assert_eq!(answer, Some(CoServingMessage::Acknowledged));
+    assert!(sender.drain_update("b", 5).is_some(), "drains are sent at once");
+    let reply = receiver.on_messages(&[in_flight("a", 1)]);
+    assert_eq!(reply, Some(CoServingMessage::Acknowledged));
     assert!(
-        one.on_messages(&answer.into_iter().collect::<Vec<_>>()).is_none(),
-        "an acknowledgement has none: else they would go to and fro"
+        sender
+            .on_messages(&reply.into_iter().collect::<Vec<_>>())
+            .is_none(),
+        "an acknowledgement is not acknowledged"
     );
     assert_eq!(
-        one.in_flight_updates(counts(&[("a", 3)])),
+        sender.in_flight_updates(counts(&[("a", 3)])),
         [in_flight("a", 3)],
-        "what holds now, not what held meanwhile"
+        "current counts, not those skipped in the meantime"
     );
 }
 
@@ -60,10 +63,10 @@
 fn drain_update_known_start_is_not_sent_again() {
     let mut state = CoServingState::default();
     assert!(state.drain_update("a", 5).is_some());
-    assert!(state.drain_update("a", 5).is_none(), "sent already");
+    assert!(state.drain_update("a", 5).is_none(), "already sent");
     assert!(
         state.drain_update("a", 6).is_some(),
-        "it has restarted and drains again"
+        "the member has restarted and drains again"
     );
     state.on_messages(&[CoServingMessage::Draining {
         member: "b".to_owned(),
@@ -71,6 +74,6 @@
     }]);
     assert!(
         state.drain_update("b", 7).is_none(),
-        "the peer knows it: sent back it would go to and fro"
+        "the peer sent it and knows of it"
     );
 }
--- a/crates/handover/tests/fixtures.rs
+++ b/crates/handover/tests/fixtures.rs
@@ -1,4 +1,5 @@
-//! Frames written by an earlier build: they decode to the same values, and encode to the same bytes again.
+//! Compatibility with frames of an earlier build: they decode to the same values and encode to the same
+//! bytes.
 
 use asterlatch_handover::co_serving::CoServingMessage;
 use asterlatch_handover::codec::Framed;
@@ -8,13 +9,13 @@
 use std::fs;
 use std::path::PathBuf;
 
-fn path(name: &str) -> PathBuf {
+fn fixture_path(name: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests", "fixtures", name]
         .iter()
         .collect()
 }
 
-/// One of each variant, in the order of their numbers on the wire.
+/// A message of each variant, in wire order.
 fn messages() -> Vec<HandoverMessage> {
     vec![
         HandoverMessage::Hello { version: 3 },
@@ -49,7 +50,7 @@
     ]
 }
 
-/// One of each variant, in the order of their numbers on the wire.
+/// A record of each variant, in wire order.
 fn records() -> Vec<JournalRecord> {
     vec![
         JournalRecord::Accepted { client: 7 },
@@ -84,42 +85,46 @@
     ]
 }
 
-fn frames<T: Framed>(all: &[T]) -> Vec<u8> {
-    let frames = all.iter().map(|one| one.encode().expect("fits"));
+fn encode_all<T: Framed>(messages: &[T]) -> Vec<u8> {
+    let frames = messages
+        .iter()
+        .map(|message| message.encode().expect("encode a message"));
     frames.collect::<Vec<_>>().concat()
 }
 
-fn check<T: Framed + Debug + PartialEq>(name: &str, expected: &[T]) {
-    let bytes = fs::read(path(name)).expect("lies there");
-    let mut used = 0;
-    for (at, one) in expected.iter().enumerate() {
-        let decoded = T::decode(&bytes[used..]).expect("is sound").expect("is complete");
-        assert_eq!(decoded.message, *one, "frame {at} of {name}");
-        let again = decoded.message.encode().expect("fits");
+fn check_fixture<T: Framed + Debug + PartialEq>(name: &str, expected: &[T]) {
+    let bytes = fs::read(fixture_path(name)).expect("read the fixture");
+    let mut consumed = 0;
+    for (index, message) in expected.iter().enumerate() {
+        let decoded = T::decode(&bytes[consumed..])
+            .expect("the frame is valid")
+            .expect("the frame is complete");
+        assert_eq!(decoded.message, *message, "frame {index} of {name}");
+        let encoded = decoded.message.encode().expect("encode the message");
         assert_eq!(
-            again,
-            bytes[used..used + decoded.frame_length],
-            "frame {at} of {name}, encoded again"
+            encoded,
+            bytes[consumed..consumed + decoded.frame_length],
+            "frame {index} of {name}, encoded again"
         );
-        used += decoded.frame_length;
+        consumed += decoded.frame_length;
     }
-    assert_eq!(used, bytes.len(), "{name} holds more frames");
-    assert_eq!(frames(expected), bytes, "{name}, encoded again");
+    assert_eq!(consumed, bytes.len(), "{name} contains more frames");
+    assert_eq!(encode_all(expected), bytes, "{name}, encoded again");
 }
 
 #[test]
 fn decode_messages_of_earlier_build_yields_same_values() {
-    check("messages.bin", &messages());
+    check_fixture("messages.bin", &messages());
 }
 
 #[test]
 fn decode_records_of_earlier_build_yields_same_values() {
-    check("records.bin", &records());
+    check_fixture("records.bin", &records());
 }
 
 #[test]
-#[ignore = "writes the fixtures: only run it on a build whose frames must stay"]
+#[ignore = "overwrites the fixtures: run it only on a build whose frames later builds must support"]
 fn write_fixtures() {
-    fs::write(path("messages.bin"), frames(&messages())).expect("is written");
-    fs::write(path("records.bin"), frames(&records())).expect("is written");
+    fs::write(fixture_path("messages.bin"), encode_all(&messages())).expect("write messages.bin");
+    fs::write(fixture_path("records.bin"), encode_all(&records())).expect("write records.bin");
 }
--- a/crates/handover/tests/io_journal.rs
+++ b/crates/handover/tests/io_journal.rs
@@ -1,4 +1,5 @@
-//! A successor that serves clients and journals what it does, killed behind each of its steps.
+//! Replay of the journal of a simulated successor that is killed after each of its steps. Guards against
+//! clients that are told that an executed statement did not run, and against lost or repeated answers.
 
 use asterlatch_handover::codec::{Decoded, Framed};
 use asterlatch_handover::io_journal::{
@@ -8,15 +9,15 @@
 use asterlatch_handover::message::ClientState;
 use std::collections::BTreeSet;
 
-/// Bytes of each answer. A statement is its bytes up to a semicolon.
-const ANSWER_LENGTH: u64 = 5;
-/// Steps that the successor takes before the last kill.
+const ANSWER_BYTES: u64 = 5;
+/// Steps of the successor in each scenario.
 const STEPS: usize = 60;
 const CLIENTS: usize = 3;
 
-/// What truly happened to one client, of which the predecessor sees only the records and the kernel's counts.
+/// Actual state of a client, of which the predecessor knows only the journal and the kernel's byte counts.
+/// Each statement ends with a semicolon.
 #[derive(Default)]
-struct ClientTruth {
+struct ActualClient {
     sent: Vec<u8>,
     read: usize,
     written: u64,
@@ -26,7 +27,7 @@
     announced: BTreeSet<u64>,
     parsed_to: u64,
     answered_to: u64,
-    /// Bytes of answers that lie ready to be written.
+    /// Bytes of prepared answers that are not written yet.
     unwritten: u64,
     transferred: usize,
 }
@@ -35,24 +36,24 @@
     end.is_multiple_of(2)
 }
 
-impl ClientTruth {
+impl ActualClient {
     /// Offsets at which the statements end.
-    fn ends(&self) -> Vec<u64> {
-        let stops = self.sent.iter().enumerate().filter(|(_, byte)| **byte == b';');
-        stops.map(|(at, _)| at as u64 + 1).collect()
+    fn statement_ends(&self) -> Vec<u64> {
+        let semicolons = self.sent.iter().enumerate().filter(|(_, byte)| **byte == b';');
+        semicolons.map(|(offset, _)| offset as u64 + 1).collect()
     }
 
     fn complete_answers(&self) -> usize {
-        (self.written / ANSWER_LENGTH) as usize
+        (self.written / ANSWER_BYTES) as usize
     }
 
     fn has_partial_answer(&self) -> bool {
-        !self.written.is_multiple_of(ANSWER_LENGTH)
+        !self.written.is_multiple_of(ANSWER_BYTES)
     }
 
-    /// Offset up to which the kernel has taken complete answers.
+    /// Offset up to which the kernel has accepted complete answers.
     fn written_to(&self) -> u64 {
-        self.written - self.written % ANSWER_LENGTH
+        self.written - self.written % ANSWER_BYTES
     }
 
     fn byte_counts(&self) -> SocketByteCounts {
@@ -62,7 +63,7 @@
         }
     }
 
-    fn check(&self, recovery: &ClientRecovery, case: &str) {
+    fn check_recovery(&self, recovery: &ClientRecovery, case: &str) {
         let ClientRecovery::Resume { client, verdicts } = recovery else {
             return assert!(
                 self.has_partial_answer(),
@@ -71,15 +72,15 @@
         };
         assert!(
             !self.has_partial_answer(),
-            "{case}: goes on behind a partial answer"
+            "{case}: resumed after a partial answer"
         );
-        let ends = self.ends();
+        let ends = self.statement_ends();
         let answered_to = match self.complete_answers() {
             0 => 0,
             count => ends[count - 1],
         };
         let unanswered = &self.sent[answered_to as usize..self.read];
-        assert_eq!(client.input, unanswered, "{case}: read and not answered");
+        assert_eq!(client.input, unanswered, "{case}: unanswered input");
         for end in ends.iter().filter(|end| **end > answered_to) {
             let verdict = verdicts.verdict_for(end - answered_to);
             self.check_verdict(*end, verdict, case);
@@ -88,35 +89,36 @@
 
     fn check_verdict(&self, end: u64, verdict: StatementVerdict, case: &str) {
         let is_read = end as usize <= self.read;
-        let is_true = match verdict {
+        let is_correct = match verdict {
             StatementVerdict::Unread => !is_read,
             StatementVerdict::Rejected => !self.executed.contains(&end) || is_retry_safe(end),
             StatementVerdict::Aborted => self.announced.contains(&end) && !is_retry_safe(end),
         };
         assert!(
-            is_true && is_read != (verdict == StatementVerdict::Unread),
-            "{case}: {end} is {verdict:?}"
+            is_correct && is_read != (verdict == StatementVerdict::Unread),
+            "{case}: wrong verdict {verdict:?} on the statement that ends at {end}"
         );
     }
 }
 
-/// What the successor does once its record is written.
+/// The successor's operation after its journal record is written.
 enum Effect {
     Read(usize),
     Execute(u64),
-    /// The statement turns out to need no member.
+    /// The statement was dispatched without being sent to a member.
     SkipExecution,
     PrepareAnswer,
 }
 
-struct Announced {
+struct AnnouncedEffect {
     record: JournalRecord,
     effect: Effect,
 }
 
-impl ClientTruth {
-    /// What the successor does next to a client; nothing where that needs no record.
-    fn step(&mut self, client: u32, random: &mut fastrand::Rng) -> Option<Announced> {
+impl ActualClient {
+    /// Takes a random step. Returns the record to write and its effect, or `None` if the step needs no
+    /// record.
+    fn take_step(&mut self, client: u32, random: &mut fastrand::Rng) -> Option<AnnouncedEffect> {
         match random.u8(0..4) {
             0 if self.read < self.sent.len() => Some(self.announce_read(client, random)),
             1 => self.announce_dispatch(client, random),
@@ -130,7 +132,7 @@
         }
     }
 
-    fn announce_read(&self, client: u32, random: &mut fastrand::Rng) -> Announced {
+    fn announce_read(&self, client: u32, random: &mut fastrand::Rng) -> AnnouncedEffect {
         let length = random.usize(1..=self.sent.len() - self.read);
         let record = JournalRecord::Read {
             client,
@@ -138,11 +140,11 @@
             bytes: self.sent[self.read..self.read + length].to_vec(),
         };
         let effect = Effect::Read(length);
-        Announced { record, effect }
+        AnnouncedEffect { record, effect }
     }
 
-    fn announce_dispatch(&mut self, client: u32, random: &mut fastrand::Rng) -> Option<Announced> {
-        let ends = self.ends();
+    fn announce_dispatch(&mut self, client: u32, random: &mut fastrand::Rng) -> Option<AnnouncedEffect> {
+        let ends = self.statement_ends();
         let is_next = |end: &&u64| **end > self.parsed_to && **end as usize <= self.read;
         let end = *ends.iter().find(is_next)?;
         self.parsed_to = end;
@@ -157,48 +159,48 @@
         } else {
             Effect::SkipExecution
         };
-        Some(Announced { record, effect })
+        Some(AnnouncedEffect { record, effect })
     }
 
-    fn announce_answer(&mut self, client: u32) -> Option<Announced> {
-        let ends = self.ends();
+    fn announce_answer(&mut self, client: u32) -> Option<AnnouncedEffect> {
+        let ends = self.statement_ends();
         let is_next = |end: &&u64| **end > self.answered_to && **end <= self.parsed_to;
         let end = *ends.iter().find(is_next)?;
         self.answered_to = end;
         let record = JournalRecord::Write {
             client,
-            length: ANSWER_LENGTH,
+            length: ANSWER_BYTES,
             written_to: self.written_to(),
             answered_to: end,
             startup_complete: true,
             bytes_to_skip: 0,
         };
         let effect = Effect::PrepareAnswer;
-        Some(Announced { record, effect })
+        Some(AnnouncedEffect { record, effect })
     }
 
-    fn apply(&mut self, effect: &Effect) {
+    fn apply_effect(&mut self, effect: &Effect) {
         match effect {
             Effect::Read(length) => self.read += length,
             Effect::Execute(end) => {
                 self.executed.insert(*end);
             }
             Effect::SkipExecution => {}
-            Effect::PrepareAnswer => self.unwritten += ANSWER_LENGTH,
+            Effect::PrepareAnswer => self.unwritten += ANSWER_BYTES,
         }
     }
 }
 
-/// A successor's clients and the predecessor's replay of them.
+/// The clients of a successor, and the predecessor's replay of its journal.
 struct Scenario {
     random: fastrand::Rng,
     replay: JournalReplay,
-    clients: Vec<ClientTruth>,
+    clients: Vec<ActualClient>,
     disconnected: usize,
 }
 
 impl Scenario {
-    /// Some clients are transferred with part of what they sent, the others accepted by the successor.
+    /// Some clients are transferred with part of their input, the others are accepted by the successor.
     fn new(seed: u64) -> Scenario {
         let mut scenario = Scenario {
             random: fastrand::Rng::with_seed(seed),
@@ -216,32 +218,38 @@
         let random = &mut self.random;
         let count = random.usize(1..6);
         let statements = (0..count).map(|_| "s".repeat(random.usize(0..7)) + ";");
-        let mut truth = ClientTruth {
+        let mut actual = ActualClient {
             sent: statements.collect::<String>().into_bytes(),
-            ..ClientTruth::default()
+            ..ActualClient::default()
         };
         if random.bool() {
-            truth.transferred = random.usize(0..=truth.sent.len());
-            truth.read = truth.transferred;
+            actual.transferred = random.usize(0..=actual.sent.len());
+            actual.read = actual.transferred;
             let transfer_id = u64::from(client) + 10;
             let transferred = ClientState {
                 transfer_id,
                 startup_complete: true,
                 has_sent_statement: true,
                 bytes_to_skip: 0,
-                input: truth.sent[..truth.transferred].to_vec(),
+                input: actual.sent[..actual.transferred].to_vec(),
             };
-            self.replay.begin_transfer(transferred).expect("fits");
+            self.replay
+                .begin_transfer(transferred)
+                .expect("begin the transfer");
             let adopted = JournalRecord::Adopted { client, transfer_id };
-            self.replay.apply(adopted).expect("is on its way");
+            self.replay
+                .apply(adopted)
+                .expect("apply the record on the adoption");
         } else {
             let accepted = JournalRecord::Accepted { client };
-            self.replay.apply(accepted).expect("fits");
+            self.replay
+                .apply(accepted)
+                .expect("apply the record on the accepted client");
         }
-        self.clients.push(truth);
+        self.clients.push(actual);
     }
 
-    /// Kills the successor at this point, and checks what its clients are told.
+    /// Checks the recovery of all clients as if the successor were killed now.
     fn check_kill(&mut self, case: &str) {
         let byte_counts = |key| match key {
             ConnectionKey::Client(client) => Some(self.clients[client as usize].byte_counts()),
@@ -249,32 +257,32 @@
         };
         let recovered = self.replay.clone().recover_clients(byte_counts);
         assert_eq!(recovered.len(), self.clients.len(), "{case}");
-        for (client, truth) in recovered.iter().zip(&self.clients) {
-            truth.check(&client.recovery, case);
+        for (client, actual) in recovered.iter().zip(&self.clients) {
+            actual.check_recovery(&client.recovery, case);
             self.disconnected += usize::from(client.recovery == ClientRecovery::Disconnect);
         }
     }
 
     fn run_step(&mut self, seed: u64, step: usize) {
         let client = self.random.usize(0..CLIENTS);
-        let next = self.clients[client].step(client as u32, &mut self.random);
-        if let Some(Announced { record, effect }) = next {
-            // The record goes through its frame, and a frame cut short is none.
-            let frame = record.encode().expect("fits");
+        let next = self.clients[client].take_step(client as u32, &mut self.random);
+        if let Some(AnnouncedEffect { record, effect }) = next {
+            // A truncated record must not be decoded.
+            let frame = record.encode().expect("encode the record");
             assert_eq!(JournalRecord::decode(&frame[..frame.len() - 1]), Ok(None));
             let Decoded { message, .. } = JournalRecord::decode(&frame)
-                .expect("complete")
-                .expect("complete");
-            self.replay.apply(message).expect("makes sense");
+                .expect("the frame is valid")
+                .expect("the frame is complete");
+            self.replay.apply(message).expect("apply the record");
             self.check_kill(&format!("seed {seed}, announced step {step}"));
-            self.clients[client].apply(&effect);
+            self.clients[client].apply_effect(&effect);
         }
         self.check_kill(&format!("seed {seed}, step {step}"));
     }
 }
 
 #[test]
-fn recover_clients_killed_behind_any_step_gives_each_statement_its_verdict() {
+fn recover_clients_killed_after_any_step_yields_correct_verdicts() {
     let mut kills = 0;
     let mut disconnected = 0;
     for seed in 0..300 {
@@ -287,35 +295,38 @@
     }
     assert!(
         kills == 18_000 && disconnected > 1000,
-        "{disconnected} disconnected"
+        "{kills} kills, {disconnected} clients disconnected"
     );
 }
 
-/// Unless each effect is journaled before it happens, a client is told that a write never ran which did.
+/// The check must find a successor that executes a statement before journaling it: its client would be told
+/// that an executed write did not run.
 #[test]
-fn check_effect_before_its_record_is_found() {
+fn check_recovery_effect_before_its_record_fails() {
     let mut replay = JournalReplay::new(1 << 20);
-    let mut truth = ClientTruth {
+    let mut actual = ActualClient {
         sent: b"abc;de;".to_vec(),
-        ..ClientTruth::default()
+        ..ActualClient::default()
     };
-    replay.apply(JournalRecord::Accepted { client: 0 }).expect("fits");
+    replay
+        .apply(JournalRecord::Accepted { client: 0 })
+        .expect("apply the record on the accepted client");
     let read = JournalRecord::Read {
         client: 0,
         written_to: 0,
-        bytes: truth.sent.clone(),
+        bytes: actual.sent.clone(),
     };
-    replay.apply(read).expect("makes sense");
-    truth.read = 7;
-    truth.executed.insert(7);
-    truth.announced.insert(7);
+    replay.apply(read).expect("apply the record on the read");
+    actual.read = 7;
+    actual.executed.insert(7);
+    actual.announced.insert(7);
     let counts = SocketByteCounts { read: 7, written: 0 };
     let recovered = replay.recover_clients(|_| Some(counts));
-    let found = std::panic::catch_unwind(|| truth.check(&recovered[0].recovery, "effect first"));
-    assert!(found.is_err());
+    let result = std::panic::catch_unwind(|| actual.check_recovery(&recovered[0].recovery, "effect first"));
+    assert!(result.is_err());
 }
 
-fn write(client: u32, answered_to: u64, written_to: u64) -> JournalRecord {
+fn write_record(client: u32, answered_to: u64, written_to: u64) -> JournalRecord {
     JournalRecord::Write {
         client,
         length: 4,
@@ -326,7 +337,7 @@
     }
 }
 
-fn read(client: u32, written_to: u64, bytes: &[u8]) -> JournalRecord {
+fn read_record(client: u32, written_to: u64, bytes: &[u8]) -> JournalRecord {
     JournalRecord::Read {
         client,
         written_to,
@@ -334,28 +345,28 @@
     }
 }
 
-/// What a successor that writes nonsense, or too much, makes of its journal.
+/// Guards against a faulty successor whose journal is inconsistent or unbounded.
 #[test]
 fn apply_inconsistent_or_too_large_journal_fails() {
     use JournalRecord::{Adopted, Closed, Dispatched};
     #[rustfmt::skip]
     let cases: [(&str, Vec<JournalRecord>, Option<ReplayError>); 8] = [
-        ("a client that closes and is written of no more",
-            vec![read(1, 0, b"x;"), Closed { client: 1 }], None),
-        ("a dispatch for a client that has closed",
+        ("closed client",
+            vec![read_record(1, 0, b"x;"), Closed { client: 1 }], None),
+        ("dispatch for a closed client",
             vec![Closed { client: 1 }, Dispatched { client: 1, end: 2, is_retry_safe: true }], None),
-        ("a client that never came closes",
+        ("close of an unknown client",
             vec![Closed { client: 9 }, Closed { client: 1 }], None),
-        ("reads of nobody",
-            vec![read(9, 0, b"x")], Some(ReplayError::Inconsistent)),
-        ("a statement that wasn't read",
+        ("read from an unknown client",
+            vec![read_record(9, 0, b"x")], Some(ReplayError::Inconsistent)),
+        ("dispatch of an unread statement",
             vec![Dispatched { client: 1, end: 1, is_retry_safe: true }], Some(ReplayError::Inconsistent)),
-        ("an answer to what wasn't read",
-            vec![write(1, 5, 0), write(1, 5, 4)], Some(ReplayError::Inconsistent)),
-        ("a transfer that wasn't begun",
+        ("answer to unread input",
+            vec![write_record(1, 5, 0), write_record(1, 5, 4)], Some(ReplayError::Inconsistent)),
+        ("adoption without a transfer",
             vec![Adopted { client: 2, transfer_id: 7 }], Some(ReplayError::Inconsistent)),
-        ("more than there is room for",
-            vec![read(1, 0, &[0; 2000])], Some(ReplayError::MemoryExceeded)),
+        ("input above the memory limit",
+            vec![read_record(1, 0, &[0; 2000])], Some(ReplayError::MemoryExceeded)),
     ];
     let empty = ReplayUsage {
         clients: 0,
@@ -363,21 +374,27 @@
     };
     for (name, records, error) in cases {
         let mut replay = JournalReplay::new(1000);
-        replay.apply(JournalRecord::Accepted { client: 1 }).expect("fits");
+        replay
+            .apply(JournalRecord::Accepted { client: 1 })
+            .expect("apply the record on the accepted client");
         let result = records.into_iter().try_for_each(|record| replay.apply(record));
         assert_eq!(result.err(), error, "{name}");
         if error.is_none() {
-            assert_eq!(replay.usage(), empty, "{name}: nothing is stored");
+            assert_eq!(replay.usage(), empty, "{name}: state of a closed client remains");
         }
     }
 }
 
-/// An oversized message that is discarded may be longer than any replay.
+/// An oversized message that is skipped may be longer than the memory limit of the replay.
 #[test]
 fn apply_skipped_input_is_not_stored() {
     let mut replay = JournalReplay::new(1500);
-    replay.apply(JournalRecord::Accepted { client: 1 }).expect("fits");
-    replay.apply(read(1, 0, &[b'y'; 10])).expect("fits");
+    replay
+        .apply(JournalRecord::Accepted { client: 1 })
+        .expect("apply the record on the accepted client");
+    replay
+        .apply(read_record(1, 0, &[b'y'; 10]))
+        .expect("apply the record on the first read");
     let error_answer = JournalRecord::Write {
         client: 1,
         length: 8,
@@ -386,19 +403,27 @@
         startup_complete: true,
         bytes_to_skip: 5000,
     };
-    replay.apply(error_answer).expect("fits");
+    replay
+        .apply(error_answer)
+        .expect("apply the record on the error answer");
     for _ in 0..4 {
-        replay.apply(read(1, 8, &[b'y'; 1000])).expect("is skipped");
+        replay
+            .apply(read_record(1, 8, &[b'y'; 1000]))
+            .expect("apply the record on a skipped read");
     }
     let recover = |written| {
         let counts = SocketByteCounts { read: 4010, written };
         let recovered = replay.clone().recover_clients(|_| Some(counts));
-        recovered.into_iter().next().expect("is known").recovery
+        recovered
+            .into_iter()
+            .next()
+            .expect("the client is recovered")
+            .recovery
     };
     let ClientRecovery::Resume { client, .. } = recover(8) else {
-        panic!("{:?}", recover(8))
+        panic!("expected a resumed client: {:?}", recover(8))
     };
     assert_eq!((client.bytes_to_skip, client.input.len()), (990, 0));
-    // Without the whole error answer nothing can be sent any more.
+    // A partial error answer can't be completed.
     assert_eq!(recover(7), ClientRecovery::Disconnect);
 }
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -106,7 +106,7 @@
     },
     Rule {
         reason:
-            "a position is a bound, and a role counts only once the member reports: it may have lost log entries",
+            "a position is a bound, a role counts only once the member reports: it may have lost log entries",
         applies: |candidate| candidate.has_kind(RecordKind::Member),
         usability: Usability::AfterMemberReport,
     },
