--- a/crates/handover/tests/model/properties.rs
+++ b/crates/handover/tests/model/properties.rs
@@ -1,125 +1,126 @@
-//! What must always hold, and what must be possible.
+//! Properties that hold in all states, and properties that hold in some state.
 
-use crate::world::{ClientAt, HandoverModel, World};
+use crate::system_state::{ClientLocation, HandoverModel, SystemState};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::predecessor;
 use asterlatch_handover::successor::{self, Successor};
 use stateright::Property;
 
 pub(crate) const NO_EARLY_ACCEPT: &str =
-    "the successor accepts before its probation is passed only for a predecessor that drains, hangs or has exited";
-pub(crate) const ONE_OWNER: &str = "a statement has one owner";
+    "the successor accepts clients only on probation or once it owns the service";
+pub(crate) const ONE_OWNER: &str = "at most one process owns the statement";
 pub(crate) const ONE_ANSWER: &str = "no statement is answered twice";
 pub(crate) const NO_STATEMENT_LOST: &str =
-    "a statement that was sent is answered, or somebody has it, or its process died";
+    "a statement that was sent is answered or still pending, unless its client's process died";
 pub(crate) const ALL_CLIENTS_RECLAIMED: &str =
-    "a process that serves alone holds all clients that the dead had";
-pub(crate) const NO_DEADLOCK: &str = "where nobody accepts, something is on its way";
+    "a predecessor that serves alone has reclaimed all clients of a dead successor";
+pub(crate) const NO_DEADLOCK: &str = "if no process accepts clients, a further step is possible";
 pub(crate) const DRAIN_AFTER_PROBATION: &str =
-    "the predecessor drains only from a service that is the successor's";
-pub(crate) const RECLAIM_FROM_DEAD: &str = "clients are reclaimed only from the dead";
+    "the predecessor exits after a drain only if the successor owns the service";
+pub(crate) const RECLAIM_FROM_DEAD: &str = "clients are reclaimed only from a dead successor";
 pub(crate) const DRAIN_HAS_ACCEPTOR: &str =
-    "a predecessor that drains beside a successor has that one accept";
+    "while both processes serve on probation, one of them accepts clients";
 
-fn has_phase(world: &World, phase: successor::Phase) -> bool {
+fn successor_has_phase(state: &SystemState, phase: successor::Phase) -> bool {
     let has = |successor: &Successor| successor.phase == phase;
-    world.successor.as_ref().is_some_and(has)
+    state.successor.as_ref().is_some_and(has)
 }
 
-fn no_early_accept(world: &World) -> bool {
-    let may_accept =
-        has_phase(world, successor::Phase::Probation) || has_phase(world, successor::Phase::Serving);
-    !world.successor_accepts || may_accept
+fn no_early_accept(state: &SystemState) -> bool {
+    let may_accept = successor_has_phase(state, successor::Phase::Probation)
+        || successor_has_phase(state, successor::Phase::Serving);
+    !state.successor_accepts || may_accept
 }
 
-fn one_owner(world: &World) -> bool {
-    !(world.predecessor_owns_statement && world.successor_owns_statement)
+fn one_owner(state: &SystemState) -> bool {
+    !(state.predecessor_owns_statement && state.successor_owns_statement)
 }
 
-fn one_answer(world: &World) -> bool {
-    world.answers <= u8::from(world.statement_sent)
+fn one_answer(state: &SystemState) -> bool {
+    state.answers <= u8::from(state.statement_sent)
 }
 
-fn no_statement_lost(world: &World) -> bool {
-    let is_held =
-        world.statement_unread || world.predecessor_owns_statement || world.successor_owns_statement;
-    !world.statement_sent || world.answers > 0 || is_held || world.client == ClientAt::Nobody
+fn no_statement_lost(state: &SystemState) -> bool {
+    let is_pending =
+        state.statement_unread || state.predecessor_owns_statement || state.successor_owns_statement;
+    !state.statement_sent || state.answers > 0 || is_pending || state.client == ClientLocation::Lost
 }
 
-fn all_clients_reclaimed(world: &World) -> bool {
-    let serves_alone = world.predecessor_alive
-        && world.predecessor_actions.is_empty()
-        && world.successor.is_none()
-        && world.predecessor.phase == predecessor::Phase::Serving;
-    !serves_alone || matches!(world.client, ClientAt::Predecessor | ClientAt::Nobody)
+fn all_clients_reclaimed(state: &SystemState) -> bool {
+    let serves_alone = state.predecessor_alive
+        && state.predecessor_actions.is_empty()
+        && state.successor.is_none()
+        && state.predecessor.phase == predecessor::Phase::Serving;
+    !serves_alone || matches!(state.client, ClientLocation::Predecessor | ClientLocation::Lost)
 }
 
-fn no_deadlock(world: &World) -> bool {
-    let has_timer = world.predecessor.next_deadline() < Timestamp(u64::MAX);
-    let predecessor_goes_on = world.predecessor_alive
-        && (!world.predecessor_actions.is_empty() || has_timer || !world.to_predecessor.is_empty());
-    let exit_unseen = world.predecessor_alive && world.successor.is_some() && !world.successor_alive;
-    let successor_goes_on = world.successor_alive
-        && (!world.successor_actions.is_empty() || !world.to_successor.is_empty() || world.is_killing);
-    let accepts = world.predecessor_accepts || world.successor_accepts;
-    // A successor alone, or nobody at all, waits for no message of the predecessor.
-    accepts || predecessor_goes_on || exit_unseen || successor_goes_on || !world.predecessor_alive
+fn no_deadlock(state: &SystemState) -> bool {
+    let has_timer = state.predecessor.next_deadline() < Timestamp(u64::MAX);
+    let predecessor_can_continue = state.predecessor_alive
+        && (!state.predecessor_actions.is_empty() || has_timer || !state.to_predecessor.is_empty());
+    let exit_unseen = state.predecessor_alive && state.successor.is_some() && !state.successor_alive;
+    let successor_can_continue = state.successor_alive
+        && (!state.successor_actions.is_empty() || !state.to_successor.is_empty() || state.is_killing);
+    let accepts = state.predecessor_accepts || state.successor_accepts;
+    // Without a predecessor no process waits for a message.
+    accepts || predecessor_can_continue || exit_unseen || successor_can_continue || !state.predecessor_alive
 }
 
-fn drain_after_probation(world: &World) -> bool {
-    !world.predecessor_drained || has_phase(world, successor::Phase::Serving)
+fn drain_after_probation(state: &SystemState) -> bool {
+    !state.predecessor_drained || successor_has_phase(state, successor::Phase::Serving)
 }
 
-fn drain_has_acceptor(world: &World) -> bool {
-    let is_settled = world.predecessor_actions.is_empty()
-        && world.successor_actions.is_empty()
-        && world.to_successor.is_empty();
-    let both_serve =
-        world.predecessor_alive && world.successor_alive && has_phase(world, successor::Phase::Probation);
-    let is_standby = world.predecessor.phase == predecessor::Phase::Standby;
-    let must_accept = both_serve && is_settled && !world.is_killing && is_standby;
-    !must_accept || world.predecessor_accepts || world.successor_accepts
+fn drain_has_acceptor(state: &SystemState) -> bool {
+    let is_settled = state.predecessor_actions.is_empty()
+        && state.successor_actions.is_empty()
+        && state.to_successor.is_empty();
+    let both_serve = state.predecessor_alive
+        && state.successor_alive
+        && successor_has_phase(state, successor::Phase::Probation);
+    let is_standby = state.predecessor.phase == predecessor::Phase::Standby;
+    let must_accept = both_serve && is_settled && !state.is_killing && is_standby;
+    !must_accept || state.predecessor_accepts || state.successor_accepts
 }
 
-fn serves_again_after_death(world: &World) -> bool {
-    world.predecessor_accepts
-        && world.deaths > 0
-        && world.upgrades > 0
-        && world.predecessor.phase == predecessor::Phase::Serving
+fn serves_again_after_death(state: &SystemState) -> bool {
+    state.predecessor_accepts
+        && state.deaths > 0
+        && state.upgrades > 0
+        && state.predecessor.phase == predecessor::Phase::Serving
 }
 
-fn successor_outlives_predecessor(world: &World) -> bool {
-    !world.predecessor_alive
-        && !world.predecessor_drained
-        && world.successor_accepts
-        && has_phase(world, successor::Phase::Serving)
+fn successor_outlives_predecessor(state: &SystemState) -> bool {
+    !state.predecessor_alive
+        && !state.predecessor_drained
+        && state.successor_accepts
+        && successor_has_phase(state, successor::Phase::Serving)
 }
 
-/// All properties of the model.
+/// All properties that the checker evaluates.
 pub(crate) fn all() -> Vec<Property<HandoverModel>> {
     vec![
-        Property::always(NO_EARLY_ACCEPT, |_, world| no_early_accept(world)),
-        Property::always(ONE_OWNER, |_, world| one_owner(world)),
-        Property::always(ONE_ANSWER, |_, world| one_answer(world)),
-        Property::always(NO_STATEMENT_LOST, |_, world| no_statement_lost(world)),
-        Property::always(ALL_CLIENTS_RECLAIMED, |_, world| all_clients_reclaimed(world)),
-        Property::always(NO_DEADLOCK, |_, world| no_deadlock(world)),
-        Property::always(DRAIN_AFTER_PROBATION, |_, world| drain_after_probation(world)),
-        Property::always(RECLAIM_FROM_DEAD, |_, world: &World| !world.reclaimed_from_living),
-        Property::always(DRAIN_HAS_ACCEPTOR, |_, world| drain_has_acceptor(world)),
+        Property::always(NO_EARLY_ACCEPT, |_, state| no_early_accept(state)),
+        Property::always(ONE_OWNER, |_, state| one_owner(state)),
+        Property::always(ONE_ANSWER, |_, state| one_answer(state)),
+        Property::always(NO_STATEMENT_LOST, |_, state| no_statement_lost(state)),
+        Property::always(ALL_CLIENTS_RECLAIMED, |_, state| all_clients_reclaimed(state)),
+        Property::always(NO_DEADLOCK, |_, state| no_deadlock(state)),
+        Property::always(DRAIN_AFTER_PROBATION, |_, state| drain_after_probation(state)),
+        Property::always(RECLAIM_FROM_DEAD, |_, state: &SystemState| !state.reclaimed_early),
+        Property::always(DRAIN_HAS_ACCEPTOR, |_, state| drain_has_acceptor(state)),
         Property::sometimes(
-            "the predecessor answers what the successor had read",
-            |_, world: &World| world.answered_from_journal,
+            "the predecessor answers a statement that the successor had read",
+            |_, state: &SystemState| state.answered_from_journal,
         ),
-        Property::sometimes("an upgrade is done", |_, world: &World| {
-            world.predecessor_drained && world.successor_accepts
+        Property::sometimes("an upgrade is completed", |_, state: &SystemState| {
+            state.predecessor_drained && state.successor_accepts
         }),
         Property::sometimes(
-            "the predecessor serves again after the successor served",
-            |_, world| serves_again_after_death(world),
+            "the predecessor serves again after a death during an upgrade",
+            |_, state| serves_again_after_death(state),
         ),
-        Property::sometimes("the successor outlives the predecessor", |_, world| {
-            successor_outlives_predecessor(world)
+        Property::sometimes("the successor outlives the predecessor", |_, state| {
+            successor_outlives_predecessor(state)
         }),
     ]
 }
--- a/crates/handover/tests/model/steps.rs
+++ b/crates/handover/tests/model/steps.rs
@@ -1,19 +1,19 @@
-//! The steps of the model: which are possible, and what each does.
+//! The steps of the model, with their conditions and effects.
 
 use crate::properties;
-use crate::world::{ClientAt, HandoverModel, Mistake, World};
+use crate::system_state::{ClientLocation, HandoverModel, SeededBug, SystemState};
 use asterlatch::time::Timestamp;
 use asterlatch_handover::message::{ClientState, HandoverMessage};
 use asterlatch_handover::{predecessor, successor};
 use stateright::{Model, Property};
 
-/// One step of one of the parties.
+/// A step of a process, the client or the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Step {
     RequestUpgrade,
     RequestShutdown,
-    PredecessorActs,
-    SuccessorActs,
+    PredecessorExecutesAction,
+    SuccessorExecutesAction,
     PredecessorReceives,
     SuccessorReceives,
     PredecessorTimesOut,
@@ -23,7 +23,7 @@
     SignalArrives,
     PredecessorDies,
     SuccessorDies {
-        /// Whether its last message had left.
+        /// Whether the last message that it wrote reaches the predecessor.
         last_message_sent: bool,
     },
     LoadFails,
@@ -35,121 +35,124 @@
     ClientMoves,
 }
 
-/// Heartbeats that nobody reads teach nothing more from the second on.
+/// Bounds the state space: more unread heartbeats lead to no new behaviour.
 const MAX_UNREAD_MESSAGES: usize = 2;
 const MAX_UPGRADES: u8 = 2;
 const NEVER: Timestamp = Timestamp(u64::MAX);
 
 /// A step, and whether it is possible.
-type Guarded = (bool, Step);
+type GuardedStep = (bool, Step);
 
 /// Steps of the two state machines and the socket between them.
-fn protocol_steps(world: &World) -> [Guarded; 10] {
-    let predecessor_idle = world.predecessor_alive && world.predecessor_actions.is_empty();
-    let successor_idle = world.successor_alive && world.successor_actions.is_empty();
+fn protocol_steps(state: &SystemState) -> [GuardedStep; 10] {
+    let predecessor_idle = state.predecessor_alive && state.predecessor_actions.is_empty();
+    let successor_idle = state.successor_alive && state.successor_actions.is_empty();
     let has_timer = |at: Timestamp| at < NEVER;
-    let predecessor_timer = has_timer(world.predecessor.next_deadline());
-    let successor_timer = world
+    let predecessor_timer = has_timer(state.predecessor.next_deadline());
+    let successor_timer = state
         .successor
         .as_ref()
         .is_some_and(|s| has_timer(s.next_deadline()));
-    let is_loading = matches!(world.to_successor.first(), Some(HandoverMessage::State(_)));
+    let is_loading = matches!(state.to_successor.first(), Some(HandoverMessage::State(_)));
     [
         (
-            world.predecessor_alive && !predecessor_idle,
-            Step::PredecessorActs,
+            state.predecessor_alive && !predecessor_idle,
+            Step::PredecessorExecutesAction,
         ),
-        (world.successor_alive && !successor_idle, Step::SuccessorActs),
         (
-            predecessor_idle && !world.to_predecessor.is_empty(),
+            state.successor_alive && !successor_idle,
+            Step::SuccessorExecutesAction,
+        ),
+        (
+            predecessor_idle && !state.to_predecessor.is_empty(),
             Step::PredecessorReceives,
         ),
         (
-            successor_idle && !world.to_successor.is_empty(),
+            successor_idle && !state.to_successor.is_empty(),
             Step::SuccessorReceives,
         ),
         (
-            predecessor_idle && predecessor_timer && world.to_successor.len() < MAX_UNREAD_MESSAGES,
+            predecessor_idle && predecessor_timer && state.to_successor.len() < MAX_UNREAD_MESSAGES,
             Step::PredecessorTimesOut,
         ),
         (
-            successor_idle && successor_timer && world.to_predecessor.len() < MAX_UNREAD_MESSAGES,
+            successor_idle && successor_timer && state.to_predecessor.len() < MAX_UNREAD_MESSAGES,
             Step::SuccessorTimesOut,
         ),
         (
             predecessor_idle
-                && world.successor.is_some()
-                && !world.successor_alive
-                && world.to_predecessor.is_empty(),
+                && state.successor.is_some()
+                && !state.successor_alive
+                && state.to_predecessor.is_empty(),
             Step::PredecessorSeesExit,
         ),
         (
-            successor_idle && !world.predecessor_alive && world.to_successor.is_empty(),
+            successor_idle && !state.predecessor_alive && state.to_successor.is_empty(),
             Step::SuccessorSeesExit,
         ),
-        (world.is_killing && world.successor_alive, Step::SignalArrives),
+        (state.is_killing && state.successor_alive, Step::SignalArrives),
         (successor_idle && is_loading, Step::LoadFails),
     ]
 }
 
-/// Steps of the client and of its statement.
-fn client_steps(world: &World, moves_in_flight: bool) -> [Guarded; 6] {
-    let at_predecessor = world.predecessor_alive && world.client == ClientAt::Predecessor;
-    let at_successor = world.successor_alive && world.client == ClientAt::Successor;
-    let between_statements = !world.predecessor_owns_statement || moves_in_flight;
-    let phase = world.predecessor.phase;
-    let successor_takes = matches!(
+/// Steps of the client and its statement.
+fn client_steps(state: &SystemState, moves_in_flight: bool) -> [GuardedStep; 6] {
+    let at_predecessor = state.predecessor_alive && state.client == ClientLocation::Predecessor;
+    let at_successor = state.successor_alive && state.client == ClientLocation::Successor;
+    let between_statements = !state.predecessor_owns_statement || moves_in_flight;
+    let phase = state.predecessor.phase;
+    let successor_adopts = matches!(
         phase,
         predecessor::Phase::Standby | predecessor::Phase::HandedOver
     );
     [
         (
-            !world.statement_sent && world.client != ClientAt::Nobody,
+            !state.statement_sent && state.client != ClientLocation::Lost,
             Step::ClientSendsStatement,
         ),
         (
-            at_predecessor && world.statement_unread,
+            at_predecessor && state.statement_unread,
             Step::PredecessorReadsStatement,
         ),
         (
-            at_successor && world.statement_unread,
+            at_successor && state.statement_unread,
             Step::SuccessorReadsStatement,
         ),
         (
-            at_predecessor && world.predecessor_owns_statement,
+            at_predecessor && state.predecessor_owns_statement,
             Step::PredecessorAnswers,
         ),
         (
-            at_successor && world.successor_owns_statement,
+            at_successor && state.successor_owns_statement,
             Step::SuccessorAnswers,
         ),
         (
-            at_predecessor && world.moves_clients && successor_takes && between_statements,
+            at_predecessor && state.moves_clients && successor_adopts && between_statements,
             Step::ClientMoves,
         ),
     ]
 }
 
-/// What operators do, and deaths.
-fn outer_steps(world: &World, max_deaths: u8) -> [Guarded; 5] {
-    let predecessor_idle = world.predecessor_alive && world.predecessor_actions.is_empty();
-    let may_die = world.deaths < max_deaths;
-    let has_unsent = !world.to_predecessor.is_empty();
+/// Requests of operators, and deaths of processes.
+fn external_steps(state: &SystemState, max_deaths: u8) -> [GuardedStep; 5] {
+    let predecessor_idle = state.predecessor_alive && state.predecessor_actions.is_empty();
+    let may_die = state.deaths < max_deaths;
+    let has_unsent = !state.to_predecessor.is_empty();
     [
         (
-            predecessor_idle && world.upgrades < MAX_UPGRADES,
+            predecessor_idle && state.upgrades < MAX_UPGRADES,
             Step::RequestUpgrade,
         ),
-        (predecessor_idle && world.shutdowns < 1, Step::RequestShutdown),
-        (world.predecessor_alive && may_die, Step::PredecessorDies),
+        (predecessor_idle && state.shutdowns < 1, Step::RequestShutdown),
+        (state.predecessor_alive && may_die, Step::PredecessorDies),
         (
-            world.successor_alive && may_die,
+            state.successor_alive && may_die,
             Step::SuccessorDies {
                 last_message_sent: true,
             },
         ),
         (
-            world.successor_alive && may_die && has_unsent,
+            state.successor_alive && may_die && has_unsent,
             Step::SuccessorDies {
                 last_message_sent: false,
             },
@@ -158,118 +161,118 @@
 }
 
 impl HandoverModel {
-    fn run_protocol_step(&self, world: &mut World, step: &Step) {
+    fn run_protocol_step(&self, state: &mut SystemState, step: &Step) {
         match step {
             Step::RequestUpgrade => {
-                world.upgrades += 1;
-                self.predecessor_on_event(world, false, predecessor::Event::UpgradeRequested);
+                state.upgrades += 1;
+                self.predecessor_on_event(state, false, predecessor::Event::UpgradeRequested);
             }
             Step::RequestShutdown => {
-                world.shutdowns += 1;
-                self.predecessor_on_event(world, false, predecessor::Event::ShutdownRequested);
+                state.shutdowns += 1;
+                self.predecessor_on_event(state, false, predecessor::Event::ShutdownRequested);
             }
-            Step::PredecessorActs => self.predecessor_acts(world),
-            Step::SuccessorActs => self.successor_acts(world),
+            Step::PredecessorExecutesAction => self.predecessor_executes_action(state),
+            Step::SuccessorExecutesAction => self.successor_executes_action(state),
             Step::PredecessorReceives => {
-                let message = world.to_predecessor.remove(0);
-                self.predecessor_on_event(world, false, predecessor::Event::Message(message));
+                let message = state.to_predecessor.remove(0);
+                self.predecessor_on_event(state, false, predecessor::Event::Message(message));
             }
-            Step::SuccessorReceives => self.successor_receives(world),
+            Step::SuccessorReceives => self.successor_receives(state),
             Step::LoadFails => {
-                world.to_successor.remove(0);
+                state.to_successor.remove(0);
                 let reason = "bad file".to_owned();
-                self.successor_on_event(world, false, successor::Event::LoadFailed { reason });
+                self.successor_on_event(state, false, successor::Event::LoadFailed { reason });
             }
             Step::PredecessorTimesOut => {
-                self.predecessor_on_event(world, true, predecessor::Event::TimerElapsed);
+                self.predecessor_on_event(state, true, predecessor::Event::TimerElapsed);
             }
             Step::SuccessorTimesOut => {
-                self.successor_on_event(world, true, successor::Event::TimerElapsed);
+                self.successor_on_event(state, true, successor::Event::TimerElapsed);
             }
             Step::PredecessorSeesExit => {
-                world.successor = None;
-                self.predecessor_on_event(world, false, predecessor::Event::SuccessorExited);
+                state.successor = None;
+                self.predecessor_on_event(state, false, predecessor::Event::SuccessorExited);
             }
             Step::SuccessorSeesExit => {
-                self.successor_on_event(world, false, successor::Event::PredecessorExited);
+                self.successor_on_event(state, false, successor::Event::PredecessorExited);
             }
-            _ => run_client_step(world, step),
+            _ => run_client_step(state, step),
         }
     }
 
-    fn successor_receives(&self, world: &mut World) {
-        let message = world.to_successor.remove(0);
+    fn successor_receives(&self, state: &mut SystemState) {
+        let message = state.to_successor.remove(0);
         if matches!(message, HandoverMessage::ClientConnection(_)) {
-            world.client = ClientAt::Successor;
-            // What was read of it goes along.
-            world.successor_owns_statement |= world.predecessor_owns_statement;
+            state.client = ClientLocation::Successor;
+            // The unparsed input moves with the client.
+            state.successor_owns_statement |= state.predecessor_owns_statement;
             return;
         }
-        self.successor_on_event(world, false, successor::Event::Message(message));
+        self.successor_on_event(state, false, successor::Event::Message(message));
     }
 }
 
-fn run_client_step(world: &mut World, step: &Step) {
+fn run_client_step(state: &mut SystemState, step: &Step) {
     match step {
-        Step::SignalArrives => world.successor_dies(),
-        Step::PredecessorDies => world.predecessor_dies(),
+        Step::SignalArrives => state.successor_dies(),
+        Step::PredecessorDies => state.predecessor_dies(),
         Step::SuccessorDies { last_message_sent } => {
-            world.deaths += 1;
+            state.deaths += 1;
             if !last_message_sent {
-                world.to_predecessor.pop();
+                state.to_predecessor.pop();
             }
-            world.successor_dies();
+            state.successor_dies();
         }
         Step::ClientSendsStatement => {
-            world.statement_sent = true;
-            world.statement_unread = true;
+            state.statement_sent = true;
+            state.statement_unread = true;
         }
         Step::PredecessorReadsStatement => {
-            world.statement_unread = false;
-            world.predecessor_owns_statement = true;
+            state.statement_unread = false;
+            state.predecessor_owns_statement = true;
         }
         Step::SuccessorReadsStatement => {
-            world.statement_unread = false;
-            world.successor_owns_statement = true;
+            state.statement_unread = false;
+            state.successor_owns_statement = true;
         }
         Step::PredecessorAnswers => {
-            world.predecessor_owns_statement = false;
-            world.answers += 1;
+            state.predecessor_owns_statement = false;
+            state.answers += 1;
         }
         Step::SuccessorAnswers => {
-            world.successor_owns_statement = false;
-            world.answers += 1;
+            state.successor_owns_statement = false;
+            state.answers += 1;
         }
         Step::ClientMoves => {
-            world.client = ClientAt::InTransfer;
+            state.client = ClientLocation::InTransfer;
             let message = HandoverMessage::ClientConnection(ClientState::default());
-            world.to_successor.push(message);
+            state.to_successor.push(message);
         }
-        _ => unreachable!("{step:?} is a step of the protocol"),
+        _ => unreachable!("{step:?} is handled by run_protocol_step"),
     }
 }
 
 impl Model for HandoverModel {
-    type State = World;
+    type State = SystemState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World::new()]
+    fn init_states(&self) -> Vec<SystemState> {
+        vec![SystemState::new()]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let moves_in_flight = self.mistake == Some(Mistake::MoveInFlight);
-        let guarded = outer_steps(world, self.max_deaths)
+    fn actions(&self, state: &SystemState, steps: &mut Vec<Step>) {
+        let moves_in_flight = self.bug == Some(SeededBug::MoveInFlight);
+        let guarded = external_steps(state, self.max_deaths)
             .into_iter()
-            .chain(protocol_steps(world))
-            .chain(client_steps(world, moves_in_flight));
+            .chain(protocol_steps(state))
+            .chain(client_steps(state, moves_in_flight));
         steps.extend(guarded.filter_map(|(is_possible, step)| is_possible.then_some(step)));
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut world = last.clone();
-        self.run_protocol_step(&mut world, &step);
-        Some(world)
+    fn next_state(&self, previous: &SystemState, step: Step) -> Option<SystemState> {
+        let mut state = previous.clone();
+        self.run_protocol_step(&mut state, &step);
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
