--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -59,8 +59,7 @@
     /// Whether frames contain a hash of their body.
     const IS_HASHED: bool;
 
-    /// Number of descriptors attached to the message. The reader assigns received descriptors to messages by
-    /// it.
+    /// Number of descriptors attached to the message. The reader assigns received descriptors by this number.
     fn descriptor_count(&self) -> usize;
 
     /// Encodes the message as a frame.
