--- a/crates/driver/src/program/operators/mod.rs
+++ b/crates/driver/src/program/operators/mod.rs
@@ -1,5 +1,6 @@
-//! The operators' file in service: read and stored on a thread of its own (`worker`), decided on by
-//! `asterlatch_config::generations`, applied by the main thread. Without a file nothing of this runs.
+//! The operators' file of a running process: a thread (`worker`) reads the file and stores its generations,
+//! `asterlatch_config::generations` decides which settings are active, and the main thread applies them.
+//! Without a file there is no thread.
 
 mod applied_settings;
 mod start;
@@ -19,48 +20,48 @@
 use asterlatch_config::service_schema;
 use asterlatch_config::store::StoreError;
 use asterlatch_handover::predecessor;
-pub use start::{start, Given, Start, StartLine};
+pub use start::{load_initial_settings, InitialSettings, LogLine, OperatorsOptions};
 use std::io;
 use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, Sender};
 use std::sync::OnceLock;
 pub use worker::WorkerHandle;
-use worker::{Done, Job, StoreReport};
+use worker::{Job, JobResult, StoreReport};
 
-/// Log topic of decisions on the file. Diagnostics have a topic of their own, so that a long list of them can't use up the
-/// lines of the one that matters.
-pub const DECISIONS: &str = "operators";
+/// Log topic of decisions on the file. Diagnostics have a separate topic, so that many of them can't use up
+/// the rate limit of the decisions.
+pub const DECISIONS_TOPIC: &str = "operators";
 /// Log topic of diagnostics of a file.
-pub const DETAILS: &str = "operators file";
+pub const DIAGNOSTICS_TOPIC: &str = "operators file";
 
-/// Time between two samples of the driver's metrics.
+/// Interval between two samples of the metrics.
 const SAMPLE_INTERVAL: TimeSpan = TimeSpan::millis(250);
 
 /// The operators' file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorsError {
     /// The stored generations can't be read.
-    #[error("{}: {source}", folder.display())]
+    #[error("cannot read the generations in {}: {source}", folder.display())]
     Store {
-        /// Their folder.
+        /// Folder of the generations.
         folder: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file is faulty, and `--strict` was given.
-    #[error("the operators' file is faulty\n{}", errors.trim_end())]
-    Faulty {
-        /// Its diagnostics.
+    /// The file is invalid, and `--strict` was given.
+    #[error("the operators' file is invalid\n{}", errors.trim_end())]
+    Invalid {
+        /// Diagnostics of the file.
         errors: String,
     },
-    /// The file is faulty, and no generation is stored.
-    #[error("the operators' file is faulty, and no former generation is kept\n{}", errors.trim_end())]
+    /// The file is invalid, and no generation is stored.
+    #[error("the operators' file is invalid, and no generation is stored\n{}", errors.trim_end())]
     NoStoredGeneration {
-        /// Its diagnostics.
+        /// Diagnostics of the file.
         errors: String,
     },
-    /// The thread can't be started.
-    #[error("operators: {0}")]
+    /// The worker thread can't be started.
+    #[error("cannot start the thread of the operators' file: {0}")]
     Thread(#[source] io::Error),
 }
 
@@ -70,19 +71,19 @@
     SCHEMA.get_or_init(service_schema::schema)
 }
 
-/// The limits of the process, against which a file is checked.
-pub fn machine(config: &Config) -> Machine {
+/// Limits of the process, against which an operators' file is checked.
+pub fn machine_limits(config: &Config) -> Machine {
     Machine {
         memory: config.runtime.max_memory as i64,
         descriptors: config.runtime.max_descriptors as i64,
     }
 }
 
-/// Reads the file of this path.
+/// Reads and checks the operators' file at `path`.
 pub fn read(path: &str, machine: Machine) -> LoadOutcome {
     let (folder, name) = FolderSource::containing(path);
     let mut outcome = load::read(&name, &folder, schema(), machine);
-    // Diagnostics name files as the command line did.
+    // Diagnostics name files as the command line does.
     if let Some(parent) = path.strip_suffix(&name).filter(|parent| !parent.is_empty()) {
         for file in &mut outcome.files {
             file.name.insert_str(0, parent);
@@ -91,7 +92,7 @@
     outcome
 }
 
-/// How many settings differ, and which wants the live ones may cause.
+/// Counts the settings that differ, and collects the resources that changes of live ones may exhaust.
 fn difference(old: &ResolvedSettings, new: &ResolvedSettings) -> Difference {
     let mut difference = Difference::default();
     for change in changes(schema(), old, new) {
@@ -100,18 +101,18 @@
             continue;
         }
         difference.live += 1;
-        for want in schema().setting(&change.path).may_exhaust {
-            if !difference.may_exhaust.contains(want) {
-                difference.may_exhaust.push(*want);
+        for resource in schema().setting(&change.path).may_exhaust {
+            if !difference.may_exhaust.contains(resource) {
+                difference.may_exhaust.push(*resource);
             }
         }
     }
     difference
 }
 
-/// The terms of probation that a meaning states.
-fn probation_terms(meaning: &ResolvedSettings) -> ProbationCriteria {
-    let amount = |row| meaning.amount(schema(), "activation", row).max(0);
+/// The criteria of probation that the settings state.
+fn probation_criteria(settings: &ResolvedSettings) -> ProbationCriteria {
+    let amount = |setting| settings.amount(schema(), "activation", setting).max(0);
     ProbationCriteria {
         probation: TimeSpan(amount("probation") as u64),
         margin: amount("margin") as f64 / 1e6,
@@ -119,65 +120,62 @@
     }
 }
 
-/// Stored generations at most.
-fn most_stored(meaning: &ResolvedSettings) -> usize {
-    meaning.amount(schema(), "activation", "kept").max(1) as usize
+/// Maximum number of stored generations.
+fn max_stored_generations(settings: &ResolvedSettings) -> usize {
+    settings.amount(schema(), "activation", "kept").max(1) as usize
 }
 
-/// Whether a read is under way, and whether the file has changed again since it began.
+/// Whether a read is in progress, and whether the file may have changed since it began.
 #[derive(Clone, Copy, PartialEq)]
-enum Reading {
+enum ReadState {
     Idle,
-    UnderWay,
-    UnderWayAndOutdated,
+    InProgress,
+    InProgressAndOutdated,
 }
 
-/// The operators' file of a running process. Owned by the main thread.
+/// The operators' file of a running process. Only the main thread uses it.
 pub struct Operators {
     generations: Generations<ResolvedSettings>,
-    /// None without a file.
+    /// `None` without an operators' file.
     jobs: Option<Sender<Job>>,
-    results: Receiver<Done>,
-    reading: Reading,
+    results: Receiver<JobResult>,
+    read_state: ReadState,
     stores_generations: bool,
-    /// The highest fill, by want, since the last sample.
-    highest_fill: [u64; RESOURCES.len()],
+    /// Highest utilization since the last sample, by resource.
+    max_utilization: [u64; RESOURCES.len()],
     sampled_at: Timestamp,
-    /// Timeouts of the next handover, as they are in force now.
-    pub upgrade_times: predecessor::Timeouts,
+    /// Timeouts of the next handover, by the active settings.
+    pub predecessor_timeouts: predecessor::Timeouts,
 }
 
 impl Operators {
-    /// Begins with the meaning that the process started with, which is what a rollback goes to.
-    ///
-    /// # Errors
-    /// If the thread that reads the file can't be started.
+    /// Begins with the settings that the process started with, to which a rollback returns.
     pub fn new(
-        given: &Given,
-        start: Start,
-        upgrade_times: predecessor::Timeouts,
+        options: &OperatorsOptions,
+        initial: InitialSettings,
+        predecessor_timeouts: predecessor::Timeouts,
         worker: WorkerHandle,
     ) -> Operators {
-        let canonical = start.meaning.canonical(schema());
+        let canonical = initial.resolved.canonical(schema());
         let digest = hash(&canonical);
-        let number = start.number;
-        let most = most_stored(&start.meaning);
-        let generations = Generations::new(number, digest, start.meaning, difference, probation_terms);
+        let number = initial.number;
+        let max_stored = max_stored_generations(&initial.resolved);
+        let generations = Generations::new(number, digest, initial.resolved, difference, probation_criteria);
         let operators = Operators {
             generations,
             jobs: worker.jobs,
             results: worker.results,
-            reading: Reading::Idle,
-            stores_generations: given.state.is_some(),
-            highest_fill: [0; RESOURCES.len()],
+            read_state: ReadState::Idle,
+            stores_generations: options.state_folder.is_some(),
+            max_utilization: [0; RESOURCES.len()],
             sampled_at: Timestamp(0),
-            upgrade_times,
+            predecessor_timeouts,
         };
-        operators.store(number, canonical, most);
+        operators.store(number, canonical, max_stored);
         operators
     }
 
-    fn store(&self, number: u64, canonical: String, most: usize) {
+    fn store(&self, number: u64, canonical: String, max_stored: usize) {
         if !self.stores_generations {
             return;
         }
@@ -185,89 +183,91 @@
             let _ = jobs.send(Job::Store {
                 number,
                 canonical,
-                most,
+                max_stored,
             });
         }
     }
 
-    /// The file may have changed. Reads follow one another: what changes while one is under way is read next.
-    pub fn changed(&mut self, machine: Machine) {
-        if self.reading != Reading::Idle {
-            self.reading = Reading::UnderWayAndOutdated;
+    /// Reads the file, since it may have changed. A change during a read causes another read after it.
+    pub fn reload(&mut self, machine: Machine) {
+        if self.read_state != ReadState::Idle {
+            self.read_state = ReadState::InProgressAndOutdated;
             return;
         }
         if let Some(jobs) = &self.jobs {
             let ticket = self.generations.begin_read();
             if jobs.send(Job::Read { ticket, machine }).is_ok() {
-                self.reading = Reading::UnderWay;
+                self.read_state = ReadState::InProgress;
             }
         }
     }
 
-    /// Takes results of the thread and the driver's metrics into account, and applies what follows from them.
-    pub fn steer(
+    /// Processes results of the thread and the metrics, and executes the resulting commands.
+    pub fn advance_to(
         &mut self,
         event_loop: &mut EventLoop<Log>,
         phases: &mut Phases,
         now: Timestamp,
         machine: Machine,
     ) {
-        while let Ok(done) = self.results.try_recv() {
-            self.on_done(event_loop, phases, now, machine, done);
+        while let Ok(result) = self.results.try_recv() {
+            self.on_job_result(event_loop, phases, now, machine, result);
         }
         if self.jobs.is_some() {
-            self.watch(event_loop, phases, now);
+            self.track_utilization(event_loop, phases, now);
         }
     }
 
-    fn on_done(
+    fn on_job_result(
         &mut self,
         event_loop: &mut EventLoop<Log>,
         phases: &mut Phases,
         now: Timestamp,
         machine: Machine,
-        done: Done,
+        result: JobResult,
     ) {
-        let (ticket, outcome, text) = match done {
-            Done::Read {
+        let (ticket, outcome, text) = match result {
+            JobResult::Read {
                 ticket,
                 outcome,
                 text,
             } => (ticket, outcome, text),
-            Done::Stored(report) => {
-                let line = describe_store(&report);
-                log!(event_loop.logger, now, DECISIONS, "{line}");
+            JobResult::Stored(report) => {
+                let line = describe_store_report(&report);
+                log!(event_loop.logger, now, DECISIONS_TOPIC, "{line}");
                 return;
             }
         };
-        let is_outdated = self.reading == Reading::UnderWayAndOutdated;
-        self.reading = Reading::Idle;
+        let is_outdated = self.read_state == ReadState::InProgressAndOutdated;
+        self.read_state = ReadState::Idle;
         if is_outdated {
-            self.changed(machine);
+            self.reload(machine);
         }
         for line in text.lines() {
-            log!(event_loop.logger, now, DETAILS, "{line}");
+            log!(event_loop.logger, now, DIAGNOSTICS_TOPIC, "{line}");
         }
-        // What was counted until now was counted before the change, also what no sample holds yet.
-        self.watch(event_loop, phases, now);
-        self.sample(event_loop, phases, now);
-        let effects = self.generations.on_read(now, ticket, outcome);
-        self.carry_out(event_loop, phases, now, effects);
+        // Everything counted until now was counted under the previous settings, including what no sample
+        // contains yet.
+        self.track_utilization(event_loop, phases, now);
+        self.record_sample(event_loop, phases, now);
+        let commands = self.generations.on_read(now, ticket, outcome);
+        self.execute(event_loop, phases, now, commands);
     }
 
-    /// Takes a sample if one is due. A sample holds the highest fill since the last one: a full moment between two counts.
-    fn watch(&mut self, event_loop: &mut EventLoop<Log>, phases: &mut Phases, now: Timestamp) {
-        for (highest, fill) in self.highest_fill.iter_mut().zip(fill(event_loop)) {
-            *highest = (*highest).max(fill);
+    /// Tracks the highest utilization, so that a short peak between two samples counts, and records a sample
+    /// if one is due.
+    fn track_utilization(&mut self, event_loop: &mut EventLoop<Log>, phases: &mut Phases, now: Timestamp) {
+        for (highest, current) in self.max_utilization.iter_mut().zip(utilization(event_loop)) {
+            *highest = (*highest).max(current);
         }
         if now - self.sampled_at >= SAMPLE_INTERVAL {
-            self.sample(event_loop, phases, now);
+            self.record_sample(event_loop, phases, now);
         }
     }
 
-    fn sample(&mut self, event_loop: &mut EventLoop<Log>, phases: &mut Phases, now: Timestamp) {
+    fn record_sample(&mut self, event_loop: &mut EventLoop<Log>, phases: &mut Phases, now: Timestamp) {
         self.sampled_at = now;
-        let fill = std::mem::replace(&mut self.highest_fill, fill(event_loop));
+        let fill = std::mem::replace(&mut self.max_utilization, utilization(event_loop));
         let metrics = &event_loop.metrics;
         let sample = Sample {
             demand: [
@@ -282,11 +282,11 @@
             ],
             fill,
         };
-        let effects = self.generations.on_sample(now, sample);
-        self.carry_out(event_loop, phases, now, effects);
+        let commands = self.generations.on_sample(now, sample);
+        self.execute(event_loop, phases, now, commands);
     }
 
-    /// When to call `steer` again although nothing comes in.
+    /// When to call `advance_to` next if nothing else causes it.
     pub fn next_at(&self) -> Timestamp {
         if !self.generations.is_on_probation() {
             return Timestamp(u64::MAX);
@@ -295,33 +295,43 @@
         probation_ends_at.min(self.sampled_at + SAMPLE_INTERVAL)
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         event_loop: &mut EventLoop<Log>,
         phases: &mut Phases,
         now: Timestamp,
-        effects: Vec<Command<ResolvedSettings>>,
+        commands: Vec<Command<ResolvedSettings>>,
     ) {
-        for effect in effects {
-            match effect {
-                Command::Apply(meaning) => {
-                    let force = AppliedSettings::from_resolved(&meaning);
-                    self.upgrade_times = force.handover_timeouts.predecessor;
-                    take_over(event_loop, phases, &force);
+        for command in commands {
+            match command {
+                Command::Apply(resolved) => {
+                    let settings = AppliedSettings::from_resolved(&resolved);
+                    self.predecessor_timeouts = settings.handover_timeouts.predecessor;
+                    apply_settings(event_loop, phases, &settings);
                 }
                 Command::Store(Generation { number, settings, .. }) => {
-                    self.store(number, settings.canonical(schema()), most_stored(&settings));
+                    self.store(
+                        number,
+                        settings.canonical(schema()),
+                        max_stored_generations(&settings),
+                    );
                 }
-                Command::Report(told) => {
-                    log!(event_loop.logger, now, DECISIONS, "{}", describe(&told));
+                Command::Report(decision) => {
+                    log!(
+                        event_loop.logger,
+                        now,
+                        DECISIONS_TOPIC,
+                        "{}",
+                        describe_decision(&decision)
+                    );
                 }
             }
         }
     }
 }
 
-/// How full the driver is, by want.
-fn fill(event_loop: &EventLoop<Log>) -> [u64; RESOURCES.len()] {
+/// Current utilization, by resource.
+fn utilization(event_loop: &EventLoop<Log>) -> [u64; RESOURCES.len()] {
     let clients = event_loop.open_clients() as u64;
     let connections = event_loop.metrics.open_member_connections;
     let memory = event_loop.reserved_memory() as u64;
@@ -329,39 +339,39 @@
 }
 
 /// Applies settings to the running process.
-pub fn take_over(event_loop: &mut EventLoop<Log>, phases: &mut Phases, force: &AppliedSettings) {
-    event_loop.set_limits(force.limits, &force.workload_limits);
-    event_loop.logger.lines_per_second = force.log_lines_per_second;
-    phases.durations = force.phase_durations;
+pub fn apply_settings(event_loop: &mut EventLoop<Log>, phases: &mut Phases, settings: &AppliedSettings) {
+    event_loop.set_limits(settings.limits, &settings.workload_limits);
+    event_loop.logger.lines_per_second = settings.log_lines_per_second;
+    phases.durations = settings.phase_durations;
 }
 
-fn describe_store(report: &StoreReport) -> String {
+fn describe_store_report(report: &StoreReport) -> String {
     match report {
         StoreReport::Recovered { number } => {
-            format!("generation {number} is stored now, and survives a power failure")
+            format!("generation {number} is now stored durably")
         }
         StoreReport::Failed { number, error } => match error {
             StoreError::NotStored(source) => {
-                format!("generation {number} is not stored, and tried again: {source}")
+                format!("cannot store generation {number}, will retry: {source}")
             }
             StoreError::NotDurable { number, source } => format!(
-                "generation {number} is stored for the next start, but may be lost in a power failure, and is stored again: {source}"
+                "generation {number} is stored but may not survive a power failure, will retry: {source}"
             ),
             StoreError::OldNotRemoved { number, source } => {
-                format!("generation {number} is stored, older ones could not be removed: {source}")
+                format!("generation {number} is stored, but older ones could not be removed: {source}")
             }
         },
     }
 }
 
-fn describe(told: &Decision) -> String {
-    match told {
-        Decision::Unchanged => "read again, it means the same".to_owned(),
-        Decision::Rejected { error_count } => format!("kept as it was: the file has {error_count} errors"),
-        Decision::Superseded => "a read was overtaken by a newer one".to_owned(),
+fn describe_decision(decision: &Decision) -> String {
+    match decision {
+        Decision::Unchanged => "reloaded, no setting has changed".to_owned(),
+        Decision::Rejected { error_count } => format!("not applied: the file has {error_count} errors"),
+        Decision::Superseded => "ignored a read that a newer one superseded".to_owned(),
         Decision::AlreadyRolledBack { resource } => {
-            let want = resource.name();
-            format!("not taken again: this was gone back from for want of {want}; change the file")
+            let resource = resource.name();
+            format!("not applied: these settings were rolled back for lack of {resource}; change the file")
         }
         Decision::Applied {
             number,
@@ -369,14 +379,15 @@
             at_next_start,
         } => {
             format!(
-                "generation {number} is in force: {live} settings changed, {at_next_start} wait for the next start"
+                "generation {number} is applied: {live} settings changed, {at_next_start} require a restart"
             )
         }
-        Decision::Confirmed { number } => format!("generation {number} is kept"),
+        Decision::Confirmed { number } => format!("generation {number} is confirmed"),
         Decision::RolledBack { from, to, resource } => {
-            let want = resource.name();
+            let resource = resource.name();
             format!(
-                "WENT BACK from generation {from} to {to}: more was turned away for want of {want}, no fuller than before"
+                "ROLLED BACK from generation {from} to {to}: more was rejected for lack of {resource}, at no \
+                 higher utilization"
             )
         }
     }
