--- a/crates/driver/src/program/config.rs
+++ b/crates/driver/src/program/config.rs
@@ -4,7 +4,7 @@
 use crate::protocol::statement_comment::hash_id;
 use crate::routing::runtime_config::RuntimeConfig;
 use asterlatch::interface::Settings;
-use asterlatch_settings::{Decoding, Pairs};
+use asterlatch_settings::{Decoding, SettingsMap};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
@@ -122,7 +122,7 @@
 pub fn read(value: &Value, environment: impl Fn(&str) -> Option<String>) -> Result<Config, ValueError> {
     let file = ConfigFile { value, environment };
     let settings_value = value.get("settings").ok_or(ValueError::SettingsMissing)?;
-    let (settings, decoding) = Pairs::from_json(settings_value)
+    let (settings, decoding) = SettingsMap::from_json(settings_value)
         .and_then(|pairs| asterlatch_settings::read(&pairs))
         .map_err(ValueError::InvalidSettings)?;
     if settings.workloads.is_empty() {
--- a/crates/driver/src/routing/event_loop/dispatch.rs
+++ b/crates/driver/src/routing/event_loop/dispatch.rs
@@ -70,7 +70,7 @@
     fn send_request(&mut self, now: Timestamp, connection: u32, request: MemberRequest) {
         let query = match request.kind {
             RequestKind::Execution(id) => self.statements.query(id.statement, now, request.deadline),
-            RequestKind::HealthCheck => Some(messages::health_check(self.decoding.reported)),
+            RequestKind::HealthCheck => Some(messages::health_check(self.decoding.has_load_reports)),
         };
         let Some(query) = query else {
             return self.withdraw_request(now, connection);
--- a/crates/driver/src/routing/event_loop/mod.rs
+++ b/crates/driver/src/routing/event_loop/mod.rs
@@ -137,7 +137,7 @@
         EventLoop {
             policy: RoutingPolicy::new(settings, options.seed, now),
             workloads: Workloads::new(settings, &decoding),
-            members: MemberDirectory::new(&decoding.zones),
+            members: MemberDirectory::new(&decoding.zone_names),
             clients: Clients::new(capacity.clients, limits),
             statements: Statements::default(),
             member_requests: MemberRequests::new(connectors.dial_member, connection_limits),
--- a/crates/driver/src/routing/members.rs
+++ b/crates/driver/src/routing/members.rs
@@ -4,7 +4,7 @@
 use crate::protocol::replica_status;
 use crate::protocol::statement_comment::hash_id;
 use asterlatch::interface::{MemberEntry, MemberState};
-use asterlatch_settings::word;
+use asterlatch_settings::normalize_name;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -156,7 +156,7 @@
             id,
             fleet_key: fleet_key(&endpoint.name),
             // Zone names in the settings are normalized the same way.
-            zone: self.zones.intern(&word(&endpoint.zone)) as u16,
+            zone: self.zones.intern(&normalize_name(&endpoint.zone)) as u16,
             group: endpoint.group,
             state: match endpoint.status {
                 EndpointStatus::Serving => MemberState::Ready,
--- a/crates/driver/src/routing/workloads.rs
+++ b/crates/driver/src/routing/workloads.rs
@@ -4,7 +4,7 @@
 use super::members::NameTable;
 use asterlatch::interface::{Freshness, RetrySafety, Settings, WorkloadSettings};
 use asterlatch::time::TimeSpan;
-use asterlatch_settings::{word, Decoding};
+use asterlatch_settings::{normalize_name, Decoding};
 use std::collections::BTreeMap;
 
 /// Properties and limits of a workload.
@@ -56,14 +56,14 @@
     /// Builds the table from the deployment's settings.
     pub fn new(settings: &Settings, decoding: &Decoding) -> Workloads {
         Workloads {
-            names: NameTable::from_names(&decoding.workloads),
+            names: NameTable::from_names(&decoding.workload_names),
             all: settings.workloads.iter().map(Workload::new).collect(),
         }
     }
 
     /// Index of the workload with this name; `None` if it is unknown.
     pub fn find(&self, name: &str) -> Option<usize> {
-        self.names.find(&word(name))
+        self.names.find(&normalize_name(name))
     }
 
     /// The workload with this index.
--- a/crates/driver/tests/routing/harness.rs
+++ b/crates/driver/tests/routing/harness.rs
@@ -13,7 +13,7 @@
 use asterlatch_driver::transport::connection::ConnectionHandle;
 use asterlatch_driver::transport::listener::AcceptEvent;
 use asterlatch_driver::transport::memory_budget::MemoryBudget;
-use asterlatch_settings::{read, Pairs};
+use asterlatch_settings::{read, SettingsMap};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
@@ -152,7 +152,7 @@
             memory: memory.clone(),
         };
         let json = serde_json::from_str(settings).expect("parse the JSON");
-        let (settings, decoding) = Pairs::from_json(&json)
+        let (settings, decoding) = SettingsMap::from_json(&json)
             .and_then(|p| read(&p))
             .expect("read the settings");
         Harness {
--- a/crates/settings/tests/equal.rs
+++ b/crates/settings/tests/equal.rs
@@ -1,6 +1,6 @@
-//! Both hosts must give the module equal settings for equal input.
+//! Equal settings resolve equally from text and from JSON.
 
-use asterlatch_settings::{read, Pairs};
+use asterlatch_settings::{read, SettingsMap};
 
 const TEXT: &str = "
 az=0
@@ -67,25 +67,25 @@
  "warm_within_us":15000000},"tick_us":5000,"zones":["heredia","cartago"]}"#;
 
 #[test]
-fn text_and_json_give_equal_settings() {
-    let json = serde_json::from_str(JSON).expect("is JSON");
-    let from_text = Pairs::from_text(TEXT)
+fn read_text_and_json_gives_equal_settings() {
+    let json = serde_json::from_str(JSON).expect("parse the JSON");
+    let from_text = SettingsMap::from_text(TEXT)
         .and_then(|p| read(&p))
-        .expect("text is read");
-    let from_json = Pairs::from_json(&json)
+        .expect("read the text");
+    let from_json = SettingsMap::from_json(&json)
         .and_then(|p| read(&p))
-        .expect("JSON is read");
+        .expect("read the JSON settings");
     assert_eq!(format!("{from_text:?}"), format!("{from_json:?}"));
-    // And they are not equal for being empty.
+    // Guards against both being equal because they are empty.
     let (settings, decoding) = from_json;
     assert_eq!((settings.workloads.len(), settings.tenant_quotas.len()), (2, 1));
-    assert_eq!(decoding.workloads, ["balance_view", "post"]);
+    assert_eq!(decoding.workload_names, ["balance_view", "post"]);
     assert_eq!((decoding.position_field, decoding.role_field), (Some(0), Some(1)));
     assert!(settings.poll_endpoint_list && settings.may_use_gone_members && settings.members_check_reads);
 }
 
 #[test]
-fn what_cannot_be_settings_is_named() {
+fn read_invalid_settings_names_the_fault() {
     let cases = [
         (r#"[]"#, "not an object"),
         (r#"{"peers_total":"many"}"#, "peers_total"),
@@ -95,12 +95,12 @@
             "soon",
         ),
     ];
-    for (json, named) in cases {
-        let value = serde_json::from_str(json).expect("is JSON");
-        let fault = Pairs::from_json(&value).and_then(|p| read(&p)).err();
+    for (json, expected) in cases {
+        let value = serde_json::from_str(json).expect("parse the JSON");
+        let error = SettingsMap::from_json(&value).and_then(|p| read(&p)).err();
         assert!(
-            fault.as_ref().is_some_and(|f| f.to_string().contains(named)),
-            "{json}: {fault:?}"
+            error.as_ref().is_some_and(|e| e.to_string().contains(expected)),
+            "{json}: {error:?}"
         );
     }
 }
--- a/crates/settings/tests/fixtures.rs
+++ b/crates/settings/tests/fixtures.rs
@@ -1,20 +1,20 @@
-//! Settings that an earlier build read: each key means what it meant.
+//! Guards the meaning of each key: stored settings resolve as they did in earlier builds.
 //!
-//! `cargo test -p asterlatch-settings --test fixtures -- --ignored` writes the fixtures anew from the build as it is.
+//! `cargo test -p asterlatch-settings --test fixtures -- --ignored` regenerates the fixtures.
 
 use asterlatch::interface::{DeduplicationScope, Freshness, RetrySafety, Settings, WorkloadSettings};
-use asterlatch_settings::{read, Decoding, Pairs};
+use asterlatch_settings::{read, Decoding, SettingsMap};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::fs;
 use std::path::{Path, PathBuf};
 
 const JSON: &str = "settings.json";
-/// The same settings, one value a path.
+/// The settings of `JSON` as text.
 const TEXT: &str = "settings.txt";
-/// What both come to.
+/// Resolved values of `JSON` and `TEXT`.
 const RESOLVED: &str = "settings.resolved.txt";
-/// What holds where the settings say nothing.
+/// Resolved values of empty settings: the defaults.
 const RESOLVED_DEFAULTS: &str = "defaults.resolved.txt";
 
 fn fixtures() -> PathBuf {
@@ -22,16 +22,16 @@
 }
 
 fn text(name: &str) -> String {
-    fs::read_to_string(fixtures().join(name)).expect("the fixture is there")
+    fs::read_to_string(fixtures().join(name)).expect("read the fixture")
 }
 
 fn json() -> serde_json::Value {
-    serde_json::from_str(&text(JSON)).expect("is JSON")
+    serde_json::from_str(&text(JSON)).expect("parse the JSON fixture")
 }
 
-/// One line a path and value, lists of objects counted and numbered: written here without the code under test.
-fn flattened(value: &serde_json::Value, path: &str, lines: &mut BTreeMap<String, String>) {
-    let below = |name: &str| match path {
+/// Flattens JSON as text settings do, independently of the code under test.
+fn flatten(value: &serde_json::Value, path: &str, lines: &mut BTreeMap<String, String>) {
+    let child_path = |name: &str| match path {
         "" => name.to_owned(),
         _ => format!("{path}.{name}"),
     };
@@ -41,7 +41,7 @@
     };
     if let Some(fields) = value.as_object() {
         for (name, value) in fields {
-            flattened(value, &below(name), lines);
+            flatten(value, &child_path(name), lines);
         }
         return;
     }
@@ -54,13 +54,13 @@
         lines.insert(path.to_owned(), joined.join(","));
         return;
     }
-    lines.insert(below("count"), items.len().to_string());
-    for (number, item) in items.iter().enumerate() {
-        flattened(item, &below(&number.to_string()), lines);
+    lines.insert(child_path("count"), items.len().to_string());
+    for (index, item) in items.iter().enumerate() {
+        flatten(item, &child_path(&index.to_string()), lines);
     }
 }
 
-fn described_workload(text: &mut String, number: usize, workload: &WorkloadSettings) {
+fn describe_workload(text: &mut String, index: usize, workload: &WorkloadSettings) {
     let freshness = match workload.freshness {
         Freshness::Any => "loose".to_owned(),
         Freshness::Bounded(bound) => format!("recent within {}", bound.0),
@@ -88,15 +88,15 @@
         ("freshness", freshness),
     ];
     for (name, value) in values {
-        writeln!(text, "categories.{number}.{name} = {value}").expect("is written");
+        writeln!(text, "categories.{index}.{name} = {value}").expect("write the text");
     }
 }
 
-/// Every value that the module is told, by the key that sets it.
-fn described(settings: &Settings, decoding: &Decoding) -> String {
+/// Lists every resolved value by the key that sets it.
+fn describe(settings: &Settings, decoding: &Decoding) -> String {
     let mut text = String::new();
-    for (number, workload) in settings.workloads.iter().enumerate() {
-        described_workload(&mut text, number, workload);
+    for (index, workload) in settings.workloads.iter().enumerate() {
+        describe_workload(&mut text, index, workload);
     }
     let values: Vec<(&str, String)> = vec![
         ("peers_total", settings.driver_count.to_string()),
@@ -126,94 +126,100 @@
             "limits.max_retry_after_us",
             settings.max_retry_after.0.to_string(),
         ),
-        ("family_info.counted_from_us", decoding.epoch.0.to_string()),
+        (
+            "family_info.counted_from_us",
+            decoding.position_epoch.0.to_string(),
+        ),
         ("report.fields x0", format!("{:?}", decoding.position_field)),
         ("report.fields x1", format!("{:?}", decoding.role_field)),
-        ("family_info.answers_stamped", decoding.positions.to_string()),
-        ("categories.name", format!("{:?}", decoding.workloads)),
-        ("zones", format!("{:?}", decoding.zones)),
+        (
+            "family_info.answers_stamped",
+            decoding.answers_carry_positions.to_string(),
+        ),
+        ("categories.name", format!("{:?}", decoding.workload_names)),
+        ("zones", format!("{:?}", decoding.zone_names)),
         ("report.fields", format!("{:?}", decoding.report_fields)),
-        ("report.how", decoding.reported.to_string()),
+        ("report.how", decoding.has_load_reports.to_string()),
         (
             "limits.connect_timeout_us",
             decoding.connect_timeout.0.to_string(),
         ),
     ];
     for (name, value) in values {
-        writeln!(text, "{name} = {value}").expect("is written");
+        writeln!(text, "{name} = {value}").expect("write the text");
     }
     text
 }
 
 fn resolved_json() -> String {
-    let (settings, decoding) = Pairs::from_json(&json())
-        .and_then(|pairs| read(&pairs))
-        .expect("is read");
-    described(&settings, &decoding)
+    let (settings, decoding) = SettingsMap::from_json(&json())
+        .and_then(|map| read(&map))
+        .expect("read the settings");
+    describe(&settings, &decoding)
 }
 
 fn resolved_defaults() -> String {
-    let (settings, decoding) = Pairs::from_text("categories.count=1\nparties.count=1\n")
-        .and_then(|pairs| read(&pairs))
-        .expect("is read");
-    described(&settings, &decoding)
+    let (settings, decoding) = SettingsMap::from_text("categories.count=1\nparties.count=1\n")
+        .and_then(|map| read(&map))
+        .expect("read the settings");
+    describe(&settings, &decoding)
 }
 
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_fixtures() {
     let mut lines = BTreeMap::new();
-    flattened(&json(), "", &mut lines);
+    flatten(&json(), "", &mut lines);
     let flat: String = lines
         .iter()
         .map(|(path, value)| format!("{path}={value}\n"))
         .collect();
-    fs::write(fixtures().join(TEXT), flat).expect("is written");
-    fs::write(fixtures().join(RESOLVED), resolved_json()).expect("is written");
-    fs::write(fixtures().join(RESOLVED_DEFAULTS), resolved_defaults()).expect("is written");
+    fs::write(fixtures().join(TEXT), flat).expect("write the text");
+    fs::write(fixtures().join(RESOLVED), resolved_json()).expect("write the text");
+    fs::write(fixtures().join(RESOLVED_DEFAULTS), resolved_defaults()).expect("write the text");
 }
 
 #[test]
-fn json_with_every_key_resolves_to_the_same_settings() {
+fn read_json_with_every_key_matches_the_fixture() {
     assert_eq!(resolved_json(), text(RESOLVED));
 }
 
 #[test]
-fn text_with_every_key_resolves_to_the_same_settings() {
-    let (settings, decoding) = Pairs::from_text(&text(TEXT))
-        .and_then(|pairs| read(&pairs))
-        .expect("is read");
-    assert_eq!(described(&settings, &decoding), text(RESOLVED));
+fn read_text_with_every_key_matches_the_fixture() {
+    let (settings, decoding) = SettingsMap::from_text(&text(TEXT))
+        .and_then(|map| read(&map))
+        .expect("read the settings");
+    assert_eq!(describe(&settings, &decoding), text(RESOLVED));
 }
 
 #[test]
-fn settings_that_say_nothing_resolve_to_the_same_defaults() {
+fn read_without_keys_matches_the_default_fixture() {
     assert_eq!(resolved_defaults(), text(RESOLVED_DEFAULTS));
 }
 
-/// Each line of the resolved fixture differs from the defaults, so that no key can be lost unseen.
+/// Guards against a key that is ignored: its value would equal the default.
 #[test]
-fn every_value_of_the_fixture_differs_from_its_default() {
+fn fixture_values_differ_from_defaults() {
     let (resolved, defaults) = (text(RESOLVED), text(RESOLVED_DEFAULTS));
     let same: Vec<_> = resolved
         .lines()
         .filter(|line| !line.starts_with("categories.") || line.starts_with("categories.0."))
         .filter(|line| defaults.lines().any(|default| default == *line))
         .collect();
-    // Reports are on unless they are turned off, and the same holds for retry-after.
+    // Load reports are on by default; the fixture has them on, too.
     assert_eq!(same, ["report.how = true"]);
     assert_eq!(resolved.lines().count(), 5 * 7 + 27);
 }
 
 #[test]
-fn switches_that_are_on_by_default_turn_off() {
+fn read_disabled_reports_and_retry_after_resolves_to_off() {
     let off = text(TEXT)
         .replace("report.how=on_probe", "report.how=off")
         .replace("limits.retry_after=true", "limits.retry_after=false");
-    let (settings, decoding) = Pairs::from_text(&off)
-        .and_then(|pairs| read(&pairs))
-        .expect("is read");
-    let resolved = described(&settings, &decoding);
+    let (settings, decoding) = SettingsMap::from_text(&off)
+        .and_then(|map| read(&map))
+        .expect("read the settings");
+    let resolved = describe(&settings, &decoding);
     for line in [
         "report.how = false",
         "report.fields x0 = None",
--- a/crates/simhost/src/decode.rs
+++ b/crates/simhost/src/decode.rs
@@ -122,7 +122,7 @@
     // Rounded down to the last whole millisecond: the wire's short floats may have rounded up.
     let milliseconds = |seconds: f64| (seconds * 1000.0 - 0.5).max(0.0) as u64;
     let seconds = value(decoding.position_field).filter(|seconds| *seconds > 0.0);
-    let epoch = RemoteTimestamp(decoding.epoch.0);
+    let epoch = RemoteTimestamp(decoding.position_epoch.0);
     Ok(ReplicaStatus {
         position: seconds.map(|s| epoch + TimeSpan::millis(milliseconds(s))),
         is_primary: value(decoding.role_field).map(|role| role == 1.0),
@@ -132,8 +132,8 @@
 /// The status noted with an answer: a position in milliseconds, and a role in the lowest two bits.
 fn noted_status(note: u32, decoding: &Decoding) -> ReplicaStatus {
     let milliseconds = u64::from(note / 4);
-    let has_position = milliseconds > 0 && decoding.positions;
-    let epoch = RemoteTimestamp(decoding.epoch.0);
+    let has_position = milliseconds > 0 && decoding.answers_carry_positions;
+    let epoch = RemoteTimestamp(decoding.position_epoch.0);
     ReplicaStatus {
         position: has_position.then(|| epoch + TimeSpan::millis(milliseconds)),
         is_primary: match note % 4 {
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -6,7 +6,7 @@
 use asterlatch::interface::*;
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_settings::{Decoding, Pairs};
+use asterlatch_settings::{Decoding, SettingsMap};
 use std::collections::BTreeMap;
 
 /// Codes of the simulator's records.
@@ -132,7 +132,7 @@
         let seed = fields.u64()?;
         let length = fields.u32()? as usize;
         let text = std::str::from_utf8(fields.take(length)?)?;
-        let (settings, decoding) = asterlatch_settings::read(&Pairs::from_text(text)?)?;
+        let (settings, decoding) = asterlatch_settings::read(&SettingsMap::from_text(text)?)?;
         let mut policy = RoutingPolicy::new(&settings, seed, now);
         policy.set_shared_clock();
         let instance = Instance {
--- a/crates/simhost/tests/frames.rs
+++ b/crates/simhost/tests/frames.rs
@@ -59,7 +59,7 @@
         (frame(&[to, (3, &[0; 4])], None), "not running"),
         (frame(&[(5, &[0, 255, 255, 255, 255])], None), "left in the"),
         (frame(&[to, (6, &wrong)], None), "settings text"),
-        (frame(&[to, (6, &odd)], None), "unreadable value"),
+        (frame(&[to, (6, &odd)], None), "invalid value"),
     ];
     for (input, message) in cases {
         let (ok, _, stderr) = run(&input);
