--- a/crates/driver/tests/stand/mod.rs
+++ b/crates/driver/tests/stand/mod.rs
@@ -253,7 +253,7 @@
 /// These system calls fail, the first of each so many times.
 pub(crate) fn failing_first(calls: &str, most: u32) -> FaultPlan {
     FaultPlan {
-        most: Some(most),
+        max_failures: Some(most),
         ..failing(calls, 1)
     }
 }
--- a/crates/fault-injection/src/call.rs
+++ b/crates/fault-injection/src/call.rs
@@ -2,11 +2,11 @@
 
 use std::fmt;
 
-/// An error number of Linux by its name.
+/// A Linux error number with its symbolic name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorNumber {
     name: &'static str,
-    /// Its value in `errno`.
+    /// The value in `errno`.
     pub number: i32,
 }
 
@@ -19,12 +19,12 @@
 }
 
 error_numbers! {
-    EACCES EADDRINUSE EADDRNOTAVAIL EAGAIN ECONNABORTED ECONNREFUSED ECONNRESET EHOSTUNREACH EINTR EIO EMFILE ENETDOWN
-    ENETUNREACH ENFILE ENOBUFS ENOMEM ENOSPC EPERM EPIPE EPROTO ETIMEDOUT
+    EACCES EADDRINUSE EADDRNOTAVAIL EAGAIN ECONNABORTED ECONNREFUSED ECONNRESET EHOSTUNREACH EINTR EIO EMFILE
+    ENETDOWN ENETUNREACH ENFILE ENOBUFS ENOMEM ENOSPC EPERM EPIPE EPROTO ETIMEDOUT
 }
 
 impl ErrorNumber {
-    /// The error number of this name, such as `EMFILE`.
+    /// Looks up a symbolic name such as `EMFILE`.
     pub fn find(name: &str) -> Option<ErrorNumber> {
         ERROR_NUMBERS.iter().copied().find(|error| error.name == name)
     }
@@ -45,17 +45,17 @@
         }
 
         impl Call {
-            /// All calls.
+            /// All calls, in order of declaration.
             pub const ALL: &'static [Call] = &[$(Call::$call),*];
 
-            /// Its name in a plan.
+            /// The name used in fault plans.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Call::$call => $name,)*
                 }
             }
 
-            /// The errors that it fails with by turns where a plan names none.
+            /// The errors returned in turn if the plan names none.
             pub fn default_errors(self) -> &'static [ErrorNumber] {
                 match self {
                     $(Call::$call => &[$($error),*],)*
@@ -74,7 +74,7 @@
     Bind "bind" [EADDRINUSE ENOMEM],
     /// `listen`.
     Listen "listen" [EADDRINUSE],
-    /// `connect`; with `EINTR` the connection is established all the same, as Linux does it.
+    /// `connect`; with `EINTR` the connection is established nevertheless, as on Linux.
     Connect "connect" [EADDRNOTAVAIL ENETUNREACH ETIMEDOUT EHOSTUNREACH ENOBUFS EINTR EAGAIN],
     /// `epoll_wait`.
     EpollWait "epoll_wait" [EINTR],
@@ -90,16 +90,16 @@
     Send "send" [EINTR],
     /// `recv`.
     Receive "recv" [EINTR],
-    /// `send` and `write` that take half of the bytes; no error.
+    /// `send` and `write` that transfer half of the bytes; no error.
     ShortSend "short_send" [],
-    /// `recv` that gives seven bytes at most; no error.
+    /// `recv` that returns at most seven bytes; no error.
     ShortReceive "short_recv" [],
     /// `pthread_create`.
     SpawnThread "thread" [EAGAIN],
 }
 
 impl Call {
-    /// The call of this name.
+    /// Looks up a name used in fault plans.
     pub fn find(name: &str) -> Option<Call> {
         Call::ALL.iter().copied().find(|call| call.name() == name)
     }
--- a/crates/fault-injection/src/counter.rs
+++ b/crates/fault-injection/src/counter.rs
@@ -1,17 +1,17 @@
-//! Counts the calls of a process and says which of them fail.
+//! Counts the calls of a process and decides which of them fail.
 
 use crate::{Call, ErrorNumber, FaultPlan};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// The calls of one process so far. Threads share it without locks, for signal handlers make calls too.
+/// Counts of the calls of one process. Lock-free, because signal handlers make calls, too.
 pub struct FaultCounter {
     plan: FaultPlan,
-    /// By the place in [`Call::ALL`].
+    /// Indexed as [`Call::ALL`].
     counts: [AtomicU32; Call::ALL.len()],
 }
 
 impl FaultCounter {
-    /// No call was made yet.
+    /// A counter for a process that has made no call yet.
     pub fn new(plan: FaultPlan) -> FaultCounter {
         FaultCounter {
             plan,
@@ -19,26 +19,26 @@
         }
     }
 
-    /// The plan that is followed.
+    /// The plan given to [`FaultCounter::new`].
     pub fn plan(&self) -> &FaultPlan {
         &self.plan
     }
 
-    /// The number of this call's failure, from zero, if it is one of those that fail.
+    /// Counts a call; returns the zero-based index of its failure if it fails.
     fn failure_index(&self, call: Call) -> Option<u32> {
         let count = 1 + self.counts[call as usize].fetch_add(1, Ordering::Relaxed);
         let index = (count / self.plan.every).checked_sub(1)?;
         let is_due = count.is_multiple_of(self.plan.every);
-        let is_allowed = self.plan.most.is_none_or(|most| index < most);
+        let is_allowed = self.plan.max_failures.is_none_or(|max| index < max);
         (is_due && is_allowed).then_some(index)
     }
 
-    /// Whether a call that moves bytes is cut short.
+    /// Counts a transfer of bytes; returns whether it is partial.
     pub fn is_short(&self, call: Call) -> bool {
         self.plan.fault(call).is_some() && self.failure_index(call).is_some()
     }
 
-    /// The error that a call fails with, if it is one of those that fail.
+    /// Counts a call; returns its error if it fails.
     pub fn error(&self, call: Call) -> Option<ErrorNumber> {
         let errors = self.plan.fault(call)?.errors();
         let index = self.failure_index(call)?;
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which system calls of a program under test fail, and how far its wall clock is off.
+//! Fault plans: the system calls of a program under test that fail, and the shift of its wall clock.
 //!
-//! A [`FaultPlan`] is written into the environment of that program ([`FaultPlan::environment`]), where the shared object of
-//! `crates/fault-preload`, loaded by `LD_PRELOAD`, reads it ([`FaultPlan::read`]) and asks a [`FaultCounter`] for each call.
-//! Nothing here makes a system call.
+//! A test passes a [`FaultPlan`] in the program's environment ([`FaultPlan::environment`]). The shared object of
+//! `crates/fault-preload`, loaded by `LD_PRELOAD`, reads it ([`FaultPlan::read`]) and consults a [`FaultCounter`]
+//! on each call. This crate makes no system calls itself.
 
 mod call;
 mod counter;
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -1,43 +1,43 @@
-//! The plan of a run, as arguments give it and as the environment carries it.
+//! The fault plan of a process: parsing, and encoding in environment variables.
 
 use crate::{Call, ErrorNumber};
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Calls that fail, separated by commas.
+/// Comma-separated calls that fail.
 const CALLS_VARIABLE: &str = "ASTERLATCH_FAULT_CALLS";
-/// Every so many-th call fails.
+/// Interval between failures, in calls.
 const EVERY_VARIABLE: &str = "ASTERLATCH_FAULT_EVERY";
-/// So many calls of a kind fail at most.
-const MOST_VARIABLE: &str = "ASTERLATCH_FAULT_MOST";
-/// Seconds that the wall clock is off, and milliseconds from when and until when.
+/// Maximum number of failures of each call.
+const MAX_FAILURES_VARIABLE: &str = "ASTERLATCH_FAULT_MOST";
+/// Offset of the wall clock in seconds, and its start and end in milliseconds.
 const CLOCK_VARIABLE: &str = "ASTERLATCH_FAULT_CLOCK";
 
-/// Why a plan can't be read.
+/// An error in a fault plan.
 #[derive(Debug, Error, PartialEq)]
 pub enum PlanError {
-    /// No call has this name.
-    #[error("no system call '{0}' can be made to fail")]
+    /// No such call in [`Call`].
+    #[error("unknown system call '{0}'")]
     UnknownCall(String),
-    /// No error number has this name.
-    #[error("no error '{0}' is known")]
+    /// No such name among the supported error numbers.
+    #[error("unknown error number '{0}'")]
     UnknownError(String),
-    /// This is no number, or out of its bounds.
-    #[error("'{0}' is no number here")]
+    /// The text isn't a number, or the number is out of range.
+    #[error("invalid number '{0}'")]
     InvalidNumber(String),
 }
 
-/// A call that fails, and with which errors by turns.
+/// A call that fails, and its errors.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallFault {
-    /// Which call.
+    /// The system call.
     pub call: Call,
-    /// With this error alone; `None` for all that Linux documents, by turns.
+    /// The only error; `None` for [`Call::default_errors`] in turn.
     pub error: Option<ErrorNumber>,
 }
 
 impl CallFault {
-    /// Its errors, by turns.
+    /// Its errors, returned in turn.
     pub(crate) fn errors(&self) -> &[ErrorNumber] {
         match &self.error {
             Some(error) => std::slice::from_ref(error),
@@ -46,7 +46,7 @@
     }
 }
 
-/// `accept`, or `accept=EMFILE`.
+/// Parses `accept` or `accept=EMFILE`.
 impl FromStr for CallFault {
     type Err = PlanError;
 
@@ -64,22 +64,22 @@
     }
 }
 
-/// The wall clock is wrong for a while.
+/// A temporary or permanent offset of the wall clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockShift {
-    /// Seconds that it is ahead; negative if it is behind.
+    /// Offset in seconds; negative if the clock is behind.
     pub offset_s: i64,
-    /// From this many milliseconds after the start of the process.
+    /// Start of the shift, in milliseconds since the process start.
     pub after_ms: u64,
-    /// Until then; `None` for good.
+    /// End of the shift, in milliseconds since the process start; `None` if permanent.
     pub until_ms: Option<u64>,
 }
 
 impl ClockShift {
-    /// The offset in seconds at this many milliseconds after the start of the process.
-    pub fn offset_at(&self, ms: u64) -> i64 {
-        let is_over = self.until_ms.is_some_and(|until| ms >= until);
-        if ms < self.after_ms || is_over {
+    /// The offset in seconds at `elapsed_ms` since the process start.
+    pub fn offset_at(&self, elapsed_ms: u64) -> i64 {
+        let is_over = self.until_ms.is_some_and(|until_ms| elapsed_ms >= until_ms);
+        if elapsed_ms < self.after_ms || is_over {
             0
         } else {
             self.offset_s
@@ -90,13 +90,13 @@
 /// Which calls of a process fail, and how its wall clock is shifted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultPlan {
-    /// Calls that fail.
+    /// Calls that fail; all others succeed.
     pub calls: Vec<CallFault>,
-    /// Each of them fails every so many-th time; at least 1.
+    /// Each of them fails every `every`-th time; at least 1.
     pub every: u32,
-    /// So many failures of each call at most.
-    pub most: Option<u32>,
-    /// Shift of the wall clock.
+    /// Maximum number of failures of each call; `None` if unlimited.
+    pub max_failures: Option<u32>,
+    /// Shift of the wall clock; none by default.
     pub clock: ClockShift,
 }
 
@@ -106,22 +106,22 @@
         FaultPlan {
             calls: Vec::new(),
             every: 1,
-            most: None,
+            max_failures: None,
             clock: ClockShift::default(),
         }
     }
 }
 
-fn number<T: FromStr>(text: &str) -> Result<T, PlanError> {
+fn parse_number<T: FromStr>(text: &str) -> Result<T, PlanError> {
     text.parse()
         .map_err(|_| PlanError::InvalidNumber(text.to_owned()))
 }
 
 impl FaultPlan {
-    /// Reads a list such as `accept,socket=EMFILE`; `all` stands for each call.
+    /// Parses a list such as `accept,socket=EMFILE`; `all` stands for every call.
     ///
     /// # Errors
-    /// If it names a call or an error that isn't known.
+    /// If a call or an error number is unknown.
     pub fn parse_calls(text: &str) -> Result<Vec<CallFault>, PlanError> {
         if text == "all" {
             let all = Call::ALL.iter();
@@ -138,17 +138,17 @@
             .collect()
     }
 
-    /// Whether nothing fails and the clock is right.
+    /// Whether no call fails and the clock is not shifted.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty() && self.clock.offset_s == 0
     }
 
-    /// What is to befall this call.
+    /// The fault of this call, if it has one.
     pub(crate) fn fault(&self, call: Call) -> Option<&CallFault> {
         self.calls.iter().find(|fault| fault.call == call)
     }
 
-    /// The variables that carry this plan to the program under test.
+    /// The environment variables that pass this plan to the program under test.
     pub fn environment(&self) -> Vec<(&'static str, String)> {
         let names = self.calls.iter().map(|fault| match fault.error {
             Some(error) => format!("{}={error}", fault.call.name()),
@@ -158,12 +158,14 @@
             (CALLS_VARIABLE, names.collect::<Vec<_>>().join(",")),
             (EVERY_VARIABLE, self.every.to_string()),
         ];
-        if let Some(most) = self.most {
-            variables.push((MOST_VARIABLE, most.to_string()));
+        if let Some(max_failures) = self.max_failures {
+            variables.push((MAX_FAILURES_VARIABLE, max_failures.to_string()));
         }
         let clock = self.clock;
         if clock.offset_s != 0 {
-            let until = clock.until_ms.map_or(String::new(), |until| until.to_string());
+            let until = clock
+                .until_ms
+                .map_or(String::new(), |until_ms| until_ms.to_string());
             variables.push((
                 CLOCK_VARIABLE,
                 format!("{},{},{until}", clock.offset_s, clock.after_ms),
@@ -172,34 +174,36 @@
         variables
     }
 
-    /// Reads the plan back from the variables.
+    /// Reads a plan from the variables that [`FaultPlan::environment`] returns, with defaults for absent ones.
     ///
     /// # Errors
-    /// If one of them can't be read.
+    /// If a variable can't be parsed.
     pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<FaultPlan, PlanError> {
         let calls = variable(CALLS_VARIABLE).unwrap_or_default();
-        let every = variable(EVERY_VARIABLE).map_or(Ok(1), |text| number(&text))?;
+        let every = variable(EVERY_VARIABLE).map_or(Ok(1), |text| parse_number(&text))?;
         if every == 0 {
             return Err(PlanError::InvalidNumber("0".to_owned()));
         }
         Ok(FaultPlan {
             calls: FaultPlan::parse_calls(&calls)?,
             every,
-            most: variable(MOST_VARIABLE).map(|text| number(&text)).transpose()?,
-            clock: variable(CLOCK_VARIABLE).map_or(Ok(ClockShift::default()), |text| read_clock(&text))?,
+            max_failures: variable(MAX_FAILURES_VARIABLE)
+                .map(|text| parse_number(&text))
+                .transpose()?,
+            clock: variable(CLOCK_VARIABLE).map_or(Ok(ClockShift::default()), |text| parse_clock(&text))?,
         })
     }
 }
 
-fn read_clock(text: &str) -> Result<ClockShift, PlanError> {
+fn parse_clock(text: &str) -> Result<ClockShift, PlanError> {
     let mut fields = text.split(',');
     let mut next = || fields.next().unwrap_or_default();
     Ok(ClockShift {
-        offset_s: number(next())?,
-        after_ms: number(next())?,
+        offset_s: parse_number(next())?,
+        after_ms: parse_number(next())?,
         until_ms: Some(next())
-            .filter(|until| !until.is_empty())
-            .map(number)
+            .filter(|until_ms| !until_ms.is_empty())
+            .map(parse_number)
             .transpose()?,
     })
 }
--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -99,7 +99,7 @@
         FaultPlan {
             calls: self.fail_calls.clone().unwrap_or_default().0,
             every: self.every,
-            most: self.at_most,
+            max_failures: self.at_most,
             clock: ClockShift {
                 offset_s: self.clock_offset,
                 after_ms: self.clock_after,
