--- a/crates/fault-injection/src/counter.rs
+++ b/crates/fault-injection/src/counter.rs
@@ -24,7 +24,7 @@
         &self.plan
     }
 
-    /// Counts a call; returns the zero-based index of its failure if it fails.
+    /// Counts a planned call; returns the zero-based index of its failure if it fails.
     fn failure_index(&self, call: Call) -> Option<u32> {
         let count = 1 + self.counts[call as usize].fetch_add(1, Ordering::Relaxed);
         let index = (count / self.plan.every).checked_sub(1)?;
@@ -33,12 +33,12 @@
         (is_due && is_allowed).then_some(index)
     }
 
-    /// Counts a transfer of bytes; returns whether it is partial.
+    /// Counts a transfer of bytes if the plan names it; returns whether it is partial.
     pub fn is_short(&self, call: Call) -> bool {
         self.plan.fault(call).is_some() && self.failure_index(call).is_some()
     }
 
-    /// Counts a call; returns its error if it fails.
+    /// Counts a call if the plan names it; returns its error if it fails.
     pub fn error(&self, call: Call) -> Option<ErrorNumber> {
         let errors = self.plan.fault(call)?.errors();
         let index = self.failure_index(call)?;
--- a/crates/simhost/src/decode.rs
+++ b/crates/simhost/src/decode.rs
@@ -1,17 +1,17 @@
-//! Fields of the simulator's records as inputs of the policy.
+//! Decodes the simulator's records into inputs of the policy.
 
 use crate::error::RecordError;
-use crate::wire::Fields;
+use crate::wire::FieldReader;
 use asterlatch::interface::*;
 use asterlatch::time::{RemoteTimestamp, TimeSpan, Timestamp};
 use asterlatch_settings::Decoding;
 
-/// Bits of a statement's record.
+/// Flags of a statement's record.
 const HAS_EXPECTED_WORK: u16 = 1;
 const IS_CLIENT_RETRY: u16 = 2;
 
-/// An entry of an endpoint list.
-pub(crate) fn member_entry(fields: &mut Fields) -> Result<MemberEntry, RecordError> {
+/// Decodes an entry of an endpoint list.
+pub(crate) fn member_entry(fields: &mut FieldReader) -> Result<MemberEntry, RecordError> {
     let id = fields.u32()?;
     let zone = fields.u16()?;
     let listed_as_primary = fields.f32()? == 1.0;
@@ -37,11 +37,11 @@
     })
 }
 
-/// A statement that is received now; `workloads` is the number of workloads. The simulator has one clock for all, so the
-/// position of the session's last write is as old as that write.
+/// Decodes a statement received at `now`. The log position of the session's last write follows from the age of
+/// that write, because all of the simulator shares one clock.
 pub(crate) fn statement(
-    fields: &mut Fields,
-    workloads: usize,
+    fields: &mut FieldReader,
+    workload_count: usize,
     now: Timestamp,
 ) -> Result<Statement, RecordError> {
     let id = fields.u32()?;
@@ -52,14 +52,14 @@
     let expected_work = fields.u32()?;
     let group = fields.f32()?;
     let write_age_ms = fields.f32()?;
-    let bits = fields.u16()?;
-    if usize::from(workload) >= workloads {
+    let flags = fields.u16()?;
+    if usize::from(workload) >= workload_count {
         return Err(RecordError::UnknownWorkload {
             statement: id,
             workload,
         });
     }
-    let has_expected_work = bits & HAS_EXPECTED_WORK != 0;
+    let has_expected_work = flags & HAS_EXPECTED_WORK != 0;
     let write_age = TimeSpan((f64::from(write_age_ms) * 1000.0) as u64);
     Ok(Statement {
         id,
@@ -67,7 +67,7 @@
         tenant: tenant as usize,
         group: group as u32,
         session,
-        is_client_retry: bits & IS_CLIENT_RETRY != 0,
+        is_client_retry: flags & IS_CLIENT_RETRY != 0,
         time_left: TimeSpan(time_left.into()),
         expected_work: has_expected_work.then_some(TimeSpan(expected_work.into())),
         prior_attempt: None,
@@ -75,15 +75,18 @@
     })
 }
 
-/// The end of an execution.
-pub(crate) fn execution_end(fields: &mut Fields, decoding: &Decoding) -> Result<ExecutionEnd, RecordError> {
+/// Decodes the end of an execution.
+pub(crate) fn execution_end(
+    fields: &mut FieldReader,
+    decoding: &Decoding,
+) -> Result<ExecutionEnd, RecordError> {
     let statement = fields.u32()?;
     let attempt = fields.u8()?;
     let member = fields.u32()?;
     let outcome = fields.u16()?;
     let latency = TimeSpan(fields.u32()?.into());
     let is_answered = fields.u8()? != 0;
-    let note = fields.u32()?;
+    let status_bits = fields.u32()?;
     let report = load_report(fields, decoding)?;
     Ok(ExecutionEnd {
         statement,
@@ -92,7 +95,7 @@
         outcome: execution_outcome(outcome)?,
         latency,
         is_answered,
-        status: noted_status(note, decoding).merge(report),
+        status: answer_status(status_bits, decoding).merge(report),
     })
 }
 
@@ -111,15 +114,18 @@
     })
 }
 
-/// The status in a load report, whose position is in seconds.
-pub(crate) fn load_report(fields: &mut Fields, decoding: &Decoding) -> Result<ReplicaStatus, RecordError> {
+/// Decodes the status in a load report, where the position is in seconds.
+pub(crate) fn load_report(
+    fields: &mut FieldReader,
+    decoding: &Decoding,
+) -> Result<ReplicaStatus, RecordError> {
     let count = fields.u8()?;
     let mut values = Vec::new();
     for _ in 0..count {
         values.push(f64::from(fields.f32()?));
     }
     let value = |index: Option<usize>| values.get(index?).copied();
-    // Rounded down to the last whole millisecond: the wire's short floats may have rounded up.
+    // Rounds down to a whole millisecond, because the protocol's 32-bit floats may have rounded up.
     let milliseconds = |seconds: f64| (seconds * 1000.0 - 0.5).max(0.0) as u64;
     let seconds = value(decoding.position_field).filter(|seconds| *seconds > 0.0);
     let epoch = RemoteTimestamp(decoding.position_epoch.0);
@@ -129,14 +135,14 @@
     })
 }
 
-/// The status noted with an answer: a position in milliseconds, and a role in the lowest two bits.
-fn noted_status(note: u32, decoding: &Decoding) -> ReplicaStatus {
-    let milliseconds = u64::from(note / 4);
+/// Decodes the status in an answer: the role in the lowest two bits, the position in milliseconds above.
+fn answer_status(status_bits: u32, decoding: &Decoding) -> ReplicaStatus {
+    let milliseconds = u64::from(status_bits / 4);
     let has_position = milliseconds > 0 && decoding.answers_carry_positions;
     let epoch = RemoteTimestamp(decoding.position_epoch.0);
     ReplicaStatus {
         position: has_position.then(|| epoch + TimeSpan::millis(milliseconds)),
-        is_primary: match note % 4 {
+        is_primary: match status_bits % 4 {
             1 => Some(true),
             2 => Some(false),
             _ => None,
--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -1,25 +1,25 @@
-//! Errors of the adapter; the program prints one line and exits.
+//! Errors of the adapter, which prints the error as one line and exits.
 
 use std::io;
 
-/// What ends the adapter.
+/// An error that ends the process.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HostError {
-    /// Standard input can't be read.
-    #[error("reading input: {0}")]
+    /// Standard input failed.
+    #[error("cannot read input: {0}")]
     ReadInput(#[source] io::Error),
-    /// Standard output can't be written.
-    #[error("writing reply: {0}")]
+    /// Standard output failed.
+    #[error("cannot write reply: {0}")]
     WriteReply(#[source] io::Error),
     /// Input ended within a frame's header.
     #[error("input ended inside a frame header, after {0} bytes")]
     TruncatedHeader(usize),
-    /// A frame states a length that its header exceeds.
+    /// A frame declares a length below that of its header.
     #[error("frame {frame} declares {length} bytes, less than its header")]
     LengthBelowHeader {
         /// Number of the frame.
         frame: u32,
-        /// Its stated length.
+        /// The declared length.
         length: u32,
     },
     /// Input ended within a frame.
@@ -27,47 +27,47 @@
     TruncatedFrame {
         /// Number of the frame.
         frame: u32,
-        /// Its stated length.
+        /// The declared length.
         length: u32,
-        /// Bytes that came.
+        /// Bytes received, with the header.
         received: usize,
     },
-    /// A frame is longer than its records.
-    #[error("frame {frame} goes on after its {records} records")]
+    /// Bytes follow the last record of a frame.
+    #[error("frame {frame} has trailing bytes after its {record_count} records")]
     TrailingBytes {
         /// Number of the frame.
         frame: u32,
-        /// Number of its records.
-        records: u32,
+        /// Declared number of records.
+        record_count: u32,
     },
-    /// A record of a frame can't be taken.
+    /// A record is invalid.
     #[error("frame {frame}, record {record}: {source}")]
     Record {
         /// Number of the frame.
         frame: u32,
         /// Index of the record.
         record: u32,
-        /// Why.
+        /// The cause.
         source: RecordError,
     },
 }
 
-/// What is wrong with a record.
+/// An error in a record.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RecordError {
-    /// A field goes beyond the record.
-    #[error("{wanted} bytes wanted, {left} left in the record")]
+    /// A field extends past the end of the record.
+    #[error("field needs {needed} bytes, {remaining} left in the record")]
     FieldBeyondEnd {
-        /// Bytes of the field.
-        wanted: usize,
-        /// Bytes that are left.
-        left: usize,
+        /// Bytes that the field needs.
+        needed: usize,
+        /// Bytes left in the record.
+        remaining: usize,
     },
-    /// The record's code is unknown.
+    /// No event has this code.
     #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// An event came before the record that names its driver.
-    #[error("event {0} before any driver was named")]
+    /// An event precedes the record that selects its driver.
+    #[error("event {0} before any driver was selected")]
     NoDriver(u8),
     /// The event's driver isn't running.
     #[error("event {event} for driver {driver}, which is not running")]
@@ -77,35 +77,35 @@
         /// Number of the driver.
         driver: u16,
     },
-    /// A member's state is unknown.
-    #[error("unknown standing {code} of member {member}")]
+    /// No member state has this code.
+    #[error("unknown state {code} of member {member}")]
     UnknownState {
         /// Code of the state.
         code: u8,
         /// Id of the member.
         member: u32,
     },
-    /// An execution's outcome is unknown.
+    /// No execution outcome has this code.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u16),
-    /// The way in which a list is to be taken is unknown.
-    #[error("unknown list mode {0}")]
+    /// No update mode of endpoint lists has this code.
+    #[error("unknown endpoint list mode {0}")]
     UnknownListMode(u8),
-    /// A list was never defined.
-    #[error("list {0} was never defined")]
+    /// An update refers to a list that was not defined.
+    #[error("endpoint list {0} is not defined")]
     UndefinedList(u8),
-    /// A statement's workload is unknown.
-    #[error("statement {statement} is of the unknown class {workload}")]
+    /// A statement's workload index is out of range.
+    #[error("statement {statement} has the unknown workload {workload}")]
     UnknownWorkload {
         /// Id of the statement.
         statement: u32,
         /// Index of the workload.
         workload: u8,
     },
-    /// The settings are no text.
-    #[error("settings text: {0}")]
+    /// The settings aren't UTF-8.
+    #[error("invalid settings text: {0}")]
     SettingsText(#[from] std::str::Utf8Error),
-    /// The settings can't be read.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] asterlatch_settings::SettingsError),
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,15 +1,15 @@
-//! Hosts drivers by number: passes records to their policies, and their actions back.
+//! Hosts the simulator's drivers: passes events to their policies and returns the actions.
 
 use crate::decode;
 use crate::error::{HostError, RecordError};
-use crate::wire::{Batch, Fields, Reply};
+use crate::wire::{FieldReader, Frame, Reply};
 use asterlatch::interface::*;
 use asterlatch::policy::RoutingPolicy;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_settings::{Decoding, SettingsMap};
 use std::collections::BTreeMap;
 
-/// Codes of the simulator's records.
+/// Codes of records from the simulator.
 mod event {
     pub(super) const STREAM: u8 = 0;
     pub(super) const STOP: u8 = 1;
@@ -25,7 +25,7 @@
     pub(super) const DRIVER: u8 = 11;
 }
 
-/// Codes of the records of a reply.
+/// Codes of records in replies.
 mod action {
     pub(super) const EXECUTE: u8 = 0;
     pub(super) const REJECT: u8 = 1;
@@ -37,87 +37,87 @@
     pub(super) const DRIVER: u8 = 12;
 }
 
-/// Ways in which a list is to be taken.
+/// Update modes of endpoint lists.
 mod list_mode {
     pub(super) const CHANGES: u8 = 0;
     pub(super) const FAILED: u8 = 3;
 }
 
-/// Health checks that were answered.
+/// Result code of a health check that the member answered.
 const HEALTH_CHECK_ANSWERED: u16 = 1;
 
 struct Instance {
     policy: RoutingPolicy,
-    workloads: usize,
+    workload_count: usize,
     decoding: Decoding,
-    /// The earliest timer that is still to fire.
+    /// The earliest pending timer.
     timer: Option<Timestamp>,
 }
 
-/// All drivers of the simulator.
+/// The simulator's drivers, by number.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u16, Instance>,
-    /// Lists that several drivers may be given, by number.
+    /// Endpoint lists shared by drivers, by number.
     lists: BTreeMap<u8, Vec<MemberEntry>>,
-    /// The driver that the next records are for.
-    current: Option<u16>,
-    /// The driver that the reply named last.
-    replying_as: Option<u16>,
+    /// The driver that receives the next events.
+    current_driver: Option<u16>,
+    /// The driver that the reply selected last.
+    reply_driver: Option<u16>,
 }
 
 impl Host {
-    /// Takes a frame; returns the reply's frame.
-    pub(crate) fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, HostError> {
-        let now = Timestamp(batch.clock);
+    /// Processes the records of a frame in order; returns the encoded reply.
+    pub(crate) fn process_frame(&mut self, frame: &Frame) -> Result<Vec<u8>, HostError> {
+        let now = Timestamp(frame.clock_us);
         let mut reply = Reply::default();
-        let mut body = Fields::new(&batch.body);
-        self.current = None;
-        self.replying_as = None;
-        for record in 0..batch.records {
-            let taken = self.take_record(&mut body, now, &mut reply);
-            taken.map_err(|source| HostError::Record {
-                frame: batch.number,
+        let mut body = FieldReader::new(&frame.body);
+        self.current_driver = None;
+        self.reply_driver = None;
+        for record in 0..frame.record_count {
+            let result = self.process_record(&mut body, now, &mut reply);
+            result.map_err(|source| HostError::Record {
+                frame: frame.number,
                 record,
                 source,
             })?;
         }
         if !body.is_empty() {
             return Err(HostError::TrailingBytes {
-                frame: batch.number,
-                records: batch.records,
+                frame: frame.number,
+                record_count: frame.record_count,
             });
         }
-        Ok(reply.frame(batch.number))
+        Ok(reply.encode(frame.number))
     }
 
-    fn take_record(
+    fn process_record(
         &mut self,
-        body: &mut Fields,
+        body: &mut FieldReader,
         now: Timestamp,
         reply: &mut Reply,
     ) -> Result<(), RecordError> {
-        let mut record = body.record()?;
+        let mut record = body.next_record()?;
         match record.code {
             event::DRIVER => {
-                self.current = Some(record.fields.u16()?);
+                self.current_driver = Some(record.fields.u16()?);
                 return Ok(());
             }
             event::DEFINE_LIST => return self.define_list(&mut record.fields),
             _ => {}
         }
-        let driver = self.current.ok_or(RecordError::NoDriver(record.code))?;
+        let driver = self.current_driver.ok_or(RecordError::NoDriver(record.code))?;
         match record.code {
             event::STOP => {
                 self.instances.remove(&driver);
                 Ok(())
             }
             event::START => self.start(driver, &mut record.fields, now),
-            code => self.take_event(driver, code, &mut record.fields, now, reply),
+            code => self.process_event(driver, code, &mut record.fields, now, reply),
         }
     }
 
-    fn define_list(&mut self, fields: &mut Fields) -> Result<(), RecordError> {
+    fn define_list(&mut self, fields: &mut FieldReader) -> Result<(), RecordError> {
         let number = fields.u8()?;
         let count = fields.u32()?;
         let mut entries = Vec::new();
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    fn start(&mut self, driver: u16, fields: &mut Fields, now: Timestamp) -> Result<(), RecordError> {
+    fn start(&mut self, driver: u16, fields: &mut FieldReader, now: Timestamp) -> Result<(), RecordError> {
         let seed = fields.u64()?;
         let length = fields.u32()? as usize;
         let text = std::str::from_utf8(fields.take(length)?)?;
@@ -137,7 +137,7 @@
         policy.set_shared_clock();
         let instance = Instance {
             policy,
-            workloads: settings.workloads.len(),
+            workload_count: settings.workloads.len(),
             decoding,
             timer: None,
         };
@@ -145,19 +145,19 @@
         Ok(())
     }
 
-    /// Passes an event to a driver's policy and appends its actions to the reply.
-    fn take_event(
+    /// Passes an event to a driver's policy and appends the resulting actions to the reply.
+    fn process_event(
         &mut self,
         driver: u16,
         code: u8,
-        fields: &mut Fields,
+        fields: &mut FieldReader,
         now: Timestamp,
         reply: &mut Reply,
     ) -> Result<(), RecordError> {
         let instance = self.instances.get_mut(&driver);
         let instance = instance.ok_or(RecordError::NotRunning { event: code, driver })?;
         let actions = match code {
-            // Streams and messages between drivers: no deployment here has them.
+            // Ignored: simulated deployments have no streams and no messages between drivers.
             event::STREAM | event::PEER_MESSAGE => return Ok(()),
             event::EXECUTION_ENDED => {
                 let end = decode::execution_end(fields, &instance.decoding)?;
@@ -166,7 +166,7 @@
             event::STATEMENT_WITHDRAWN => instance.policy.on_statement_withdrawn(now, fields.u32()?),
             event::ENDPOINT_LIST => instance.on_endpoint_list(&self.lists, fields, now)?,
             event::STATEMENT => {
-                let statement = decode::statement(fields, instance.workloads, now)?;
+                let statement = decode::statement(fields, instance.workload_count, now)?;
                 instance.policy.on_statement(now, &statement)
             }
             event::TIMER => {
@@ -181,7 +181,7 @@
         let new_timer = instance.set_timer(actions.wake_up_at);
         let mut encoder = ActionEncoder {
             driver,
-            replying_as: &mut self.replying_as,
+            reply_driver: &mut self.reply_driver,
             reply,
         };
         encoder.encode(&actions, new_timer, now);
@@ -193,7 +193,7 @@
     fn on_endpoint_list(
         &mut self,
         lists: &BTreeMap<u8, Vec<MemberEntry>>,
-        fields: &mut Fields,
+        fields: &mut FieldReader,
         now: Timestamp,
     ) -> Result<Actions, RecordError> {
         let mode = fields.u8()?;
@@ -210,7 +210,7 @@
         Ok(self.policy.on_endpoint_list(now, entries, is_complete))
     }
 
-    fn on_health_check(&mut self, fields: &mut Fields, now: Timestamp) -> Result<Actions, RecordError> {
+    fn on_health_check(&mut self, fields: &mut FieldReader, now: Timestamp) -> Result<Actions, RecordError> {
         let member = fields.u32()?;
         let is_answered = fields.u16()? == HEALTH_CHECK_ANSWERED;
         let latency = TimeSpan(fields.u32()?.into());
@@ -221,7 +221,7 @@
         Ok(actions)
     }
 
-    /// The timer to be set, if it is earlier than the one that is still to fire.
+    /// Returns the wake-up time if it is earlier than the pending timer, which it then replaces.
     fn set_timer(&mut self, wake_up_at: Option<Timestamp>) -> Option<Timestamp> {
         let at = wake_up_at.filter(|at| self.timer.is_none_or(|timer| *at < timer))?;
         self.timer = Some(at);
@@ -231,42 +231,43 @@
 
 struct ActionEncoder<'a> {
     driver: u16,
-    replying_as: &'a mut Option<u16>,
+    reply_driver: &'a mut Option<u16>,
     reply: &'a mut Reply,
 }
 
 impl ActionEncoder<'_> {
-    fn put(&mut self, code: u8, fields: &[&[u8]]) {
-        if *self.replying_as != Some(self.driver) {
-            self.reply.record(action::DRIVER, &[&self.driver.to_le_bytes()]);
-            *self.replying_as = Some(self.driver);
+    fn push(&mut self, code: u8, fields: &[&[u8]]) {
+        if *self.reply_driver != Some(self.driver) {
+            self.reply
+                .push_record(action::DRIVER, &[&self.driver.to_le_bytes()]);
+            *self.reply_driver = Some(self.driver);
         }
-        self.reply.record(code, fields);
+        self.reply.push_record(code, fields);
     }
 
     fn encode(&mut self, actions: &Actions, new_timer: Option<Timestamp>, now: Timestamp) {
         for cancellation in &actions.cancellations {
             let statement = cancellation.statement.to_le_bytes();
-            self.put(action::CANCEL, &[&statement, &[cancellation.attempt]]);
+            self.push(action::CANCEL, &[&statement, &[cancellation.attempt]]);
         }
         for execution in &actions.executions {
             let statement = execution.statement.to_le_bytes();
             let member = execution.member.to_le_bytes();
             let deadline = execution.deadline.0.to_le_bytes();
-            self.put(action::EXECUTE, &[&statement, &member, &deadline]);
+            self.push(action::EXECUTE, &[&statement, &member, &deadline]);
         }
         for answer in &actions.answers {
             self.encode_answer(answer);
         }
         for member in &actions.health_checks {
-            self.put(action::CHECK_HEALTH, &[&member.to_le_bytes()]);
+            self.push(action::CHECK_HEALTH, &[&member.to_le_bytes()]);
         }
         if actions.poll_endpoint_list {
-            self.put(action::POLL_ENDPOINT_LIST, &[&[1]]);
+            self.push(action::POLL_ENDPOINT_LIST, &[&[1]]);
         }
         if let Some(at) = new_timer {
             let offset = (at - now).0.min(u64::from(u32::MAX)) as u32;
-            self.put(action::SET_TIMER, &[&at.0.to_le_bytes(), &offset.to_le_bytes()]);
+            self.push(action::SET_TIMER, &[&at.0.to_le_bytes(), &offset.to_le_bytes()]);
         }
     }
 
@@ -277,9 +278,9 @@
                 retry_after,
             } => {
                 let retry_after = (retry_after.0 as u32).to_le_bytes();
-                self.put(action::REJECT, &[&statement.to_le_bytes(), &retry_after]);
+                self.push(action::REJECT, &[&statement.to_le_bytes(), &retry_after]);
             }
-            Answer::Aborted { statement } => self.put(action::ABORT, &[&statement.to_le_bytes()]),
+            Answer::Aborted { statement } => self.push(action::ABORT, &[&statement.to_le_bytes()]),
         }
     }
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! `asterlatch-simhost`: speaks the simulator's wire on standard input and output and hosts one driver per instance.
+//! `asterlatch-simhost`: hosts the simulator's drivers, speaking its protocol on standard input and output.
 
 mod decode;
 mod error;
@@ -9,16 +9,16 @@
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
-const INPUT_BUFFER: usize = 1 << 16;
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
 fn serve() -> Result<(), HostError> {
-    let mut input = BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut host = host::Host::default();
-    while let Some(batch) = wire::read_batch(&mut input)? {
-        let frame = host.answer(&batch)?;
-        let written = output.write_all(&frame).and_then(|()| output.flush());
-        written.map_err(HostError::WriteReply)?;
+    while let Some(frame) = wire::read_frame(&mut input)? {
+        let reply = host.process_frame(&frame)?;
+        let result = output.write_all(&reply).and_then(|()| output.flush());
+        result.map_err(HostError::WriteReply)?;
     }
     Ok(())
 }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,41 +1,41 @@
-//! Frames and records of the simulator's wire: little-endian integers, records of a code, a length and fields.
+//! Framing of the simulator's protocol. Numbers are little-endian; a record is a code, a length and fields.
 
 use crate::error::{HostError, RecordError};
 use std::io::Read;
 
-/// Bytes of a frame's header from the simulator.
-const REQUEST_HEADER: usize = 20;
-/// Bytes of a reply's header.
-const REPLY_HEADER: usize = 12;
+/// Header of a frame from the simulator: number, length, record count, clock.
+const REQUEST_HEADER_BYTES: usize = 20;
+/// Header of a reply: number, length, record count.
+const REPLY_HEADER_BYTES: usize = 12;
 
-/// Reads fields one after another.
-pub(crate) struct Fields<'a> {
-    left: &'a [u8],
+/// Decodes the fields of a record in order.
+pub(crate) struct FieldReader<'a> {
+    remaining: &'a [u8],
 }
 
-/// A record of a frame.
+/// A record of a frame, with its undecoded fields.
 pub(crate) struct WireRecord<'a> {
     pub(crate) code: u8,
-    pub(crate) fields: Fields<'a>,
+    pub(crate) fields: FieldReader<'a>,
 }
 
-impl<'a> Fields<'a> {
+impl<'a> FieldReader<'a> {
     pub(crate) fn new(bytes: &'a [u8]) -> Self {
-        Fields { left: bytes }
+        FieldReader { remaining: bytes }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.left.is_empty()
+        self.remaining.is_empty()
     }
 
     pub(crate) fn take(&mut self, count: usize) -> Result<&'a [u8], RecordError> {
-        let Some((head, rest)) = self.left.split_at_checked(count) else {
+        let Some((head, rest)) = self.remaining.split_at_checked(count) else {
             return Err(RecordError::FieldBeyondEnd {
-                wanted: count,
-                left: self.left.len(),
+                needed: count,
+                remaining: self.remaining.len(),
             });
         };
-        self.left = rest;
+        self.remaining = rest;
         Ok(head)
     }
 
@@ -65,58 +65,57 @@
         self.array().map(f32::from_le_bytes)
     }
 
-    /// The next record, with its fields.
-    pub(crate) fn record(&mut self) -> Result<WireRecord<'a>, RecordError> {
+    /// Reads the next record.
+    pub(crate) fn next_record(&mut self) -> Result<WireRecord<'a>, RecordError> {
         let code = self.u8()?;
         let length = self.u32()? as usize;
-        let fields = Fields::new(self.take(length)?);
+        let fields = FieldReader::new(self.take(length)?);
         Ok(WireRecord { code, fields })
     }
 }
 
 /// A frame from the simulator.
-pub(crate) struct Batch {
-    /// Number of the frame.
+pub(crate) struct Frame {
+    /// Number of the frame, repeated in the reply.
     pub(crate) number: u32,
-    /// Number of its records.
-    pub(crate) records: u32,
+    pub(crate) record_count: u32,
     /// The simulator's clock in microseconds.
-    pub(crate) clock: u64,
-    /// The records.
+    pub(crate) clock_us: u64,
+    /// The encoded records.
     pub(crate) body: Vec<u8>,
 }
 
-/// Reads the next frame; `None` where input ends between two frames.
-pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, HostError> {
-    let header = read_up_to(input, REQUEST_HEADER)?;
+/// Reads the next frame; `None` if input ends between two frames.
+pub(crate) fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, HostError> {
+    let header = read_up_to(input, REQUEST_HEADER_BYTES)?;
     if header.is_empty() {
         return Ok(None);
     }
     let truncated = |_| HostError::TruncatedHeader(header.len());
-    let mut fields = Fields::new(&header);
+    let mut fields = FieldReader::new(&header);
     let frame = fields.u32().map_err(truncated)?;
     let length = fields.u32().map_err(truncated)?;
-    let records = fields.u32().map_err(truncated)?;
-    let clock = fields.u64().map_err(truncated)?;
-    let body_length = (length as usize).checked_sub(REQUEST_HEADER);
+    let record_count = fields.u32().map_err(truncated)?;
+    let clock_us = fields.u64().map_err(truncated)?;
+    let body_length = (length as usize).checked_sub(REQUEST_HEADER_BYTES);
     let body_length = body_length.ok_or(HostError::LengthBelowHeader { frame, length })?;
     let body = read_up_to(input, body_length)?;
     if body.len() < body_length {
         return Err(HostError::TruncatedFrame {
             frame,
             length,
-            received: body.len() + REQUEST_HEADER,
+            received: body.len() + REQUEST_HEADER_BYTES,
         });
     }
-    Ok(Some(Batch {
+    Ok(Some(Frame {
         number: frame,
-        records,
-        clock,
+        record_count,
+        clock_us,
         body,
     }))
 }
 
-/// At most `count` bytes. Memory grows with what really arrives, so a false length costs none.
+/// Reads up to `count` bytes. Memory grows with the bytes received, so a false length allocates nothing.
 fn read_up_to(input: &mut impl Read, count: usize) -> Result<Vec<u8>, HostError> {
     let mut bytes = Vec::new();
     let mut limited = input.by_ref().take(count as u64);
@@ -128,28 +127,27 @@
 #[derive(Default)]
 pub(crate) struct Reply {
     body: Vec<u8>,
-    records: u32,
+    record_count: u32,
 }
 
 impl Reply {
-    /// Appends a record.
-    pub(crate) fn record(&mut self, code: u8, fields: &[&[u8]]) {
+    pub(crate) fn push_record(&mut self, code: u8, fields: &[&[u8]]) {
         let length: usize = fields.iter().map(|field| field.len()).sum();
         self.body.push(code);
         self.body.extend_from_slice(&(length as u32).to_le_bytes());
         for field in fields {
             self.body.extend_from_slice(field);
         }
-        self.records += 1;
+        self.record_count += 1;
     }
 
-    /// The frame with all records.
-    pub(crate) fn frame(&self, number: u32) -> Vec<u8> {
-        let length = REPLY_HEADER + self.body.len();
+    /// Encodes the reply to the frame of this number.
+    pub(crate) fn encode(&self, number: u32) -> Vec<u8> {
+        let length = REPLY_HEADER_BYTES + self.body.len();
         let mut frame = Vec::with_capacity(length);
         frame.extend_from_slice(&number.to_le_bytes());
         frame.extend_from_slice(&(length as u32).to_le_bytes());
-        frame.extend_from_slice(&self.records.to_le_bytes());
+        frame.extend_from_slice(&self.record_count.to_le_bytes());
         frame.extend_from_slice(&self.body);
         frame
     }
--- a/crates/simhost/tests/frames.rs
+++ b/crates/simhost/tests/frames.rs
@@ -1,22 +1,22 @@
-//! Frames, good and bad, through the real binary.
+//! Valid and invalid frames, sent to the `asterlatch-simhost` binary.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// A frame of these records at clock 7; `declared` replaces its true length.
-fn frame(records: &[(u8, &[u8])], declared: Option<u32>) -> Vec<u8> {
+/// Encodes a frame of these records at clock 7; `declared_length` replaces the actual length.
+fn frame(records: &[(u8, &[u8])], declared_length: Option<u32>) -> Vec<u8> {
     let mut body = Vec::new();
     for (code, fields) in records {
         body.push(*code);
         body.extend((fields.len() as u32).to_le_bytes());
         body.extend(*fields);
     }
-    let mut out = 1u32.to_le_bytes().to_vec();
-    out.extend(declared.unwrap_or(20 + body.len() as u32).to_le_bytes());
-    out.extend((records.len() as u32).to_le_bytes());
-    out.extend(7u64.to_le_bytes());
-    out.extend(body);
-    out
+    let mut bytes = 1u32.to_le_bytes().to_vec();
+    bytes.extend(declared_length.unwrap_or(20 + body.len() as u32).to_le_bytes());
+    bytes.extend((records.len() as u32).to_le_bytes());
+    bytes.extend(7u64.to_le_bytes());
+    bytes.extend(body);
+    bytes
 }
 
 fn run(input: &[u8]) -> (bool, Vec<u8>, String) {
@@ -25,45 +25,57 @@
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped());
-    let mut child = command.spawn().expect("starts");
-    let _ = child.stdin.take().expect("piped").write_all(input);
-    let done = child.wait_with_output().expect("ends");
-    let stderr = String::from_utf8_lossy(&done.stderr).into_owned();
-    (done.status.success(), done.stdout, stderr)
+    let mut child = command.spawn().expect("spawn the adapter");
+    let _ = child.stdin.take().expect("stdin is piped").write_all(input);
+    let output = child.wait_with_output().expect("wait for the adapter");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    (output.status.success(), output.stdout, stderr)
 }
 
-fn start(text: &[u8]) -> Vec<u8> {
+fn start_fields(text: &[u8]) -> Vec<u8> {
     [&5u64.to_le_bytes()[..], &(text.len() as u32).to_le_bytes(), text].concat()
 }
 
 #[test]
-fn empty_batches_unknown_settings_and_the_end_of_input() {
+fn run_empty_frame_unknown_setting_or_end_of_input_succeeds() {
     assert_eq!(run(&[]), (true, vec![], String::new()));
     let reply = [1, 0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0];
     assert_eq!(run(&frame(&[], None)), (true, reply.to_vec(), String::new()));
-    let started = start(b"colour=blue\ntick_us=5000\n");
-    let halted = frame(&[(11, &[3, 0]), (6, &started), (1, &[]), (6, &started)], None);
-    assert!(run(&halted).0);
+    let start_record = start_fields(b"colour=blue\ntick_us=5000\n");
+    let restart = frame(
+        &[(11, &[3, 0]), (6, &start_record), (1, &[]), (6, &start_record)],
+        None,
+    );
+    assert!(run(&restart).0);
 }
 
 #[test]
-fn bad_input_ends_with_one_message() {
-    let to: (u8, &[u8]) = (11, &[3, 0]);
-    let (odd, wrong) = (start(b"tick_us=soon"), start(&[0xff]));
+fn run_invalid_input_fails_with_one_line() {
+    let select_driver: (u8, &[u8]) = (11, &[3, 0]);
+    let (invalid_value, invalid_utf8) = (start_fields(b"tick_us=soon"), start_fields(&[0xff]));
     let cases = [
         (vec![1, 0, 0], "inside a frame header"),
         (frame(&[], Some(3)), "less than its header"),
         (frame(&[], Some(u32::MAX)), "but input ended"),
-        (frame(&[to, (6, &start(b"")), (99, &[])], None), "event code 99"),
+        (
+            frame(&[select_driver, (6, &start_fields(b"")), (99, &[])], None),
+            "event code 99",
+        ),
         (frame(&[(3, &[0; 4])], None), "before any driver"),
-        (frame(&[to, (3, &[0; 4])], None), "not running"),
+        (frame(&[select_driver, (3, &[0; 4])], None), "not running"),
         (frame(&[(5, &[0, 255, 255, 255, 255])], None), "left in the"),
-        (frame(&[to, (6, &wrong)], None), "settings text"),
-        (frame(&[to, (6, &odd)], None), "invalid value"),
+        (frame(&[select_driver, (6, &invalid_utf8)], None), "settings text"),
+        (
+            frame(&[select_driver, (6, &invalid_value)], None),
+            "invalid value",
+        ),
     ];
     for (input, message) in cases {
-        let (ok, _, stderr) = run(&input);
-        let one = stderr.lines().count() == 1;
-        assert!(!ok && one && stderr.contains(message), "{message}: {stderr}");
+        let (is_success, _, stderr) = run(&input);
+        let is_one_line = stderr.lines().count() == 1;
+        assert!(
+            !is_success && is_one_line && stderr.contains(message),
+            "{message}: {stderr}"
+        );
     }
 }
