--- a/crates/fault-preload/src/interposed.rs
+++ b/crates/fault-preload/src/interposed.rs
@@ -1,36 +1,36 @@
-//! Functions of the C library under their own names. All unsafe code of this crate is here.
+//! Replacements of C library functions, exported under the same names. All unsafe code of this crate is here.
 //!
-//! Each has the contract of the C library's function and passes its arguments on to the kernel unchanged, except for a
-//! length that is made smaller: so whatever its caller guarantees for that function holds for the system call too.
+//! Each has the contract of the C library's function and passes its arguments to the kernel unchanged, except that
+//! lengths may be reduced. So the guarantees of its caller hold for the system call, too.
 
-use crate::{clock_offset, error, is_short, start};
+use crate::{clock_offset_s, injected_error, is_short, load_plan};
 use asterlatch_fault_injection::Call;
 use libc::{c_int, c_long, c_uint, c_void, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::sync::OnceLock;
 
-/// Bytes that a short `recv` gives at most.
-const SHORT_RECEIVE: size_t = 7;
-/// A write of at most so many bytes is never cut: that of an eventfd has eight.
-const UNCUT_BYTES: size_t = 8;
+/// Maximum bytes returned by a short `recv`.
+const MAX_SHORT_RECEIVE_BYTES: size_t = 7;
+/// Maximum length that is never shortened: an eventfd accepts only whole 8-byte writes.
+const MAX_UNSHORTENED_BYTES: size_t = 8;
 
-/// Monotonic time of the load, in milliseconds.
+/// Monotonic time at which the shared object was loaded.
 static LOADED_AT_MS: OnceLock<u64> = OnceLock::new();
 
 extern "C" fn on_load() {
     let _ = LOADED_AT_MS.set(monotonic_ms());
-    start();
+    load_plan();
 }
 
-// SAFETY: the loader calls the functions of this section once each, without arguments that `on_load` would need, before
-// `main` and after the C library was initialised.
+// SAFETY: the loader calls each function of this section once, before `main` and after the C library is
+// initialized; `on_load` needs none of the arguments that it passes.
 #[used]
 #[link_section = ".init_array"]
 static ON_LOAD: extern "C" fn() = on_load;
 
-/// Has a call return this error.
-fn fail(number: c_int) -> c_int {
+/// Sets `errno` and returns the result of a failed call.
+fn fail(error_number: c_int) -> c_int {
     // SAFETY: the C library gives each thread a valid location for its error number.
-    unsafe { *libc::__errno_location() = number };
+    unsafe { *libc::__errno_location() = error_number };
     -1
 }
 
@@ -50,7 +50,7 @@
     now.tv_sec as u64 * 1000 + now.tv_nsec as u64 / 1_000_000
 }
 
-/// Defines a function that fails as the plan says, and else makes its system call.
+/// Defines a function that fails according to the plan, or else makes its system call.
 macro_rules! interpose {
     ($name:ident($($argument:ident: $kind:ty),*) -> $result:ty, $number:ident, $call:expr) => {
         #[doc = concat!("The C library's `", stringify!($name), "`.")]
@@ -59,8 +59,8 @@
         /// As for that function.
         #[no_mangle]
         pub unsafe extern "C" fn $name($($argument: $kind),*) -> $result {
-            if let Some(number) = error($call) {
-                return fail(number) as $result;
+            if let Some(error_number) = injected_error($call) {
+                return fail(error_number) as $result;
             }
             // SAFETY: the caller keeps the function's contract, which is that of the system call.
             unsafe { libc::syscall(libc::$number, $($argument),*) as $result }
@@ -76,20 +76,20 @@
 interpose!(eventfd(value: c_uint, flags: c_int) -> c_int, SYS_eventfd2, Call::EventFd);
 interpose!(setsockopt(fd: c_int, level: c_int, name: c_int, value: *const c_void, length: socklen_t) -> c_int, SYS_setsockopt, Call::SetSocketOption);
 
-/// The C library's `connect`. One that is interrupted goes on, as with Linux.
+/// The C library's `connect`. As on Linux, an interrupted one proceeds in the background.
 ///
 /// # Safety
 /// As for that function.
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    let number = error(Call::Connect);
-    if let Some(number) = number.filter(|number| *number != libc::EINTR) {
-        return fail(number);
+    let error_number = injected_error(Call::Connect);
+    if let Some(error_number) = error_number.filter(|error_number| *error_number != libc::EINTR) {
+        return fail(error_number);
     }
     // SAFETY: the caller keeps the function's contract, which is that of the system call.
     let result = unsafe { libc::syscall(libc::SYS_connect, fd, address, length) };
-    match number {
-        Some(number) => fail(number),
+    match error_number {
+        Some(error_number) => fail(error_number),
         None => result as c_int,
     }
 }
@@ -102,18 +102,28 @@
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
     events: *mut libc::epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    if let Some(number) = error(Call::EpollWait) {
-        return fail(number);
+    if let Some(error_number) = injected_error(Call::EpollWait) {
+        return fail(error_number);
     }
     let no_mask = std::ptr::null::<c_void>();
     // SAFETY: the caller keeps the function's contract; without a mask `epoll_pwait` is `epoll_wait`.
-    unsafe { libc::syscall(libc::SYS_epoll_pwait, fd, events, most, timeout, no_mask, 0usize) as c_int }
+    unsafe {
+        libc::syscall(
+            libc::SYS_epoll_pwait,
+            fd,
+            events,
+            max_events,
+            timeout,
+            no_mask,
+            0usize,
+        ) as c_int
+    }
 }
 
-/// The C library's `epoll_ctl`, which fails only where it adds a descriptor.
+/// The C library's `epoll_ctl`; only `EPOLL_CTL_ADD` is made to fail.
 ///
 /// # Safety
 /// As for that function.
@@ -121,21 +131,21 @@
 pub unsafe extern "C" fn epoll_ctl(
     fd: c_int,
     operation: c_int,
-    other: c_int,
+    target_fd: c_int,
     event: *mut libc::epoll_event,
 ) -> c_int {
     if operation == libc::EPOLL_CTL_ADD {
-        if let Some(number) = error(Call::EpollAdd) {
-            return fail(number);
+        if let Some(error_number) = injected_error(Call::EpollAdd) {
+            return fail(error_number);
         }
     }
     // SAFETY: the caller keeps the function's contract, which is that of the system call.
-    unsafe { libc::syscall(libc::SYS_epoll_ctl, fd, operation, other, event) as c_int }
+    unsafe { libc::syscall(libc::SYS_epoll_ctl, fd, operation, target_fd, event) as c_int }
 }
 
-/// Half of a length, if this call is to be cut short.
-fn cut(length: size_t) -> size_t {
-    if length > UNCUT_BYTES && is_short(Call::ShortSend) {
+/// Counts a send or write; returns half of its length if it is to be short.
+fn shorten(length: size_t) -> size_t {
+    if length > MAX_UNSHORTENED_BYTES && is_short(Call::ShortSend) {
         length / 2
     } else {
         length
@@ -148,17 +158,18 @@
 /// As for that function.
 #[no_mangle]
 pub unsafe extern "C" fn send(fd: c_int, bytes: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    if let Some(number) = error(Call::Send) {
-        return fail(number) as ssize_t;
+    if let Some(error_number) = injected_error(Call::Send) {
+        return fail(error_number) as ssize_t;
     }
     let no_address = std::ptr::null::<sockaddr>();
-    // SAFETY: the caller keeps the function's contract, also with a smaller length; without an address `sendto` is `send`.
+    // SAFETY: the caller keeps the function's contract, also with a smaller length; without an address `sendto`
+    // is `send`.
     unsafe {
         libc::syscall(
             libc::SYS_sendto,
             fd,
             bytes,
-            cut(length),
+            shorten(length),
             flags,
             no_address,
             0usize,
@@ -166,14 +177,14 @@
     }
 }
 
-/// The C library's `write`, which is only cut short.
+/// The C library's `write`, which may be short but never fails by the plan.
 ///
 /// # Safety
 /// As for that function.
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
     // SAFETY: the caller keeps the function's contract, also with a smaller length.
-    unsafe { libc::syscall(libc::SYS_write, fd, bytes, cut(length)) as ssize_t }
+    unsafe { libc::syscall(libc::SYS_write, fd, bytes, shorten(length)) as ssize_t }
 }
 
 /// The C library's `recv`.
@@ -182,14 +193,19 @@
 /// As for that function.
 #[no_mangle]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    if let Some(number) = error(Call::Receive) {
-        return fail(number) as ssize_t;
+    if let Some(error_number) = injected_error(Call::Receive) {
+        return fail(error_number) as ssize_t;
     }
     let is_read = flags & libc::MSG_PEEK == 0;
-    let is_cut = is_read && length > SHORT_RECEIVE && is_short(Call::ShortReceive);
-    let length = if is_cut { SHORT_RECEIVE } else { length };
+    let is_shortened = is_read && length > MAX_SHORT_RECEIVE_BYTES && is_short(Call::ShortReceive);
+    let length = if is_shortened {
+        MAX_SHORT_RECEIVE_BYTES
+    } else {
+        length
+    };
     let no_address = std::ptr::null_mut::<c_void>();
-    // SAFETY: the caller keeps the function's contract, also with a smaller length; without an address `recvfrom` is `recv`.
+    // SAFETY: the caller keeps the function's contract, also with a smaller length; without an address `recvfrom`
+    // is `recv`.
     unsafe {
         libc::syscall(
             libc::SYS_recvfrom,
@@ -203,7 +219,7 @@
     }
 }
 
-/// The C library's `clock_gettime`; the wall clock is shifted.
+/// The C library's `clock_gettime`; `CLOCK_REALTIME` is shifted by the plan.
 ///
 /// # Safety
 /// As for that function.
@@ -212,9 +228,9 @@
     // SAFETY: the caller keeps the function's contract, which is that of the system call.
     let result = unsafe { libc::syscall(libc::SYS_clock_gettime, c_long::from(clock), time) } as c_int;
     if clock == libc::CLOCK_REALTIME && result == 0 {
-        let loaded_at = LOADED_AT_MS.get().copied().unwrap_or_default();
+        let loaded_at_ms = LOADED_AT_MS.get().copied().unwrap_or_default();
         // SAFETY: the call has succeeded, so `time` is valid for writes and initialised.
-        unsafe { (*time).tv_sec += clock_offset(monotonic_ms().saturating_sub(loaded_at)) };
+        unsafe { (*time).tv_sec += clock_offset_s(monotonic_ms().saturating_sub(loaded_at_ms)) };
     }
     result
 }
@@ -223,17 +239,17 @@
 type SpawnThread =
     unsafe extern "C" fn(*mut libc::pthread_t, *const libc::pthread_attr_t, Routine, *mut c_void) -> c_int;
 
-/// The C library's own `pthread_create`, which no single system call replaces.
+/// Looks up the C library's `pthread_create`, which no single system call replaces.
 fn spawn_thread() -> SpawnThread {
-    static FOUND: OnceLock<SpawnThread> = OnceLock::new();
-    *FOUND.get_or_init(|| {
-        // SAFETY: the name ends with a zero byte; the C library, which every process here loads, has a function of this
-        // name and type behind this one.
+    static SPAWN_THREAD: OnceLock<SpawnThread> = OnceLock::new();
+    *SPAWN_THREAD.get_or_init(|| {
+        // SAFETY: the name ends with a zero byte; the C library, which every process here loads, defines a function
+        // of this name and type, which is next in the lookup order.
         unsafe { std::mem::transmute(libc::dlsym(libc::RTLD_NEXT, c"pthread_create".as_ptr())) }
     })
 }
 
-/// The C library's `pthread_create`, which returns its error.
+/// The C library's `pthread_create`, which returns its error number instead of setting `errno`.
 ///
 /// # Safety
 /// As for that function.
@@ -244,8 +260,8 @@
     routine: Routine,
     argument: *mut c_void,
 ) -> c_int {
-    if let Some(number) = error(Call::SpawnThread) {
-        return number;
+    if let Some(error_number) = injected_error(Call::SpawnThread) {
+        return error_number;
     }
     // SAFETY: the caller keeps the function's contract.
     unsafe { spawn_thread()(thread, attributes, routine, argument) }
