--- a/crates/driver/src/program/gossip/snapshot_file.rs
+++ b/crates/driver/src/program/gossip/snapshot_file.rs
@@ -2,7 +2,7 @@
 //! write.
 
 use asterlatch_gossip::snapshot::WriteRequest;
-use asterlatch_storage::log_file::{Former, LogFile, LogNames};
+use asterlatch_storage::log_file::{LogFile, LogNames, PreviousLog};
 use asterlatch_storage::OsFileSystem;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 const NAMES: LogNames = LogNames {
     log: "shared.log",
     replacement: "shared.new",
-    unread: "shared.unread",
+    unreadable: "shared.unread",
 };
 
 const READ_ATTEMPTS: u32 = 5;
@@ -84,7 +84,7 @@
 /// If the thread can't be started.
 pub(super) fn start(
     folder: &Path,
-    previous: Former,
+    previous: PreviousLog,
     mut on_written: impl FnMut(WriteResult) -> bool + Send + 'static,
 ) -> io::Result<SyncSender<WriteJob>> {
     // Turns exceeding the file size limit into a write error; by default the signal ends the process.
--- a/crates/driver/src/program/recover.rs
+++ b/crates/driver/src/program/recover.rs
@@ -49,7 +49,7 @@
         "facts": report.records,
         "of_use": report.usable,
         "nothing_used": !is_used,
-        "from_the_future": report.from_future,
+        "from_the_future": report.future_records,
     });
     Ok((snapshot_row, report))
 }
