--- a/crates/coordination/src/failure_consensus.rs
+++ b/crates/coordination/src/failure_consensus.rs
@@ -1,30 +1,29 @@
-//! Detects unresponsive members from what all drivers report together.
+//! Detects unresponsive members from the combined reports of all drivers.
 //!
-//! In a large fleet each driver sends to a given member only every few seconds, and would lose a whole
-//! statement's time on every failure that it had to detect alone.
+//! In a large fleet each driver sends to a given member only every few seconds, so detecting each failure
+//! alone would delay a statement on every driver.
 //!
-//! A driver reports an execution that is late at a member, with the time at which it was sent. A member
-//! counts as unresponsive once a quorum of drivers report late executions that were sent after the member's
-//! last response to any driver. A single driver that reports nonsense therefore changes nothing, and a member
-//! that is merely slow still responds to somebody.
+//! A driver reports an execution that is delayed at a member, with the time at which it was sent. A member is
+//! unresponsive once a quorum of drivers report delayed executions that were sent after the member's last
+//! response to any driver. A single faulty driver therefore has no effect, and a slow member that still
+//! responds to some driver is not unresponsive.
 //!
-//! The consequence is mild: reads prefer other members for a while, late executions at the member may be
-//! cancelled, and afterwards one driver tries again. Each driver draws its own retry time, so the fleet
-//! doesn't oscillate.
+//! While a member is unresponsive, reads prefer other members and delayed executions at the member may be
+//! cancelled. Retry times are jittered per driver, so that the fleet doesn't return to the member all at once.
 
 use crate::NameHash;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// When a member counts as unresponsive, and for how long.
+/// Thresholds and durations of the detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConsensusSettings {
-    /// How long a report counts.
+    /// Time after which a report expires.
     pub report_lifetime: TimeSpan,
-    /// How many drivers must report late executions.
+    /// Minimum number of drivers that must report delayed executions.
     pub quorum: usize,
-    /// An unresponsive member is tried again after this, up to twice that, as each driver draws.
+    /// Minimum delay before an unresponsive member is retried; jitter extends it up to twice this value.
     pub retry_after: TimeSpan,
 }
 
@@ -38,16 +37,16 @@
     }
 }
 
-/// Reports that are stored of each member: more prove no more.
-const MAX_REPORTS: usize = 8;
-/// Members of which something is stored.
+/// Bounds the memory per member; a quorum needs far fewer.
+const MAX_REPORTS_PER_MEMBER: usize = 8;
+/// Bounds the memory for member names that peers send.
 const MAX_MEMBERS: usize = 4096;
-/// Report lifetimes for which the last response of a member is remembered.
-const RESPONSE_LIFETIMES: f64 = 10.0;
-/// Each driver draws the time of its retry anew after so many microseconds.
-const DRAW_PERIOD_US: u64 = 1_000_000;
+/// Retention of a member's last response, in report lifetimes.
+const RESPONSE_RETENTION_LIFETIMES: f64 = 10.0;
+/// Period after which a driver's retry jitter changes.
+const JITTER_PERIOD_US: u64 = 1_000_000;
 
-/// A driver's late execution at a member.
+/// A driver's report of a delayed execution at a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LateReport {
     /// When the execution was sent.
@@ -56,23 +55,23 @@
     pub reported_at: Timestamp,
 }
 
-/// A member that has become unresponsive or responsive again.
+/// A change between responsive and unresponsive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponsivenessChange {
-    /// The member's name.
+    /// Name of the member, as reported.
     pub member: String,
-    /// Until when it is unresponsive; zero if it no longer is.
+    /// End of the unresponsive period; zero if the member is responsive again.
     pub unresponsive_until: Timestamp,
 }
 
 #[derive(Clone, Debug, Default)]
 struct MemberEntry {
     last_response: Timestamp,
-    /// By driver.
+    /// Latest report of each driver.
     late_reports: BTreeMap<NameHash, LateReport>,
-    /// Until when it was last found unresponsive.
+    /// End of the last unresponsive period.
     unresponsive_until: Timestamp,
-    /// What [`FailureConsensus::take_changes`] last said of that.
+    /// Value of `unresponsive_until` that [`FailureConsensus::take_changes`] last returned.
     notified_until: Timestamp,
 }
 
@@ -90,8 +89,8 @@
         }
     }
 
-    /// When something was last heard of the member.
-    fn last_heard(&self) -> Timestamp {
+    /// Time of the last response or report.
+    fn last_activity_at(&self) -> Timestamp {
         let reports = self.late_reports.values();
         let last_report = reports.map(|report| report.reported_at).max();
         last_report.unwrap_or_default().max(self.last_response)
@@ -107,7 +106,7 @@
 }
 
 impl FailureConsensus {
-    /// The view of the driver `own_id`, which knows of no member.
+    /// Creates an empty view for the driver `own_id`, which also seeds its retry jitter.
     pub fn new(own_id: NameHash, settings: ConsensusSettings) -> FailureConsensus {
         FailureConsensus {
             own_id,
@@ -117,28 +116,31 @@
     }
 
     fn entry_mut(&mut self, member: &str) -> &mut MemberEntry {
-        // Every response comes by here, so the name is copied for a new member alone.
+        // Called for every response: allocates the name only for a new member.
         if !self.members.contains_key(member) {
-            self.evict_for_one_more();
+            self.evict_if_full();
             self.members.insert(member.to_owned(), MemberEntry::default());
         }
         self.members
             .get_mut(member)
-            .expect("the member is there or was inserted")
+            .expect("the member's entry was just inserted if absent")
     }
 
-    /// Forgets the member heard of longest ago where the table is full.
-    fn evict_for_one_more(&mut self) {
+    /// Removes the least recently active member if the table is full.
+    fn evict_if_full(&mut self) {
         if self.members.len() < MAX_MEMBERS {
             return;
         }
-        let oldest = self.members.iter().min_by_key(|(_, entry)| entry.last_heard());
+        let oldest = self
+            .members
+            .iter()
+            .min_by_key(|(_, entry)| entry.last_activity_at());
         if let Some(member) = oldest.map(|(member, _)| member.clone()) {
             self.members.remove(&member);
         }
     }
 
-    /// A member responded to some driver at that time. Reports on what was sent before count no more.
+    /// Records that a member responded to some driver at `at`. Drops reports of executions sent before that.
     pub fn on_response(&mut self, member: &str, at: Timestamp) {
         let entry = self.entry_mut(member);
         entry.last_response = entry.last_response.max(at);
@@ -151,10 +153,11 @@
         }
     }
 
-    /// A driver, which may be this one, reports a late execution at a member. Its latest report counts.
+    /// Records a delayed execution reported by `driver`, which may be this one. Only the latest report of
+    /// each driver is stored.
     pub fn on_late_report(&mut self, member: &str, driver: NameHash, report: LateReport) {
         let entry = self.entry_mut(member);
-        // Nothing is sent after it was reported.
+        // A report can't precede its execution: corrects a report with inconsistent times.
         let sent_at = report.sent_at.min(report.reported_at);
         let known = entry.late_reports.get(&driver);
         let is_outdated = known.is_some_and(|known| known.reported_at > report.reported_at);
@@ -164,13 +167,13 @@
         entry
             .late_reports
             .insert(driver, LateReport { sent_at, ..report });
-        if entry.late_reports.len() > MAX_REPORTS {
+        if entry.late_reports.len() > MAX_REPORTS_PER_MEMBER {
             entry.drop_oldest_report();
         }
     }
 
-    /// Until when a member is unresponsive; nothing where it isn't. A finding lasts for the retry time; the
-    /// next one takes new reports.
+    /// Returns the end of the member's unresponsive period, or `None` if the member is responsive. A period
+    /// lasts for the jittered retry delay; another one needs new reports.
     pub fn unresponsive_until(&mut self, now: Timestamp, member: &str) -> Option<Timestamp> {
         let own_id = self.own_id;
         let settings = self.settings;
@@ -182,18 +185,18 @@
         if entry.late_reports.len() < settings.quorum {
             return None;
         }
-        let delay = settings.retry_after * (1.0 + retry_draw(own_id, member, now));
+        let delay = settings.retry_after * (1.0 + retry_jitter(own_id, member, now));
         entry.unresponsive_until = now + delay;
-        // The same reports prove nothing a second time.
+        // The same reports must not start a second period.
         entry.late_reports.clear();
         Some(entry.unresponsive_until)
     }
 
-    /// Members whose responsiveness changed since the last call.
+    /// Returns the members whose responsiveness changed since the last call.
     pub fn take_changes(&mut self, now: Timestamp) -> Vec<ResponsivenessChange> {
-        let has_news =
+        let may_have_changed =
             |entry: &MemberEntry| !entry.late_reports.is_empty() || entry.notified_until > Timestamp(0);
-        let members = self.members.iter().filter(|(_, entry)| has_news(entry));
+        let members = self.members.iter().filter(|(_, entry)| may_have_changed(entry));
         let members: Vec<String> = members.map(|(member, _)| member.clone()).collect();
         let changes = members.into_iter().filter_map(|member| {
             let unresponsive_until = self.unresponsive_until(now, &member).unwrap_or(Timestamp(0));
@@ -210,20 +213,20 @@
         changes.collect()
     }
 
-    /// Forgets members with no recent reports or responses.
+    /// Removes members without recent reports or responses.
     pub fn expire(&mut self, now: Timestamp) {
         let lifetime = self.settings.report_lifetime;
         self.members.retain(|_, entry| {
             entry.drop_expired_reports(now, lifetime);
             let is_reported = !entry.late_reports.is_empty() || entry.notified_until > Timestamp(0);
-            is_reported || now - entry.last_response < lifetime * RESPONSE_LIFETIMES
+            is_reported || now - entry.last_response < lifetime * RESPONSE_RETENTION_LIFETIMES
         });
     }
 }
 
-/// A driver's own part of the retry time, from 0 to 1 by hash, so that drivers come back one after another.
-fn retry_draw(own_id: NameHash, member: &str, now: Timestamp) -> f64 {
-    let seed = own_id ^ (now.0 / DRAW_PERIOD_US);
-    let draw = xxh3_64_with_seed(member.as_bytes(), seed) >> 11;
-    draw as f64 / (1u64 << 53) as f64
+/// Returns a hash-based fraction in `0.0..1.0` that spreads the retries of the drivers over time.
+fn retry_jitter(own_id: NameHash, member: &str, now: Timestamp) -> f64 {
+    let seed = own_id ^ (now.0 / JITTER_PERIOD_US);
+    let hash = xxh3_64_with_seed(member.as_bytes(), seed) >> 11;
+    hash as f64 / (1u64 << 53) as f64
 }
--- a/crates/coordination/src/fleet_size.rs
+++ b/crates/coordination/src/fleet_size.rs
@@ -1,8 +1,8 @@
-//! Counts the drivers among which limits are divided.
+//! Estimates the number of drivers among which fleet-wide limits are divided.
 //!
-//! Too low a count makes the sum of all parts too large; too high a count makes it too small, which does less
-//! harm. A growing fleet therefore counts at once, and a shrinking one only after a delay: a driver that is
-//! out of sight, cut off or stopped still uses its part.
+//! An underestimate lets the fleet exceed its limits; an overestimate only leaves capacity unused. Growth
+//! therefore applies at once and shrinkage after a delay, because a driver that is partitioned or not
+//! scheduled may still use its share.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
@@ -10,21 +10,21 @@
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     count: u32,
-    /// When so many were last present.
+    /// When this many drivers were last present.
     last_seen: Timestamp,
 }
 
-/// The number of drivers that counts, by the numbers that were present.
+/// Maximum number of drivers that were present within the shrink delay.
 #[derive(Clone, Debug)]
 pub struct FleetSize {
-    /// How long a fleet must be smaller to count as smaller.
+    /// How long the fleet must stay smaller before its size is reduced.
     shrink_delay: TimeSpan,
-    /// Falling counts, as far back as `shrink_delay`; the first is what counts.
+    /// Samples within `shrink_delay`, in strictly descending order of count; the first is the fleet size.
     samples: VecDeque<Sample>,
 }
 
 impl FleetSize {
-    /// `initial` drivers are assumed before any was seen: as many as the operators' file names.
+    /// Starts with `initial` drivers, the number in the operators' file, until peers are discovered.
     pub fn new(initial: u32, shrink_delay: TimeSpan, now: Timestamp) -> FleetSize {
         let sample = Sample {
             count: initial.max(1),
@@ -36,10 +36,10 @@
         }
     }
 
-    /// `present` drivers are present now, this one among them. Returns how many count.
+    /// Records that `present` drivers, including this one, are present at `now`. Returns the fleet size.
     pub fn update(&mut self, now: Timestamp, present: u32) -> u32 {
         let present = present.max(1);
-        // Samples no larger than the present count add nothing to it.
+        // Samples no larger than the new one can no longer be the maximum.
         while self.samples.back().is_some_and(|last| last.count <= present) {
             self.samples.pop_back();
         }
