--- a/crates/coordination/src/failure_consensus.rs
+++ b/crates/coordination/src/failure_consensus.rs
@@ -9,7 +9,7 @@
 //! responds to some driver is not unresponsive.
 //!
 //! While a member is unresponsive, reads prefer other members and delayed executions at the member may be
-//! cancelled. Retry times are jittered per driver, so that the fleet doesn't return to the member all at once.
+//! cancelled. Retry times are jittered per driver, so that drivers don't return to the member at once.
 
 use crate::NameHash;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -48,7 +48,7 @@
 
 /// A driver's report of a delayed execution at a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LateReport {
+pub struct DelayReport {
     /// When the execution was sent.
     pub sent_at: Timestamp,
     /// When the driver reported it.
@@ -68,7 +68,7 @@
 struct MemberEntry {
     last_response: Timestamp,
     /// Latest report of each driver.
-    late_reports: BTreeMap<NameHash, LateReport>,
+    delay_reports: BTreeMap<NameHash, DelayReport>,
     /// End of the last unresponsive period.
     unresponsive_until: Timestamp,
     /// Value of `unresponsive_until` that [`FailureConsensus::take_changes`] last returned.
@@ -77,21 +77,21 @@
 
 impl MemberEntry {
     fn drop_expired_reports(&mut self, now: Timestamp, lifetime: TimeSpan) {
-        self.late_reports
+        self.delay_reports
             .retain(|_, report| now - report.reported_at < lifetime);
     }
 
     fn drop_oldest_report(&mut self) {
-        let reports = self.late_reports.iter();
+        let reports = self.delay_reports.iter();
         let oldest = reports.min_by_key(|(_, report)| report.reported_at);
         if let Some(driver) = oldest.map(|(driver, _)| *driver) {
-            self.late_reports.remove(&driver);
+            self.delay_reports.remove(&driver);
         }
     }
 
     /// Time of the last response or report.
     fn last_activity_at(&self) -> Timestamp {
-        let reports = self.late_reports.values();
+        let reports = self.delay_reports.values();
         let last_report = reports.map(|report| report.reported_at).max();
         last_report.unwrap_or_default().max(self.last_response)
     }
@@ -146,28 +146,28 @@
         entry.last_response = entry.last_response.max(at);
         let last_response = entry.last_response;
         entry
-            .late_reports
+            .delay_reports
             .retain(|_, report| report.sent_at > last_response);
-        if entry.late_reports.is_empty() {
+        if entry.delay_reports.is_empty() {
             entry.unresponsive_until = Timestamp(0);
         }
     }
 
     /// Records a delayed execution reported by `driver`, which may be this one. Only the latest report of
     /// each driver is stored.
-    pub fn on_late_report(&mut self, member: &str, driver: NameHash, report: LateReport) {
+    pub fn on_delay_report(&mut self, member: &str, driver: NameHash, report: DelayReport) {
         let entry = self.entry_mut(member);
-        // A report can't precede its execution: corrects a report with inconsistent times.
+        // Corrects a report with inconsistent times: nothing is reported before it was sent.
         let sent_at = report.sent_at.min(report.reported_at);
-        let known = entry.late_reports.get(&driver);
+        let known = entry.delay_reports.get(&driver);
         let is_outdated = known.is_some_and(|known| known.reported_at > report.reported_at);
         if sent_at <= entry.last_response || is_outdated {
             return;
         }
         entry
-            .late_reports
-            .insert(driver, LateReport { sent_at, ..report });
-        if entry.late_reports.len() > MAX_REPORTS_PER_MEMBER {
+            .delay_reports
+            .insert(driver, DelayReport { sent_at, ..report });
+        if entry.delay_reports.len() > MAX_REPORTS_PER_MEMBER {
             entry.drop_oldest_report();
         }
     }
@@ -182,20 +182,20 @@
             return Some(entry.unresponsive_until);
         }
         entry.drop_expired_reports(now, settings.report_lifetime);
-        if entry.late_reports.len() < settings.quorum {
+        if entry.delay_reports.len() < settings.quorum {
             return None;
         }
         let delay = settings.retry_after * (1.0 + retry_jitter(own_id, member, now));
         entry.unresponsive_until = now + delay;
         // The same reports must not start a second period.
-        entry.late_reports.clear();
+        entry.delay_reports.clear();
         Some(entry.unresponsive_until)
     }
 
     /// Returns the members whose responsiveness changed since the last call.
     pub fn take_changes(&mut self, now: Timestamp) -> Vec<ResponsivenessChange> {
         let may_have_changed =
-            |entry: &MemberEntry| !entry.late_reports.is_empty() || entry.notified_until > Timestamp(0);
+            |entry: &MemberEntry| !entry.delay_reports.is_empty() || entry.notified_until > Timestamp(0);
         let members = self.members.iter().filter(|(_, entry)| may_have_changed(entry));
         let members: Vec<String> = members.map(|(member, _)| member.clone()).collect();
         let changes = members.into_iter().filter_map(|member| {
@@ -218,7 +218,7 @@
         let lifetime = self.settings.report_lifetime;
         self.members.retain(|_, entry| {
             entry.drop_expired_reports(now, lifetime);
-            let is_reported = !entry.late_reports.is_empty() || entry.notified_until > Timestamp(0);
+            let is_reported = !entry.delay_reports.is_empty() || entry.notified_until > Timestamp(0);
             is_reported || now - entry.last_response < lifetime * RESPONSE_RETENTION_LIFETIMES
         });
     }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,17 +1,16 @@
-//! Leases: among all drivers that want something done, one does it and the others know that it does. The
-//! subject, a text that all drivers know alike, names what a lease is for.
+//! Leases: elects one of the drivers that request a task to perform it, and lets the others know. The
+//! subject, a string that is the same on all drivers, names the task.
 //!
-//! A lease has a term. The later term wins, and within one term the smaller holder, so two drivers that
-//! acquire a lease at the same time agree as soon as a message of one reaches the other. A holder renews its
-//! lease, and acts on it for [`LeaseTimings::holder_duration`] after its last renewal by its own clock;
-//! others believe in it for [`LeaseTimings::duration`] after that renewal was sent. So nobody else begins
-//! while the holder still acts, however late messages arrive, and a holder that was stopped and goes on finds
-//! its lease expired. No acknowledgement is needed, and clocks need to run at the same rate but not to show
-//! the same time.
+//! A lease has a term. The higher term wins, and within one term the smaller holder id, so two drivers that
+//! acquire a lease at the same time agree as soon as a message from one reaches the other. A holder renews
+//! its lease, and acts on it for [`LeaseTimings::holder_duration`] after its last renewal by its own clock;
+//! others honour it for [`LeaseTimings::duration`] after that renewal was sent. A driver that has received
+//! the latest renewal therefore doesn't take over while the holder still acts, and a holder that resumes
+//! after a pause finds its lease expired. No acknowledgements are needed. Clocks must run at the same rate
+//! but need not be synchronized.
 //!
-//! The order in which drivers may acquire a lease is drawn by hash from those that are present; each of the
-//! next ones waits longer. Each side of a network partition has a holder of its own, because no message
-//! passes between them; when the partition heals, one of them yields.
+//! The drivers that are present are ranked by a hash; each rank waits longer before it acquires a free lease.
+//! During a network partition each side may have a holder; when the partition heals, one of them yields.
 
 use crate::NameHash;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -20,34 +19,34 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A lease as its holder sends it. Its bytes are positional.
+/// A lease as its holder sends it. Serialized by position: the order of the fields is part of the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Number of this lease among all on its subject.
+    /// Incremented each time a driver acquires the lease on its subject.
     pub term: u64,
-    /// The driver that holds it.
+    /// Hash of the holding driver's name.
     pub holder: NameHash,
-    /// The holder's incarnation. A driver that restarted counts as another holder.
+    /// The holder's incarnation: a restarted driver is a different holder.
     pub incarnation: u64,
-    /// How often the holder has renewed it.
+    /// Number of renewals in this term, including the release.
     pub renewals: u64,
-    /// Whether the holder still holds it.
+    /// Whether the lease is held, or how it was released.
     pub state: LeaseState,
 }
 
 /// Whether a lease is still held, or how it was released. Ordered by precedence among equal renewals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseState {
-    /// The holder acts on it.
+    /// The holder performs the task.
     Held,
-    /// The holder gave it up and its work is not done.
+    /// Released with the task unfinished: another driver may acquire the lease.
     Abandoned,
-    /// The work is done: no driver needs to do it for all any more, and each may do it for itself.
+    /// Released with the task finished: each driver may now perform it for itself.
     Completed,
 }
 
 impl Lease {
-    /// The order in which one lease wins over another.
+    /// Sort key of a lease: the greater one wins.
     fn precedence(&self) -> impl Ord {
         let smaller_holder = Reverse(self.holder);
         (
@@ -59,7 +58,7 @@
         )
     }
 
-    /// The one of two leases that wins. Commutative, associative and idempotent, for it is the larger one.
+    /// Returns the lease that wins. Commutative, associative and idempotent.
     #[must_use]
     pub fn merge(self, other: Lease) -> Lease {
         if self.precedence() >= other.precedence() {
@@ -70,15 +69,15 @@
     }
 }
 
-/// Durations of all leases.
+/// Durations that apply to all leases; the same on all drivers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimings {
-    /// How long others believe in a lease since its last renewal.
+    /// How long other drivers honour a lease after its last renewal.
     pub duration: TimeSpan,
-    /// How long its holder acts on it since its last renewal; less than `duration`.
+    /// How long the holder acts on a lease after its last renewal; less than `duration`.
     pub holder_duration: TimeSpan,
-    /// How much longer each next driver waits before it acquires what nobody holds: a message's flight and
-    /// the time between two of them.
+    /// Extra delay per rank before a driver acquires a free lease: message latency plus the interval between
+    /// messages.
     pub acquire_delay: TimeSpan,
 }
 
@@ -92,54 +91,54 @@
     }
 }
 
-/// Part of [`LeaseTimings::holder_duration`] after which a holder renews its lease.
+/// Fraction of [`LeaseTimings::holder_duration`] after which a holder renews its lease.
 const RENEWAL_FRACTION: f64 = 0.4;
-/// From this rank on all drivers wait alike: those before them may not want the lease at all, and if several
-/// acquire it one message settles that.
+/// Bounds the wait when drivers of lower rank don't request the lease. Drivers that acquire it at the same
+/// time agree after one message.
 const MAX_RANK: usize = 4;
-/// Subjects that are known at most. The one heard of longest ago goes.
+/// Bounds the memory for subjects that peers send; the least recently renewed one is evicted.
 const MAX_SUBJECTS: usize = 4096;
-/// A subject of which nothing is heard is forgotten after this many lease durations: longer than any lease of
-/// a former term is on its way.
+/// Retention of a subject without renewals, in lease durations: longer than a message of an earlier term can
+/// be in flight.
 const RETENTION_DURATIONS: f64 = 10.0;
 
-/// What a driver knows of a lease at one moment.
+/// State of a lease as one driver sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeaseStatus {
     /// This driver holds it and may act.
     HeldHere,
-    /// Another driver holds it, or did a moment ago.
+    /// Another driver holds it, or this driver held it and missed its renewals.
     HeldElsewhere,
-    /// The work was done a moment ago: each driver may do it for itself.
+    /// The task was finished recently: each driver may perform it for itself.
     Completed,
-    /// Nobody holds it.
+    /// Free to be acquired.
     Available,
 }
 
-/// A lease that other drivers must be told of.
+/// A lease to be sent to the other drivers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseUpdate {
-    /// What the lease is for.
+    /// Name of the task that the lease is for.
     pub subject: String,
-    /// The lease, acquired or renewed just now.
+    /// The lease as it was just acquired or renewed.
     pub lease: Lease,
 }
 
-/// A subject that this driver wants a lease on.
+/// A subject on which this driver requests a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestedLease<'a> {
-    /// What the lease is for.
+    /// Name of the task that the lease is for.
     pub subject: &'a str,
-    /// Whether somebody holds it.
+    /// State of the lease as this driver sees it.
     pub status: LeaseStatus,
 }
 
-/// A lease that this driver knows of.
+/// A lease that this driver has received or acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownLease<'a> {
-    /// What the lease is for.
+    /// Name of the task that the lease is for.
     pub subject: &'a str,
-    /// The lease.
+    /// The lease in its latest known state.
     pub lease: Lease,
     /// Time since its last renewal.
     pub age: TimeSpan,
@@ -148,11 +147,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Entry {
     lease: Option<Lease>,
-    /// When the lease was renewed last, by this driver's clock.
+    /// Time of the last renewal by this driver's clock.
     renewed_at: Timestamp,
-    /// Since when this driver wants the lease.
+    /// When this driver requested the lease.
     requested_since: Option<Timestamp>,
-    /// Since when nobody holds it.
+    /// When this driver first found the lease available.
     available_since: Option<Timestamp>,
 }
 
@@ -170,13 +169,13 @@
             LeaseState::Abandoned => LeaseStatus::Available,
             LeaseState::Held if !table.is_own(lease) => LeaseStatus::HeldElsewhere,
             LeaseState::Held if age < table.timings.holder_duration => LeaseStatus::HeldHere,
-            // Others may believe in it still, but this driver was away for too long to act.
+            // Peers may still honour the lease, but this driver missed its renewals and must not act.
             LeaseState::Held => LeaseStatus::HeldElsewhere,
         }
     }
 }
 
-/// One driver's side of all leases.
+/// One driver's view of all leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTable {
     own_id: NameHash,
@@ -187,7 +186,7 @@
 }
 
 impl LeaseTable {
-    /// The table of the driver `own_id` in this incarnation; it knows no peer and no lease.
+    /// Creates an empty table for the driver `own_id`; its incarnation must differ after each restart.
     pub fn new(own_id: NameHash, incarnation: u64, timings: LeaseTimings) -> LeaseTable {
         LeaseTable {
             own_id,
@@ -198,25 +197,25 @@
         }
     }
 
-    /// Replaces the set of drivers that are present beside this one.
+    /// Replaces the set of present drivers, by which acquisitions are ranked. It may contain this driver.
     pub fn set_peers(&mut self, peers: &BTreeSet<NameHash>) {
         self.peers.clone_from(peers);
     }
 
-    /// This driver wants the lease on `subject` from now on.
+    /// Requests the lease on `subject`: it is acquired and renewed until [`LeaseTable::release`].
     pub fn request(&mut self, now: Timestamp, subject: &str) {
         self.entry_mut(subject).requested_since.get_or_insert(now);
     }
 
     fn entry_mut(&mut self, subject: &str) -> &mut Entry {
         if !self.entries.contains_key(subject) {
-            self.evict_for_one_more();
+            self.evict_if_full();
         }
         self.entries.entry(subject.to_owned()).or_default()
     }
 
-    /// Forgets the subject heard of longest ago, unrequested ones first, where the table is full.
-    fn evict_for_one_more(&mut self) {
+    /// Removes the least recently renewed subject if the table is full; requested ones last.
+    fn evict_if_full(&mut self) {
         if self.entries.len() < MAX_SUBJECTS {
             return;
         }
@@ -227,8 +226,8 @@
         }
     }
 
-    /// This driver no longer wants the lease on `subject`, and releases it with `state` if it holds it.
-    /// Returns the released lease, which others must be told of.
+    /// Withdraws the request for `subject`, and releases the lease with `state` if this driver holds it.
+    /// Returns the released lease, which must be sent to the other drivers.
     pub fn release(&mut self, now: Timestamp, subject: &str, state: LeaseState) -> Option<Lease> {
         let is_held = self.status(now, subject) == LeaseStatus::HeldHere;
         let entry = self.entries.get_mut(subject)?;
@@ -240,7 +239,7 @@
         Some(*lease)
     }
 
-    /// Another driver sent this lease, `age` ago.
+    /// Merges a lease that another driver sent; `age` is the time since its holder sent it.
     pub fn on_lease(&mut self, now: Timestamp, subject: &str, lease: Lease, age: TimeSpan) {
         let is_own = self.is_own(&lease);
         let entry = self.entry_mut(subject);
@@ -250,7 +249,7 @@
             entry.lease = Some(winner);
             entry.renewed_at = sent_at;
         } else if !is_own {
-            // This driver's own lease is as old as its own renewal, whoever repeats it.
+            // A peer that forwards this driver's own lease must not extend it.
             entry.renewed_at = entry.renewed_at.max(sent_at);
         }
         entry.available_since = None;
@@ -260,7 +259,7 @@
         lease.holder == self.own_id && lease.incarnation == self.incarnation
     }
 
-    /// Whether somebody holds the lease on `subject` now.
+    /// Returns the state of the lease on `subject` at `now`.
     pub fn status(&self, now: Timestamp, subject: &str) -> LeaseStatus {
         match self.entries.get(subject) {
             Some(entry) => entry.status(now, self),
@@ -268,17 +267,17 @@
         }
     }
 
-    /// How many of the present drivers come before this one, [`MAX_RANK`] at most.
+    /// Number of present drivers ranked before this one, at most [`MAX_RANK`].
     fn rank(&self, subject: &str) -> usize {
-        let draw = |driver: NameHash| (xxh3_64_with_seed(subject.as_bytes(), driver), driver);
-        let own_draw = draw(self.own_id);
-        let is_before = |peer: &&NameHash| **peer != self.own_id && draw(**peer) < own_draw;
+        let rank_key = |driver: NameHash| (xxh3_64_with_seed(subject.as_bytes(), driver), driver);
+        let own_key = rank_key(self.own_id);
+        let is_before = |peer: &&NameHash| **peer != self.own_id && rank_key(**peer) < own_key;
         self.peers.iter().filter(is_before).take(MAX_RANK).count()
     }
 
-    /// Acquires and renews what is due at `now`, and returns what others must be told of.
+    /// Acquires and renews the leases that are due at `now`. Returns those to be sent to the other drivers.
     pub fn advance_to(&mut self, now: Timestamp) -> Vec<LeaseUpdate> {
-        self.forget_unheard(now);
+        self.remove_stale(now);
         let subjects: Vec<String> = self.entries.keys().cloned().collect();
         let updates = subjects.into_iter().filter_map(|subject| {
             let lease = self.advance_subject(now, &subject)?;
@@ -287,7 +286,7 @@
         updates.collect()
     }
 
-    fn forget_unheard(&mut self, now: Timestamp) {
+    fn remove_stale(&mut self, now: Timestamp) {
         let retention = self.timings.duration * RETENTION_DURATIONS;
         self.entries.retain(|_, entry| {
             let is_recent = now - entry.renewed_at < retention;
@@ -295,7 +294,7 @@
         });
     }
 
-    /// Acquires or renews the lease on one subject where that is due.
+    /// Acquires or renews the lease on one subject if that is due.
     fn advance_subject(&mut self, now: Timestamp, subject: &str) -> Option<Lease> {
         let status = self.status(now, subject);
         let entry = self.entries.get_mut(subject)?;
@@ -344,7 +343,7 @@
         Some(lease)
     }
 
-    /// The leases that this driver wants.
+    /// Returns the requested leases with their states at `now`.
     pub fn requested(&self, now: Timestamp) -> impl Iterator<Item = RequestedLease<'_>> {
         let entries = self.entries.iter();
         let requested = entries.filter(|(_, entry)| entry.requested_since.is_some());
@@ -354,7 +353,7 @@
         })
     }
 
-    /// All leases that this driver knows of, for operators.
+    /// Returns all known leases with their ages, for operators.
     pub fn known(&self, now: Timestamp) -> impl Iterator<Item = KnownLease<'_>> {
         self.entries.iter().filter_map(move |(subject, entry)| {
             Some(KnownLease {
--- a/crates/coordination/src/load_aggregate.rs
+++ b/crates/coordination/src/load_aggregate.rs
@@ -1,30 +1,29 @@
-//! Blends the admission shares that all drivers have for a member.
+//! Blends the admission shares that the drivers have computed for a member.
 //!
-//! With few samples a driver adjusts its admission share by answers that arrive seconds apart. This module
-//! blends the shares of all drivers that received answers recently. Each share is weighted by the answers
-//! behind it and by the age of its report; a driver that admits more has more answers.
+//! In a large fleet a driver gets answers from a member only every few seconds, too few to adjust its
+//! admission share well. This module blends the shares of all drivers that received answers recently. Each
+//! share is weighted by the number of answers behind it and by the age of its report.
 //!
-//! Blending preserves the mean: the total that all drivers admit moves by answers alone, so drivers that act
-//! on the same report don't oscillate. A report loses half its weight every [`AggregateSettings::half_life`],
-//! so a report that is ten seconds old changes almost nothing, and an isolated driver acts on its own. The
-//! answers behind a report are capped: one of `n` drivers that reports nonsense moves a share by at most an
-//! `n`th of its distance.
+//! Blending preserves the mean: only answers change the total that the drivers admit, so drivers that act on
+//! the same report don't oscillate. The weight of a report halves every [`AggregateSettings::half_life`], so
+//! an isolated driver soon acts on its own answers. The answers behind a report are capped: one faulty driver
+//! of `n` moves a share by at most an `n`th of the difference.
 
 use crate::NameHash;
 use asterlatch::time::{TimeSpan, Timestamp};
 use std::collections::BTreeMap;
 
-/// How far and how fast shares are blended.
+/// Strength, decay and thresholds of the blending.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AggregateSettings {
-    /// After this a report or an answer counts half.
+    /// Time after which the weight of a report or an answer halves.
     pub half_life: TimeSpan,
-    /// How far a share goes to the mean of all in one step, where the peers' answers outweigh this driver's
-    /// own.
+    /// Fraction of the difference to the peers' mean that one step applies if this driver has no answers of
+    /// its own.
     pub gain: f64,
-    /// The most answers that count behind a share.
+    /// Cap on the number of answers behind a share.
     pub max_answers: f64,
-    /// Answers of peers below which nothing is blended.
+    /// Minimum decayed number of peers' answers for blending.
     pub min_peer_answers: f64,
 }
 
@@ -40,50 +39,50 @@
 }
 
 impl AggregateSettings {
-    /// What is left after `age` of something that counted 1.
+    /// Weight after `age` of an initial weight of 1.
     fn decay(&self, age: TimeSpan) -> f64 {
         0.5f64.powf(age.ratio(self.half_life))
     }
 }
 
-/// Drivers whose reports on a member are stored. The oldest goes; more would move the mean by little.
-const MAX_REPORTS: usize = 32;
-/// Members of which reports are stored.
+/// Bounds the memory per member; the oldest report is evicted.
+const MAX_REPORTS_PER_MEMBER: usize = 32;
+/// Bounds the memory for members that peers report.
 const MAX_MEMBERS: usize = 4096;
-/// What counts less than this part of what it did is forgotten.
+/// Decayed weight below which reports and answers are dropped.
 const MIN_DECAY: f64 = 0.01;
-/// Smaller differences of a share are not worth an update.
-const MIN_CHANGE: f64 = 0.005;
-/// Answers of its own that a driver must have to report a share.
+/// Smaller changes of a share are not applied.
+const MIN_SHARE_CHANGE: f64 = 0.005;
+/// Minimum decayed number of own answers for a share to be reported.
 const MIN_OWN_ANSWERS: f64 = 0.5;
 
-/// A driver's report on what it admits to a member.
+/// A driver's report of its admission share for a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareReport {
-    /// The driver's incarnation.
+    /// The driver's incarnation; a report of an earlier one is outdated.
     pub incarnation: u64,
-    /// Share of statements that it admits, from 0 to 1.
+    /// Fraction of statements that the driver admits, from 0 to 1.
     pub share: f64,
-    /// Its own answers behind that.
+    /// Decayed number of the driver's own answers behind the share.
     pub answers: f64,
-    /// When it reported that.
+    /// When the driver sent the report.
     pub reported_at: Timestamp,
 }
 
-/// How many answers of its own a driver has of a member.
+/// Number of answers that this driver received from a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberAnswers {
-    /// The member.
+    /// Hash of the member's name.
     pub member: NameHash,
-    /// Its answers, as they count now.
+    /// Decayed number of answers.
     pub answers: f64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct MemberEntry {
-    /// By driver.
+    /// Latest report of each driver.
     reports: BTreeMap<NameHash, ShareReport>,
-    /// This driver's own answers, as they counted at `answered_at`.
+    /// This driver's own answers, decayed to `answered_at`.
     own_answers: f64,
     answered_at: Timestamp,
 }
@@ -98,18 +97,18 @@
     }
 }
 
-/// The peers' reports on one member together.
+/// Sums over the peers' reports on one member.
 #[derive(Default)]
 struct PeerTotals {
-    /// Answers as they count now.
+    /// Sum of the answers, decayed to the current time.
     weight: f64,
-    /// Shares times their weights.
+    /// Sum of the shares times their decayed answers.
     weighted_shares: f64,
-    /// Answers as they counted when they were reported.
+    /// Sum of the answers as reported, without decay.
     reported_answers: f64,
 }
 
-/// One driver's view of what all drivers admit to members.
+/// One driver's view of the admission shares of all drivers.
 #[derive(Clone, Debug)]
 pub struct LoadAggregate {
     settings: AggregateSettings,
@@ -117,7 +116,7 @@
 }
 
 impl LoadAggregate {
-    /// A view without any answer or report.
+    /// Creates a view without answers or reports.
     pub fn new(settings: AggregateSettings) -> LoadAggregate {
         LoadAggregate {
             settings,
@@ -125,7 +124,7 @@
         }
     }
 
-    /// The entry of a member; nothing where the table is full.
+    /// Returns the entry of a member, inserted if absent; `None` if the table is full.
     fn entry_mut(&mut self, member: NameHash) -> Option<&mut MemberEntry> {
         if self.members.len() >= MAX_MEMBERS && !self.members.contains_key(&member) {
             return None;
@@ -133,7 +132,7 @@
         Some(self.members.entry(member).or_default())
     }
 
-    /// A member has answered this driver.
+    /// Records that a member answered this driver.
     pub fn on_answer(&mut self, now: Timestamp, member: NameHash) {
         let settings = self.settings;
         let Some(entry) = self.entry_mut(member) else {
@@ -144,7 +143,7 @@
         entry.answered_at = now;
     }
 
-    /// Answers of a member to this driver, as they count now.
+    /// Returns the number of a member's answers to this driver, decayed to `now`.
     pub fn own_answers(&self, now: Timestamp, member: NameHash) -> f64 {
         let Some(entry) = self.members.get(&member) else {
             return 0.0;
@@ -152,16 +151,16 @@
         entry.own_answers * self.settings.decay(now - entry.answered_at)
     }
 
-    /// Another driver reports what it admits to a member. An older report, one of an earlier incarnation, and
-    /// one that is no number change nothing.
+    /// Stores another driver's report on a member. Ignores a report that is outdated, of an earlier
+    /// incarnation, or whose share is not finite.
     pub fn on_report(&mut self, member: NameHash, driver: NameHash, report: ShareReport) {
         let max_answers = self.settings.max_answers;
         let Some(entry) = self.entry_mut(member) else {
             return;
         };
-        let age_order = |report: &ShareReport| (report.incarnation, report.reported_at);
+        let recency = |report: &ShareReport| (report.incarnation, report.reported_at);
         let known = entry.reports.get(&driver);
-        let is_outdated = known.is_some_and(|known| age_order(known) > age_order(&report));
+        let is_outdated = known.is_some_and(|known| recency(known) > recency(&report));
         if is_outdated || !report.share.is_finite() {
             return;
         }
@@ -171,23 +170,23 @@
             ..report
         };
         entry.reports.insert(driver, bounded);
-        if entry.reports.len() > MAX_REPORTS {
+        if entry.reports.len() > MAX_REPORTS_PER_MEMBER {
             entry.drop_oldest_report();
         }
     }
 
-    /// The share that this driver is to admit to a member where it admits `own_share` now; nothing where
-    /// peers report too little, or no other share.
+    /// Returns the share that replaces `own_share` for a member, or `None` if the peers have too few answers
+    /// or the change would be too small.
     pub fn blended_share(&self, now: Timestamp, member: NameHash, own_share: f64) -> Option<f64> {
         let peers = self.peer_totals(now, member)?;
         if peers.weight < self.settings.min_peer_answers {
             return None;
         }
-        // However many reports there are, old ones move the share the less.
-        let part = peers.weight / (peers.reported_answers + self.own_answers(now, member));
+        // Undecayed answers in the denominator: old reports have less effect even if there are many.
+        let peer_fraction = peers.weight / (peers.reported_answers + self.own_answers(now, member));
         let mean = peers.weighted_shares / peers.weight;
-        let blended = own_share + self.settings.gain * part * (mean - own_share);
-        ((blended - own_share).abs() > MIN_CHANGE).then_some(blended)
+        let blended = own_share + self.settings.gain * peer_fraction * (mean - own_share);
+        ((blended - own_share).abs() > MIN_SHARE_CHANGE).then_some(blended)
     }
 
     fn peer_totals(&self, now: Timestamp, member: NameHash) -> Option<PeerTotals> {
@@ -202,7 +201,7 @@
         Some(totals)
     }
 
-    /// Members of which this driver has enough answers to report its share, those with the most first.
+    /// Returns up to `limit` members with enough own answers to report a share, most answers first.
     pub fn reportable(&self, now: Timestamp, limit: usize) -> Vec<MemberAnswers> {
         let members = self.members.keys().map(|member| MemberAnswers {
             member: *member,
@@ -217,7 +216,7 @@
         reportable
     }
 
-    /// Forgets what counts no more.
+    /// Removes reports and members whose weight has decayed below the minimum.
     pub fn expire(&mut self, now: Timestamp) {
         let settings = self.settings;
         self.members.retain(|_, entry| {
--- a/crates/coordination/tests/failure_consensus.rs
+++ b/crates/coordination/tests/failure_consensus.rs
@@ -2,7 +2,7 @@
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_coordination::failure_consensus::{
-    ConsensusSettings, FailureConsensus, LateReport, ResponsivenessChange,
+    ConsensusSettings, DelayReport, FailureConsensus, ResponsivenessChange,
 };
 
 const MEMBER: &str = "m";
@@ -11,8 +11,8 @@
     Timestamp(10_000_000 + ms * 1000)
 }
 
-fn report(sent_ms: u64, reported_ms: u64) -> LateReport {
-    LateReport {
+fn report(sent_ms: u64, reported_ms: u64) -> DelayReport {
+    DelayReport {
         sent_at: at(sent_ms),
         reported_at: at(reported_ms),
     }
@@ -25,8 +25,8 @@
 /// A view in which two drivers have reported the member.
 fn reported_by_two(own_id: u64) -> FailureConsensus {
     let mut consensus = consensus(own_id);
-    consensus.on_late_report(MEMBER, 1, report(500, 900));
-    consensus.on_late_report(MEMBER, 2, report(600, 900));
+    consensus.on_delay_report(MEMBER, 1, report(500, 900));
+    consensus.on_delay_report(MEMBER, 2, report(600, 900));
     consensus
 }
 
@@ -74,7 +74,7 @@
             consensus.on_response(MEMBER, at(*at_ms));
         }
         for r in reports {
-            consensus.on_late_report(MEMBER, r.driver, report(r.sent_ms, r.reported_ms));
+            consensus.on_delay_report(MEMBER, r.driver, report(r.sent_ms, r.reported_ms));
         }
         let until = consensus.unresponsive_until(at(1000), MEMBER);
         assert_eq!(until.is_some(), is_unresponsive, "case {n}");
@@ -134,12 +134,12 @@
 fn on_late_report_nonsense_of_one_driver_moves_nothing() {
     let mut consensus = consensus(1);
     for n in 0..500 {
-        consensus.on_late_report(MEMBER, 9, report(n, n));
+        consensus.on_delay_report(MEMBER, 9, report(n, n));
         assert_eq!(consensus.unresponsive_until(at(n), MEMBER), None);
     }
     // And its reports fill nothing up.
     for n in 0..10_000 {
-        consensus.on_late_report(&format!("m{n}"), 9, report(n, n));
+        consensus.on_delay_report(&format!("m{n}"), 9, report(n, n));
     }
     assert!(consensus.take_changes(at(20_000)).is_empty());
 }
--- a/crates/driver/src/routing/gossip/coordination.rs
+++ b/crates/driver/src/routing/gossip/coordination.rs
@@ -4,7 +4,7 @@
 use super::DriverIdentity;
 use crate::routing::members::fleet_key;
 use asterlatch::time::{TimeSpan, Timestamp};
-use asterlatch_coordination::failure_consensus::{ConsensusSettings, FailureConsensus, LateReport};
+use asterlatch_coordination::failure_consensus::{ConsensusSettings, DelayReport, FailureConsensus};
 use asterlatch_coordination::fleet_size::FleetSize;
 use asterlatch_coordination::lease::{Lease, LeaseState, LeaseStatus, LeaseTable, LeaseTimings};
 use asterlatch_coordination::load_aggregate::{AggregateSettings, LoadAggregate, ShareReport};
@@ -160,12 +160,12 @@
         sent_at: Timestamp,
         observed_at: Timestamp,
     ) {
-        let report = LateReport {
+        let report = DelayReport {
             sent_at,
             reported_at: observed_at,
         };
         self.failure_consensus
-            .on_late_report(member, fleet_key(driver), report);
+            .on_delay_report(member, fleet_key(driver), report);
     }
 
     /// Applies a lease received from another driver.
@@ -270,11 +270,11 @@
     ) {
         let driver_key = fleet_key(&self.local_driver.name);
         for (member, sent_at) in delayed {
-            let report = LateReport {
+            let report = DelayReport {
                 sent_at: *sent_at,
                 reported_at: now,
             };
-            self.failure_consensus.on_late_report(member, driver_key, report);
+            self.failure_consensus.on_delay_report(member, driver_key, report);
             self.last_sequence += 1;
             let record = Record::DelayedExecution {
                 member: member.clone(),
