--- a/crates/config/tests/failing_disk.rs
+++ b/crates/config/tests/failing_disk.rs
@@ -3,7 +3,7 @@
 use asterlatch_config::generation_files;
 use asterlatch_config::generation_writer::{GenerationWriter, INITIAL_BACKOFF, MAX_BACKOFF};
 use asterlatch_config::store::{GenerationStore, StoreError};
-use asterlatch_storage::memory::{Call, End, MemoryFileSystem, CALLS};
+use asterlatch_storage::memory::{Call, MemoryFileSystem, ProcessEnd, ALL_CALLS};
 use std::path::{Path, PathBuf};
 
 const FOLDER: &str = "/state";
@@ -41,7 +41,7 @@
     for errno in [libc::EIO, libc::EMFILE] {
         let disk = disk_with_generations();
         // A damaged one would be removed with a newer intact one.
-        disk.fail_on(Call::Read, &path(1), errno);
+        disk.fail_calls_on(Call::Read, &path(1), errno);
         let contents = store(&disk).contents().expect("read the folder");
         assert_eq!(contents.stored.len(), 1);
         assert_eq!(contents.unreadable[0].number, 1);
@@ -56,7 +56,7 @@
                 .expect("store the generation"),
             2
         );
-        disk.mend();
+        disk.clear_fault();
         let expected = [
             (2, "new\n".to_owned()),
             (1, "old\n".to_owned()),
@@ -75,7 +75,7 @@
 fn store_failed_folder_sync_leaves_generation_newest_and_pending() {
     let disk = disk_with_generations();
     let mut writer = GenerationWriter::new(store(&disk));
-    disk.fail(Call::SyncFolder, libc::EIO);
+    disk.fail_calls(Call::SyncFolder, libc::EIO);
     let error = writer
         .store(2, "new\n".to_owned(), MAX_GENERATIONS)
         .expect_err("the folder sync fails");
@@ -93,7 +93,7 @@
         3,
         "older generations stay until it is durable"
     );
-    disk.mend();
+    disk.clear_fault();
     assert_eq!(
         writer
             .retry()
@@ -106,17 +106,17 @@
     let expected = [(2, "new\n".to_owned()), (1, "old\n".to_owned())];
     assert_eq!(intact(&disk), expected);
     // Removals aren't synced, so an older generation may reappear; the next store removes it.
-    disk.restart(End::PowerFailure);
+    disk.restart(ProcessEnd::PowerFailure);
     assert_eq!(intact(&disk)[..MAX_GENERATIONS], expected);
 }
 
 #[test]
 fn retry_on_repaired_disk_stores_pending_generation() {
-    for call in CALLS {
+    for call in ALL_CALLS {
         for errno in [libc::ENOSPC, libc::EIO] {
             let disk = disk_with_generations();
             let mut writer = GenerationWriter::new(store(&disk));
-            disk.fail(call, errno);
+            disk.fail_calls(call, errno);
             let first = writer.store(2, "new\n".to_owned(), MAX_GENERATIONS);
             let mut backoffs: Vec<_> = writer.retry_backoff().into_iter().collect();
             for _ in 0..9 {
@@ -130,7 +130,7 @@
                         .all(|p| (INITIAL_BACKOFF..=MAX_BACKOFF).contains(p))
             );
             // Whatever the result was, a start finds only intact generations.
-            disk.mend();
+            disk.clear_fault();
             let before = intact(&disk);
             match &first {
                 Err(StoreError::NotStored(_)) => assert_eq!(before[0].1, "old\n", "{call:?}"),
@@ -139,7 +139,7 @@
             if let Some(again) = writer.retry() {
                 assert_eq!(again.expect("store the generation"), 2, "{call:?}");
             }
-            disk.restart(End::PowerFailure);
+            disk.restart(ProcessEnd::PowerFailure);
             assert_eq!(intact(&disk)[0], (2, "new\n".to_owned()), "{call:?} {errno}");
         }
     }
@@ -147,12 +147,12 @@
 
 #[test]
 fn store_interrupted_at_any_call_leaves_intact_generation() {
-    for interruption in [End::Kill, End::PowerFailure] {
+    for interruption in [ProcessEnd::Kill, ProcessEnd::PowerFailure] {
         for call_number in 1.. {
             let disk = disk_with_generations();
-            disk.kill_at(call_number);
+            disk.kill_at_call(call_number);
             let result = store(&disk).store(2, "new\n", MAX_GENERATIONS, |_| ());
-            let was_killed = disk.calls() >= call_number;
+            let was_killed = disk.call_count() >= call_number;
             disk.restart(interruption);
             let newest = intact(&disk)[0].clone();
             if result.is_ok() {
--- a/crates/driver/src/program/gossip/mod.rs
+++ b/crates/driver/src/program/gossip/mod.rs
@@ -24,8 +24,8 @@
 use asterlatch_gossip::node::{GossipNode, NodeSettings};
 use asterlatch_gossip::record::ObservedRecord;
 use asterlatch_gossip::snapshot;
-use asterlatch_recovery::report::{self, Classified, StoredRecord, UsableRecord};
-use asterlatch_storage::log_file::Former;
+use asterlatch_recovery::report::{self, ClassifiedRecords, StoredRecord, UsableRecord};
+use asterlatch_storage::log_file::PreviousLog;
 pub use query::{query_service, Query, QueryError, QueryKind};
 use snapshot_writer::SnapshotWriter;
 use std::io;
@@ -262,7 +262,7 @@
     records: Vec<ObservedRecord>,
     incarnation: u64,
     /// Whether the file could be read, even if its contents are damaged.
-    file: Former,
+    file: PreviousLog,
     /// Why the snapshot can't be used, or not to its end.
     error: Option<String>,
 }
@@ -275,12 +275,12 @@
             PreviousSnapshot {
                 records: contents.records,
                 incarnation: contents.incarnation,
-                file: Former::Read,
+                file: PreviousLog::Readable,
                 error: contents.error.map(|error| error.to_string()),
             }
         }
         Err(error) => PreviousSnapshot {
-            file: Former::Unread,
+            file: PreviousLog::Unreadable,
             error: Some(error.to_string()),
             ..PreviousSnapshot::default()
         },
@@ -295,7 +295,7 @@
     has_folder: bool,
 ) -> Vec<String> {
     let stored = previous.records.into_iter().map(StoredRecord::from);
-    let Classified { usable, report } = report::classify(stored, now);
+    let ClassifiedRecords { usable, report } = report::classify(stored, now);
     let mut lines: Vec<String> = previous.error.into_iter().collect();
     if has_folder {
         lines.push(report.to_string());
--- a/crates/driver/src/program/upgrade/predecessor.rs
+++ b/crates/driver/src/program/upgrade/predecessor.rs
@@ -313,7 +313,10 @@
         let text = self.progress_text(progress);
         log!(event_loop.logger, now, "upgrade", "{text}");
         reply(self.requester.as_ref(), &text);
-        if matches!(progress, Progress::Busy | Progress::Done | Progress::Failed(_)) {
+        if matches!(
+            progress,
+            Progress::Busy | Progress::Completed | Progress::Failed(_)
+        ) {
             self.requester = None;
         }
     }
@@ -326,14 +329,14 @@
             }
             Progress::Busy => "cannot start: an upgrade or a shutdown is in progress".to_owned(),
             Progress::Committed => "the successor is ready and asked to serve".to_owned(),
-            Progress::Done => "done, the successor owns the service".to_owned(),
+            Progress::Completed => "done, the successor owns the service".to_owned(),
             Progress::Failed(error) => format!("failed, this process continues to serve: {error}"),
         }
     }
 
     /// Whether the successor accepts client and member connections.
     fn can_move_connections(&self) -> bool {
-        matches!(self.state_machine.phase, Phase::Standby | Phase::Done)
+        matches!(self.state_machine.phase, Phase::Standby | Phase::HandedOver)
     }
 
     /// Sends idle member connections to the successor, or closes them if it doesn't accept any; new ones are
