--- a/crates/driver/benches/flood.rs
+++ b/crates/driver/benches/flood.rs
@@ -1,6 +1,6 @@
-//! What a flood of bad input costs the process: processor time of this build, and of an earlier one beside it where
-//! `BEFORE` names its program. `make bench-flood BEFORE=path`. The two take turns, so that a busy machine is busy for
-//! both; only their ratio is told.
+//! What a flood of bad input costs the process: processor time of this build, and of an earlier one beside it
+//! where `BEFORE` names its program. `make bench-flood BEFORE=path`. The two take turns, so that a busy
+//! machine is busy for both; only their ratio is told.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,8 +11,8 @@
 const ROUNDS: usize = 25;
 
 fn free() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    listener.local_addr().expect("is bound")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+    listener.local_addr().expect("read the bound address")
 }
 
 struct Served {
@@ -28,10 +28,10 @@
         "settings":{{"categories":[{{"name":"view"}}],"family_info":{{"freshness":["loose"]}}}}}}"#
     );
     let file = std::env::temp_dir().join(format!("asterlatch-flood-{}-{name}.json", std::process::id()));
-    std::fs::write(&file, text).expect("is written");
+    std::fs::write(&file, text).expect("write the file");
     let mut command = Command::new(program);
     command.args(["serve", "--config"]).arg(&file);
-    let child = command.stderr(Stdio::null()).spawn().expect("starts");
+    let child = command.stderr(Stdio::null()).spawn().expect("spawn the driver");
     while TcpStream::connect(listen).is_err() {
         std::thread::yield_now();
     }
@@ -41,16 +41,21 @@
 impl Served {
     /// Processor time so far, in ticks of the kernel.
     fn ticks(&self) -> u64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("is there");
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("read the file");
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-        fields[11].parse::<u64>().expect("a number") + fields[12].parse::<u64>().expect("a number")
+        fields[11]
+            .parse::<u64>()
+            .expect("parse the number of clock ticks")
+            + fields[12]
+                .parse::<u64>()
+                .expect("parse the number of clock ticks")
     }
 
     fn flood(&self) {
-        let mut stream = TcpStream::connect(self.listen).expect("listens");
+        let mut stream = TcpStream::connect(self.listen).expect("connect to the driver");
         stream
             .write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0])
-            .expect("is written");
+            .expect("write to the connection");
         let text = b"no comment at all\0";
         let one = [&b"Q"[..], &(text.len() as u32 + 4).to_be_bytes(), text].concat();
         let row = one.repeat(AT_ONCE);
@@ -60,10 +65,10 @@
         // The welcome says ready once as well.
         while ready < STATEMENTS + 1 {
             if ready > sent && sent < STATEMENTS {
-                stream.write_all(&row).expect("is written");
+                stream.write_all(&row).expect("write to the connection");
                 sent += AT_ONCE;
             }
-            let n = stream.read(&mut buffer).expect("answers");
+            let n = stream.read(&mut buffer).expect("read from the connection");
             assert!(n > 0, "it hung up after {ready}");
             // Each answer ends in Z, its length, and I; the row is small enough to lie whole in what is read.
             ready += buffer[..n].windows(6).filter(|w| *w == b"Z\0\0\0\x05I").count();
--- a/crates/driver/tests/adverse.rs
+++ b/crates/driver/tests/adverse.rs
@@ -1,5 +1,6 @@
-//! Trouble beyond the operators' bench around two or three processes of the built program: the test bed's adverse scenarios
-//! of a few seconds. The longer ones (`fault-after-quiet`, `fault-after-silence`, `discovery-away`) are run by `asterlatch-testbed adverse`.
+//! Trouble beyond the operators' bench around two or three processes of the built program: the test bed's
+//! adverse scenarios of a few seconds. The longer ones (`fault-after-quiet`, `fault-after-silence`,
+//! `discovery-away`) are run by `asterlatch-testbed adverse`.
 
 use asterlatch_testbed::adverse::{find, SCENARIOS};
 use std::path::Path;
@@ -13,9 +14,9 @@
     let _turn = TURNS[turn % TURNS.len()]
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
-    let scenario = find(name).expect("is a scenario");
+    let scenario = find(name).expect("find the scenario");
     let program = Path::new(env!("CARGO_BIN_EXE_asterlatch"));
-    let report = scenario.run(program, SEED).expect("can be run");
+    let report = scenario.run(program, SEED).expect("run the scenario");
     assert!(report.all_rules_kept(), "{report}");
     assert!(report.asked > 500, "or this proves little: {report}");
 }
--- a/crates/driver/tests/clocks.rs
+++ b/crates/driver/tests/clocks.rs
@@ -1,4 +1,5 @@
-//! The built program with a wall clock that is wrong: members don't check reads, and two of three groups' replicas lag.
+//! The built program with a wall clock that is wrong: members don't check reads, and two of three groups'
+//! replicas lag.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_driver::transport::clock::{Clock, OFFSET_VARIABLE};
@@ -27,16 +28,18 @@
 
 /// The program with a wall clock that is off by so many seconds.
 fn program_with_clock(folder: &Path, seconds: i64) -> PathBuf {
-    std::fs::create_dir_all(folder).expect("is made");
+    std::fs::create_dir_all(folder).expect("create the folder");
     let path = folder.join(format!("clock{seconds}"));
     let program = env!("CARGO_BIN_EXE_asterlatch");
     let text = format!("#!/bin/sh\n{OFFSET_VARIABLE}={seconds} exec {program} \"$@\"\n");
-    std::fs::write(&path, text).expect("is written");
-    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("is made executable");
+    std::fs::write(&path, text).expect("write the file");
+    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755))
+        .expect("make the script executable");
     path
 }
 
-/// Plays four seconds of load with a clock that is wrong from the start; `meanwhile` runs once the load has begun.
+/// Plays four seconds of load with a clock that is wrong from the start; `meanwhile` runs once the load has
+/// begun.
 fn play(name: &str, seconds: i64, meanwhile: impl FnOnce(&mut Deployment, &Path)) -> CheckReport {
     let folder = folder(name);
     let program = program_with_clock(&folder, seconds);
@@ -64,8 +67,9 @@
     program: ProgramUnderTest,
     meanwhile: impl FnOnce(&mut Deployment, &Path),
 ) -> CheckReport {
-    let script = FaultScript::parse(LAGGING).expect("can be read");
-    let mut deployment = Deployment::start(program, folder, TOPOLOGY, script, false).expect("starts");
+    let script = FaultScript::parse(LAGGING).expect("parse the fault script");
+    let mut deployment =
+        Deployment::start(program, folder, TOPOLOGY, script, false).expect("start the deployment");
     let from = wall_clock_now();
     lock(&deployment.store).started_at = from;
     let workloads = lock(&deployment.store).workloads.clone();
@@ -83,7 +87,7 @@
 fn assert_served(report: &CheckReport) {
     assert_eq!(report.violation_count(), 0, "{report}");
     let bounded = report.rows.iter().find(|row| row.name == "balance-view");
-    let bounded = bounded.expect("is a workload");
+    let bounded = bounded.expect("the report has the workload");
     assert!(bounded.asked > 300, "or this proves little: {report}");
     assert!(bounded.completed * 100 >= bounded.asked * 95, "{report}");
 }
@@ -103,7 +107,8 @@
     assert_served(&play("ahead", HOUR, |_, _| ()));
 }
 
-/// The wall clock is set while the program serves, by seconds and by an hour, either way; or it is wrong and put right.
+/// The wall clock is set while the program serves, by seconds and by an hour, either way; or it is wrong and
+/// put right.
 #[test]
 fn clock_set_in_service_serves_bounded_reads() {
     for (name, offset_s, after_ms, until_ms) in [
@@ -130,13 +135,14 @@
             deployment
                 .next
                 .get_or_insert_with(|| (&program_with_clock(folder, -HOUR)).into());
-            deployment.upgrade().expect("is handed over");
+            deployment.upgrade().expect("upgrade the driver");
         }
     });
     assert_served(&report);
 }
 
-/// A successor's time line goes on from its predecessor's by the machine's uptime, whatever its wall clock shows.
+/// A successor's time line goes on from its predecessor's by the machine's uptime, whatever its wall clock
+/// shows.
 #[test]
 fn resumed_clock_goes_on_without_the_wall_clock() {
     let hour = TimeSpan::millis(3_600_000);
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -1,6 +1,8 @@
-//! The configuration file and the operators' settings as an earlier build read them: each key means what it meant.
+//! The configuration file and the operators' settings as an earlier build read them: each key means what it
+//! meant.
 //!
-//! `cargo test -p asterlatch-driver --test configuration_fixtures -- --ignored` writes the fixtures anew from the build as it is.
+//! `cargo test -p asterlatch-driver --test configuration_fixtures -- --ignored` writes the fixtures anew from
+//! the build as it is.
 
 use asterlatch_config::load::{read, FolderSource};
 use asterlatch_config::service_schema::DEFAULT_MACHINE;
@@ -25,25 +27,28 @@
 }
 
 fn text(name: &str) -> String {
-    fs::read_to_string(fixture(name)).expect("the fixture is there")
+    fs::read_to_string(fixture(name)).expect("read the fixture")
 }
 
 fn lines(values: &[(&str, String)]) -> String {
     let mut text = String::new();
     for (name, value) in values {
-        writeln!(text, "{name} = {value}").expect("is written");
+        writeln!(text, "{name} = {value}").expect("write to a string");
     }
     text
 }
 
 fn config() -> Config {
     let path = fixture(CONFIG);
-    config::load(path.to_str().expect("is text"), |_| None).expect("is read")
+    config::load(path.to_str().expect("the path is UTF-8"), |_| None).expect("load the configuration")
 }
 
 /// Every value of the file by its key; the settings stand with their own crate, here only their hash.
 fn described_config(config: &Config) -> String {
-    let known = config.known_endpoints.as_ref().expect("a list is known");
+    let known = config
+        .known_endpoints
+        .as_ref()
+        .expect("the configuration has an endpoint list");
     let mut text = lines(&[
         ("name", config.name.clone()),
         ("listen", config.listen.to_string()),
@@ -74,12 +79,13 @@
 
 fn every_setting_in_force() -> AppliedSettings {
     let path = package().join(EVERY_SETTING);
-    let (folder, name) = FolderSource::containing(path.to_str().expect("is text"));
+    let (folder, name) = FolderSource::containing(path.to_str().expect("the path is UTF-8"));
     let outcome = read(&name, &folder, schema(), DEFAULT_MACHINE);
-    AppliedSettings::from_resolved(&outcome.settings.expect("is valid"))
+    AppliedSettings::from_resolved(&outcome.settings.expect("the operators' file is valid"))
 }
 
-/// What the parts of the program take over, by the setting that states it. Times in microseconds, shares in millionths.
+/// What the parts of the program take over, by the setting that states it. Times in microseconds, shares in
+/// millionths.
 #[expect(clippy::too_many_lines, reason = "one row for each setting")]
 fn described_in_force(force: &AppliedSettings) -> String {
     let limits = &force.limits;
@@ -150,9 +156,9 @@
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_fixtures() {
-    fs::write(fixture(CONFIG_RESOLVED), described_config(&config())).expect("is written");
+    fs::write(fixture(CONFIG_RESOLVED), described_config(&config())).expect("write the file");
     let in_force = described_in_force(&every_setting_in_force());
-    fs::write(fixture(EVERY_SETTING_IN_FORCE), in_force).expect("is written");
+    fs::write(fixture(EVERY_SETTING_IN_FORCE), in_force).expect("write the file");
 }
 
 #[test]
--- a/crates/driver/tests/failing_calls.rs
+++ b/crates/driver/tests/failing_system_calls.rs
@@ -1,55 +1,56 @@
 //! The built program while its system calls fail, as `crates/fault-preload` has them fail.
 
-mod stand;
+mod harness;
 
 use asterlatch_fault_injection::FaultPlan;
 use asterlatch_testbed::program_under_test::inject;
-use stand::{
-    config, described, failing, failing_first, free_address, listener, member, operated_faulty, program,
-    read_head, serve_faulty, silent_discovery, start, Folder, Manner, Program,
+use harness::{
+    bind_listener, config_text, driver_command, fault_plan, limited_fault_plan, read_request_head,
+    spawn_process, start_driver_with_faults, start_member, start_with_operators_file_and_faults,
+    unresponsive_discovery, unused_address, write_config, DriverProcess, MemberBehavior, TempFolder,
 };
 use std::net::TcpStream;
 
 /// Every `send` fails, that of a signal handler to a pipe too, as it may where the kernel has no memory.
 #[test]
 fn signal_takes_effect_while_sends_fail() {
-    let folder = Folder::new("signals-sends-fail");
+    let folder = TempFolder::new("signals-sends-fail");
     let file = folder.write("operators.latch", "");
-    let member = member(Manner::Answers);
-    let mut driver = operated_faulty(
+    let member = start_member(MemberBehavior::Answer);
+    let mut driver = start_with_operators_file_and_faults(
         "signals",
         member.address,
         &["--operators", &file],
-        &failing("send=ENOMEM", 1),
+        &fault_plan("send=ENOMEM", 1),
     );
-    driver.program.signal("USR1");
-    driver.told("counters");
-    driver.program.signal("HUP");
-    driver.told("reloaded");
+    driver.process.signal("USR1");
+    driver.wait_for_log("counters");
+    driver.process.signal("HUP");
+    driver.wait_for_log("reloaded");
     // Without a control socket a successor can't be proven, but the attempt is logged.
-    driver.program.signal("USR2");
-    driver.told("upgrade");
-    driver.program.signal("TERM");
-    assert!(driver.program.ends_well());
+    driver.process.signal("USR2");
+    driver.wait_for_log("upgrade");
+    driver.process.signal("TERM");
+    assert!(driver.process.exits_successfully());
 }
 
 /// A client whose connection can't be registered with the event loop at first is accepted, so it is served.
 #[test]
 fn accepted_client_is_answered_though_its_registration_fails() {
-    let member = member(Manner::Answers);
+    let member = start_member(MemberBehavior::Answer);
     for calls in ["epoll_add", "epoll_add=ENOSPC,setsockopt", "epoll_add,accept"] {
-        let driver = serve_faulty(
+        let driver = start_driver_with_faults(
             "registration",
-            &described(free_address(), silent_discovery(), member.address),
+            &config_text(unused_address(), unresponsive_discovery(), member.address),
             &[],
-            &failing(calls, 4),
+            &fault_plan(calls, 4),
         );
         for _ in 0..6 {
             // It has read the answer to its first query when this returns.
-            let _client = driver.client();
+            let _client = driver.connect_client();
         }
         driver.signal("TERM");
-        let (is_good, log) = driver.finish();
+        let (is_good, log) = driver.wait_with_log();
         assert!(is_good, "{log}");
         assert!(
             log.contains("accept: a client could not be accepted"),
@@ -61,17 +62,17 @@
 /// Nobody is closed for an error that says nothing about descriptors.
 #[test]
 fn client_is_not_evicted_where_accept_fails_for_lack_of_memory() {
-    let member = member(Manner::Answers);
+    let member = start_member(MemberBehavior::Answer);
     for (error, are_evicted) in [("ENOBUFS", false), ("ENOMEM", false), ("EMFILE", true)] {
-        let driver = serve_faulty(
+        let driver = start_driver_with_faults(
             "accept-fails",
-            &described(free_address(), silent_discovery(), member.address),
+            &config_text(unused_address(), unresponsive_discovery(), member.address),
             &[],
-            &failing(&format!("accept={error}"), 2),
+            &fault_plan(&format!("accept={error}"), 2),
         );
-        let clients: Vec<_> = (0..5).map(|_| driver.client()).collect();
+        let clients: Vec<_> = (0..5).map(|_| driver.connect_client()).collect();
         driver.signal("TERM");
-        let (is_good, log) = driver.finish();
+        let (is_good, log) = driver.wait_with_log();
         assert!(is_good, "{log}");
         let is_counted = |name: &str| !log.contains(&format!("{name}=0 "));
         assert!(is_counted("accepts_failed"), "{log}");
@@ -83,7 +84,7 @@
 /// What a start needs may be missing for a moment; `EADDRINUSE` is a predecessor that is just ending.
 #[test]
 fn start_goes_on_where_a_failure_passes() {
-    let member = member(Manner::Answers);
+    let member = start_member(MemberBehavior::Answer);
     for calls in [
         "thread=EAGAIN",
         "socket=EMFILE",
@@ -93,17 +94,17 @@
         "listen=EADDRINUSE",
         "accept,connect,send,recv,socket,bind,listen,setsockopt,epoll_wait,short_send,short_recv",
     ] {
-        let folder = Folder::new("start-passes");
+        let folder = TempFolder::new("start-passes");
         let (file, control) = (folder.write("operators.latch", ""), folder.path("control"));
-        let driver = serve_faulty(
+        let driver = start_driver_with_faults(
             "start-passes",
-            &described(free_address(), silent_discovery(), member.address),
+            &config_text(unused_address(), unresponsive_discovery(), member.address),
             &["--operators", &file, "--control", &control],
-            &failing_first(calls, 3),
+            &limited_fault_plan(calls, 3),
         );
-        let _client = driver.client();
+        let _client = driver.connect_client();
         driver.signal("TERM");
-        let (is_good, log) = driver.finish();
+        let (is_good, log) = driver.wait_with_log();
         assert!(is_good, "{calls}: {log}");
     }
 }
@@ -111,23 +112,23 @@
 /// The second attempt would succeed, so there is none.
 #[test]
 fn start_ends_at_once_where_a_failure_lasts() {
-    let member = member(Manner::Answers);
+    let member = start_member(MemberBehavior::Answer);
     for (calls, told) in [
         ("bind=EACCES", "Permission denied"),
         ("bind=EADDRNOTAVAIL", "Cannot assign requested address"),
         ("socket=EACCES", "Permission denied"),
     ] {
-        let text = described(free_address(), silent_discovery(), member.address);
-        let path = config("start-lasting", &text);
-        let mut command = program("serve", &path);
-        inject(&mut command, &failing_first(calls, 1)).expect("cargo has built the shared object");
-        let mut process = Program {
-            child: start(&mut command),
-            listen: free_address(),
+        let text = config_text(unused_address(), unresponsive_discovery(), member.address);
+        let path = write_config("start-lasting", &text);
+        let mut command = driver_command("serve", &path);
+        inject(&mut command, &limited_fault_plan(calls, 1)).expect("find the shared object built by cargo");
+        let mut process = DriverProcess {
+            child: spawn_process(&mut command),
+            listen: unused_address(),
             path,
         };
-        assert!(!process.ends_well(), "{calls}");
-        let (_, log) = process.finish();
+        assert!(!process.exits_successfully(), "{calls}");
+        let (_, log) = process.wait_with_log();
         assert!(log.lines().count() == 1 && log.contains(told), "{calls}: {log}");
     }
 }
@@ -135,43 +136,45 @@
 /// A start that goes on trying can be ended.
 #[test]
 fn shutdown_ends_a_start_that_is_retried() {
-    let member = member(Manner::Answers);
-    let text = described(free_address(), silent_discovery(), member.address);
-    let path = config("start-ended", &text);
-    let mut command = program("serve", &path);
+    let member = start_member(MemberBehavior::Answer);
+    let text = config_text(unused_address(), unresponsive_discovery(), member.address);
+    let path = write_config("start-ended", &text);
+    let mut command = driver_command("serve", &path);
     // It fails for good: without the signal the start would end with an error.
-    inject(&mut command, &failing("bind=EADDRINUSE", 1)).expect("cargo has built the shared object");
-    let child = start(&mut command);
-    let listen = free_address();
-    let process = Program { child, listen, path };
+    inject(&mut command, &fault_plan("bind=EADDRINUSE", 1)).expect("find the shared object built by cargo");
+    let child = spawn_process(&mut command);
+    let listen = unused_address();
+    let process = DriverProcess { child, listen, path };
     process.await_blocked_signals();
     process.signal("TERM");
-    let (is_good, log) = process.finish();
+    let (is_good, log) = process.wait_with_log();
     assert!(is_good && log.is_empty(), "{log}");
 }
 
 /// Nothing reaches discovery at first: it is asked all the same.
 #[test]
 fn discovery_is_asked_though_its_first_connections_fail() {
-    let member = member(Manner::Answers);
+    let member = start_member(MemberBehavior::Answer);
     for calls in [
         "socket=EMFILE",
         "connect=ENETUNREACH",
         "connect=EINTR",
         "epoll_add=ENOMEM",
     ] {
-        let (discovery, address) = listener();
+        let (discovery, address) = bind_listener();
         let plan = FaultPlan {
             every: 2,
-            ..failing_first(calls, 4)
+            ..limited_fault_plan(calls, 4)
         };
-        let text = described(free_address(), address, member.address);
-        let driver = serve_faulty("discovery-fails", &text, &[], &plan);
+        let text = config_text(unused_address(), address, member.address);
+        let driver = start_driver_with_faults("discovery-fails", &text, &[], &plan);
         // Connections that fail behind `connect` end without a request.
-        let is_asked = |stream: std::io::Result<TcpStream>| read_head(&mut stream.expect("comes")).is_ok();
+        let is_asked = |stream: std::io::Result<TcpStream>| {
+            read_request_head(&mut stream.expect("read from the connection")).is_ok()
+        };
         assert!(discovery.incoming().any(is_asked), "{calls}");
         driver.signal("TERM");
-        let (is_good, log) = driver.finish();
+        let (is_good, log) = driver.wait_with_log();
         assert!(is_good, "{calls}: {log}");
     }
 }
--- a/crates/driver/tests/failing_demo.rs
+++ b/crates/driver/tests/failing_system_calls_under_load.rs
@@ -1,4 +1,5 @@
-//! The test bed's own load against the built program while its system calls fail: it starts, and every rule is kept.
+//! The test bed's own load against the built program while its system calls fail: it starts, and every rule
+//! is kept.
 
 use asterlatch::time::TimeSpan;
 use asterlatch_fault_injection::FaultPlan;
@@ -24,7 +25,7 @@
     let program = ProgramUnderTest {
         file: PathBuf::from(env!("CARGO_BIN_EXE_asterlatch")),
         faults: FaultPlan {
-            calls: FaultPlan::parse_calls(CALLS).expect("is a list of calls"),
+            calls: FaultPlan::parse_calls(CALLS).expect("parse the list of system calls"),
             every,
             ..FaultPlan::default()
         },
@@ -35,7 +36,8 @@
         replicas: 2,
     };
     let script = FaultScript::default();
-    let mut deployment = Deployment::start(program, &folder, topology, script, true).expect("serves");
+    let mut deployment =
+        Deployment::start(program, &folder, topology, script, true).expect("start the deployment");
     let workloads = lock(&deployment.store).workloads.clone();
     let arrivals = Arrivals::new(
         &workloads,
--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Five processes of the built program with faults between them: the test bed's scenarios, checked over all of them together.
+//! Five processes of the built program with faults between them: the test bed's scenarios, checked over all
+//! of them together.
 
 use asterlatch_testbed::cluster::{run, ClusterPlan, RunReport};
 use asterlatch_testbed::fault_script::FaultScript;
@@ -39,12 +40,12 @@
     let _permit = ScenePermit::acquire();
     let scenario = scenarios(5)
         .find(|scenario| scenario.name == scene)
-        .expect("is a scene");
+        .expect("find the scenario");
     let plan = ClusterPlan {
         drivers: scenario.drivers,
         groups: 2,
         replicas: 2,
-        script: FaultScript::parse(scenario.script).expect("can be read"),
+        script: FaultScript::parse(scenario.script).expect("parse the fault script"),
         gossip_enabled,
         seconds: 5.0,
         rate: 150.0,
@@ -55,10 +56,11 @@
         },
         seed: 3,
     };
-    run(Path::new(env!("CARGO_BIN_EXE_asterlatch")), &plan).expect("can be played")
+    run(Path::new(env!("CARGO_BIN_EXE_asterlatch")), &plan).expect("run the scenario")
 }
 
-/// All rules hold over all processes, copies come to be equal, and no payment that was repeated elsewhere ran twice.
+/// All rules hold over all processes, copies come to be equal, and no payment that was repeated elsewhere ran
+/// twice.
 fn holds(scene: &str) -> RunReport {
     let outcome = play(scene, true);
     assert!(outcome.all_rules_kept(), "{outcome}");
--- a/crates/driver/tests/versions.rs
+++ b/crates/driver/tests/gossip_versions.rs
@@ -1,14 +1,14 @@
-//! A process of this version beside a driver of the next one, whose datagrams have another version, items of a kind that
-//! isn't known here, and more behind what is: both understand each other as far as both go.
+//! A process of this version beside a driver of the next one, whose datagrams have another version, items of
+//! a kind that isn't known here, and more behind what is: both understand each other as far as both go.
 
-mod stand;
+mod harness;
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_gossip::codec::InquiryId;
 use asterlatch_gossip::in_doubt::DispatchStatus;
 use asterlatch_gossip::membership::{MembershipTiming, PeerState};
 use asterlatch_gossip::node::{GossipNode, NodeInput, NodeOutput, NodeSettings, Observation};
 use asterlatch_gossip::record::{ListedState, Record};
-use stand::*;
+use harness::*;
 use std::net::UdpSocket;
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -56,9 +56,9 @@
 
     /// Goes on until that holds; whether it did in time.
     fn until(&mut self, within: Duration, mut holds: impl FnMut(&GossipNode) -> bool) -> bool {
-        let end = Instant::now() + within;
+        let deadline = Instant::now() + within;
         let mut buffer = [0; 2048];
-        while Instant::now() < end {
+        while Instant::now() < deadline {
             if holds(&self.engine) {
                 return true;
             }
@@ -78,37 +78,37 @@
     let output = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
         .args(["fleet", what, "--json", "--control", control])
         .output()
-        .expect("runs");
-    serde_json::from_slice(&output.stdout).expect("is JSON")
+        .expect("run the command");
+    serde_json::from_slice(&output.stdout).expect("parse as JSON")
 }
 
-fn beside(name: &str, version: u8, more: &str) -> (Folder, Operated, Member, Beside) {
-    let folder = Folder::new(&format!("versions-{name}"));
-    let member = member(Manner::Answers);
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("is bound");
-    let theirs = socket.local_addr().expect("is bound").port();
+fn beside(name: &str, version: u8, more: &str) -> (TempFolder, OperatedDriver, Member, Beside) {
+    let folder = TempFolder::new(&format!("versions-{name}"));
+    let member = start_member(MemberBehavior::Answer);
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a UDP socket");
+    let theirs = socket.local_addr().expect("read the bound address").port();
     let port = UdpSocket::bind("127.0.0.1:0")
         .and_then(|s| s.local_addr())
-        .expect("is free")
+        .expect("bind a UDP port")
         .port();
     let text = format!(
         "shared(port = {port}, tick = 20ms, probe = 100ms, suspicion = 500ms{more})\ndriver(\"later@127.0.0.1\", port = {theirs})\n"
     );
     let file = folder.write("o.latch", &text);
     let control = folder.path("control");
-    let operated = operated(
+    let driver = start_with_operators_file(
         &format!("versions-{name}"),
         member.address,
         &["--operators", &file, "--control", &control],
     );
-    let host = operated.program.listen.ip();
-    socket.connect((host, port)).expect("has a way");
+    let host = driver.process.listen.ip();
+    socket.connect((host, port)).expect("connect the UDP socket");
     socket
         .set_read_timeout(Some(Duration::from_millis(5)))
-        .expect("is set");
+        .expect("set the read timeout");
     let fleet = show(&control, "status")["fleet"][0]["settings"]
         .as_str()
-        .expect("is told")
+        .expect("read the hash of the settings")
         .to_owned();
     let settings = NodeSettings {
         fleet: fleet.clone(),
@@ -134,23 +134,23 @@
         version,
         fleet,
     };
-    (folder, operated, member, beside)
+    (folder, driver, member, beside)
 }
 
 #[test]
 fn gossip_later_version_is_understood_in_common_part() {
-    let (folder, operated, _member, mut later) = beside("next", 2, "");
+    let (folder, driver, _member, mut later) = beside("next", 2, "");
     let there =
         |e: &GossipNode| e.membership.peers()[0].state == PeerState::Alive && !e.anti_entropy.is_behind();
-    assert!(later.until(PATIENCE, there), "it finds this one");
-    operated.told("fleet: driver later is there, was unheard");
+    assert!(later.until(TEST_TIMEOUT, there), "it finds this one");
+    driver.wait_for_log("fleet: driver later is there, was unheard");
     // What this one's member said of itself comes over.
     let member = |e: &GossipNode| {
         e.state
             .entries()
             .any(|e| matches!(&e.record, Record::Member { name, .. } if name == "m"))
     };
-    assert!(later.until(PATIENCE, member));
+    assert!(later.until(TEST_TIMEOUT, member));
     // And what the later one tells is known here.
     let drain = Record::Drain {
         name: "m9".to_owned(),
@@ -161,7 +161,7 @@
     later.give(NodeInput::Observed(vec![Observation::now(drain)]));
     let control = folder.path("control");
     let mut known = |_: &GossipNode| show(&control, "facts").to_string().contains("m9");
-    assert!(later.until(PATIENCE, &mut known));
+    assert!(later.until(TEST_TIMEOUT, &mut known));
     let counts = &show(&control, "status")["counts"][0];
     assert_eq!(
         (&counts["unknown_version"], &counts["garbled"]),
@@ -176,7 +176,7 @@
     let control = folder.path("control");
     let counted =
         |_: &GossipNode| show(&control, "status")["counts"][0]["unknown_version"].as_u64() > Some(3);
-    assert!(older.until(PATIENCE, counted));
+    assert!(older.until(TEST_TIMEOUT, counted));
     let status = show(&control, "status");
     assert_eq!(status["drivers"][1]["presence"], "unheard");
 }
@@ -189,11 +189,14 @@
             id,
             sequence: id as u32,
         }));
-        let end = Instant::now() + PATIENCE;
-        while self.answers.is_empty() && Instant::now() < end {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while self.answers.is_empty() && Instant::now() < deadline {
             self.until(Duration::from_millis(10), |_| false);
         }
-        self.answers.first().cloned().expect("is answered")
+        self.answers
+            .first()
+            .cloned()
+            .expect("receive the reply to the inquiry")
     }
 }
 
@@ -206,16 +209,16 @@
     }
 }
 
-/// While two processes of one driver serve, neither knows what the other has sent: a question is answered so, and a repeat
-/// that comes to the new one is in doubt, for it can't ask.
+/// While two processes of one driver serve, neither knows what the other has sent: a question is answered so,
+/// and a repeat that comes to the new one is in doubt, for it can't ask.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn upgrade_in_progress_never_reports_not_executed() {
     let times = "\nupgrade(hello = 5s, ready = 5s, probation = 10min, beat = 50ms, silence = 2s";
     let more = format!(", window = 1s){times}");
-    let (folder, operated, _member, mut other) = beside("upgrade", 1, &more);
+    let (folder, driver, _member, mut other) = beside("upgrade", 1, &more);
     let there = |e: &GossipNode| e.membership.peers()[0].state == PeerState::Alive;
-    assert!(other.until(PATIENCE, there));
+    assert!(other.until(TEST_TIMEOUT, there));
     // Its former life may have sent anything within the window.
     let mut id = 100;
     while other.asks(id) == DispatchStatus::Unknown {
@@ -232,33 +235,34 @@
             env!("CARGO_BIN_EXE_asterlatch"),
         ])
         .spawn()
-        .expect("runs");
-    let begun = operated.told("upgrade: started ");
+        .expect("spawn the command");
+    let begun = driver.wait_for_log("upgrade: started ");
     let pid: i32 = begun
         .rsplit(' ')
         .next()
         .and_then(|n| n.parse().ok())
-        .expect("names it");
+        .expect("the log line ends with the process id");
     // Whatever fails here, it ends with the test.
-    let new = Ends(rustix::process::Pid::from_raw(pid).expect("a process"));
-    operated.told("the successor is ready and asked to serve");
+    let new = Ends(rustix::process::Pid::from_raw(pid).expect("a valid process id"));
+    driver.wait_for_log("the successor is ready and asked to serve");
     assert_eq!(
         other.asks(2),
         DispatchStatus::Unknown,
         "the other process may have sent it"
     );
-    let mut client = operated.program.client();
+    let mut client = driver.process.connect_client();
     for (id, marked, answered) in [
         ("a1", "", "T D C Z"),
         ("a2", ",r=1", "E40003 Z"),
         ("a3", "", "T D C Z"),
     ] {
         let text = format!("/* id={id},c=post,d=25000,cluster=1{marked} */ SELECT 1\0");
-        std::io::Write::write_all(&mut client, &message(b'Q', text.as_bytes())).expect("is written");
-        assert_eq!(answer(&mut client).0, answered, "{id}");
+        std::io::Write::write_all(&mut client, &message(b'Q', text.as_bytes()))
+            .expect("write to the connection");
+        assert_eq!(read_answer(&mut client).0, answered, "{id}");
     }
     drop(new);
-    operated.told("upgrade: failed, this process continues to serve");
+    driver.wait_for_log("upgrade: failed, this process continues to serve");
     let _ = asking.wait();
     assert_eq!(
         other.asks(3),
--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -1,12 +1,13 @@
-//! State handed over by an earlier build: its members decode to the same values, and the program resumes from all of it.
+//! State handed over by an earlier build: its members decode to the same values, and the program resumes from
+//! all of it.
 
-mod stand;
+mod harness;
 use asterlatch::interface::MemberState;
 use asterlatch_driver::protocol::endpoint_list::{Endpoint, EndpointStatus};
 use asterlatch_driver::routing::members::{DirectorySize, MemberDirectory, MemberIdentity};
 use asterlatch_handover::codec::{send, FrameReader, Received};
 use asterlatch_handover::message::{HandoverMessage, VERSION};
-use stand::*;
+use harness::*;
 use std::fs;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{AsFd, AsRawFd};
@@ -43,7 +44,7 @@
         entry("m-3", 1, EndpointStatus::Deleted),
     ];
     for e in &entries {
-        members.upsert(e).expect("has an address");
+        members.upsert(e).expect("add the member");
     }
     members.remove(1);
     members
@@ -51,12 +52,18 @@
 
 #[test]
 fn members_of_earlier_build_decode_to_same_values() {
-    let bytes = fs::read(path("members.bin")).expect("lies there");
-    let mut read: MemberDirectory = postcard::from_bytes(&bytes).expect("can be read");
-    assert_eq!(postcard::to_stdvec(&read).expect("can be written"), bytes);
-    assert_eq!(postcard::to_stdvec(&members()).expect("can be written"), bytes);
+    let bytes = fs::read(path("members.bin")).expect("read the fixture");
+    let mut read: MemberDirectory = postcard::from_bytes(&bytes).expect("decode the members");
+    assert_eq!(postcard::to_stdvec(&read).expect("encode the members"), bytes);
+    assert_eq!(
+        postcard::to_stdvec(&members()).expect("encode the members"),
+        bytes
+    );
     assert_eq!(read.size(), DirectorySize { names: 3, ids: 3 });
-    assert_eq!(read.address(0), Some("10.0.0.1:5432".parse().expect("is one")));
+    assert_eq!(
+        read.address(0),
+        Some("10.0.0.1:5432".parse().expect("parse the address"))
+    );
     let identity = MemberIdentity {
         name: "m-2".to_owned(),
         started_ms: 1_700_000_000_000,
@@ -69,11 +76,11 @@
     // Ids and zones go on from where they were.
     let next = read
         .upsert(&entry("m-4", 3, EndpointStatus::Serving))
-        .expect("is learned");
+        .expect("add the member");
     assert_eq!((next.id, next.zone, next.state), (4, 2, MemberState::Ready));
     let known = read
         .upsert(&entry("m-2", 2, EndpointStatus::Serving))
-        .expect("is learned");
+        .expect("add the member");
     assert_eq!((known.id, known.zone), (2, 1));
 }
 
@@ -81,34 +88,35 @@
 
 /// The state contains the hash of the settings, so these must stay as they are here.
 fn settings() -> String {
-    let address: SocketAddr = LISTEN.parse().expect("is one");
-    described(address, address, address)
+    let address: SocketAddr = LISTEN.parse().expect("parse the address");
+    config_text(address, address, address)
 }
 
 #[test]
 fn serve_state_of_earlier_build_reports_ready() {
-    let bytes = fs::read(path("state.bin")).expect("lies there");
-    let (ours, theirs) = UnixStream::pair().expect("a pair");
-    rustix::io::fcntl_setfd(&theirs, rustix::io::FdFlags::empty()).expect("is inherited");
-    let configured = config("resumes", &settings());
-    let mut command = program("serve", &configured);
+    let bytes = fs::read(path("state.bin")).expect("read the fixture");
+    let (ours, theirs) = UnixStream::pair().expect("create a socket pair");
+    rustix::io::fcntl_setfd(&theirs, rustix::io::FdFlags::empty()).expect("clear FD_CLOEXEC");
+    let configured = write_config("resumes", &settings());
+    let mut command = driver_command("serve", &configured);
     command.stdout(Stdio::null()).stderr(Stdio::null());
     command.env("ASTERLATCH_TAKEOVER", theirs.as_raw_fd().to_string());
-    let mut child = start(&mut command);
+    let mut child = spawn_process(&mut command);
     drop(theirs);
-    ours.set_read_timeout(Some(PATIENCE)).expect("is set");
-    let mut reader = FrameReader::<HandoverMessage>::new(ours.try_clone().expect("a copy"));
+    ours.set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("set the read timeout");
+    let mut reader = FrameReader::<HandoverMessage>::new(ours.try_clone().expect("duplicate the socket"));
     let mut next = || match reader.read() {
         Received::Message(message, _) => message,
         other => panic!("{other:?}"),
     };
     assert_eq!(next(), HandoverMessage::Hello { version: VERSION });
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let (_ledger, written) = UnixStream::pair().expect("a pair");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+    let (_ledger, written) = UnixStream::pair().expect("create a socket pair");
     let flags = rustix::event::EventfdFlags::CLOEXEC;
-    let given_up = rustix::event::eventfd(0, flags).expect("is made");
+    let given_up = rustix::event::eventfd(0, flags).expect("create the eventfd");
     let beside = [listener.as_fd(), written.as_fd(), given_up.as_fd()];
-    send(&ours, &HandoverMessage::State(bytes), &beside).expect("is sent");
+    send(&ours, &HandoverMessage::State(bytes), &beside).expect("send the state");
     let answer = next();
     let _ = child.kill();
     let _ = child.wait();
@@ -116,17 +124,17 @@
     assert_eq!(answer, HandoverMessage::Ready);
 }
 
-/// The state is composed field by field, because the program's clocks and seeds differ at each start: form, clock,
-/// monotonic clock, hash of the settings, learned state, members.
+/// The state is composed field by field, because the program's clocks and seeds differ at each start: form,
+/// clock, monotonic clock, hash of the settings, learned state, members.
 #[test]
 #[ignore = "writes the fixtures: only run it on a build whose state must stay"]
 fn write_fixtures() {
-    let value = serde_json::from_str(&settings()).expect("is JSON");
-    let config = asterlatch_driver::program::config::read(&value, |_| None).expect("is whole");
+    let value = serde_json::from_str(&settings()).expect("parse as JSON");
+    let config = asterlatch_driver::program::config::read(&value, |_| None).expect("read the configuration");
     let learned = concat!(env!("CARGO_MANIFEST_DIR"), "/../../tests/fixtures/learned.bin");
-    let learned = fs::read(learned).expect("lies there");
-    let members = postcard::to_stdvec(&members()).expect("can be written");
-    fs::write(path("members.bin"), &members).expect("is written");
+    let learned = fs::read(learned).expect("read the fixture");
+    let members = postcard::to_stdvec(&members()).expect("encode the members");
+    fs::write(path("members.bin"), &members).expect("write the file");
     let state = (
         2u32,
         1_010_000_000u64,
@@ -135,6 +143,6 @@
         learned,
         members,
     );
-    let state = postcard::to_stdvec(&state).expect("can be written");
-    fs::write(path("state.bin"), state).expect("is written");
+    let state = postcard::to_stdvec(&state).expect("encode the members");
+    fs::write(path("state.bin"), state).expect("write the file");
 }
--- a/crates/driver/tests/operators.rs
+++ b/crates/driver/tests/operators.rs
@@ -1,7 +1,7 @@
 //! The built program with a file that its operators own.
 
-mod stand;
-use stand::*;
+mod harness;
+use harness::*;
 use std::io::Write;
 use std::net::TcpStream;
 use std::process::Command;
@@ -10,69 +10,74 @@
 
 #[test]
 fn operators_reload_valid_file_applies_invalid_changes_nothing() {
-    let (folder, member) = (Folder::new("live"), member(Manner::Answers));
+    let (folder, member) = (TempFolder::new("live"), start_member(MemberBehavior::Answer));
     let file = folder.write("o.latch", "workload(\"view\", longest = 256B)\n");
-    let operated = operated("live", member.address, &["--operators", &file]);
-    let mut client = operated.program.client();
+    let driver = start_with_operators_file("live", member.address, &["--operators", &file]);
+    let mut client = driver.process.connect_client();
     let long = |c: &mut TcpStream| {
         let text = format!(
             "/* id=2f,c=view,d=25000,cluster=1 */ SELECT '{}'\0",
             "x".repeat(400)
         );
-        c.write_all(&message(b'Q', text.as_bytes())).expect("is written");
-        answer(c).0
+        c.write_all(&message(b'Q', text.as_bytes()))
+            .expect("write to the connection");
+        read_answer(c).0
     };
     assert_eq!(long(&mut client), "E54000 Z");
-    operated.change("workload(\"view\", longest = 1KiB)\nlog(lines = 50/s)\n");
-    operated.told("generation 2 is applied: 2 settings changed, 0 require");
+    driver.replace_operators_file("workload(\"view\", longest = 1KiB)\nlog(lines = 50/s)\n");
+    driver.wait_for_log("generation 2 is applied: 2 settings changed, 0 require");
     assert_eq!(
         long(&mut client),
         "T D C Z",
         "bound by the new one, on the same connection"
     );
-    operated.change("workload(\"view\", longest = 256)\n");
-    operated.told("workload(\"view\").longest is a size");
-    operated.told("not applied: the file has 1 errors");
+    driver.replace_operators_file("workload(\"view\", longest = 256)\n");
+    driver.wait_for_log("workload(\"view\").longest is a size");
+    driver.wait_for_log("not applied: the file has 1 errors");
     assert_eq!(long(&mut client), "T D C Z");
-    operated.change("process(stack = 128KiB)\nworkload(\"view\", longest = 1KiB)\nlog(lines = 50/s)\n");
-    operated.told("generation 3 is applied: 0 settings changed, 1 require a restart");
-    operated.change("workload(\"view\", longest = 1KiB)\nlog(lines = 50/s)\nprocess(stack = 2 * 64KiB)\n");
-    operated.told("reloaded, no setting has changed");
+    driver.replace_operators_file(
+        "process(stack = 128KiB)\nworkload(\"view\", longest = 1KiB)\nlog(lines = 50/s)\n",
+    );
+    driver.wait_for_log("generation 3 is applied: 0 settings changed, 1 require a restart");
+    driver.replace_operators_file(
+        "workload(\"view\", longest = 1KiB)\nlog(lines = 50/s)\nprocess(stack = 2 * 64KiB)\n",
+    );
+    driver.wait_for_log("reloaded, no setting has changed");
     // Signals in a row, and the one to leave among them: each file is whole, and the process ends well.
     for n in 1..20 {
-        operated.change(&format!("log(lines = {n}/s)\n"));
+        driver.replace_operators_file(&format!("log(lines = {n}/s)\n"));
     }
-    operated.program.signal("TERM");
-    operated.change("log(lines = ");
+    driver.process.signal("TERM");
+    driver.replace_operators_file("log(lines = ");
     drop(client);
-    operated.told("is stopped");
-    let mut program = operated.program;
-    assert!(program.child.wait().expect("ends").success());
+    driver.wait_for_log("is stopped");
+    let mut program = driver.process;
+    assert!(program.child.wait().expect("wait for the process").success());
 }
 
 #[test]
 fn generation_rejecting_clients_is_rolled_back_once() {
-    let (folder, member) = (Folder::new("back"), member(Manner::Answers));
+    let (folder, member) = (TempFolder::new("back"), start_member(MemberBehavior::Answer));
     let terms = "activation(probation = 1h, margin = 1%, least = 3)\n";
     let file = folder.write("o.latch", terms);
-    let operated = operated("back", member.address, &["--operators", &file]);
+    let driver = start_with_operators_file("back", member.address, &["--operators", &file]);
     let ask_all = |clients: &mut [TcpStream]| {
         for client in clients.iter_mut() {
-            ask(client, "view");
-            assert_eq!(answer(client).0, "T D C Z");
+            send_statement(client, "view");
+            assert_eq!(read_answer(client).0, "T D C Z");
         }
     };
-    let mut clients: Vec<_> = (0..30).map(|_| operated.program.client()).collect();
+    let mut clients: Vec<_> = (0..30).map(|_| driver.process.connect_client()).collect();
     ask_all(&mut clients);
     // Of 208 descriptors 10 are left for clients: fewer than are open.
-    operated.change(&format!("{terms}descriptors(clients = 5%)\n"));
-    operated.told("generation 2 is applied");
-    let end = Instant::now() + PATIENCE;
+    driver.replace_operators_file(&format!("{terms}descriptors(clients = 5%)\n"));
+    driver.wait_for_log("generation 2 is applied");
+    let deadline = Instant::now() + TEST_TIMEOUT;
     let told = loop {
-        assert!(Instant::now() < end, "it never went back");
+        assert!(Instant::now() < deadline, "it never went back");
         // Each newcomer takes the place of one that rests, or is turned away.
-        drop(TcpStream::connect(operated.program.listen));
-        match operated.lines.recv_timeout(Duration::from_millis(20)) {
+        drop(TcpStream::connect(driver.process.listen));
+        match driver.log_lines.recv_timeout(Duration::from_millis(20)) {
             Ok(line) if line.contains("ROLLED BACK") => break line,
             _ => {}
         }
@@ -81,24 +86,24 @@
         told.contains("from generation 2 to 1: more was rejected for lack of places for clients"),
         "{told}"
     );
-    let mut clients: Vec<_> = (0..30).map(|_| operated.program.client()).collect();
+    let mut clients: Vec<_> = (0..30).map(|_| driver.process.connect_client()).collect();
     ask_all(&mut clients);
-    operated.program.signal("HUP");
-    operated.told("not applied: these settings were rolled back");
-    operated.change(&format!("{terms}log(lines = 6/s)\n"));
-    operated.told("generation 3 is confirmed");
+    driver.process.signal("HUP");
+    driver.wait_for_log("not applied: these settings were rolled back");
+    driver.replace_operators_file(&format!("{terms}log(lines = 6/s)\n"));
+    driver.wait_for_log("generation 3 is confirmed");
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn start_invalid_operators_file_uses_newest_stored_generation() {
-    let (folder, member) = (Folder::new("state"), member(Manner::Answers));
+    let (folder, member) = (TempFolder::new("state"), start_member(MemberBehavior::Answer));
     let state = folder.path("kept");
     let good = "workload(\"view\", longest = 256B)\nactivation(probation = 0s)\n";
     let file = folder.write("o.latch", good);
     let arguments = ["--operators", &file, "--state", &state];
     let stored = |count: usize| {
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while std::fs::read_dir(&state).map_or(0, |d| {
             d.filter(|e| {
                 e.as_ref()
@@ -107,40 +112,40 @@
             .count()
         }) < count
         {
-            assert!(Instant::now() < end, "it is not stored");
+            assert!(Instant::now() < deadline, "it is not stored");
             thread::yield_now();
         }
     };
-    let first = operated("state1", member.address, &arguments);
+    let first = start_with_operators_file("state1", member.address, &arguments);
     stored(1);
-    first.change(&good.replace("256B", "300B"));
-    first.told("generation 2 is confirmed");
+    first.replace_operators_file(&good.replace("256B", "300B"));
+    first.wait_for_log("generation 2 is confirmed");
     stored(2);
-    drop(first.program);
+    drop(first.process);
     folder.write("o.latch", "workload(\"view\", longest = 256");
     std::fs::write(
         folder.0.join("kept/generation-00000000000000000009.latch.json"),
         "torn",
     )
-    .expect("is written");
-    let second = operated("state2", member.address, &arguments);
-    second.told("ignored stored generation 9: it doesn't begin as one");
-    second.told("serving with generation 2");
-    let mut client = second.program.client();
+    .expect("write the file");
+    let second = start_with_operators_file("state2", member.address, &arguments);
+    second.wait_for_log("ignored stored generation 9: it doesn't begin as one");
+    second.wait_for_log("serving with generation 2");
+    let mut client = second.process.connect_client();
     let text = format!(
         "/* id=2f,c=view,d=25000,cluster=1 */ SELECT '{}'\0",
         "x".repeat(230)
     );
     client
         .write_all(&message(b'Q', text.as_bytes()))
-        .expect("is written");
-    assert_eq!(answer(&mut client).0, "T D C Z", "of 300 bytes, not of 256");
-    drop(second.program);
+        .expect("write to the connection");
+    assert_eq!(read_answer(&mut client).0, "T D C Z", "of 300 bytes, not of 256");
+    drop(second.process);
     let run = |arguments: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
             .args(arguments)
             .output()
-            .expect("runs");
+            .expect("run the command");
         let text = [output.stdout, output.stderr].concat();
         (output.status.code(), String::from_utf8_lossy(&text).into_owned())
     };
@@ -156,29 +161,29 @@
         "{text}"
     );
     assert_eq!(run(&["config", "rollback", &state, "9"]).0, Some(1));
-    let third = operated("state3", member.address, &arguments);
-    third.told("FILE INVALID");
-    let mut client = third.program.client();
+    let third = start_with_operators_file("state3", member.address, &arguments);
+    third.wait_for_log("FILE INVALID");
+    let mut client = third.process.connect_client();
     client
         .write_all(&message(b'Q', text_of(230).as_bytes()))
-        .expect("is written");
-    assert_eq!(answer(&mut client).0, "E54000 Z", "rolled back to 256 bytes");
-    let strict = config(
+        .expect("write to the connection");
+    assert_eq!(read_answer(&mut client).0, "E54000 Z", "rolled back to 256 bytes");
+    let strict = write_config(
         "strict",
-        &described(free_address(), silent_discovery(), member.address),
+        &config_text(unused_address(), unresponsive_discovery(), member.address),
     );
-    let output = program("serve", &strict)
+    let output = driver_command("serve", &strict)
         .args(arguments)
         .arg("--strict")
         .output()
-        .expect("runs");
+        .expect("run the command");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1), "{text}");
     assert!(text.contains("o.latch:1:3"), "names the place: {text}");
-    let unkept = program("serve", &strict)
+    let unkept = driver_command("serve", &strict)
         .args(&arguments[..2])
         .output()
-        .expect("runs");
+        .expect("run the command");
     assert_eq!(unkept.status.code(), Some(1), "no generation, no start");
 }
 
@@ -191,7 +196,7 @@
 
 #[test]
 fn config_commands_exit_codes_are_fixed() {
-    let folder = Folder::new("commands");
+    let folder = TempFolder::new("commands");
     let plain = folder.write("plain.latch", "clients(rest = 9s)\n");
     let same = folder.write("same.latch", "clients( rest=9000ms )");
     let other = folder.write("other.latch", "clients(rest = 8s)\n");
@@ -215,24 +220,24 @@
             .arg("config")
             .args(arguments)
             .output()
-            .expect("runs");
+            .expect("run the command");
         let text = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
         assert_eq!(output.status.code(), Some(code), "{arguments:?}\n{text}");
         assert!(text.contains(words), "{arguments:?}\n{text}");
     }
     assert_eq!(
-        std::fs::read_to_string(&same).expect("is there"),
+        std::fs::read_to_string(&same).expect("read the file"),
         "clients(rest = 9000ms)\n"
     );
-    let path = config(
+    let path = write_config(
         "command",
-        &described(free_address(), silent_discovery(), free_address()),
+        &config_text(unused_address(), unresponsive_discovery(), unused_address()),
     );
     for (file, code) in [(&plain, Some(0)), (&faulty, Some(1))] {
-        let output = program("check", &path)
+        let output = driver_command("check", &path)
             .args(["--operators", file])
             .output()
-            .expect("runs");
+            .expect("run the command");
         assert_eq!(
             output.status.code(),
             code,
@@ -244,23 +249,23 @@
 
 #[test]
 fn log_format_json_writes_one_object_per_line() {
-    let member = member(Manner::Answers);
-    let text = described(free_address(), silent_discovery(), member.address);
-    let program = serve_with("json", &text, &["--log-format", "json"]);
-    let mut client = program.client();
+    let member = start_member(MemberBehavior::Answer);
+    let text = config_text(unused_address(), unresponsive_discovery(), member.address);
+    let program = start_driver_with_arguments("json", &text, &["--log-format", "json"]);
+    let mut client = program.connect_client();
     for _ in 0..8 {
         client
             .write_all(&message(b'Q', b"no comment\0"))
-            .expect("is written");
-        assert_eq!(answer(&mut client).0, "E42601 Z");
+            .expect("write to the connection");
+        assert_eq!(read_answer(&mut client).0, "E42601 Z");
     }
     drop(client);
     program.signal("TERM");
-    let (good, log) = program.finish();
+    let (good, log) = program.wait_with_log();
     assert!(good, "{log}");
     let lines: Vec<serde_json::Value> = log
         .lines()
-        .map(|l| serde_json::from_str(l).expect("an object"))
+        .map(|l| serde_json::from_str(l).expect("parse the log line as a JSON object"))
         .collect();
     let of = |topic: &str| lines.iter().filter(|l| l["topic"] == topic).count();
     assert_eq!(
@@ -271,7 +276,10 @@
     assert!(lines
         .iter()
         .all(|l| l["unix_ms"].as_u64().is_some_and(|ms| ms > 1_600_000_000_000)));
-    let counters = lines.iter().find(|l| l["topic"] == "counters").expect("is told");
+    let counters = lines
+        .iter()
+        .find(|l| l["topic"] == "counters")
+        .expect("find the line of counters");
     assert!(
         counters["message"]
             .as_str()
@@ -283,29 +291,29 @@
 /// A folder in the place of a generation stands for a disk that doesn't give it.
 #[test]
 fn unreadable_generation_is_named_left_and_not_gone_past() {
-    let (folder, member) = (Folder::new("unread"), member(Manner::Answers));
+    let (folder, member) = (TempFolder::new("unread"), start_member(MemberBehavior::Answer));
     let state = folder.path("kept");
     let good = "workload(\"view\", longest = 256B)\nactivation(probation = 0s)\n";
     let file = folder.write("o.latch", good);
     let arguments = ["--operators", &file, "--state", &state];
-    let first = operated("unread1", member.address, &arguments);
-    first.change(&good.replace("256B", "300B"));
-    first.told("generation 2 is confirmed");
+    let first = start_with_operators_file("unread1", member.address, &arguments);
+    first.replace_operators_file(&good.replace("256B", "300B"));
+    first.wait_for_log("generation 2 is confirmed");
     // The thread that stores reads the file as well: what it answers to now, it does behind that store.
-    first.change(&format!("{good}# said again\n"));
-    first.told("generation 3 is applied");
-    drop(first.program);
+    first.replace_operators_file(&format!("{good}# said again\n"));
+    first.wait_for_log("generation 3 is applied");
+    drop(first.process);
     let unread = folder.0.join("kept/generation-00000000000000000009.latch.json");
-    std::fs::create_dir(&unread).expect("is made");
+    std::fs::create_dir(&unread).expect("create the folder");
     let run = |arguments: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
             .args(arguments)
             .output()
-            .expect("runs");
+            .expect("run the command");
         let text = [output.stdout, output.stderr].concat();
         (output.status.code(), String::from_utf8_lossy(&text).into_owned())
     };
-    let count = || std::fs::read_dir(&state).expect("lists").count();
+    let count = || std::fs::read_dir(&state).expect("list the folder").count();
     let before = count();
     let (code, text) = run(&["config", "history", &state]);
     assert!(code == Some(0) && text.starts_with("9 unreadable: "), "{text}");
@@ -316,10 +324,10 @@
         "{text}"
     );
     assert_eq!(count(), before, "nothing was stored");
-    let second = operated("unread2", member.address, &arguments);
-    second.told("cannot read stored generation 9, which is ignored and left in place");
-    second.change(&good.replace("256B", "512B"));
-    second.told("generation 11 is confirmed");
-    drop(second.program);
+    let second = start_with_operators_file("unread2", member.address, &arguments);
+    second.wait_for_log("cannot read stored generation 9, which is ignored and left in place");
+    second.replace_operators_file(&good.replace("256B", "512B"));
+    second.wait_for_log("generation 11 is confirmed");
+    drop(second.process);
     assert!(unread.is_dir(), "it was removed");
 }
--- a/crates/driver/tests/process.rs
+++ b/crates/driver/tests/phases_and_configuration.rs
@@ -125,7 +125,7 @@
         (format!(r#"{{"listen":"x",{settings}}}"#), None),
     ];
     for (text, expected) in cases {
-        let value = serde_json::from_str(&text).expect("is JSON");
+        let value = serde_json::from_str(&text).expect("parse as JSON");
         let read = config::read(&value, |_| Some("127.0.0.1:7".to_owned())).ok();
         let read = read.map(|c| {
             (
@@ -159,7 +159,8 @@
         (force.log_lines_per_second, force.workload_limits.len()),
         (Log::default().lines_per_second, 0)
     );
-    // Two thirds and a quarter as they were before they could be set, for any machine with less than a million descriptors.
+    // Two thirds and a quarter as they were before they could be set, for any machine with less than a
+    // million descriptors.
     let limits = Limits::default();
     for n in 0..300_000 {
         assert_eq!(limits.client_share.of(n), n * 2 / 3, "{n}");
--- a/crates/driver/tests/upgrade.rs
+++ b/crates/driver/tests/upgrade.rs
@@ -1,7 +1,7 @@
-//! New processes that take the built program's service over, and those that can't.
+//! Upgrades of the running driver: handover to a successor, and successors that fail.
 
-mod stand;
-use stand::*;
+mod harness;
+use harness::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 use std::net::TcpStream;
@@ -12,33 +12,33 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-const TIMES: &str = "upgrade(hello = 2s, ready = 2s, taken = 1s, probation = 200ms, beat = 50ms, silence = 1s)\nlog(lines = 100/s)\n";
+const HANDOVER_SETTINGS: &str = "upgrade(hello = 2s, ready = 2s, taken = 1s, probation = 200ms, beat = 50ms, silence = 1s)\nlog(lines = 100/s)\n";
 
-struct Stage {
-    folder: Folder,
-    operated: Operated,
-    /// The process that serves now, where that isn't the first one.
+struct UpgradeHarness {
+    folder: TempFolder,
+    driver: OperatedDriver,
+    /// The successor's process id; the process is killed on drop.
     pid: Option<u32>,
 }
 
-impl Stage {
-    fn new(name: &str, member: &Member, times: &str) -> Stage {
-        let folder = Folder::new(name);
-        let file = folder.write("o.latch", times);
+impl UpgradeHarness {
+    fn new(name: &str, member: &Member, settings: &str) -> UpgradeHarness {
+        let folder = TempFolder::new(name);
+        let file = folder.write("o.latch", settings);
         let control = folder.path("control");
-        let operated = operated(
+        let driver = start_with_operators_file(
             name,
             member.address,
             &["--operators", &file, "--control", &control],
         );
-        Stage {
+        UpgradeHarness {
             folder,
-            operated,
+            driver,
             pid: None,
         }
     }
 
-    fn command(&self, binary: &str) -> Command {
+    fn upgrade_command(&self, binary: &str) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_asterlatch"));
         command.args([
             "upgrade",
@@ -50,77 +50,82 @@
         command
     }
 
-    fn request(&self, binary: &str) -> Output {
-        self.command(binary).output().expect("runs")
+    fn request_upgrade(&self, binary: &str) -> Output {
+        self.upgrade_command(binary).output().expect("run the command")
     }
 
     fn signal(&self, pid: u32, name: &str) {
-        let sent = start(Command::new("sh").arg("-c").arg(format!("kill -{name} {pid}"))).wait();
-        assert!(sent.is_ok_and(|s| s.success()), "{name}");
+        let status = spawn_process(Command::new("sh").arg("-c").arg(format!("kill -{name} {pid}"))).wait();
+        assert!(status.is_ok_and(|s| s.success()), "{name}");
     }
 
-    /// Has a new process take over; says its number once it serves on probation.
-    fn begin(&self) -> (u32, JoinHandle<Output>) {
-        let mut command = self.command(env!("CARGO_BIN_EXE_asterlatch"));
-        let asking = thread::spawn(move || command.output().expect("runs"));
-        let begun = self.operated.told("upgrade: started ");
-        let pid = begun
+    /// Starts an upgrade; returns the successor's process id once it has been asked to serve on probation.
+    fn begin_upgrade(&self) -> (u32, JoinHandle<Output>) {
+        let mut command = self.upgrade_command(env!("CARGO_BIN_EXE_asterlatch"));
+        let upgrade_request = thread::spawn(move || command.output().expect("run the command"));
+        let started_line = self.driver.wait_for_log("upgrade: started ");
+        let pid = started_line
             .rsplit(' ')
             .next()
             .and_then(|n| n.parse().ok())
-            .expect("names the process");
-        self.operated
-            .told("upgrade: the successor is ready and asked to serve");
-        (pid, asking)
+            .expect("the log line ends with the process id");
+        self.driver
+            .wait_for_log("upgrade: the successor is ready and asked to serve");
+        (pid, upgrade_request)
     }
 
     fn upgrade(&mut self) {
-        let (pid, asking) = self.begin();
-        let output = asking.join().expect("ends");
+        let (pid, upgrade_request) = self.begin_upgrade();
+        let output = upgrade_request.join().expect("join the thread");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         if !output.status.success() {
-            let next = || self.operated.lines.recv_timeout(Duration::from_millis(500)).ok();
-            let log: Vec<String> = std::iter::from_fn(next).collect();
+            let next_line = || {
+                self.driver
+                    .log_lines
+                    .recv_timeout(Duration::from_millis(500))
+                    .ok()
+            };
+            let log: Vec<String> = std::iter::from_fn(next_line).collect();
             panic!("{text}\nlog:\n{}", log.join("\n"));
         }
         assert!(text.ends_with("done, the successor owns the service\n"), "{text}");
-        self.operated.told("upgrade: the predecessor has exited");
+        self.driver.wait_for_log("upgrade: the predecessor has exited");
         self.pid = Some(pid);
     }
 
-    /// Waits until the process says this of itself.
-    fn counted(&self, pid: u32, part: &str) {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until the process logs this counter with its value, such as `open_clients=1 `.
+    fn wait_for_counter(&self, pid: u32, counter: &str) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             self.signal(pid, "USR1");
-            let counters = self.operated.told("counters: clients_accepted=");
-            if format!("{counters} ").contains(&format!(" {part}")) {
+            let counters = self.driver.wait_for_log("counters: clients_accepted=");
+            if format!("{counters} ").contains(&format!(" {counter}")) {
                 return;
             }
-            assert!(Instant::now() < end, "never {part}: {counters}");
+            assert!(Instant::now() < deadline, "no {counter}in {counters}");
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Replaces the configuration, and has the process that was started first read it.
+    /// Replaces the configuration and makes the first process reload it.
     fn configure(&self, text: &str) {
-        std::fs::write(&self.operated.program.path, text).expect("is written");
-        self.operated.program.signal("HUP");
-        self.operated.told("configuration: reloaded");
+        std::fs::write(&self.driver.process.path, text).expect("write the file");
+        self.driver.process.signal("HUP");
+        self.driver.wait_for_log("configuration: reloaded");
     }
 
-    /// One statement on a connection of its own.
-    fn ask(&self, workload: &str, id: u32) -> String {
-        let mut client = self.operated.program.client();
-        send(&mut client, workload, id);
-        answer(&mut client).0
+    /// Executes one statement on a new connection and returns the kinds of the answer's messages.
+    fn execute(&self, workload: &str, id: u32) -> String {
+        let mut client = self.driver.process.connect_client();
+        send_statement_with_id(&mut client, workload, id);
+        read_answer(&mut client).0
     }
 }
 
-impl Drop for Stage {
+impl Drop for UpgradeHarness {
     fn drop(&mut self) {
         if let Some(pid) = self.pid {
-            let _ = start(
+            let _ = spawn_process(
                 Command::new("sh")
                     .arg("-c")
                     .arg(format!("kill -KILL {pid} 2>/dev/null")),
@@ -135,57 +140,73 @@
     message(b'Q', text.as_bytes())
 }
 
-fn send(client: &mut TcpStream, workload: &str, id: u32) {
-    client.write_all(&statement(workload, id)).expect("is written");
+fn send_statement_with_id(client: &mut TcpStream, workload: &str, id: u32) {
+    client
+        .write_all(&statement(workload, id))
+        .expect("write to the connection");
 }
 
-/// Clients that ask until told to stop, some on a connection each, some on one for good; what each statement's answers were.
+/// Clients that send statements until `stop` is set. Each thread returns the ids of its statements and their
+/// answers.
 struct Load {
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<Vec<(u32, String)>>>,
 }
 
-fn load(stage: &Stage, from: u32) -> Load {
-    let (stop, next) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(from)));
-    let listen = stage.operated.program.listen;
-    // Half of them keep their connection, whichever process it is with.
-    let client = |n: usize| {
-        let stays = n.is_multiple_of(2);
-        let (stop, next) = (stop.clone(), next.clone());
+fn start_load(harness: &UpgradeHarness, first_id: u32) -> Load {
+    let (stop, next_id) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicU32::new(first_id)),
+    );
+    let listen = harness.driver.process.listen;
+    // Half of the clients reuse one connection, the others open one for each statement.
+    let client = |client_index: usize| {
+        let is_persistent = client_index.is_multiple_of(2);
+        let (stop, next_id) = (stop.clone(), next_id.clone());
         thread::spawn(move || {
-            let mut told = Vec::new();
-            let mut kept: Option<TcpStream> = None;
+            let mut answers = Vec::new();
+            let mut persistent_stream: Option<TcpStream> = None;
             while !stop.load(Ordering::Relaxed) {
-                let id = next.fetch_add(1, Ordering::Relaxed);
-                let mut stream = kept.take().unwrap_or_else(|| {
-                    let mut stream = TcpStream::connect(listen).expect("nobody is refused");
-                    stream.set_read_timeout(Some(PATIENCE)).expect("is set");
+                let id = next_id.fetch_add(1, Ordering::Relaxed);
+                let mut stream = persistent_stream.take().unwrap_or_else(|| {
+                    let mut stream = TcpStream::connect(listen).expect("connect to the driver");
+                    stream
+                        .set_read_timeout(Some(TEST_TIMEOUT))
+                        .expect("set the read timeout");
                     stream
                         .write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0])
-                        .expect("is written");
-                    // One that a killed process had just accepted is cut off with it, before it says anything.
-                    let welcome = answer(&mut stream).0;
-                    assert!(["Z", ""].contains(&welcome.as_str()), "the welcome: {welcome}");
+                        .expect("write to the connection");
+                    // A connection that a killed process has just accepted may close without an answer.
+                    let welcome = read_answer(&mut stream).0;
+                    assert!(
+                        ["Z", ""].contains(&welcome.as_str()),
+                        "answer to the startup message: {welcome}"
+                    );
                     stream
                 });
-                let text = statement(if id % 2 == 0 { "post" } else { "view" }, id);
-                // To one that was cut off it can't be written.
-                let sent = stream.write_all(&text);
-                let said = answer(&mut stream).0;
-                assert!(sent.is_ok() || said.is_empty(), "an answer to nothing");
-                told.push((id, said.clone()));
-                if said.is_empty() {
+                let statement = statement(if id % 2 == 0 { "post" } else { "view" }, id);
+                // Fails if the connection has been closed.
+                let write_result = stream.write_all(&statement);
+                let answer = read_answer(&mut stream).0;
+                assert!(
+                    write_result.is_ok() || answer.is_empty(),
+                    "an answer to a statement that was not sent"
+                );
+                answers.push((id, answer.clone()));
+                if answer.is_empty() {
                     continue;
                 }
-                if stays {
-                    kept = Some(stream);
+                if is_persistent {
+                    persistent_stream = Some(stream);
                     continue;
                 }
-                // Nothing may come behind the final answer.
-                stream.write_all(&message(b'X', b"")).expect("is written");
-                assert_eq!(answer(&mut stream).0, "", "statement {id}");
+                // Nothing may follow the final answer.
+                stream
+                    .write_all(&message(b'X', b""))
+                    .expect("write to the connection");
+                assert_eq!(read_answer(&mut stream).0, "", "statement {id}");
             }
-            told
+            answers
         })
     };
     Load {
@@ -194,227 +215,253 @@
     }
 }
 
-/// How often the member ran each statement since it was last asked.
-fn ran(member: &Member) -> BTreeMap<u32, u32> {
-    let mut ran = BTreeMap::new();
-    while let Ok(text) = member.came.try_recv() {
+/// Returns how often the member executed each statement since the last call.
+fn take_execution_counts(member: &Member) -> BTreeMap<u32, u32> {
+    let mut executions = BTreeMap::new();
+    while let Ok(text) = member.events.try_recv() {
         let id = text.split("id=").nth(1).and_then(|t| t.split(',').next());
         let id = id
-            .and_then(|i| u32::from_str_radix(i, 16).ok())
-            .expect("has an id");
-        *ran.entry(id).or_default() += 1;
+            .and_then(|digits| u32::from_str_radix(digits, 16).ok())
+            .expect("parse the id of the statement");
+        *executions.entry(id).or_default() += 1;
     }
-    ran
+    executions
 }
 
-/// What came of a load: how many statements were answered with their row, how many honestly without one, and how many
-/// clients were cut off with theirs.
+/// Statements of a load by outcome: answered with their row, answered with an error, and lost with their
+/// connection.
 #[derive(Debug, Default)]
 struct Outcome {
     completed: usize,
-    untold: usize,
-    cut: usize,
+    without_result: usize,
+    disconnected: usize,
 }
 
 impl Load {
-    /// Stops, and holds what clients were told against what the member ran.
-    fn check(self, member: &Member, from: u32) -> Outcome {
+    /// Stops the load and checks the answers against the member's executions.
+    fn check(self, member: &Member, first_id: u32) -> Outcome {
         self.stop.store(true, Ordering::Relaxed);
-        let told: Vec<_> = self
+        let answers: Vec<_> = self
             .clients
             .into_iter()
-            .flat_map(|c| c.join().expect("no client fails"))
+            .flat_map(|c| c.join().expect("join the client thread"))
             .collect();
-        let ran = ran(member);
+        let executions = take_execution_counts(member);
         let mut outcome = Outcome::default();
-        for (id, answer) in &told {
-            let (runs, is_post) = (ran.get(id).copied().unwrap_or(0), id % 2 == 0);
-            assert!(runs < 2, "statement {id} ran {runs} times");
-            let (count, is_honest) = match answer.as_str() {
-                "T D C Z" => (&mut outcome.completed, runs == 1),
-                "E53300 Z" => (&mut outcome.untold, !is_post || runs == 0),
-                "E40003 Z" => (&mut outcome.untold, is_post),
-                "" => (&mut outcome.cut, true),
-                _ => (&mut outcome.cut, false),
+        for (id, answer) in &answers {
+            let (execution_count, is_post) = (executions.get(id).copied().unwrap_or(0), id % 2 == 0);
+            assert!(
+                execution_count < 2,
+                "statement {id} was executed {execution_count} times"
+            );
+            let (counter, is_consistent) = match answer.as_str() {
+                "T D C Z" => (&mut outcome.completed, execution_count == 1),
+                "E53300 Z" => (&mut outcome.without_result, !is_post || execution_count == 0),
+                "E40003 Z" => (&mut outcome.without_result, is_post),
+                "" => (&mut outcome.disconnected, true),
+                _ => (&mut outcome.disconnected, false),
             };
-            *count += 1;
+            *counter += 1;
             assert!(
-                is_honest,
-                "statement {id} ran {runs} times and was answered {answer}"
+                is_consistent,
+                "statement {id} was executed {execution_count} times and answered {answer}"
             );
         }
-        let known: BTreeSet<_> = told.iter().map(|(id, _)| *id).collect();
-        let strange = ran
+        let sent_ids: BTreeSet<_> = answers.iter().map(|(id, _)| *id).collect();
+        let unknown_ids = executions
             .keys()
-            .filter(|id| **id >= from && !known.contains(id))
+            .filter(|id| **id >= first_id && !sent_ids.contains(id))
             .count();
-        assert_eq!(strange, 0, "what ran was asked for");
+        assert_eq!(
+            unknown_ids, 0,
+            "the member executed statements that no client sent"
+        );
         outcome
     }
 }
 
-/// So many upgrades under load; before every third one, another's new process is killed while it serves on probation.
-fn upgrades(name: &str, count: usize) -> (Outcome, Duration) {
-    let member = member(Manner::Answers);
-    let mut stage = Stage::new(name, &member, TIMES);
-    let (mut all, mut under_load) = (Outcome::default(), Duration::ZERO);
-    let mut chance = fastrand::Rng::with_seed(count as u64);
-    for n in 0..count {
-        let from = (n as u32 + 1) << 20;
-        let (began, load) = (Instant::now(), load(&stage, from));
-        let is_killed = n % 3 == 2;
+/// Upgrades `count` times under load; before every third upgrade, the successor of another one is killed on
+/// probation. Returns the outcome and the time under load.
+fn run_upgrades(name: &str, count: usize) -> (Outcome, Duration) {
+    let member = start_member(MemberBehavior::Answer);
+    let mut harness = UpgradeHarness::new(name, &member, HANDOVER_SETTINGS);
+    let (mut total, mut load_duration) = (Outcome::default(), Duration::ZERO);
+    let mut random = fastrand::Rng::with_seed(count as u64);
+    for round in 0..count {
+        let first_id = (round as u32 + 1) << 20;
+        let (started_at, load) = (Instant::now(), start_load(&harness, first_id));
+        let is_killed = round % 3 == 2;
         if is_killed {
-            let (pid, asking) = stage.begin();
-            thread::sleep(Duration::from_micros(chance.u64(0..150_000)));
-            stage.signal(pid, "KILL");
-            let output = asking.join().expect("ends");
+            let (pid, upgrade_request) = harness.begin_upgrade();
+            thread::sleep(Duration::from_micros(random.u64(0..150_000)));
+            harness.signal(pid, "KILL");
+            let output = upgrade_request.join().expect("join the thread");
             assert_eq!(output.status.code(), Some(1));
-            stage
-                .operated
-                .told("upgrade: failed, this process continues to serve: the new process ended");
+            harness
+                .driver
+                .wait_for_log("upgrade: failed, this process continues to serve: the new process ended");
         }
-        stage.upgrade();
-        let outcome = load.check(&member, from);
-        under_load += began.elapsed();
+        harness.upgrade();
+        let outcome = load.check(&member, first_id);
+        load_duration += started_at.elapsed();
         assert!(outcome.completed > 20, "{outcome:?}");
-        // One statement of each client may be open, and some with nobody's word are cut: half said, or just accepted.
+        // Each client has at most one open statement when the successor is killed.
         assert!(
-            is_killed || outcome.untold + outcome.cut == 0,
-            "nothing died: {outcome:?}"
+            is_killed || outcome.without_result + outcome.disconnected == 0,
+            "no process was killed: {outcome:?}"
         );
-        assert!(outcome.untold + outcome.cut <= 8, "{outcome:?}");
-        all.completed += outcome.completed;
-        all.untold += outcome.untold;
-        all.cut += outcome.cut;
+        assert!(outcome.without_result + outcome.disconnected <= 8, "{outcome:?}");
+        total.completed += outcome.completed;
+        total.without_result += outcome.without_result;
+        total.disconnected += outcome.disconnected;
     }
-    (all, under_load)
+    (total, load_duration)
 }
 
 #[test]
 fn upgrades_under_load_lose_and_duplicate_nothing() {
-    upgrades("few", 3);
+    run_upgrades("few", 3);
 }
 
-/// `make trial-upgrade`: long, so not among the tests that always run.
+/// Run by `make trial-upgrade`.
 #[test]
 #[ignore = "long: make trial-upgrade"]
 fn upgrade_twenty_times_under_load_loses_nothing() {
-    let (all, under_load) = upgrades("many", 20);
-    let rate = all.completed as f64 / under_load.as_secs_f64();
-    println!("{} statements, {rate:.0} a second", all.completed);
+    let (total, load_duration) = run_upgrades("many", 20);
+    let rate = total.completed as f64 / load_duration.as_secs_f64();
+    println!("{} statements, {rate:.0} per second", total.completed);
     println!(
-        "with killed processes: {} told honestly, {} cut off",
-        all.untold, all.cut
+        "with killed processes: {} answered with an error, {} disconnected",
+        total.without_result, total.disconnected
     );
     println!("20 passed, 0 failed");
 }
 
 #[test]
 fn upgrade_successor_unable_to_serve_changes_nothing() {
-    let member = member(Manner::Answers);
-    let stage = Stage::new("unfit", &member, &TIMES.replace("= 2s", "= 300ms"));
+    let member = start_member(MemberBehavior::Answer);
+    let harness = UpgradeHarness::new("unable", &member, &HANDOVER_SETTINGS.replace("= 2s", "= 300ms"));
     let script = |name: &str, text: &str| {
-        let path = stage.folder.write(name, &format!("#!/bin/bash\n{text}\n"));
-        std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("is set");
+        let path = harness.folder.write(name, &format!("#!/bin/bash\n{text}\n"));
+        std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755))
+            .expect("make the script executable");
         path
     };
     #[rustfmt::skip]
     let cases = [
-        ("missing", stage.folder.path("nothing"), "No such file"),
-        ("no program", stage.folder.write("text", "not a program"), "Permission denied"),
+        ("missing", harness.folder.path("nothing"), "No such file"),
+        ("no program", harness.folder.write("text", "not a program"), "Permission denied"),
         ("exits with 0", script("zero", "exit 0"), "the new process ended"),
         ("crashes", script("crash", "kill -SEGV $$"), "the new process ended"),
         ("hangs", script("hang", "exec sleep 1000"), "was unresponsive while AwaitingHello"),
-        ("says rubbish", script("rubbish", "eval \"head -c 4000 /dev/zero >&$ASTERLATCH_TAKEOVER\"; exec sleep 1000"), "what can't be read"),
+        ("sends invalid frames", script("invalid-frames", "eval \"head -c 4000 /dev/zero >&$ASTERLATCH_TAKEOVER\"; exec sleep 1000"), "what can't be read"),
     ];
-    for (n, (name, binary, words)) in cases.iter().enumerate() {
-        let output = stage.request(binary);
+    for (case_index, (name, binary, expected)) in cases.iter().enumerate() {
+        let output = harness.request_upgrade(binary);
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         assert!(
-            output.status.code() == Some(1) && text.contains(words),
+            output.status.code() == Some(1) && text.contains(expected),
             "{name}: {text}"
         );
-        stage
-            .operated
-            .told("upgrade: failed, this process continues to serve");
-        assert_eq!(stage.ask("post", n as u32 + 1), "T D C Z", "{name}");
+        harness
+            .driver
+            .wait_for_log("upgrade: failed, this process continues to serve");
+        assert_eq!(
+            harness.execute("post", case_index as u32 + 1),
+            "T D C Z",
+            "{name}"
+        );
     }
-    // A deployment that has changed: what was learned means something else there.
-    let path = &stage.operated.program.path;
-    let config = std::fs::read_to_string(path).expect("is there");
-    std::fs::write(path, config.replace("\"tick_us\":5000", "\"tick_us\":6000")).expect("is written");
-    let output = stage.request(env!("CARGO_BIN_EXE_asterlatch"));
+    // Learned state is invalid under changed deployment settings.
+    let path = &harness.driver.process.path;
+    let config = std::fs::read_to_string(path).expect("read the file");
+    std::fs::write(path, config.replace("\"tick_us\":5000", "\"tick_us\":6000")).expect("write the file");
+    let output = harness.request_upgrade(env!("CARGO_BIN_EXE_asterlatch"));
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
         text.contains("can't serve: the deployment's settings have changed"),
         "{text}"
     );
-    std::fs::write(path, "{").expect("is written");
+    std::fs::write(path, "{").expect("write the file");
     assert_eq!(
-        stage.request(env!("CARGO_BIN_EXE_asterlatch")).status.code(),
+        harness
+            .request_upgrade(env!("CARGO_BIN_EXE_asterlatch"))
+            .status
+            .code(),
         Some(1)
     );
-    assert_eq!(stage.ask("post", 99), "T D C Z");
+    assert_eq!(harness.execute("post", 99), "T D C Z");
 }
 
 #[test]
 fn upgrade_second_request_is_refused_and_shutdown_ends_successor() {
-    let member = member(Manner::Answers);
-    let stage = Stage::new("second", &member, &TIMES.replace("hello = 2s", "hello = 10min"));
-    let hang = stage.folder.write("hang", "#!/bin/sh\nexec sleep 1000\n");
-    std::fs::set_permissions(&hang, std::fs::Permissions::from_mode(0o755)).expect("is set");
-    let mut first = stage.command(&hang);
-    let first = thread::spawn(move || first.output().expect("runs"));
-    let begun = stage.operated.told("upgrade: started ");
-    let second = stage.request(env!("CARGO_BIN_EXE_asterlatch"));
+    let member = start_member(MemberBehavior::Answer);
+    let harness = UpgradeHarness::new(
+        "second",
+        &member,
+        &HANDOVER_SETTINGS.replace("hello = 2s", "hello = 10min"),
+    );
+    let hanging_script = harness.folder.write("hang", "#!/bin/sh\nexec sleep 1000\n");
+    std::fs::set_permissions(&hanging_script, std::fs::Permissions::from_mode(0o755))
+        .expect("make the script executable");
+    let mut first = harness.upgrade_command(&hanging_script);
+    let first = thread::spawn(move || first.output().expect("run the command"));
+    let started_line = harness.driver.wait_for_log("upgrade: started ");
+    let second = harness.request_upgrade(env!("CARGO_BIN_EXE_asterlatch"));
     assert_eq!(second.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&second.stdout).contains("another upgrade is in progress"));
-    assert_eq!(stage.ask("view", 1), "T D C Z");
-    stage.operated.program.signal("TERM");
-    assert_eq!(first.join().expect("ends").status.code(), Some(1));
-    stage.operated.told("is stopped");
-    let pid = begun.rsplit(' ').next().expect("names the process");
-    let end = Instant::now() + PATIENCE;
+    assert_eq!(harness.execute("view", 1), "T D C Z");
+    harness.driver.process.signal("TERM");
+    assert_eq!(first.join().expect("join the thread").status.code(), Some(1));
+    harness.driver.wait_for_log("is stopped");
+    let pid = started_line
+        .rsplit(' ')
+        .next()
+        .expect("the log line ends with the process id");
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while std::fs::read_to_string(format!("/proc/{pid}/stat")).is_ok_and(|s| !s.contains(") Z")) {
-        assert!(Instant::now() < end, "the new process outlives it");
+        assert!(Instant::now() < deadline, "the successor is still running");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// What was taken before the handover is answered by who took it, once, however late.
+/// A statement accepted before the handover is answered by the predecessor, exactly once.
 #[test]
 fn handover_write_in_flight_is_answered_once() {
-    let member = member(Manner::Waits);
-    let mut stage = Stage::new("flight", &member, TIMES);
-    let mut client = stage.operated.program.client();
-    send(&mut client, "post", 7);
-    assert!(member.told().contains("id=7,"));
-    let (pid, asking) = stage.begin();
-    assert!(asking.join().expect("ends").status.success());
-    stage.operated.told("upgrade: proven");
-    stage.pid = Some(pid);
-    // The new one serves others meanwhile.
-    let mut other = stage.operated.program.client();
-    send(&mut other, "post", 8);
-    assert!(member.told().contains("id=8,"));
-    member.go.send(()).expect("waits");
-    member.go.send(()).expect("waits");
-    assert_eq!(answer(&mut client).0, "T D C Z");
-    assert_eq!(answer(&mut other).0, "T D C Z");
-    stage.operated.told("is stopped");
-    // Behind its answer it has moved, and asks the new one on the same connection.
-    send(&mut client, "post", 9);
-    assert!(member.told().contains("id=9,"));
-    member.go.send(()).expect("waits");
-    assert_eq!(answer(&mut client).0, "T D C Z");
-    assert!(member.came.try_recv().is_err(), "nothing ran twice");
+    let member = start_member(MemberBehavior::AnswerOnRelease);
+    let mut harness = UpgradeHarness::new("in-flight", &member, HANDOVER_SETTINGS);
+    let mut client = harness.driver.process.connect_client();
+    send_statement_with_id(&mut client, "post", 7);
+    assert!(member.next_event().contains("id=7,"));
+    let (pid, upgrade_request) = harness.begin_upgrade();
+    assert!(upgrade_request.join().expect("join the thread").status.success());
+    harness.driver.wait_for_log("upgrade: proven");
+    harness.pid = Some(pid);
+    // The successor serves other clients meanwhile.
+    let mut other = harness.driver.process.connect_client();
+    send_statement_with_id(&mut other, "post", 8);
+    assert!(member.next_event().contains("id=8,"));
+    member.release.send(()).expect("release the statement");
+    member.release.send(()).expect("release the statement");
+    assert_eq!(read_answer(&mut client).0, "T D C Z");
+    assert_eq!(read_answer(&mut other).0, "T D C Z");
+    harness.driver.wait_for_log("is stopped");
+    // After its answer the client has moved to the successor on the same connection.
+    send_statement_with_id(&mut client, "post", 9);
+    assert!(member.next_event().contains("id=9,"));
+    member.release.send(()).expect("release the statement");
+    assert_eq!(read_answer(&mut client).0, "T D C Z");
+    assert!(
+        member.events.try_recv().is_err(),
+        "a statement was executed twice"
+    );
 }
 
-/// A process that dies or hangs on probation: whoever is left serves on.
+/// If either process dies or hangs on probation, the other continues to serve.
 #[test]
 fn handover_process_dies_or_hangs_other_serves() {
-    let long = TIMES.replace("probation = 200ms", "probation = 1h");
-    for (signal, to_new, told) in [
+    let settings = HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 1h");
+    for (signal, signals_successor, expected_log) in [
         (
             "KILL",
             true,
@@ -431,221 +478,296 @@
             "upgrade: the predecessor is gone, the service is this one's",
         ),
     ] {
-        let member = member(Manner::Answers);
-        let mut stage = Stage::new(&format!("left-{signal}-{to_new}"), &member, &long);
-        assert_eq!(stage.ask("post", 1), "T D C Z");
-        let (pid, _asking) = stage.begin();
-        stage.pid = Some(pid);
-        assert_eq!(stage.ask("post", 2), "T D C Z");
-        let old = stage.operated.program.child.id();
-        stage.signal(if to_new { pid } else { old }, signal);
-        stage.operated.told(told);
+        let member = start_member(MemberBehavior::Answer);
+        let mut harness = UpgradeHarness::new(&format!("failing-{signal}-{signals_successor}"), &member, &settings);
+        assert_eq!(harness.execute("post", 1), "T D C Z");
+        let (pid, _upgrade_request) = harness.begin_upgrade();
+        harness.pid = Some(pid);
+        assert_eq!(harness.execute("post", 2), "T D C Z");
+        let predecessor_pid = harness.driver.process.child.id();
+        harness.signal(if signals_successor { pid } else { predecessor_pid }, signal);
+        harness.driver.wait_for_log(expected_log);
         for id in 3..20 {
-            assert_eq!(stage.ask("post", id), "T D C Z", "{signal} {to_new}");
+            assert_eq!(harness.execute("post", id), "T D C Z", "{signal} {signals_successor}");
         }
-        let ran = std::iter::from_fn(|| member.came.try_recv().ok()).count();
-        assert_eq!(ran, 19, "each once");
-        if to_new {
-            // And the next upgrade goes through.
-            stage.operated.change(TIMES);
-            stage.operated.told("is applied");
-            stage.upgrade();
-            assert_eq!(stage.ask("post", 30), "T D C Z");
+        let execution_count = std::iter::from_fn(|| member.events.try_recv().ok()).count();
+        assert_eq!(execution_count, 19, "each statement is executed once");
+        if signals_successor {
+            // The next upgrade succeeds.
+            harness.driver.replace_operators_file(HANDOVER_SETTINGS);
+            harness.driver.wait_for_log("is applied");
+            harness.upgrade();
+            assert_eq!(harness.execute("post", 30), "T D C Z");
         }
     }
 }
 
-/// A new process that dies on probation takes nobody along: the former one goes on with its clients, and answers what that
-/// one had taken as honestly as can be known.
+/// If the successor dies on probation, the predecessor reclaims its clients, and answers its open statements
+/// with errors that match what may have been executed.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn handover_successor_dies_clients_are_reclaimed() {
-    let member = member(Manner::Waits);
-    let times = TIMES.replace("probation = 200ms", "probation = 10min");
-    let stage = Stage::new("back", &member, &times);
-    let listen = stage.operated.program.listen;
-    let text = |id: u32, workload: &str| {
+    let member = start_member(MemberBehavior::AnswerOnRelease);
+    let settings = HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 10min");
+    let harness = UpgradeHarness::new("reclaim", &member, &settings);
+    let listen = harness.driver.process.listen;
+    let statement_message = |id: u32, workload: &str| {
         let text = format!("/* id={id:x},c={workload},d=25000,cluster=1 */ SELECT {id}\0");
         message(b'Q', text.as_bytes())
     };
-    // Some come along, some come to the new one; one hasn't said hello to anybody.
-    let mut moved: Vec<_> = (0..4).map(|_| stage.operated.program.client()).collect();
-    let (pid, asking) = stage.begin();
-    let mut came: Vec<_> = (0..4).map(|_| stage.operated.program.client()).collect();
-    let mut silent = TcpStream::connect(listen).expect("listens");
-    silent.set_read_timeout(Some(PATIENCE)).expect("is set");
+    // Some clients move, some connect to the successor, and one has not sent its startup message.
+    let mut moved_clients: Vec<_> = (0..4).map(|_| harness.driver.process.connect_client()).collect();
+    let (pid, upgrade_request) = harness.begin_upgrade();
+    let mut new_clients: Vec<_> = (0..4).map(|_| harness.driver.process.connect_client()).collect();
+    let mut unstarted_client = TcpStream::connect(listen).expect("connect to the driver");
+    unstarted_client
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("set the read timeout");
     let mut id = 0;
-    // Whoever waits at the member may take the word that another goes on: so nobody waits yet.
-    for client in [&mut moved[0], &mut came[0]] {
+    // A release goes to any waiting statement, so no other statement may wait yet.
+    for client in [&mut moved_clients[0], &mut new_clients[0]] {
         id += 1;
-        client.write_all(&text(id, "post")).expect("is written");
-        member.told();
-        member.go.send(()).expect("waits");
-        assert_eq!(answer(client).0, "T D C Z");
+        client
+            .write_all(&statement_message(id, "post"))
+            .expect("write to the connection");
+        member.next_event();
+        member.release.send(()).expect("release the statement");
+        assert_eq!(read_answer(client).0, "T D C Z");
     }
-    for clients in [&mut moved, &mut came] {
-        // One has had an answer and rests; one waits for a write, one for a read and a write behind it with half a
-        // message behind those.
+    for clients in [&mut moved_clients, &mut new_clients] {
+        // One client is idle after an answer, one waits for a write, and one has pipelined a read, a write
+        // and a partial message.
         id += 10;
-        clients[1].write_all(&text(id + 1, "post")).expect("is written");
-        member.told();
-        let row = [text(id + 2, "view"), text(id + 3, "post"), text(id + 4, "view")].concat();
-        clients[2].write_all(&row[..row.len() - 5]).expect("is written");
-        member.told();
-        member.told();
-        // The half message lies with the new one by now, or will be read by the former: both are as well.
+        clients[1]
+            .write_all(&statement_message(id + 1, "post"))
+            .expect("write to the connection");
+        member.next_event();
+        let statements = [
+            statement_message(id + 2, "view"),
+            statement_message(id + 3, "post"),
+            statement_message(id + 4, "view"),
+        ]
+        .concat();
+        clients[2]
+            .write_all(&statements[..statements.len() - 5])
+            .expect("write to the connection");
+        member.next_event();
+        member.next_event();
+        // The successor may or may not have read the partial message when it is killed.
     }
-    stage.signal(pid, "KILL");
-    assert_eq!(asking.join().expect("ends").status.code(), Some(1));
-    let told = stage.operated.told("clients reclaimed");
-    // One more is the stand-in's own look whether the program listens, if it hasn't gone by then.
-    assert!(told.contains("9 clients reclaimed, 0 disconnected"), "{told}");
-    (0..6).for_each(|_| assert_eq!(member.told(), "ended", "what the dead one had out"));
-    for clients in [&mut moved, &mut came] {
-        assert_eq!(answer(&mut clients[1]).0, "E40003 Z", "a write that may have run");
+    harness.signal(pid, "KILL");
+    assert_eq!(
+        upgrade_request.join().expect("join the thread").status.code(),
+        Some(1)
+    );
+    let reclaimed_line = harness.driver.wait_for_log("clients reclaimed");
+    // The four moved clients, the four new ones and the unstarted one.
+    assert!(
+        reclaimed_line.contains("9 clients reclaimed, 0 disconnected"),
+        "{reclaimed_line}"
+    );
+    (0..6).for_each(|_| {
+        assert_eq!(
+            member.next_event(),
+            "disconnected",
+            "executions of the killed successor"
+        )
+    });
+    for clients in [&mut moved_clients, &mut new_clients] {
+        assert_eq!(
+            read_answer(&mut clients[1]).0,
+            "E40003 Z",
+            "a write that may have been executed"
+        );
         assert_eq!(
-            answer(&mut clients[2]).0,
+            read_answer(&mut clients[2]).0,
             "E53300 Z",
-            "a read is harmless to repeat"
+            "a read can be retried"
         );
-        assert_eq!(answer(&mut clients[2]).0, "E40003 Z", "behind it a write");
+        assert_eq!(read_answer(&mut clients[2]).0, "E40003 Z", "the pipelined write");
         id += 100;
-        let row = text(0, "view");
-        clients[2].write_all(&row[row.len() - 5..]).expect("is written");
-        assert!(member.told().contains("c=view"), "the half message goes on");
-        member.go.send(()).expect("waits");
-        assert_eq!(answer(&mut clients[2]).0, "T D C Z");
+        let statements = statement_message(0, "view");
+        clients[2]
+            .write_all(&statements[statements.len() - 5..])
+            .expect("write to the connection");
+        assert!(
+            member.next_event().contains("c=view"),
+            "the partial message is completed"
+        );
+        member.release.send(()).expect("release the statement");
+        assert_eq!(read_answer(&mut clients[2]).0, "T D C Z");
         for client in clients.iter_mut() {
             id += 1;
-            client.write_all(&text(id, "post")).expect("is written");
-            member.told();
-            member.go.send(()).expect("waits");
+            client
+                .write_all(&statement_message(id, "post"))
+                .expect("write to the connection");
+            member.next_event();
+            member.release.send(()).expect("release the statement");
             assert_eq!(
-                answer(client).0,
+                read_answer(client).0,
                 "T D C Z",
-                "goes on as if nothing had been, {id}"
+                "statement {id} after the reclaim"
             );
         }
     }
-    silent
+    unstarted_client
         .write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0])
-        .expect("is written");
-    assert_eq!(answer(&mut silent).0, "Z");
+        .expect("write to the connection");
+    assert_eq!(read_answer(&mut unstarted_client).0, "Z");
 }
 
-/// A former process that hangs must not hold up the new one's clients, nor go on with them on old knowledge.
+/// A hanging predecessor must not block the successor's clients, nor resume them from an incomplete journal.
 #[test]
 fn io_journal_without_reader_is_abandoned() {
-    let member = member(Manner::Answers);
-    let times = TIMES
+    let member = start_member(MemberBehavior::Answer);
+    let settings = HANDOVER_SETTINGS
         .replace("probation = 200ms", "probation = 10min")
         .replace("silence = 1s", "silence = 10min");
-    let mut stage = Stage::new("unread", &member, &times);
-    let (pid, _asking) = stage.begin();
-    stage.pid = Some(pid);
-    let mut client = stage.operated.program.client();
-    // The former process has handed it over.
-    stage.counted(pid, "open_clients=1 ");
-    let old = stage.operated.program.child.id();
-    stage.signal(old, "STOP");
-    let long = format!(
+    let mut harness = UpgradeHarness::new("unread", &member, &settings);
+    let (pid, _upgrade_request) = harness.begin_upgrade();
+    harness.pid = Some(pid);
+    let mut client = harness.driver.process.connect_client();
+    // The client has moved to the successor.
+    harness.wait_for_counter(pid, "open_clients=1 ");
+    let predecessor_pid = harness.driver.process.child.id();
+    harness.signal(predecessor_pid, "STOP");
+    let large_statement = format!(
         "/* id=9,c=post,d=25000,cluster=1 */ SELECT '{}'\0",
         "x".repeat(1 << 20)
     );
     client
-        .write_all(&message(b'Q', long.as_bytes()))
-        .expect("is written");
-    assert_eq!(answer(&mut client).0, "T D C Z");
-    stage
-        .operated
-        .told("the I/O journal is abandoned: the predecessor does not read it");
-    stage.signal(pid, "KILL");
-    stage.signal(old, "CONT");
-    stage
-        .operated
-        .told("clients disconnected, the I/O journal is incomplete");
-    assert_eq!(answer(&mut client).0, "", "cut off, not answered twice");
-    assert_eq!(stage.ask("post", 10), "T D C Z");
+        .write_all(&message(b'Q', large_statement.as_bytes()))
+        .expect("write to the connection");
+    assert_eq!(read_answer(&mut client).0, "T D C Z");
+    harness
+        .driver
+        .wait_for_log("the I/O journal is abandoned: the predecessor does not read it");
+    harness.signal(pid, "KILL");
+    harness.signal(predecessor_pid, "CONT");
+    harness
+        .driver
+        .wait_for_log("clients disconnected, the I/O journal is incomplete");
+    assert_eq!(read_answer(&mut client).0, "", "disconnected, not answered twice");
+    assert_eq!(harness.execute("post", 10), "T D C Z");
 }
 
-/// Clients between two statements move, with what was read from them and not taken, and notice nothing.
+/// Clients between two statements move together with input that was read but not yet accepted.
 #[test]
 fn handover_clients_move_with_unread_input() {
-    let member = member(Manner::Answers);
-    let mut stage = Stage::new("move", &member, TIMES);
-    let listen = stage.operated.program.listen;
-    let text = |id: u32, filler: usize| {
+    let member = start_member(MemberBehavior::Answer);
+    let mut harness = UpgradeHarness::new("move", &member, HANDOVER_SETTINGS);
+    let listen = harness.driver.process.listen;
+    let statement_message = |id: u32, padding: usize| {
         let text = format!(
             "/* id={id:x},c=post,d=25000,cluster=1 */ SELECT '{}'\0",
-            "x".repeat(filler)
+            "x".repeat(padding)
         );
         message(b'Q', text.as_bytes())
     };
-    // Has asked and rests; is in the middle of a message, at its head, in its text; hasn't said hello, or half of it.
-    let mut rests = stage.operated.program.client();
-    rests.write_all(&text(1, 10)).expect("is written");
-    assert_eq!(answer(&mut rests).0, "T D C Z");
-    let cuts = [1, 3, 5, 20, 30_000];
-    let mut halves: Vec<_> = cuts.iter().map(|_| stage.operated.program.client()).collect();
-    for (n, client) in halves.iter_mut().enumerate() {
+    // One client is idle; others are within a message header, a statement's text, or the startup message.
+    let mut idle = harness.driver.process.connect_client();
+    idle.write_all(&statement_message(1, 10))
+        .expect("write to the connection");
+    assert_eq!(read_answer(&mut idle).0, "T D C Z");
+    let split_offsets = [1, 3, 5, 20, 30_000];
+    let mut partial_clients: Vec<_> = split_offsets
+        .iter()
+        .map(|_| harness.driver.process.connect_client())
+        .collect();
+    for (client_index, client) in partial_clients.iter_mut().enumerate() {
         client
-            .write_all(&text(10 + n as u32, 40_000)[..cuts[n]])
-            .expect("is written");
+            .write_all(&statement_message(10 + client_index as u32, 40_000)[..split_offsets[client_index]])
+            .expect("write to the connection");
     }
     let startup = [0, 0, 0, 9, 0, 3, 0, 0, 0];
-    let silent = |sent: &[u8]| {
-        let mut stream = TcpStream::connect(listen).expect("listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("is set");
-        stream.write_all(sent).expect("is written");
+    let connect_unstarted = |input: &[u8]| {
+        let mut stream = TcpStream::connect(listen).expect("connect to the driver");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("set the read timeout");
+        stream.write_all(input).expect("write to the connection");
         stream
     };
-    let mut silents = [silent(&[]), silent(&startup[..5])];
-    // Of an oversized one part was passed over.
-    let mut over = stage.operated.program.client();
-    let long = message(b'Q', &vec![b'y'; 14 << 20]);
-    over.write_all(&long[..1 << 20]).expect("is written");
-    stage.upgrade();
+    let mut unstarted_clients = [connect_unstarted(&[]), connect_unstarted(&startup[..5])];
+    // Part of an oversized message was discarded.
+    let mut oversized_client = harness.driver.process.connect_client();
+    let oversized_message = message(b'Q', &vec![b'y'; 14 << 20]);
+    oversized_client
+        .write_all(&oversized_message[..1 << 20])
+        .expect("write to the connection");
+    harness.upgrade();
     assert!(
-        stage.operated.program.child.wait().expect("ends").success(),
-        "the old one has left"
+        harness
+            .driver
+            .process
+            .child
+            .wait()
+            .expect("wait for the process")
+            .success(),
+        "the predecessor has exited"
     );
-    rests.write_all(&text(2, 10)).expect("is written");
-    assert_eq!(answer(&mut rests).0, "T D C Z", "who rested");
-    for (n, client) in halves.iter_mut().enumerate() {
+    idle.write_all(&statement_message(2, 10))
+        .expect("write to the connection");
+    assert_eq!(read_answer(&mut idle).0, "T D C Z", "idle client");
+    for (client_index, client) in partial_clients.iter_mut().enumerate() {
         client
-            .write_all(&text(10 + n as u32, 40_000)[cuts[n]..])
-            .expect("is written");
-        assert_eq!(answer(client).0, "T D C Z", "cut at {}", cuts[n]);
+            .write_all(&statement_message(10 + client_index as u32, 40_000)[split_offsets[client_index]..])
+            .expect("write to the connection");
+        assert_eq!(
+            read_answer(client).0,
+            "T D C Z",
+            "split at byte {}",
+            split_offsets[client_index]
+        );
     }
-    silents[0].write_all(&startup).expect("is written");
-    silents[1].write_all(&startup[5..]).expect("is written");
-    for (n, client) in silents.iter_mut().enumerate() {
-        assert_eq!(answer(client).0, "Z", "silent one {n}");
-        client.write_all(&text(100 + n as u32, 10)).expect("is written");
-        assert_eq!(answer(client).0, "T D C Z", "silent one {n}");
+    unstarted_clients[0]
+        .write_all(&startup)
+        .expect("write to the connection");
+    unstarted_clients[1]
+        .write_all(&startup[5..])
+        .expect("write to the connection");
+    for (client_index, client) in unstarted_clients.iter_mut().enumerate() {
+        assert_eq!(read_answer(client).0, "Z", "unstarted client {client_index}");
+        client
+            .write_all(&statement_message(100 + client_index as u32, 10))
+            .expect("write to the connection");
+        assert_eq!(
+            read_answer(client).0,
+            "T D C Z",
+            "unstarted client {client_index}"
+        );
     }
-    over.write_all(&long[1 << 20..]).expect("is written");
-    assert_eq!(answer(&mut over).0, "E54000 Z", "it is passed over to its end");
-    over.write_all(&text(200, 10)).expect("is written");
-    assert_eq!(answer(&mut over).0, "T D C Z");
-    let ran: Vec<String> = std::iter::from_fn(|| member.came.try_recv().ok()).collect();
-    assert_eq!(ran.len(), 10, "each once");
+    oversized_client
+        .write_all(&oversized_message[1 << 20..])
+        .expect("write to the connection");
+    assert_eq!(
+        read_answer(&mut oversized_client).0,
+        "E54000 Z",
+        "an oversized message is discarded to its end"
+    );
+    oversized_client
+        .write_all(&statement_message(200, 10))
+        .expect("write to the connection");
+    assert_eq!(read_answer(&mut oversized_client).0, "T D C Z");
+    let executions: Vec<String> = std::iter::from_fn(|| member.events.try_recv().ok()).collect();
+    assert_eq!(executions.len(), 10, "each statement is executed once");
 }
 
-/// Discovery that tells this list, and each later one to whoever waits for it.
-fn discovery(list: &Arc<Mutex<(u64, String)>>) -> std::net::SocketAddr {
-    let (listener, address) = listener();
+/// Starts a discovery service that serves this endpoint list, and holds watch requests until a newer one is
+/// set.
+fn start_discovery(list: &Arc<Mutex<(u64, String)>>) -> std::net::SocketAddr {
+    let (listener, address) = bind_listener();
     let list = list.clone();
-    let speak = |mut stream: TcpStream, list: Arc<Mutex<(u64, String)>>| -> std::io::Result<()> {
+    let serve_connection = |mut stream: TcpStream, list: Arc<Mutex<(u64, String)>>| -> std::io::Result<()> {
         loop {
-            let head = read_head(&mut stream)?;
+            let head = read_request_head(&mut stream)?;
             let after = head
                 .split("after=")
                 .nth(1)
                 .and_then(|t| t.split(['&', ' ']).next());
             let after: Option<u64> = after.and_then(|n| n.parse().ok());
             let body = loop {
-                let (index, entry) = list.lock().expect("is whole").clone();
+                let (index, entry) = list.lock().expect("lock the endpoint list").clone();
                 if after.is_none_or(|after| after < index) {
                     break format!(r#"{{"index":{index},"snapshot":true,"endpoints":[{entry}]}}"#);
                 }
@@ -661,19 +783,19 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let list = list.clone();
-            thread::spawn(move || speak(stream, list));
+            thread::spawn(move || serve_connection(stream, list));
         }
     });
     address
 }
 
-/// A drain that only one of both is told binds the other as well, whichever it was.
+/// A drain that discovery reports to one of both processes also applies to the other.
 #[test]
 fn co_serving_drain_of_either_process_binds_both() {
-    for to_new in [true, false] {
-        let member = member(Manner::Answers);
-        let times = TIMES.replace("probation = 200ms", "probation = 10min");
-        let mut stage = Stage::new(&format!("drain-{to_new}"), &member, &times);
+    for notifies_successor in [true, false] {
+        let member = start_member(MemberBehavior::Answer);
+        let settings = HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 10min");
+        let mut harness = UpgradeHarness::new(&format!("drain-{notifies_successor}"), &member, &settings);
         let entry = |status: &str| {
             format!(
                 r#"{{"name":"m","address":"{}","zone":"a","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#,
@@ -681,333 +803,384 @@
             )
         };
         let list = Arc::new(Mutex::new((2, entry("SERVING"))));
-        let told = discovery(&list);
-        // Each reads its own configuration: the other one's discovery is down.
-        let path = stage.operated.program.path.clone();
-        let before = std::fs::read_to_string(&path).expect("is there");
-        let silent = before
+        let discovery_address = start_discovery(&list);
+        // Only one process is configured with this discovery service; that of the other is unresponsive.
+        let path = harness.driver.process.path.clone();
+        let original_config = std::fs::read_to_string(&path).expect("read the file");
+        let unresponsive_address = original_config
             .split("\"discovery\":\"")
             .nth(1)
             .and_then(|t| t.split('"').next());
-        let after = before.replace(silent.expect("is given"), &told.to_string());
-        if to_new {
-            std::fs::write(&path, &after).expect("is written");
+        let changed_config = original_config.replace(
+            unresponsive_address.expect("find the address of discovery"),
+            &discovery_address.to_string(),
+        );
+        if notifies_successor {
+            std::fs::write(&path, &changed_config).expect("write the file");
         } else {
-            stage.configure(&after);
-            std::fs::write(&path, &before).expect("is written");
+            harness.configure(&changed_config);
+            std::fs::write(&path, &original_config).expect("write the file");
         }
-        let (pid, _asking) = stage.begin();
-        stage.pid = Some(pid);
-        assert_eq!(stage.ask("view", 1), "T D C Z");
-        *list.lock().expect("is whole") = (3, entry("DRAINING"));
-        let other = if to_new {
-            stage.operated.program.child.id()
+        let (pid, _upgrade_request) = harness.begin_upgrade();
+        harness.pid = Some(pid);
+        assert_eq!(harness.execute("view", 1), "T D C Z");
+        *list.lock().expect("lock the endpoint list") = (3, entry("DRAINING"));
+        let other_pid = if notifies_successor {
+            harness.driver.process.child.id()
         } else {
             pid
         };
-        stage.counted(other, "drains_from_peer_process=1 ");
-        // Whoever serves sends nothing there any more: nobody is left for the read, which is told so.
-        let mut client = stage.operated.program.client();
+        harness.wait_for_counter(other_pid, "drains_from_peer_process=1 ");
+        // The only member drains, so the read is rejected.
+        let mut client = harness.driver.process.connect_client();
         let text = "/* id=2,c=view,d=300,cluster=1 */ SELECT 2\0";
         client
             .write_all(&message(b'Q', text.as_bytes()))
-            .expect("is written");
-        assert_eq!(answer(&mut client).0, "E53300 Z", "{to_new}");
-        assert_eq!(ran(&member).values().sum::<u32>(), 1, "{to_new}");
+            .expect("write to the connection");
+        assert_eq!(read_answer(&mut client).0, "E53300 Z", "{notifies_successor}");
+        assert_eq!(
+            take_execution_counts(&member).values().sum::<u32>(),
+            1,
+            "{notifies_successor}"
+        );
     }
 }
 
-/// What either process has out counts at the other, whichever began it.
+/// Executions in flight at either process count at the other.
 #[test]
 fn co_serving_in_flight_counts_are_exchanged() {
-    for out_at_new in [false, true] {
-        let member = member(Manner::Waits);
-        let times = TIMES.replace("probation = 200ms", "probation = 10min");
-        let mut stage = Stage::new(&format!("words-{out_at_new}"), &member, &times);
-        let mut client = stage.operated.program.client();
-        if !out_at_new {
-            send(&mut client, "post", 1);
-            member.told();
+    for at_successor in [false, true] {
+        let member = start_member(MemberBehavior::AnswerOnRelease);
+        let settings = HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 10min");
+        let mut harness = UpgradeHarness::new(&format!("in-flight-{at_successor}"), &member, &settings);
+        let mut client = harness.driver.process.connect_client();
+        if !at_successor {
+            send_statement_with_id(&mut client, "post", 1);
+            member.next_event();
         }
-        let (pid, _asking) = stage.begin();
-        stage.pid = Some(pid);
-        if out_at_new {
-            // It moves, and asks there.
-            stage.counted(pid, "open_clients=1 ");
-            send(&mut client, "post", 1);
-            member.told();
+        let (pid, _upgrade_request) = harness.begin_upgrade();
+        harness.pid = Some(pid);
+        if at_successor {
+            // The client moves to the successor and sends its statement there.
+            harness.wait_for_counter(pid, "open_clients=1 ");
+            send_statement_with_id(&mut client, "post", 1);
+            member.next_event();
         }
-        let other = if out_at_new {
-            stage.operated.program.child.id()
+        let other_pid = if at_successor {
+            harness.driver.process.child.id()
         } else {
             pid
         };
-        stage.counted(other, "in_flight_at_peer_process=1 ");
-        member.go.send(()).expect("waits");
-        assert_eq!(answer(&mut client).0, "T D C Z");
-        stage.counted(other, "in_flight_at_peer_process=0 ");
+        harness.wait_for_counter(other_pid, "in_flight_at_peer_process=1 ");
+        member.release.send(()).expect("release the statement");
+        assert_eq!(read_answer(&mut client).0, "T D C Z");
+        harness.wait_for_counter(other_pid, "in_flight_at_peer_process=0 ");
     }
 }
 
-fn large(id: u32) -> Vec<u8> {
+fn large_statement(id: u32) -> Vec<u8> {
     let text = format!("/* id={id:x},c=view,d=25000,cluster=1 */ SELECT 'large'\0");
     message(b'Q', text.as_bytes())
 }
 
-/// More answers than the kernel keeps for a client that doesn't read.
-const MANY: u32 = 12;
+/// Number of large rows that exceeds the socket buffers of a client that doesn't read.
+const LARGE_STATEMENTS: u32 = 12;
 
-/// Who reads slowly keeps its answers, from the process that has them, and goes on in the other one behind the last.
+/// A slow reader gets all answers from the predecessor, and then moves to the successor.
 #[test]
 fn handover_slow_reader_gets_complete_answers() {
-    let member = member(Manner::Answers);
-    let mut stage = Stage::new("slow", &member, TIMES);
-    let mut slow = stage.operated.program.client();
-    let row: Vec<u8> = (1..=MANY).flat_map(large).collect();
-    slow.write_all(&row).expect("is written");
-    // All ran, so their answers lie with the process or the kernel.
-    (0..MANY).for_each(|_| drop(member.told()));
-    let (pid, asking) = stage.begin();
-    stage.pid = Some(pid);
+    let member = start_member(MemberBehavior::Answer);
+    let mut harness = UpgradeHarness::new("slow", &member, HANDOVER_SETTINGS);
+    let mut slow_client = harness.driver.process.connect_client();
+    let statements: Vec<u8> = (1..=LARGE_STATEMENTS).flat_map(large_statement).collect();
+    slow_client
+        .write_all(&statements)
+        .expect("write to the connection");
+    // All statements were executed, so their answers are buffered in the process or the kernel.
+    (0..LARGE_STATEMENTS).for_each(|_| drop(member.next_event()));
+    let (pid, upgrade_request) = harness.begin_upgrade();
+    harness.pid = Some(pid);
     assert!(
-        asking.join().expect("ends").status.success(),
-        "a slow reader holds no upgrade up"
+        upgrade_request.join().expect("join the thread").status.success(),
+        "a slow reader does not delay the upgrade"
     );
-    for n in 1..=MANY {
-        let (said, value) = answer(&mut slow);
-        assert_eq!((said.as_str(), value.len()), ("T D C Z", LARGE), "answer {n}");
+    for answer_index in 1..=LARGE_STATEMENTS {
+        let (kinds, value) = read_answer(&mut slow_client);
+        assert_eq!(
+            (kinds.as_str(), value.len()),
+            ("T D C Z", LARGE_ROW_BYTES),
+            "answer {answer_index}"
+        );
     }
-    stage.operated.told("upgrade: the predecessor has exited");
-    send(&mut slow, "post", 100);
-    assert_eq!(answer(&mut slow).0, "T D C Z", "goes on in the other");
-    assert_eq!(ran(&member), BTreeMap::from([(100, 1)]), "nothing ran again");
+    harness.driver.wait_for_log("upgrade: the predecessor has exited");
+    send_statement_with_id(&mut slow_client, "post", 100);
+    assert_eq!(
+        read_answer(&mut slow_client).0,
+        "T D C Z",
+        "continues at the successor"
+    );
+    assert_eq!(
+        take_execution_counts(&member),
+        BTreeMap::from([(100, 1)]),
+        "nothing is executed again"
+    );
 }
 
-/// A process that dies in the middle of an answer: its client can't be told anything whole any more and ends, once and
-/// without a second answer; one whose answer is whole with the kernel reads that, and goes on.
+/// If a process dies within an answer, the client is disconnected without a second answer; a client whose
+/// answer is completely in the kernel's buffer reads it and continues.
 #[test]
-fn reclaim_partial_answer_is_cut_complete_answer_resumes() {
-    let member = member(Manner::Answers);
-    let times = TIMES.replace("probation = 200ms", "probation = 10min");
-    let stage = Stage::new("half", &member, &times);
-    let mut half = stage.operated.program.client();
-    let (pid, _asking) = stage.begin();
-    let mut whole = stage.operated.program.client();
-    // Both are the new one's now.
-    stage.counted(pid, "open_clients=2 ");
-    let row: Vec<u8> = (1..=MANY).flat_map(large).collect();
-    half.write_all(&row).expect("is written");
-    send(&mut whole, "post", 50);
-    (0..=MANY).for_each(|_| drop(member.told()));
-    whole.peek(&mut [0]).expect("its answer has come");
-    half.peek(&mut [0]).expect("its first answer has begun");
-    // All answers lie with the process, and the kernel takes no more of them.
-    stage.counted(pid, &format!("completed={} ", MANY + 1));
-    let (mut kept, mut looks) = (0, 0);
-    while looks < 30 {
-        let now = rustix::io::ioctl_fionread(&half).expect("is counted");
-        looks = if now == kept { looks + 1 } else { 0 };
-        kept = now;
+fn reclaim_partial_answer_disconnects_complete_answer_resumes() {
+    let member = start_member(MemberBehavior::Answer);
+    let settings = HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 10min");
+    let harness = UpgradeHarness::new("partial-answer", &member, &settings);
+    let mut partial_reader = harness.driver.process.connect_client();
+    let (pid, _upgrade_request) = harness.begin_upgrade();
+    let mut complete_reader = harness.driver.process.connect_client();
+    // Both clients are at the successor.
+    harness.wait_for_counter(pid, "open_clients=2 ");
+    let statements: Vec<u8> = (1..=LARGE_STATEMENTS).flat_map(large_statement).collect();
+    partial_reader
+        .write_all(&statements)
+        .expect("write to the connection");
+    send_statement_with_id(&mut complete_reader, "post", 50);
+    (0..=LARGE_STATEMENTS).for_each(|_| drop(member.next_event()));
+    complete_reader.peek(&mut [0]).expect("wait for the answer");
+    partial_reader
+        .peek(&mut [0])
+        .expect("wait for the first answer to begin");
+    // All statements are completed; wait until the kernel's buffers are full.
+    harness.wait_for_counter(pid, &format!("completed={} ", LARGE_STATEMENTS + 1));
+    let (mut last_readable, mut stable_polls) = (0, 0);
+    while stable_polls < 30 {
+        let readable =
+            rustix::io::ioctl_fionread(&partial_reader).expect("read the number of readable bytes");
+        stable_polls = if readable == last_readable {
+            stable_polls + 1
+        } else {
+            0
+        };
+        last_readable = readable;
         thread::sleep(Duration::from_millis(10));
     }
-    stage.signal(pid, "KILL");
-    let told = stage.operated.told("clients reclaimed");
-    assert!(told.contains(" 1 disconnected"), "{told}");
+    harness.signal(pid, "KILL");
+    let reclaimed_line = harness.driver.wait_for_log("clients reclaimed");
+    assert!(reclaimed_line.contains(" 1 disconnected"), "{reclaimed_line}");
     let mut answers = 0;
     loop {
-        let (said, value) = answer(&mut half);
-        if said != "T D C Z" {
-            // What had begun ends in the middle, and nothing follows.
-            assert!(!said.contains('Z') && !said.contains('E'), "{said}");
+        let (kinds, value) = read_answer(&mut partial_reader);
+        if kinds != "T D C Z" {
+            // The partial answer is truncated and nothing follows it.
+            assert!(!kinds.contains('Z') && !kinds.contains('E'), "{kinds}");
             break;
         }
-        assert_eq!(value.len(), LARGE);
+        assert_eq!(value.len(), LARGE_ROW_BYTES);
         answers += 1;
     }
     assert!(
-        answers < MANY,
-        "the kernel has kept all {answers}: this proves nothing"
+        answers < LARGE_STATEMENTS,
+        "the kernel buffered all {answers} answers, so none was partial"
+    );
+    assert_eq!(
+        read_answer(&mut complete_reader).0,
+        "T D C Z",
+        "the buffered answer is read after the kill"
+    );
+    send_statement_with_id(&mut complete_reader, "post", 51);
+    assert_eq!(
+        read_answer(&mut complete_reader).0,
+        "T D C Z",
+        "continues after the reclaim"
     );
-    assert_eq!(answer(&mut whole).0, "T D C Z", "read behind the death");
-    send(&mut whole, "post", 51);
-    assert_eq!(answer(&mut whole).0, "T D C Z", "goes on");
-    let all = ran(&member);
-    assert_eq!(all, BTreeMap::from([(51, 1)]), "nothing ran again");
+    let executions = take_execution_counts(&member);
+    assert_eq!(executions, BTreeMap::from([(51, 1)]), "nothing is executed again");
 }
 
-/// Newcomers on probation come by way of the former process; where that one hangs or leaves, the new one takes them itself.
+/// On probation the predecessor accepts new clients; if it hangs or shuts down, the successor accepts them.
 #[test]
 fn handover_new_clients_reach_the_remaining_process() {
-    for (signal, words) in [
+    for (signal, expected_log) in [
         ("STOP", "accepts, for the predecessor is unresponsive"),
         ("TERM", "accepts, for the predecessor drains"),
     ] {
-        let member = member(Manner::Waits);
-        let times = TIMES.replace("probation = 200ms", "probation = 10min");
-        let mut stage = Stage::new(&format!("accepts-{signal}"), &member, &times);
-        // Its statement keeps the former process here.
-        let mut kept = stage.operated.program.client();
-        send(&mut kept, "post", 1);
-        member.told();
-        let (pid, _asking) = stage.begin();
-        stage.pid = Some(pid);
-        let old = stage.operated.program.child.id();
-        stage.signal(old, signal);
-        stage.operated.told(words);
-        // Whoever waits takes a word first: one more for the statement kept from before.
-        member.go.send(()).expect("waits");
+        let member = start_member(MemberBehavior::AnswerOnRelease);
+        let settings = HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 10min");
+        let mut harness = UpgradeHarness::new(&format!("accepts-{signal}"), &member, &settings);
+        // The open statement prevents the predecessor from exiting.
+        let mut draining_client = harness.driver.process.connect_client();
+        send_statement_with_id(&mut draining_client, "post", 1);
+        member.next_event();
+        let (pid, _upgrade_request) = harness.begin_upgrade();
+        harness.pid = Some(pid);
+        let predecessor_pid = harness.driver.process.child.id();
+        harness.signal(predecessor_pid, signal);
+        harness.driver.wait_for_log(expected_log);
+        // A release goes to any waiting statement: one more for the statement from before the upgrade.
+        member.release.send(()).expect("release the statement");
         for id in 2..5 {
-            let mut client = stage.operated.program.client();
-            send(&mut client, "post", id);
-            member.told();
-            member.go.send(()).expect("waits");
-            assert_eq!(answer(&mut client).0, "T D C Z", "{signal}");
+            let mut client = harness.driver.process.connect_client();
+            send_statement_with_id(&mut client, "post", id);
+            member.next_event();
+            member.release.send(()).expect("release the statement");
+            assert_eq!(read_answer(&mut client).0, "T D C Z", "{signal}");
         }
-        stage.signal(old, "CONT");
-        assert_eq!(answer(&mut kept).0, "T D C Z", "{signal}");
+        harness.signal(predecessor_pid, "CONT");
+        assert_eq!(read_answer(&mut draining_client).0, "T D C Z", "{signal}");
     }
 }
 
-/// A new process that may hold fewer descriptors: who finds no place there is let go and comes again, nobody waits for
-/// an answer that can't come; and one that has closed its own direction is let go as ever.
+/// Clients beyond the successor's lower descriptor limit are closed instead of waiting without an answer; a
+/// half-closed client is closed as well.
 #[test]
 fn handover_clients_beyond_descriptor_limit_are_closed() {
-    let member = member(Manner::Answers);
-    let mut stage = Stage::new(
+    let member = start_member(MemberBehavior::Answer);
+    let mut harness = UpgradeHarness::new(
         "few-descriptors",
         &member,
-        &TIMES.replace("probation = 200ms", "probation = 1s"),
+        &HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 1s"),
     );
-    let mut clients: Vec<_> = (0..60).map(|_| stage.operated.program.client()).collect();
-    let half = clients.pop().expect("one");
-    half.shutdown(std::net::Shutdown::Write).expect("is closed");
+    let mut clients: Vec<_> = (0..60).map(|_| harness.driver.process.connect_client()).collect();
+    let half_closed = clients.pop().expect("at least one client");
+    half_closed
+        .shutdown(std::net::Shutdown::Write)
+        .expect("close the write side of the connection");
     let binary = env!("CARGO_BIN_EXE_asterlatch");
     let script = format!("#!/bin/sh\nulimit -n 50\nexec {binary} \"$@\"\n");
-    let path = stage.folder.write("small", &script);
-    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("is set");
-    let mut command = stage.command(&path);
-    let asking = thread::spawn(move || command.output().expect("runs"));
-    let begun = stage.operated.told("upgrade: started ");
-    stage.pid = begun.rsplit(' ').next().and_then(|n| n.parse().ok());
-    stage.operated.told("the successor is ready and asked to serve");
-    let (mut served, mut let_go) = (0, 0);
-    for (n, client) in clients.iter_mut().enumerate() {
-        // To one that was let go it may not even be written.
-        let _ = client.write_all(&statement("post", n as u32 + 1));
-        match answer(client).0.as_str() {
+    let script_path = harness.folder.write("small", &script);
+    std::fs::set_permissions(&script_path, std::fs::Permissions::from_mode(0o755))
+        .expect("make the script executable");
+    let mut command = harness.upgrade_command(&script_path);
+    let upgrade_request = thread::spawn(move || command.output().expect("run the command"));
+    let started_line = harness.driver.wait_for_log("upgrade: started ");
+    harness.pid = started_line.rsplit(' ').next().and_then(|n| n.parse().ok());
+    harness
+        .driver
+        .wait_for_log("the successor is ready and asked to serve");
+    let (mut served, mut closed) = (0, 0);
+    for (client_index, client) in clients.iter_mut().enumerate() {
+        // Fails if the client has been closed.
+        let _ = client.write_all(&statement("post", client_index as u32 + 1));
+        match read_answer(client).0.as_str() {
             "T D C Z" => served += 1,
-            "" => let_go += 1,
-            // No descriptor is left for a member either.
+            "" => closed += 1,
+            // No descriptor is left for a member connection.
             "E53300 Z" => {}
-            other => panic!("client {n}: {other}"),
+            other => panic!("client {client_index}: {other}"),
         }
     }
-    let output = asking.join().expect("ends");
+    let output = upgrade_request.join().expect("join the thread");
     assert!(
         output.status.success(),
         "{}",
         String::from_utf8_lossy(&output.stdout)
     );
-    assert!(served > 0 && let_go > 5, "{served} served, {let_go} let go");
+    assert!(served > 0 && closed > 5, "{served} served, {closed} closed");
     assert_eq!(
-        ran(&member).values().filter(|n| **n == 1).count(),
+        take_execution_counts(&member)
+            .values()
+            .filter(|n| **n == 1)
+            .count(),
         served,
-        "each once"
+        "each statement is executed once"
     );
 }
 
-/// SIGHUP to either process in the middle of an upgrade reads its files again, and changes nothing of the upgrade.
+/// SIGHUP to either process during an upgrade reloads its files without affecting the upgrade.
 #[test]
 fn handover_reload_during_upgrade_changes_nothing() {
-    let member = member(Manner::Answers);
-    let mut stage = Stage::new(
+    let member = start_member(MemberBehavior::Answer);
+    let mut harness = UpgradeHarness::new(
         "reload",
         &member,
-        &TIMES.replace("probation = 200ms", "probation = 1s"),
+        &HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 1s"),
     );
-    let mut kept = stage.operated.program.client();
-    let (pid, asking) = stage.begin();
-    stage.pid = Some(pid);
-    for process in [stage.operated.program.child.id(), pid] {
-        stage.signal(process, "HUP");
-        stage.operated.told("configuration: reloaded");
-        assert_eq!(stage.ask("post", process), "T D C Z");
+    let mut idle_client = harness.driver.process.connect_client();
+    let (pid, upgrade_request) = harness.begin_upgrade();
+    harness.pid = Some(pid);
+    for signalled_pid in [harness.driver.process.child.id(), pid] {
+        harness.signal(signalled_pid, "HUP");
+        harness.driver.wait_for_log("configuration: reloaded");
+        assert_eq!(harness.execute("post", signalled_pid), "T D C Z");
     }
-    send(&mut kept, "post", 7);
-    assert_eq!(answer(&mut kept).0, "T D C Z");
-    assert!(asking.join().expect("ends").status.success());
-    stage.operated.told("upgrade: the predecessor has exited");
-    assert!(ran(&member).values().all(|n| *n == 1));
+    send_statement_with_id(&mut idle_client, "post", 7);
+    assert_eq!(read_answer(&mut idle_client).0, "T D C Z");
+    assert!(upgrade_request.join().expect("join the thread").status.success());
+    harness.driver.wait_for_log("upgrade: the predecessor has exited");
+    assert!(take_execution_counts(&member).values().all(|n| *n == 1));
 }
 
-/// What both processes together would need is known before anything is begun.
+/// The resources that both processes together need are checked before the upgrade starts.
 #[test]
 fn upgrade_without_capacity_for_two_is_refused_with_usage() {
-    let member = member(Manner::Answers);
-    let mut stage = Stage::new("room", &member, TIMES);
-    let path = stage.operated.program.path.clone();
-    let config = std::fs::read_to_string(&path).expect("is there");
+    let member = start_member(MemberBehavior::Answer);
+    let mut harness = UpgradeHarness::new("capacity", &member, HANDOVER_SETTINGS);
+    let path = harness.driver.process.path.clone();
+    let config = std::fs::read_to_string(&path).expect("read the file");
     #[rustfmt::skip]
     let cases = [
         (r#""sockets":256"#, r#""sockets":50"#, "descriptors"),
         (r#""memory_mb":192"#, r#""memory_mb":8"#, "MB"),
     ];
-    for (n, (before, after, words)) in cases.into_iter().enumerate() {
-        stage.configure(&config.replace(before, after));
-        let output = stage.request(env!("CARGO_BIN_EXE_asterlatch"));
+    for (case_index, (before, after, unit)) in cases.into_iter().enumerate() {
+        harness.configure(&config.replace(before, after));
+        let output = harness.request_upgrade(env!("CARGO_BIN_EXE_asterlatch"));
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         assert_eq!(output.status.code(), Some(1), "{text}");
-        let is_told = text.starts_with("failed: both processes together need") && text.contains(words);
-        assert!(is_told, "{text}");
-        stage
-            .operated
-            .told("upgrade: cannot start: both processes together need");
-        assert_eq!(stage.ask("post", n as u32 + 1), "T D C Z");
+        let is_expected = text.starts_with("failed: both processes together need") && text.contains(unit);
+        assert!(is_expected, "{text}");
+        harness
+            .driver
+            .wait_for_log("upgrade: cannot start: both processes together need");
+        assert_eq!(harness.execute("post", case_index as u32 + 1), "T D C Z");
     }
-    stage.configure(&config);
-    stage.upgrade();
+    harness.configure(&config);
+    harness.upgrade();
 }
 
-/// A storm of handshakes at each upgrade is spared: idle connections to members move as well.
+/// Idle member connections move too, which avoids a burst of handshakes at each upgrade.
 #[test]
 fn handover_idle_member_connections_move() {
-    let member = member(Manner::Waits);
-    let mut stage = Stage::new("idle", &member, TIMES);
-    let mut clients: Vec<_> = (0..5).map(|_| stage.operated.program.client()).collect();
-    let ask_all = |clients: &mut Vec<TcpStream>, from: u32| {
-        for (n, client) in clients.iter_mut().enumerate() {
-            send(client, "view", from + n as u32);
-            member.told();
+    let member = start_member(MemberBehavior::AnswerOnRelease);
+    let mut harness = UpgradeHarness::new("idle", &member, HANDOVER_SETTINGS);
+    let mut clients: Vec<_> = (0..5).map(|_| harness.driver.process.connect_client()).collect();
+    let execute_all = |clients: &mut Vec<TcpStream>, first_id: u32| {
+        for (client_index, client) in clients.iter_mut().enumerate() {
+            send_statement_with_id(client, "view", first_id + client_index as u32);
+            member.next_event();
         }
-        clients.iter().for_each(|_| member.go.send(()).expect("waits"));
+        clients
+            .iter()
+            .for_each(|_| member.release.send(()).expect("release the statement"));
         clients
             .iter_mut()
-            .for_each(|c| assert_eq!(answer(c).0, "T D C Z"));
+            .for_each(|c| assert_eq!(read_answer(c).0, "T D C Z"));
     };
-    ask_all(&mut clients, 1);
-    stage.upgrade();
-    ask_all(&mut clients, 10);
-    stage.signal(stage.pid.expect("serves"), "USR1");
-    let counters = stage.operated.told("counters: clients_accepted=");
-    for part in [
+    execute_all(&mut clients, 1);
+    harness.upgrade();
+    execute_all(&mut clients, 10);
+    harness.signal(harness.pid.expect("a process has taken over"), "USR1");
+    let counters = harness.driver.wait_for_log("counters: clients_accepted=");
+    for counter in [
         "connections_adopted=5 ",
         "connections_opened=0 ",
         "clients_adopted=5 ",
         "completed=5 ",
     ] {
-        assert!(counters.contains(&format!(" {part}")), "{part}in {counters}");
+        assert!(
+            counters.contains(&format!(" {counter}")),
+            "{counter}in {counters}"
+        );
     }
 }
 
-/// A row of statements sent ahead keeps its order: what was taken is answered where it was taken, the rest where the
-/// client goes on.
+/// Pipelined statements keep their order: accepted ones are answered by the predecessor, the others by the
+/// successor.
 #[test]
 fn handover_pipelined_statements_keep_their_order() {
-    let member = member(Manner::Waits);
-    let mut stage = Stage::new("row", &member, TIMES);
-    let mut client = stage.operated.program.client();
+    let member = start_member(MemberBehavior::AnswerOnRelease);
+    let mut harness = UpgradeHarness::new("pipeline", &member, HANDOVER_SETTINGS);
+    let mut client = harness.driver.process.connect_client();
     let count = 40u32;
-    let row: Vec<u8> = (1..=count)
+    let pipeline: Vec<u8> = (1..=count)
         .flat_map(|id| {
             message(
                 b'Q',
@@ -1015,24 +1188,32 @@
             )
         })
         .collect();
-    client.write_all(&row).expect("is written");
-    member.told();
-    let (pid, asking) = stage.begin();
-    stage.pid = Some(pid);
-    (0..count).for_each(|_| member.go.send(()).expect("waits"));
-    for n in 0..count {
-        assert_eq!(answer(&mut client).0, "T D C Z", "statement {n}");
+    client.write_all(&pipeline).expect("write to the connection");
+    member.next_event();
+    let (pid, upgrade_request) = harness.begin_upgrade();
+    harness.pid = Some(pid);
+    (0..count).for_each(|_| member.release.send(()).expect("release the statement"));
+    for statement_index in 0..count {
+        assert_eq!(
+            read_answer(&mut client).0,
+            "T D C Z",
+            "statement {statement_index}"
+        );
     }
-    assert!(asking.join().expect("ends").status.success());
-    stage.operated.told("is stopped");
-    let mut ran: Vec<String> = std::iter::from_fn(|| member.came.try_recv().ok()).collect();
-    ran.sort();
-    ran.dedup();
-    assert_eq!(ran.len() as u32 + 1, count, "each once, beside the first");
+    assert!(upgrade_request.join().expect("join the thread").status.success());
+    harness.driver.wait_for_log("is stopped");
+    let mut executions: Vec<String> = std::iter::from_fn(|| member.events.try_recv().ok()).collect();
+    executions.sort();
+    executions.dedup();
+    assert_eq!(
+        executions.len() as u32 + 1,
+        count,
+        "each statement is executed once, and the first was received before"
+    );
 }
 
-/// `make trial-faults`: SIGKILL on either side at random points of many upgrades. A killed first process takes its clients'
-/// connections along; whatever was answered ran once, nothing ran twice, and whoever is left serves.
+/// Run by `make trial-faults`: SIGKILL to either process at random points of many upgrades. No statement is
+/// executed twice, each answer matches the executions, and the remaining process serves.
 #[test]
 #[ignore = "long: make trial-faults"]
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
@@ -1042,123 +1223,133 @@
         .and_then(|s| s.parse().ok())
         .unwrap_or(1u64);
     println!("seed {seed}");
-    let mut chance = fastrand::Rng::with_seed(seed);
-    let member = member(Manner::Answers);
-    let (mut kills, mut old_left, mut new_left, mut none_left) = (0, 0, 0, 0);
-    let (mut answered, mut untold, mut cut) = (0, 0, 0);
-    while kills < 200 {
-        let stage = Stage::new(&format!("faults-{kills}"), &member, TIMES);
-        // The first process is killed, or a new one beside it, again and again until the first is gone.
+    let mut random = fastrand::Rng::with_seed(seed);
+    let member = start_member(MemberBehavior::Answer);
+    let (mut kill_count, mut predecessor_served, mut successor_served, mut none_served) = (0, 0, 0, 0);
+    let (mut answered, mut without_result, mut disconnected) = (0, 0, 0);
+    while kill_count < 200 {
+        let harness = UpgradeHarness::new(&format!("faults-{kill_count}"), &member, HANDOVER_SETTINGS);
+        // Kills the predecessor or a successor, until the predecessor has exited.
         loop {
-            assert_eq!(stage.ask("post", (kills + 1) << 8), "T D C Z");
-            let mut command = stage.command(env!("CARGO_BIN_EXE_asterlatch"));
-            let asking = thread::spawn(move || command.output().expect("runs"));
-            let begun = stage.operated.told("upgrade: started ");
-            let pid: u32 = begun
+            assert_eq!(harness.execute("post", (kill_count + 1) << 8), "T D C Z");
+            let mut command = harness.upgrade_command(env!("CARGO_BIN_EXE_asterlatch"));
+            let upgrade_request = thread::spawn(move || command.output().expect("run the command"));
+            let started_line = harness.driver.wait_for_log("upgrade: started ");
+            let pid: u32 = started_line
                 .rsplit(' ')
                 .next()
                 .and_then(|n| n.parse().ok())
-                .expect("names the process");
-            let (stop, from) = (Arc::new(AtomicBool::new(false)), ((kills + 1) << 8) + 1);
-            let clients: Vec<_> = (0..3).map(|n| fragile(&stage, &stop, from + n * 60)).collect();
-            // A whole upgrade takes about 300 ms, all but the first few of them probation.
-            let most = if chance.u8(0..3) > 0 { 4000 } else { 300_000 };
-            thread::sleep(Duration::from_micros(chance.u64(0..most)));
-            let kills_old = chance.u8(0..4) == 0;
-            let victim = if kills_old {
-                stage.operated.program.child.id()
+                .expect("the log line ends with the process id");
+            let (stop, first_id) = (Arc::new(AtomicBool::new(false)), ((kill_count + 1) << 8) + 1);
+            let clients: Vec<_> = (0..3)
+                .map(|index| start_reconnecting_client(&harness, &stop, first_id + index * 60))
+                .collect();
+            // An upgrade takes about 300 ms, and after the first few ms it is on probation.
+            let max_delay_us = if random.u8(0..3) > 0 { 4000 } else { 300_000 };
+            thread::sleep(Duration::from_micros(random.u64(0..max_delay_us)));
+            let kills_predecessor = random.u8(0..4) == 0;
+            let victim = if kills_predecessor {
+                harness.driver.process.child.id()
             } else {
                 pid
             };
-            // It may have left by itself by now. A shell would be slower than the whole handshake.
+            // The process may already have exited. Starting a shell would take longer than the handshake.
             let victim = i32::try_from(victim)
                 .ok()
                 .and_then(rustix::process::Pid::from_raw);
-            let _ = rustix::process::kill_process(victim.expect("a process"), rustix::process::Signal::KILL);
-            kills += 1;
-            let done = asking.join().expect("ends").status.success();
+            let _ = rustix::process::kill_process(
+                victim.expect("a valid process id"),
+                rustix::process::Signal::KILL,
+            );
+            kill_count += 1;
+            let is_success = upgrade_request.join().expect("join the thread").status.success();
             stop.store(true, Ordering::Relaxed);
-            let told: Vec<_> = clients
+            let answers: Vec<_> = clients
                 .into_iter()
-                .flat_map(|c| c.join().expect("no client fails"))
+                .flat_map(|c| c.join().expect("join the client thread"))
                 .collect();
-            let ran = ran(&member);
-            for (id, answer) in &told {
-                let runs = ran.get(id).copied().unwrap_or(0);
-                let is_honest = match answer.as_str() {
-                    "T D C Z" => runs == 1,
-                    "E53300 Z" => runs == 0,
-                    "E40003 Z" => runs < 2,
+            let executions = take_execution_counts(&member);
+            for (id, answer) in &answers {
+                let execution_count = executions.get(id).copied().unwrap_or(0);
+                let is_consistent = match answer.as_str() {
+                    "T D C Z" => execution_count == 1,
+                    "E53300 Z" => execution_count == 0,
+                    "E40003 Z" => execution_count < 2,
                     answer => answer.is_empty(),
                 };
                 assert!(
-                    is_honest,
-                    "statement {id} ran {runs} times and was answered {answer}"
+                    is_consistent,
+                    "statement {id} was executed {execution_count} times and answered {answer}"
                 );
                 answered += u32::from(!answer.is_empty());
-                untold += u32::from(answer.starts_with('E'));
-                cut += u32::from(answer.is_empty() && !kills_old && !done);
+                without_result += u32::from(answer.starts_with('E'));
+                disconnected += u32::from(answer.is_empty() && !kills_predecessor && !is_success);
             }
-            assert!(ran.values().all(|n| *n == 1), "nothing ran twice: {ran:?}");
-            if !kills_old && !done {
-                // It was killed before it was proven: the first one serves on, and tells so.
-                stage
-                    .operated
-                    .told("upgrade: failed, this process continues to serve");
-                old_left += 1;
+            assert!(
+                executions.values().all(|n| *n == 1),
+                "a statement was executed twice: {executions:?}"
+            );
+            if !kills_predecessor && !is_success {
+                // The successor was killed before it was proven, so the predecessor continues to serve.
+                harness
+                    .driver
+                    .wait_for_log("upgrade: failed, this process continues to serve");
+                predecessor_served += 1;
                 continue;
             }
-            // The first one is gone, or leaves: if the new one was told to serve it does, else nobody can.
-            let accepts = !kills_old
-                || stage
-                    .operated
-                    .lines
+            // The predecessor has exited or will exit; the successor serves only if it was asked to before.
+            let is_served = !kills_predecessor
+                || harness
+                    .driver
+                    .log_lines
                     .iter()
                     .any(|l| l.contains("the service is this one's"));
-            match accepts {
-                true => new_left += 1,
-                false => none_left += 1,
+            match is_served {
+                true => successor_served += 1,
+                false => none_served += 1,
             }
-            let mut stage = stage;
-            stage.pid = Some(pid);
+            let mut harness = harness;
+            harness.pid = Some(pid);
             break;
         }
-        if kills % 40 == 0 {
-            println!("{kills} kills");
+        if kill_count % 40 == 0 {
+            println!("{kill_count} kills");
         }
     }
-    println!("the first process served on {old_left} times, the new one {new_left} times, and {none_left} times the first");
-    println!("was killed before it told the new one to serve");
-    println!(
-        "of {answered} answers {untold} said that nothing is known, or nothing ran; {cut} clients of those"
-    );
-    println!("who died on probation were cut off");
-    println!("{kills} passed, 0 failed");
+    println!("served on: predecessor {predecessor_served} times, successor {successor_served} times");
+    println!("neither, predecessor killed before it asked the successor to serve: {none_served} times");
+    println!("{without_result} of {answered} answers were errors");
+    println!("{disconnected} clients were disconnected by kills of successors on probation");
+    println!("{kill_count} passed, 0 failed");
 }
 
-/// A client that asks again and again, and lives with connections that are cut or refused.
-fn fragile(stage: &Stage, stop: &Arc<AtomicBool>, from: u32) -> JoinHandle<Vec<(u32, String)>> {
-    let (listen, stop) = (stage.operated.program.listen, stop.clone());
+/// Starts a client that opens a connection for each statement and tolerates closed and refused ones.
+fn start_reconnecting_client(
+    harness: &UpgradeHarness,
+    stop: &Arc<AtomicBool>,
+    first_id: u32,
+) -> JoinHandle<Vec<(u32, String)>> {
+    let (listen, stop) = (harness.driver.process.listen, stop.clone());
     thread::spawn(move || {
-        let mut told = Vec::new();
-        // Ids are counted out beforehand, for each may be sent once only.
-        for id in from..from + 60 {
+        let mut answers = Vec::new();
+        // Each id may be sent only once, so each client has its own range.
+        for id in first_id..first_id + 60 {
             if stop.load(Ordering::Relaxed) {
                 break;
             }
-            let asked = || -> std::io::Result<String> {
+            let execute = || -> std::io::Result<String> {
                 let mut stream = TcpStream::connect(listen)?;
-                stream.set_read_timeout(Some(PATIENCE))?;
+                stream.set_read_timeout(Some(TEST_TIMEOUT))?;
                 stream.write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0])?;
-                if answer(&mut stream).0 != "Z" {
+                if read_answer(&mut stream).0 != "Z" {
                     return Ok(String::new());
                 }
                 let text = format!("/* id={id:x},c=post,d=25000,cluster=1 */ SELECT {id}\0");
                 stream.write_all(&message(b'Q', text.as_bytes()))?;
-                Ok(answer(&mut stream).0)
+                Ok(read_answer(&mut stream).0)
             };
-            told.push((id, asked().unwrap_or_default()));
+            answers.push((id, execute().unwrap_or_default()));
         }
-        told
+        answers
     })
 }
