--- a/crates/driver/tests/failing_system_calls.rs
+++ b/crates/driver/tests/failing_system_calls.rs
@@ -1,4 +1,4 @@
-//! The built program while its system calls fail, as `crates/fault-preload` has them fail.
+//! The driver with system calls that fail, injected by `crates/fault-preload`.
 
 mod harness;
 
@@ -11,9 +11,10 @@
 };
 use std::net::TcpStream;
 
-/// Every `send` fails, that of a signal handler to a pipe too, as it may where the kernel has no memory.
+/// Signals are handled although every `send` fails, including that of the signal handler, as under lack of
+/// memory.
 #[test]
-fn signal_takes_effect_while_sends_fail() {
+fn signal_sends_fail_is_handled() {
     let folder = TempFolder::new("signals-sends-fail");
     let file = folder.write("operators.latch", "");
     let member = start_member(MemberBehavior::Answer);
@@ -27,16 +28,16 @@
     driver.wait_for_log("counters");
     driver.process.signal("HUP");
     driver.wait_for_log("reloaded");
-    // Without a control socket a successor can't be proven, but the attempt is logged.
+    // Without a control socket the upgrade fails, which is logged.
     driver.process.signal("USR2");
     driver.wait_for_log("upgrade");
     driver.process.signal("TERM");
     assert!(driver.process.exits_successfully());
 }
 
-/// A client whose connection can't be registered with the event loop at first is accepted, so it is served.
+/// An accepted client is served although its registration with the event loop fails at first.
 #[test]
-fn accepted_client_is_answered_though_its_registration_fails() {
+fn accept_registration_fails_client_is_answered() {
     let member = start_member(MemberBehavior::Answer);
     for calls in ["epoll_add", "epoll_add=ENOSPC,setsockopt", "epoll_add,accept"] {
         let driver = start_driver_with_faults(
@@ -46,12 +47,12 @@
             &fault_plan(calls, 4),
         );
         for _ in 0..6 {
-            // It has read the answer to its first query when this returns.
+            // Returns after the answer to the first query.
             let _client = driver.connect_client();
         }
         driver.signal("TERM");
-        let (is_good, log) = driver.wait_with_log();
-        assert!(is_good, "{log}");
+        let (is_success, log) = driver.wait_with_log();
+        assert!(is_success, "{log}");
         assert!(
             log.contains("accept: a client could not be accepted"),
             "{calls}: {log}"
@@ -59,11 +60,11 @@
     }
 }
 
-/// Nobody is closed for an error that says nothing about descriptors.
+/// Only a lack of descriptors evicts idle clients.
 #[test]
-fn client_is_not_evicted_where_accept_fails_for_lack_of_memory() {
+fn accept_out_of_memory_evicts_no_client() {
     let member = start_member(MemberBehavior::Answer);
-    for (error, are_evicted) in [("ENOBUFS", false), ("ENOMEM", false), ("EMFILE", true)] {
+    for (error, expects_eviction) in [("ENOBUFS", false), ("ENOMEM", false), ("EMFILE", true)] {
         let driver = start_driver_with_faults(
             "accept-fails",
             &config_text(unused_address(), unresponsive_discovery(), member.address),
@@ -72,18 +73,18 @@
         );
         let clients: Vec<_> = (0..5).map(|_| driver.connect_client()).collect();
         driver.signal("TERM");
-        let (is_good, log) = driver.wait_with_log();
-        assert!(is_good, "{log}");
-        let is_counted = |name: &str| !log.contains(&format!("{name}=0 "));
-        assert!(is_counted("accepts_failed"), "{log}");
-        assert_eq!(is_counted("clients_evicted"), are_evicted, "{error}: {log}");
+        let (is_success, log) = driver.wait_with_log();
+        assert!(is_success, "{log}");
+        let is_nonzero = |name: &str| !log.contains(&format!("{name}=0 "));
+        assert!(is_nonzero("accepts_failed"), "{log}");
+        assert_eq!(is_nonzero("clients_evicted"), expects_eviction, "{error}: {log}");
         drop(clients);
     }
 }
 
-/// What a start needs may be missing for a moment; `EADDRINUSE` is a predecessor that is just ending.
+/// Temporary errors at start are retried; `EADDRINUSE` occurs while a predecessor exits.
 #[test]
-fn start_goes_on_where_a_failure_passes() {
+fn start_temporary_errors_are_retried() {
     let member = start_member(MemberBehavior::Answer);
     for calls in [
         "thread=EAGAIN",
@@ -94,32 +95,32 @@
         "listen=EADDRINUSE",
         "accept,connect,send,recv,socket,bind,listen,setsockopt,epoll_wait,short_send,short_recv",
     ] {
-        let folder = TempFolder::new("start-passes");
+        let folder = TempFolder::new("start-temporary");
         let (file, control) = (folder.write("operators.latch", ""), folder.path("control"));
         let driver = start_driver_with_faults(
-            "start-passes",
+            "start-temporary",
             &config_text(unused_address(), unresponsive_discovery(), member.address),
             &["--operators", &file, "--control", &control],
             &limited_fault_plan(calls, 3),
         );
         let _client = driver.connect_client();
         driver.signal("TERM");
-        let (is_good, log) = driver.wait_with_log();
-        assert!(is_good, "{calls}: {log}");
+        let (is_success, log) = driver.wait_with_log();
+        assert!(is_success, "{calls}: {log}");
     }
 }
 
-/// The second attempt would succeed, so there is none.
+/// Permanent errors end the start without a retry, which would succeed here.
 #[test]
-fn start_ends_at_once_where_a_failure_lasts() {
+fn start_permanent_error_exits_without_retry() {
     let member = start_member(MemberBehavior::Answer);
-    for (calls, told) in [
+    for (calls, expected_error) in [
         ("bind=EACCES", "Permission denied"),
         ("bind=EADDRNOTAVAIL", "Cannot assign requested address"),
         ("socket=EACCES", "Permission denied"),
     ] {
         let text = config_text(unused_address(), unresponsive_discovery(), member.address);
-        let path = write_config("start-lasting", &text);
+        let path = write_config("start-permanent", &text);
         let mut command = driver_command("serve", &path);
         inject(&mut command, &limited_fault_plan(calls, 1)).expect("find the shared object built by cargo");
         let mut process = DriverProcess {
@@ -129,31 +130,34 @@
         };
         assert!(!process.exits_successfully(), "{calls}");
         let (_, log) = process.wait_with_log();
-        assert!(log.lines().count() == 1 && log.contains(told), "{calls}: {log}");
+        assert!(
+            log.lines().count() == 1 && log.contains(expected_error),
+            "{calls}: {log}"
+        );
     }
 }
 
-/// A start that goes on trying can be ended.
+/// SIGTERM ends a start that is being retried.
 #[test]
-fn shutdown_ends_a_start_that_is_retried() {
+fn start_sigterm_during_retries_exits_cleanly() {
     let member = start_member(MemberBehavior::Answer);
     let text = config_text(unused_address(), unresponsive_discovery(), member.address);
-    let path = write_config("start-ended", &text);
+    let path = write_config("start-sigterm", &text);
     let mut command = driver_command("serve", &path);
-    // It fails for good: without the signal the start would end with an error.
+    // Each attempt fails: without the signal the start would end with an error.
     inject(&mut command, &fault_plan("bind=EADDRINUSE", 1)).expect("find the shared object built by cargo");
     let child = spawn_process(&mut command);
     let listen = unused_address();
     let process = DriverProcess { child, listen, path };
     process.await_blocked_signals();
     process.signal("TERM");
-    let (is_good, log) = process.wait_with_log();
-    assert!(is_good && log.is_empty(), "{log}");
+    let (is_success, log) = process.wait_with_log();
+    assert!(is_success && log.is_empty(), "{log}");
 }
 
-/// Nothing reaches discovery at first: it is asked all the same.
+/// Connections to discovery are retried.
 #[test]
-fn discovery_is_asked_though_its_first_connections_fail() {
+fn discovery_first_connections_fail_is_retried() {
     let member = start_member(MemberBehavior::Answer);
     for calls in [
         "socket=EMFILE",
@@ -168,13 +172,13 @@
         };
         let text = config_text(unused_address(), address, member.address);
         let driver = start_driver_with_faults("discovery-fails", &text, &[], &plan);
-        // Connections that fail behind `connect` end without a request.
+        // Connections that fail after `connect` end without a request.
         let is_asked = |stream: std::io::Result<TcpStream>| {
             read_request_head(&mut stream.expect("read from the connection")).is_ok()
         };
         assert!(discovery.incoming().any(is_asked), "{calls}");
         driver.signal("TERM");
-        let (is_good, log) = driver.wait_with_log();
-        assert!(is_good, "{calls}: {log}");
+        let (is_success, log) = driver.wait_with_log();
+        assert!(is_success, "{calls}: {log}");
     }
 }
--- a/crates/driver/tests/failing_system_calls_under_load.rs
+++ b/crates/driver/tests/failing_system_calls_under_load.rs
@@ -1,5 +1,4 @@
-//! The test bed's own load against the built program while its system calls fail: it starts, and every rule
-//! is kept.
+//! The test bed's load against a driver with failing system calls.
 
 use asterlatch::time::TimeSpan;
 use asterlatch_fault_injection::FaultPlan;
@@ -13,15 +12,15 @@
 use asterlatch_testbed::wire::wall_clock_now;
 use std::path::PathBuf;
 
-/// All calls that a start can do without for a moment, every so many-th time.
+/// Calls whose failures are temporary and retried.
 const CALLS: &str =
     "accept,socket,bind,listen,connect,epoll_wait,epoll_add,setsockopt,send,recv,short_send,short_recv";
 const GROUPS: u32 = 2;
 const STATEMENTS_PER_SECOND: f64 = 200.0;
 const CLIENTS: usize = 32;
 
-/// Plays two seconds of load; returns the violations of the rules and the statements asked.
-fn play(every: u32) -> (u64, u64) {
+/// Runs two seconds of load; returns the number of rule violations and of statements sent.
+fn run(every: u32) -> (u64, u64) {
     let program = ProgramUnderTest {
         file: PathBuf::from(env!("CARGO_BIN_EXE_asterlatch")),
         faults: FaultPlan {
@@ -46,8 +45,14 @@
         TimeSpan::millis(2000),
         1,
     );
-    let from = wall_clock_now();
-    let load = load_generator::start(&deployment.store, deployment.listen, arrivals, from, CLIENTS);
+    let started_at = wall_clock_now();
+    let load = load_generator::start(
+        &deployment.store,
+        deployment.listen,
+        arrivals,
+        started_at,
+        CLIENTS,
+    );
     let records = load.finish();
     deployment.end();
     let report = check(&lock(&deployment.store), &records);
@@ -56,10 +61,10 @@
 }
 
 #[test]
-fn rules_hold_while_system_calls_fail() {
+fn load_system_calls_fail_breaks_no_rule() {
     for every in [2, 7] {
-        let (violations, asked) = play(every);
+        let (violations, asked) = run(every);
         assert!(asked > 0);
-        assert_eq!(violations, 0, "each call fails every {every}th time");
+        assert_eq!(violations, 0, "with every {every}th call failing");
     }
 }
--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -8,38 +8,38 @@
 use std::path::Path;
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Number of scenes in progress. Each needs about half a core, so at most one per two cores runs at a time:
-/// an overloaded machine is not a fault that any scene is about.
-static RUNNING_SCENES: Mutex<usize> = Mutex::new(0);
-static SCENE_ENDED: Condvar = Condvar::new();
+/// Number of scenarios in progress. Each needs about half a core, so at most one per two cores runs at a
+/// time: an overloaded machine is not a fault that any scenario tests.
+static RUNNING_SCENARIOS: Mutex<usize> = Mutex::new(0);
+static SCENARIO_ENDED: Condvar = Condvar::new();
 
-/// The right to run one scene; dropping it lets the next one start.
-struct ScenePermit;
+/// Permission to run one scenario; dropping it lets the next one start.
+struct ScenarioPermit;
 
-impl ScenePermit {
-    fn acquire() -> ScenePermit {
+impl ScenarioPermit {
+    fn acquire() -> ScenarioPermit {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
-        let most = (cores / 2).max(1);
-        let running = RUNNING_SCENES.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut running = SCENE_ENDED
-            .wait_while(running, |running| *running >= most)
+        let max_running = (cores / 2).max(1);
+        let running = RUNNING_SCENARIOS.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut running = SCENARIO_ENDED
+            .wait_while(running, |running| *running >= max_running)
             .unwrap_or_else(PoisonError::into_inner);
         *running += 1;
-        ScenePermit
+        ScenarioPermit
     }
 }
 
-impl Drop for ScenePermit {
+impl Drop for ScenarioPermit {
     fn drop(&mut self) {
-        *RUNNING_SCENES.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        SCENE_ENDED.notify_one();
+        *RUNNING_SCENARIOS.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        SCENARIO_ENDED.notify_one();
     }
 }
 
-fn play(scene: &str, gossip_enabled: bool) -> RunReport {
-    let _permit = ScenePermit::acquire();
+fn run_scenario(name: &str, gossip_enabled: bool) -> RunReport {
+    let _permit = ScenarioPermit::acquire();
     let scenario = scenarios(5)
-        .find(|scenario| scenario.name == scene)
+        .find(|scenario| scenario.name == name)
         .expect("find the scenario");
     let plan = ClusterPlan {
         drivers: scenario.drivers,
@@ -59,36 +59,35 @@
     run(Path::new(env!("CARGO_BIN_EXE_asterlatch")), &plan).expect("run the scenario")
 }
 
-/// All rules hold over all processes, copies come to be equal, and no payment that was repeated elsewhere ran
-/// twice.
-fn holds(scene: &str) -> RunReport {
-    let outcome = play(scene, true);
-    assert!(outcome.all_rules_kept(), "{outcome}");
-    assert!(outcome.completed > 500, "{outcome}");
-    let retries = outcome.retries;
-    assert!(retries.retried > 0, "or this proves little: {outcome}");
+/// Asserts that all rules hold, and that no statement retried at another driver was executed twice.
+fn assert_rules_hold(name: &str) -> RunReport {
+    let report = run_scenario(name, true);
+    assert!(report.all_rules_kept(), "{report}");
+    assert!(report.completed > 500, "{report}");
+    let retries = report.retries;
+    assert!(retries.retried > 0, "too few retries: {report}");
     assert_eq!(
         (retries.executed_twice, retries.false_reports),
         (0, 0),
-        "{outcome}"
+        "{report}"
     );
-    outcome
+    report
 }
 
-macro_rules! played {
-    ($($name:ident: $scene:literal,)*) => {
+macro_rules! fleet_scenarios {
+    ($($test:ident: $scenario:literal,)*) => {
         $(#[test]
-        fn $name() {
-            holds($scene);
+        fn $test() {
+            assert_rules_hold($scenario);
         })*
 
         #[test]
-        fn all_scenes_are_played() {
-            assert_eq!(vec![$($scene),*], scenarios(5).map(|scenario| scenario.name).collect::<Vec<_>>());
+        fn fleet_scenarios_are_all_run() {
+            assert_eq!(vec![$($scenario),*], scenarios(5).map(|scenario| scenario.name).collect::<Vec<_>>());
         }
     };
 }
-played! {
+fleet_scenarios! {
     fleet_without_faults_keeps_all_rules: "calm",
     fleet_driver_killed_and_restarted_keeps_all_rules: "killed",
     fleet_link_cut_one_way_keeps_all_rules: "one-way",
@@ -112,24 +111,30 @@
     fleet_contradicting_lists_keep_all_rules: "lists-differ",
 }
 
-/// A member is lost while its turn's holder is stopped or killed: it is asked all the same, by one for all.
+/// Only the lease holder checks a lost member's health, also after the previous holder was stopped or killed.
 #[test]
 fn fleet_lost_member_is_checked_by_lease_holder() {
-    let (shared, alone) = (holds("holder"), play("holder", false));
-    let count = |o: &RunReport, name: &str| o.counters.get(name).copied().unwrap_or(0);
-    assert!(count(&shared, "health_checks_left_to_peers") > 20, "{shared}");
-    // Each asks each of six members once at its start, before it knows of anybody.
-    let greetings = 12 * 6;
-    let probes = |o: &RunReport| count(o, "health_checks_sent").saturating_sub(greetings);
-    let (few, many) = (probes(&shared), probes(&alone));
-    assert!(few > 0 && few * 2 < many, "{few} probes against {many}");
+    let (with_gossip, without_gossip) = (assert_rules_hold("holder"), run_scenario("holder", false));
+    let count = |report: &RunReport, name: &str| report.counters.get(name).copied().unwrap_or(0);
+    assert!(
+        count(&with_gossip, "health_checks_left_to_peers") > 20,
+        "{with_gossip}"
+    );
+    // Each driver checks each of six members once at its start, before it knows its peers.
+    let initial_checks = 12 * 6;
+    let checks_sent = |report: &RunReport| count(report, "health_checks_sent").saturating_sub(initial_checks);
+    let (sent_with_gossip, sent_without_gossip) = (checks_sent(&with_gossip), checks_sent(&without_gossip));
+    assert!(
+        sent_with_gossip > 0 && sent_with_gossip * 2 < sent_without_gossip,
+        "{sent_with_gossip} health checks against {sent_without_gossip}"
+    );
 }
 
-/// The same without word between them: or the scenes above would prove nothing.
+/// Without gossip payments are duplicated and drains missed, so the scenarios above depend on it.
 #[test]
 fn drivers_without_gossip_duplicate_payments_and_miss_drains() {
-    let outcome = play("drain", false);
-    assert!(outcome.retries.executed_twice > 0, "{outcome}");
-    let late = outcome.violations.get("drains: sent long after it was told");
-    assert!(late.is_some(), "{outcome}");
+    let report = run_scenario("drain", false);
+    assert!(report.retries.executed_twice > 0, "{report}");
+    let late = report.violations.get("drains: sent long after it was told");
+    assert!(late.is_some(), "{report}");
 }
