--- a/crates/driver/benches/flood.rs
+++ b/crates/driver/benches/flood.rs
@@ -1,28 +1,28 @@
-//! What a flood of bad input costs the process: processor time of this build, and of an earlier one beside it
-//! where `BEFORE` names its program. `make bench-flood BEFORE=path`. The two take turns, so that a busy
-//! machine is busy for both; only their ratio is told.
+//! Processor time that a flood of invalid statements costs, relative to an earlier build named by `BEFORE`:
+//! `make bench-flood BEFORE=path`. The builds alternate, so that other load on the machine affects both
+//! alike.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
 
 const STATEMENTS: usize = 20_000;
-const AT_ONCE: usize = 16;
+const BATCH_STATEMENTS: usize = 16;
 const ROUNDS: usize = 25;
 
-fn free() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
     listener.local_addr().expect("read the bound address")
 }
 
-struct Served {
+struct DriverProcess {
     child: Child,
     listen: SocketAddr,
     file: std::path::PathBuf,
 }
 
-fn serve(program: &str, name: &str) -> Served {
-    let (listen, discovery) = (free(), free());
+fn start_driver(program: &str, name: &str) -> DriverProcess {
+    let (listen, discovery) = (unused_address(), unused_address());
     let text = format!(
         r#"{{"name":"t","listen":"{listen}","discovery":"{discovery}","seed":"7",
         "settings":{{"categories":[{{"name":"view"}}],"family_info":{{"freshness":["loose"]}}}}}}"#
@@ -35,13 +35,14 @@
     while TcpStream::connect(listen).is_err() {
         std::thread::yield_now();
     }
-    Served { child, listen, file }
+    DriverProcess { child, listen, file }
 }
 
-impl Served {
-    /// Processor time so far, in ticks of the kernel.
-    fn ticks(&self) -> u64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("read the file");
+impl DriverProcess {
+    /// Returns the processor time used so far, in clock ticks of the kernel.
+    fn cpu_ticks(&self) -> u64 {
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))
+            .expect("read the statistics of the process");
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
         fields[11]
             .parse::<u64>()
@@ -57,26 +58,32 @@
             .write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0])
             .expect("write to the connection");
         let text = b"no comment at all\0";
-        let one = [&b"Q"[..], &(text.len() as u32 + 4).to_be_bytes(), text].concat();
-        let row = one.repeat(AT_ONCE);
+        let statement = [&b"Q"[..], &(text.len() as u32 + 4).to_be_bytes(), text].concat();
+        let batch = statement.repeat(BATCH_STATEMENTS);
         let mut buffer = vec![0; 1 << 16];
-        let mut ready = 0;
-        let mut sent = 0;
-        // The welcome says ready once as well.
-        while ready < STATEMENTS + 1 {
-            if ready > sent && sent < STATEMENTS {
-                stream.write_all(&row).expect("write to the connection");
-                sent += AT_ONCE;
+        let mut ready_count = 0;
+        let mut sent_count = 0;
+        // The answer to the startup message contains a ReadyForQuery as well.
+        while ready_count < STATEMENTS + 1 {
+            if ready_count > sent_count && sent_count < STATEMENTS {
+                stream.write_all(&batch).expect("write to the connection");
+                sent_count += BATCH_STATEMENTS;
             }
-            let n = stream.read(&mut buffer).expect("read from the connection");
-            assert!(n > 0, "it hung up after {ready}");
-            // Each answer ends in Z, its length, and I; the row is small enough to lie whole in what is read.
-            ready += buffer[..n].windows(6).filter(|w| *w == b"Z\0\0\0\x05I").count();
+            let length = stream.read(&mut buffer).expect("read from the connection");
+            assert!(
+                length > 0,
+                "the driver closed the connection after {ready_count} answers"
+            );
+            // Each answer ends with a ReadyForQuery; a batch of answers is small enough not to be split.
+            ready_count += buffer[..length]
+                .windows(6)
+                .filter(|w| *w == b"Z\0\0\0\x05I")
+                .count();
         }
     }
 }
 
-impl Drop for Served {
+impl Drop for DriverProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -85,21 +92,27 @@
 }
 
 fn main() {
-    let now = env!("CARGO_BIN_EXE_asterlatch").to_owned();
-    let before = std::env::var("BEFORE")
+    let current_program = env!("CARGO_BIN_EXE_asterlatch").to_owned();
+    let baseline_program = std::env::var("BEFORE")
         .ok()
-        .filter(|b| !b.is_empty())
-        .unwrap_or_else(|| now.clone());
-    let (a, b) = (serve(&before, "before"), serve(&now, "now"));
-    let (from_a, from_b) = (a.ticks(), b.ticks());
+        .filter(|path| !path.is_empty())
+        .unwrap_or_else(|| current_program.clone());
+    let (baseline, current) = (
+        start_driver(&baseline_program, "before"),
+        start_driver(&current_program, "now"),
+    );
+    let (baseline_start, current_start) = (baseline.cpu_ticks(), current.cpu_ticks());
     for _ in 0..ROUNDS {
-        a.flood();
-        b.flood();
+        baseline.flood();
+        current.flood();
     }
-    let (a, b) = (a.ticks() - from_a, b.ticks() - from_b);
+    let (baseline, current) = (
+        baseline.cpu_ticks() - baseline_start,
+        current.cpu_ticks() - current_start,
+    );
     println!(
-        "{} bad statements each: this build takes {:.2} of the processor time of the one before",
+        "{} bad statements each: this build takes {:.2} of the processor time of the earlier build",
         STATEMENTS * ROUNDS,
-        b as f64 / a.max(1) as f64
+        current as f64 / baseline.max(1) as f64
     );
 }
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -1,8 +1,7 @@
-//! The configuration file and the operators' settings as an earlier build read them: each key means what it
-//! meant.
+//! Values of the configuration file and of the operators' settings as an earlier build resolved them: the
+//! meaning of each key must not change.
 //!
-//! `cargo test -p asterlatch-driver --test configuration_fixtures -- --ignored` writes the fixtures anew from
-//! the build as it is.
+//! To rewrite the fixtures: `cargo test -p asterlatch-driver --test configuration_fixtures -- --ignored`.
 
 use asterlatch_config::load::{read, FolderSource};
 use asterlatch_config::service_schema::DEFAULT_MACHINE;
@@ -14,23 +13,23 @@
 
 const CONFIG: &str = "config.json";
 const CONFIG_RESOLVED: &str = "config.resolved.txt";
-/// Stands with the language that it is written in.
+/// Belongs to the crate of the configuration language.
 const EVERY_SETTING: &str = "../config/tests/fixtures/every-setting.latch";
-const EVERY_SETTING_IN_FORCE: &str = "every-setting.in-force.txt";
+const EVERY_SETTING_APPLIED: &str = "every-setting.in-force.txt";
 
-fn package() -> &'static Path {
+fn package_path() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-fn fixture(name: &str) -> PathBuf {
-    package().join("tests/fixtures").join(name)
+fn fixture_path(name: &str) -> PathBuf {
+    package_path().join("tests/fixtures").join(name)
 }
 
-fn text(name: &str) -> String {
-    fs::read_to_string(fixture(name)).expect("read the fixture")
+fn fixture_text(name: &str) -> String {
+    fs::read_to_string(fixture_path(name)).expect("read the fixture")
 }
 
-fn lines(values: &[(&str, String)]) -> String {
+fn format_lines(values: &[(&str, String)]) -> String {
     let mut text = String::new();
     for (name, value) in values {
         writeln!(text, "{name} = {value}").expect("write to a string");
@@ -38,18 +37,19 @@
     text
 }
 
-fn config() -> Config {
-    let path = fixture(CONFIG);
+fn load_config() -> Config {
+    let path = fixture_path(CONFIG);
     config::load(path.to_str().expect("the path is UTF-8"), |_| None).expect("load the configuration")
 }
 
-/// Every value of the file by its key; the settings stand with their own crate, here only their hash.
-fn described_config(config: &Config) -> String {
+/// Lists every value of the file by its key. Of the settings only the hash, as their crate has its own
+/// fixtures.
+fn describe_config(config: &Config) -> String {
     let known = config
         .known_endpoints
         .as_ref()
         .expect("the configuration has an endpoint list");
-    let mut text = lines(&[
+    let mut text = format_lines(&[
         ("name", config.name.clone()),
         ("listen", config.listen.to_string()),
         ("discovery", config.runtime.discovery.to_string()),
@@ -63,7 +63,7 @@
         ("known.endpoints left out", known.skipped.to_string()),
     ]);
     for entry in &known.entries {
-        text += &lines(&[
+        text += &format_lines(&[
             ("known.endpoints.name", entry.name.clone()),
             ("known.endpoints.address", entry.address.clone()),
             ("known.endpoints.zone", entry.zone.clone()),
@@ -77,24 +77,23 @@
     text
 }
 
-fn every_setting_in_force() -> AppliedSettings {
-    let path = package().join(EVERY_SETTING);
+fn load_every_setting() -> AppliedSettings {
+    let path = package_path().join(EVERY_SETTING);
     let (folder, name) = FolderSource::containing(path.to_str().expect("the path is UTF-8"));
     let outcome = read(&name, &folder, schema(), DEFAULT_MACHINE);
     AppliedSettings::from_resolved(&outcome.settings.expect("the operators' file is valid"))
 }
 
-/// What the parts of the program take over, by the setting that states it. Times in microseconds, shares in
-/// millionths.
+/// Lists the applied values by the setting that states them: times in microseconds, shares in millionths.
 #[expect(clippy::too_many_lines, reason = "one row for each setting")]
-fn described_in_force(force: &AppliedSettings) -> String {
-    let limits = &force.limits;
+fn describe_applied_settings(applied: &AppliedSettings) -> String {
+    let limits = &applied.limits;
     let [crowded, filling] = limits.crowded_idle_timeouts;
-    let (serving, taking) = (
-        &force.handover_timeouts.predecessor,
-        &force.handover_timeouts.successor,
+    let (predecessor, successor) = (
+        &applied.handover_timeouts.predecessor,
+        &applied.handover_timeouts.successor,
     );
-    let mut text = lines(&[
+    let mut text = format_lines(&[
         ("descriptors.reserve", limits.reserved_descriptors.to_string()),
         ("descriptors.clients", limits.client_share.0.to_string()),
         ("memory.clients", limits.client_memory_share.0.to_string()),
@@ -121,33 +120,36 @@
         ("discovery.list_late", limits.list_timeout.0.to_string()),
         ("discovery.first_pause", limits.initial_backoff.0.to_string()),
         ("discovery.longest_pause", limits.max_backoff.0.to_string()),
-        ("phases.arrivals", force.phase_durations.arrivals.0.to_string()),
-        ("phases.linger", force.phase_durations.linger.0.to_string()),
+        ("phases.arrivals", applied.phase_durations.arrivals.0.to_string()),
+        ("phases.linger", applied.phase_durations.linger.0.to_string()),
         (
             "phases.longest_drain",
-            force.phase_durations.max_drain.0.to_string(),
+            applied.phase_durations.max_drain.0.to_string(),
         ),
-        ("process.stack", force.coroutine_stacks.bytes.to_string()),
-        ("process.spare_stacks", force.coroutine_stacks.spare.to_string()),
-        ("log.lines", force.log_lines_per_second.to_string()),
-        ("upgrade.hello", serving.hello.0.to_string()),
-        ("upgrade.ready", serving.ready.0.to_string()),
-        ("upgrade.taken", serving.commit_acknowledged.0.to_string()),
+        ("process.stack", applied.coroutine_stacks.bytes.to_string()),
+        ("process.spare_stacks", applied.coroutine_stacks.spare.to_string()),
+        ("log.lines", applied.log_lines_per_second.to_string()),
+        ("upgrade.hello", predecessor.hello.0.to_string()),
+        ("upgrade.ready", predecessor.ready.0.to_string()),
+        ("upgrade.taken", predecessor.commit_acknowledged.0.to_string()),
         (
             "upgrade.silence of the serving process",
-            serving.heartbeat.0.to_string(),
+            predecessor.heartbeat.0.to_string(),
         ),
-        ("upgrade.ready twice", taking.predecessor_response.0.to_string()),
-        ("upgrade.silence", taking.predecessor_heartbeat.0.to_string()),
-        ("upgrade.beat", taking.heartbeat_interval.0.to_string()),
-        ("upgrade.probation", taking.probation.0.to_string()),
+        (
+            "upgrade.ready twice",
+            successor.predecessor_response.0.to_string(),
+        ),
+        ("upgrade.silence", successor.predecessor_heartbeat.0.to_string()),
+        ("upgrade.beat", successor.heartbeat_interval.0.to_string()),
+        ("upgrade.probation", successor.probation.0.to_string()),
     ]);
-    for (name, own) in &force.workload_limits {
-        let timeout = own.max_timeout.map(|span| span.0);
-        text += &lines(&[
+    for (name, workload_limits) in &applied.workload_limits {
+        let timeout = workload_limits.max_timeout.map(|span| span.0);
+        text += &format_lines(&[
             ("workload", name.clone()),
             ("workload.timeout", format!("{timeout:?}")),
-            ("workload.longest", format!("{:?}", own.max_bytes)),
+            ("workload.longest", format!("{:?}", workload_limits.max_bytes)),
         ]);
     }
     text
@@ -156,27 +158,27 @@
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_fixtures() {
-    fs::write(fixture(CONFIG_RESOLVED), described_config(&config())).expect("write the file");
-    let in_force = described_in_force(&every_setting_in_force());
-    fs::write(fixture(EVERY_SETTING_IN_FORCE), in_force).expect("write the file");
+    fs::write(fixture_path(CONFIG_RESOLVED), describe_config(&load_config())).expect("write the file");
+    let applied = describe_applied_settings(&load_every_setting());
+    fs::write(fixture_path(EVERY_SETTING_APPLIED), applied).expect("write the file");
 }
 
 #[test]
 fn configuration_with_every_key_resolves_to_the_same_values() {
-    assert_eq!(described_config(&config()), text(CONFIG_RESOLVED));
+    assert_eq!(describe_config(&load_config()), fixture_text(CONFIG_RESOLVED));
 }
 
 #[test]
-fn configuration_read_again_is_no_change() {
-    let (first, second) = (config(), config());
+fn configuration_reloaded_unchanged_requires_no_restart() {
+    let (first, second) = (load_config(), load_config());
     assert_eq!(first.changes_requiring_restart(&second), Vec::<&str>::new());
     assert_eq!(first.settings_hash, second.settings_hash);
 }
 
 #[test]
-fn operators_file_with_every_setting_comes_in_force_with_the_same_values() {
+fn operators_file_with_every_setting_applies_the_same_values() {
     assert_eq!(
-        described_in_force(&every_setting_in_force()),
-        text(EVERY_SETTING_IN_FORCE)
+        describe_applied_settings(&load_every_setting()),
+        fixture_text(EVERY_SETTING_APPLIED)
     );
 }
--- a/crates/driver/tests/connection_closing.rs
+++ b/crates/driver/tests/connection_closing.rs
@@ -41,7 +41,7 @@
 
 /// The input exceeds one read of the driver. Closing the socket with unread input would reset the connection.
 #[test]
-fn close_input_behind_error_does_not_reset_connection() {
+fn close_unread_input_after_error_does_not_reset_connection() {
     let member = start_member(MemberBehavior::Answer);
     let process = start_driver("behind", member.address);
     let padding = [b'x'; 100 * 1024];
@@ -83,7 +83,7 @@
 /// Shutdown closes clients that are idle, within a message or before their startup message, without executing
 /// what they send afterwards.
 #[test]
-fn close_input_after_our_end_is_not_forwarded() {
+fn shutdown_input_after_close_is_not_forwarded() {
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let process = start_driver("leaves-at-once", member.address);
     let (mut busy_client, mut idle_client, mut partial_client) = (
@@ -132,7 +132,7 @@
 
 /// Repeated and mixed signals during a statement: it is answered, and the process exits cleanly.
 #[test]
-fn shutdown_with_crossing_signals_loses_no_answer() {
+fn shutdown_repeated_signals_lose_no_answer() {
     for signals in [
         &["TERM", "TERM"][..],
         &["HUP", "TERM"],
@@ -228,7 +228,7 @@
 /// A half-closed client can't be told apart from a disconnected one: its execution is cancelled, and it
 /// receives the final answer.
 #[test]
-fn client_half_closed_gets_its_final_answer() {
+fn client_half_closed_receives_final_answer() {
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let process = start_driver("half-closed", member.address);
     for (workload, expected) in [("view", "E53300 Z"), ("post", "E40003 Z")] {
@@ -246,7 +246,7 @@
 
 /// If a member hangs during shutdown, the process answers and exits before the platform's SIGKILL.
 #[test]
-fn shutdown_member_hangs_process_exits_before_the_kill() {
+fn shutdown_member_hangs_process_exits_before_sigkill() {
     for (wait_ms, kill_ms) in [(100, 800), (10_000, 3700)] {
         let member = start_member(MemberBehavior::AnswerOnRelease);
         let text = config_text(unused_address(), unresponsive_discovery(), member.address).replace(
--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Five processes of the built program with faults between them: the test bed's scenarios, checked over all
-//! of them together.
+//! The test bed's scenarios for a fleet of drivers with faults between them, checked over all drivers
+//! together.
 
 use asterlatch_testbed::cluster::{run, ClusterPlan, RunReport};
 use asterlatch_testbed::fault_script::FaultScript;
@@ -59,7 +59,8 @@
     run(Path::new(env!("CARGO_BIN_EXE_asterlatch")), &plan).expect("run the scenario")
 }
 
-/// Asserts that all rules hold, and that no statement retried at another driver was executed twice.
+/// Asserts that all rules hold, that the drivers' records have converged, and that no statement retried at
+/// another driver was executed twice.
 fn assert_rules_hold(name: &str) -> RunReport {
     let report = run_scenario(name, true);
     assert!(report.all_rules_kept(), "{report}");
@@ -92,23 +93,23 @@
     fleet_driver_killed_and_restarted_keeps_all_rules: "killed",
     fleet_link_cut_one_way_keeps_all_rules: "one-way",
     fleet_split_with_primary_change_keeps_all_rules: "split",
-    fleet_drain_unknown_to_one_driver_is_kept: "drain",
-    fleet_drain_known_to_one_side_of_split_is_kept: "drain-in-a-split",
+    fleet_drain_unknown_to_one_driver_is_respected: "drain",
+    fleet_drain_known_to_one_side_of_split_is_respected: "drain-in-a-split",
     fleet_indeterminate_ids_with_stopped_and_killed_drivers_run_once: "doubt",
     fleet_lossy_garbling_slow_links_keep_all_rules: "lossy",
     fleet_clocks_an_hour_off_keep_all_rules: "clocks",
-    fleet_two_copies_of_one_disk_keep_all_rules: "one-disk",
+    fleet_two_drivers_from_one_disk_image_keep_all_rules: "one-disk",
     fleet_paused_driver_keeps_all_rules: "paused",
     fleet_warming_members_stay_within_budget: "cold",
     fleet_rolling_restart_keeps_all_rules: "rolling",
     fleet_two_wire_versions_keep_all_rules: "two-wires",
     fleet_hanging_member_is_known_to_all: "silent",
-    fleet_hanging_member_with_half_of_datagrams_lost_is_known: "silent-lossy",
-    fleet_lost_lease_holder_is_succeeded: "holder",
+    fleet_hanging_member_with_half_of_datagrams_lost_is_known_to_all: "silent-lossy",
+    fleet_lost_lease_holder_is_replaced: "holder",
     fleet_third_of_drivers_killed_keeps_all_rules: "third",
     fleet_growing_and_shrinking_keeps_all_rules: "grows-and-shrinks",
     fleet_zone_returning_cold_stays_within_budget: "zone-cold",
-    fleet_contradicting_lists_keep_all_rules: "lists-differ",
+    fleet_contradicting_endpoint_lists_keep_all_rules: "lists-differ",
 }
 
 /// Only the lease holder checks a lost member's health, also after the previous holder was stopped or killed.
@@ -135,6 +136,6 @@
 fn drivers_without_gossip_duplicate_payments_and_miss_drains() {
     let report = run_scenario("drain", false);
     assert!(report.retries.executed_twice > 0, "{report}");
-    let late = report.violations.get("drains: sent long after it was told");
-    assert!(late.is_some(), "{report}");
+    let late_sends = report.violations.get("drains: sent long after it was told");
+    assert!(late_sends.is_some(), "{report}");
 }
--- a/crates/driver/tests/gossip_snapshots.rs
+++ b/crates/driver/tests/gossip_snapshots.rs
@@ -1,5 +1,5 @@
-//! The copy that outlives the process: what of it is used again, and disks that are full, vanish or were
-//! somebody else's.
+//! Snapshots of gossiped records: restoring after a kill, damage, full or missing disks, other drivers'
+//! files.
 
 mod harness;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -25,10 +25,10 @@
 }
 
 impl SnapshotHarness {
-    fn new(name: &str, kept: Option<&[u8]>) -> SnapshotHarness {
-        let folder = TempFolder::new(&format!("kept-{name}"));
+    fn new(name: &str, snapshot: Option<&[u8]>) -> SnapshotHarness {
+        let folder = TempFolder::new(&format!("snapshot-{name}"));
         std::fs::create_dir_all(folder.path("state")).expect("create the folder");
-        if let Some(bytes) = kept {
+        if let Some(bytes) = snapshot {
             std::fs::write(folder.path("state/shared.log"), bytes).expect("write the file");
         }
         let member = start_member(MemberBehavior::Answer);
@@ -49,10 +49,10 @@
         let file = folder.write("o.latch", &text);
         let (control, state) = (folder.path("control"), folder.path("state"));
         let arguments = ["--operators", &file, "--control", &control, "--state", &state];
-        start_with_operators_file(&format!("kept-{name}"), member.address, &arguments)
+        start_with_operators_file(&format!("snapshot-{name}"), member.address, &arguments)
     }
 
-    /// What the program says of itself.
+    /// Returns the driver's `fleet status`.
     fn status(&self) -> serde_json::Value {
         let control = self.folder.path("control");
         let output = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
@@ -66,9 +66,9 @@
         self.status()["counts"][0][name].clone()
     }
 
-    fn wait_for_stored_records(&self, count: usize) {
+    fn wait_for_stored_records(&self, min_count: usize) {
         let deadline = Instant::now() + TEST_TIMEOUT;
-        while self.stored_record_count() < count {
+        while self.stored_record_count() < min_count {
             assert!(
                 Instant::now() < deadline,
                 "{} on the disk",
@@ -82,13 +82,13 @@
         std::fs::read(self.folder.path("state/shared.log")).unwrap_or_default()
     }
 
-    /// Of the settings, which only the program hashes: it lies behind magic, version, length and hash of the
-    /// copy's head.
+    /// Returns the hash of the settings from the snapshot's header: it follows magic, version, length and
+    /// hash of the header.
     fn fleet_hash(&self) -> String {
-        let at = 8 + 2 + 4 + 8 + 1;
+        let offset = 8 + 2 + 4 + 8 + 1;
         let bytes = self.snapshot_bytes();
-        let fleet = bytes.get(at..at + 16).unwrap_or_default();
-        String::from_utf8_lossy(fleet).into_owned()
+        let hash = bytes.get(offset..offset + 16).unwrap_or_default();
+        String::from_utf8_lossy(hash).into_owned()
     }
 
     fn stored_record_count(&self) -> usize {
@@ -104,7 +104,7 @@
         read_answer(&mut client).0
     }
 
-    /// Killed, and begun anew on what it left.
+    /// Kills the driver, applies `change` to its snapshot, and starts it again.
     fn restart_after_kill(mut self, name: &str, change: impl FnOnce(&mut Vec<u8>)) -> SnapshotHarness {
         self.driver.process.child.kill().expect("kill the driver");
         self.driver.process.child.wait().expect("wait for the process");
@@ -123,128 +123,131 @@
         .driver
         .wait_for_log("fleet: 0 of 0 stored records are of use still");
     assert_eq!(harness.execute(1), "T D C Z");
-    // The member's word and its own.
+    // One record of the member and one of the driver.
     harness.wait_for_stored_records(2);
-    let life = harness.status()["drivers"][0]["life"].as_u64();
+    let incarnation = harness.status()["drivers"][0]["life"].as_u64();
     let harness = harness.restart_after_kill("kill-2", |_| ());
-    let told = harness.driver.wait_for_log("stored records are of use still");
-    assert!(!told.contains(" 0 of"), "{told}");
+    let restored_line = harness.driver.wait_for_log("stored records are of use still");
+    assert!(!restored_line.contains(" 0 of"), "{restored_line}");
     assert!(
-        harness.status()["drivers"][0]["life"].as_u64() > life,
-        "a new life"
+        harness.status()["drivers"][0]["life"].as_u64() > incarnation,
+        "a new incarnation"
     );
     assert_eq!(harness.execute(2), "T D C Z");
 }
 
 #[test]
-fn snapshot_damaged_is_logged_and_used_up_to_the_damage() {
+fn snapshot_damaged_is_logged_and_used_up_to_damage() {
     #[allow(clippy::type_complexity)]
-    let table: [(&str, fn(&mut Vec<u8>), &str); 5] = [
-        ("torn", |b| b.truncate(b.len() - 3), "ends within a record"),
+    let cases: [(&str, fn(&mut Vec<u8>), &str); 5] = [
+        (
+            "torn",
+            |bytes| bytes.truncate(bytes.len() - 3),
+            "ends within a record",
+        ),
         (
             "flipped",
-            |b| {
-                let n = b.len();
-                b[60.min(n - 1)] ^= 1
+            |bytes| {
+                let length = bytes.len();
+                bytes[60.min(length - 1)] ^= 1
             },
             "the snapshot",
         ),
         ("empty", Vec::clear, "the snapshot is empty"),
-        ("rubbish", |b| b[..8].fill(b'x'), "has no readable header"),
-        ("version", |b| b[9] = 77, "has version 77, not 1"),
+        ("rubbish", |bytes| bytes[..8].fill(b'x'), "has no readable header"),
+        ("version", |bytes| bytes[9] = 77, "has version 77, not 1"),
     ];
-    for (name, change, words) in table {
+    for (name, damage, expected_log) in cases {
         let harness = SnapshotHarness::new(name, None);
         assert_eq!(harness.execute(1), "T D C Z");
         harness.wait_for_stored_records(2);
-        let harness = harness.restart_after_kill(&format!("{name}-2"), change);
-        harness.driver.wait_for_log(words);
-        assert_eq!(harness.execute(2), "T D C Z", "{name}: it serves all the same");
-        // And writes a whole copy anew.
+        let harness = harness.restart_after_kill(&format!("{name}-2"), damage);
+        harness.driver.wait_for_log(expected_log);
+        assert_eq!(harness.execute(2), "T D C Z", "{name}: the driver does not serve");
+        // The driver writes a complete snapshot again.
         harness.wait_for_stored_records(2);
     }
 }
 
 #[test]
-fn snapshot_is_used_whatever_clocks_show_but_not_of_another_driver() {
+fn snapshot_is_used_regardless_of_clock_unless_of_another_driver() {
     let harness = SnapshotHarness::new("old", None);
     assert_eq!(harness.execute(1), "T D C Z");
     harness.wait_for_stored_records(2);
-    let fleet = harness.fleet_hash();
+    let fleet_hash = harness.fleet_hash();
     let month = TimeSpan::millis(30 * 24 * 3600 * 1000);
-    let drain = |n: u64| Record::Drain {
-        name: format!("m{n}"),
+    let drain = |version: u64| Record::Drain {
+        name: format!("m{version}"),
         started_ms: 0,
-        list_version: n,
+        list_version: version,
         state: ListedState::Draining,
     };
-    let written = |name: &str, at: Timestamp| {
-        let (mut bytes, mut writer) = SnapshotEncoder::begin(&fleet, name, 5);
-        (0..3).for_each(|n| writer.append(&mut bytes, &drain(n), at));
+    let encode_snapshot = |name: &str, written_at: Timestamp| {
+        let (mut bytes, mut encoder) = SnapshotEncoder::begin(&fleet_hash, name, 5);
+        (0..3).for_each(|version| encoder.append(&mut bytes, &drain(version), written_at));
         bytes
     };
-    let (old, foreign) = (
-        written("t", wall_clock_now() - month),
-        written("u", wall_clock_now()),
+    let (month_old, of_other_driver) = (
+        encode_snapshot("t", wall_clock_now() - month),
+        encode_snapshot("u", wall_clock_now()),
     );
-    let ahead = written("t", wall_clock_now() + month);
-    let harness = harness.restart_after_kill("old-2", |b| *b = old);
-    // Drains bind until a newer list ends them, and nobody knows whether a month has passed or the clock was
-    // set.
+    let month_ahead = encode_snapshot("t", wall_clock_now() + month);
+    let harness = harness.restart_after_kill("old-2", |bytes| *bytes = month_old);
+    // Drains apply until a newer list ends them; their age is unknown, as the clock may have been set.
     harness
         .driver
         .wait_for_log("fleet: 3 of 3 stored records are of use still");
-    let harness = harness.restart_after_kill("old-3", |b| *b = foreign);
+    let harness = harness.restart_after_kill("old-3", |bytes| *bytes = of_other_driver);
     harness
         .driver
         .wait_for_log("the snapshot is u's: nothing of it is used");
-    let harness = harness.restart_after_kill("old-4", |b| *b = ahead);
+    let harness = harness.restart_after_kill("old-4", |bytes| *bytes = month_ahead);
     harness
         .driver
         .wait_for_log("fleet: 3 of 3 stored records are of use still");
     assert_eq!(harness.execute(2), "T D C Z");
 }
 
-/// A limit on the size of files stands for a full disk: nothing is kept, everything is served, and it heals
-/// by itself.
+/// With a full disk, for which a file size limit stands, no snapshot is written and all statements are
+/// served; once there is space again, snapshots are written again.
 #[test]
 fn snapshot_full_disk_fails_no_statement() {
     let harness = SnapshotHarness::new("full", None);
     assert_eq!(harness.execute(1), "T D C Z");
     harness.wait_for_stored_records(2);
     let pid = Pid::from_child(&harness.driver.process.child);
-    let limit = |most: Option<u64>| {
+    let set_file_size_limit = |max_bytes: Option<u64>| {
         let limit = Rlimit {
-            current: most,
+            current: max_bytes,
             maximum: None,
         };
         rustix::process::prlimit(Some(pid), Resource::Fsize, limit).expect("set the file size limit");
     };
-    limit(Some(harness.snapshot_bytes().len() as u64 / 2));
-    // Each probe of the member is news, and an answer as well.
+    set_file_size_limit(Some(harness.snapshot_bytes().len() as u64 / 2));
+    // Each health check and each answer of the member changes its record, so that a snapshot is due.
     let mut id = 10;
     let deadline = Instant::now() + TEST_TIMEOUT;
     while harness.counter("keeps") != "fails" {
-        assert!(Instant::now() < deadline, "it never fails");
+        assert!(Instant::now() < deadline, "writing the snapshot does not fail");
         assert_eq!(harness.execute(id), "T D C Z");
         id += 1;
     }
     harness
         .driver
         .wait_for_log("cannot write the snapshot, will retry");
-    // Ids go on from the last one: one that was used before would be a statement that is known already.
-    for next in id..id + 50 {
-        assert_eq!(harness.execute(next), "T D C Z");
+    // Ids are not reused: a used id would be a duplicate of a known statement.
+    for next_id in id..id + 50 {
+        assert_eq!(harness.execute(next_id), "T D C Z");
     }
-    limit(None);
+    set_file_size_limit(None);
     harness.driver.wait_for_log("the snapshot is written again");
     harness.wait_for_stored_records(2);
     assert_eq!(harness.counter("keeps"), "well");
 }
 
-/// The folder is taken away, or something else stands in its place.
+/// The folder is removed and replaced by a file.
 #[test]
-fn snapshot_vanished_folder_is_recreated() {
+fn snapshot_removed_folder_is_recreated() {
     let harness = SnapshotHarness::new("gone", None);
     assert_eq!(harness.execute(1), "T D C Z");
     harness.wait_for_stored_records(2);
@@ -254,7 +257,7 @@
     let mut id = 10;
     let deadline = Instant::now() + TEST_TIMEOUT;
     while harness.counter("keeps") != "fails" {
-        assert!(Instant::now() < deadline, "it never fails");
+        assert!(Instant::now() < deadline, "writing the snapshot does not fail");
         assert_eq!(harness.execute(id), "T D C Z");
         id += 1;
     }
@@ -268,29 +271,29 @@
 
 #[test]
 fn snapshot_without_folder_fails_at_start() {
-    let folder = TempFolder::new("kept-none");
+    let folder = TempFolder::new("snapshot-none");
     let file = folder.write("o.latch", "shared(port = 9, keep = 1s)\n");
     let member = start_member(MemberBehavior::Answer);
     let text = config_text(unused_address(), unresponsive_discovery(), member.address);
-    let path = write_config("kept-none", &text);
+    let path = write_config("snapshot-none", &text);
     let output = driver_command("serve", &path)
         .args(["--operators", &file])
         .output()
         .expect("run the command");
     let _ = std::fs::remove_file(&path);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(1), "{said}");
+    let error = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(1), "{error}");
     assert!(
-        said.contains("shared.keep requires a folder, and --state is not given"),
-        "{said}"
+        error.contains("shared.keep requires a folder, and --state is not given"),
+        "{error}"
     );
 }
 
-/// A look at the disk before a start says what the start then says, changes nothing, and names what is wrong.
+/// `recover` reports the same as the next start, names faults, and changes nothing.
 #[test]
-fn recover_reports_what_a_start_would_use() {
-    let recover = |folder: &str, more: &[&str]| {
-        let arguments = [&["recover", folder, "--json"][..], more].concat();
+fn recover_reports_same_as_next_start() {
+    let recover = |folder: &str, extra: &[&str]| {
+        let arguments = [&["recover", folder, "--json"][..], extra].concat();
         let output = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
             .args(arguments)
             .output()
@@ -301,59 +304,66 @@
     assert_eq!(harness.execute(1), "T D C Z");
     harness.wait_for_stored_records(2);
     let state = harness.folder.path("state");
-    let mut before = Vec::new();
+    let mut damaged = Vec::new();
     let harness = harness.restart_after_kill("dry-2", |bytes| {
         bytes.truncate(bytes.len() - 3);
-        before = bytes.clone();
+        damaged = bytes.clone();
         std::fs::create_dir_all(format!("{state}-copy")).expect("create the folder");
         std::fs::write(format!("{state}-copy/shared.log"), &bytes).expect("write the file");
     });
-    let line = harness.driver.wait_for_log("stored records are of use still");
-    let copy = format!("{state}-copy");
-    let (fine, output) = recover(&copy, &[]);
-    let said: serde_json::Value = serde_json::from_slice(&output.stdout).expect("parse as JSON");
-    let one = &said["copy"][0];
-    assert!(fine && one["of"] == "t" && one["nothing_used"] == false, "{said}");
+    let restored_line = harness.driver.wait_for_log("stored records are of use still");
+    let copied_folder = format!("{state}-copy");
+    let (is_success, output) = recover(&copied_folder, &[]);
+    let report: serde_json::Value = serde_json::from_slice(&output.stdout).expect("parse as JSON");
+    let snapshot = &report["copy"][0];
+    assert!(
+        is_success && snapshot["of"] == "t" && snapshot["nothing_used"] == false,
+        "{report}"
+    );
     assert!(
-        one["fault"]
+        snapshot["fault"]
             .as_str()
             .is_some_and(|f| f.contains("ends within a record")),
-        "{said}"
+        "{report}"
     );
-    let counts = format!("{} of {} stored records", one["of_use"], one["facts"]);
-    assert!(line.contains(&counts), "{line}: {counts}");
-    let rows = said["kept"].as_array().expect("the report lists stored records");
+    let counts = format!("{} of {} stored records", snapshot["of_use"], snapshot["facts"]);
+    assert!(restored_line.contains(&counts), "{restored_line}: {counts}");
+    let records = report["kept"]
+        .as_array()
+        .expect("the report lists stored records");
     assert!(
-        rows.iter()
+        records
+            .iter()
             .any(|r| r["kind"] == "member" && r["used"] == "after the member's own word"),
-        "{said}"
+        "{report}"
     );
     assert_eq!(
-        std::fs::read(format!("{copy}/shared.log")).expect("read the file"),
-        before,
-        "it only looks"
+        std::fs::read(format!("{copied_folder}/shared.log")).expect("read the file"),
+        damaged,
+        "`recover` changed the snapshot"
     );
-    // Somebody else's, and nothing at all.
-    let (_, output) = recover(&copy, &["--name", "other"]);
-    let said: serde_json::Value = serde_json::from_slice(&output.stdout).expect("parse as JSON");
+    // The snapshot of another driver, and a missing folder.
+    let (_, output) = recover(&copied_folder, &["--name", "other"]);
+    let report: serde_json::Value = serde_json::from_slice(&output.stdout).expect("parse as JSON");
     assert_eq!(
-        (&said["copy"][0]["nothing_used"], &said["copy"][0]["of_use"]),
+        (&report["copy"][0]["nothing_used"], &report["copy"][0]["of_use"]),
         (&true.into(), &0.into())
     );
-    let (fine, output) = recover("/nowhere", &[]);
+    let (is_success, output) = recover("/nowhere", &[]);
     assert!(
-        !fine && String::from_utf8_lossy(&output.stderr).contains("/nowhere: no snapshot is stored there")
+        !is_success
+            && String::from_utf8_lossy(&output.stderr).contains("/nowhere: no snapshot is stored there")
     );
-    let _ = std::fs::remove_dir_all(copy);
+    let _ = std::fs::remove_dir_all(copied_folder);
 }
 
-/// A folder in the place of the snapshot stands for a disk that doesn't give it at the start.
+/// An unreadable snapshot, for which a folder stands, is moved aside at start.
 #[test]
-fn snapshot_unreadable_is_put_aside_and_the_next_is_kept() {
-    let folder = TempFolder::new("kept-unread");
-    let sound = folder.path("state/shared.log");
-    std::fs::create_dir_all(&sound).expect("create the folder");
-    std::fs::write(format!("{sound}/sound"), "sound").expect("write the file");
+fn snapshot_unreadable_is_moved_aside_and_replaced() {
+    let folder = TempFolder::new("snapshot-unread");
+    let unreadable = folder.path("state/shared.log");
+    std::fs::create_dir_all(&unreadable).expect("create the folder");
+    std::fs::write(format!("{unreadable}/sound"), "sound").expect("write the file");
     let member = start_member(MemberBehavior::Answer);
     let driver = SnapshotHarness::start_driver("unread", &folder, &member);
     let harness = SnapshotHarness {
@@ -364,6 +374,6 @@
     harness.driver.wait_for_log("shared.log: ");
     assert_eq!(harness.execute(1), "T D C Z");
     harness.wait_for_stored_records(2);
-    let aside = std::fs::read(harness.folder.path("state/shared.unread/sound"));
-    assert_eq!(aside.expect("read the file that was moved aside"), b"sound");
+    let moved = std::fs::read(harness.folder.path("state/shared.unread/sound"));
+    assert_eq!(moved.expect("read the file that was moved aside"), b"sound");
 }
--- a/crates/driver/tests/gossip_versions.rs
+++ b/crates/driver/tests/gossip_versions.rs
@@ -1,5 +1,5 @@
-//! A process of this version beside a driver of the next one, whose datagrams have another version, items of
-//! a kind that isn't known here, and more behind what is: both understand each other as far as both go.
+//! Gossip with a peer of another wire version: datagrams with another version number, unknown items and
+//! trailing data.
 
 mod harness;
 use asterlatch::time::{TimeSpan, Timestamp};
@@ -14,85 +14,89 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The same datagram as a driver of another version would send it.
-fn of_version(fleet: &str, bytes: &[u8], version: u8) -> Vec<u8> {
+/// Rewrites a datagram as a driver of another version would send it, with an unknown item appended.
+fn with_version(fleet_hash: &str, bytes: &[u8], version: u8) -> Vec<u8> {
     let mut rest = bytes[8..].to_vec();
     rest[0] = version;
-    // An item of a kind that nobody here knows.
+    // An item of an unknown kind.
     rest.extend([231, 0, 3, 1, 2, 3]);
-    let hash = xxh3_64_with_seed(&rest, xxh3_64_with_seed(fleet.as_bytes(), 0));
+    let hash = xxh3_64_with_seed(&rest, xxh3_64_with_seed(fleet_hash.as_bytes(), 0));
     [&hash.to_be_bytes()[..], &rest].concat()
 }
 
-struct Beside {
-    /// What was answered to its questions.
-    answers: Vec<DispatchStatus>,
-    engine: GossipNode,
+/// A peer driver of another version, run by the test.
+struct PeerDriver {
+    inquiry_replies: Vec<DispatchStatus>,
+    node: GossipNode,
     socket: UdpSocket,
-    began: Instant,
+    started_at: Instant,
     version: u8,
     fleet: String,
 }
 
-impl Beside {
+impl PeerDriver {
     fn now(&self) -> Timestamp {
-        // A clock that stands in 1970.
-        Timestamp(1_000_000 + self.began.elapsed().as_micros() as u64)
+        // The peer's wall clock is in 1970.
+        Timestamp(1_000_000 + self.started_at.elapsed().as_micros() as u64)
     }
 
-    fn give(&mut self, input: NodeInput) {
+    fn handle_input(&mut self, input: NodeInput) {
         let now = self.now();
-        for output in self.engine.handle(now, input) {
+        for output in self.node.handle(now, input) {
             match output {
                 NodeOutput::Send { bytes, .. } => {
-                    let bytes = of_version(&self.fleet, &bytes, self.version);
+                    let bytes = with_version(&self.fleet, &bytes, self.version);
                     let _ = self.socket.send(&bytes);
                 }
-                NodeOutput::InquiryReplied { status: known, .. } => self.answers.push(known),
+                NodeOutput::InquiryReplied { status: reply, .. } => self.inquiry_replies.push(reply),
                 _ => {}
             }
         }
     }
 
-    /// Goes on until that holds; whether it did in time.
-    fn until(&mut self, within: Duration, mut holds: impl FnMut(&GossipNode) -> bool) -> bool {
-        let deadline = Instant::now() + within;
+    /// Exchanges datagrams until the condition holds; returns false if it does not hold in time.
+    fn run_until(&mut self, timeout: Duration, mut condition: impl FnMut(&GossipNode) -> bool) -> bool {
+        let deadline = Instant::now() + timeout;
         let mut buffer = [0; 2048];
         while Instant::now() < deadline {
-            if holds(&self.engine) {
+            if condition(&self.node) {
                 return true;
             }
             match self.socket.recv(&mut buffer) {
-                Ok(length) => self.give(NodeInput::Datagram {
+                Ok(length) => self.handle_input(NodeInput::Datagram {
                     from: 0,
                     bytes: &buffer[..length],
                 }),
-                Err(_) => self.give(NodeInput::Tick),
+                Err(_) => self.handle_input(NodeInput::Tick),
             }
         }
         false
     }
 }
 
-fn show(control: &str, what: &str) -> serde_json::Value {
+fn fleet_command(control: &str, subcommand: &str) -> serde_json::Value {
     let output = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
-        .args(["fleet", what, "--json", "--control", control])
+        .args(["fleet", subcommand, "--json", "--control", control])
         .output()
         .expect("run the command");
     serde_json::from_slice(&output.stdout).expect("parse as JSON")
 }
 
-fn beside(name: &str, version: u8, more: &str) -> (TempFolder, OperatedDriver, Member, Beside) {
+fn start_with_peer(
+    name: &str,
+    version: u8,
+    extra_settings: &str,
+) -> (TempFolder, OperatedDriver, Member, PeerDriver) {
     let folder = TempFolder::new(&format!("versions-{name}"));
     let member = start_member(MemberBehavior::Answer);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a UDP socket");
-    let theirs = socket.local_addr().expect("read the bound address").port();
+    let peer_port = socket.local_addr().expect("read the bound address").port();
     let port = UdpSocket::bind("127.0.0.1:0")
         .and_then(|s| s.local_addr())
         .expect("bind a UDP port")
         .port();
     let text = format!(
-        "shared(port = {port}, tick = 20ms, probe = 100ms, suspicion = 500ms{more})\ndriver(\"later@127.0.0.1\", port = {theirs})\n"
+        "shared(port = {port}, tick = 20ms, probe = 100ms, suspicion = 500ms{extra_settings})\ndriver(\"later@127.0.0.1\", port = {peer_port})\n"
     );
     let file = folder.write("o.latch", &text);
     let control = folder.path("control");
@@ -106,7 +110,7 @@
     socket
         .set_read_timeout(Some(Duration::from_millis(5)))
         .expect("set the read timeout");
-    let fleet = show(&control, "status")["fleet"][0]["settings"]
+    let fleet = fleet_command(&control, "status")["fleet"][0]["settings"]
         .as_str()
         .expect("read the hash of the settings")
         .to_owned();
@@ -126,107 +130,111 @@
         operators_file: 0,
         dialect: Default::default(),
     };
-    let beside = Beside {
-        answers: Vec::new(),
-        engine: GossipNode::new(settings, 5, 1, Timestamp(1_000_000)),
+    let peer = PeerDriver {
+        inquiry_replies: Vec::new(),
+        node: GossipNode::new(settings, 5, 1, Timestamp(1_000_000)),
         socket,
-        began: Instant::now(),
+        started_at: Instant::now(),
         version,
         fleet,
     };
-    (folder, driver, member, beside)
+    (folder, driver, member, peer)
 }
 
 #[test]
-fn gossip_later_version_is_understood_in_common_part() {
-    let (folder, driver, _member, mut later) = beside("next", 2, "");
-    let there =
-        |e: &GossipNode| e.membership.peers()[0].state == PeerState::Alive && !e.anti_entropy.is_behind();
-    assert!(later.until(TEST_TIMEOUT, there), "it finds this one");
+fn gossip_later_version_exchanges_known_items() {
+    let (folder, driver, _member, mut later) = start_with_peer("next", 2, "");
+    let is_alive = |node: &GossipNode| {
+        node.membership.peers()[0].state == PeerState::Alive && !node.anti_entropy.is_behind()
+    };
+    assert!(
+        later.run_until(TEST_TIMEOUT, is_alive),
+        "the peer finds the driver"
+    );
     driver.wait_for_log("fleet: driver later is there, was unheard");
-    // What this one's member said of itself comes over.
-    let member = |e: &GossipNode| {
-        e.state
+    // The peer receives the record of the driver's member.
+    let knows_member = |node: &GossipNode| {
+        node.state
             .entries()
-            .any(|e| matches!(&e.record, Record::Member { name, .. } if name == "m"))
+            .any(|entry| matches!(&entry.record, Record::Member { name, .. } if name == "m"))
     };
-    assert!(later.until(TEST_TIMEOUT, member));
-    // And what the later one tells is known here.
+    assert!(later.run_until(TEST_TIMEOUT, knows_member));
+    // The driver receives a record of the peer.
     let drain = Record::Drain {
         name: "m9".to_owned(),
         started_ms: 0,
         list_version: 3,
         state: ListedState::Draining,
     };
-    later.give(NodeInput::Observed(vec![Observation::now(drain)]));
+    later.handle_input(NodeInput::Observed(vec![Observation::now(drain)]));
     let control = folder.path("control");
-    let mut known = |_: &GossipNode| show(&control, "facts").to_string().contains("m9");
-    assert!(later.until(TEST_TIMEOUT, &mut known));
-    let counts = &show(&control, "status")["counts"][0];
+    let mut is_known = |_: &GossipNode| fleet_command(&control, "facts").to_string().contains("m9");
+    assert!(later.run_until(TEST_TIMEOUT, &mut is_known));
+    let counts = &fleet_command(&control, "status")["counts"][0];
     assert_eq!(
         (&counts["unknown_version"], &counts["garbled"]),
         (&0.into(), &0.into())
     );
 }
 
-/// A version that is too old to be understood is counted, and whoever speaks it stays unheard.
+/// Datagrams of an unsupported old version are counted, and their sender stays unheard.
 #[test]
 fn gossip_unknown_version_is_ignored() {
-    let (folder, _operated, _member, mut older) = beside("old", 0, "");
+    let (folder, _driver, _member, mut older) = start_with_peer("old", 0, "");
     let control = folder.path("control");
-    let counted =
-        |_: &GossipNode| show(&control, "status")["counts"][0]["unknown_version"].as_u64() > Some(3);
-    assert!(older.until(TEST_TIMEOUT, counted));
-    let status = show(&control, "status");
+    let is_counted =
+        |_: &GossipNode| fleet_command(&control, "status")["counts"][0]["unknown_version"].as_u64() > Some(3);
+    assert!(older.run_until(TEST_TIMEOUT, is_counted));
+    let status = fleet_command(&control, "status");
     assert_eq!(status["drivers"][1]["presence"], "unheard");
 }
 
-impl Beside {
-    /// What the process says of a statement.
-    fn asks(&mut self, id: u64) -> DispatchStatus {
-        self.answers.clear();
-        self.give(NodeInput::StartInquiry(InquiryId {
+impl PeerDriver {
+    /// Asks the driver whether it has executed a statement.
+    fn inquire(&mut self, id: u64) -> DispatchStatus {
+        self.inquiry_replies.clear();
+        self.handle_input(NodeInput::StartInquiry(InquiryId {
             id,
             sequence: id as u32,
         }));
         let deadline = Instant::now() + TEST_TIMEOUT;
-        while self.answers.is_empty() && Instant::now() < deadline {
-            self.until(Duration::from_millis(10), |_| false);
+        while self.inquiry_replies.is_empty() && Instant::now() < deadline {
+            self.run_until(Duration::from_millis(10), |_| false);
         }
-        self.answers
+        self.inquiry_replies
             .first()
             .cloned()
             .expect("receive the reply to the inquiry")
     }
 }
 
-struct Ends(rustix::process::Pid);
+struct KillOnDrop(rustix::process::Pid);
 
-impl Drop for Ends {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = rustix::process::kill_process(self.0, rustix::process::Signal::KILL);
     }
 }
 
-/// While two processes of one driver serve, neither knows what the other has sent: a question is answered so,
-/// and a repeat that comes to the new one is in doubt, for it can't ask.
+/// During an upgrade neither process knows what the other has sent: inquiries are answered with `Unknown`,
+/// and a client retry at the successor is in doubt.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases, or one run step by step")]
 fn upgrade_in_progress_never_reports_not_executed() {
-    let times = "\nupgrade(hello = 5s, ready = 5s, probation = 10min, beat = 50ms, silence = 2s";
-    let more = format!(", window = 1s){times}");
-    let (folder, driver, _member, mut other) = beside("upgrade", 1, &more);
-    let there = |e: &GossipNode| e.membership.peers()[0].state == PeerState::Alive;
-    assert!(other.until(TEST_TIMEOUT, there));
-    // Its former life may have sent anything within the window.
+    let upgrade_settings = "\nupgrade(hello = 5s, ready = 5s, probation = 10min, beat = 50ms, silence = 2s";
+    let extra_settings = format!(", window = 1s){upgrade_settings}");
+    let (folder, driver, _member, mut peer) = start_with_peer("upgrade", 1, &extra_settings);
+    let is_alive = |node: &GossipNode| node.membership.peers()[0].state == PeerState::Alive;
+    assert!(peer.run_until(TEST_TIMEOUT, is_alive));
+    // The previous incarnation may have sent any statement within the window.
     let mut id = 100;
-    while other.asks(id) == DispatchStatus::Unknown {
+    while peer.inquire(id) == DispatchStatus::Unknown {
         id += 1;
     }
-    assert_eq!(other.asks(1), DispatchStatus::NotExecuted);
+    assert_eq!(peer.inquire(1), DispatchStatus::NotExecuted);
     let control = folder.path("control");
-    let mut asking = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
+    let mut upgrade_request = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
         .args([
             "upgrade",
             "--control",
@@ -236,46 +244,46 @@
         ])
         .spawn()
         .expect("spawn the command");
-    let begun = driver.wait_for_log("upgrade: started ");
-    let pid: i32 = begun
+    let started_line = driver.wait_for_log("upgrade: started ");
+    let pid: i32 = started_line
         .rsplit(' ')
         .next()
         .and_then(|n| n.parse().ok())
         .expect("the log line ends with the process id");
-    // Whatever fails here, it ends with the test.
-    let new = Ends(rustix::process::Pid::from_raw(pid).expect("a valid process id"));
+    // Ends the successor even if the test fails.
+    let successor = KillOnDrop(rustix::process::Pid::from_raw(pid).expect("a valid process id"));
     driver.wait_for_log("the successor is ready and asked to serve");
     assert_eq!(
-        other.asks(2),
+        peer.inquire(2),
         DispatchStatus::Unknown,
         "the other process may have sent it"
     );
     let mut client = driver.process.connect_client();
-    for (id, marked, answered) in [
+    for (id, retry_field, expected) in [
         ("a1", "", "T D C Z"),
         ("a2", ",r=1", "E40003 Z"),
         ("a3", "", "T D C Z"),
     ] {
-        let text = format!("/* id={id},c=post,d=25000,cluster=1{marked} */ SELECT 1\0");
+        let text = format!("/* id={id},c=post,d=25000,cluster=1{retry_field} */ SELECT 1\0");
         std::io::Write::write_all(&mut client, &message(b'Q', text.as_bytes()))
             .expect("write to the connection");
-        assert_eq!(read_answer(&mut client).0, answered, "{id}");
+        assert_eq!(read_answer(&mut client).0, expected, "{id}");
     }
-    drop(new);
+    drop(successor);
     driver.wait_for_log("upgrade: failed, this process continues to serve");
-    let _ = asking.wait();
+    let _ = upgrade_request.wait();
     assert_eq!(
-        other.asks(3),
+        peer.inquire(3),
         DispatchStatus::Unknown,
-        "the dead one may have sent it"
+        "the killed process may have sent it"
     );
     let mut id = 1000;
-    while other.asks(id) == DispatchStatus::Unknown {
+    while peer.inquire(id) == DispatchStatus::Unknown {
         id += 1;
     }
     assert_eq!(
-        other.asks(4),
+        peer.inquire(4),
         DispatchStatus::NotExecuted,
-        "nothing of that can be repeated any more"
+        "the window has passed"
     );
 }
--- a/crates/driver/tests/phases_and_configuration.rs
+++ b/crates/driver/tests/phases_and_configuration.rs
@@ -1,4 +1,4 @@
-//! Phases, log and configuration, given a clock and values.
+//! Phases, shutdown schedule, log limits and configuration of the driver, without I/O.
 
 use asterlatch::time::{TimeSpan, Timestamp};
 use asterlatch_config::resolved::ResolvedSettings;
@@ -16,10 +16,10 @@
 
 #[test]
 fn phases_advance_in_order() {
-    // Milliseconds, told to leave, listener closed, open clients and statements, the phase from then on.
+    // (milliseconds, is shutting down, listener closed, open clients, open statements, resulting phase)
     #[rustfmt::skip]
     let cases = [
-        ("all are gone", vec![
+        ("all clients disconnect", vec![
             (0, false, false, 3, 3, Phase::Serving),
             (5, true, false, 3, 3, Phase::Leaving { since: at(5) }),
             (454, true, false, 3, 3, Phase::Leaving { since: at(5) }),
@@ -28,7 +28,7 @@
             (461, true, true, 1, 0, Phase::Draining { since: at(455) }),
             (470, true, true, 0, 0, Phase::Stopped),
         ]),
-        ("one doesn't read its answer", vec![
+        ("a client does not read its answer", vec![
             (0, true, false, 1, 1, Phase::Leaving { since: at(0) }),
             (450, true, false, 1, 1, Phase::Draining { since: at(450) }),
             (9000, true, true, 1, 1, Phase::Draining { since: at(450) }),
@@ -37,20 +37,20 @@
             (10_499, true, true, 1, 0, Phase::Draining { since: at(450) }),
             (10_500, true, true, 1, 0, Phase::Stopped),
         ]),
-        ("a statement is open for longer, the drain is cut", vec![
+        ("a statement exceeds the maximum drain", vec![
             (0, true, false, 1, 1, Phase::Leaving { since: at(0) }),
             (450, true, false, 1, 1, Phase::Draining { since: at(450) }),
             (3449, true, true, 1, 1, Phase::Draining { since: at(450) }),
             (3450, true, true, 1, 1, Phase::Stopped),
         ]),
-        ("told to leave before it serves", vec![(0, true, true, 0, 0, Phase::Leaving { since: at(0) })]),
+        ("shutdown before serving", vec![(0, true, true, 0, 0, Phase::Leaving { since: at(0) })]),
     ];
     for (name, steps) in cases {
         let (mut phases, mut phase) = (Phases::default(), Phase::Starting);
-        if name.ends_with("drain is cut") {
+        if name.ends_with("exceeds the maximum drain") {
             phases.durations.max_drain = TimeSpan::millis(3000);
         }
-        for (ms, is_shutting_down, is_listener_closed, open_clients, open_statements, expected) in steps {
+        for (at_ms, is_shutting_down, is_listener_closed, open_clients, open_statements, expected) in steps {
             let is_listening = true;
             let state = ProcessState {
                 is_shutting_down,
@@ -59,32 +59,38 @@
                 open_clients,
                 open_statements,
             };
-            while let Some(next) = phases.advance(at(ms), &state) {
+            while let Some(next) = phases.advance(at(at_ms), &state) {
                 phase = next;
             }
-            assert_eq!(phase, expected, "{name} at {ms}");
+            assert_eq!(phase, expected, "{name} at {at_ms}");
             assert!(
-                phases.next_at(at(ms)) > at(ms),
-                "{name}: would be looked at again and again"
+                phases.next_at(at(at_ms)) > at(at_ms),
+                "{name}: the next deadline is not in the future"
             );
         }
     }
 }
 
 #[test]
-fn shutdown_schedule_ends_before_the_kill_whatever_clients_wait() {
+fn shutdown_schedule_any_client_wait_ends_before_sigkill() {
     // (longest client wait, SIGKILL after SIGTERM; milliseconds)
-    for (wait, kill) in [(10, 710), (100, 800), (1000, 1700), (3000, 3700), (10_000, 3700)] {
-        let schedule = ShutdownSchedule::new(at(0), TimeSpan::millis(wait));
-        assert!(schedule.exit_at + TimeSpan::millis(200) <= at(kill), "{wait}");
-        assert!(schedule.last_answer_at < schedule.exit_at, "{wait}");
-        // A statement that came with the signal has its whole time, where the platform grants that.
-        assert!(schedule.last_answer_at >= at(wait.min(3000)), "{wait}");
-        // A client that neither reads nor goes, and a statement that is never answered, hold nothing up.
+    for (max_wait_ms, kill_ms) in [(10, 710), (100, 800), (1000, 1700), (3000, 3700), (10_000, 3700)] {
+        let schedule = ShutdownSchedule::new(at(0), TimeSpan::millis(max_wait_ms));
+        assert!(
+            schedule.exit_at + TimeSpan::millis(200) <= at(kill_ms),
+            "{max_wait_ms}"
+        );
+        assert!(schedule.last_answer_at < schedule.exit_at, "{max_wait_ms}");
+        // A statement received with the signal has its full timeout, as far as the platform's limit permits.
+        assert!(
+            schedule.last_answer_at >= at(max_wait_ms.min(3000)),
+            "{max_wait_ms}"
+        );
+        // Neither a client that stays connected nor a statement without an answer delays the exit.
         let mut phases = Phases::default();
         phases.limit_shutdown(schedule.exit_at);
         let mut exited_at = None;
-        for ms in 0..kill {
+        for now_ms in 0..kill_ms {
             let state = ProcessState {
                 is_shutting_down: true,
                 is_listening: true,
@@ -92,36 +98,40 @@
                 open_clients: 1,
                 open_statements: 1,
             };
-            while let Some(phase) = phases.advance(at(ms), &state) {
-                exited_at = (phase == Phase::Stopped).then_some(at(ms));
+            while let Some(phase) = phases.advance(at(now_ms), &state) {
+                exited_at = (phase == Phase::Stopped).then_some(at(now_ms));
             }
         }
-        assert_eq!(exited_at, Some(schedule.exit_at), "{wait}");
+        assert_eq!(exited_at, Some(schedule.exit_at), "{max_wait_ms}");
     }
 }
 
 #[test]
 fn log_admit_limits_lines_by_topic_and_second() {
     let mut log = Log::default();
-    let mut admitted = |ms, topic| log.admit(at(ms), topic);
-    for n in 0..20 {
-        assert_eq!(admitted(10_000 + n, "a").is_some(), n < 5, "{n}");
+    let mut admit = |now_ms, topic| log.admit(at(now_ms), topic);
+    for line in 0..20 {
+        assert_eq!(admit(10_000 + line, "a").is_some(), line < 5, "{line}");
     }
-    assert_eq!(admitted(10_020, "b"), Some(0), "another topic has its own limit");
-    assert_eq!(admitted(11_000, "a"), Some(15), "and what was left out is told");
-    assert_eq!(admitted(11_001, "a"), Some(0));
+    assert_eq!(admit(10_020, "b"), Some(0), "each topic has its own limit");
+    assert_eq!(
+        admit(11_000, "a"),
+        Some(15),
+        "the number of suppressed lines is reported"
+    );
+    assert_eq!(admit(11_001, "a"), Some(0));
 }
 
 #[test]
 fn config_read_missing_address_comes_from_environment() {
     let settings = r#""settings":{"categories":[{"name":"v"}],"family_info":{"freshness":["loose"]}}"#;
-    let given = r#""listen":"127.0.0.1:1","discovery":"127.0.0.1:2""#;
+    let addresses = r#""listen":"127.0.0.1:1","discovery":"127.0.0.1:2""#;
     #[rustfmt::skip]
     let cases = [
-        (format!("{{{given},{settings}}}"), Some((1, 2, 192 << 20, 1024))),
+        (format!("{{{addresses},{settings}}}"), Some((1, 2, 192 << 20, 1024))),
         (format!("{{{settings}}}"), Some((7, 7, 192 << 20, 1024))),
-        (format!(r#"{{{given},{settings},"limits":{{"memory_mb":64,"sockets":256}}}}"#), Some((1, 2, 64 << 20, 256))),
-        (format!(r#"{{{given},{settings},"known":{{"index":"x"}}}}"#), Some((1, 2, 192 << 20, 1024))),
+        (format!(r#"{{{addresses},{settings},"limits":{{"memory_mb":64,"sockets":256}}}}"#), Some((1, 2, 64 << 20, 256))),
+        (format!(r#"{{{addresses},{settings},"known":{{"index":"x"}}}}"#), Some((1, 2, 192 << 20, 1024))),
         (format!(r#"{{"listen":"x",{settings}}}"#), None),
     ];
     for (text, expected) in cases {
@@ -139,32 +149,35 @@
     }
 }
 
-/// Without a file, and with an empty one, the service uses its own defaults.
+/// Without an operators' file, and with an empty one, the defaults of the program apply.
 #[test]
 fn applied_settings_of_defaults_equal_program_defaults() {
-    let force = AppliedSettings::from_resolved(&ResolvedSettings::defaults(schema()));
-    assert_eq!(force.limits, Limits::default());
+    let applied = AppliedSettings::from_resolved(&ResolvedSettings::defaults(schema()));
+    assert_eq!(applied.limits, Limits::default());
     assert_eq!(
-        (force.phase_durations, force.coroutine_stacks),
+        (applied.phase_durations, applied.coroutine_stacks),
         (PhaseDurations::default(), CoroutineStacks::default())
     );
     assert_eq!(
         (
-            force.handover_timeouts.predecessor,
-            force.handover_timeouts.successor
+            applied.handover_timeouts.predecessor,
+            applied.handover_timeouts.successor
         ),
         (predecessor::Timeouts::default(), successor::Timeouts::default())
     );
     assert_eq!(
-        (force.log_lines_per_second, force.workload_limits.len()),
+        (applied.log_lines_per_second, applied.workload_limits.len()),
         (Log::default().lines_per_second, 0)
     );
-    // Two thirds and a quarter as they were before they could be set, for any machine with less than a
-    // million descriptors.
+    // The default shares are exactly two thirds and a quarter for any realistic number of descriptors.
     let limits = Limits::default();
-    for n in 0..300_000 {
-        assert_eq!(limits.client_share.of(n), n * 2 / 3, "{n}");
-        assert_eq!(limits.client_memory_share.of(n * 4096), n * 4096 / 4, "{n}");
+    for total in 0..300_000 {
+        assert_eq!(limits.client_share.of(total), total * 2 / 3, "{total}");
+        assert_eq!(
+            limits.client_memory_share.of(total * 4096),
+            total * 4096 / 4,
+            "{total}"
+        );
     }
     assert_eq!(
         (
--- a/crates/driver/tests/upgrade.rs
+++ b/crates/driver/tests/upgrade.rs
@@ -1317,7 +1317,9 @@
         }
     }
     println!("served on: predecessor {predecessor_served} times, successor {successor_served} times");
-    println!("neither, predecessor killed before it asked the successor to serve: {none_served} times");
+    println!(
+        "no process left, as the predecessor was killed before its request to serve: {none_served} times"
+    );
     println!("{without_result} of {answered} answers were errors");
     println!("{disconnected} clients were disconnected by kills of successors on probation");
     println!("{kill_count} passed, 0 failed");
