--- a/crates/driver/tests/adverse.rs
+++ b/crates/driver/tests/adverse.rs
@@ -48,6 +48,6 @@
     0 adverse_members_resetting_idle_connections_keep_all_rules: "idle-reset",
     1 adverse_members_forgetting_idle_connections_keep_all_rules: "idle-forgotten",
     0 adverse_stopped_clients_are_closed_within_three_seconds: "clients-stop",
-    1 adverse_statements_with_short_timeout_get_one_answer: "little-time",
-    0 adverse_statements_with_short_timeout_at_hanging_members_get_one_answer: "little-time-at-hanging-members",
+    1 adverse_short_timeouts_get_one_answer: "little-time",
+    0 adverse_short_timeouts_at_hanging_members_get_one_answer: "little-time-at-hanging-members",
 }
--- a/crates/driver/tests/operators.rs
+++ b/crates/driver/tests/operators.rs
@@ -218,15 +218,24 @@
     let low_memory = folder.write("small.latch", "memory(clients = 1%)\n");
     #[rustfmt::skip]
     let cases: [(&[&str], i32, &str); 18] = [
-        (&["check", &valid], 0, "valid"), (&["check", &invalid], 1, "faulty.latch:2:19: clients.message is a duration"),
-        (&["check", &missing], 1, "missing.latch:1:1: "), (&["check", &low_memory], 0, "valid"),
-        (&["check", &low_memory, "--memory", "4MiB"], 1, "under the"), (&["check", &low_memory, "--memory", "4"], 2, "a size such as"),
+        (&["check", &valid], 0, "valid"),
+        (&["check", &invalid], 1, "faulty.latch:2:19: clients.message is a duration"),
+        (&["check", &missing], 1, "missing.latch:1:1: "),
+        (&["check", &low_memory], 0, "valid"),
+        (&["check", &low_memory, "--memory", "4MiB"], 1, "under the"),
+        (&["check", &low_memory, "--memory", "4"], 2, "a size such as"),
         (&["check", &valid, "--descriptors", "51"], 1, ":1:1: of 51 descriptors"),
-        (&["diff", &valid, &unformatted], 0, ""), (&["diff", &valid, &changed], 1, "clients.rest: 9s -> 8s (live; bears on"),
-        (&["diff", &valid, &invalid], 2, "the bare number 8"), (&["diff", &missing, &valid], 2, "can't be read"),
-        (&["show", &unformatted], 0, "\"rest\": \"9s\""), (&["show", &invalid], 1, "bare number"),
-        (&["format", "--check", &unformatted], 1, "not formatted"), (&["format", "--check", &valid], 0, ""),
-        (&["format", &unformatted], 0, ""), (&["format", "--check", &unformatted], 0, ""), (&["history", &missing], 1, "missing.latch"),
+        (&["diff", &valid, &unformatted], 0, ""),
+        (&["diff", &valid, &changed], 1, "clients.rest: 9s -> 8s (live; bears on"),
+        (&["diff", &valid, &invalid], 2, "the bare number 8"),
+        (&["diff", &missing, &valid], 2, "can't be read"),
+        (&["show", &unformatted], 0, "\"rest\": \"9s\""),
+        (&["show", &invalid], 1, "bare number"),
+        (&["format", "--check", &unformatted], 1, "not formatted"),
+        (&["format", "--check", &valid], 0, ""),
+        (&["format", &unformatted], 0, ""),
+        (&["format", "--check", &unformatted], 0, ""),
+        (&["history", &missing], 1, "missing.latch"),
     ];
     for (arguments, code, expected) in cases {
         let output = Command::new(env!("CARGO_BIN_EXE_asterlatch"))
