--- a/crates/driver/benches/flood.rs
+++ b/crates/driver/benches/flood.rs
@@ -53,10 +53,8 @@
     }
 
     fn flood(&self) {
-        let mut stream = TcpStream::connect(self.listen).expect("connect to the driver");
-        stream
-            .write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0])
-            .expect("write to the connection");
+        let mut stream = TcpStream::connect(self.listen).expect("connect");
+        stream.write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0]).expect("send");
         let text = b"no comment at all\0";
         let statement = [&b"Q"[..], &(text.len() as u32 + 4).to_be_bytes(), text].concat();
         let batch = statement.repeat(BATCH_STATEMENTS);
@@ -66,7 +64,7 @@
         // The answer to the startup message contains a ReadyForQuery as well.
         while ready_count < STATEMENTS + 1 {
             if ready_count > sent_count && sent_count < STATEMENTS {
-                stream.write_all(&batch).expect("write to the connection");
+                stream.write_all(&batch).expect("send");
                 sent_count += BATCH_STATEMENTS;
             }
             let length = stream.read(&mut buffer).expect("read from the connection");
--- a/crates/driver/tests/connection_closing.rs
+++ b/crates/driver/tests/connection_closing.rs
@@ -49,8 +49,8 @@
         ("an unsupported message", message(b'P', &padding)),
         ("an invalid length", [&[b'Q', 0, 0, 0, 1][..], &padding].concat()),
     ] {
-        let mut client = process.connect_client();
-        client.write_all(&bytes).expect("write to the connection");
+        let mut client = process.connect();
+        client.write_all(&bytes).expect("send");
         assert_eq!(read_answer(&mut client).0, "E08P01", "{name}");
         assert_eq!(
             read_remaining(&mut client),
@@ -71,10 +71,8 @@
 fn close_client_that_keeps_sending_is_reset() {
     let member = start_member(MemberBehavior::Answer);
     let process = start_driver("behind-more", member.address);
-    let mut client = process.connect_client();
-    client
-        .write_all(&message(b'P', b""))
-        .expect("write to the connection");
+    let mut client = process.connect();
+    client.write_all(&message(b'P', b"")).expect("send");
     assert_eq!(read_answer(&mut client).0, "E08P01");
     assert_eq!(read_remaining(&mut client), (Vec::new(), "end".to_owned()));
     assert!(is_reset_after_writes(&mut client), "the connection is not reset");
@@ -86,21 +84,18 @@
 fn shutdown_input_after_close_is_not_forwarded() {
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let process = start_driver("leaves-at-once", member.address);
-    let (mut busy_client, mut idle_client, mut partial_client) = (
-        process.connect_client(),
-        process.connect_client(),
-        process.connect_client(),
-    );
-    let mut unstarted_client = TcpStream::connect(process.listen).expect("connect to the driver");
+    let (mut busy_client, mut idle_client, mut partial_client) =
+        (process.connect(), process.connect(), process.connect());
+    let mut unstarted_client = TcpStream::connect(process.listen).expect("connect");
     unstarted_client
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("set the read timeout");
+        .expect("set timeout");
     send_statement(&mut busy_client, "post");
     assert!(member.next_event().contains("c=post"));
     process.signal("TERM");
     partial_client
         .write_all(&message(b'Q', b"SELECT 1\0")[..7])
-        .expect("write to the connection");
+        .expect("send");
     assert_eq!(read_remaining(&mut idle_client), (Vec::new(), "end".to_owned()));
     send_statement(&mut idle_client, "view");
     idle_client
@@ -141,7 +136,7 @@
     ] {
         let member = start_member(MemberBehavior::AnswerOnRelease);
         let process = start_driver(&format!("signals-{}", signals.join("-")), member.address);
-        let (mut busy_client, mut idle_client) = (process.connect_client(), process.connect_client());
+        let (mut busy_client, mut idle_client) = (process.connect(), process.connect());
         send_statement(&mut busy_client, "post");
         assert!(member.next_event().contains("c=post"));
         signals.iter().for_each(|signal| process.signal(signal));
@@ -170,7 +165,7 @@
     let file = folder.write("o.latch", "phases(linger = 60s)\n");
     let text = config_text(unused_address(), unresponsive_discovery(), member.address);
     let process = start_driver_with_arguments("half-written", &text, &["--operators", &file]);
-    let (mut slow_client, mut idle_client) = (process.connect_client(), process.connect_client());
+    let (mut slow_client, mut idle_client) = (process.connect(), process.connect());
     send_statement_with(&mut slow_client, "view", 25_000, "large");
     member.next_event();
     let mut first_byte = [0];
@@ -196,7 +191,7 @@
         .split_once("]},")
         .expect("find the end of the endpoint list");
     let process = start_driver_with_config("no-list", &format!("{prefix}{suffix}"));
-    let (mut client, mut idle_client) = (process.connect_client(), process.connect_client());
+    let (mut client, mut idle_client) = (process.connect(), process.connect());
     send_statement(&mut client, "post");
     process.signal("TERM");
     let (kinds, _) = read_answer(&mut client);
@@ -213,13 +208,13 @@
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let process = start_driver("leaves-unread", member.address);
     for pipelined_bytes in [20 * 1024, 60 * 1024] {
-        let mut client = process.connect_client();
+        let mut client = process.connect();
         // Its timeout exceeds that of the test.
         send_statement_with(&mut client, "view", 90_000, "x");
         assert!(member.next_event().contains("c=view"));
         client
             .write_all(&message(b'Q', b"\0").repeat(pipelined_bytes / 6))
-            .expect("write to the connection");
+            .expect("send");
         drop(client);
         assert_eq!(member.next_event(), "disconnected", "{pipelined_bytes}");
     }
@@ -232,7 +227,7 @@
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let process = start_driver("half-closed", member.address);
     for (workload, expected) in [("view", "E53300 Z"), ("post", "E40003 Z")] {
-        let mut client = process.connect_client();
+        let mut client = process.connect();
         send_statement(&mut client, workload);
         assert!(member.next_event().contains(&format!("c={workload}")));
         client
@@ -254,7 +249,7 @@
             &format!(r#""worth":1.0,"give_up_us":{wait_ms}000,"#),
         );
         let process = start_driver_with_config(&format!("hangs-{wait_ms}"), &text);
-        let mut client = process.connect_client();
+        let mut client = process.connect();
         send_statement(&mut client, "post");
         member.next_event();
         let requested_at = Instant::now();
@@ -276,7 +271,7 @@
 fn start_unresponsive_dependencies_process_is_ready() {
     let process = start_driver("silent-others", unresponsive_discovery());
     for workload in ["view", "post"] {
-        let mut client = process.connect_client();
+        let mut client = process.connect();
         send_statement_with(&mut client, workload, 300, "x");
         assert_eq!(
             read_answer(&mut client).0,
@@ -298,11 +293,9 @@
         // Clients within the memory budget stay open, waiting for the rest of their message.
         client
             .set_read_timeout(Some(Duration::from_millis(200)))
-            .expect("set the read timeout");
+            .expect("set timeout");
         let is_open = matches!(client.peek(&mut [0]), Err(e) if e.kind() != ErrorKind::ConnectionReset);
-        client
-            .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("set the read timeout");
+        client.set_read_timeout(Some(TEST_TIMEOUT)).expect("set timeout");
         let (bytes, end) = (!is_open).then(|| read_remaining(client))?;
         Some((String::from_utf8_lossy(&bytes).contains("C53300\0"), end))
     });
@@ -338,13 +331,13 @@
         read_request_head(&mut stream).expect("read the request");
         stream
             .write_all(format!("HTTP/1.1 200 OK\r\n\r\n{list}").as_bytes())
-            .expect("write to the connection");
+            .expect("send");
         let linger = resets_connection.then_some(Duration::ZERO);
         socket2::SockRef::from(&stream)
             .set_linger(linger)
             .expect("set SO_LINGER");
     };
-    let mut client = process.connect_client();
+    let mut client = process.connect();
     send_list(true);
     // The driver has reconnected, so it has noticed the reset.
     send_list(true);
--- a/crates/driver/tests/driver_process.rs
+++ b/crates/driver/tests/driver_process.rs
@@ -12,7 +12,7 @@
 fn read_then_sigusr1_answers_and_logs_metrics() {
     let member = start_member(MemberBehavior::Answer);
     let mut process = start_driver("reads", member.address);
-    let mut client = process.connect_client();
+    let mut client = process.connect();
     for _ in 0..3 {
         let statement = send_statement(&mut client, "view");
         assert_eq!(
@@ -38,9 +38,7 @@
         counters.contains(" completed=3 ") && counters.contains(" open_clients="),
         "{counters}"
     );
-    client
-        .write_all(&message(b'P', b"\0\0"))
-        .expect("write to the connection");
+    client.write_all(&message(b'P', b"\0\0")).expect("send");
     assert_eq!(
         read_answer(&mut client).0,
         "E08P01",
@@ -55,7 +53,7 @@
     const MAX_BYTES: usize = 48 << 20;
     let member = start_member(MemberBehavior::Answer);
     let process = start_driver("floods", member.address);
-    let (mut flooding_client, mut other_client) = (process.connect_client(), process.connect_client());
+    let (mut flooding_client, mut other_client) = (process.connect(), process.connect());
     flooding_client
         .set_nonblocking(true)
         .expect("set the blocking mode");
@@ -104,14 +102,14 @@
     for client in &mut clients {
         client
             .set_read_timeout(Some(Duration::from_millis(100)))
-            .expect("set the read timeout");
+            .expect("set timeout");
         match client.read(&mut [0]) {
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             _ => closed_count += 1,
         }
     }
     assert!((1..=25).contains(&closed_count), "{closed_count}");
-    let mut other_client = process.connect_client();
+    let mut other_client = process.connect();
     send_statement(&mut other_client, "view");
     assert_eq!(read_answer(&mut other_client).0, "T D C Z");
 }
@@ -120,7 +118,7 @@
 fn write_member_closes_early_fails_once() {
     let member = start_member(MemberBehavior::CloseConnection);
     let process = start_driver("closes", member.address);
-    let mut client = process.connect_client();
+    let mut client = process.connect();
     send_statement(&mut client, "post");
     assert_eq!(read_answer(&mut client).0, "E40003 Z");
     member.next_event();
@@ -137,7 +135,7 @@
 fn client_disconnect_cancels_execution() {
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let process = start_driver("leaves", member.address);
-    let mut client = process.connect_client();
+    let mut client = process.connect();
     send_statement(&mut client, "view");
     assert!(member.next_event().contains("c=view"));
     drop(client);
@@ -148,7 +146,7 @@
 fn shutdown_accepted_statements_are_answered_first() {
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let process = start_driver("sigterm", member.address);
-    let (mut client, mut idle_client) = (process.connect_client(), process.connect_client());
+    let (mut client, mut idle_client) = (process.connect(), process.connect());
     send_statement(&mut client, "post");
     assert!(member.next_event().contains("c=post"));
     process.signal("TERM");
@@ -172,7 +170,7 @@
     );
     // A new process can bind the same address.
     let restarted = start_driver_at(listen, "sigterm-again", member.address);
-    let mut client = restarted.connect_client();
+    let mut client = restarted.connect();
     send_statement(&mut client, "view");
     assert!(member.next_event().contains("c=view"));
 }
@@ -183,7 +181,7 @@
 fn sighup_changed_configuration_is_reloaded() {
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let mut process = start_driver("sighup", member.address);
-    let mut client = process.connect_client();
+    let mut client = process.connect();
     send_statement(&mut client, "post");
     assert!(member.next_event().contains("c=post"));
     let valid_config = std::fs::read_to_string(&process.path).expect("read the file");
--- a/crates/driver/tests/failing_system_calls.rs
+++ b/crates/driver/tests/failing_system_calls.rs
@@ -48,7 +48,7 @@
         );
         for _ in 0..6 {
             // Returns after the answer to the first query.
-            let _client = driver.connect_client();
+            let _client = driver.connect();
         }
         driver.signal("TERM");
         let (is_success, log) = driver.wait_with_log();
@@ -71,7 +71,7 @@
             &[],
             &fault_plan(&format!("accept={error}"), 2),
         );
-        let clients: Vec<_> = (0..5).map(|_| driver.connect_client()).collect();
+        let clients: Vec<_> = (0..5).map(|_| driver.connect()).collect();
         driver.signal("TERM");
         let (is_success, log) = driver.wait_with_log();
         assert!(is_success, "{log}");
@@ -103,7 +103,7 @@
             &["--operators", &file, "--control", &control],
             &limited_fault_plan(calls, 3),
         );
-        let _client = driver.connect_client();
+        let _client = driver.connect();
         driver.signal("TERM");
         let (is_success, log) = driver.wait_with_log();
         assert!(is_success, "{calls}: {log}");
--- a/crates/driver/tests/gossip_snapshots.rs
+++ b/crates/driver/tests/gossip_snapshots.rs
@@ -97,17 +97,16 @@
     }
 
     fn execute(&self, id: u32) -> String {
-        let mut client = self.driver.process.connect_client();
+        let mut client = self.driver.process.connect();
         let text = format!("/* id={id:x},c=post,d=25000,cluster=1 */ SELECT {id}\0");
-        std::io::Write::write_all(&mut client, &message(b'Q', text.as_bytes()))
-            .expect("write to the connection");
+        std::io::Write::write_all(&mut client, &message(b'Q', text.as_bytes())).expect("send");
         read_answer(&mut client).0
     }
 
     /// Kills the driver, applies `change` to its snapshot, and starts it again.
     fn restart_after_kill(mut self, name: &str, change: impl FnOnce(&mut Vec<u8>)) -> SnapshotHarness {
         self.driver.process.child.kill().expect("kill the driver");
-        self.driver.process.child.wait().expect("wait for the process");
+        self.driver.process.child.wait().expect("wait");
         let mut bytes = self.snapshot_bytes();
         change(&mut bytes);
         std::fs::write(self.folder.path("state/shared.log"), bytes).expect("write the file");
@@ -312,8 +311,8 @@
         std::fs::write(format!("{state}-copy/shared.log"), &bytes).expect("write the file");
     });
     let restored_line = harness.driver.wait_for_log("stored records are of use still");
-    let copied_folder = format!("{state}-copy");
-    let (is_success, output) = recover(&copied_folder, &[]);
+    let copied = format!("{state}-copy");
+    let (is_success, output) = recover(&copied, &[]);
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).expect("parse as JSON");
     let snapshot = &report["copy"][0];
     assert!(
@@ -328,9 +327,7 @@
     );
     let counts = format!("{} of {} stored records", snapshot["of_use"], snapshot["facts"]);
     assert!(restored_line.contains(&counts), "{restored_line}: {counts}");
-    let records = report["kept"]
-        .as_array()
-        .expect("the report lists stored records");
+    let records = report["kept"].as_array().expect("list of records");
     assert!(
         records
             .iter()
@@ -338,12 +335,12 @@
         "{report}"
     );
     assert_eq!(
-        std::fs::read(format!("{copied_folder}/shared.log")).expect("read the file"),
+        std::fs::read(format!("{copied}/shared.log")).expect("read the file"),
         damaged,
         "`recover` changed the snapshot"
     );
     // The snapshot of another driver, and a missing folder.
-    let (_, output) = recover(&copied_folder, &["--name", "other"]);
+    let (_, output) = recover(&copied, &["--name", "other"]);
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).expect("parse as JSON");
     assert_eq!(
         (&report["copy"][0]["nothing_used"], &report["copy"][0]["of_use"]),
@@ -354,7 +351,7 @@
         !is_success
             && String::from_utf8_lossy(&output.stderr).contains("/nowhere: no snapshot is stored there")
     );
-    let _ = std::fs::remove_dir_all(copied_folder);
+    let _ = std::fs::remove_dir_all(copied);
 }
 
 /// An unreadable snapshot, for which a folder stands, is moved aside at start.
--- a/crates/driver/tests/gossip_versions.rs
+++ b/crates/driver/tests/gossip_versions.rs
@@ -109,7 +109,7 @@
     socket.connect((host, port)).expect("connect the UDP socket");
     socket
         .set_read_timeout(Some(Duration::from_millis(5)))
-        .expect("set the read timeout");
+        .expect("set timeout");
     let fleet = fleet_command(&control, "status")["fleet"][0]["settings"]
         .as_str()
         .expect("read the hash of the settings")
@@ -258,15 +258,14 @@
         DispatchStatus::Unknown,
         "the other process may have sent it"
     );
-    let mut client = driver.process.connect_client();
+    let mut client = driver.process.connect();
     for (id, retry_field, expected) in [
         ("a1", "", "T D C Z"),
         ("a2", ",r=1", "E40003 Z"),
         ("a3", "", "T D C Z"),
     ] {
         let text = format!("/* id={id},c=post,d=25000,cluster=1{retry_field} */ SELECT 1\0");
-        std::io::Write::write_all(&mut client, &message(b'Q', text.as_bytes()))
-            .expect("write to the connection");
+        std::io::Write::write_all(&mut client, &message(b'Q', text.as_bytes())).expect("send");
         assert_eq!(read_answer(&mut client).0, expected, "{id}");
     }
     drop(successor);
--- a/crates/driver/tests/handover_fixtures.rs
+++ b/crates/driver/tests/handover_fixtures.rs
@@ -105,7 +105,7 @@
     drop(successor_socket);
     predecessor_socket
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("set the read timeout");
+        .expect("set timeout");
     let mut reader =
         FrameReader::<HandoverMessage>::new(predecessor_socket.try_clone().expect("duplicate the socket"));
     let mut next_message = || match reader.read() {
--- a/crates/driver/tests/harness/mod.rs
+++ b/crates/driver/tests/harness/mod.rs
@@ -167,7 +167,7 @@
     let config = config_text(unused_address(), unresponsive_discovery(), member)
         .replace(r#""memory_mb":192"#, r#""memory_mb":4"#);
     let process = start_driver_with_config(name, &config);
-    let clients = (0..30).map(|_| process.connect_client()).collect();
+    let clients = (0..30).map(|_| process.connect()).collect();
     let partial_message = [&b"Q\0\x02\0\0"[..], &[b'x'; 100_000]].concat();
     (process, clients, partial_message)
 }
@@ -314,11 +314,9 @@
         (is_success, log)
     }
 
-    pub(crate) fn connect_client(&self) -> TcpStream {
-        let mut stream = TcpStream::connect(self.listen).expect("connect to the driver");
-        stream
-            .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("set the read timeout");
+    pub(crate) fn connect(&self) -> TcpStream {
+        let mut stream = TcpStream::connect(self.listen).expect("connect");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set timeout");
         let fields = b"user\0api\0database\0ledger\0\0";
         let startup = [
             &(fields.len() as u32 + 8).to_be_bytes()[..],
--- a/crates/driver/tests/operators.rs
+++ b/crates/driver/tests/operators.rs
@@ -13,15 +13,13 @@
     let (folder, member) = (TempFolder::new("live"), start_member(MemberBehavior::Answer));
     let file = folder.write("o.latch", "workload(\"view\", longest = 256B)\n");
     let driver = start_with_operators_file("live", member.address, &["--operators", &file]);
-    let mut client = driver.process.connect_client();
+    let mut client = driver.process.connect();
     let execute_long_statement = |client: &mut TcpStream| {
         let text = format!(
             "/* id=2f,c=view,d=25000,cluster=1 */ SELECT '{}'\0",
             "x".repeat(400)
         );
-        client
-            .write_all(&message(b'Q', text.as_bytes()))
-            .expect("write to the connection");
+        client.write_all(&message(b'Q', text.as_bytes())).expect("send");
         read_answer(client).0
     };
     assert_eq!(execute_long_statement(&mut client), "E54000 Z");
@@ -53,7 +51,7 @@
     drop(client);
     driver.wait_for_log("is stopped");
     let mut process = driver.process;
-    assert!(process.child.wait().expect("wait for the process").success());
+    assert!(process.child.wait().expect("wait").success());
 }
 
 #[test]
@@ -68,7 +66,7 @@
             assert_eq!(read_answer(client).0, "T D C Z");
         }
     };
-    let mut clients: Vec<_> = (0..30).map(|_| driver.process.connect_client()).collect();
+    let mut clients: Vec<_> = (0..30).map(|_| driver.process.connect()).collect();
     execute_all(&mut clients);
     // 5% of 208 descriptors leave 10 for clients, fewer than are open.
     driver.replace_operators_file(&format!("{activation}descriptors(clients = 5%)\n"));
@@ -87,7 +85,7 @@
         rollback_line.contains("from generation 2 to 1: more was rejected for lack of places for clients"),
         "{rollback_line}"
     );
-    let mut clients: Vec<_> = (0..30).map(|_| driver.process.connect_client()).collect();
+    let mut clients: Vec<_> = (0..30).map(|_| driver.process.connect()).collect();
     execute_all(&mut clients);
     driver.process.signal("HUP");
     driver.wait_for_log("not applied: these settings were rolled back");
@@ -132,14 +130,12 @@
     let second_driver = start_with_operators_file("state2", member.address, &arguments);
     second_driver.wait_for_log("ignored stored generation 9: it doesn't begin as one");
     second_driver.wait_for_log("serving with generation 2");
-    let mut client = second_driver.process.connect_client();
+    let mut client = second_driver.process.connect();
     let text = format!(
         "/* id=2f,c=view,d=25000,cluster=1 */ SELECT '{}'\0",
         "x".repeat(230)
     );
-    client
-        .write_all(&message(b'Q', text.as_bytes()))
-        .expect("write to the connection");
+    client.write_all(&message(b'Q', text.as_bytes())).expect("send");
     assert_eq!(
         read_answer(&mut client).0,
         "T D C Z",
@@ -168,10 +164,10 @@
     assert_eq!(run(&["config", "rollback", &state, "9"]).0, Some(1));
     let third_driver = start_with_operators_file("state3", member.address, &arguments);
     third_driver.wait_for_log("FILE INVALID");
-    let mut client = third_driver.process.connect_client();
+    let mut client = third_driver.process.connect();
     client
         .write_all(&message(b'Q', statement_of_length(230).as_bytes()))
-        .expect("write to the connection");
+        .expect("send");
     assert_eq!(
         read_answer(&mut client).0,
         "E54000 Z",
@@ -274,11 +270,9 @@
     let member = start_member(MemberBehavior::Answer);
     let text = config_text(unused_address(), unresponsive_discovery(), member.address);
     let process = start_driver_with_arguments("json", &text, &["--log-format", "json"]);
-    let mut client = process.connect_client();
+    let mut client = process.connect();
     for _ in 0..8 {
-        client
-            .write_all(&message(b'Q', b"no comment\0"))
-            .expect("write to the connection");
+        client.write_all(&message(b'Q', b"no comment\0")).expect("send");
         assert_eq!(read_answer(&mut client).0, "E42601 Z");
     }
     drop(client);
--- a/crates/driver/tests/upgrade.rs
+++ b/crates/driver/tests/upgrade.rs
@@ -116,7 +116,7 @@
 
     /// Executes one statement on a new connection and returns the kinds of the answer's messages.
     fn execute(&self, workload: &str, id: u32) -> String {
-        let mut client = self.driver.process.connect_client();
+        let mut client = self.driver.process.connect();
         send_statement_with_id(&mut client, workload, id);
         read_answer(&mut client).0
     }
@@ -141,9 +141,7 @@
 }
 
 fn send_statement_with_id(client: &mut TcpStream, workload: &str, id: u32) {
-    client
-        .write_all(&statement(workload, id))
-        .expect("write to the connection");
+    client.write_all(&statement(workload, id)).expect("send");
 }
 
 /// Clients that send statements until `stop` is set. Each thread returns the ids of its statements and their
@@ -169,13 +167,9 @@
             while !stop.load(Ordering::Relaxed) {
                 let id = next_id.fetch_add(1, Ordering::Relaxed);
                 let mut stream = persistent_stream.take().unwrap_or_else(|| {
-                    let mut stream = TcpStream::connect(listen).expect("connect to the driver");
-                    stream
-                        .set_read_timeout(Some(TEST_TIMEOUT))
-                        .expect("set the read timeout");
-                    stream
-                        .write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0])
-                        .expect("write to the connection");
+                    let mut stream = TcpStream::connect(listen).expect("connect");
+                    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set timeout");
+                    stream.write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0]).expect("send");
                     // A connection that a killed process has just accepted may close without an answer.
                     let welcome = read_answer(&mut stream).0;
                     assert!(
@@ -201,9 +195,7 @@
                     continue;
                 }
                 // Nothing may follow the final answer.
-                stream
-                    .write_all(&message(b'X', b""))
-                    .expect("write to the connection");
+                stream.write_all(&message(b'X', b"")).expect("send");
                 assert_eq!(read_answer(&mut stream).0, "", "statement {id}");
             }
             answers
@@ -430,7 +422,7 @@
 fn handover_write_in_flight_is_answered_once() {
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let mut harness = UpgradeHarness::new("in-flight", &member, HANDOVER_SETTINGS);
-    let mut client = harness.driver.process.connect_client();
+    let mut client = harness.driver.process.connect();
     send_statement_with_id(&mut client, "post", 7);
     assert!(member.next_event().contains("id=7,"));
     let (pid, upgrade_request) = harness.begin_upgrade();
@@ -438,7 +430,7 @@
     harness.driver.wait_for_log("upgrade: proven");
     harness.pid = Some(pid);
     // The successor serves other clients meanwhile.
-    let mut other = harness.driver.process.connect_client();
+    let mut other = harness.driver.process.connect();
     send_statement_with_id(&mut other, "post", 8);
     assert!(member.next_event().contains("id=8,"));
     member.release.send(()).expect("release the statement");
@@ -511,46 +503,42 @@
     let settings = HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 10min");
     let harness = UpgradeHarness::new("reclaim", &member, &settings);
     let listen = harness.driver.process.listen;
-    let statement_message = |id: u32, workload: &str| {
+    let query = |id: u32, workload: &str| {
         let text = format!("/* id={id:x},c={workload},d=25000,cluster=1 */ SELECT {id}\0");
         message(b'Q', text.as_bytes())
     };
     // Some clients move, some connect to the successor, and one has not sent its startup message.
-    let mut moved_clients: Vec<_> = (0..4).map(|_| harness.driver.process.connect_client()).collect();
+    let mut moved: Vec<_> = (0..4).map(|_| harness.driver.process.connect()).collect();
     let (pid, upgrade_request) = harness.begin_upgrade();
-    let mut new_clients: Vec<_> = (0..4).map(|_| harness.driver.process.connect_client()).collect();
-    let mut unstarted_client = TcpStream::connect(listen).expect("connect to the driver");
-    unstarted_client
+    let mut accepted: Vec<_> = (0..4).map(|_| harness.driver.process.connect()).collect();
+    let mut unstarted = TcpStream::connect(listen).expect("connect");
+    unstarted
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("set the read timeout");
+        .expect("set timeout");
     let mut id = 0;
     // A release goes to any waiting statement, so no other statement may wait yet.
-    for client in [&mut moved_clients[0], &mut new_clients[0]] {
+    for client in [&mut moved[0], &mut accepted[0]] {
         id += 1;
-        client
-            .write_all(&statement_message(id, "post"))
-            .expect("write to the connection");
+        client.write_all(&query(id, "post")).expect("send");
         member.next_event();
         member.release.send(()).expect("release the statement");
         assert_eq!(read_answer(client).0, "T D C Z");
     }
-    for clients in [&mut moved_clients, &mut new_clients] {
+    for clients in [&mut moved, &mut accepted] {
         // One client is idle after an answer, one waits for a write, and one has pipelined a read, a write
         // and a partial message.
         id += 10;
-        clients[1]
-            .write_all(&statement_message(id + 1, "post"))
-            .expect("write to the connection");
+        clients[1].write_all(&query(id + 1, "post")).expect("send");
         member.next_event();
         let statements = [
-            statement_message(id + 2, "view"),
-            statement_message(id + 3, "post"),
-            statement_message(id + 4, "view"),
+            query(id + 2, "view"),
+            query(id + 3, "post"),
+            query(id + 4, "view"),
         ]
         .concat();
         clients[2]
             .write_all(&statements[..statements.len() - 5])
-            .expect("write to the connection");
+            .expect("send");
         member.next_event();
         member.next_event();
         // The successor may or may not have read the partial message when it is killed.
@@ -560,11 +548,11 @@
         upgrade_request.join().expect("join the thread").status.code(),
         Some(1)
     );
-    let reclaimed_line = harness.driver.wait_for_log("clients reclaimed");
+    let reclaimed = harness.driver.wait_for_log("clients reclaimed");
     // The four moved clients, the four new ones and the unstarted one.
     assert!(
-        reclaimed_line.contains("9 clients reclaimed, 0 disconnected"),
-        "{reclaimed_line}"
+        reclaimed.contains("9 clients reclaimed, 0 disconnected"),
+        "{reclaimed}"
     );
     (0..6).for_each(|_| {
         assert_eq!(
@@ -573,7 +561,7 @@
             "executions of the killed successor"
         )
     });
-    for clients in [&mut moved_clients, &mut new_clients] {
+    for clients in [&mut moved, &mut accepted] {
         assert_eq!(
             read_answer(&mut clients[1]).0,
             "E40003 Z",
@@ -586,10 +574,10 @@
         );
         assert_eq!(read_answer(&mut clients[2]).0, "E40003 Z", "the pipelined write");
         id += 100;
-        let statements = statement_message(0, "view");
+        let statements = query(0, "view");
         clients[2]
             .write_all(&statements[statements.len() - 5..])
-            .expect("write to the connection");
+            .expect("send");
         assert!(
             member.next_event().contains("c=view"),
             "the partial message is completed"
@@ -598,9 +586,7 @@
         assert_eq!(read_answer(&mut clients[2]).0, "T D C Z");
         for client in clients.iter_mut() {
             id += 1;
-            client
-                .write_all(&statement_message(id, "post"))
-                .expect("write to the connection");
+            client.write_all(&query(id, "post")).expect("send");
             member.next_event();
             member.release.send(()).expect("release the statement");
             assert_eq!(
@@ -610,10 +596,8 @@
             );
         }
     }
-    unstarted_client
-        .write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0])
-        .expect("write to the connection");
-    assert_eq!(read_answer(&mut unstarted_client).0, "Z");
+    unstarted.write_all(&[0, 0, 0, 9, 0, 3, 0, 0, 0]).expect("send");
+    assert_eq!(read_answer(&mut unstarted).0, "Z");
 }
 
 /// A hanging predecessor must not block the successor's clients, nor resume them from an incomplete journal.
@@ -626,7 +610,7 @@
     let mut harness = UpgradeHarness::new("unread", &member, &settings);
     let (pid, _upgrade_request) = harness.begin_upgrade();
     harness.pid = Some(pid);
-    let mut client = harness.driver.process.connect_client();
+    let mut client = harness.driver.process.connect();
     // The client has moved to the successor.
     harness.wait_for_counter(pid, "open_clients=1 ");
     let predecessor_pid = harness.driver.process.child.id();
@@ -637,7 +621,7 @@
     );
     client
         .write_all(&message(b'Q', large_statement.as_bytes()))
-        .expect("write to the connection");
+        .expect("send");
     assert_eq!(read_answer(&mut client).0, "T D C Z");
     harness
         .driver
@@ -657,7 +641,7 @@
     let member = start_member(MemberBehavior::Answer);
     let mut harness = UpgradeHarness::new("move", &member, HANDOVER_SETTINGS);
     let listen = harness.driver.process.listen;
-    let statement_message = |id: u32, padding: usize| {
+    let query = |id: u32, padding: usize| {
         let text = format!(
             "/* id={id:x},c=post,d=25000,cluster=1 */ SELECT '{}'\0",
             "x".repeat(padding)
@@ -665,90 +649,52 @@
         message(b'Q', text.as_bytes())
     };
     // One client is idle; others are within a message header, a statement's text, or the startup message.
-    let mut idle = harness.driver.process.connect_client();
-    idle.write_all(&statement_message(1, 10))
-        .expect("write to the connection");
+    let mut idle = harness.driver.process.connect();
+    idle.write_all(&query(1, 10)).expect("send");
     assert_eq!(read_answer(&mut idle).0, "T D C Z");
-    let split_offsets = [1, 3, 5, 20, 30_000];
-    let mut partial_clients: Vec<_> = split_offsets
-        .iter()
-        .map(|_| harness.driver.process.connect_client())
-        .collect();
-    for (client_index, client) in partial_clients.iter_mut().enumerate() {
+    let splits = [1, 3, 5, 20, 30_000];
+    let mut partial: Vec<_> = splits.iter().map(|_| harness.driver.process.connect()).collect();
+    for (index, client) in partial.iter_mut().enumerate() {
         client
-            .write_all(&statement_message(10 + client_index as u32, 40_000)[..split_offsets[client_index]])
-            .expect("write to the connection");
+            .write_all(&query(10 + index as u32, 40_000)[..splits[index]])
+            .expect("send");
     }
     let startup = [0, 0, 0, 9, 0, 3, 0, 0, 0];
-    let connect_unstarted = |input: &[u8]| {
-        let mut stream = TcpStream::connect(listen).expect("connect to the driver");
-        stream
-            .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("set the read timeout");
-        stream.write_all(input).expect("write to the connection");
+    let connect = |input: &[u8]| {
+        let mut stream = TcpStream::connect(listen).expect("connect");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set timeout");
+        stream.write_all(input).expect("send");
         stream
     };
-    let mut unstarted_clients = [connect_unstarted(&[]), connect_unstarted(&startup[..5])];
+    let mut unstarted = [connect(&[]), connect(&startup[..5])];
     // Part of an oversized message was discarded.
-    let mut oversized_client = harness.driver.process.connect_client();
-    let oversized_message = message(b'Q', &vec![b'y'; 14 << 20]);
-    oversized_client
-        .write_all(&oversized_message[..1 << 20])
-        .expect("write to the connection");
+    let mut oversized = harness.driver.process.connect();
+    let too_long = message(b'Q', &vec![b'y'; 14 << 20]);
+    oversized.write_all(&too_long[..1 << 20]).expect("send");
     harness.upgrade();
     assert!(
-        harness
-            .driver
-            .process
-            .child
-            .wait()
-            .expect("wait for the process")
-            .success(),
+        harness.driver.process.child.wait().expect("wait").success(),
         "the predecessor has exited"
     );
-    idle.write_all(&statement_message(2, 10))
-        .expect("write to the connection");
+    idle.write_all(&query(2, 10)).expect("send");
     assert_eq!(read_answer(&mut idle).0, "T D C Z", "idle client");
-    for (client_index, client) in partial_clients.iter_mut().enumerate() {
+    for (index, client) in partial.iter_mut().enumerate() {
         client
-            .write_all(&statement_message(10 + client_index as u32, 40_000)[split_offsets[client_index]..])
-            .expect("write to the connection");
-        assert_eq!(
-            read_answer(client).0,
-            "T D C Z",
-            "split at byte {}",
-            split_offsets[client_index]
-        );
+            .write_all(&query(10 + index as u32, 40_000)[splits[index]..])
+            .expect("send");
+        assert_eq!(read_answer(client).0, "T D C Z", "split at {}", splits[index]);
     }
-    unstarted_clients[0]
-        .write_all(&startup)
-        .expect("write to the connection");
-    unstarted_clients[1]
-        .write_all(&startup[5..])
-        .expect("write to the connection");
-    for (client_index, client) in unstarted_clients.iter_mut().enumerate() {
-        assert_eq!(read_answer(client).0, "Z", "unstarted client {client_index}");
-        client
-            .write_all(&statement_message(100 + client_index as u32, 10))
-            .expect("write to the connection");
-        assert_eq!(
-            read_answer(client).0,
-            "T D C Z",
-            "unstarted client {client_index}"
-        );
+    unstarted[0].write_all(&startup).expect("send");
+    unstarted[1].write_all(&startup[5..]).expect("send");
+    for (index, client) in unstarted.iter_mut().enumerate() {
+        assert_eq!(read_answer(client).0, "Z", "unstarted client {index}");
+        client.write_all(&query(100 + index as u32, 10)).expect("send");
+        assert_eq!(read_answer(client).0, "T D C Z", "unstarted client {index}");
     }
-    oversized_client
-        .write_all(&oversized_message[1 << 20..])
-        .expect("write to the connection");
-    assert_eq!(
-        read_answer(&mut oversized_client).0,
-        "E54000 Z",
-        "an oversized message is discarded to its end"
-    );
-    oversized_client
-        .write_all(&statement_message(200, 10))
-        .expect("write to the connection");
-    assert_eq!(read_answer(&mut oversized_client).0, "T D C Z");
+    oversized.write_all(&too_long[1 << 20..]).expect("send");
+    assert_eq!(read_answer(&mut oversized).0, "E54000 Z", "discarded to its end");
+    oversized.write_all(&query(200, 10)).expect("send");
+    assert_eq!(read_answer(&mut oversized).0, "T D C Z");
     let executions: Vec<String> = std::iter::from_fn(|| member.events.try_recv().ok()).collect();
     assert_eq!(executions.len(), 10, "each statement is executed once");
 }
@@ -832,11 +778,9 @@
         };
         harness.wait_for_counter(other_pid, "drains_from_peer_process=1 ");
         // The only member drains, so the read is rejected.
-        let mut client = harness.driver.process.connect_client();
+        let mut client = harness.driver.process.connect();
         let text = "/* id=2,c=view,d=300,cluster=1 */ SELECT 2\0";
-        client
-            .write_all(&message(b'Q', text.as_bytes()))
-            .expect("write to the connection");
+        client.write_all(&message(b'Q', text.as_bytes())).expect("send");
         assert_eq!(read_answer(&mut client).0, "E53300 Z", "{notifies_successor}");
         assert_eq!(
             take_execution_counts(&member).values().sum::<u32>(),
@@ -853,7 +797,7 @@
         let member = start_member(MemberBehavior::AnswerOnRelease);
         let settings = HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 10min");
         let mut harness = UpgradeHarness::new(&format!("in-flight-{at_successor}"), &member, &settings);
-        let mut client = harness.driver.process.connect_client();
+        let mut client = harness.driver.process.connect();
         if !at_successor {
             send_statement_with_id(&mut client, "post", 1);
             member.next_event();
@@ -891,11 +835,9 @@
 fn handover_slow_reader_gets_complete_answers() {
     let member = start_member(MemberBehavior::Answer);
     let mut harness = UpgradeHarness::new("slow", &member, HANDOVER_SETTINGS);
-    let mut slow_client = harness.driver.process.connect_client();
+    let mut slow_client = harness.driver.process.connect();
     let statements: Vec<u8> = (1..=LARGE_STATEMENTS).flat_map(large_statement).collect();
-    slow_client
-        .write_all(&statements)
-        .expect("write to the connection");
+    slow_client.write_all(&statements).expect("send");
     // All statements were executed, so their answers are buffered in the process or the kernel.
     (0..LARGE_STATEMENTS).for_each(|_| drop(member.next_event()));
     let (pid, upgrade_request) = harness.begin_upgrade();
@@ -933,15 +875,13 @@
     let member = start_member(MemberBehavior::Answer);
     let settings = HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 10min");
     let harness = UpgradeHarness::new("partial-answer", &member, &settings);
-    let mut partial_reader = harness.driver.process.connect_client();
+    let mut partial_reader = harness.driver.process.connect();
     let (pid, _upgrade_request) = harness.begin_upgrade();
-    let mut complete_reader = harness.driver.process.connect_client();
+    let mut complete_reader = harness.driver.process.connect();
     // Both clients are at the successor.
     harness.wait_for_counter(pid, "open_clients=2 ");
     let statements: Vec<u8> = (1..=LARGE_STATEMENTS).flat_map(large_statement).collect();
-    partial_reader
-        .write_all(&statements)
-        .expect("write to the connection");
+    partial_reader.write_all(&statements).expect("send");
     send_statement_with_id(&mut complete_reader, "post", 50);
     (0..=LARGE_STATEMENTS).for_each(|_| drop(member.next_event()));
     complete_reader.peek(&mut [0]).expect("wait for the answer");
@@ -1006,7 +946,7 @@
         let settings = HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 10min");
         let mut harness = UpgradeHarness::new(&format!("accepts-{signal}"), &member, &settings);
         // The open statement prevents the predecessor from exiting.
-        let mut draining_client = harness.driver.process.connect_client();
+        let mut draining_client = harness.driver.process.connect();
         send_statement_with_id(&mut draining_client, "post", 1);
         member.next_event();
         let (pid, _upgrade_request) = harness.begin_upgrade();
@@ -1017,7 +957,7 @@
         // A release goes to any waiting statement: one more for the statement from before the upgrade.
         member.release.send(()).expect("release the statement");
         for id in 2..5 {
-            let mut client = harness.driver.process.connect_client();
+            let mut client = harness.driver.process.connect();
             send_statement_with_id(&mut client, "post", id);
             member.next_event();
             member.release.send(()).expect("release the statement");
@@ -1038,7 +978,7 @@
         &member,
         &HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 1s"),
     );
-    let mut clients: Vec<_> = (0..60).map(|_| harness.driver.process.connect_client()).collect();
+    let mut clients: Vec<_> = (0..60).map(|_| harness.driver.process.connect()).collect();
     let half_closed = clients.pop().expect("at least one client");
     half_closed
         .shutdown(std::net::Shutdown::Write)
@@ -1093,7 +1033,7 @@
         &member,
         &HANDOVER_SETTINGS.replace("probation = 200ms", "probation = 1s"),
     );
-    let mut idle_client = harness.driver.process.connect_client();
+    let mut idle_client = harness.driver.process.connect();
     let (pid, upgrade_request) = harness.begin_upgrade();
     harness.pid = Some(pid);
     for signalled_pid in [harness.driver.process.child.id(), pid] {
@@ -1141,7 +1081,7 @@
 fn handover_idle_member_connections_move() {
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let mut harness = UpgradeHarness::new("idle", &member, HANDOVER_SETTINGS);
-    let mut clients: Vec<_> = (0..5).map(|_| harness.driver.process.connect_client()).collect();
+    let mut clients: Vec<_> = (0..5).map(|_| harness.driver.process.connect()).collect();
     let execute_all = |clients: &mut Vec<TcpStream>, first_id: u32| {
         for (client_index, client) in clients.iter_mut().enumerate() {
             send_statement_with_id(client, "view", first_id + client_index as u32);
@@ -1178,7 +1118,7 @@
 fn handover_pipelined_statements_keep_their_order() {
     let member = start_member(MemberBehavior::AnswerOnRelease);
     let mut harness = UpgradeHarness::new("pipeline", &member, HANDOVER_SETTINGS);
-    let mut client = harness.driver.process.connect_client();
+    let mut client = harness.driver.process.connect();
     let count = 40u32;
     let pipeline: Vec<u8> = (1..=count)
         .flat_map(|id| {
@@ -1188,7 +1128,7 @@
             )
         })
         .collect();
-    client.write_all(&pipeline).expect("write to the connection");
+    client.write_all(&pipeline).expect("send");
     member.next_event();
     let (pid, upgrade_request) = harness.begin_upgrade();
     harness.pid = Some(pid);
