--- a/crates/driver/src/program/upgrade/retained_clients.rs
+++ b/crates/driver/src/program/upgrade/retained_clients.rs
@@ -4,7 +4,7 @@
 
 use crate::routing::handover::TransferredClient;
 use crate::transport::io_journal::is_abandoned;
-use crate::transport::socket_counts::counts;
+use crate::transport::socket_counts::byte_counts;
 use asterlatch_handover::codec::{FrameReader, Received};
 use asterlatch_handover::io_journal::{
     ClientRecovery, ConnectionKey, JournalRecord, JournalReplay, RecoveredClient, ReplayError,
@@ -29,7 +29,7 @@
 impl RetainedSocket {
     /// Bytes transferred since the successor took the connection over; `None` if the counts are unavailable.
     fn counts_since(&self) -> Option<SocketByteCounts> {
-        let totals = counts(&self.stream).ok()?;
+        let totals = byte_counts(&self.stream).ok()?;
         Some(SocketByteCounts {
             read: totals.read.checked_sub(self.initial_counts.read)?,
             written: totals.written.checked_sub(self.initial_counts.written)?,
@@ -60,7 +60,7 @@
             return self.abandon(error);
         }
         // Neither process reads or writes the connection at this point, so the counts are exact.
-        if let (Ok(stream), Ok(initial_counts)) = (stream.try_clone(), counts(stream)) {
+        if let (Ok(stream), Ok(initial_counts)) = (stream.try_clone(), byte_counts(stream)) {
             let socket = RetainedSocket {
                 stream,
                 initial_counts,
--- a/crates/driver/src/program/upgrade/successor.rs
+++ b/crates/driver/src/program/upgrade/successor.rs
@@ -289,7 +289,7 @@
 
     /// Drops a journal that was abandoned.
     fn check_journal(&mut self, event_loop: &mut EventLoop<Log>, now: Timestamp) {
-        let abandoned = self.journal.take_if(|journal| !journal.is_on());
+        let abandoned = self.journal.take_if(|journal| !journal.is_active());
         if abandoned.is_some() {
             log!(
                 event_loop.logger,
--- a/crates/driver/tests/adverse.rs
+++ b/crates/driver/tests/adverse.rs
@@ -1,7 +1,7 @@
 //! The test bed's short adverse scenarios. The longer ones (`fault-after-quiet`, `fault-after-silence`,
 //! `discovery-away`) are run by `asterlatch-testbed adverse`.
 
-use asterlatch_testbed::adverse::{find, SCENARIOS};
+use asterlatch_testbed::adverse::{find_scenario, SCENARIOS};
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
 
@@ -13,11 +13,11 @@
     let _slot = SLOTS[slot % SLOTS.len()]
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
-    let scenario = find(name).expect("find the scenario");
+    let scenario = find_scenario(name).expect("find the scenario");
     let program = Path::new(env!("CARGO_BIN_EXE_asterlatch"));
     let report = scenario.run(program, SEED).expect("run the scenario");
-    assert!(report.all_rules_kept(), "{report}");
-    assert!(report.asked > 500, "too few statements: {report}");
+    assert!(report.has_no_violations(), "{report}");
+    assert!(report.submitted > 500, "too few statements: {report}");
 }
 
 macro_rules! short_scenarios {
--- a/crates/driver/tests/clocks.rs
+++ b/crates/driver/tests/clocks.rs
@@ -86,7 +86,7 @@
     let load = load_generator::start(&deployment.store, deployment.listen, arrivals, started_at, 48);
     meanwhile(&mut deployment, folder);
     let records = load.finish();
-    deployment.end();
+    deployment.stop();
     let report = check(&lock(&deployment.store), &records);
     let _ = std::fs::remove_dir_all(folder);
     report
@@ -97,9 +97,9 @@
     assert_eq!(report.violation_count(), 0, "{report}");
     let bounded_reads = report.rows.iter().find(|row| row.name == "balance-view");
     let bounded_reads = bounded_reads.expect("the report has the workload");
-    assert!(bounded_reads.asked > 300, "too few bounded reads: {report}");
+    assert!(bounded_reads.submitted > 300, "too few bounded reads: {report}");
     assert!(
-        bounded_reads.completed * 100 >= bounded_reads.asked * 95,
+        bounded_reads.completed * 100 >= bounded_reads.submitted * 95,
         "{report}"
     );
 }
@@ -145,7 +145,7 @@
         for _ in 0..2 {
             thread::sleep(Duration::from_millis(1000));
             deployment
-                .next
+                .next_program
                 .get_or_insert_with(|| (&program_with_clock(folder, -HOUR_SECONDS)).into());
             deployment.upgrade().expect("upgrade the driver");
         }
--- a/crates/driver/tests/configuration_fixtures.rs
+++ b/crates/driver/tests/configuration_fixtures.rs
@@ -126,8 +126,11 @@
             "phases.longest_drain",
             applied.phase_durations.max_drain.0.to_string(),
         ),
-        ("process.stack", applied.coroutine_stacks.bytes.to_string()),
-        ("process.spare_stacks", applied.coroutine_stacks.spare.to_string()),
+        ("process.stack", applied.coroutine_stacks.stack_bytes.to_string()),
+        (
+            "process.spare_stacks",
+            applied.coroutine_stacks.pool_capacity.to_string(),
+        ),
         ("log.lines", applied.log_lines_per_second.to_string()),
         ("upgrade.hello", predecessor.hello.0.to_string()),
         ("upgrade.ready", predecessor.ready.0.to_string()),
--- a/crates/driver/tests/failing_system_calls.rs
+++ b/crates/driver/tests/failing_system_calls.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use asterlatch_fault_injection::FaultPlan;
-use asterlatch_testbed::program_under_test::inject;
+use asterlatch_testbed::program_under_test::inject_faults;
 use harness::{
     bind_listener, config_text, driver_command, fault_plan, limited_fault_plan, read_request_head,
     spawn_process, start_driver_with_faults, start_member, start_with_operators_file_and_faults,
@@ -122,7 +122,8 @@
         let text = config_text(unused_address(), unresponsive_discovery(), member.address);
         let path = write_config("start-permanent", &text);
         let mut command = driver_command("serve", &path);
-        inject(&mut command, &limited_fault_plan(calls, 1)).expect("find the shared object built by cargo");
+        inject_faults(&mut command, &limited_fault_plan(calls, 1))
+            .expect("find the shared object built by cargo");
         let mut process = DriverProcess {
             child: spawn_process(&mut command),
             listen: unused_address(),
@@ -145,7 +146,8 @@
     let path = write_config("start-sigterm", &text);
     let mut command = driver_command("serve", &path);
     // Each attempt fails: without the signal the start would end with an error.
-    inject(&mut command, &fault_plan("bind=EADDRINUSE", 1)).expect("find the shared object built by cargo");
+    inject_faults(&mut command, &fault_plan("bind=EADDRINUSE", 1))
+        .expect("find the shared object built by cargo");
     let child = spawn_process(&mut command);
     let listen = unused_address();
     let process = DriverProcess { child, listen, path };
--- a/crates/driver/tests/failing_system_calls_under_load.rs
+++ b/crates/driver/tests/failing_system_calls_under_load.rs
@@ -54,10 +54,10 @@
         CLIENTS,
     );
     let records = load.finish();
-    deployment.end();
+    deployment.stop();
     let report = check(&lock(&deployment.store), &records);
     let _ = std::fs::remove_dir_all(&folder);
-    (report.violation_count(), report.asked())
+    (report.violation_count(), report.submitted())
 }
 
 #[test]
--- a/crates/driver/tests/fleet.rs
+++ b/crates/driver/tests/fleet.rs
@@ -63,7 +63,7 @@
 /// another driver was executed twice.
 fn assert_rules_hold(name: &str) -> RunReport {
     let report = run_scenario(name, true);
-    assert!(report.all_rules_kept(), "{report}");
+    assert!(report.has_no_violations(), "{report}");
     assert!(report.completed > 500, "{report}");
     let retries = report.retries;
     assert!(retries.retried > 0, "too few retries: {report}");
@@ -136,6 +136,8 @@
 fn drivers_without_gossip_duplicate_payments_and_miss_drains() {
     let report = run_scenario("drain", false);
     assert!(report.retries.executed_twice > 0, "{report}");
-    let late_sends = report.violations.get("drains: sent long after it was told");
+    let late_sends = report
+        .violations
+        .get("drains: statement sent to a draining member after the grace period");
     assert!(late_sends.is_some(), "{report}");
 }
--- a/crates/driver/tests/harness/mod.rs
+++ b/crates/driver/tests/harness/mod.rs
@@ -15,7 +15,7 @@
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 use asterlatch_fault_injection::FaultPlan;
-use asterlatch_testbed::program_under_test::inject;
+use asterlatch_testbed::program_under_test::inject_faults;
 pub(crate) use asterlatch_testbed::wire::message;
 use asterlatch_testbed::wire::{self, data_row, parameter_status};
 
@@ -282,7 +282,7 @@
         .and_then(|l| l.parse().ok())
         .expect("read the listen address from the configuration");
     let mut command = driver_command("serve", &path);
-    inject(&mut command, faults).expect("find the shared object built by cargo");
+    inject_faults(&mut command, faults).expect("find the shared object built by cargo");
     let child = spawn_process(command.args(arguments));
     let process = DriverProcess { child, listen, path };
     let deadline = Instant::now() + TEST_TIMEOUT;
